--- a/crates/ctl/src/explain/cause.rs
+++ b/crates/ctl/src/explain/cause.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::explain::story::{LOST, Run, Story};
+use crate::explain::timeline::{LOST, Run, Story};
 
 /// Why a job ended as it did, or took as long as it did.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
--- a/crates/ctl/src/explain/book.rs
+++ b/crates/ctl/src/explain/logs.rs
@@ -13,7 +13,7 @@
     error::{CtlError, ReadSnafu},
     explain::{
         Line,
-        story::{Story, TAKEN},
+        timeline::{Story, TAKEN},
     },
 };
 
--- a/crates/ctl/src/explain/losses.rs
+++ b/crates/ctl/src/explain/losses.rs
@@ -9,8 +9,8 @@
     error::CtlError,
     explain::{
         Cause,
-        book::Book,
-        story::{Doing, Span, Spent, Story},
+        logs::Book,
+        timeline::{Doing, Span, Spent, Story},
     },
     table_text::TextTable,
 };
--- a/crates/ctl/src/explain/mod.rs
+++ b/crates/ctl/src/explain/mod.rs
@@ -5,12 +5,12 @@
 //! were collected, in any order. Times are the instances' times of day: where clocks
 //! differ, lines of different instances may stand in a wrong order.
 
-pub mod book;
 mod cause;
 mod line;
+pub mod logs;
 pub mod losses;
 mod show;
-pub mod story;
+pub mod timeline;
 
 pub use cause::Cause;
 pub use line::Line;
--- a/crates/ctl/src/explain/show.rs
+++ b/crates/ctl/src/explain/show.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     error::{CtlError, NoLinesSnafu},
-    explain::{Cause, Line, book::Book, story::Story},
+    explain::{Cause, Line, logs::Book, timeline::Story},
     table_text::TextTable,
 };
 
--- a/crates/ctl/src/explain/story.rs
+++ b/crates/ctl/src/explain/timeline.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::explain::{Line, book::Book};
+use crate::explain::{Line, logs::Book};
 
 /// An instance has become the owner.
 pub(crate) const TAKEN: &str = "lease: taken";
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -2,9 +2,9 @@
 
 use gorsespur_ctl::explain::{
     Cause,
-    book::Book,
+    logs::Book,
     losses::{by_queue, by_time},
-    story::Story,
+    timeline::Story,
 };
 use test_case::test_case;
 
