--- a/crates/ctl/src/explain/cause.rs
+++ b/crates/ctl/src/explain/cause.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::explain::timeline::{LOST, Run, Story};
+use crate::explain::timeline::{JobTimeline, LOST, Run};
 
 /// Why a job ended as it did, or took as long as it did.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -71,20 +71,20 @@
 
 impl Cause {
     /// Returns the cause that a story ends in.
-    pub fn of(story: &Story) -> Cause {
-        if story.lines.is_empty() {
+    pub fn of(timeline: &JobTimeline) -> Cause {
+        if timeline.lines.is_empty() {
             return Cause::Unknown;
         }
-        if story.accepted.is_none() {
+        if timeline.accepted_ms.is_none() {
             return Cause::Refused {
-                times: story.refused.len(),
-                err: story.err.clone(),
+                times: timeline.refusals.len(),
+                err: timeline.last_error.clone(),
             };
         }
-        match story.outcome.as_deref() {
-            Some("Failed") => Cause::failed(story),
+        match timeline.outcome.as_deref() {
+            Some("Failed") => Cause::failed(timeline),
             Some("Cancelled") => Cause::Cancelled,
-            _ => Cause::longest(story),
+            _ => Cause::longest(timeline),
         }
     }
 
@@ -105,54 +105,54 @@
         }
     }
 
-    fn failed(story: &Story) -> Cause {
-        if let Some(task) = &story.crashed {
+    fn failed(timeline: &JobTimeline) -> Cause {
+        if let Some(task) = &timeline.crashing_task {
             return Cause::Crashed {
                 task: task.clone(),
-                workers: workers(story, task, LOST),
+                workers: count_workers(timeline, task, LOST),
             };
         }
-        let failed = |r: &&Run| r.how.as_deref() == Some("Failed");
+        let failed = |r: &&Run| r.outcome.as_deref() == Some("Failed");
         let count = |task: &str| {
-            story
+            timeline
                 .runs
                 .iter()
                 .filter(failed)
                 .filter(|r| r.task == task)
                 .count()
         };
-        let tasks = story.runs.iter().filter(failed).map(|r| r.task.as_str());
+        let tasks = timeline.runs.iter().filter(failed).map(|r| r.task.as_str());
         let task = tasks.max_by_key(|t| count(t)).unwrap_or_default();
         Cause::Failed {
             task: task.to_owned(),
             failures: count(task),
-            workers: workers(story, task, "Failed"),
+            workers: count_workers(timeline, task, "Failed"),
         }
     }
 
-    fn longest(story: &Story) -> Cause {
-        let spent = story.spent;
-        let lost = [spent.failed, spent.stopped, spent.slowed];
+    fn longest(timeline: &JobTimeline) -> Cause {
+        let spent = timeline.spent;
+        let lost_ms = [spent.failed, spent.stopped, spent.slowed];
         // Runs go on beside each other: their sums count as far as something was at work.
-        let lost = lost.map(|ms| ms.min(spent.at_work));
-        let rest = spent.at_work - lost.iter().max().copied().unwrap_or(0);
-        let all = [
+        let lost_ms = lost_ms.map(|ms| ms.min(spent.at_work));
+        let productive_ms = spent.at_work - lost_ms.iter().max().copied().unwrap_or(0);
+        let candidates = [
             (spent.no_owner, Cause::NoOwner { ms: spent.no_owner }),
             (spent.waiting, Cause::Waited { ms: spent.waiting }),
-            (lost[0], Cause::FailedRuns { ms: spent.failed }),
-            (lost[1], Cause::StoppedRuns { ms: spent.stopped }),
-            (lost[2], Cause::Slowed { ms: spent.slowed }),
-            (rest, Cause::Worked { ms: spent.at_work }),
+            (lost_ms[0], Cause::FailedRuns { ms: spent.failed }),
+            (lost_ms[1], Cause::StoppedRuns { ms: spent.stopped }),
+            (lost_ms[2], Cause::Slowed { ms: spent.slowed }),
+            (productive_ms, Cause::Worked { ms: spent.at_work }),
         ];
-        let most = all.into_iter().max_by_key(|(ms, _)| *ms);
+        let most = candidates.into_iter().max_by_key(|(ms, _)| *ms);
         most.map_or(Cause::Unknown, |(_, cause)| cause)
     }
 }
 
 /// Returns the number of workers on which runs of a task ended so.
-fn workers(story: &Story, task: &str, how: &str) -> usize {
-    let runs = story.runs.iter().filter(|r| r.task == task);
-    let ended = runs.filter(|r| r.how.as_deref() == Some(how));
+fn count_workers(timeline: &JobTimeline, task: &str, outcome: &str) -> usize {
+    let runs = timeline.runs.iter().filter(|r| r.task == task);
+    let ended = runs.filter(|r| r.outcome.as_deref() == Some(outcome));
     let mut workers: Vec<&str> = ended.map(|r| &*r.worker).collect();
     workers.sort_unstable();
     workers.dedup();
--- a/crates/ctl/src/explain/line.rs
+++ b/crates/ctl/src/explain/line.rs
@@ -5,12 +5,12 @@
 use serde::{Deserialize, Serialize};
 
 /// Digits of a job's id.
-const DIGITS: usize = 16;
+const JOB_ID_DIGITS: usize = 16;
 
 /// One line of a log, with the fields that tell of jobs, runs and owners.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Line {
+pub struct LogLine {
     /// Time of day in milliseconds since 1970.
     pub ms: u64,
     /// The instance that wrote it.
@@ -64,26 +64,26 @@
     pub count: Option<u64>,
 }
 
-impl Line {
+impl LogLine {
     /// Reads a line; collectors may have put something before the object. Nothing if it is
     /// cut or foreign.
-    pub fn parse(text: &str) -> Option<Line> {
+    pub fn parse(text: &str) -> Option<LogLine> {
         let start = text.find('{')?;
-        let line: Line = serde_json::from_str(&text[start..]).ok()?;
+        let line: LogLine = serde_json::from_str(&text[start..]).ok()?;
         Some(line).filter(|l| !l.msg.is_empty())
     }
 
     /// Tells whether it is about a job.
     pub fn is_about(&self, job: &str) -> bool {
-        self.about() == Some(job)
+        self.job_id() == Some(job)
     }
 
     /// Returns the job that it is about, if it is about one.
-    pub fn about(&self) -> Option<&str> {
+    pub fn job_id(&self) -> Option<&str> {
         let task = || self.task.as_deref()?.split('.').next();
         let path = || self.path.as_deref()?.rsplit('/').next();
         let id = self.job.as_deref().or_else(task).or_else(path)?;
-        let digits = id.len() == DIGITS && id.bytes().all(|b| b.is_ascii_hexdigit());
+        let digits = id.len() == JOB_ID_DIGITS && id.bytes().all(|b| b.is_ascii_hexdigit());
         digits.then_some(id)
     }
 }
--- a/crates/ctl/src/explain/logs.rs
+++ b/crates/ctl/src/explain/logs.rs
@@ -12,46 +12,47 @@
 use crate::{
     error::{CtlError, ReadSnafu},
     explain::{
-        Line,
-        timeline::{Story, TAKEN},
+        LogLine,
+        timeline::{JobTimeline, LEASE_TAKEN},
     },
 };
 
 /// Lines by time, and what could not be read.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct CollectedLogs {
     /// The lines, the earliest first.
-    pub lines: Vec<Line>,
+    pub lines: Vec<LogLine>,
     /// Lines that are cut or of other programs.
-    pub foreign: u64,
+    pub unparsed: u64,
     /// Lines that instances dropped, as they say.
     pub dropped: u64,
 }
 
-impl Book {
+impl CollectedLogs {
     /// Reads files, or standard input if there are none.
     ///
     /// Errors: a file can't be read.
-    pub fn read(paths: &[PathBuf]) -> Result<Book, CtlError> {
-        let mut book = Book::default();
+    pub fn read(paths: &[PathBuf]) -> Result<CollectedLogs, CtlError> {
+        let mut logs = CollectedLogs::default();
         if paths.is_empty() {
             let path = PathBuf::from("standard input");
-            book.take(io::stdin().lock()).context(ReadSnafu { path })?;
+            logs.add_log(io::stdin().lock())
+                .context(ReadSnafu { path })?;
         }
         for path in paths {
             let file = File::open(path).context(ReadSnafu { path })?;
-            book.take(BufReader::new(file))
+            logs.add_log(BufReader::new(file))
                 .context(ReadSnafu { path })?;
         }
-        book.lines.sort_by_key(|l| l.ms);
-        Ok(book)
+        logs.lines.sort_by_key(|l| l.ms);
+        Ok(logs)
     }
 
     /// Takes the lines of one log.
-    pub fn take(&mut self, mut log: impl BufRead) -> io::Result<()> {
+    pub fn add_log(&mut self, mut log: impl BufRead) -> io::Result<()> {
         let mut text = Vec::new();
         while log.read_until(b'\n', &mut text)? > 0 {
-            match Line::parse(&String::from_utf8_lossy(&text)) {
+            match LogLine::parse(&String::from_utf8_lossy(&text)) {
                 Some(line) => {
                     self.dropped += line
                         .count
@@ -59,7 +60,7 @@
                         .unwrap_or(0);
                     self.lines.push(line);
                 }
-                None => self.foreign += 1,
+                None => self.unparsed += 1,
             }
             text.clear();
         }
@@ -67,35 +68,35 @@
     }
 
     /// Prints how much was read, and what could not be.
-    pub(crate) fn print_size(&self) {
+    pub(crate) fn print_summary(&self) {
         println!(
             "from {} lines of {} instances; {} lines cut or foreign, {} dropped by instances",
             self.lines.len(),
             self.nodes().len(),
-            self.foreign,
+            self.unparsed,
             self.dropped
         );
     }
 
     /// Returns the lines that tell of a change of owner.
-    pub(crate) fn takeovers(&self) -> Vec<&Line> {
-        self.lines.iter().filter(|l| l.msg == TAKEN).collect()
+    pub(crate) fn takeovers(&self) -> Vec<&LogLine> {
+        self.lines.iter().filter(|l| l.msg == LEASE_TAKEN).collect()
     }
 
     /// Returns what the logs tell of each job, by its id.
-    pub fn stories(&self) -> Vec<Story> {
-        let mut about: Vec<(&str, &Line)> = Vec::new();
+    pub fn timelines(&self) -> Vec<JobTimeline> {
+        let mut by_job: Vec<(&str, &LogLine)> = Vec::new();
         for line in &self.lines {
-            about.extend(line.about().map(|job| (job, line)));
+            by_job.extend(line.job_id().map(|job| (job, line)));
         }
-        about.sort_by_key(|(job, _)| *job);
+        by_job.sort_by_key(|(job, _)| *job);
         let takeovers = self.takeovers();
-        let mut stories = Vec::new();
-        for job in about.chunk_by(|a, b| a.0 == b.0) {
-            let lines: Vec<&Line> = job.iter().map(|(_, line)| *line).collect();
-            stories.push(Story::told(&lines, &takeovers));
+        let mut timelines = Vec::new();
+        for job in by_job.chunk_by(|a, b| a.0 == b.0) {
+            let lines: Vec<&LogLine> = job.iter().map(|(_, line)| *line).collect();
+            timelines.push(JobTimeline::from_lines(&lines, &takeovers));
         }
-        stories
+        timelines
     }
 
     /// Returns the instances that wrote something, sorted.
--- a/crates/ctl/src/explain/losses.rs
+++ b/crates/ctl/src/explain/losses.rs
@@ -9,8 +9,8 @@
     error::CtlError,
     explain::{
         Cause,
-        logs::Book,
-        timeline::{Doing, Span, Spent, Story},
+        logs::CollectedLogs,
+        timeline::{Activity, JobTimeline, Span, TimeSpent},
     },
     table_text::TextTable,
 };
@@ -32,7 +32,7 @@
     /// Its jobs.
     pub jobs: u64,
     /// Where their time went, in milliseconds, added up.
-    pub spent: Spent,
+    pub spent: TimeSpent,
     /// Jobs by the cause that their story ends in, sorted by its name.
     pub causes: Vec<CauseCount>,
 }
@@ -51,10 +51,10 @@
 }
 
 /// Adds up where the time of jobs went, by queue.
-pub fn by_queue(stories: &[Story]) -> Vec<QueueLoss> {
+pub fn by_queue(timelines: &[JobTimeline]) -> Vec<QueueLoss> {
     let mut rows: Vec<QueueLoss> = Vec::new();
-    for story in stories {
-        let queue = story.queue.clone().unwrap_or_default();
+    for timeline in timelines {
+        let queue = timeline.queue.clone().unwrap_or_default();
         let at = match rows.binary_search_by(|r| r.queue.cmp(&queue)) {
             Ok(at) => at,
             Err(at) => {
@@ -66,15 +66,15 @@
                 at
             }
         };
-        rows[at].add(story);
+        rows[at].add(timeline);
     }
     rows
 }
 
 /// Adds up what jobs did, by windows of so many milliseconds.
-pub fn by_time(stories: &[Story], window: u64) -> Vec<WindowLoss> {
+pub fn by_window(timelines: &[JobTimeline], window: u64) -> Vec<WindowLoss> {
     let mut rows: Vec<WindowLoss> = Vec::new();
-    for span in stories.iter().flat_map(|s| &s.spans) {
+    for span in timelines.iter().flat_map(|s| &s.spans) {
         let mut from = span.from;
         while from < span.to {
             let start = from - from % window;
@@ -98,10 +98,10 @@
 }
 
 impl QueueLoss {
-    fn add(&mut self, story: &Story) {
+    fn add(&mut self, timeline: &JobTimeline) {
         self.jobs += 1;
-        self.spent.add(&story.spent);
-        let cause = Cause::of(story).name();
+        self.spent.add(&timeline.spent);
+        let cause = Cause::of(timeline).name();
         match self.causes.binary_search_by(|c| c.cause.cmp(cause)) {
             Ok(at) => self.causes[at].jobs += 1,
             Err(at) => self.causes.insert(at, CauseCount { cause, jobs: 1 }),
@@ -111,10 +111,10 @@
 
 impl WindowLoss {
     fn add(&mut self, span: &Span) {
-        let sum = match span.doing {
-            Doing::AtWork => &mut self.at_work,
-            Doing::NoOwner => &mut self.no_owner,
-            Doing::Waiting => &mut self.waiting,
+        let sum = match span.activity {
+            Activity::AtWork => &mut self.at_work,
+            Activity::NoOwner => &mut self.no_owner,
+            Activity::Waiting => &mut self.waiting,
         };
         *sum += span.to - span.from;
     }
@@ -122,22 +122,22 @@
 
 /// Shows where the time of all jobs in logs went.
 pub(crate) fn losses(paths: &[PathBuf], window: u64, as_json: bool) -> Result<(), CtlError> {
-    let book = Book::read(paths)?;
-    let stories = book.stories();
-    let (queues, times) = (by_queue(&stories), by_time(&stories, window.max(1)));
+    let logs = CollectedLogs::read(paths)?;
+    let timelines = logs.timelines();
+    let (queues, windows) = (by_queue(&timelines), by_window(&timelines, window.max(1)));
     if as_json {
         let value = json!({
-            "queues": queues, "windows": times, "nodes": book.nodes().len(),
-            "foreign": book.foreign, "dropped": book.dropped,
+            "queues": queues, "windows": windows, "nodes": logs.nodes().len(),
+            "foreign": logs.unparsed, "dropped": logs.dropped,
         });
         println!("{value}");
         return Ok(());
     }
     print_queues(&queues);
     println!();
-    print_times(&times);
+    print_windows(&windows);
     println!();
-    book.print_size();
+    logs.print_summary();
     Ok(())
 }
 
@@ -166,7 +166,7 @@
         table.row(vec![
             row.queue.to_string(),
             row.jobs.to_string(),
-            seconds(spent.all),
+            seconds(spent.total),
             seconds(spent.at_work),
             seconds(spent.no_owner),
             seconds(spent.waiting),
@@ -179,10 +179,10 @@
     table.print();
 }
 
-fn print_times(times: &[WindowLoss]) {
-    let start = times.first().map_or(0, |t| t.from);
+fn print_windows(windows: &[WindowLoss]) {
+    let start = windows.first().map_or(0, |t| t.from);
     let mut table = TextTable::new(&["FROM S", "AT WORK", "NO OWNER", "WAITING"]);
-    for row in times {
+    for row in windows {
         table.row(vec![
             seconds(row.from - start),
             seconds(row.at_work),
--- a/crates/ctl/src/explain/mod.rs
+++ b/crates/ctl/src/explain/mod.rs
@@ -13,6 +13,6 @@
 pub mod timeline;
 
 pub use cause::Cause;
-pub use line::Line;
+pub use line::LogLine;
 pub(crate) use losses::losses;
 pub(crate) use show::explain;
--- a/crates/ctl/src/explain/show.rs
+++ b/crates/ctl/src/explain/show.rs
@@ -6,66 +6,66 @@
 
 use crate::{
     error::{CtlError, NoLinesSnafu},
-    explain::{Cause, Line, logs::Book, timeline::Story},
+    explain::{Cause, LogLine, logs::CollectedLogs, timeline::JobTimeline},
     table_text::TextTable,
 };
 
 /// Explains a job out of logs.
 pub(crate) fn explain(job: &str, paths: &[PathBuf], as_json: bool) -> Result<(), CtlError> {
-    let book = Book::read(paths)?;
-    let story = Story::of(&book, job);
-    if story.lines.is_empty() {
+    let logs = CollectedLogs::read(paths)?;
+    let timeline = JobTimeline::for_job(&logs, job);
+    if timeline.lines.is_empty() {
         return NoLinesSnafu {
             job,
-            lines: book.lines.len(),
+            lines: logs.lines.len(),
         }
         .fail();
     }
-    let cause = Cause::of(&story);
+    let cause = Cause::of(&timeline);
     if as_json {
         let value = json!({
-            "job": job, "cause": cause, "story": story, "nodes": book.nodes().len(),
-            "foreign": book.foreign, "dropped": book.dropped,
+            "job": job, "cause": cause, "story": timeline, "nodes": logs.nodes().len(),
+            "foreign": logs.unparsed, "dropped": logs.dropped,
         });
         println!("{value}");
         return Ok(());
     }
-    print(&book, &story, &cause);
+    print(&logs, &timeline, &cause);
     Ok(())
 }
 
-fn print(book: &Book, story: &Story, cause: &Cause) {
-    let start = story.lines.first().map_or(0, |l| l.ms);
+fn print(logs: &CollectedLogs, timeline: &JobTimeline, cause: &Cause) {
+    let start = timeline.lines.first().map_or(0, |l| l.ms);
     let mut table = TextTable::new(&["SECOND", "INSTANCE", "WHAT", "OF"]);
-    for line in &story.lines {
+    for line in &timeline.lines {
         let second = format!("{:.3}", (line.ms - start) as f64 / 1000.0);
         table.row(vec![
             second,
             line.node.to_string(),
             line.msg.clone(),
-            inputs(line),
+            details(line),
         ]);
     }
     table.print();
-    let spent = story.spent;
+    let spent = timeline.spent;
     println!();
     println!(
         "{} ms in all: {} at work, {} without an owner, {} waiting",
-        spent.all, spent.at_work, spent.no_owner, spent.waiting
+        spent.total, spent.at_work, spent.no_owner, spent.waiting
     );
     println!(
         "{} runs; sums over them: {} ms failed, {} ms stopped or lost, {} ms slowed",
-        story.runs.len(),
+        timeline.runs.len(),
         spent.failed,
         spent.stopped,
         spent.slowed
     );
     println!("cause: {cause}");
-    book.print_size();
+    logs.print_summary();
 }
 
 /// Returns the inputs that a line tells.
-fn inputs(line: &Line) -> String {
+fn details(line: &LogLine) -> String {
     let mut out = Vec::new();
     if let Some(task) = &line.task {
         out.push(task.clone());
--- a/crates/ctl/src/explain/timeline.rs
+++ b/crates/ctl/src/explain/timeline.rs
@@ -4,10 +4,10 @@
 
 use serde::Serialize;
 
-use crate::explain::{Line, logs::Book};
+use crate::explain::{LogLine, logs::CollectedLogs};
 
 /// An instance has become the owner.
-pub(crate) const TAKEN: &str = "lease: taken";
+pub(crate) const LEASE_TAKEN: &str = "lease: taken";
 
 /// A run of a task.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -19,23 +19,27 @@
     /// Its worker.
     pub worker: Arc<str>,
     /// When its start was sent.
-    pub begun: u64,
+    #[serde(rename = "begun")]
+    pub started_ms: u64,
     /// When it ended, and how; nothing if the logs do not say.
-    pub ended: Option<u64>,
+    #[serde(rename = "ended")]
+    pub ended_ms: Option<u64>,
     /// How it ended.
-    pub how: Option<String>,
+    #[serde(rename = "how")]
+    pub outcome: Option<String>,
     /// Since when it was slowed, if it is.
     #[serde(skip)]
-    slowed: Option<u64>,
+    slowed_since: Option<u64>,
     /// For how long it was slowed, in milliseconds.
     pub slowed_ms: u64,
 }
 
 /// Where the time of a job went, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub struct Spent {
+pub struct TimeSpent {
     /// From its acceptance to its end, or to the last line about it.
-    pub all: u64,
+    #[serde(rename = "all")]
+    pub total: u64,
     /// A run was at work.
     pub at_work: u64,
     /// Nothing ran, and the lease was not renewed until another instance took it.
@@ -50,10 +54,10 @@
     pub slowed: u64,
 }
 
-impl Spent {
+impl TimeSpent {
     /// Adds another job's.
-    pub fn add(&mut self, other: &Spent) {
-        self.all += other.all;
+    pub fn add(&mut self, other: &TimeSpent) {
+        self.total += other.total;
         self.at_work += other.at_work;
         self.no_owner += other.no_owner;
         self.waiting += other.waiting;
@@ -69,7 +73,7 @@
 /// What a job did for a while.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Doing {
+pub enum Activity {
     /// A run was at work.
     AtWork,
     /// Nothing ran, and the lease was not renewed until another instance took it.
@@ -86,30 +90,35 @@
     /// When it was over.
     pub to: u64,
     /// What the job did.
-    pub doing: Doing,
+    #[serde(rename = "doing")]
+    pub activity: Activity,
 }
 
 /// What the logs tell of one job.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Story {
+pub struct JobTimeline {
     /// The lines about it, and changes of owner between them.
-    pub lines: Vec<Line>,
+    pub lines: Vec<LogLine>,
     /// Its runs.
     pub runs: Vec<Run>,
     /// When it was accepted, or first heard of if the logs miss that.
-    pub accepted: Option<u64>,
+    #[serde(rename = "accepted")]
+    pub accepted_ms: Option<u64>,
     /// Answers that refused it: when, and by which status.
-    pub refused: Vec<Refusal>,
+    #[serde(rename = "refused")]
+    pub refusals: Vec<Refusal>,
     /// The last error that a line about it tells.
-    pub err: Option<String>,
+    #[serde(rename = "err")]
+    pub last_error: Option<String>,
     /// The task for which it was given up, since it crashed its workers.
-    pub crashed: Option<String>,
+    #[serde(rename = "crashed")]
+    pub crashing_task: Option<String>,
     /// What became of it; nothing if the logs do not say.
     pub outcome: Option<String>,
     /// The queue it was handed in to.
     pub queue: Option<Arc<str>>,
     /// Where its time went.
-    pub spent: Spent,
+    pub spent: TimeSpent,
     /// The same in order; the spans add up to all of its time.
     pub spans: Vec<Span>,
 }
@@ -125,66 +134,68 @@
     pub status: u16,
 }
 
-impl Story {
+impl JobTimeline {
     /// Collects what the logs tell of a job.
-    pub fn of(book: &Book, job: &str) -> Story {
-        let about: Vec<&Line> = book.lines.iter().filter(|l| l.is_about(job)).collect();
-        Story::told(&about, &book.takeovers())
+    pub fn for_job(logs: &CollectedLogs, job: &str) -> JobTimeline {
+        let job_lines: Vec<&LogLine> = logs.lines.iter().filter(|l| l.is_about(job)).collect();
+        JobTimeline::from_lines(&job_lines, &logs.takeovers())
     }
 
     /// Collects what lines about one job tell; `takeovers` are all changes of owner.
-    pub fn told(about: &[&Line], takeovers: &[&Line]) -> Story {
-        let mut story = Story::default();
-        let (Some(first), Some(last)) = (about.first(), about.last()) else {
-            return story;
+    pub fn from_lines(job_lines: &[&LogLine], takeovers: &[&LogLine]) -> JobTimeline {
+        let mut timeline = JobTimeline::default();
+        let (Some(first), Some(last)) = (job_lines.first(), job_lines.last()) else {
+            return timeline;
         };
         let (first, last) = (first.ms, last.ms);
-        let beside = takeovers.iter().filter(|l| (first..=last).contains(&l.ms));
-        let mut lines: Vec<&Line> = about.iter().chain(beside).copied().collect();
+        let lease_changes = takeovers.iter().filter(|l| (first..=last).contains(&l.ms));
+        let mut lines: Vec<&LogLine> = job_lines.iter().chain(lease_changes).copied().collect();
         lines.sort_by_key(|l| l.ms);
         for line in lines {
-            story.take(line);
-            story.lines.push(line.clone());
+            timeline.apply_line(line);
+            timeline.lines.push(line.clone());
         }
-        if !story.runs.is_empty() || story.has_ends() {
-            story.accepted = story.accepted.or(Some(first));
+        if !timeline.runs.is_empty() || timeline.has_ended_runs() {
+            timeline.accepted_ms = timeline.accepted_ms.or(Some(first));
         }
-        story.account(last);
-        story
+        timeline.sum_time(last);
+        timeline
     }
 
     /// Tells whether a run of it ended: it was accepted then, though its start may be
     /// missing.
-    fn has_ends(&self) -> bool {
+    fn has_ended_runs(&self) -> bool {
         self.lines.iter().any(|l| l.msg == "run: ended")
     }
 
-    fn take(&mut self, line: &Line) {
+    fn apply_line(&mut self, line: &LogLine) {
         if line.err.is_some() {
-            self.err = line.err.clone();
+            self.last_error = line.err.clone();
         }
         match line.msg.as_str() {
-            "front: answered" if line.method.as_deref() == Some("POST") => self.answered(line),
+            "front: answered" if line.method.as_deref() == Some("POST") => {
+                self.apply_response(line)
+            }
             "jobs: taken up" => {
-                self.accepted = self.accepted.or(Some(line.ms));
+                self.accepted_ms = self.accepted_ms.or(Some(line.ms));
                 self.queue = line.queue.clone();
             }
-            "job: a task crashes its workers" => self.crashed = line.task.clone(),
+            "job: a task crashes its workers" => self.crashing_task = line.task.clone(),
             "jobs: ended" => self.outcome = line.outcome.clone(),
-            "start: sent" => self.begin(line, line.ms),
-            "run: ended" => self.ended(line, line.how.clone()),
+            "start: sent" => self.start_run(line, line.ms),
+            "run: ended" => self.end_run(line, line.how.clone()),
             "run: not there" | "run: lost with its worker" => {
-                self.ended(line, Some(LOST.to_owned()))
+                self.end_run(line, Some(LOST.to_owned()))
             }
-            "pace: changed" => self.paced(line),
+            "pace: changed" => self.change_pace(line),
             _ => {}
         }
     }
 
-    fn answered(&mut self, line: &Line) {
+    fn apply_response(&mut self, line: &LogLine) {
         match line.status {
-            Some(200) => self.accepted = self.accepted.or(Some(line.ms)),
-            Some(status) => self.refused.push(Refusal {
+            Some(200) => self.accepted_ms = self.accepted_ms.or(Some(line.ms)),
+            Some(status) => self.refusals.push(Refusal {
                 ms: line.ms,
                 node: line.node.clone(),
                 status,
@@ -193,7 +204,7 @@
         }
     }
 
-    fn begin(&mut self, line: &Line, begun: u64) {
+    fn start_run(&mut self, line: &LogLine, started_ms: u64) {
         let (Some(task), Some(run)) = (&line.task, line.run) else {
             return;
         };
@@ -201,82 +212,84 @@
             task: task.clone(),
             run,
             worker: line.worker.clone().unwrap_or_default(),
-            begun,
-            ended: None,
-            how: None,
-            slowed: None,
+            started_ms,
+            ended_ms: None,
+            outcome: None,
+            slowed_since: None,
             slowed_ms: 0,
         });
     }
 
-    fn open_run(&mut self, line: &Line) -> Option<&mut Run> {
-        let same = |r: &&mut Run| {
+    fn open_run(&mut self, line: &LogLine) -> Option<&mut Run> {
+        let is_same_run = |r: &&mut Run| {
             Some(&r.task) == line.task.as_ref() && line.run.is_none_or(|run| run == r.run)
         };
         self.runs
             .iter_mut()
             .rev()
-            .filter(|r| r.ended.is_none())
-            .find(same)
+            .filter(|r| r.ended_ms.is_none())
+            .find(is_same_run)
     }
 
-    fn ended(&mut self, line: &Line, how: Option<String>) {
+    fn end_run(&mut self, line: &LogLine, outcome: Option<String>) {
         let ms = line.ms;
         if self.open_run(line).is_none() {
             // The line of its start is missing; the end tells how long ago that was.
-            self.begin(line, ms.saturating_sub(line.ran_ms.unwrap_or(0)));
+            self.start_run(line, ms.saturating_sub(line.ran_ms.unwrap_or(0)));
         }
         if let Some(run) = self.open_run(line) {
-            run.ended = Some(ms);
-            run.how = how;
+            run.ended_ms = Some(ms);
+            run.outcome = outcome;
             run.slowed_ms += run
-                .slowed
+                .slowed_since
                 .take()
                 .map_or(0, |since| ms.saturating_sub(since));
         }
     }
 
-    fn paced(&mut self, line: &Line) {
-        let (ms, full) = (line.ms, line.to.is_none_or(|to| to >= 100));
+    fn change_pace(&mut self, line: &LogLine) {
+        let (ms, is_full_pace) = (line.ms, line.to.is_none_or(|to| to >= 100));
         let Some(run) = self.open_run(line) else {
             return;
         };
-        if full {
+        if is_full_pace {
             run.slowed_ms += run
-                .slowed
+                .slowed_since
                 .take()
                 .map_or(0, |since| ms.saturating_sub(since));
         } else {
-            run.slowed = run.slowed.or(Some(ms));
+            run.slowed_since = run.slowed_since.or(Some(ms));
         }
     }
 
     /// Adds up where the time went until `last`.
-    fn account(&mut self, last: u64) {
-        let Some(accepted) = self.accepted else {
+    fn sum_time(&mut self, last: u64) {
+        let Some(accepted) = self.accepted_ms else {
             return;
         };
         let mut runs = self.runs.clone();
-        runs.sort_by_key(|r| r.begun);
-        let mut busy = accepted;
+        runs.sort_by_key(|r| r.started_ms);
+        let mut busy_until = accepted;
         for run in &runs {
-            let end = run.ended.unwrap_or(last);
-            self.idle(busy, run.begun);
-            busy = busy.max(run.begun);
-            self.span(busy, end, Doing::AtWork);
-            busy = busy.max(end);
-            self.add_run(run, end);
+            let end = run.ended_ms.unwrap_or(last);
+            self.add_idle_time(busy_until, run.started_ms);
+            busy_until = busy_until.max(run.started_ms);
+            self.add_span(busy_until, end, Activity::AtWork);
+            busy_until = busy_until.max(end);
+            self.add_run_time(run, end);
         }
-        self.idle(busy, last);
-        self.spent.all = last.saturating_sub(accepted);
+        self.add_idle_time(busy_until, last);
+        self.spent.total = last.saturating_sub(accepted);
     }
 
     /// Adds the length of a run to what it came to.
-    fn add_run(&mut self, run: &Run, end: u64) {
-        let length = end.saturating_sub(run.begun);
-        let slowed = run.slowed.map_or(0, |since| end.saturating_sub(since));
+    fn add_run_time(&mut self, run: &Run, end: u64) {
+        let length = end.saturating_sub(run.started_ms);
+        let slowed = run
+            .slowed_since
+            .map_or(0, |since| end.saturating_sub(since));
         self.spent.slowed += run.slowed_ms + slowed;
-        match run.how.as_deref() {
+        match run.outcome.as_deref() {
             Some("Failed") => self.spent.failed += length,
             Some("Done") | None => {}
             Some(_) => self.spent.stopped += length,
@@ -285,29 +298,29 @@
 
     /// Counts a time in which nothing ran: there was no owner from the last renewal of a
     /// lease to its taking.
-    fn idle(&mut self, from: u64, to: u64) {
-        let taken = self.lines.iter().filter(|l| l.msg == TAKEN);
-        let away = taken.map(|l| (l.ms.saturating_sub(l.age_ms.unwrap_or(0)), l.ms));
-        let away: Vec<(u64, u64)> = away.collect();
+    fn add_idle_time(&mut self, from: u64, to: u64) {
+        let takeovers = self.lines.iter().filter(|l| l.msg == LEASE_TAKEN);
+        let intervals = takeovers.map(|l| (l.ms.saturating_sub(l.age_ms.unwrap_or(0)), l.ms));
+        let intervals: Vec<(u64, u64)> = intervals.collect();
         let mut at = from;
-        for (lost, found) in away {
-            let (lost, found) = (lost.clamp(at, to.max(at)), found.clamp(at, to.max(at)));
-            self.span(at, lost, Doing::Waiting);
-            self.span(lost, found, Doing::NoOwner);
-            at = found;
+        for (renewed, taken) in intervals {
+            let (renewed, taken) = (renewed.clamp(at, to.max(at)), taken.clamp(at, to.max(at)));
+            self.add_span(at, renewed, Activity::Waiting);
+            self.add_span(renewed, taken, Activity::NoOwner);
+            at = taken;
         }
-        self.span(at, to, Doing::Waiting);
+        self.add_span(at, to, Activity::Waiting);
     }
 
-    fn span(&mut self, from: u64, to: u64, doing: Doing) {
+    fn add_span(&mut self, from: u64, to: u64, activity: Activity) {
         if to <= from {
             return;
         }
-        self.spans.push(Span { from, to, doing });
-        let sum = match doing {
-            Doing::AtWork => &mut self.spent.at_work,
-            Doing::NoOwner => &mut self.spent.no_owner,
-            Doing::Waiting => &mut self.spent.waiting,
+        self.spans.push(Span { from, to, activity });
+        let sum = match activity {
+            Activity::AtWork => &mut self.spent.at_work,
+            Activity::NoOwner => &mut self.spent.no_owner,
+            Activity::Waiting => &mut self.spent.waiting,
         };
         *sum += to - from;
     }
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -2,23 +2,23 @@
 
 use gorsespur_ctl::explain::{
     Cause,
-    logs::Book,
-    losses::{by_queue, by_time},
-    timeline::Story,
+    logs::CollectedLogs,
+    losses::{by_queue, by_window},
+    timeline::JobTimeline,
 };
 use test_case::test_case;
 
 const JOB: &str = "5c0e7a21d94b36f8";
 
-fn book(log: &str) -> Book {
-    let mut book = Book::default();
-    book.take(log.as_bytes()).expect("lines");
-    book.lines.sort_by_key(|l| l.ms);
-    book
+fn read_logs(log: &str) -> CollectedLogs {
+    let mut logs = CollectedLogs::default();
+    logs.add_log(log.as_bytes()).expect("lines");
+    logs.lines.sort_by_key(|l| l.ms);
+    logs
 }
 
 fn cause(log: &str) -> Cause {
-    Cause::of(&Story::of(&book(log), JOB))
+    Cause::of(&JobTimeline::for_job(&read_logs(log), JOB))
 }
 
 const ACCEPTED: &str = r#"
@@ -75,28 +75,28 @@
     assert_eq!(cause(&log), expected);
 }
 
-fn one_run(before: &str, begun: u64, ended: u64) -> String {
+fn one_run(before: &str, started: u64, ended: u64) -> String {
     format!(
         r#"{ACCEPTED}{before}
-{{"ms":{begun},"node":"b","msg":"start: sent","task":"{JOB}.0.0.0","run":1,"worker":"w1"}}
+{{"ms":{started},"node":"b","msg":"start: sent","task":"{JOB}.0.0.0","run":1,"worker":"w1"}}
 {{"ms":{ended},"node":"b","msg":"run: ended","task":"{JOB}.0.0.0","run":1,"worker":"w1","how":"Done"}}
 {{"ms":{ended},"node":"b","msg":"jobs: ended","job":"{JOB}","outcome":"Complete"}}"#
     )
 }
 
-const TAKEN: &str =
+const LEASE_TAKEN_LINE: &str =
     r#"{"ms":3900,"node":"c","msg":"lease: taken","epoch":2,"from":"b","age_ms":2900}"#;
 
 #[test_case("", 4000, 5000, Cause::Waited { ms: 3000 }; "for room")]
-#[test_case(TAKEN, 4000, 5000, Cause::NoOwner { ms: 2900 }; "for an owner")]
+#[test_case(LEASE_TAKEN_LINE, 4000, 5000, Cause::NoOwner { ms: 2900 }; "for an owner")]
 #[test_case("", 1100, 5000, Cause::Worked { ms: 3900 }; "for its tasks")]
-fn a_late_job_waited(before: &str, begun: u64, ended: u64, expected: Cause) {
-    assert_eq!(cause(&one_run(before, begun, ended)), expected);
+fn a_late_job_waited(before: &str, started: u64, ended: u64, expected: Cause) {
+    assert_eq!(cause(&one_run(before, started, ended)), expected);
 }
 
 #[test]
 fn a_slowed_run_is_told() {
-    let paced = |ms: u64, to: u64| {
+    let pace_line = |ms: u64, to: u64| {
         format!(
             r#"{{"ms":{ms},"node":"b","msg":"pace: changed","task":"{JOB}.0.0.0","from":100,"to":{to}}}"#
         )
@@ -104,8 +104,8 @@
     let log = format!(
         "{}\n{}\n{}",
         one_run("", 1100, 5000),
-        paced(1200, 30),
-        paced(4500, 100)
+        pace_line(1200, 30),
+        pace_line(4500, 100)
     );
     assert_eq!(cause(&log), Cause::Slowed { ms: 3300 });
 }
@@ -115,16 +115,16 @@
     let log = format!(
         "{ACCEPTED}{{\"ms\":1,\"node\":\"a\",\"ms\nsomebody else's line\n  1.25 a {{\"ms\":2,\"node\":\"a\",\"msg\":\"log: lines dropped\",\"count\":7}}\n"
     );
-    let book = book(&log);
+    let logs = read_logs(&log);
     // The empty line at the start counts as well.
-    assert_eq!((book.foreign, book.dropped), (3, 7));
-    assert_eq!(book.nodes().len(), 2);
+    assert_eq!((logs.unparsed, logs.dropped), (3, 7));
+    assert_eq!(logs.nodes().len(), 2);
 }
 
 #[test]
 fn nothing_is_concluded_from_other_jobs() {
-    let story = Story::of(&book(ACCEPTED), "0000000000000001");
-    assert_eq!(Cause::of(&story), Cause::Unknown);
+    let timeline = JobTimeline::for_job(&read_logs(ACCEPTED), "0000000000000001");
+    assert_eq!(Cause::of(&timeline), Cause::Unknown);
 }
 
 /// Logs are cut at times: what ran was accepted, though no line says so.
@@ -135,8 +135,8 @@
 {{"ms":1500,"node":"b","msg":"jobs: ended","job":"{JOB}","outcome":"Complete"}}"#
     );
     assert_eq!(cause(&log), Cause::Waited { ms: 500 });
-    let story = Story::of(&book(&log), JOB);
-    assert_eq!(story.runs[0].begun, 0, "{story:?}");
+    let timeline = JobTimeline::for_job(&read_logs(&log), JOB);
+    assert_eq!(timeline.runs[0].started_ms, 0, "{timeline:?}");
 }
 
 /// Two jobs, of which one waits for an owner: sums by queue and over time add up to the
@@ -144,21 +144,21 @@
 #[test]
 fn losses_add_up() {
     let other = one_run("", 1500, 2500).replace(JOB, "00000000000000aa");
-    let log = format!("{}\n{other}", one_run(TAKEN, 4000, 5000));
-    let stories = book(&log).stories();
-    assert_eq!(stories.len(), 2);
-    let queues = by_queue(&stories);
+    let log = format!("{}\n{other}", one_run(LEASE_TAKEN_LINE, 4000, 5000));
+    let timelines = read_logs(&log).timelines();
+    assert_eq!(timelines.len(), 2);
+    let queues = by_queue(&timelines);
     assert_eq!((queues.len(), queues[0].jobs), (1, 2));
     let spent = queues[0].spent;
-    assert_eq!(spent.all, 4000 + 1500);
+    assert_eq!(spent.total, 4000 + 1500);
     assert_eq!(
         (spent.at_work, spent.no_owner, spent.waiting),
         (2000, 2900, 600)
     );
     for window in [100, 2000, 7000] {
-        let times = by_time(&stories, window);
-        let sum = times.iter().map(|t| t.at_work + t.no_owner + t.waiting);
-        assert_eq!(sum.sum::<u64>(), spent.all, "{window} ms");
+        let windows = by_window(&timelines, window);
+        let sum = windows.iter().map(|t| t.at_work + t.no_owner + t.waiting);
+        assert_eq!(sum.sum::<u64>(), spent.total, "{window} ms");
     }
     let causes: Vec<_> = queues[0].causes.iter().map(|c| (c.cause, c.jobs)).collect();
     assert_eq!(causes, [("at work", 1), ("no owner", 1)]);
@@ -167,9 +167,9 @@
 /// A job that waits for half a minute is without an owner for the second of a takeover only.
 #[test]
 fn a_takeover_takes_no_more_than_its_time() {
-    let taken = TAKEN.replace("2900", "1000");
+    let taken = LEASE_TAKEN_LINE.replace("2900", "1000");
     let log = one_run(&taken, 30_000, 31_000);
     assert_eq!(cause(&log), Cause::Waited { ms: 28_000 });
-    let spent = Story::of(&book(&log), JOB).spent;
-    assert_eq!((spent.no_owner, spent.all), (1000, 30_000));
+    let spent = JobTimeline::for_job(&read_logs(&log), JOB).spent;
+    assert_eq!((spent.no_owner, spent.total), (1000, 30_000));
 }
