--- a/crates/ctl/src/explain/losses.rs
+++ b/crates/ctl/src/explain/losses.rs
@@ -12,7 +12,7 @@
         logs::CollectedLogs,
         timeline::{Activity, JobTimeline, Span, TimeSpent},
     },
-    table_text::TextTable,
+    text_table::TextTable,
 };
 
 /// Jobs whose story ends in one cause.
--- a/crates/ctl/src/explain/show.rs
+++ b/crates/ctl/src/explain/show.rs
@@ -7,7 +7,7 @@
 use crate::{
     error::{CtlError, NoLinesSnafu},
     explain::{Cause, LogLine, logs::CollectedLogs, timeline::JobTimeline},
-    table_text::TextTable,
+    text_table::TextTable,
 };
 
 /// Explains a job out of logs.
--- a/crates/ctl/src/history.rs
+++ b/crates/ctl/src/history.rs
@@ -3,7 +3,7 @@
 use gorsespur_services::Table;
 use serde_json::json;
 
-use crate::{error::CtlError, store, table_text::TextTable};
+use crate::{error::CtlError, store, text_table::TextTable};
 
 /// Shows the audit trail of an organisation.
 pub(crate) fn history(table: &dyn Table, org: &str, as_json: bool) -> Result<(), CtlError> {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -16,4 +16,4 @@
 mod show;
 mod status;
 pub mod store;
-mod table_text;
+mod text_table;
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -3,7 +3,7 @@
 use gorsespur_services::Table;
 use serde_json::json;
 
-use crate::{document::to_text, error::CtlError, store, table_text::TextTable};
+use crate::{document::to_text, error::CtlError, store, text_table::TextTable};
 
 /// Shows the template of an organisation, or lists all.
 pub(crate) fn show(table: &dyn Table, org: Option<&str>, as_json: bool) -> Result<(), CtlError> {
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     error::{CtlError, MembersSnafu},
-    table_text::TextTable,
+    text_table::TextTable,
 };
 
 /// Time limit of asking one instance.
