--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -21,15 +21,15 @@
     diff::diff,
     document::Document,
     error::{CtlError, StoredSnafu},
-    store::{self, Kept},
+    store::{self, Versioned},
 };
 
 /// Tries while other organisations' changes come between.
-const TRIES: u32 = 20;
+const MAX_ATTEMPTS: u32 = 20;
 
 /// First and longest delay between them, in milliseconds.
-const FIRST_DELAY: u64 = 10;
-const MAX_DELAY: u64 = 500;
+const FIRST_DELAY_MS: u64 = 10;
+const MAX_DELAY_MS: u64 = 500;
 
 /// A change that an operator wants.
 #[derive(Debug, Clone)]
@@ -37,11 +37,11 @@
     /// The new template.
     pub document: Document,
     /// Version that was edited.
-    pub edited: u64,
+    pub base_version: u64,
     /// Who makes it.
-    pub who: String,
+    pub author: String,
     /// Why.
-    pub why: String,
+    pub reason: String,
 }
 
 /// A change that was accepted.
@@ -57,48 +57,48 @@
 
 /// Applies a change, if the version in force is the one that was edited.
 pub fn apply(table: &dyn Table, change: &Change) -> Result<Accepted, CtlError> {
-    if check_name(&change.who).is_err() {
-        let who = change.who.clone();
-        return Err(CtlError::Who { who });
+    if check_name(&change.author).is_err() {
+        let author = change.author.clone();
+        return Err(CtlError::InvalidAuthor { author });
     }
     let token = rand::rng().random_range(1..=u64::MAX);
-    let mut backoff = Backoff::new(FIRST_DELAY, MAX_DELAY, token);
+    let mut backoff = Backoff::new(FIRST_DELAY_MS, MAX_DELAY_MS, token);
     let org = &change.document.template.name;
-    let mut doubt = false;
-    for _ in 0..TRIES {
+    let mut in_doubt = false;
+    for _ in 0..MAX_ATTEMPTS {
         let old = match store::template(table, org) {
             Ok(old) => old,
-            Err(_) if doubt => {
+            Err(_) if in_doubt => {
                 pause(&mut backoff);
                 continue;
             }
             Err(err) => return Err(err),
         };
-        let found = old.as_ref().map_or(0, |o| o.value.version);
+        let current = old.as_ref().map_or(0, |o| o.value.version);
         if let Some(old) = old.as_ref().filter(|o| o.value.token == token) {
             return Ok(accepted(change, old.value.version, None));
         }
-        if found != change.edited {
-            return Err(raced(table, change, found));
+        if current != change.base_version {
+            return Err(version_conflict(table, change, current));
         }
         let before = old.as_ref().map(|o| &o.value.raw);
         let lines = diff(before, &change.document.raw);
         if lines.is_empty() && old.is_some() {
-            return Ok(accepted(change, found, Some(lines)));
+            return Ok(accepted(change, current, Some(lines)));
         }
         let tx = transaction(table, change, old.as_ref(), &lines, token)?;
         match table.tx(&tx) {
-            Ok(_) => return Ok(accepted(change, found + 1, Some(lines))),
-            Err(TableError::Unavailable) if !doubt => {
+            Ok(_) => return Ok(accepted(change, current + 1, Some(lines))),
+            Err(TableError::Unavailable) if !in_doubt => {
                 let source = TableError::Unavailable;
                 return Err(CtlError::Table { source });
             }
-            Err(TableError::Unknown) => doubt = true,
+            Err(TableError::Unknown) => in_doubt = true,
             Err(TableError::Conflict { .. } | TableError::Unavailable) => {}
         }
         pause(&mut backoff);
     }
-    if doubt {
+    if in_doubt {
         return Err(CtlError::InDoubt);
     }
     let source = TableError::Unavailable;
@@ -119,11 +119,11 @@
 }
 
 /// Tells the loser of a race what changed since the version that it edited.
-fn raced(table: &dyn Table, change: &Change, found: u64) -> CtlError {
+fn version_conflict(table: &dyn Table, change: &Change, current: u64) -> CtlError {
     let org = &change.document.template.name;
     let mut changes = Vec::new();
-    for entry in store::audits(table, org).unwrap_or_default() {
-        if entry.version <= change.edited {
+    for entry in store::audit_trail(table, org).unwrap_or_default() {
+        if entry.version <= change.base_version {
             continue;
         }
         let lines: Vec<&str> = entry.diff.iter().map(|d| &**d).collect();
@@ -134,10 +134,10 @@
             lines.join(", ")
         ));
     }
-    CtlError::Raced {
+    CtlError::VersionConflict {
         org: org.to_string(),
-        edited: change.edited,
-        found,
+        base_version: change.base_version,
+        current_version: current,
         changes: changes.join("; "),
     }
 }
@@ -145,14 +145,14 @@
 fn transaction(
     table: &dyn Table,
     change: &Change,
-    old: Option<&Kept<StoredTemplate>>,
+    old: Option<&Versioned<StoredTemplate>>,
     lines: &[String],
     token: u64,
 ) -> Result<Tx, CtlError> {
     let org = &change.document.template.name;
-    let head = store::head(table)?;
+    let head = store::config_head(table)?;
     let number = head.as_ref().map_or(0, |h| h.value.change) + 1;
-    let version = change.edited + 1;
+    let version = change.base_version + 1;
     let stored = StoredTemplate {
         version,
         change: number,
@@ -163,27 +163,27 @@
     let audit = AuditEntry {
         version,
         at: wall_ms(),
-        who: Name::from(&*change.who),
-        why: Name::from(&*change.why),
+        who: Name::from(&*change.author),
+        why: Name::from(&*change.reason),
         diff: lines.iter().map(|l| Name::from(&**l)).collect(),
     };
     let expect = |found: Option<u64>| found.map_or(Expect::Absent, Expect::Version);
     let head_key = Name::from(keys::CONFIG_HEAD);
     let audit_key = keys::audit(org, version);
-    let stored = encode(&stored).context(StoredSnafu)?;
-    let audit = encode(&audit).context(StoredSnafu)?;
-    let counted = encode(&ConfigHead { change: number }).context(StoredSnafu)?;
-    let logged = encode(&ConfigChange { org: org.clone() }).context(StoredSnafu)?;
+    let encoded_template = encode(&stored).context(StoredSnafu)?;
+    let encoded_audit = encode(&audit).context(StoredSnafu)?;
+    let encoded_head = encode(&ConfigHead { change: number }).context(StoredSnafu)?;
+    let encoded_change = encode(&ConfigChange { org: org.clone() }).context(StoredSnafu)?;
     let mut tx = Tx::new();
-    if let Some(old) = number.checked_sub(keys::CHANGES_KEPT) {
-        tx = tx.delete(keys::change(old));
+    if let Some(expired) = number.checked_sub(keys::CHANGES_KEPT) {
+        tx = tx.delete(keys::change(expired));
     }
     Ok(tx
-        .put(keys::change(number), logged)
+        .put(keys::change(number), encoded_change)
         .check(keys::config(org), expect(old.map(|o| o.version)))
         .check(head_key.clone(), expect(head.map(|h| h.version)))
         .check(audit_key.clone(), Expect::Absent)
-        .put(keys::config(org), stored)
-        .put(head_key, counted)
-        .put(audit_key, audit))
+        .put(keys::config(org), encoded_template)
+        .put(head_key, encoded_head)
+        .put(audit_key, encoded_audit))
 }
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -12,8 +12,8 @@
 
 /// Returns the changed fields, one a line: `path: old -> new`.
 pub fn diff(old: Option<&RawTemplate>, new: &RawTemplate) -> Vec<String> {
-    let before = old.map(leaves).unwrap_or_default();
-    let after = leaves(new);
+    let before = old.map(flatten).unwrap_or_default();
+    let after = flatten(new);
     let mut out = Vec::new();
     for leaf in &before {
         match after.binary_search_by(|l| l.path.cmp(&leaf.path)) {
@@ -34,16 +34,16 @@
     out
 }
 
-fn leaves(raw: &RawTemplate) -> Vec<Leaf> {
+fn flatten(raw: &RawTemplate) -> Vec<Leaf> {
     let mut out = Vec::new();
     let value = serde_json::to_value(raw).unwrap_or(Value::Null);
-    walk("", &value, &mut out);
+    collect_leaves("", &value, &mut out);
     out.sort_by(|a, b| a.path.cmp(&b.path));
     out
 }
 
 /// Entries of lists go by their names, so that a moved entry is no change.
-fn walk(path: &str, value: &Value, out: &mut Vec<Leaf>) {
+fn collect_leaves(path: &str, value: &Value, out: &mut Vec<Leaf>) {
     match value {
         Value::Object(fields) => {
             for (name, field) in fields {
@@ -52,14 +52,14 @@
                 } else {
                     format!("{path}.{name}")
                 };
-                walk(&path, field, out);
+                collect_leaves(&path, field, out);
             }
         }
         Value::Array(items) => {
             for (i, item) in items.iter().enumerate() {
                 let name = item.get("name").and_then(Value::as_str);
                 let name = name.map_or_else(|| i.to_string(), str::to_owned);
-                walk(&format!("{path}[{name}]"), item, out);
+                collect_leaves(&format!("{path}[{name}]"), item, out);
             }
         }
         leaf => out.push(Leaf {
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -52,28 +52,28 @@
         source: Problems,
     },
     /// Who applies a template is not a name.
-    #[snafu(display("--who {who:?} is not a name; give letters, digits, '.', '_' or '-'"))]
-    Who {
+    #[snafu(display("--who {author:?} is not a name; give letters, digits, '.', '_' or '-'"))]
+    InvalidAuthor {
         /// What was given.
-        who: String,
+        author: String,
     },
     /// Another operator changed the template meanwhile.
     #[snafu(display(
-        "{org} is at version {found}, not at {edited} that was edited; nothing was changed; since then: {changes}"
+        "{org} is at version {current_version}, not at {base_version} that was edited; nothing was changed; since then: {changes}"
     ))]
-    Raced {
+    VersionConflict {
         /// Organisation.
         org: String,
         /// Version that was edited.
-        edited: u64,
+        base_version: u64,
         /// Version in force.
-        found: u64,
+        current_version: u64,
         /// Who changed what since.
         changes: String,
     },
     /// The organisation has no template.
     #[snafu(display("no organisation is called {org:?}"))]
-    NoOrg {
+    UnknownOrganisation {
         /// Organisation.
         org: String,
     },
@@ -81,7 +81,7 @@
     #[snafu(display(
         "none of {lines} lines is about job {job:?}; collect the logs of all instances of that time"
     ))]
-    NoLines {
+    NoLogLines {
         /// The job.
         job: String,
         /// Lines that were read.
@@ -118,10 +118,10 @@
             | CtlError::Read { .. }
             | CtlError::Parse { .. }
             | CtlError::Check { .. }
-            | CtlError::Who { .. }
-            | CtlError::NoOrg { .. }
-            | CtlError::NoLines { .. } => USAGE,
-            CtlError::Raced { .. }
+            | CtlError::InvalidAuthor { .. }
+            | CtlError::UnknownOrganisation { .. }
+            | CtlError::NoLogLines { .. } => USAGE,
+            CtlError::VersionConflict { .. }
             | CtlError::Table { .. }
             | CtlError::InDoubt
             | CtlError::Members { .. }
--- a/crates/ctl/src/explain/losses.rs
+++ b/crates/ctl/src/explain/losses.rs
@@ -163,7 +163,7 @@
         let spent = row.spent;
         let most = row.causes.iter().max_by_key(|c| c.jobs);
         let most = most.map_or(String::new(), |c| format!("{} ({})", c.cause, c.jobs));
-        table.row(vec![
+        table.add_row(vec![
             row.queue.to_string(),
             row.jobs.to_string(),
             seconds(spent.total),
@@ -183,7 +183,7 @@
     let start = windows.first().map_or(0, |t| t.from);
     let mut table = TextTable::new(&["FROM S", "AT WORK", "NO OWNER", "WAITING"]);
     for row in windows {
-        table.row(vec![
+        table.add_row(vec![
             seconds(row.from - start),
             seconds(row.at_work),
             seconds(row.no_owner),
--- a/crates/ctl/src/explain/show.rs
+++ b/crates/ctl/src/explain/show.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use crate::{
-    error::{CtlError, NoLinesSnafu},
+    error::{CtlError, NoLogLinesSnafu},
     explain::{Cause, LogLine, logs::CollectedLogs, timeline::JobTimeline},
     text_table::TextTable,
 };
@@ -15,7 +15,7 @@
     let logs = CollectedLogs::read(paths)?;
     let timeline = JobTimeline::for_job(&logs, job);
     if timeline.lines.is_empty() {
-        return NoLinesSnafu {
+        return NoLogLinesSnafu {
             job,
             lines: logs.lines.len(),
         }
@@ -39,7 +39,7 @@
     let mut table = TextTable::new(&["SECOND", "INSTANCE", "WHAT", "OF"]);
     for line in &timeline.lines {
         let second = format!("{:.3}", (line.ms - start) as f64 / 1000.0);
-        table.row(vec![
+        table.add_row(vec![
             second,
             line.node.to_string(),
             line.msg.clone(),
--- a/crates/ctl/src/history.rs
+++ b/crates/ctl/src/history.rs
@@ -7,10 +7,10 @@
 
 /// Shows the audit trail of an organisation.
 pub(crate) fn history(table: &dyn Table, org: &str, as_json: bool) -> Result<(), CtlError> {
-    let entries = store::audits(table, org)?;
+    let entries = store::audit_trail(table, org)?;
     if entries.is_empty() {
         let org = org.to_owned();
-        return Err(CtlError::NoOrg { org });
+        return Err(CtlError::UnknownOrganisation { org });
     }
     if as_json {
         println!("{}", json!(entries));
@@ -29,7 +29,7 @@
                 cells = vec![String::new(); 4];
             }
             cells.push(line.to_string());
-            text.row(std::mem::take(&mut cells));
+            text.add_row(std::mem::take(&mut cells));
         }
     }
     text.print();
--- a/crates/ctl/src/program.rs
+++ b/crates/ctl/src/program.rs
@@ -22,7 +22,7 @@
 };
 
 /// Time limit of a call to the platform.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Settings of the command; flags go first.
 #[derive(Debug, Clone, Default, Deserialize)]
@@ -42,44 +42,50 @@
     let json = args.json;
     match &args.command {
         Command::Check { file } => check::check(file, json),
-        Command::Diff { file } => check::show_diff(&table(&args.platform, &settings)?, file, json),
-        Command::Show { org } => show(&table(&args.platform, &settings)?, org.as_deref(), json),
-        Command::History { org } => history(&table(&args.platform, &settings)?, org, json),
+        Command::Diff { file } => {
+            check::show_diff(&table_client(&args.platform, &settings)?, file, json)
+        }
+        Command::Show { org } => show(
+            &table_client(&args.platform, &settings)?,
+            org.as_deref(),
+            json,
+        ),
+        Command::History { org } => history(&table_client(&args.platform, &settings)?, org, json),
         Command::Explain { job, logs } => explain(job, logs, json),
         Command::Losses { logs, window } => losses(logs, window * 1000, json),
-        Command::Status => status(&members(&args.platform, &settings)?, json),
+        Command::Status => status(&members_client(&args.platform, &settings)?, json),
         Command::Apply { file, on, who, why } => {
             let document = Document::read(file)?;
-            let edited = on.or(document.version).unwrap_or(0);
-            let who = who
+            let base_version = on.or(document.version).unwrap_or(0);
+            let author = who
                 .clone()
                 .or(settings.who.clone())
                 .or_else(|| env::var("USER").ok());
             let change = Change {
                 document,
-                edited,
-                who: who.unwrap_or_else(|| "operator".to_owned()),
-                why: why.clone(),
+                base_version,
+                author: author.unwrap_or_else(|| "operator".to_owned()),
+                reason: why.clone(),
             };
-            run_apply(&table(&args.platform, &settings)?, &change, json)
+            run_apply(&table_client(&args.platform, &settings)?, &change, json)
         }
     }
 }
 
-fn table(args: &PlatformArgs, settings: &CtlSettings) -> Result<HttpTable, CtlError> {
+fn table_client(args: &PlatformArgs, settings: &CtlSettings) -> Result<HttpTable, CtlError> {
     let addr = args
         .table
         .or(settings.table)
         .context(NoAddressSnafu { flag: "table" })?;
-    Ok(HttpTable::new(addr, TIMEOUT))
+    Ok(HttpTable::new(addr, CALL_TIMEOUT))
 }
 
-fn members(args: &PlatformArgs, settings: &CtlSettings) -> Result<HttpMembers, CtlError> {
+fn members_client(args: &PlatformArgs, settings: &CtlSettings) -> Result<HttpMembers, CtlError> {
     let addr = args
         .members
         .or(settings.members)
         .context(NoAddressSnafu { flag: "members" })?;
-    Ok(HttpMembers::new(addr, TIMEOUT))
+    Ok(HttpMembers::new(addr, CALL_TIMEOUT))
 }
 
 fn run_apply(table: &HttpTable, change: &Change, as_json: bool) -> Result<(), CtlError> {
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -16,7 +16,7 @@
 fn show_one(table: &dyn Table, org: &str, as_json: bool) -> Result<(), CtlError> {
     let Some(found) = store::template(table, org)? else {
         let org = org.to_owned();
-        return Err(CtlError::NoOrg { org });
+        return Err(CtlError::UnknownOrganisation { org });
     };
     let t = found.value;
     if as_json {
@@ -40,7 +40,7 @@
     let mut text = TextTable::new(&["ORGANISATION", "VERSION", "SERVICES", "JOBS", "TEAMS"]);
     for t in &all {
         let o = &t.template;
-        text.row(vec![
+        text.add_row(vec![
             o.name.to_string(),
             t.version.to_string(),
             o.services.len().to_string(),
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -14,41 +14,41 @@
 };
 
 /// Time limit of asking one instance.
-const ASK: Duration = Duration::from_millis(1_500);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Shows every instance that the membership list has.
 pub(crate) fn status(members: &dyn Members, as_json: bool) -> Result<(), CtlError> {
     let list = members.list().context(MembersSnafu)?;
-    let mut found = Vec::new();
-    let mut silent = Vec::new();
+    let mut statuses = Vec::new();
+    let mut unreachable = Vec::new();
     for info in list.instances {
-        match post::<_, InstanceStatus>(info.addr, PEER_STATUS, &(), ASK) {
-            Ok(status) => found.push(status),
-            Err(_) => silent.push(info),
+        match post::<_, InstanceStatus>(info.addr, PEER_STATUS, &(), STATUS_TIMEOUT) {
+            Ok(status) => statuses.push(status),
+            Err(_) => unreachable.push(info),
         }
     }
     if as_json {
-        let silent: Vec<&Name> = silent.iter().map(|i| &i.id).collect();
-        println!("{}", json!({"instances": found, "silent": silent}));
+        let unreachable: Vec<&Name> = unreachable.iter().map(|i| &i.id).collect();
+        println!("{}", json!({"instances": statuses, "silent": unreachable}));
         return Ok(());
     }
-    instances(&found, &silent);
-    shards(&found);
-    troubles(&found);
+    print_instances(&statuses, &unreachable);
+    print_shards(&statuses);
+    print_problems(&statuses);
     Ok(())
 }
 
-fn instances(found: &[InstanceStatus], silent: &[InstanceInfo]) {
+fn print_instances(statuses: &[InstanceStatus], unreachable: &[InstanceInfo]) {
     let mut text = TextTable::new(&[
         "INSTANCE", "ROLE", "ZONE", "CONFIG", "SEES", "SHARDS", "REQUESTS", "REFUSED",
     ]);
-    for s in found {
+    for s in statuses {
         let routed = |f: fn(&gorsespur_core::route::RouteCounts) -> u64| {
             s.routed
                 .as_ref()
                 .map_or_else(String::new, |c| f(c).to_string())
         };
-        text.row(vec![
+        text.add_row(vec![
             s.id.to_string(),
             format!("{:?}", s.role).to_lowercase(),
             s.zone.to_string(),
@@ -59,8 +59,8 @@
             routed(|c| c.refused),
         ]);
     }
-    for i in silent {
-        text.row(vec![
+    for i in unreachable {
+        text.add_row(vec![
             i.id.to_string(),
             format!("{:?}", i.role).to_lowercase(),
             i.zone.to_string(),
@@ -70,7 +70,7 @@
     text.print();
 }
 
-fn shards(found: &[InstanceStatus]) {
+fn print_shards(statuses: &[InstanceStatus]) {
     println!();
     let mut text = TextTable::new(&[
         "SHARD",
@@ -82,9 +82,9 @@
         "WORKERS",
         "STORE AGE MS",
     ]);
-    for s in found {
+    for s in statuses {
         for shard in &s.shards {
-            text.row(vec![
+            text.add_row(vec![
                 shard.shard.to_string(),
                 s.id.to_string(),
                 shard.epoch.to_string(),
@@ -100,10 +100,10 @@
 }
 
 /// Shows workers that get no tasks and jobs that can't run, with the reason.
-fn troubles(found: &[InstanceStatus]) {
+fn print_problems(statuses: &[InstanceStatus]) {
     let mut text = TextTable::new(&["HELD UP", "SHARD", "REASON"]);
-    let mut any = false;
-    for shard in found.iter().flat_map(|s| &s.shards) {
+    let mut has_rows = false;
+    for shard in statuses.iter().flat_map(|s| &s.shards) {
         for w in &shard.workers {
             let reason = match (w.health, w.quarantined, w.leaving) {
                 (Health::Silent, _, _) => "does not answer",
@@ -112,20 +112,20 @@
                 (Health::Good, false, true) => "leaving",
                 (Health::Good, false, false) => continue,
             };
-            any = true;
-            text.row(vec![
+            has_rows = true;
+            text.add_row(vec![
                 w.name.to_string(),
                 shard.shard.to_string(),
                 reason.to_owned(),
             ]);
         }
         for job in &shard.blocked {
-            any = true;
+            has_rows = true;
             let reason = "no worker is large enough".to_owned();
-            text.row(vec![job.to_string(), shard.shard.to_string(), reason]);
+            text.add_row(vec![job.to_string(), shard.shard.to_string(), reason]);
         }
     }
-    if any {
+    if has_rows {
         println!();
         text.print();
     }
--- a/crates/ctl/src/store.rs
+++ b/crates/ctl/src/store.rs
@@ -13,44 +13,50 @@
 use crate::error::{CtlError, StoredSnafu, TableSnafu};
 
 /// Rows of one read.
-const BATCH: u32 = 500;
+const BATCH_ROWS: u32 = 500;
 
 /// A value and the version of its row.
 #[derive(Debug, Clone)]
-pub struct Kept<T> {
+pub struct Versioned<T> {
     /// Version of the row.
     pub version: u64,
     /// The value.
     pub value: T,
 }
 
-fn read<T: DeserializeOwned>(table: &dyn Table, key: Name) -> Result<Option<Kept<T>>, CtlError> {
+fn read_row<T: DeserializeOwned>(
+    table: &dyn Table,
+    key: Name,
+) -> Result<Option<Versioned<T>>, CtlError> {
     let rows = table.get(&[key]).context(TableSnafu)?;
     let Some(row) = rows.into_iter().next().flatten() else {
         return Ok(None);
     };
     let value = decode(&row.value).context(StoredSnafu)?;
-    Ok(Some(Kept {
+    Ok(Some(Versioned {
         version: row.version,
         value,
     }))
 }
 
 /// Reads the template of an organisation.
-pub fn template(table: &dyn Table, org: &str) -> Result<Option<Kept<StoredTemplate>>, CtlError> {
-    read(table, keys::config(org))
+pub fn template(
+    table: &dyn Table,
+    org: &str,
+) -> Result<Option<Versioned<StoredTemplate>>, CtlError> {
+    read_row(table, keys::config(org))
 }
 
 /// Reads the count of changes.
-pub fn head(table: &dyn Table) -> Result<Option<Kept<ConfigHead>>, CtlError> {
-    read(table, Name::from(keys::CONFIG_HEAD))
+pub fn config_head(table: &dyn Table) -> Result<Option<Versioned<ConfigHead>>, CtlError> {
+    read_row(table, Name::from(keys::CONFIG_HEAD))
 }
 
-fn scan<T: DeserializeOwned>(table: &dyn Table, prefix: Name) -> Result<Vec<T>, CtlError> {
+fn scan_rows<T: DeserializeOwned>(table: &dyn Table, prefix: Name) -> Result<Vec<T>, CtlError> {
     let mut out = Vec::new();
     let mut after = None;
     loop {
-        let (rows, more) = table.scan(&prefix, after, BATCH).context(TableSnafu)?;
+        let (rows, more) = table.scan(&prefix, after, BATCH_ROWS).context(TableSnafu)?;
         after = rows.last().map(|r| r.key.clone());
         for row in rows {
             out.push(decode(&row.value).context(StoredSnafu)?);
@@ -63,10 +69,10 @@
 
 /// Reads all templates, sorted by organisation.
 pub fn templates(table: &dyn Table) -> Result<Vec<StoredTemplate>, CtlError> {
-    scan(table, Name::from(keys::CONFIG))
+    scan_rows(table, Name::from(keys::CONFIG))
 }
 
 /// Reads the audit trail of an organisation, the oldest entry first.
-pub fn audits(table: &dyn Table, org: &str) -> Result<Vec<AuditEntry>, CtlError> {
-    scan(table, keys::audits(org))
+pub fn audit_trail(table: &dyn Table, org: &str) -> Result<Vec<AuditEntry>, CtlError> {
+    scan_rows(table, keys::audits(org))
 }
--- a/crates/ctl/src/text_table.rs
+++ b/crates/ctl/src/text_table.rs
@@ -14,7 +14,7 @@
         }
     }
 
-    pub fn row(&mut self, cells: Vec<String>) {
+    pub fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
--- a/crates/ctl/tests/apply.rs
+++ b/crates/ctl/tests/apply.rs
@@ -20,14 +20,14 @@
     Document::read(&path).expect("the template passes")
 }
 
-fn change(edited: u64, replicas: i64) -> Change {
+fn change(base_version: u64, replicas: i64) -> Change {
     let mut document = document();
     document.raw.services[0].replicas = replicas;
     Change {
         document,
-        edited,
-        who: "ada".to_owned(),
-        why: "load".to_owned(),
+        base_version,
+        author: "ada".to_owned(),
+        reason: "load".to_owned(),
     }
 }
 
@@ -42,14 +42,14 @@
         accepted.diff,
         ["services[qualification].replicas: 50 -> 60"]
     );
-    let trail = store::audits(&platform, "weld").expect("read");
+    let trail = store::audit_trail(&platform, "weld").expect("read");
     assert_eq!(trail.len(), 2);
     assert_eq!(
         (&*trail[1].who, &*trail[1].why, trail[1].version),
         ("ada", "load", 2)
     );
     assert_eq!(
-        store::head(&platform)
+        store::config_head(&platform)
             .expect("read")
             .expect("there")
             .value
@@ -64,24 +64,24 @@
     apply(&platform, &change(0, 50)).expect("accepted");
     apply(&platform, &change(1, 60)).expect("accepted");
     let err = apply(&platform, &change(1, 70)).expect_err("lost the race");
-    let CtlError::Raced {
-        edited,
-        found,
+    let CtlError::VersionConflict {
+        base_version,
+        current_version,
         changes,
         ..
     } = err
     else {
         panic!("{err:?}");
     };
-    assert_eq!((edited, found), (1, 2));
+    assert_eq!((base_version, current_version), (1, 2));
     assert!(
         changes.contains("50 -> 60") && changes.contains("ada"),
         "{changes}"
     );
-    let kept = store::template(&platform, "weld")
+    let stored = store::template(&platform, "weld")
         .expect("read")
         .expect("there");
-    assert_eq!(kept.value.raw.services[0].replicas, 60);
+    assert_eq!(stored.value.raw.services[0].replicas, 60);
 }
 
 #[test]
@@ -102,7 +102,10 @@
     platform.fail_next(faults);
     let accepted = apply(&platform, &change(0, 50)).expect("accepted");
     assert_eq!(accepted.version, 1);
-    assert_eq!(store::audits(&platform, "weld").expect("read").len(), 1);
+    assert_eq!(
+        store::audit_trail(&platform, "weld").expect("read").len(),
+        1
+    );
 }
 
 #[test]
@@ -133,6 +136,9 @@
 fn who_must_be_a_name() {
     let platform = FakePlatform::new();
     let mut bad = change(0, 50);
-    bad.who = "a b\n".to_owned();
-    assert!(matches!(apply(&platform, &bad), Err(CtlError::Who { .. })));
+    bad.author = "a b\n".to_owned();
+    assert!(matches!(
+        apply(&platform, &bad),
+        Err(CtlError::InvalidAuthor { .. })
+    ));
 }
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -80,9 +80,9 @@
         let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/first.yaml");
         let change = Change {
             document: Document::read(&PathBuf::from(file)).expect("a good template"),
-            edited: 0,
-            who: "test".to_owned(),
-            why: String::new(),
+            base_version: 0,
+            author: "test".to_owned(),
+            reason: String::new(),
         };
         let table = HttpTable::new(gate, Duration::from_secs(2));
         apply(&table, &change).expect("accepted");
--- a/crates/peer/tests/config.rs
+++ b/crates/peer/tests/config.rs
@@ -125,16 +125,16 @@
     agent
 }
 
-fn change(edited: u64, replicas: i64) -> Change {
+fn change(base_version: u64, replicas: i64) -> Change {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../templates/weld.yaml");
     let mut document = Document::read(&PathBuf::from(path)).expect("a good template");
     document.raw.services[0].replicas = replicas;
     document.template = Arc::new(gorsespur_core::template::check(&document.raw).expect("good"));
     Change {
         document,
-        edited,
-        who: "test".to_owned(),
-        why: String::new(),
+        base_version,
+        author: "test".to_owned(),
+        reason: String::new(),
     }
 }
 
