--- a/crates/replay/src/error.rs
+++ b/crates/replay/src/error.rs
@@ -32,27 +32,27 @@
     Empty,
     /// The stated outcomes can't be read.
     #[snafu(display("stated outcomes"))]
-    Stated {
+    ExpectedOutcomes {
         /// The reason.
         source: SettingsError,
     },
     /// A step led to other actions than recorded.
-    #[snafu(display("step {step} at {now} ms led to other actions than recorded"))]
-    Differs {
+    #[snafu(display("step {step} at {now_ms} ms led to other actions than recorded"))]
+    ActionsDiffer {
         /// Number of the step.
         step: usize,
         /// Its time.
-        now: u64,
+        now_ms: u64,
     },
     /// An outcome is not as stated.
-    #[snafu(display("{name} is {found}, stated {stated}"))]
-    Outcome {
+    #[snafu(display("{name} is {actual}, stated {expected}"))]
+    OutcomeDiffers {
         /// Name of the outcome.
         name: &'static str,
         /// What the replay led to.
-        found: u64,
+        actual: u64,
         /// What was stated.
-        stated: u64,
+        expected: u64,
     },
 }
 
@@ -60,8 +60,8 @@
     fn code(&self) -> u8 {
         match self {
             TraceError::File { .. } | TraceError::Codec { .. } | TraceError::Empty => USAGE,
-            TraceError::Stated { source } => source.code(),
-            TraceError::Differs { .. } | TraceError::Outcome { .. } => FAILED,
+            TraceError::ExpectedOutcomes { source } => source.code(),
+            TraceError::ActionsDiffer { .. } | TraceError::OutcomeDiffers { .. } => FAILED,
         }
     }
 }
--- a/crates/replay/src/header.rs
+++ b/crates/replay/src/header.rs
@@ -29,5 +29,6 @@
     /// The event.
     pub event: Event,
     /// Hash of the actions that it led to.
-    pub actions: u64,
+    #[serde(rename = "actions")]
+    pub actions_hash: u64,
 }
--- a/crates/replay/src/outcome.rs
+++ b/crates/replay/src/outcome.rs
@@ -88,25 +88,25 @@
     }
 
     /// Compares with what was stated; the two invariants always hold.
-    pub fn check(&self, stated: &Expected) -> Result<(), TraceError> {
-        let pairs = [
-            ("submitted", self.submitted, stated.submitted),
-            ("started", self.started, stated.started),
-            ("done", self.done, stated.done),
-            ("failed", self.failed, stated.failed),
-            ("lost", self.lost, stated.lost),
-            ("evicted", self.evicted, stated.evicted),
-            ("finished", self.finished, stated.finished),
+    pub fn check(&self, expected: &Expected) -> Result<(), TraceError> {
+        let checks = [
+            ("submitted", self.submitted, expected.submitted),
+            ("started", self.started, expected.started),
+            ("done", self.done, expected.done),
+            ("failed", self.failed, expected.failed),
+            ("lost", self.lost, expected.lost),
+            ("evicted", self.evicted, expected.evicted),
+            ("finished", self.finished, expected.finished),
             ("doubled", self.doubled, Some(0)),
             ("overcommitted", self.overcommitted, Some(0)),
         ];
-        for (name, found, stated) in pairs {
-            let Some(stated) = stated else { continue };
-            if found != stated {
-                return Err(TraceError::Outcome {
+        for (name, actual, expected) in checks {
+            let Some(expected) = expected else { continue };
+            if actual != expected {
+                return Err(TraceError::OutcomeDiffers {
                     name,
-                    found,
-                    stated,
+                    actual,
+                    expected,
                 });
             }
         }
--- a/crates/replay/src/program.rs
+++ b/crates/replay/src/program.rs
@@ -8,7 +8,7 @@
 use crate::{
     Expected, Outcome, Trace,
     args::ReplayArgs,
-    error::{StatedSnafu, TraceError},
+    error::{ExpectedOutcomesSnafu, TraceError},
     replay,
 };
 
@@ -25,11 +25,11 @@
 pub fn run_one(path: &Path) -> Result<Outcome, TraceError> {
     let trace = Trace::read(path)?;
     let outcome = replay(&trace)?;
-    let mut stated = path.as_os_str().to_owned();
-    stated.push(".yaml");
-    let stated = Path::new(&stated);
-    let expected = if stated.exists() {
-        load(stated, Ok).context(StatedSnafu)?
+    let mut expected_path = path.as_os_str().to_owned();
+    expected_path.push(".yaml");
+    let expected_path = Path::new(&expected_path);
+    let expected = if expected_path.exists() {
+        load(expected_path, Ok).context(ExpectedOutcomesSnafu)?
     } else {
         Expected::default()
     };
@@ -37,23 +37,23 @@
     Ok(outcome)
 }
 
-fn print(path: &Path, o: &Outcome, json: bool) {
+fn print(path: &Path, outcome: &Outcome, json: bool) {
     if json {
-        println!("{}", serde_json::to_string(o).unwrap_or_default());
+        println!("{}", serde_json::to_string(outcome).unwrap_or_default());
         return;
     }
     println!(
         "{}: steps={} submitted={} started={} done={} failed={} lost={} evicted={} finished={} doubled={} overcommitted={}",
         path.display(),
-        o.steps,
-        o.submitted,
-        o.started,
-        o.done,
-        o.failed,
-        o.lost,
-        o.evicted,
-        o.finished,
-        o.doubled,
-        o.overcommitted
+        outcome.steps,
+        outcome.submitted,
+        outcome.started,
+        outcome.done,
+        outcome.failed,
+        outcome.lost,
+        outcome.evicted,
+        outcome.finished,
+        outcome.doubled,
+        outcome.overcommitted
     );
 }
--- a/crates/replay/src/reader.rs
+++ b/crates/replay/src/reader.rs
@@ -26,66 +26,66 @@
     pub fn read(path: &Path) -> Result<Trace, TraceError> {
         let bytes = std::fs::read(path).context(FileSnafu { path })?;
         let mut rest = &bytes[..];
-        let head = next_part(&mut rest).context(EmptySnafu)?;
-        let header: Header = decode(head).context(CodecSnafu)?;
+        let header_bytes = next_chunk(&mut rest).context(EmptySnafu)?;
+        let header: Header = decode(header_bytes).context(CodecSnafu)?;
         let mut frames = Vec::new();
-        while let Some(part) = next_part(&mut rest) {
-            frames.push(decode(part).context(CodecSnafu)?);
+        while let Some(chunk) = next_chunk(&mut rest) {
+            frames.push(decode(chunk).context(CodecSnafu)?);
         }
         Ok(Trace { header, frames })
     }
 }
 
-fn next_part<'a>(rest: &mut &'a [u8]) -> Option<&'a [u8]> {
+fn next_chunk<'a>(rest: &mut &'a [u8]) -> Option<&'a [u8]> {
     let (len, tail) = rest.split_first_chunk::<4>()?;
     let len = u32::from_le_bytes(*len) as usize;
-    let (part, tail) = tail.split_at_checked(len)?;
+    let (chunk, tail) = tail.split_at_checked(len)?;
     *rest = tail;
-    Some(part)
+    Some(chunk)
 }
 
 /// Replays a trace and returns what it led to.
 ///
 /// Errors: a step led to other actions than recorded.
 pub fn replay(trace: &Trace) -> Result<Outcome, TraceError> {
-    let h = &trace.header;
+    let header = &trace.header;
     let mut machine = Machine::new(
-        h.place.clone(),
-        h.settings.clone(),
-        h.seed,
-        h.takeover.clone(),
-        h.now,
+        header.place.clone(),
+        header.settings.clone(),
+        header.seed,
+        header.takeover.clone(),
+        header.now,
     );
     let mut outcome = Outcome::default();
     for (step, frame) in trace.frames.iter().enumerate() {
         let actions = machine.step(frame.now, &frame.event);
-        if hash_actions(&actions) != frame.actions {
-            let now = frame.now;
-            return Err(TraceError::Differs { step, now });
+        if hash_actions(&actions) != frame.actions_hash {
+            let now_ms = frame.now;
+            return Err(TraceError::ActionsDiffer { step, now_ms });
         }
         outcome.count(&actions);
-        inspect(&machine, &mut outcome);
+        count_violations(&machine, &mut outcome);
     }
     Ok(outcome)
 }
 
 /// Looks for broken invariants.
-fn inspect(machine: &Machine, outcome: &mut Outcome) {
-    for w in machine.workers() {
-        let mut sum = gorsespur_core::size::Size::default();
-        for r in &w.residents {
-            sum = sum.plus(&r.size);
-            let id = r.attempt;
+fn count_violations(machine: &Machine, outcome: &mut Outcome) {
+    for worker in machine.workers() {
+        let mut used = gorsespur_core::size::Size::default();
+        for resident in &worker.residents {
+            used = used.plus(&resident.size);
+            let id = resident.attempt;
             let task = machine
                 .book()
                 .job(id.job)
                 .and_then(|j| j.tasks.get(id.task as usize));
-            let here = task.is_some_and(|t| {
-                t.attempt == id.attempt && t.state == TaskState::Active(w.name.clone())
+            let is_current = task.is_some_and(|t| {
+                t.attempt == id.attempt && t.state == TaskState::Active(worker.name.clone())
             });
-            outcome.doubled += u64::from(!here);
+            outcome.doubled += u64::from(!is_current);
         }
-        let known = w.total.cpu > 0;
-        outcome.overcommitted += u64::from(known && !sum.fits(&w.total));
+        let is_size_known = worker.total.cpu > 0;
+        outcome.overcommitted += u64::from(is_size_known && !used.fits(&worker.total));
     }
 }
--- a/crates/replay/src/recorder.rs
+++ b/crates/replay/src/recorder.rs
@@ -63,7 +63,7 @@
 
     /// Adds a step; steps without effect at a tick are left out by the caller
     /// at its own risk, since they may change the machine.
-    pub fn add(
+    pub fn add_step(
         &mut self,
         now: Millis,
         event: &Event,
@@ -72,7 +72,7 @@
         self.write(&Frame {
             now,
             event: event.clone(),
-            actions: hash_actions(actions),
+            actions_hash: hash_actions(actions),
         })
     }
 
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -104,7 +104,7 @@
     let mut recorder = made.expect("created");
     for (now, event) in events() {
         let actions = machine.step(now, &event);
-        recorder.add(now, &event, &actions).expect("recorded");
+        recorder.add_step(now, &event, &actions).expect("recorded");
     }
     path
 }
@@ -131,10 +131,10 @@
     let path = record("changed");
     let mut trace = Trace::read(&path).expect("well-formed");
     trace.header.settings.batch = 1;
-    let found = replay(&trace);
+    let result = replay(&trace);
     assert!(
-        matches!(found, Err(TraceError::Differs { .. })),
-        "{found:?}"
+        matches!(result, Err(TraceError::ActionsDiffer { .. })),
+        "{result:?}"
     );
     remove(&path);
 }
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -194,7 +194,7 @@
     fn step(&mut self, now: Millis, event: &Event, desk: &mut Desk) {
         let actions = self.machine.step(now, event);
         if let Some(recorder) = &mut self.recorder
-            && let Err(err) = recorder.add(now, event, &actions)
+            && let Err(err) = recorder.add_step(now, event, &actions)
         {
             log::error!("shard {}: recording ends: {err}", self.at.place.name);
             self.recorder = None;
