--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -1,4 +1,8 @@
-//! Applying a template: one transaction with its audit entry.
+//! Applies a template.
+//!
+//! The template, its audit entry and the configuration change log are written in one
+//! transaction. It is conditional on the rows of the template and of the configuration head, so
+//! that no concurrent change is overwritten.
 
 use std::{thread, time::Duration};
 
@@ -24,38 +28,51 @@
     store::{self, Versioned},
 };
 
-/// Tries while other organisations' changes come between.
+/// Attempts of a change. Changes of other organisations can conflict with it, since all of
+/// them update the configuration head.
 const MAX_ATTEMPTS: u32 = 20;
 
-/// First and longest delay between them, in milliseconds.
+/// Shortest backoff between attempts.
 const FIRST_DELAY_MS: u64 = 10;
+
+/// Longest backoff between attempts.
 const MAX_DELAY_MS: u64 = 500;
 
-/// A change that an operator wants.
+/// A template to be applied.
 #[derive(Debug, Clone)]
 pub struct Change {
     /// The new template.
     pub document: Document,
-    /// Version that was edited.
+    /// Version that the operator edited; 0 for a new organisation.
     pub base_version: u64,
-    /// Who makes it.
+    /// Operator who makes the change, for the audit entry; has to be a valid name.
     pub author: String,
-    /// Why.
+    /// Reason of the change, for the audit entry.
     pub reason: String,
 }
 
-/// A change that was accepted.
+/// Result of an accepted change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Accepted {
-    /// Organisation.
+    /// Organisation of the template.
     pub org: Name,
-    /// New version.
+    /// Version in force.
     pub version: u64,
-    /// Changed fields; none if the template was in force already.
+    /// Changed fields; empty if the template was in force already. If a retry finds the change
+    /// applied by an earlier attempt, a reference to the history instead.
     pub diff: Vec<String>,
 }
 
-/// Applies a change, if the version in force is the one that was edited.
+/// Applies a change if the version in force is the one that was edited.
+///
+/// Retries conflicts with changes of other organisations. If the answer to the write is lost,
+/// the random token in the stored template shows whether the write took effect.
+///
+/// # Errors
+///
+/// Fails if the author is not a valid name, if the version in force is not the one that was
+/// edited, or if the table service is unavailable. Returns [`CtlError::InDoubt`] if the answer
+/// to a write was lost and later attempts couldn't establish its outcome.
 pub fn apply(table: &dyn Table, change: &Change) -> Result<Accepted, CtlError> {
     if check_name(&change.author).is_err() {
         let author = change.author.clone();
@@ -118,7 +135,7 @@
     }
 }
 
-/// Tells the loser of a race what changed since the version that it edited.
+/// Returns the error for an outdated base version, with the changes made since that version.
 fn version_conflict(table: &dyn Table, change: &Change, current: u64) -> CtlError {
     let org = &change.document.template.name;
     let mut changes = Vec::new();
--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -8,21 +8,21 @@
 #[derive(Debug, Parser)]
 #[command(name = "gorsespur-ctl", version)]
 pub struct CtlArgs {
-    /// Where the platform is.
+    /// Addresses of the platform.
     #[command(flatten)]
     pub platform: PlatformArgs,
-    /// Print JSON for programs.
+    /// Print JSON instead of text.
     #[arg(long, global = true)]
     pub json: bool,
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// Where the platform is; flags go before the settings file.
+/// Addresses of the platform; flags override the settings file.
 #[derive(Debug, Args)]
 pub struct PlatformArgs {
-    /// Settings file in YAML.
+    /// YAML file with settings.
     #[arg(long, global = true)]
     pub settings: Option<PathBuf>,
     /// Address of the table service.
@@ -33,37 +33,37 @@
     pub members: Option<SocketAddr>,
 }
 
-/// What to do.
+/// Commands of `gorsespur-ctl`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Check a template without the platform.
+    /// Check a template without contacting the platform.
     Check {
-        /// Template.
+        /// Template file.
         file: PathBuf,
     },
     /// Show what applying a template would change.
     Diff {
-        /// Template.
+        /// Template file.
         file: PathBuf,
     },
-    /// Apply a template, if nobody changed it since the version that was edited.
+    /// Apply a template unless it was changed since the version that was edited.
     Apply {
-        /// Template.
+        /// Template file.
         file: PathBuf,
-        /// Version that was edited; by default the one in the file's first
-        /// line, and 0 for a new organisation.
+        /// Version that was edited; defaults to the version in the first line of the file, or
+        /// to 0 (new organisation) without one.
         #[arg(long)]
         on: Option<u64>,
-        /// Who applies it; by default $USER.
+        /// Operator named in the audit entry; defaults to `who` in the settings, then to $USER.
         #[arg(long)]
         who: Option<String>,
-        /// Why.
+        /// Reason given in the audit entry.
         #[arg(long, default_value = "")]
         why: String,
     },
-    /// Show the template in force, ready to be edited.
+    /// Show the template in force in a form that can be edited and applied.
     Show {
-        /// Organisation; all are listed without it.
+        /// Organisation; without one, all are listed.
         org: Option<String>,
     },
     /// Show the audit trail of an organisation.
@@ -71,21 +71,21 @@
         /// Organisation.
         org: String,
     },
-    /// Explain why a job ended as it did, out of the instances' logs.
+    /// Explain from the logs of the instances why a job ended as it did.
     Explain {
-        /// Id of the job: 16 hexadecimal digits.
+        /// Job id of 16 hexadecimal digits.
         job: String,
-        /// Logs of the instances, in any order; standard input without one.
+        /// Log files of the instances, in any order; standard input if none is given.
         logs: Vec<PathBuf>,
     },
-    /// Show where the time of all jobs went, by queue and over time, out of logs.
+    /// Show from logs how all jobs spent their time, by queue and over time.
     Losses {
-        /// Logs of the instances, in any order; standard input without one.
+        /// Log files of the instances, in any order; standard input if none is given.
         logs: Vec<PathBuf>,
-        /// Seconds of one row over time.
+        /// Seconds covered by each row of the table over time.
         #[arg(long, default_value_t = 2)]
         window: u64,
     },
-    /// Show instances, shards, workers and what is held up.
+    /// Show instances and shards, and the workers and jobs that are held up.
     Status,
 }
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -1,4 +1,4 @@
-//! `check` and `diff`.
+//! The `check` and `diff` commands.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 use crate::{diff::diff, document::Document, error::CtlError, store};
 
-/// Checks a template and says what it holds.
+/// Checks a template file and prints a summary of its contents.
 pub(crate) fn check(file: &Path, as_json: bool) -> Result<(), CtlError> {
     let doc = Document::read(file)?;
     let t = &doc.template;
@@ -26,7 +26,7 @@
     Ok(())
 }
 
-/// Shows what applying a template would change.
+/// Prints the fields that applying a template would change.
 pub(crate) fn show_diff(table: &dyn Table, file: &Path, as_json: bool) -> Result<(), CtlError> {
     let doc = Document::read(file)?;
     let old = store::template(table, &doc.template.name)?;
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -1,16 +1,21 @@
-//! Differences between two templates, field by field.
+//! Field-by-field comparison of templates.
 
 use gorsespur_core::template::RawTemplate;
 use serde_json::Value;
 
-/// A field and its value.
+/// A scalar field of a template.
 #[derive(Debug, Clone, PartialEq)]
 struct Leaf {
+    /// Path from the root, such as `services[name].replicas`.
     path: String,
+    /// Value as JSON.
     value: String,
 }
 
-/// Returns the changed fields, one a line: `path: old -> new`.
+/// Returns the changed fields, sorted, as `path: old -> new`.
+///
+/// `none` stands for a field that is absent on one side. Without an old template, all fields
+/// are new.
 pub fn diff(old: Option<&RawTemplate>, new: &RawTemplate) -> Vec<String> {
     let before = old.map(flatten).unwrap_or_default();
     let after = flatten(new);
@@ -34,6 +39,7 @@
     out
 }
 
+/// Returns the scalar fields of a template, sorted by path.
 fn flatten(raw: &RawTemplate) -> Vec<Leaf> {
     let mut out = Vec::new();
     let value = serde_json::to_value(raw).unwrap_or(Value::Null);
@@ -42,7 +48,10 @@
     out
 }
 
-/// Entries of lists go by their names, so that a moved entry is no change.
+/// Appends the scalar fields below a value.
+///
+/// List entries that have a name are identified by it, so that a moved entry is not reported as
+/// a change; other entries are identified by their index.
 fn collect_leaves(path: &str, value: &Value, out: &mut Vec<Leaf>) {
     match value {
         Value::Object(fields) => {
--- a/crates/ctl/src/document.rs
+++ b/crates/ctl/src/document.rs
@@ -1,4 +1,4 @@
-//! Templates as files.
+//! Template files.
 
 use std::{path::Path, sync::Arc};
 
@@ -8,22 +8,26 @@
 
 use crate::error::{CheckSnafu, CtlError, ParseSnafu, ReadSnafu};
 
-/// First line of a template that `show` printed.
+/// Prefix of the first line that `show` prints. `apply` takes the edited version from that line.
 const VERSION_LINE: &str = "# version: ";
 
-/// A template that was read and checked.
+/// A template file that passed all checks.
 #[derive(Debug, Clone)]
 pub struct Document {
-    /// What the operator wrote.
+    /// Template as written by the operator.
     pub raw: RawTemplate,
-    /// The checked form.
+    /// Checked form of the template.
     pub template: Arc<Organisation>,
-    /// Version that was edited, if the first line names it.
+    /// Version that was edited, if the first line has one.
     pub version: Option<u64>,
 }
 
 impl Document {
-    /// Reads and checks a file.
+    /// Reads and checks a template file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file can't be read, is malformed or doesn't pass the checks.
     pub fn read(path: &Path) -> Result<Document, CtlError> {
         let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
         let raw: RawTemplate = parse_yaml(&text).context(ParseSnafu { path })?;
@@ -40,7 +44,7 @@
     }
 }
 
-/// Returns a template as a file that can be edited and applied.
+/// Formats a template as YAML, with its version in the first line, for editing and applying.
 pub fn to_text(raw: &RawTemplate, version: u64) -> String {
     let yaml = serde_saphyr::to_string(raw).unwrap_or_default();
     format!("{VERSION_LINE}{version}\n{yaml}")
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the operators' command.
+//! Errors of `gorsespur-ctl`.
 
 use std::path::PathBuf;
 
@@ -15,97 +15,99 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CtlError {
-    /// The settings are unusable.
-    #[snafu(display("settings"))]
+    /// The settings can't be loaded.
+    #[snafu(display("can't load the settings"))]
     Settings {
-        /// The reason.
+        /// Error of the settings loader.
         source: SettingsError,
     },
-    /// No address is given for a service that the command needs.
-    #[snafu(display("give --{flag} or set it in --settings"))]
+    /// No address is configured for a service that the command needs.
+    #[snafu(display("no address is configured; pass --{flag} or set {flag} in the settings file"))]
     NoAddress {
-        /// The flag.
+        /// Flag that sets the address.
         flag: &'static str,
     },
-    /// The template can't be read.
-    #[snafu(display("{}: can't read", path.display()))]
+    /// A file or standard input can't be read.
+    #[snafu(display("can't read {}", path.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's answer.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The template is malformed.
-    #[snafu(display("{}", path.display()))]
+    #[snafu(display("can't parse {}", path.display()))]
     Parse {
-        /// The file.
+        /// Path of the template.
         path: PathBuf,
-        /// What is wrong and where.
+        /// Parse error with its position.
         source: YamlError,
     },
-    /// The template does not pass the checks.
-    #[snafu(display("{}", path.display()))]
+    /// The template doesn't pass the checks.
+    #[snafu(display("{} is not a valid template", path.display()))]
     Check {
-        /// The file.
+        /// Path of the template.
         path: PathBuf,
-        /// Every problem.
+        /// All problems found.
         source: Problems,
     },
-    /// Who applies a template is not a name.
-    #[snafu(display("--who {author:?} is not a name; give letters, digits, '.', '_' or '-'"))]
+    /// The author of a change is not a valid name.
+    #[snafu(display("--who {author:?} is not a valid name; use letters, digits, '.', '_' or '-'"))]
     InvalidAuthor {
-        /// What was given.
+        /// Author as given.
         author: String,
     },
-    /// Another operator changed the template meanwhile.
+    /// The template was changed after the version that was edited.
     #[snafu(display(
-        "{org} is at version {current_version}, not at {base_version} that was edited; nothing was changed; since then: {changes}"
+        "{org} is at version {current_version}, but version {base_version} was edited; nothing was changed; changes since then: {changes}"
     ))]
     VersionConflict {
-        /// Organisation.
+        /// Organisation of the template.
         org: String,
         /// Version that was edited.
         base_version: u64,
         /// Version in force.
         current_version: u64,
-        /// Who changed what since.
+        /// Versions since the edited one, with author and changed fields.
         changes: String,
     },
     /// The organisation has no template.
-    #[snafu(display("no organisation is called {org:?}"))]
+    #[snafu(display("no organisation is named {org:?}"))]
     UnknownOrganisation {
-        /// Organisation.
+        /// Organisation as given.
         org: String,
     },
-    /// No line of the logs is about the job.
+    /// No log line concerns the job.
     #[snafu(display(
-        "none of {lines} lines is about job {job:?}; collect the logs of all instances of that time"
+        "none of the {lines} log lines concerns job {job:?}; collect the logs of all instances for the time of the job"
     ))]
     NoLogLines {
-        /// The job.
+        /// Id of the job.
         job: String,
-        /// Lines that were read.
+        /// Number of lines read.
         lines: usize,
     },
     /// The table service failed; nothing was changed.
-    #[snafu(display("table service"))]
+    #[snafu(display("call to the table service failed"))]
     Table {
-        /// The reason.
+        /// Error of the table service.
         source: TableError,
     },
-    /// It is not known whether the change was accepted.
-    #[snafu(display("the answer was lost and can't be read back; see history before a retry"))]
+    /// The answer to a write was lost, so that its outcome is unknown.
+    #[snafu(display(
+        "the answer to the write was lost and its outcome can't be read back; check `history` before retrying"
+    ))]
     InDoubt,
-    /// The membership list failed.
-    #[snafu(display("membership list"))]
+    /// The membership list can't be read.
+    #[snafu(display("can't read the membership list"))]
     Members {
-        /// The reason.
+        /// Error of the membership service.
         source: MembersError,
     },
-    /// A stored value is malformed.
-    #[snafu(display("stored value"))]
+    /// A stored value can't be encoded or decoded.
+    #[snafu(display("can't encode or decode a stored value"))]
     Stored {
-        /// The reason.
+        /// Error of the codec.
         source: CodecError,
     },
 }
--- a/crates/ctl/src/explain/cause.rs
+++ b/crates/ctl/src/explain/cause.rs
@@ -1,4 +1,4 @@
-//! The cause that a job's story ends in.
+//! Main cause of a job's outcome or duration.
 
 use std::fmt;
 
@@ -6,71 +6,75 @@
 
 use crate::explain::timeline::{JobTimeline, LOST, Run};
 
-/// Why a job ended as it did, or took as long as it did.
+/// Main reason why a job ended as it did, or took as long as it did.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// No line is about it.
+    /// No log line concerns the job.
     Unknown,
-    /// It was refused each time.
+    /// Each submission was refused.
     Refused {
-        /// How often.
+        /// Number of refusals.
         times: usize,
-        /// What the last refusal says of its reason.
+        /// Last logged error about the job.
         err: Option<String>,
     },
     /// A task failed too often.
     Failed {
-        /// The task.
+        /// Task with the most failures.
         task: String,
-        /// Its failures.
+        /// Number of its failed runs.
         failures: usize,
-        /// Workers on which it failed.
+        /// Number of workers on which the task failed.
         workers: usize,
     },
     /// A task crashed the workers that started it.
     Crashed {
-        /// The task.
+        /// Task that crashed its workers.
         task: String,
-        /// Workers that were lost under it.
+        /// Number of workers lost while running the task.
         workers: usize,
     },
-    /// Its caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
-    /// Most of its time nothing ran since no instance owned the lease.
+    /// The largest share of the time, nothing ran because no instance held the lease.
     NoOwner {
-        /// Milliseconds.
+        /// Time without an owner, in milliseconds.
         ms: u64,
     },
-    /// Most of its time nothing ran: it waited for room, or its turn.
+    /// The largest share of the time, nothing ran because the job waited for capacity or its turn
+    /// in the queue.
     Waited {
-        /// Milliseconds.
+        /// Waiting time, in milliseconds.
         ms: u64,
     },
-    /// Runs that failed took most of its time.
+    /// Failed runs took the largest share of the time.
     FailedRuns {
-        /// Milliseconds.
+        /// Sum over the failed runs, in milliseconds.
         ms: u64,
     },
-    /// Runs that were stopped or lost took most of its time.
+    /// Stopped or lost runs took the largest share of the time.
     StoppedRuns {
-        /// Milliseconds.
+        /// Sum over the stopped or lost runs, in milliseconds.
         ms: u64,
     },
-    /// Its runs were slowed for most of its time, since they disturbed others.
+    /// Runs were slowed for the largest share of the time because they interfered with others.
     Slowed {
-        /// Milliseconds.
+        /// Sum of the slowed time over all runs, in milliseconds.
         ms: u64,
     },
-    /// Its tasks were at work for most of its time.
+    /// Productive runs took the largest share of the time.
     Worked {
-        /// Milliseconds.
+        /// Time in which a run was active, in milliseconds.
         ms: u64,
     },
 }
 
 impl Cause {
-    /// Returns the cause that a story ends in.
+    /// Determines the main cause from a timeline.
+    ///
+    /// Failure and cancellation come first; otherwise the cause is the activity that took the
+    /// largest share of the time.
     pub fn of(timeline: &JobTimeline) -> Cause {
         if timeline.lines.is_empty() {
             return Cause::Unknown;
@@ -88,7 +92,7 @@
         }
     }
 
-    /// Returns a short name.
+    /// Returns the short name that tables show.
     pub fn name(&self) -> &'static str {
         match self {
             Cause::Unknown => "unknown",
@@ -133,7 +137,7 @@
     fn longest(timeline: &JobTimeline) -> Cause {
         let spent = timeline.spent;
         let lost_ms = [spent.failed, spent.stopped, spent.slowed];
-        // Runs go on beside each other: their sums count as far as something was at work.
+        // Runs overlap, so that their sums can exceed the time in which any run was active.
         let lost_ms = lost_ms.map(|ms| ms.min(spent.at_work));
         let productive_ms = spent.at_work - lost_ms.iter().max().copied().unwrap_or(0);
         let candidates = [
@@ -149,7 +153,7 @@
     }
 }
 
-/// Returns the number of workers on which runs of a task ended so.
+/// Returns the number of distinct workers on which runs of a task had an outcome.
 fn count_workers(timeline: &JobTimeline, task: &str, outcome: &str) -> usize {
     let runs = timeline.runs.iter().filter(|r| r.task == task);
     let ended = runs.filter(|r| r.outcome.as_deref() == Some(outcome));
--- a/crates/ctl/src/explain/line.rs
+++ b/crates/ctl/src/explain/line.rs
@@ -1,84 +1,84 @@
-//! One line of a log.
+//! Log lines.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Digits of a job's id.
+/// Number of hexadecimal digits in a job id.
 const JOB_ID_DIGITS: usize = 16;
 
-/// One line of a log, with the fields that tell of jobs, runs and owners.
+/// A log line with its keys about jobs, runs and lease owners; other keys are ignored.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LogLine {
-    /// Time of day in milliseconds since 1970.
+    /// Time of the line, in milliseconds since the Unix epoch.
     pub ms: u64,
-    /// The instance that wrote it.
+    /// Instance that wrote the line.
     pub node: Arc<str>,
-    /// What happened: a part's prefix and a few words.
+    /// Message, which starts with the name of the component and a colon.
     pub msg: String,
-    /// The job.
+    /// Job id.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub job: Option<String>,
-    /// The queue of a job.
+    /// Queue of the job.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub queue: Option<Arc<str>>,
-    /// The task, written `job.time.step.index`.
+    /// Task, as `job.time.step.index`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub task: Option<String>,
     /// Number of the run.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub run: Option<u32>,
-    /// The worker.
+    /// Worker of the run.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub worker: Option<Arc<str>>,
-    /// How a run ended.
+    /// Outcome of a run.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub how: Option<String>,
-    /// For how long a run was known when it ended, in milliseconds.
+    /// Time for which the owner had known a run when it ended, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ran_ms: Option<u64>,
-    /// For how long the lease had not been renewed when it was taken, in milliseconds.
+    /// Time since the last renewal of a lease when it was taken, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub age_ms: Option<u64>,
-    /// Method of a request.
+    /// HTTP method of a request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub method: Option<String>,
-    /// Path of a request.
+    /// HTTP path of a request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub path: Option<String>,
-    /// Status of an answer.
+    /// HTTP status of a response.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub status: Option<u16>,
-    /// Pace that a run was told, in percent.
+    /// New pace of a run, in percent of full speed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub to: Option<u64>,
-    /// What became of a job.
+    /// Outcome of a job.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub outcome: Option<String>,
-    /// An error.
+    /// Error text.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub err: Option<String>,
-    /// Lines that were dropped.
+    /// Number of dropped lines.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub count: Option<u64>,
 }
 
 impl LogLine {
-    /// Reads a line; collectors may have put something before the object. Nothing if it is
-    /// cut or foreign.
+    /// Parses a line. Text before the JSON object is skipped, since log collectors can add a
+    /// prefix. Returns `None` if the line is truncated or was written by another program.
     pub fn parse(text: &str) -> Option<LogLine> {
         let start = text.find('{')?;
         let line: LogLine = serde_json::from_str(&text[start..]).ok()?;
         Some(line).filter(|l| !l.msg.is_empty())
     }
 
-    /// Tells whether it is about a job.
+    /// Returns whether the line concerns a job.
     pub fn is_about(&self, job: &str) -> bool {
         self.job_id() == Some(job)
     }
 
-    /// Returns the job that it is about, if it is about one.
+    /// Returns the id of the job that the line concerns, from its job, task or path.
     pub fn job_id(&self) -> Option<&str> {
         let task = || self.task.as_deref()?.split('.').next();
         let path = || self.path.as_deref()?.rsplit('/').next();
--- a/crates/ctl/src/explain/logs.rs
+++ b/crates/ctl/src/explain/logs.rs
@@ -1,4 +1,4 @@
-//! The lines of all logs.
+//! Collected logs of all instances.
 
 use std::{
     fs::File,
@@ -17,21 +17,23 @@
     },
 };
 
-/// Lines by time, and what could not be read.
+/// Lines of all logs, and counts of lines that are missing.
 #[derive(Debug, Default)]
 pub struct CollectedLogs {
-    /// The lines, the earliest first.
+    /// Parsed lines; [`CollectedLogs::read`] sorts them by time.
     pub lines: Vec<LogLine>,
-    /// Lines that are cut or of other programs.
+    /// Number of lines that are truncated or were written by other programs.
     pub unparsed: u64,
-    /// Lines that instances dropped, as they say.
+    /// Number of lines that instances dropped, according to their own log lines.
     pub dropped: u64,
 }
 
 impl CollectedLogs {
-    /// Reads files, or standard input if there are none.
+    /// Reads log files, or standard input if no path is given.
     ///
-    /// Errors: a file can't be read.
+    /// # Errors
+    ///
+    /// Fails if an input can't be read.
     pub fn read(paths: &[PathBuf]) -> Result<CollectedLogs, CtlError> {
         let mut logs = CollectedLogs::default();
         if paths.is_empty() {
@@ -48,7 +50,11 @@
         Ok(logs)
     }
 
-    /// Takes the lines of one log.
+    /// Adds the lines of one log, without sorting.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the log can't be read; lines that can't be parsed are only counted.
     pub fn add_log(&mut self, mut log: impl BufRead) -> io::Result<()> {
         let mut text = Vec::new();
         while log.read_until(b'\n', &mut text)? > 0 {
@@ -67,7 +73,7 @@
         Ok(())
     }
 
-    /// Prints how much was read, and what could not be.
+    /// Prints how many lines were read, were not parsed and were dropped.
     pub(crate) fn print_summary(&self) {
         println!(
             "from {} lines of {} instances; {} lines cut or foreign, {} dropped by instances",
@@ -78,12 +84,12 @@
         );
     }
 
-    /// Returns the lines that tell of a change of owner.
+    /// Returns the lines that report a lease taken by another instance.
     pub(crate) fn takeovers(&self) -> Vec<&LogLine> {
         self.lines.iter().filter(|l| l.msg == LEASE_TAKEN).collect()
     }
 
-    /// Returns what the logs tell of each job, by its id.
+    /// Returns the timelines of all jobs, sorted by job id.
     pub fn timelines(&self) -> Vec<JobTimeline> {
         let mut by_job: Vec<(&str, &LogLine)> = Vec::new();
         for line in &self.lines {
@@ -99,7 +105,7 @@
         timelines
     }
 
-    /// Returns the instances that wrote something, sorted.
+    /// Returns the names of the instances that wrote lines, sorted.
     pub fn nodes(&self) -> Vec<Arc<str>> {
         let mut nodes: Vec<Arc<str>> = self.lines.iter().map(|l| l.node.clone()).collect();
         nodes.retain(|n| !n.is_empty());
--- a/crates/ctl/src/explain/losses.rs
+++ b/crates/ctl/src/explain/losses.rs
@@ -1,4 +1,4 @@
-//! Where the time of all jobs went, by queue and over time.
+//! How all jobs spent their time, by queue and over time.
 
 use std::{path::PathBuf, sync::Arc};
 
@@ -15,42 +15,42 @@
     text_table::TextTable,
 };
 
-/// Jobs whose story ends in one cause.
+/// Number of jobs with the same main cause.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct CauseCount {
     /// Short name of the cause.
     pub cause: &'static str,
-    /// Jobs.
+    /// Number of jobs.
     pub jobs: u64,
 }
 
-/// Jobs of one queue and what most of their time went to.
+/// Totals of one queue.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct QueueLoss {
-    /// The queue; empty for jobs of which no line names it.
+    /// Name of the queue; empty for jobs whose queue no log line names.
     pub queue: Arc<str>,
-    /// Its jobs.
+    /// Number of jobs.
     pub jobs: u64,
-    /// Where their time went, in milliseconds, added up.
+    /// Time spent, summed over the jobs.
     pub spent: TimeSpent,
-    /// Jobs by the cause that their story ends in, sorted by its name.
+    /// Number of jobs by main cause, sorted by the name of the cause.
     pub causes: Vec<CauseCount>,
 }
 
-/// What jobs did in one window of time, in milliseconds added up.
+/// Activities in one time window, in milliseconds summed over all jobs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct WindowLoss {
-    /// When it began, in milliseconds since 1970.
+    /// Start of the window, in milliseconds since the Unix epoch.
     pub from: u64,
-    /// A run of them was at work.
+    /// Time in which a run of the job was active.
     pub at_work: u64,
-    /// There was no owner.
+    /// Time in which nothing ran and no instance held the lease.
     pub no_owner: u64,
-    /// They waited otherwise.
+    /// Other time in which nothing ran.
     pub waiting: u64,
 }
 
-/// Adds up where the time of jobs went, by queue.
+/// Sums up by queue how jobs spent their time, sorted by queue.
 pub fn by_queue(timelines: &[JobTimeline]) -> Vec<QueueLoss> {
     let mut rows: Vec<QueueLoss> = Vec::new();
     for timeline in timelines {
@@ -71,7 +71,8 @@
     rows
 }
 
-/// Adds up what jobs did, by windows of so many milliseconds.
+/// Sums up the activities of jobs by windows of `window` milliseconds, sorted by time. Windows
+/// without an activity are left out; `window` must not be 0.
 pub fn by_window(timelines: &[JobTimeline], window: u64) -> Vec<WindowLoss> {
     let mut rows: Vec<WindowLoss> = Vec::new();
     for span in timelines.iter().flat_map(|s| &s.spans) {
@@ -120,7 +121,7 @@
     }
 }
 
-/// Shows where the time of all jobs in logs went.
+/// Prints how all jobs in the logs spent their time, in windows of `window` milliseconds.
 pub(crate) fn losses(paths: &[PathBuf], window: u64, as_json: bool) -> Result<(), CtlError> {
     let logs = CollectedLogs::read(paths)?;
     let timelines = logs.timelines();
--- a/crates/ctl/src/explain/mod.rs
+++ b/crates/ctl/src/explain/mod.rs
@@ -1,9 +1,9 @@
-//! `explain` and `losses`: why one job ended as it did, and where the time of all went,
-//! out of collected logs.
+//! The `explain` and `losses` commands.
 //!
-//! It reads what `gorsespur` instances wrote to standard output, of as many instances as
-//! were collected, in any order. Times are the instances' times of day: where clocks
-//! differ, lines of different instances may stand in a wrong order.
+//! `explain` shows from collected logs why a job ended as it did; `losses` shows how all jobs
+//! spent their time. The input is the standard output of any number of `gorsespur` instances, in
+//! any order. Lines are ordered by the wall clocks of the instances: if the clocks differ, lines
+//! of different instances can be out of order.
 
 mod cause;
 mod line;
--- a/crates/ctl/src/explain/show.rs
+++ b/crates/ctl/src/explain/show.rs
@@ -1,4 +1,4 @@
-//! Prints what the logs tell of a job.
+//! Prints the timeline of a job.
 
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
     text_table::TextTable,
 };
 
-/// Explains a job out of logs.
+/// Prints the timeline of a job and the cause of its outcome or duration.
 pub(crate) fn explain(job: &str, paths: &[PathBuf], as_json: bool) -> Result<(), CtlError> {
     let logs = CollectedLogs::read(paths)?;
     let timeline = JobTimeline::for_job(&logs, job);
@@ -64,7 +64,7 @@
     logs.print_summary();
 }
 
-/// Returns the inputs that a line tells.
+/// Formats the keys of a line for the last column.
 fn details(line: &LogLine) -> String {
     let mut out = Vec::new();
     if let Some(task) = &line.task {
--- a/crates/ctl/src/explain/timeline.rs
+++ b/crates/ctl/src/explain/timeline.rs
@@ -1,4 +1,4 @@
-//! What the logs tell of one job.
+//! Reconstructs the timeline of a job from log lines.
 
 use std::sync::Arc;
 
@@ -6,56 +6,56 @@
 
 use crate::explain::{LogLine, logs::CollectedLogs};
 
-/// An instance has become the owner.
+/// Message of the line that an instance logs when it becomes the lease owner.
 pub(crate) const LEASE_TAKEN: &str = "lease: taken";
 
-/// A run of a task.
+/// A run of a task; times are in milliseconds since the Unix epoch.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Run {
-    /// The task.
+    /// Task, as `job.time.step.index`.
     pub task: String,
     /// Number of the run.
     pub run: u32,
-    /// Its worker.
+    /// Worker of the run; empty if the logs don't name it.
     pub worker: Arc<str>,
-    /// When its start was sent.
+    /// Time when the start was sent to the worker.
     #[serde(rename = "begun")]
     pub started_ms: u64,
-    /// When it ended, and how; nothing if the logs do not say.
+    /// Time of the end; `None` if the logs don't contain it.
     #[serde(rename = "ended")]
     pub ended_ms: Option<u64>,
-    /// How it ended.
+    /// How the run ended; `None` if the logs don't contain it.
     #[serde(rename = "how")]
     pub outcome: Option<String>,
-    /// Since when it was slowed, if it is.
+    /// Time since when the run is slowed, while it is.
     #[serde(skip)]
     slowed_since: Option<u64>,
-    /// For how long it was slowed, in milliseconds.
+    /// Total time of past slowdowns, in milliseconds.
     pub slowed_ms: u64,
 }
 
-/// Where the time of a job went, in milliseconds.
+/// How a job spent its time, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct TimeSpent {
-    /// From its acceptance to its end, or to the last line about it.
+    /// Time from acceptance to the last line about the job.
     #[serde(rename = "all")]
     pub total: u64,
-    /// A run was at work.
+    /// Time in which a run was active.
     pub at_work: u64,
-    /// Nothing ran, and the lease was not renewed until another instance took it.
+    /// Time in which nothing ran, and the lease was not renewed until another instance took it.
     pub no_owner: u64,
-    /// Nothing ran otherwise.
+    /// Other time in which nothing ran.
     pub waiting: u64,
-    /// Sum over its runs that failed.
+    /// Sum over failed runs.
     pub failed: u64,
-    /// Sum over its runs that were stopped or lost.
+    /// Sum over stopped or lost runs.
     pub stopped: u64,
-    /// Sum over its runs that were slowed, while they were.
+    /// Sum of the slowed time over all runs.
     pub slowed: u64,
 }
 
 impl TimeSpent {
-    /// Adds another job's.
+    /// Adds the times of another job.
     pub fn add(&mut self, other: &TimeSpent) {
         self.total += other.total;
         self.at_work += other.at_work;
@@ -67,81 +67,83 @@
     }
 }
 
-/// How a run ended that its worker no longer has.
+/// Outcome of a run that its worker no longer has, or that was lost with its worker.
 pub(crate) const LOST: &str = "Lost";
 
-/// What a job did for a while.
+/// Activity of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Activity {
-    /// A run was at work.
+    /// A run was active.
     AtWork,
     /// Nothing ran, and the lease was not renewed until another instance took it.
     NoOwner,
-    /// Nothing ran otherwise.
+    /// Nothing ran for another reason.
     Waiting,
 }
 
-/// A while of a job.
+/// A time span with one activity; times are in milliseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Span {
-    /// When it began.
+    /// Start of the span, inclusive.
     pub from: u64,
-    /// When it was over.
+    /// End of the span, exclusive.
     pub to: u64,
-    /// What the job did.
+    /// Activity during the span.
     #[serde(rename = "doing")]
     pub activity: Activity,
 }
 
-/// What the logs tell of one job.
+/// Timeline of one job.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct JobTimeline {
-    /// The lines about it, and changes of owner between them.
+    /// Lines about the job, and changes of the lease owner between them.
     pub lines: Vec<LogLine>,
-    /// Its runs.
+    /// Runs of the job's tasks.
     pub runs: Vec<Run>,
-    /// When it was accepted, or first heard of if the logs miss that.
+    /// Time of acceptance, in milliseconds since the Unix epoch. If the logs don't contain the
+    /// acceptance of a job that ran, the time of the first line about the job.
     #[serde(rename = "accepted")]
     pub accepted_ms: Option<u64>,
-    /// Answers that refused it: when, and by which status.
+    /// Responses that refused the job.
     #[serde(rename = "refused")]
     pub refusals: Vec<Refusal>,
-    /// The last error that a line about it tells.
+    /// Last error in a line about the job.
     #[serde(rename = "err")]
     pub last_error: Option<String>,
-    /// The task for which it was given up, since it crashed its workers.
+    /// Task that crashed its workers, which made the job fail.
     #[serde(rename = "crashed")]
     pub crashing_task: Option<String>,
-    /// What became of it; nothing if the logs do not say.
+    /// Outcome of the job; `None` if the logs don't contain it.
     pub outcome: Option<String>,
-    /// The queue it was handed in to.
+    /// Queue that the job was submitted to.
     pub queue: Option<Arc<str>>,
-    /// Where its time went.
+    /// How the job spent its time.
     pub spent: TimeSpent,
-    /// The same in order; the spans add up to all of its time.
+    /// Activities in order. Their lengths add up to the total time of the job.
     pub spans: Vec<Span>,
 }
 
-/// An answer that refused it.
+/// A response that refused a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Refusal {
-    /// When.
+    /// Time of the response, in milliseconds since the Unix epoch.
     pub ms: u64,
-    /// By which instance.
+    /// Instance that sent the response.
     pub node: Arc<str>,
-    /// Status of the answer.
+    /// HTTP status.
     pub status: u16,
 }
 
 impl JobTimeline {
-    /// Collects what the logs tell of a job.
+    /// Builds the timeline of a job from the logs; empty if no line concerns the job.
     pub fn for_job(logs: &CollectedLogs, job: &str) -> JobTimeline {
         let job_lines: Vec<&LogLine> = logs.lines.iter().filter(|l| l.is_about(job)).collect();
         JobTimeline::from_lines(&job_lines, &logs.takeovers())
     }
 
-    /// Collects what lines about one job tell; `takeovers` are all changes of owner.
+    /// Builds a timeline from all lines about one job and all changes of a lease owner, both
+    /// sorted by time.
     pub fn from_lines(job_lines: &[&LogLine], takeovers: &[&LogLine]) -> JobTimeline {
         let mut timeline = JobTimeline::default();
         let (Some(first), Some(last)) = (job_lines.first(), job_lines.last()) else {
@@ -162,8 +164,8 @@
         timeline
     }
 
-    /// Tells whether a run of it ended: it was accepted then, though its start may be
-    /// missing.
+    /// Returns whether a run ended, which proves that the job was accepted even if the start of
+    /// the run is missing from the logs.
     fn has_ended_runs(&self) -> bool {
         self.lines.iter().any(|l| l.msg == "run: ended")
     }
@@ -234,7 +236,7 @@
     fn end_run(&mut self, line: &LogLine, outcome: Option<String>) {
         let ms = line.ms;
         if self.open_run(line).is_none() {
-            // The line of its start is missing; the end tells how long ago that was.
+            // The start is missing from the logs; compute it from the duration in the end line.
             self.start_run(line, ms.saturating_sub(line.ran_ms.unwrap_or(0)));
         }
         if let Some(run) = self.open_run(line) {
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Adds up where the time went until `last`.
+    /// Computes the spans and sums of the time until `last`.
     fn sum_time(&mut self, last: u64) {
         let Some(accepted) = self.accepted_ms else {
             return;
@@ -282,7 +284,7 @@
         self.spent.total = last.saturating_sub(accepted);
     }
 
-    /// Adds the length of a run to what it came to.
+    /// Adds the duration of a run to the sum for its outcome.
     fn add_run_time(&mut self, run: &Run, end: u64) {
         let length = end.saturating_sub(run.started_ms);
         let slowed = run
@@ -296,8 +298,8 @@
         }
     }
 
-    /// Counts a time in which nothing ran: there was no owner from the last renewal of a
-    /// lease to its taking.
+    /// Adds a time in which nothing ran. The part between the last renewal of a lease and its
+    /// takeover counts as time without an owner.
     fn add_idle_time(&mut self, from: u64, to: u64) {
         let takeovers = self.lines.iter().filter(|l| l.msg == LEASE_TAKEN);
         let intervals = takeovers.map(|l| (l.ms.saturating_sub(l.age_ms.unwrap_or(0)), l.ms));
--- a/crates/ctl/src/history.rs
+++ b/crates/ctl/src/history.rs
@@ -1,11 +1,11 @@
-//! `history`.
+//! The `history` command.
 
 use gorsespur_services::Table;
 use serde_json::json;
 
 use crate::{error::CtlError, store, text_table::TextTable};
 
-/// Shows the audit trail of an organisation.
+/// Prints the audit trail of an organisation, oldest entry first.
 pub(crate) fn history(table: &dyn Table, org: &str, as_json: bool) -> Result<(), CtlError> {
     let entries = store::audit_trail(table, org)?;
     if entries.is_empty() {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,8 +1,9 @@
-//! The operators' command: templates, audit trail, status.
+//! Command line tool for operators, `gorsespur-ctl`.
 //!
-//! It talks to the platform's table service, where templates are kept, and to
-//! instances for their status; out of their logs it explains what became of a job. It
-//! keeps nothing itself.
+//! Checks, applies and shows the templates of organisations and their audit trails, shows the
+//! status of the platform, and explains from logs how jobs spent their time. Templates and audit
+//! entries are stored in the table service; the status comes from the membership list and the
+//! instances. The tool itself stores nothing.
 
 pub mod apply;
 pub mod args;
--- a/crates/ctl/src/program.rs
+++ b/crates/ctl/src/program.rs
@@ -1,4 +1,4 @@
-//! Runs one command.
+//! Dispatches the commands.
 
 use std::{env, net::SocketAddr, time::Duration};
 
@@ -21,10 +21,10 @@
     status::status,
 };
 
-/// Time limit of a call to the platform.
+/// Timeout of each call to the table service or the membership list.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Settings of the command; flags go first.
+/// Contents of the settings file; flags override them.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct CtlSettings {
@@ -33,7 +33,7 @@
     who: Option<String>,
 }
 
-/// Runs the command.
+/// Runs the command given on the command line.
 pub fn run(args: &CtlArgs) -> Result<(), CtlError> {
     let settings = match &args.platform.settings {
         Some(path) => load(path, Ok::<CtlSettings, Problems>).context(SettingsSnafu)?,
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -1,11 +1,11 @@
-//! `show`.
+//! The `show` command.
 
 use gorsespur_services::Table;
 use serde_json::json;
 
 use crate::{document::to_text, error::CtlError, store, text_table::TextTable};
 
-/// Shows the template of an organisation, or lists all.
+/// Prints the template of an organisation, or lists all organisations.
 pub(crate) fn show(table: &dyn Table, org: Option<&str>, as_json: bool) -> Result<(), CtlError> {
     match org {
         Some(org) => show_one(table, org, as_json),
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,4 +1,4 @@
-//! `status`.
+//! The `status` command.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
     text_table::TextTable,
 };
 
-/// Time limit of asking one instance.
+/// Timeout of a status call to one instance.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Shows every instance that the membership list has.
+/// Prints the status of all instances in the membership list, including those that don't answer.
 pub(crate) fn status(members: &dyn Members, as_json: bool) -> Result<(), CtlError> {
     let list = members.list().context(MembersSnafu)?;
     let mut statuses = Vec::new();
@@ -99,7 +99,7 @@
     text.print();
 }
 
-/// Shows workers that get no tasks and jobs that can't run, with the reason.
+/// Prints workers that get no tasks and jobs that can't run, with the reason.
 fn print_problems(statuses: &[InstanceStatus]) {
     let mut text = TextTable::new(&["HELD UP", "SHARD", "REASON"]);
     let mut has_rows = false;
--- a/crates/ctl/src/store.rs
+++ b/crates/ctl/src/store.rs
@@ -1,4 +1,4 @@
-//! Templates and audit entries in the table service.
+//! Reads templates and audit entries from the table service.
 
 use gorsespur_core::name::Name;
 use gorsespur_services::Table;
@@ -12,15 +12,15 @@
 
 use crate::error::{CtlError, StoredSnafu, TableSnafu};
 
-/// Rows of one read.
+/// Rows per scan call.
 const BATCH_ROWS: u32 = 500;
 
-/// A value and the version of its row.
+/// A decoded value with the version of its row.
 #[derive(Debug, Clone)]
 pub struct Versioned<T> {
-    /// Version of the row.
+    /// Version of the row, for conditional writes.
     pub version: u64,
-    /// The value.
+    /// Decoded value.
     pub value: T,
 }
 
@@ -39,7 +39,7 @@
     }))
 }
 
-/// Reads the template of an organisation.
+/// Reads the template of an organisation; `None` if the organisation has no template.
 pub fn template(
     table: &dyn Table,
     org: &str,
@@ -47,11 +47,13 @@
     read_row(table, keys::config(org))
 }
 
-/// Reads the count of changes.
+/// Reads the configuration head, which holds the number of the last change; `None` before the
+/// first change.
 pub fn config_head(table: &dyn Table) -> Result<Option<Versioned<ConfigHead>>, CtlError> {
     read_row(table, Name::from(keys::CONFIG_HEAD))
 }
 
+/// Reads and decodes all rows with a prefix, in the order of their keys.
 fn scan_rows<T: DeserializeOwned>(table: &dyn Table, prefix: Name) -> Result<Vec<T>, CtlError> {
     let mut out = Vec::new();
     let mut after = None;
@@ -72,7 +74,7 @@
     scan_rows(table, Name::from(keys::CONFIG))
 }
 
-/// Reads the audit trail of an organisation, the oldest entry first.
+/// Reads the audit trail of an organisation, oldest entry first.
 pub fn audit_trail(table: &dyn Table, org: &str) -> Result<Vec<AuditEntry>, CtlError> {
     scan_rows(table, keys::audits(org))
 }
--- a/crates/ctl/src/text_table.rs
+++ b/crates/ctl/src/text_table.rs
@@ -1,6 +1,6 @@
-//! Tables for people.
+//! Tables for terminal output.
 
-/// Rows of cells under a heading, padded into columns.
+/// A heading and rows, printed in aligned columns.
 #[derive(Debug)]
 pub(crate) struct TextTable {
     rows: Vec<Vec<String>>,
