--- a/crates/replay/src/args.rs
+++ b/crates/replay/src/args.rs
@@ -4,16 +4,16 @@
 
 use clap::Parser;
 
-/// Replays recorded traces against stated outcomes.
+/// Replays recorded traces and compares them with expected outcomes.
 ///
-/// Beside TRACE a file TRACE.yaml may state outcomes.
+/// The expected outcomes of TRACE are read from TRACE.yaml, if that file exists.
 #[derive(Debug, Parser)]
 #[command(name = "gorsespur-replay", version)]
 pub struct ReplayArgs {
-    /// Traces recorded by `gorsespur-sched --record`.
+    /// Trace files recorded by `gorsespur-sched --record`.
     #[arg(required = true)]
     pub traces: Vec<PathBuf>,
-    /// Print the outcomes as JSON.
+    /// Print outcomes as JSON instead of text.
     #[arg(long)]
     pub json: bool,
 }
--- a/crates/replay/src/error.rs
+++ b/crates/replay/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of traces.
+//! Errors of recording and replaying traces.
 
 use std::path::PathBuf;
 
@@ -9,49 +9,49 @@
 use gorsespur_wire::codec::CodecError;
 use snafu::Snafu;
 
-/// Why a trace can't be used, or does not hold.
+/// Why a trace can't be recorded or read, or fails its replay.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum TraceError {
-    /// The file can't be opened, read or written.
-    #[snafu(display("{}", path.display()))]
+    /// A trace file can't be opened, read or written.
+    #[snafu(display("can't access trace file {}", path.display()))]
     File {
-        /// The file.
+        /// Path of the trace.
         path: PathBuf,
-        /// The system's answer.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A part is malformed.
-    #[snafu(display("trace is malformed"))]
+    /// The header or a frame can't be encoded or decoded.
+    #[snafu(display("can't encode or decode the trace"))]
     Codec {
-        /// The reason.
+        /// Error of the codec.
         source: CodecError,
     },
-    /// The trace has no header.
-    #[snafu(display("trace is empty"))]
+    /// The trace has no complete header.
+    #[snafu(display("trace has no complete header"))]
     Empty,
-    /// The stated outcomes can't be read.
-    #[snafu(display("stated outcomes"))]
+    /// The expected outcomes can't be loaded.
+    #[snafu(display("can't load the expected outcomes"))]
     ExpectedOutcomes {
-        /// The reason.
+        /// Error of the settings loader.
         source: SettingsError,
     },
-    /// A step led to other actions than recorded.
-    #[snafu(display("step {step} at {now_ms} ms led to other actions than recorded"))]
+    /// The replayed actions of a step differ from the recorded ones.
+    #[snafu(display("actions of step {step} at {now_ms} ms differ from the recorded ones"))]
     ActionsDiffer {
-        /// Number of the step.
+        /// Index of the step, from 0.
         step: usize,
-        /// Its time.
+        /// Recorded time of the step, in milliseconds.
         now_ms: u64,
     },
-    /// An outcome is not as stated.
-    #[snafu(display("{name} is {actual}, stated {expected}"))]
+    /// An outcome differs from the expected one.
+    #[snafu(display("{name} is {actual}, expected {expected}"))]
     OutcomeDiffers {
         /// Name of the outcome.
         name: &'static str,
-        /// What the replay led to.
+        /// Value after the replay.
         actual: u64,
-        /// What was stated.
+        /// Expected value.
         expected: u64,
     },
 }
--- a/crates/replay/src/header.rs
+++ b/crates/replay/src/header.rs
@@ -1,4 +1,6 @@
-//! Parts of a trace.
+//! Contents of a trace: one header, then one frame for each step.
+//!
+//! Both are encoded by position, so that the order of their fields is part of the file format.
 
 use gorsespur_core::{
     Millis,
@@ -6,29 +8,29 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What a machine starts from.
+/// Initial state of the recorded state machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// Place of the shard.
+    /// Place of the shard among all shards.
     pub place: ShardPlace,
-    /// Settings.
+    /// Settings of the shard.
     pub settings: ShardSettings,
-    /// Seed of its random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// What the owner started from.
+    /// State that the owner took over.
     pub takeover: Takeover,
-    /// When it started.
+    /// Time of the start.
     pub now: Millis,
 }
 
-/// One step.
+/// One step of the state machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// When it was taken.
+    /// Time of the step.
     pub now: Millis,
-    /// The event.
+    /// Input of the step.
     pub event: Event,
-    /// Hash of the actions that it led to.
+    /// Hash of the actions that the step returned, from [`crate::hash_actions`].
     #[serde(rename = "actions")]
     pub actions_hash: u64,
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,9 +1,11 @@
-//! Traces of a shard's machine: recorded while it runs, replayed later.
+//! Records and replays traces of a shard's state machine.
 //!
-//! A trace starts with all that the machine starts from. Then each event
-//! follows with its time and a hash of the actions that it led to. A replay
-//! that leads to other actions has found a change of behaviour, or a decision
-//! that depends on something outside the trace.
+//! A replay detects changes of behaviour and decisions that depend on something outside of the
+//! trace: in both cases the replayed actions differ from the recorded ones. Actions are recorded
+//! as hashes only, so that a replay shows the step that differs, but not how.
+//!
+//! A trace starts with the initial state of the machine, followed by each event with its time and
+//! a hash of the resulting actions.
 
 pub mod args;
 pub mod error;
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -1,4 +1,4 @@
-//! Replays recorded traces against stated outcomes.
+//! Replays recorded traces and compares them with expected outcomes.
 
 use std::process::ExitCode;
 
--- a/crates/replay/src/outcome.rs
+++ b/crates/replay/src/outcome.rs
@@ -1,48 +1,49 @@
-//! What a replay leads to, and what is stated beside a trace.
+//! Outcome of a replay, and the expected outcome of a trace.
 
 use gorsespur_core::shard::{Action, End, Record};
 use serde::{Deserialize, Serialize};
 
 use crate::TraceError;
 
-/// Counts over a replay.
+/// Counters of a replay.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Outcome {
-    /// Steps.
+    /// Steps replayed.
     pub steps: u64,
-    /// Jobs taken over from the inbox.
+    /// Jobs taken from the inbox; service jobs are not counted.
     pub submitted: u64,
     /// Attempts started.
     pub started: u64,
-    /// Tasks done.
+    /// Attempts that completed their task.
     pub done: u64,
     /// Attempts that failed.
     pub failed: u64,
-    /// Attempts lost with their workers.
+    /// Attempts lost with their worker.
     pub lost: u64,
     /// Attempts evicted.
     pub evicted: u64,
     /// Jobs finished.
     pub finished: u64,
-    /// Times that a task had two attempts at once in the book; must be 0.
+    /// Attempts on workers that are not the current attempt of their task, summed over all
+    /// steps; must be 0, since otherwise a task can run twice at once.
     pub doubled: u64,
-    /// Times that a worker was given more than it holds; must be 0.
+    /// Workers whose attempts exceed their capacity, summed over all steps; must be 0.
     pub overcommitted: u64,
 }
 
-/// Stated outcomes; those absent are not checked.
+/// Expected counters of a replay; absent ones are not checked.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expected {
-    /// Jobs taken over from the inbox.
+    /// Jobs taken from the inbox; service jobs are not counted.
     pub submitted: Option<u64>,
     /// Attempts started.
     pub started: Option<u64>,
-    /// Tasks done.
+    /// Attempts that completed their task.
     pub done: Option<u64>,
     /// Attempts that failed.
     pub failed: Option<u64>,
-    /// Attempts lost with their workers.
+    /// Attempts lost with their worker.
     pub lost: Option<u64>,
     /// Attempts evicted.
     pub evicted: Option<u64>,
@@ -51,7 +52,7 @@
 }
 
 impl Outcome {
-    /// Counts the records of one step's actions.
+    /// Counts one step and the journal records among its actions.
     pub(crate) fn count(&mut self, actions: &[Action]) {
         self.steps += 1;
         for action in actions {
@@ -87,7 +88,12 @@
         }
     }
 
-    /// Compares with what was stated; the two invariants always hold.
+    /// Compares the counters with the expected ones. The invariants `doubled` and
+    /// `overcommitted` are always checked.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first counter that differs.
     pub fn check(&self, expected: &Expected) -> Result<(), TraceError> {
         let checks = [
             ("submitted", self.submitted, expected.submitted),
--- a/crates/replay/src/program.rs
+++ b/crates/replay/src/program.rs
@@ -1,4 +1,4 @@
-//! Replays each trace that was named.
+//! Replays the traces named on the command line.
 
 use std::path::Path;
 
@@ -12,7 +12,11 @@
     replay,
 };
 
-/// Replays the traces and prints what they led to.
+/// Replays the traces in order and prints their outcomes.
+///
+/// # Errors
+///
+/// Stops at the first trace that can't be read or fails its replay.
 pub fn run(args: &ReplayArgs) -> Result<(), TraceError> {
     for path in &args.traces {
         let outcome = run_one(path)?;
@@ -21,7 +25,13 @@
     Ok(())
 }
 
-/// Replays one trace and checks the outcomes that are stated beside it.
+/// Replays one trace and compares the outcome with the expected one in `PATH.yaml`, if that file
+/// exists.
+///
+/// # Errors
+///
+/// Fails if a file can't be read, if actions differ from the recorded ones, if a counter differs
+/// from the expected one, or if an invariant is violated.
 pub fn run_one(path: &Path) -> Result<Outcome, TraceError> {
     let trace = Trace::read(path)?;
     let outcome = replay(&trace)?;
--- a/crates/replay/src/reader.rs
+++ b/crates/replay/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads and replays traces.
+//! Reads and replays trace files.
 
 use std::path::Path;
 
@@ -15,14 +15,19 @@
 /// A trace in memory.
 #[derive(Debug, Clone)]
 pub struct Trace {
-    /// What the machine started from.
+    /// Initial state of the machine.
     pub header: Header,
-    /// The steps.
+    /// Recorded steps, in order.
     pub frames: Vec<Frame>,
 }
 
 impl Trace {
-    /// Reads a file; a last part that was cut by a kill is left out.
+    /// Reads a trace file. An incomplete frame at the end is ignored, since a recording process
+    /// can be killed during a write.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file can't be read, has no complete header, or contains malformed data.
     pub fn read(path: &Path) -> Result<Trace, TraceError> {
         let bytes = std::fs::read(path).context(FileSnafu { path })?;
         let mut rest = &bytes[..];
@@ -36,6 +41,8 @@
     }
 }
 
+/// Splits off the next chunk, which follows its length as a little-endian `u32`. Returns `None` at
+/// the end and for an incomplete chunk.
 fn next_chunk<'a>(rest: &mut &'a [u8]) -> Option<&'a [u8]> {
     let (len, tail) = rest.split_first_chunk::<4>()?;
     let len = u32::from_le_bytes(*len) as usize;
@@ -44,9 +51,11 @@
     Some(chunk)
 }
 
-/// Replays a trace and returns what it led to.
+/// Replays a trace and returns its outcome.
 ///
-/// Errors: a step led to other actions than recorded.
+/// # Errors
+///
+/// Fails at the first step whose actions differ from the recorded ones.
 pub fn replay(trace: &Trace) -> Result<Outcome, TraceError> {
     let header = &trace.header;
     let mut machine = Machine::new(
@@ -69,7 +78,7 @@
     Ok(outcome)
 }
 
-/// Looks for broken invariants.
+/// Counts violations of the invariants after a step.
 fn count_violations(machine: &Machine, outcome: &mut Outcome) {
     for worker in machine.workers() {
         let mut used = gorsespur_core::size::Size::default();
--- a/crates/replay/src/recorder.rs
+++ b/crates/replay/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Writes traces.
+//! Writes trace files.
 
 use std::{
     fs::File,
@@ -21,14 +21,15 @@
     error::{CodecSnafu, FileSnafu, TraceError},
 };
 
-/// Writes a trace to a file.
+/// Writes a trace to a file, one step at a time.
 #[derive(Debug)]
 pub struct Recorder {
     out: BufWriter<File>,
     path: std::path::PathBuf,
 }
 
-/// Returns a hash of actions that is the same in every process.
+/// Returns a hash of actions that doesn't depend on the process, so that it can be compared with
+/// a recorded one.
 pub fn hash_actions(actions: &[Action]) -> u64 {
     let mut h = StableHasher::new();
     let bytes = encode(&actions).unwrap_or_default();
@@ -37,7 +38,11 @@
 }
 
 impl Recorder {
-    /// Creates a file and writes what the machine starts from.
+    /// Creates a trace file and writes the initial state of the machine as its header.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file can't be created or written.
     pub fn create(
         path: &Path,
         place: &ShardPlace,
@@ -61,8 +66,14 @@
         Ok(recorder)
     }
 
-    /// Adds a step; steps without effect at a tick are left out by the caller
-    /// at its own risk, since they may change the machine.
+    /// Appends a step and flushes it.
+    ///
+    /// Callers should record every step: a tick without actions can still change the state of
+    /// the machine, and a replay without that tick can then differ.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the step can't be encoded or written.
     pub fn add_step(
         &mut self,
         now: Millis,
