--- a/crates/ctl/tests/apply.rs
+++ b/crates/ctl/tests/apply.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_loser_of_a_race_is_told_what_changed() {
+fn a_version_conflict_lists_the_changes_since() {
     let platform = FakePlatform::new();
     apply(&platform, &change(0, 50)).expect("accepted");
     apply(&platform, &change(1, 60)).expect("accepted");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn an_unchanged_template_makes_no_version() {
+fn an_unchanged_template_creates_no_version() {
     let platform = FakePlatform::new();
     apply(&platform, &change(0, 50)).expect("accepted");
     let again = apply(&platform, &change(1, 50)).expect("nothing to do");
@@ -97,7 +97,7 @@
 #[test_case(&[Fault::None, Fault::None, Fault::LostAnswer]; "answer lost")]
 #[test_case(&[Fault::None, Fault::None, Fault::LostAnswer, Fault::Down, Fault::Down]; "answer lost and reads fail")]
 #[test_case(&[Fault::None, Fault::None, Fault::Delayed]; "write delayed until the repeat")]
-fn a_change_whose_answer_is_lost_is_made_once(faults: &[Fault]) {
+fn a_change_with_a_lost_answer_is_applied_once(faults: &[Fault]) {
     let platform = FakePlatform::new();
     platform.fail_next(faults);
     let accepted = apply(&platform, &change(0, 50)).expect("accepted");
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_table_that_is_down_changes_nothing() {
+fn apply_writes_nothing_if_the_table_is_down() {
     let platform = FakePlatform::new();
     platform.fail_next(&[Fault::Down]);
     assert!(matches!(
@@ -133,12 +133,12 @@
 }
 
 #[test]
-fn who_must_be_a_name() {
+fn an_invalid_author_is_rejected() {
     let platform = FakePlatform::new();
-    let mut bad = change(0, 50);
-    bad.author = "a b\n".to_owned();
+    let mut invalid = change(0, 50);
+    invalid.author = "a b\n".to_owned();
     assert!(matches!(
-        apply(&platform, &bad),
+        apply(&platform, &invalid),
         Err(CtlError::InvalidAuthor { .. })
     ));
 }
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_refused_job_tells_the_reason() {
+fn a_refused_job_reports_its_last_error() {
     let log = format!(
         r#"{{"ms":1000,"node":"a","msg":"front: job not taken","job":"{JOB}","err":"store unavailable: status 503"}}
 {{"ms":1001,"node":"a","msg":"front: answered","method":"POST","path":"/q/{JOB}","status":503}}"#
@@ -75,7 +75,7 @@
     assert_eq!(cause(&log), expected);
 }
 
-fn one_run(before: &str, started: u64, ended: u64) -> String {
+fn log_of_one_run(before: &str, started: u64, ended: u64) -> String {
     format!(
         r#"{ACCEPTED}{before}
 {{"ms":{started},"node":"b","msg":"start: sent","task":"{JOB}.0.0.0","run":1,"worker":"w1"}}
@@ -90,12 +90,12 @@
 #[test_case("", 4000, 5000, Cause::Waited { ms: 3000 }; "for room")]
 #[test_case(LEASE_TAKEN_LINE, 4000, 5000, Cause::NoOwner { ms: 2900 }; "for an owner")]
 #[test_case("", 1100, 5000, Cause::Worked { ms: 3900 }; "for its tasks")]
-fn a_late_job_waited(before: &str, started: u64, ended: u64, expected: Cause) {
-    assert_eq!(cause(&one_run(before, started, ended)), expected);
+fn the_longest_activity_is_the_cause(before: &str, started: u64, ended: u64, expected: Cause) {
+    assert_eq!(cause(&log_of_one_run(before, started, ended)), expected);
 }
 
 #[test]
-fn a_slowed_run_is_told() {
+fn a_slowed_run_is_the_cause() {
     let pace_line = |ms: u64, to: u64| {
         format!(
             r#"{{"ms":{ms},"node":"b","msg":"pace: changed","task":"{JOB}.0.0.0","from":100,"to":{to}}}"#
@@ -103,7 +103,7 @@
     };
     let log = format!(
         "{}\n{}\n{}",
-        one_run("", 1100, 5000),
+        log_of_one_run("", 1100, 5000),
         pace_line(1200, 30),
         pace_line(4500, 100)
     );
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn what_can_not_be_read_is_counted() {
+fn unparsed_and_dropped_lines_are_counted() {
     let log = format!(
         "{ACCEPTED}{{\"ms\":1,\"node\":\"a\",\"ms\nsomebody else's line\n  1.25 a {{\"ms\":2,\"node\":\"a\",\"msg\":\"log: lines dropped\",\"count\":7}}\n"
     );
@@ -122,14 +122,14 @@
 }
 
 #[test]
-fn nothing_is_concluded_from_other_jobs() {
+fn lines_of_other_jobs_give_no_cause() {
     let timeline = JobTimeline::for_job(&read_logs(ACCEPTED), "0000000000000001");
     assert_eq!(Cause::of(&timeline), Cause::Unknown);
 }
 
 /// Logs are cut at times: what ran was accepted, though no line says so.
 #[test]
-fn what_ran_was_not_refused() {
+fn a_job_that_ran_was_accepted() {
     let log = format!(
         r#"{{"ms":1000,"node":"b","msg":"run: ended","task":"{JOB}.0.0.0","run":1,"worker":"w1","how":"Done","ran_ms":1000}}
 {{"ms":1500,"node":"b","msg":"jobs: ended","job":"{JOB}","outcome":"Complete"}}"#
@@ -142,9 +142,9 @@
 /// Two jobs, of which one waits for an owner: sums by queue and over time add up to the
 /// whole time of the jobs.
 #[test]
-fn losses_add_up() {
-    let other = one_run("", 1500, 2500).replace(JOB, "00000000000000aa");
-    let log = format!("{}\n{other}", one_run(LEASE_TAKEN_LINE, 4000, 5000));
+fn sums_by_queue_and_window_equal_the_total() {
+    let other = log_of_one_run("", 1500, 2500).replace(JOB, "00000000000000aa");
+    let log = format!("{}\n{other}", log_of_one_run(LEASE_TAKEN_LINE, 4000, 5000));
     let timelines = read_logs(&log).timelines();
     assert_eq!(timelines.len(), 2);
     let queues = by_queue(&timelines);
@@ -166,9 +166,9 @@
 
 /// A job that waits for half a minute is without an owner for the second of a takeover only.
 #[test]
-fn a_takeover_takes_no_more_than_its_time() {
+fn a_takeover_counts_only_its_own_time_as_no_owner() {
     let taken = LEASE_TAKEN_LINE.replace("2900", "1000");
-    let log = one_run(&taken, 30_000, 31_000);
+    let log = log_of_one_run(&taken, 30_000, 31_000);
     assert_eq!(cause(&log), Cause::Waited { ms: 28_000 });
     let spent = JobTimeline::for_job(&read_logs(&log), JOB).spent;
     assert_eq!((spent.no_owner, spent.total), (1000, 30_000));
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -100,8 +100,8 @@
     let path = dir.join("one.trace");
     let settings = ShardSettings::default();
     let mut machine = Machine::new(place(), settings.clone(), 7, takeover(), NOW);
-    let made = Recorder::create(&path, &place(), &settings, 7, &takeover(), NOW);
-    let mut recorder = made.expect("created");
+    let created = Recorder::create(&path, &place(), &settings, 7, &takeover(), NOW);
+    let mut recorder = created.expect("created");
     for (now, event) in events() {
         let actions = machine.step(now, &event);
         recorder.add_step(now, &event, &actions).expect("recorded");
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_changed_decision_is_found() {
+fn a_changed_decision_is_detected() {
     let path = record("changed");
     let mut trace = Trace::read(&path).expect("well-formed");
     trace.header.settings.batch = 1;
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_trace_that_was_cut_replays_up_to_the_cut() {
+fn a_truncated_trace_replays_its_complete_frames() {
     let path = record("cut");
     let bytes = std::fs::read(&path).expect("read");
     std::fs::write(&path, &bytes[..bytes.len() - 3]).expect("written");
@@ -153,15 +153,15 @@
 #[test_case("started: 2", true; "as stated")]
 #[test_case("started: 3", false; "another number")]
 #[test_case("surprise: 1", false; "unknown outcome")]
-fn outcomes_are_compared_with_those_stated(text: &str, holds: bool) {
+fn outcomes_are_compared_with_the_expected_ones(text: &str, passes: bool) {
     let path = record(&text.replace(": ", "-"));
     std::fs::write(path.with_extension("trace.yaml"), text).expect("written");
-    assert_eq!(run_one(&path).is_ok(), holds);
+    assert_eq!(run_one(&path).is_ok(), passes);
     remove(&path);
 }
 
 #[test]
-fn an_invariant_is_checked_without_being_stated() {
+fn invariants_are_checked_without_expected_outcomes() {
     let path = record("invariant");
     let trace = Trace::read(&path).expect("well-formed");
     let mut outcome = replay(&trace).expect("the same");
@@ -172,7 +172,7 @@
 
 /// Recorded by `./trial --record` with a scheduler and a worker killed.
 #[test]
-fn the_recorded_traces_hold() {
+fn the_recorded_traces_pass() {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("traces");
     let mut count = 0;
     for file in std::fs::read_dir(dir).expect("the traces") {
