--- a/crates/ctl/tests/apply.rs
+++ b/crates/ctl/tests/apply.rs
@@ -1,4 +1,4 @@
-//! Applying templates: conditional, audited, never twice.
+//! Templates are applied conditionally, with an audit entry, and at most once.
 
 use std::path::PathBuf;
 
@@ -17,7 +17,7 @@
         env!("CARGO_MANIFEST_DIR"),
         "/../../templates/weld.yaml"
     ));
-    Document::read(&path).expect("the template passes")
+    Document::read(&path).expect("valid template")
 }
 
 fn change(base_version: u64, replicas: i64) -> Change {
@@ -63,7 +63,7 @@
     let platform = FakePlatform::new();
     apply(&platform, &change(0, 50)).expect("accepted");
     apply(&platform, &change(1, 60)).expect("accepted");
-    let err = apply(&platform, &change(1, 70)).expect_err("lost the race");
+    let err = apply(&platform, &change(1, 70)).expect_err("version conflict");
     let CtlError::VersionConflict {
         base_version,
         current_version,
@@ -93,7 +93,8 @@
     assert_eq!(platform.writes(), 1);
 }
 
-// Each apply reads the template, then the head, and then writes.
+// `apply` reads the template and the configuration head, then writes, so that the third call is
+// the write.
 #[test_case(&[Fault::None, Fault::None, Fault::LostAnswer]; "answer lost")]
 #[test_case(&[Fault::None, Fault::None, Fault::LostAnswer, Fault::Down, Fault::Down]; "answer lost and reads fail")]
 #[test_case(&[Fault::None, Fault::None, Fault::Delayed]; "write delayed until the repeat")]
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! What `explain` concludes from logs.
+//! Causes and time sums that `explain` and `losses` derive from logs.
 
 use gorsespur_ctl::explain::{
     Cause,
@@ -12,7 +12,7 @@
 
 fn read_logs(log: &str) -> CollectedLogs {
     let mut logs = CollectedLogs::default();
-    logs.add_log(log.as_bytes()).expect("lines");
+    logs.add_log(log.as_bytes()).expect("readable log");
     logs.lines.sort_by_key(|l| l.ms);
     logs
 }
@@ -87,7 +87,7 @@
 const LEASE_TAKEN_LINE: &str =
     r#"{"ms":3900,"node":"c","msg":"lease: taken","epoch":2,"from":"b","age_ms":2900}"#;
 
-#[test_case("", 4000, 5000, Cause::Waited { ms: 3000 }; "for room")]
+#[test_case("", 4000, 5000, Cause::Waited { ms: 3000 }; "for capacity")]
 #[test_case(LEASE_TAKEN_LINE, 4000, 5000, Cause::NoOwner { ms: 2900 }; "for an owner")]
 #[test_case("", 1100, 5000, Cause::Worked { ms: 3900 }; "for its tasks")]
 fn the_longest_activity_is_the_cause(before: &str, started: u64, ended: u64, expected: Cause) {
@@ -116,7 +116,7 @@
         "{ACCEPTED}{{\"ms\":1,\"node\":\"a\",\"ms\nsomebody else's line\n  1.25 a {{\"ms\":2,\"node\":\"a\",\"msg\":\"log: lines dropped\",\"count\":7}}\n"
     );
     let logs = read_logs(&log);
-    // The empty line at the start counts as well.
+    // The empty line at the start counts as unparsed.
     assert_eq!((logs.unparsed, logs.dropped), (3, 7));
     assert_eq!(logs.nodes().len(), 2);
 }
@@ -127,7 +127,8 @@
     assert_eq!(Cause::of(&timeline), Cause::Unknown);
 }
 
-/// Logs are cut at times: what ran was accepted, though no line says so.
+/// Logs can be incomplete: an ended run proves that the job was accepted even if the line of the
+/// acceptance is missing.
 #[test]
 fn a_job_that_ran_was_accepted() {
     let log = format!(
@@ -139,8 +140,8 @@
     assert_eq!(timeline.runs[0].started_ms, 0, "{timeline:?}");
 }
 
-/// Two jobs, of which one waits for an owner: sums by queue and over time add up to the
-/// whole time of the jobs.
+/// For two jobs, of which one waits for an owner, the sums by queue and by window have to add up
+/// to the total time of the jobs.
 #[test]
 fn sums_by_queue_and_window_equal_the_total() {
     let other = log_of_one_run("", 1500, 2500).replace(JOB, "00000000000000aa");
@@ -164,7 +165,8 @@
     assert_eq!(causes, [("at work", 1), ("no owner", 1)]);
 }
 
-/// A job that waits for half a minute is without an owner for the second of a takeover only.
+/// A job that waits for half a minute with a takeover of one second has no owner for that second
+/// only.
 #[test]
 fn a_takeover_counts_only_its_own_time_as_no_owner() {
     let taken = LEASE_TAKEN_LINE.replace("2900", "1000");
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Traces: recorded, replayed, and found out when they don't hold.
+//! Recording and replaying of traces, and detection of replays that differ.
 
 use std::path::{Path, PathBuf};
 
@@ -93,7 +93,7 @@
     ]
 }
 
-/// Records the events and returns the file.
+/// Records the events and returns the path of the trace file.
 fn record(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("gorsespur-replay-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a directory");
@@ -150,8 +150,8 @@
     remove(&path);
 }
 
-#[test_case("started: 2", true; "as stated")]
-#[test_case("started: 3", false; "another number")]
+#[test_case("started: 2", true; "as expected")]
+#[test_case("started: 3", false; "different number")]
 #[test_case("surprise: 1", false; "unknown outcome")]
 fn outcomes_are_compared_with_the_expected_ones(text: &str, passes: bool) {
     let path = record(&text.replace(": ", "-"));
@@ -170,7 +170,8 @@
     remove(&path);
 }
 
-/// Recorded by `./trial --record` with a scheduler and a worker killed.
+/// Replays the traces in `traces`, which `./trial --record` recorded while a scheduler and a worker
+/// were killed.
 #[test]
 fn the_recorded_traces_pass() {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("traces");
