--- a/crates/ctl/src/explain/losses.rs
+++ b/crates/ctl/src/explain/losses.rs
@@ -1,4 +1,4 @@
-//! Where the time of all jobs went, by queue and over time.
+//! How all jobs spent their time, by queue and over time.
 
 use std::{path::PathBuf, sync::Arc};
 
@@ -9,52 +9,52 @@
     error::CtlError,
     explain::{
         Cause,
-        book::Book,
-        story::{Doing, Span, Spent, Story},
+        logs::CollectedLogs,
+        timeline::{Activity, JobTimeline, Span, TimeSpent},
     },
-    table_text::TextTable,
+    text_table::TextTable,
 };
 
-/// Jobs whose story ends in one cause.
+/// Number of jobs with the same main cause.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct CauseCount {
     /// Short name of the cause.
     pub cause: &'static str,
-    /// Jobs.
+    /// Number of jobs.
     pub jobs: u64,
 }
 
-/// Jobs of one queue and what most of their time went to.
+/// Totals of one queue.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct QueueLoss {
-    /// The queue; empty for jobs of which no line names it.
+    /// Name of the queue; empty for jobs whose queue no log line names.
     pub queue: Arc<str>,
-    /// Its jobs.
+    /// Number of jobs.
     pub jobs: u64,
-    /// Where their time went, in milliseconds, added up.
-    pub spent: Spent,
-    /// Jobs by the cause that their story ends in, sorted by its name.
+    /// Time spent, summed over the jobs.
+    pub spent: TimeSpent,
+    /// Number of jobs by main cause, sorted by the name of the cause.
     pub causes: Vec<CauseCount>,
 }
 
-/// What jobs did in one window of time, in milliseconds added up.
+/// Activities in one time window, in milliseconds summed over all jobs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct WindowLoss {
-    /// When it began, in milliseconds since 1970.
+    /// Start of the window, in milliseconds since the Unix epoch.
     pub from: u64,
-    /// A run of them was at work.
+    /// Time in which a run of the job was active.
     pub at_work: u64,
-    /// There was no owner.
+    /// Time in which nothing ran and no instance held the lease.
     pub no_owner: u64,
-    /// They waited otherwise.
+    /// Other time in which nothing ran.
     pub waiting: u64,
 }
 
-/// Adds up where the time of jobs went, by queue.
-pub fn by_queue(stories: &[Story]) -> Vec<QueueLoss> {
+/// Sums up by queue how jobs spent their time, sorted by queue.
+pub fn by_queue(timelines: &[JobTimeline]) -> Vec<QueueLoss> {
     let mut rows: Vec<QueueLoss> = Vec::new();
-    for story in stories {
-        let queue = story.queue.clone().unwrap_or_default();
+    for timeline in timelines {
+        let queue = timeline.queue.clone().unwrap_or_default();
         let at = match rows.binary_search_by(|r| r.queue.cmp(&queue)) {
             Ok(at) => at,
             Err(at) => {
@@ -66,15 +66,16 @@
                 at
             }
         };
-        rows[at].add(story);
+        rows[at].add(timeline);
     }
     rows
 }
 
-/// Adds up what jobs did, by windows of so many milliseconds.
-pub fn by_time(stories: &[Story], window: u64) -> Vec<WindowLoss> {
+/// Sums up the activities of jobs by windows of `window` milliseconds, sorted by time. Windows
+/// without an activity are left out; `window` must not be 0.
+pub fn by_window(timelines: &[JobTimeline], window: u64) -> Vec<WindowLoss> {
     let mut rows: Vec<WindowLoss> = Vec::new();
-    for span in stories.iter().flat_map(|s| &s.spans) {
+    for span in timelines.iter().flat_map(|s| &s.spans) {
         let mut from = span.from;
         while from < span.to {
             let start = from - from % window;
@@ -98,10 +99,10 @@
 }
 
 impl QueueLoss {
-    fn add(&mut self, story: &Story) {
+    fn add(&mut self, timeline: &JobTimeline) {
         self.jobs += 1;
-        self.spent.add(&story.spent);
-        let cause = Cause::of(story).name();
+        self.spent.add(&timeline.spent);
+        let cause = Cause::of(timeline).name();
         match self.causes.binary_search_by(|c| c.cause.cmp(cause)) {
             Ok(at) => self.causes[at].jobs += 1,
             Err(at) => self.causes.insert(at, CauseCount { cause, jobs: 1 }),
@@ -111,33 +112,33 @@
 
 impl WindowLoss {
     fn add(&mut self, span: &Span) {
-        let sum = match span.doing {
-            Doing::AtWork => &mut self.at_work,
-            Doing::NoOwner => &mut self.no_owner,
-            Doing::Waiting => &mut self.waiting,
+        let sum = match span.activity {
+            Activity::AtWork => &mut self.at_work,
+            Activity::NoOwner => &mut self.no_owner,
+            Activity::Waiting => &mut self.waiting,
         };
         *sum += span.to - span.from;
     }
 }
 
-/// Shows where the time of all jobs in logs went.
+/// Prints how all jobs in the logs spent their time, in windows of `window` milliseconds.
 pub(crate) fn losses(paths: &[PathBuf], window: u64, as_json: bool) -> Result<(), CtlError> {
-    let book = Book::read(paths)?;
-    let stories = book.stories();
-    let (queues, times) = (by_queue(&stories), by_time(&stories, window.max(1)));
+    let logs = CollectedLogs::read(paths)?;
+    let timelines = logs.timelines();
+    let (queues, windows) = (by_queue(&timelines), by_window(&timelines, window.max(1)));
     if as_json {
         let value = json!({
-            "queues": queues, "windows": times, "nodes": book.nodes().len(),
-            "foreign": book.foreign, "dropped": book.dropped,
+            "queues": queues, "windows": windows, "nodes": logs.nodes().len(),
+            "foreign": logs.unparsed, "dropped": logs.dropped,
         });
         println!("{value}");
         return Ok(());
     }
     print_queues(&queues);
     println!();
-    print_times(&times);
+    print_windows(&windows);
     println!();
-    book.print_size();
+    logs.print_summary();
     Ok(())
 }
 
@@ -163,10 +164,10 @@
         let spent = row.spent;
         let most = row.causes.iter().max_by_key(|c| c.jobs);
         let most = most.map_or(String::new(), |c| format!("{} ({})", c.cause, c.jobs));
-        table.row(vec![
+        table.add_row(vec![
             row.queue.to_string(),
             row.jobs.to_string(),
-            seconds(spent.all),
+            seconds(spent.total),
             seconds(spent.at_work),
             seconds(spent.no_owner),
             seconds(spent.waiting),
@@ -179,11 +180,11 @@
     table.print();
 }
 
-fn print_times(times: &[WindowLoss]) {
-    let start = times.first().map_or(0, |t| t.from);
+fn print_windows(windows: &[WindowLoss]) {
+    let start = windows.first().map_or(0, |t| t.from);
     let mut table = TextTable::new(&["FROM S", "AT WORK", "NO OWNER", "WAITING"]);
-    for row in times {
-        table.row(vec![
+    for row in windows {
+        table.add_row(vec![
             seconds(row.from - start),
             seconds(row.at_work),
             seconds(row.no_owner),
--- a/crates/ctl/src/store.rs
+++ b/crates/ctl/src/store.rs
@@ -1,4 +1,4 @@
-//! Templates and audit entries in the table service.
+//! Reads templates and audit entries from the table service.
 
 use gorsespur_core::name::Name;
 use gorsespur_services::Table;
@@ -12,45 +12,53 @@
 
 use crate::error::{CtlError, StoredSnafu, TableSnafu};
 
-/// Rows of one read.
-const BATCH: u32 = 500;
+/// Rows per scan call.
+const BATCH_ROWS: u32 = 500;
 
-/// A value and the version of its row.
+/// A decoded value with the version of its row.
 #[derive(Debug, Clone)]
-pub struct Kept<T> {
-    /// Version of the row.
+pub struct Versioned<T> {
+    /// Version of the row, for conditional writes.
     pub version: u64,
-    /// The value.
+    /// Decoded value.
     pub value: T,
 }
 
-fn read<T: DeserializeOwned>(table: &dyn Table, key: Name) -> Result<Option<Kept<T>>, CtlError> {
+fn read_row<T: DeserializeOwned>(
+    table: &dyn Table,
+    key: Name,
+) -> Result<Option<Versioned<T>>, CtlError> {
     let rows = table.get(&[key]).context(TableSnafu)?;
     let Some(row) = rows.into_iter().next().flatten() else {
         return Ok(None);
     };
     let value = decode(&row.value).context(StoredSnafu)?;
-    Ok(Some(Kept {
+    Ok(Some(Versioned {
         version: row.version,
         value,
     }))
 }
 
-/// Reads the template of an organisation.
-pub fn template(table: &dyn Table, org: &str) -> Result<Option<Kept<StoredTemplate>>, CtlError> {
-    read(table, keys::config(org))
+/// Reads the template of an organisation; `None` if the organisation has no template.
+pub fn template(
+    table: &dyn Table,
+    org: &str,
+) -> Result<Option<Versioned<StoredTemplate>>, CtlError> {
+    read_row(table, keys::config(org))
 }
 
-/// Reads the count of changes.
-pub fn head(table: &dyn Table) -> Result<Option<Kept<ConfigHead>>, CtlError> {
-    read(table, Name::from(keys::CONFIG_HEAD))
+/// Reads the configuration head, which holds the number of the last change; `None` before the
+/// first change.
+pub fn config_head(table: &dyn Table) -> Result<Option<Versioned<ConfigHead>>, CtlError> {
+    read_row(table, Name::from(keys::CONFIG_HEAD))
 }
 
-fn scan<T: DeserializeOwned>(table: &dyn Table, prefix: Name) -> Result<Vec<T>, CtlError> {
+/// Reads and decodes all rows with a prefix, in the order of their keys.
+fn scan_rows<T: DeserializeOwned>(table: &dyn Table, prefix: Name) -> Result<Vec<T>, CtlError> {
     let mut out = Vec::new();
     let mut after = None;
     loop {
-        let (rows, more) = table.scan(&prefix, after, BATCH).context(TableSnafu)?;
+        let (rows, more) = table.scan(&prefix, after, BATCH_ROWS).context(TableSnafu)?;
         after = rows.last().map(|r| r.key.clone());
         for row in rows {
             out.push(decode(&row.value).context(StoredSnafu)?);
@@ -63,10 +71,10 @@
 
 /// Reads all templates, sorted by organisation.
 pub fn templates(table: &dyn Table) -> Result<Vec<StoredTemplate>, CtlError> {
-    scan(table, Name::from(keys::CONFIG))
+    scan_rows(table, Name::from(keys::CONFIG))
 }
 
-/// Reads the audit trail of an organisation, the oldest entry first.
-pub fn audits(table: &dyn Table, org: &str) -> Result<Vec<AuditEntry>, CtlError> {
-    scan(table, keys::audits(org))
+/// Reads the audit trail of an organisation, oldest entry first.
+pub fn audit_trail(table: &dyn Table, org: &str) -> Result<Vec<AuditEntry>, CtlError> {
+    scan_rows(table, keys::audits(org))
 }
--- a/crates/ctl/src/table_text.rs
+++ b/crates/ctl/src/text_table.rs
@@ -1,6 +1,6 @@
-//! Tables for people.
+//! Tables for terminal output.
 
-/// Rows of cells under a heading, padded into columns.
+/// A heading and rows, printed in aligned columns.
 #[derive(Debug)]
 pub(crate) struct TextTable {
     rows: Vec<Vec<String>>,
@@ -14,7 +14,7 @@
         }
     }
 
-    pub fn row(&mut self, cells: Vec<String>) {
+    pub fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
--- a/crates/ctl/tests/apply.rs
+++ b/crates/ctl/tests/apply.rs
@@ -1,4 +1,4 @@
-//! Applying templates: conditional, audited, never twice.
+//! Templates are applied conditionally, with an audit entry, and at most once.
 
 use std::path::PathBuf;
 
@@ -17,17 +17,17 @@
         env!("CARGO_MANIFEST_DIR"),
         "/../../templates/weld.yaml"
     ));
-    Document::read(&path).expect("the template passes")
+    Document::read(&path).expect("valid template")
 }
 
-fn change(edited: u64, replicas: i64) -> Change {
+fn change(base_version: u64, replicas: i64) -> Change {
     let mut document = document();
     document.raw.services[0].replicas = replicas;
     Change {
         document,
-        edited,
-        who: "ada".to_owned(),
-        why: "load".to_owned(),
+        base_version,
+        author: "ada".to_owned(),
+        reason: "load".to_owned(),
     }
 }
 
@@ -42,14 +42,14 @@
         accepted.diff,
         ["services[qualification].replicas: 50 -> 60"]
     );
-    let trail = store::audits(&platform, "weld").expect("read");
+    let trail = store::audit_trail(&platform, "weld").expect("read");
     assert_eq!(trail.len(), 2);
     assert_eq!(
         (&*trail[1].who, &*trail[1].why, trail[1].version),
         ("ada", "load", 2)
     );
     assert_eq!(
-        store::head(&platform)
+        store::config_head(&platform)
             .expect("read")
             .expect("there")
             .value
@@ -59,33 +59,33 @@
 }
 
 #[test]
-fn the_loser_of_a_race_is_told_what_changed() {
+fn a_version_conflict_lists_the_changes_since() {
     let platform = FakePlatform::new();
     apply(&platform, &change(0, 50)).expect("accepted");
     apply(&platform, &change(1, 60)).expect("accepted");
-    let err = apply(&platform, &change(1, 70)).expect_err("lost the race");
-    let CtlError::Raced {
-        edited,
-        found,
+    let err = apply(&platform, &change(1, 70)).expect_err("version conflict");
+    let CtlError::VersionConflict {
+        base_version,
+        current_version,
         changes,
         ..
     } = err
     else {
         panic!("{err:?}");
     };
-    assert_eq!((edited, found), (1, 2));
+    assert_eq!((base_version, current_version), (1, 2));
     assert!(
         changes.contains("50 -> 60") && changes.contains("ada"),
         "{changes}"
     );
-    let kept = store::template(&platform, "weld")
+    let stored = store::template(&platform, "weld")
         .expect("read")
         .expect("there");
-    assert_eq!(kept.value.raw.services[0].replicas, 60);
+    assert_eq!(stored.value.raw.services[0].replicas, 60);
 }
 
 #[test]
-fn an_unchanged_template_makes_no_version() {
+fn an_unchanged_template_creates_no_version() {
     let platform = FakePlatform::new();
     apply(&platform, &change(0, 50)).expect("accepted");
     let again = apply(&platform, &change(1, 50)).expect("nothing to do");
@@ -93,20 +93,24 @@
     assert_eq!(platform.writes(), 1);
 }
 
-// Each apply reads the template, then the head, and then writes.
+// `apply` reads the template and the configuration head, then writes, so that the third call is
+// the write.
 #[test_case(&[Fault::None, Fault::None, Fault::LostAnswer]; "answer lost")]
 #[test_case(&[Fault::None, Fault::None, Fault::LostAnswer, Fault::Down, Fault::Down]; "answer lost and reads fail")]
 #[test_case(&[Fault::None, Fault::None, Fault::Delayed]; "write delayed until the repeat")]
-fn a_change_whose_answer_is_lost_is_made_once(faults: &[Fault]) {
+fn a_change_with_a_lost_answer_is_applied_once(faults: &[Fault]) {
     let platform = FakePlatform::new();
     platform.fail_next(faults);
     let accepted = apply(&platform, &change(0, 50)).expect("accepted");
     assert_eq!(accepted.version, 1);
-    assert_eq!(store::audits(&platform, "weld").expect("read").len(), 1);
+    assert_eq!(
+        store::audit_trail(&platform, "weld").expect("read").len(),
+        1
+    );
 }
 
 #[test]
-fn a_table_that_is_down_changes_nothing() {
+fn apply_writes_nothing_if_the_table_is_down() {
     let platform = FakePlatform::new();
     platform.fail_next(&[Fault::Down]);
     assert!(matches!(
@@ -130,9 +134,12 @@
 }
 
 #[test]
-fn who_must_be_a_name() {
+fn an_invalid_author_is_rejected() {
     let platform = FakePlatform::new();
-    let mut bad = change(0, 50);
-    bad.who = "a b\n".to_owned();
-    assert!(matches!(apply(&platform, &bad), Err(CtlError::Who { .. })));
+    let mut invalid = change(0, 50);
+    invalid.author = "a b\n".to_owned();
+    assert!(matches!(
+        apply(&platform, &invalid),
+        Err(CtlError::InvalidAuthor { .. })
+    ));
 }
--- a/crates/replay/src/program.rs
+++ b/crates/replay/src/program.rs
@@ -1,4 +1,4 @@
-//! Replays each trace that was named.
+//! Replays the traces named on the command line.
 
 use std::path::Path;
 
@@ -8,11 +8,15 @@
 use crate::{
     Expected, Outcome, Trace,
     args::ReplayArgs,
-    error::{StatedSnafu, TraceError},
+    error::{ExpectedOutcomesSnafu, TraceError},
     replay,
 };
 
-/// Replays the traces and prints what they led to.
+/// Replays the traces in order and prints their outcomes.
+///
+/// # Errors
+///
+/// Stops at the first trace that can't be read or fails its replay.
 pub fn run(args: &ReplayArgs) -> Result<(), TraceError> {
     for path in &args.traces {
         let outcome = run_one(path)?;
@@ -21,15 +25,21 @@
     Ok(())
 }
 
-/// Replays one trace and checks the outcomes that are stated beside it.
+/// Replays one trace and compares the outcome with the expected one in `PATH.yaml`, if that file
+/// exists.
+///
+/// # Errors
+///
+/// Fails if a file can't be read, if actions differ from the recorded ones, if a counter differs
+/// from the expected one, or if an invariant is violated.
 pub fn run_one(path: &Path) -> Result<Outcome, TraceError> {
     let trace = Trace::read(path)?;
     let outcome = replay(&trace)?;
-    let mut stated = path.as_os_str().to_owned();
-    stated.push(".yaml");
-    let stated = Path::new(&stated);
-    let expected = if stated.exists() {
-        load(stated, Ok).context(StatedSnafu)?
+    let mut expected_path = path.as_os_str().to_owned();
+    expected_path.push(".yaml");
+    let expected_path = Path::new(&expected_path);
+    let expected = if expected_path.exists() {
+        load(expected_path, Ok).context(ExpectedOutcomesSnafu)?
     } else {
         Expected::default()
     };
@@ -37,23 +47,23 @@
     Ok(outcome)
 }
 
-fn print(path: &Path, o: &Outcome, json: bool) {
+fn print(path: &Path, outcome: &Outcome, json: bool) {
     if json {
-        println!("{}", serde_json::to_string(o).unwrap_or_default());
+        println!("{}", serde_json::to_string(outcome).unwrap_or_default());
         return;
     }
     println!(
         "{}: steps={} submitted={} started={} done={} failed={} lost={} evicted={} finished={} doubled={} overcommitted={}",
         path.display(),
-        o.steps,
-        o.submitted,
-        o.started,
-        o.done,
-        o.failed,
-        o.lost,
-        o.evicted,
-        o.finished,
-        o.doubled,
-        o.overcommitted
+        outcome.steps,
+        outcome.submitted,
+        outcome.started,
+        outcome.done,
+        outcome.failed,
+        outcome.lost,
+        outcome.evicted,
+        outcome.finished,
+        outcome.doubled,
+        outcome.overcommitted
     );
 }
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Traces: recorded, replayed, and found out when they don't hold.
+//! Recording and replaying of traces, and detection of replays that differ.
 
 use std::path::{Path, PathBuf};
 
@@ -93,18 +93,18 @@
     ]
 }
 
-/// Records the events and returns the file.
+/// Records the events and returns the path of the trace file.
 fn record(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("gorsespur-replay-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a directory");
     let path = dir.join("one.trace");
     let settings = ShardSettings::default();
     let mut machine = Machine::new(place(), settings.clone(), 7, takeover(), NOW);
-    let made = Recorder::create(&path, &place(), &settings, 7, &takeover(), NOW);
-    let mut recorder = made.expect("created");
+    let created = Recorder::create(&path, &place(), &settings, 7, &takeover(), NOW);
+    let mut recorder = created.expect("created");
     for (now, event) in events() {
         let actions = machine.step(now, &event);
-        recorder.add(now, &event, &actions).expect("recorded");
+        recorder.add_step(now, &event, &actions).expect("recorded");
     }
     path
 }
@@ -127,20 +127,20 @@
 }
 
 #[test]
-fn a_changed_decision_is_found() {
+fn a_changed_decision_is_detected() {
     let path = record("changed");
     let mut trace = Trace::read(&path).expect("well-formed");
     trace.header.settings.batch = 1;
-    let found = replay(&trace);
+    let result = replay(&trace);
     assert!(
-        matches!(found, Err(TraceError::Differs { .. })),
-        "{found:?}"
+        matches!(result, Err(TraceError::ActionsDiffer { .. })),
+        "{result:?}"
     );
     remove(&path);
 }
 
 #[test]
-fn a_trace_that_was_cut_replays_up_to_the_cut() {
+fn a_truncated_trace_replays_its_complete_frames() {
     let path = record("cut");
     let bytes = std::fs::read(&path).expect("read");
     std::fs::write(&path, &bytes[..bytes.len() - 3]).expect("written");
@@ -150,18 +150,18 @@
     remove(&path);
 }
 
-#[test_case("started: 2", true; "as stated")]
-#[test_case("started: 3", false; "another number")]
+#[test_case("started: 2", true; "as expected")]
+#[test_case("started: 3", false; "different number")]
 #[test_case("surprise: 1", false; "unknown outcome")]
-fn outcomes_are_compared_with_those_stated(text: &str, holds: bool) {
+fn outcomes_are_compared_with_the_expected_ones(text: &str, passes: bool) {
     let path = record(&text.replace(": ", "-"));
     std::fs::write(path.with_extension("trace.yaml"), text).expect("written");
-    assert_eq!(run_one(&path).is_ok(), holds);
+    assert_eq!(run_one(&path).is_ok(), passes);
     remove(&path);
 }
 
 #[test]
-fn an_invariant_is_checked_without_being_stated() {
+fn invariants_are_checked_without_expected_outcomes() {
     let path = record("invariant");
     let trace = Trace::read(&path).expect("well-formed");
     let mut outcome = replay(&trace).expect("the same");
@@ -170,9 +170,10 @@
     remove(&path);
 }
 
-/// Recorded by `./trial --record` with a scheduler and a worker killed.
+/// Replays the traces in `traces`, which `./trial --record` recorded while a scheduler and a worker
+/// were killed.
 #[test]
-fn the_recorded_traces_hold() {
+fn the_recorded_traces_pass() {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("traces");
     let mut count = 0;
     for file in std::fs::read_dir(dir).expect("the traces") {
