--- a/crates/core/src/member/beat.rs
+++ b/crates/core/src/member/beat.rs
@@ -18,7 +18,7 @@
 
 /// A shard that its sender owns.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShardClaim {
+pub struct ShardOwnership {
     /// Index of the shard among all shards.
     pub shard: u32,
     /// Epoch of the ownership.
@@ -29,7 +29,7 @@
 
 /// What an instance tells the others at a constant rate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Sender.
     pub id: Name,
     /// Its role.
@@ -47,5 +47,5 @@
     /// Last configuration change that is in force on it.
     pub config: u64,
     /// Shards that it owns.
-    pub shards: Vec<ShardClaim>,
+    pub shards: Vec<ShardOwnership>,
 }
--- a/crates/core/src/member/mod.rs
+++ b/crates/core/src/member/mod.rs
@@ -9,6 +9,6 @@
 mod peer;
 mod peers;
 
-pub use beat::{Beat, Role, ShardClaim};
+pub use beat::{Heartbeat, Role, ShardOwnership};
 pub use peer::Peer;
 pub use peers::{MemberSettings, Peers};
--- a/crates/core/src/member/peer.rs
+++ b/crates/core/src/member/peer.rs
@@ -2,14 +2,14 @@
 
 use std::net::SocketAddr;
 
-use super::Beat;
+use super::Heartbeat;
 use crate::Millis;
 
 /// Another instance.
 #[derive(Debug, Clone)]
 pub struct Peer {
     /// Its last heartbeat.
-    pub beat: Beat,
+    pub beat: Heartbeat,
     /// Address that the heartbeat came from or that it names.
     pub addr: SocketAddr,
     /// When it was last heard.
--- a/crates/core/src/member/peers.rs
+++ b/crates/core/src/member/peers.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Beat, Peer, Role};
+use super::{Heartbeat, Peer, Role};
 use crate::{Millis, name::Name};
 
 /// Times of the membership; in milliseconds.
@@ -54,7 +54,7 @@
     /// Takes note of a heartbeat; late and repeated ones change nothing.
     ///
     /// Returns whether it was news.
-    pub fn hear(&mut self, now: Millis, beat: Beat) -> bool {
+    pub fn hear(&mut self, now: Millis, beat: Heartbeat) -> bool {
         let limit = self.limit(&beat.zone);
         let addr = beat.addr;
         let peer = Peer {
@@ -73,7 +73,7 @@
             }
             Ok(i) => {
                 let old = &mut self.peers[i];
-                let order = |b: &Beat| (b.incarnation, b.seq);
+                let order = |b: &Heartbeat| (b.incarnation, b.seq);
                 if order(&peer.beat) <= order(&old.beat) {
                     return false;
                 }
--- a/crates/core/src/owner/claim.rs
+++ b/crates/core/src/owner/claim.rs
@@ -5,17 +5,17 @@
 
 /// What a contender saw of a shard's row.
 #[derive(Debug, Clone)]
-pub struct Claim {
+pub struct LeaseWatch {
     lease: Millis,
     version: Option<u64>,
     since: Millis,
     free: bool,
 }
 
-impl Claim {
+impl LeaseWatch {
     /// Returns a claim that saw nothing yet.
-    pub fn new(lease: Millis) -> Claim {
-        Claim {
+    pub fn new(lease: Millis) -> LeaseWatch {
+        LeaseWatch {
             lease,
             version: None,
             since: 0,
--- a/crates/core/src/owner/mod.rs
+++ b/crates/core/src/owner/mod.rs
@@ -11,7 +11,7 @@
 mod row;
 mod tenure;
 
-pub use claim::Claim;
-pub use resolve::{Resolved, resolve};
+pub use claim::LeaseWatch;
+pub use resolve::{WriteOutcome, resolve};
 pub use row::ShardRow;
-pub use tenure::Tenure;
+pub use tenure::OwnerLease;
--- a/crates/core/src/owner/resolve.rs
+++ b/crates/core/src/owner/resolve.rs
@@ -4,7 +4,7 @@
 
 /// Outcome of a conditional write of a shard's row, by reading it back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Resolved {
+pub enum WriteOutcome {
     /// It took effect; the row now has this version.
     Applied(u64),
     /// It did not take effect yet: repeat it unchanged, with the same token, so
@@ -15,12 +15,12 @@
 }
 
 /// Resolves a write with `token` that expected `version`.
-pub fn resolve(token: u64, version: u64, row: Option<&ShardRow>, found: u64) -> Resolved {
+pub fn resolve(token: u64, version: u64, row: Option<&ShardRow>, found: u64) -> WriteOutcome {
     if row.is_some_and(|r| r.token == token) {
-        return Resolved::Applied(found);
+        return WriteOutcome::Applied(found);
     }
     if found == version {
-        return Resolved::Repeat;
+        return WriteOutcome::Repeat;
     }
-    Resolved::Lost
+    WriteOutcome::Lost
 }
--- a/crates/core/src/owner/tenure.rs
+++ b/crates/core/src/owner/tenure.rs
@@ -4,17 +4,17 @@
 
 /// An owner's own view of its lease.
 #[derive(Debug, Clone)]
-pub struct Tenure {
+pub struct OwnerLease {
     lease: Millis,
     proved: Millis,
     ticked: Millis,
     doubtful: bool,
 }
 
-impl Tenure {
+impl OwnerLease {
     /// Starts a tenure that was proved by a write sent at `now`.
-    pub fn new(lease: Millis, now: Millis) -> Tenure {
-        Tenure {
+    pub fn new(lease: Millis, now: Millis) -> OwnerLease {
+        OwnerLease {
             lease,
             proved: now,
             ticked: now,
--- a/crates/core/src/place/mod.rs
+++ b/crates/core/src/place/mod.rs
@@ -7,5 +7,5 @@
 
 pub use band::{BANDS, Band};
 pub use history::{CoRunner, History};
-pub use pairs::{Estimate, Pairs};
+pub use pairs::{Estimate, InterferenceModel};
 pub use policy::PlacePolicy;
--- a/crates/core/src/place/pairs.rs
+++ b/crates/core/src/place/pairs.rs
@@ -50,12 +50,12 @@
 
 /// The learned table; grows with the number of classes squared.
 #[derive(Debug, Clone, Default)]
-pub struct Pairs {
+pub struct InterferenceModel {
     classes: usize,
     cells: Vec<Cell>,
 }
 
-impl Pairs {
+impl InterferenceModel {
     /// Makes room for `classes` classes and keeps what was learned.
     pub fn grow(&mut self, classes: usize) {
         if classes <= self.classes {
--- a/crates/core/src/retry/breaker.rs
+++ b/crates/core/src/retry/breaker.rs
@@ -4,17 +4,17 @@
 
 /// Refuses calls for a while after failures in a row, then lets one through.
 #[derive(Debug, Clone)]
-pub struct Breaker {
+pub struct CircuitBreaker {
     limit: u32,
     pause: Millis,
     failures: u32,
     until: Millis,
 }
 
-impl Breaker {
+impl CircuitBreaker {
     /// Opens for `pause` after `limit` failures in a row.
-    pub fn new(limit: u32, pause: Millis) -> Breaker {
-        Breaker {
+    pub fn new(limit: u32, pause: Millis) -> CircuitBreaker {
+        CircuitBreaker {
             limit,
             pause,
             failures: 0,
--- a/crates/core/src/retry/mod.rs
+++ b/crates/core/src/retry/mod.rs
@@ -4,4 +4,4 @@
 mod breaker;
 
 pub use backoff::Backoff;
-pub use breaker::Breaker;
+pub use breaker::CircuitBreaker;
--- a/crates/core/src/route/admit.rs
+++ b/crates/core/src/route/admit.rs
@@ -1,9 +1,9 @@
 //! Admission: send, wait, retry, or refuse at once.
 
 use super::{
-    Arrival, Refusal, RoutePolicy, Router, TryEnd,
+    Arrival, AttemptOutcome, Refusal, RoutePolicy, Router,
     router::COME_AGAIN,
-    waiting::{Request, Turn},
+    waiting::{QueueEntry, Request},
 };
 use crate::{
     Millis,
@@ -117,7 +117,7 @@
 
     fn wait(&mut self, i: usize) {
         let r = &self.requests[i];
-        let turn = Turn {
+        let turn = QueueEntry {
             priority: r.priority,
             deadline: r.deadline,
             req: r.req,
@@ -131,7 +131,7 @@
         self.org(&org).waiting += 1;
     }
 
-    pub(super) fn leave_queue(&mut self, service: usize, turn: Turn) {
+    pub(super) fn leave_queue(&mut self, service: usize, turn: QueueEntry) {
         let s = &mut self.services[service];
         let Ok(k) = s.waiting.binary_search(&turn) else {
             return;
@@ -159,7 +159,7 @@
     /// Refuses waiting requests that can't be answered in time any more.
     pub(super) fn expire(&mut self, now: Millis, service: usize) {
         let mean = self.services[service].mean;
-        let late = |t: &Turn| now as f64 + mean * ROOM > t.deadline as f64;
+        let late = |t: &QueueEntry| now as f64 + mean * ROOM > t.deadline as f64;
         let mut gone = Vec::new();
         for turn in &self.services[service].waiting {
             if late(turn) {
@@ -175,7 +175,7 @@
     }
 
     /// Decides what becomes of a request after a try that did not answer it.
-    pub(super) fn try_again(&mut self, now: Millis, i: usize, end: TryEnd) {
+    pub(super) fn try_again(&mut self, now: Millis, i: usize, end: AttemptOutcome) {
         let r = &self.requests[i];
         if r.deadline == 0 || !r.open.is_empty() {
             if r.deadline == 0 && r.open.is_empty() {
@@ -188,7 +188,7 @@
         if !safe || r.tries >= self.settings.attempts || late {
             return self.refuse(i, Refusal::Failed);
         }
-        let full = matches!(end, TryEnd::Declined { busy: Some(_), .. });
+        let full = matches!(end, AttemptOutcome::Declined { busy: Some(_), .. });
         let free = full || self.settings.policy == RoutePolicy::RoundRobin;
         let org = self.services[r.service].org.clone();
         if !free && !self.org(&org).retries.spend() {
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::TryEnd;
+use super::AttemptOutcome;
 use crate::{Millis, name::Name, shard::TargetInfo, template::Priority};
 
 /// A request that a caller sent.
@@ -62,7 +62,7 @@
         /// The try.
         attempt: u32,
         /// How it ended.
-        end: TryEnd,
+        end: AttemptOutcome,
     },
     /// The caller's answer is late enough for a second try beside the first.
     Hedge {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -21,7 +21,7 @@
 pub use action::{Refusal, RouteAction};
 pub use budget::Budget;
 pub use event::{Arrival, RouteEvent, Share, TargetList};
-pub use outcome::{Outcome, TryEnd};
+pub use outcome::{AttemptOutcome, Outcome};
 pub use router::{RouteCounts, Router};
 pub use settings::{RoutePolicy, RouteSettings};
 pub use target::Target;
--- a/crates/core/src/route/outcome.rs
+++ b/crates/core/src/route/outcome.rs
@@ -39,7 +39,7 @@
 
 /// How one try at a target ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TryEnd {
+pub enum AttemptOutcome {
     /// A whole answer came.
     Answered {
         /// Time it took.
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -4,9 +4,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Budget, Outcome, Refusal, RouteAction, RouteEvent, RouteSettings, Share, Target, TargetList,
-    TryEnd,
-    waiting::{Request, Turn},
+    AttemptOutcome, Budget, Outcome, Refusal, RouteAction, RouteEvent, RouteSettings, Share,
+    Target, TargetList,
+    waiting::{QueueEntry, Request},
 };
 use crate::{Millis, name::Name};
 
@@ -24,7 +24,7 @@
     /// Sorted by worker.
     pub targets: Vec<Target>,
     /// Sorted; the first is served next.
-    pub waiting: Vec<Turn>,
+    pub waiting: Vec<QueueEntry>,
     /// Running mean of the time of an answer.
     pub mean: f64,
     /// Next target of the round-robin baseline.
@@ -33,7 +33,7 @@
 
 /// What an organisation uses of this instance.
 #[derive(Debug)]
-pub(super) struct OrgUse {
+pub(super) struct OrgUsage {
     pub org: Name,
     pub here: usize,
     pub waiting: usize,
@@ -70,7 +70,7 @@
     pub(super) settings: RouteSettings,
     pub(super) rng: SmallRng,
     pub(super) services: Vec<Service>,
-    pub(super) orgs: Vec<OrgUse>,
+    pub(super) orgs: Vec<OrgUsage>,
     pub(super) requests: Vec<Request>,
     pub(super) share: Share,
     pub(super) out: Vec<RouteAction>,
@@ -171,11 +171,11 @@
         i
     }
 
-    pub(super) fn org(&mut self, org: &Name) -> &mut OrgUse {
+    pub(super) fn org(&mut self, org: &Name) -> &mut OrgUsage {
         let i = match self.orgs.binary_search_by(|o| o.org.cmp(org)) {
             Ok(i) => i,
             Err(i) => {
-                let new = OrgUse {
+                let new = OrgUsage {
                     org: org.clone(),
                     here: 0,
                     waiting: 0,
@@ -246,7 +246,7 @@
         }
     }
 
-    fn ended(&mut self, now: Millis, req: u64, attempt: u32, end: TryEnd) {
+    fn ended(&mut self, now: Millis, req: u64, attempt: u32, end: AttemptOutcome) {
         let Ok(i) = self.requests.binary_search_by_key(&req, |r| r.req) else {
             return;
         };
@@ -258,12 +258,12 @@
         let service = r.service;
         self.note_end(now, service, &worker, end);
         match end {
-            TryEnd::Answered { .. } => self.settle(i),
-            TryEnd::NotSent | TryEnd::Declined { .. } => {
+            AttemptOutcome::Answered { .. } => self.settle(i),
+            AttemptOutcome::NotSent | AttemptOutcome::Declined { .. } => {
                 self.requests[i].failed.push(worker);
                 self.try_again(now, i, end);
             }
-            TryEnd::Failed => {
+            AttemptOutcome::Failed => {
                 self.requests[i].failed.push(worker);
                 self.requests[i].doubt = true;
                 self.try_again(now, i, end);
@@ -272,7 +272,7 @@
         self.dispatch(now, service);
     }
 
-    fn note_end(&mut self, now: Millis, service: usize, worker: &Name, end: TryEnd) {
+    fn note_end(&mut self, now: Millis, service: usize, worker: &Name, end: AttemptOutcome) {
         let may = self.may_eject(now, service);
         let settings = &self.settings;
         let s = &mut self.services[service];
@@ -282,18 +282,18 @@
         let t = &mut s.targets[t];
         t.mine = t.mine.saturating_sub(1);
         match end {
-            TryEnd::Answered { took, busy } => {
+            AttemptOutcome::Answered { took, busy } => {
                 t.answered(now, took, busy);
                 s.mean += SHARE * (took as f64 - s.mean);
             }
-            TryEnd::Declined { busy, leaving } => {
+            AttemptOutcome::Declined { busy, leaving } => {
                 t.report(now, busy);
                 t.leaving |= leaving;
                 if busy.is_none() && !leaving {
                     t.failed(now, settings, may);
                 }
             }
-            TryEnd::NotSent | TryEnd::Failed => {
+            AttemptOutcome::NotSent | AttemptOutcome::Failed => {
                 let before = t.ejections;
                 t.failed(now, settings, may);
                 self.counts.ejections += u64::from(t.ejections > before);
--- a/crates/core/src/route/waiting.rs
+++ b/crates/core/src/route/waiting.rs
@@ -22,7 +22,7 @@
 
 /// Order in which waiting requests are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Turn {
+pub(super) struct QueueEntry {
     pub priority: Priority,
     pub deadline: Millis,
     pub req: u64,
--- a/crates/core/src/shard/answer.rs
+++ b/crates/core/src/shard/answer.rs
@@ -1,9 +1,11 @@
 //! What workers answer.
 
-use super::{Action, End, Health, Machine, Reason, StopWhy, WorkerAnswer, WorkerEnd};
+use super::{
+    Action, End, ExchangeRefusal, Health, ShardScheduler, StopReason, WorkerAnswer, WorkerEnd,
+};
 use crate::{Millis, name::Name, place::CoRunner};
 
-impl Machine {
+impl ShardScheduler {
     /// Takes a worker's answer.
     pub(super) fn answer(&mut self, now: Millis, worker: &Name, a: &WorkerAnswer) {
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
@@ -14,7 +16,7 @@
             w.busy = false;
         }
         if let Some(reason) = a.refused {
-            if reason == Reason::OldEpoch && a.epoch > self.epoch {
+            if reason == ExchangeRefusal::OldEpoch && a.epoch > self.epoch {
                 self.out.push(Action::Fenced { epoch: a.epoch });
             }
             return;
@@ -136,20 +138,20 @@
         }
         for (id, why) in unsent {
             let end = match why {
-                StopWhy::Unwanted => End::Stopped,
-                StopWhy::Preempted | StopWhy::Noisy | StopWhy::Leaving => End::Refused,
+                StopReason::Unwanted => End::Stopped,
+                StopReason::Preempted | StopReason::Noisy | StopReason::Leaving => End::Refused,
             };
             self.end_attempt(now, i, id, end);
         }
     }
 }
 
-fn end_of(end: WorkerEnd, stop: Option<StopWhy>) -> End {
+fn end_of(end: WorkerEnd, stop: Option<StopReason>) -> End {
     match (end, stop) {
         (WorkerEnd::Done, _) => End::Done,
         (WorkerEnd::Failed, _) => End::Failed,
         (WorkerEnd::Refused, _) => End::Refused,
-        (WorkerEnd::Stopped { .. }, Some(StopWhy::Unwanted)) => End::Stopped,
+        (WorkerEnd::Stopped { .. }, Some(StopReason::Unwanted)) => End::Stopped,
         (WorkerEnd::Stopped { saved }, Some(_)) => End::Evicted { saved },
         (WorkerEnd::Stopped { saved: true }, None) => End::Evicted { saved: true },
         (WorkerEnd::Stopped { saved: false }, None) => End::Lost,
--- a/crates/core/src/shard/book.rs
+++ b/crates/core/src/shard/book.rs
@@ -58,13 +58,13 @@
 ///
 /// The same records applied in the same order give the same book.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Book {
+pub struct ShardState {
     jobs: Vec<Job>,
     keys: Vec<Entry>,
     next: u32,
 }
 
-impl Book {
+impl ShardState {
     /// Returns the jobs by number.
     pub fn jobs(&self) -> &[Job] {
         &self.jobs
--- a/crates/core/src/shard/effects.rs
+++ b/crates/core/src/shard/effects.rs
@@ -1,9 +1,11 @@
 //! The soft state follows the book.
 
-use super::{AttemptId, Effect, FinishedJob, JobStatus, Machine, Resident, StopWhy, TaskRef};
+use super::{
+    Allocation, AttemptId, Effect, FinishedJob, JobStatus, ShardScheduler, StopReason, TaskRef,
+};
 use crate::{Millis, name::Name, size::Size};
 
-impl Machine {
+impl ShardScheduler {
     /// Brings the soft state in line with one effect of record `number`.
     pub(super) fn follow(&mut self, now: Millis, effect: Effect, number: u64, delay: Millis) {
         match effect {
@@ -64,7 +66,7 @@
         {
             w.reserve = None;
         }
-        w.add(Resident {
+        w.add(Allocation {
             attempt,
             size: *size,
             class,
@@ -114,7 +116,7 @@
         let w = &mut self.workers[i];
         w.dirty = true;
         if let Some(r) = w.resident_mut(attempt) {
-            r.stop = Some(StopWhy::Unwanted);
+            r.stop = Some(StopReason::Unwanted);
             self.targets += u64::from(r.service);
         }
     }
@@ -144,7 +146,7 @@
         let w = &mut self.workers[i];
         for r in &mut w.residents {
             if r.stop.is_none() {
-                r.stop = Some(StopWhy::Leaving);
+                r.stop = Some(StopReason::Leaving);
             }
         }
         w.dirty = true;
--- a/crates/core/src/shard/ended.rs
+++ b/crates/core/src/shard/ended.rs
@@ -1,6 +1,6 @@
 //! Ends of attempts, and whose fault a failure is.
 
-use super::{AttemptId, End, Machine, Record, TaskRef};
+use super::{AttemptId, End, Record, ShardScheduler, TaskRef};
 use crate::Millis;
 
 /// Delay before a failed task runs again; doubles with each failure.
@@ -15,7 +15,7 @@
 /// Longest delay of a replica of a service.
 const MAX_REPLICA: Millis = 5_000;
 
-impl Machine {
+impl ShardScheduler {
     /// Records the end of an attempt on worker `i` and returns the record's number.
     pub(super) fn end_attempt(&mut self, now: Millis, i: usize, id: AttemptId, end: End) -> u64 {
         self.judge(now, i, id, end);
--- a/crates/core/src/shard/evict.rs
+++ b/crates/core/src/shard/evict.rs
@@ -3,7 +3,7 @@
 //! Each step waits for the one before to show its effect. An eviction needs an
 //! expected gain above its cost, and is bounded for each task and each minute.
 
-use super::{AttemptId, Machine, StopWhy};
+use super::{AttemptId, ShardScheduler, StopReason};
 use crate::{Millis, place::Band};
 
 /// Time between two looks at a worker.
@@ -35,7 +35,7 @@
 
 const MINUTE: Millis = 60_000;
 
-impl Machine {
+impl ShardScheduler {
     /// Looks for tasks that slow services and acts on the worst of each worker.
     pub(super) fn tune(&mut self, now: Millis) {
         if now < self.tuned_at + LOOK {
@@ -85,7 +85,7 @@
             let w = &mut self.workers[i];
             w.dirty = true;
             if let Some(r) = w.resident_mut(id) {
-                r.stop = Some(StopWhy::Noisy);
+                r.stop = Some(StopReason::Noisy);
             }
         }
     }
--- a/crates/core/src/shard/exchange.rs
+++ b/crates/core/src/shard/exchange.rs
@@ -105,7 +105,7 @@
 
 /// Why a worker did not take a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reason {
+pub enum ExchangeRefusal {
     /// A newer epoch is known.
     OldEpoch,
     /// A newer exchange was handled.
@@ -160,7 +160,7 @@
     /// Number of the exchange that this answers.
     pub seq: u64,
     /// Why the request was not taken, if it was not.
-    pub refused: Option<Reason>,
+    pub refused: Option<ExchangeRefusal>,
     /// Changes whenever the worker starts anew.
     pub boot: u64,
     /// Its clock in milliseconds.
--- a/crates/core/src/shard/exchanges.rs
+++ b/crates/core/src/shard/exchanges.rs
@@ -1,8 +1,8 @@
 //! What is sent to workers, and when.
 
 use super::{
-    Action, Health, JobSpec, Machine, Resident, StartOrder, StopOrder, StopWhy, Task, Throttle,
-    Worker, WorkerRequest,
+    Action, Allocation, Health, JobSpec, ShardScheduler, StartOrder, StopOrder, StopReason, Task,
+    Throttle, Worker, WorkerRequest,
 };
 use crate::{Millis, name::Name};
 
@@ -14,7 +14,7 @@
     format!("checkpoint/{shard}/{job}.{task}.{attempt}").into()
 }
 
-impl Machine {
+impl ShardScheduler {
     /// Sends an exchange to each worker that is due.
     ///
     /// An exchange of which nothing is heard for long does not hold up the next.
@@ -109,7 +109,7 @@
     }
 }
 
-fn start_order(shard: &str, r: &Resident, spec: &JobSpec, task: &Task) -> StartOrder {
+fn start_order(shard: &str, r: &Allocation, spec: &JobSpec, task: &Task) -> StartOrder {
     let key = &spec.key;
     let id = r.attempt;
     let resume =
@@ -129,7 +129,7 @@
     }
 }
 
-fn stops(w: &Worker, book: &super::Book) -> Vec<StopOrder> {
+fn stops(w: &Worker, book: &super::ShardState) -> Vec<StopOrder> {
     let mut out = Vec::new();
     for r in &w.residents {
         let Some(why) = r.stop else { continue };
@@ -139,7 +139,7 @@
         let can = book.job(r.attempt.job).is_some_and(|j| j.spec.checkpoint);
         out.push(StopOrder {
             attempt: r.attempt,
-            save: can && why != StopWhy::Unwanted,
+            save: can && why != StopReason::Unwanted,
         });
     }
     for &attempt in &w.strays {
--- a/crates/core/src/shard/lapse.rs
+++ b/crates/core/src/shard/lapse.rs
@@ -1,12 +1,12 @@
 //! Workers that stop answering, and the ends of their leases.
 
-use super::{AttemptId, End, Health, Machine};
+use super::{AttemptId, End, Health, ShardScheduler};
 use crate::Millis;
 
 /// Share of a lease added for the difference of clock rates: one in this many.
 const DRIFT: Millis = 100;
 
-impl Machine {
+impl ShardScheduler {
     /// Marks silent workers and ends the attempts whose leases have lapsed.
     pub(super) fn watch_workers(&mut self, now: Millis) {
         for i in 0..self.workers.len() {
--- a/crates/core/src/shard/learn.rs
+++ b/crates/core/src/shard/learn.rs
@@ -1,6 +1,6 @@
 //! Late samples.
 
-use super::{Machine, Sample, WorkerAnswer};
+use super::{Sample, ShardScheduler, WorkerAnswer};
 use crate::{Millis, name::Name, place::Band};
 
 /// Share of a new sample in the running mean of a slowdown.
@@ -9,7 +9,7 @@
 /// What a slowdown of 1 is in samples.
 const UNIT: f32 = 1000.0;
 
-impl Machine {
+impl ShardScheduler {
     /// Learns from the samples in an answer.
     pub(super) fn learn(&mut self, now: Millis, i: usize, a: &WorkerAnswer) {
         for sample in &a.samples {
@@ -20,7 +20,7 @@
     /// Tells the machine what a neighbour adds; for measurements that compare
     /// what was learned with what is there to learn.
     pub fn teach(&mut self, victim: (&Name, &Name), other: (&Name, &Name), band: usize, adds: f32) {
-        let find = |m: &Machine, (org, kind): (&Name, &Name)| {
+        let find = |m: &ShardScheduler, (org, kind): (&Name, &Name)| {
             m.classes
                 .iter()
                 .position(|c| c.org == *org && c.kind == *kind)
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -6,20 +6,20 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Action, AttemptId, Book, Event, FinishedJob, Health, JobKey, JobSpec, Queue, Record,
-    ShardSettings, TaskRef, TaskState, Worker, WorkerInfo, class::Class, team_use::TeamUse,
+    Action, AttemptId, Event, FinishedJob, Health, JobKey, JobSpec, Queue, Record, ShardSettings,
+    ShardState, TaskRef, TaskState, Worker, WorkerInfo, class::Class, team_use::TeamUsage,
 };
 use crate::{
     Millis,
     name::Name,
-    place::Pairs,
+    place::InterferenceModel,
     size::Size,
     template::{OrgLimits, Organisation, Weights},
 };
 
 /// Place of a shard among all shards of the system.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShardPlace {
+pub struct ShardId {
     /// Name of the shard.
     pub name: Name,
     /// Its index among all shards.
@@ -34,7 +34,7 @@
     /// Epoch of the new ownership.
     pub epoch: u64,
     /// Book that was recovered from the journal.
-    pub book: Book,
+    pub book: ShardState,
     /// Number of the first record that is not in the journal.
     pub next: u64,
     /// Hold that the shard's row states.
@@ -45,22 +45,22 @@
 
 /// Owns a shard: decides starts, stops and ends.
 #[derive(Debug)]
-pub struct Machine {
-    pub(super) place: ShardPlace,
+pub struct ShardScheduler {
+    pub(super) place: ShardId,
     pub(super) settings: ShardSettings,
     pub(super) epoch: u64,
     pub(super) rng: SmallRng,
     pub(super) orgs: Vec<Arc<Organisation>>,
-    pub(super) book: Book,
+    pub(super) book: ShardState,
     pub(super) workers: Vec<Worker>,
     pub(super) queue: Queue,
     pub(super) classes: Vec<Class>,
     /// Positions of the classes, sorted by organisation and kind.
     class_order: Vec<u16>,
-    pub(super) teams: Vec<TeamUse>,
+    pub(super) teams: Vec<TeamUsage>,
     /// Positions of the teams, sorted by organisation and name.
     team_order: Vec<u16>,
-    pub(super) pairs: Pairs,
+    pub(super) pairs: InterferenceModel,
     /// Number of workers that stay, by index of the shard.
     pub(super) counts: Vec<u32>,
     pub(super) pending: Vec<Record>,
@@ -92,15 +92,15 @@
     pub(super) targets: u64,
 }
 
-impl Machine {
+impl ShardScheduler {
     /// Takes over a shard.
     pub fn new(
-        place: ShardPlace,
+        place: ShardId,
         settings: ShardSettings,
         seed: u64,
         takeover: Takeover,
         now: Millis,
-    ) -> Machine {
+    ) -> ShardScheduler {
         let Takeover {
             epoch,
             book,
@@ -108,7 +108,7 @@
             inherited,
             settled,
         } = takeover;
-        let mut machine = Machine {
+        let mut machine = ShardScheduler {
             place,
             settings,
             epoch,
@@ -121,7 +121,7 @@
             class_order: Vec::new(),
             teams: Vec::new(),
             team_order: Vec::new(),
-            pairs: Pairs::default(),
+            pairs: InterferenceModel::default(),
             counts: Vec::new(),
             pending: Vec::new(),
             finished: Vec::new(),
@@ -151,7 +151,7 @@
     }
 
     /// Returns the book.
-    pub fn book(&self) -> &Book {
+    pub fn book(&self) -> &ShardState {
         &self.book
     }
 
@@ -389,7 +389,7 @@
             };
             r.sent = Some(0);
             if unwanted {
-                r.stop = Some(super::StopWhy::Unwanted);
+                r.stop = Some(super::StopReason::Unwanted);
             }
         }
     }
@@ -569,7 +569,7 @@
             .find(|o| o.name == *org)
             .and_then(|o| o.team(team));
         let quota = quota.map(|t| t.quota.share(count));
-        self.teams.push(TeamUse {
+        self.teams.push(TeamUsage {
             org: org.clone(),
             team: team.clone(),
             used: Size::default(),
--- a/crates/core/src/shard/mod.rs
+++ b/crates/core/src/shard/mod.rs
@@ -1,7 +1,7 @@
 //! A shard: a set of workers with the tasks that run there or wait for them.
 //!
-//! One owner at a time runs the [`Machine`] of a shard. What must last is the
-//! [`Book`], changed only by [`Record`]s that the owner appends to the shard's
+//! One owner at a time runs the [`ShardScheduler`] of a shard. What must last is the
+//! [`ShardState`], changed only by [`Record`]s that the owner appends to the shard's
 //! journal; everything else is soft state that is rebuilt from the book and
 //! from what the workers report. A start is sent only after its record was
 //! committed, so that a new owner knows of every attempt that may run.
@@ -37,19 +37,19 @@
 
 pub use action::{Action, FinishedJob};
 pub use attempt::AttemptId;
-pub use book::{Book, Effect};
+pub use book::{Effect, ShardState};
 pub use event::Event;
 pub use exchange::{
-    EndReport, Reason, Sample, StartOrder, StopOrder, Throttle, WorkerAnswer, WorkerEnd,
+    EndReport, ExchangeRefusal, Sample, StartOrder, StopOrder, Throttle, WorkerAnswer, WorkerEnd,
     WorkerInfo, WorkerRequest,
 };
 pub use exchanges::checkpoint_key;
 pub use job::{Job, JobKey, JobSpec, JobState};
-pub use machine::{Machine, ShardPlace, Takeover};
-pub use queue::{Queue, Ready, Shape, TaskRef};
+pub use machine::{ShardId, ShardScheduler, Takeover};
+pub use queue::{Queue, ReadyTask, Shape, TaskRef};
 pub use record::{End, Record};
-pub use resident::{Resident, StopWhy};
+pub use resident::{Allocation, StopReason};
 pub use settings::ShardSettings;
 pub use status::{JobStatus, ShardStatus, TargetInfo, WorkerStatus};
 pub use task::{Task, TaskState};
-pub use worker::{Health, Reserve, Tally, Worker};
+pub use worker::{ClassStats, Health, Reservation, Worker};
--- a/crates/core/src/shard/place_tasks.rs
+++ b/crates/core/src/shard/place_tasks.rs
@@ -3,8 +3,8 @@
 use rand::Rng;
 
 use super::{
-    AttemptId, Job, Machine, Ready, Record, Reserve, Shape, StopWhy, Task, TaskRef, TaskState,
-    Worker,
+    AttemptId, Job, ReadyTask, Record, Reservation, Shape, ShardScheduler, StopReason, Task,
+    TaskRef, TaskState, Worker,
 };
 use crate::{
     Millis,
@@ -91,7 +91,7 @@
 /// What is left over while a priority is placed.
 #[derive(Default)]
 struct Leftover {
-    tasks: Vec<(u16, Ready)>,
+    tasks: Vec<(u16, ReadyTask)>,
     /// Shapes that found no room in this round.
     passed: Vec<Passed>,
     /// Sizes that fit nowhere.
@@ -105,7 +105,7 @@
     }
 }
 
-impl Machine {
+impl ShardScheduler {
     /// Gives queued tasks to workers: urgent first.
     pub(super) fn place_tasks(&mut self, now: Millis) {
         if !self.stirred && now < self.placed_at + RETRY {
@@ -146,7 +146,7 @@
             }
             heads.extend(next);
             for head in again {
-                let ready = Ready {
+                let ready = ReadyTask {
                     task: head.wanted.task,
                     since: head.since,
                 };
@@ -155,7 +155,7 @@
             }
         }
         for head in heads {
-            let ready = Ready {
+            let ready = ReadyTask {
                 task: head.wanted.task,
                 since: head.since,
             };
@@ -349,7 +349,7 @@
             if spread && wanted.avoid.contains(&w.name) {
                 continue;
             }
-            let twin = |r: &super::Resident| r.attempt.job == wanted.task.job;
+            let twin = |r: &super::Allocation| r.attempt.job == wanted.task.job;
             if wanted.service && w.residents.iter().any(twin) {
                 continue;
             }
@@ -429,7 +429,7 @@
         }
         let Some((i, victims)) = best else { return };
         let w = &mut self.workers[i];
-        w.reserve = Some(Reserve {
+        w.reserve = Some(Reservation {
             task,
             size: wanted.size,
             until: now + self.settings.reserve,
@@ -437,7 +437,7 @@
         w.dirty = true;
         for id in victims {
             if let Some(r) = w.resident_mut(id) {
-                r.stop = Some(StopWhy::Preempted);
+                r.stop = Some(StopReason::Preempted);
             }
         }
     }
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -23,14 +23,14 @@
 
 /// A queued task and since when it is ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ready {
+pub struct ReadyTask {
     /// The task.
     pub task: TaskRef,
     /// When it became ready.
     pub since: u64,
 }
 
-impl Ready {
+impl ReadyTask {
     /// Returns what ready tasks are ordered by: the oldest comes first.
     fn age(&self) -> (u64, TaskRef) {
         (self.since, self.task)
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone)]
 struct Line {
     shape: Shape,
-    tasks: VecDeque<Ready>,
+    tasks: VecDeque<ReadyTask>,
 }
 
 /// Tasks of one team and priority.
@@ -59,7 +59,7 @@
     priority: Priority,
     team: u16,
     /// Those that were not held up.
-    tasks: VecDeque<Ready>,
+    tasks: VecDeque<ReadyTask>,
     held: Vec<Line>,
 }
 
@@ -83,7 +83,7 @@
     }
 
     /// Returns the line with the oldest first task, of those that are not passed over.
-    fn oldest_line(&self, is_passed: impl Fn(&Shape) -> bool) -> Option<(usize, Ready)> {
+    fn oldest_line(&self, is_passed: impl Fn(&Shape) -> bool) -> Option<(usize, ReadyTask)> {
         let lines = self.held.iter().enumerate();
         let firsts = lines
             .filter(|(_, l)| !is_passed(&l.shape))
@@ -92,7 +92,7 @@
     }
 
     /// Takes the first task of a line.
-    fn pop_line(&mut self, at: usize) -> Option<Ready> {
+    fn pop_line(&mut self, at: usize) -> Option<ReadyTask> {
         let first = self.held[at].tasks.pop_front();
         if self.held[at].tasks.is_empty() {
             self.held.swap_remove(at);
@@ -125,11 +125,11 @@
     pub fn push(&mut self, priority: Priority, team: u16, task: TaskRef, since: u64) {
         self.lane(priority, team)
             .tasks
-            .push_back(Ready { task, since });
+            .push_back(ReadyTask { task, since });
     }
 
     /// Puts a task back at the front of its lane.
-    pub fn push_front(&mut self, priority: Priority, team: u16, ready: Ready) {
+    pub fn push_front(&mut self, priority: Priority, team: u16, ready: ReadyTask) {
         self.lane(priority, team).tasks.push_front(ready);
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Takes the first ready task of a lane, of those that are not held up.
-    pub fn pop(&mut self, priority: Priority, team: u16) -> Option<Ready> {
+    pub fn pop(&mut self, priority: Priority, team: u16) -> Option<ReadyTask> {
         self.lane(priority, team).tasks.pop_front()
     }
 
@@ -189,7 +189,7 @@
         priority: Priority,
         team: u16,
         is_passed: impl Fn(&Shape) -> bool,
-    ) -> Option<Ready> {
+    ) -> Option<ReadyTask> {
         let lane = self.lane(priority, team);
         let line = lane.oldest_line(is_passed);
         match (lane.tasks.front(), line) {
@@ -200,7 +200,7 @@
     }
 
     /// Has a task that found no room wait behind older ones of its shape.
-    pub fn hold(&mut self, priority: Priority, team: u16, ready: Ready, shape: Shape) {
+    pub fn hold(&mut self, priority: Priority, team: u16, ready: ReadyTask, shape: Shape) {
         let lane = self.lane(priority, team);
         let Some(at) = lane.line(&shape) else {
             let tasks = VecDeque::from([ready]);
@@ -221,7 +221,7 @@
         team: u16,
         shape: &Shape,
         most: usize,
-    ) -> Vec<Ready> {
+    ) -> Vec<ReadyTask> {
         let lane = self.lane(priority, team);
         let tasks = lane.line(shape).map(|at| &lane.held[at].tasks);
         tasks.map_or(Vec::new(), |t| t.iter().take(most).copied().collect())
--- a/crates/core/src/shard/resident.rs
+++ b/crates/core/src/shard/resident.rs
@@ -5,7 +5,7 @@
 
 /// Why an attempt is to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StopWhy {
+pub enum StopReason {
     /// Its job was cancelled or its service shrank.
     Unwanted,
     /// It makes room for an urgent task.
@@ -18,7 +18,7 @@
 
 /// Soft state of an attempt on a worker.
 #[derive(Debug, Clone)]
-pub struct Resident {
+pub struct Allocation {
     /// The attempt.
     pub attempt: AttemptId,
     /// Room that is reserved.
@@ -40,7 +40,7 @@
     /// When its start was recorded, by the owner's clock.
     pub since: Millis,
     /// Why it is to stop, if it is.
-    pub stop: Option<StopWhy>,
+    pub stop: Option<StopReason>,
     /// Share of its processors in hundredths.
     pub percent: u32,
     /// How much slower than alone it was at the last sample; 1 is not slowed.
--- a/crates/core/src/shard/services.rs
+++ b/crates/core/src/shard/services.rs
@@ -1,6 +1,6 @@
 //! Replicas of services as jobs of the shard.
 
-use super::{JobKey, JobSpec, Machine, Record};
+use super::{JobKey, JobSpec, Record, ShardScheduler};
 use crate::{
     Millis,
     name::Name,
@@ -13,7 +13,7 @@
 /// Failures are not counted for replicas.
 const UNLIMITED: u32 = u32::MAX / 8;
 
-impl Machine {
+impl ShardScheduler {
     /// Brings the replicas of every service to the number that the templates want.
     ///
     /// Nothing changes before the workers are known.
--- a/crates/core/src/shard/status.rs
+++ b/crates/core/src/shard/status.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Health, Job, JobState, Machine, TaskState};
+use super::{Health, Job, JobState, ShardScheduler, TaskState};
 use crate::{Millis, name::Name, size::Size};
 
 /// A job as its caller sees it.
@@ -120,8 +120,8 @@
     pub blocked: Vec<Name>,
 }
 
-impl Machine {
-    /// Returns a number that grows with each change of [`Machine::targets`].
+impl ShardScheduler {
+    /// Returns a number that grows with each change of [`ShardScheduler::targets`].
     pub fn targets_version(&self) -> u64 {
         self.targets
     }
--- a/crates/core/src/shard/team_use.rs
+++ b/crates/core/src/shard/team_use.rs
@@ -4,7 +4,7 @@
 
 /// Use and quota of a team in a shard.
 #[derive(Debug, Clone)]
-pub(super) struct TeamUse {
+pub(super) struct TeamUsage {
     pub org: Name,
     pub team: Name,
     pub used: Size,
@@ -12,7 +12,7 @@
     pub quota: Option<Size>,
 }
 
-impl TeamUse {
+impl TeamUsage {
     /// Tells whether `size` more stays within the quota.
     pub fn allows(&self, size: &Size) -> bool {
         self.quota.is_none_or(|q| self.used.plus(size).fits(&q))
--- a/crates/core/src/shard/worker.rs
+++ b/crates/core/src/shard/worker.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{AttemptId, Resident, TaskRef, WorkerInfo};
+use super::{Allocation, AttemptId, TaskRef, WorkerInfo};
 use crate::{Millis, name::Name, place::History, size::Size};
 
 /// What the owner thinks of a worker.
@@ -20,7 +20,7 @@
 
 /// Room that is kept for a task that others are evicted for.
 #[derive(Debug, Clone, Copy)]
-pub struct Reserve {
+pub struct Reservation {
     /// The task.
     pub task: TaskRef,
     /// Its size.
@@ -31,7 +31,7 @@
 
 /// How the tasks of a class ended on a worker.
 #[derive(Debug, Clone, Copy)]
-pub struct Tally {
+pub struct ClassStats {
     /// Class of the tasks.
     pub class: u16,
     /// Tasks that were done.
@@ -56,7 +56,7 @@
     /// What its residents reserve.
     pub used: Size,
     /// Attempts on it, sorted by id.
-    pub residents: Vec<Resident>,
+    pub residents: Vec<Allocation>,
     /// Health.
     pub health: Health,
     /// Whether it is about to leave.
@@ -88,13 +88,13 @@
     /// Distinct tasks that failed in a row.
     pub strikes: Vec<TaskRef>,
     /// How tasks ended here, sorted by class.
-    pub tallies: Vec<Tally>,
+    pub tallies: Vec<ClassStats>,
     /// Quarantines in a row.
     pub bans: u32,
     /// End of the last quarantine.
     pub ban_until: Millis,
     /// Room that is kept for a task.
-    pub reserve: Option<Reserve>,
+    pub reserve: Option<Reservation>,
     /// What ran when, to match late samples.
     pub history: History,
 }
@@ -163,7 +163,7 @@
         let i = match self.tallies.binary_search_by_key(&class, |t| t.class) {
             Ok(i) => i,
             Err(i) => {
-                let new = Tally {
+                let new = ClassStats {
                     class,
                     done: 0,
                     failed: 0,
@@ -181,8 +181,8 @@
     }
 
     /// Returns how tasks of `class` ended here.
-    pub fn tally(&self, class: u16) -> Tally {
-        let none = Tally {
+    pub fn tally(&self, class: u16) -> ClassStats {
+        let none = ClassStats {
             class,
             done: 0,
             failed: 0,
@@ -192,7 +192,7 @@
     }
 
     /// Returns the resident with this id.
-    pub fn resident(&self, id: AttemptId) -> Option<&Resident> {
+    pub fn resident(&self, id: AttemptId) -> Option<&Allocation> {
         let i = self
             .residents
             .binary_search_by_key(&id, |r| r.attempt)
@@ -201,7 +201,7 @@
     }
 
     /// Returns the resident with this id.
-    pub fn resident_mut(&mut self, id: AttemptId) -> Option<&mut Resident> {
+    pub fn resident_mut(&mut self, id: AttemptId) -> Option<&mut Allocation> {
         let i = self
             .residents
             .binary_search_by_key(&id, |r| r.attempt)
@@ -210,7 +210,7 @@
     }
 
     /// Adds a resident and reserves its room.
-    pub fn add(&mut self, resident: Resident) {
+    pub fn add(&mut self, resident: Allocation) {
         let Err(i) = self
             .residents
             .binary_search_by_key(&resident.attempt, |r| r.attempt)
@@ -223,7 +223,7 @@
     }
 
     /// Removes a resident and frees its room.
-    pub fn remove(&mut self, id: AttemptId) -> Option<Resident> {
+    pub fn remove(&mut self, id: AttemptId) -> Option<Allocation> {
         let i = self
             .residents
             .binary_search_by_key(&id, |r| r.attempt)
--- a/crates/core/tests/common/owner.rs
+++ b/crates/core/tests/common/owner.rs
@@ -3,14 +3,14 @@
 use std::collections::VecDeque;
 
 use gorsespur_core::{
-    owner::Tenure,
-    shard::{Machine, Record},
+    owner::OwnerLease,
+    shard::{Record, ShardScheduler},
 };
 
 /// An instance that owns the shard, or believes so.
 pub struct Owner {
-    pub machine: Machine,
-    pub tenure: Tenure,
+    pub machine: ShardScheduler,
+    pub tenure: OwnerLease,
     pub epoch: u64,
     /// Version of the row that its next write expects.
     pub version: u64,
--- a/crates/core/tests/common/world.rs
+++ b/crates/core/tests/common/world.rs
@@ -5,10 +5,10 @@
 use gorsespur_core::{
     Millis,
     name::Name,
-    owner::{Claim, ShardRow, Tenure},
+    owner::{LeaseWatch, OwnerLease, ShardRow},
     shard::{
-        Action, Book, Event, JobKey, JobSpec, JobStatus, Machine, Record, ShardPlace,
-        ShardSettings, Takeover, WorkerAnswer, WorkerInfo, WorkerRequest,
+        Action, Event, JobKey, JobSpec, JobStatus, Record, ShardId, ShardScheduler, ShardSettings,
+        ShardState, Takeover, WorkerAnswer, WorkerInfo, WorkerRequest,
     },
     size::Size,
     template::{OrgLimits, Organisation, Priority, Service, Team, Weights},
@@ -122,7 +122,7 @@
     pub store_down: bool,
     pub row: ShardRow,
     version: u64,
-    claim: Claim,
+    claim: LeaseWatch,
     inbox: Vec<JobSpec>,
     flights: Vec<Flight>,
     no_answers: Vec<(Millis, usize, Name, u64)>,
@@ -203,7 +203,7 @@
                 settled: true,
             },
             version: 1,
-            claim: Claim::new(LEASE),
+            claim: LeaseWatch::new(LEASE),
             inbox: Vec::new(),
             flights: Vec::new(),
             no_answers: Vec::new(),
@@ -261,7 +261,7 @@
 
     /// Returns the state of a job by the journal.
     pub fn status(&self, key: &JobKey) -> Option<JobStatus> {
-        let mut book = Book::default();
+        let mut book = ShardState::default();
         for record in &self.journal {
             book.apply(record);
         }
@@ -270,7 +270,7 @@
 
     /// Tells whether every submitted job has ended.
     pub fn finished(&self) -> bool {
-        let mut book = Book::default();
+        let mut book = ShardState::default();
         for record in &self.journal {
             book.apply(record);
         }
@@ -362,7 +362,7 @@
         self.row.owner = Some("sched".into());
         self.row.hold = self.settings.hold.max(inherited);
         self.version += 1;
-        let mut book = Book::default();
+        let mut book = ShardState::default();
         for record in &self.journal {
             book.apply(record);
         }
@@ -373,16 +373,17 @@
             inherited: self.row.hold,
             settled: false,
         };
-        let place = ShardPlace {
+        let place = ShardId {
             name: "zone.0".into(),
             index: 0,
             count: 1,
         };
         let seed = self.settings.seed + self.row.epoch;
-        let machine = Machine::new(place, self.settings.shard.clone(), seed, takeover, self.now);
+        let machine =
+            ShardScheduler::new(place, self.settings.shard.clone(), seed, takeover, self.now);
         self.owners.push(Owner {
             machine,
-            tenure: Tenure::new(LEASE, self.now),
+            tenure: OwnerLease::new(LEASE, self.now),
             epoch: self.row.epoch,
             version: self.version,
             backlog: VecDeque::new(),
--- a/crates/core/tests/configs.rs
+++ b/crates/core/tests/configs.rs
@@ -4,7 +4,7 @@
 
 use gorsespur_core::{
     config::{ConfigEntry, ConfigVersion, Configs},
-    member::{Beat, MemberSettings, Peers, Role, ShardClaim},
+    member::{Heartbeat, MemberSettings, Peers, Role, ShardOwnership},
     template::{OrgLimits, Organisation, Weights},
 };
 use proptest::{
@@ -34,8 +34,8 @@
     }
 }
 
-fn beat(id: &str, incarnation: u64, seq: u64) -> Beat {
-    Beat {
+fn beat(id: &str, incarnation: u64, seq: u64) -> Heartbeat {
+    Heartbeat {
         id: id.into(),
         role: Role::Sched,
         zone: "here".into(),
@@ -173,7 +173,7 @@
     let mut peers = Peers::new(MemberSettings::default(), "here".into());
     for (id, epoch) in [("a", 4), ("b", 5)] {
         let mut b = beat(id, 1, 1);
-        b.shards.push(ShardClaim {
+        b.shards.push(ShardOwnership {
             shard: 2,
             epoch,
             targets: 1,
--- a/crates/core/tests/guards.rs
+++ b/crates/core/tests/guards.rs
@@ -4,9 +4,9 @@
 
 use common::{Fault, World, WorldSettings, check_promises, spec};
 use gorsespur_core::{
-    owner::{Claim, Resolved, ShardRow, Tenure, resolve},
+    owner::{LeaseWatch, OwnerLease, ShardRow, WriteOutcome, resolve},
     shard::{
-        Action, Book, Event, Machine, ShardPlace, ShardSettings, Takeover, WorkerAnswer,
+        Action, Event, ShardId, ShardScheduler, ShardSettings, ShardState, Takeover, WorkerAnswer,
         WorkerInfo, WorkerRequest,
     },
     size::Size,
@@ -33,20 +33,20 @@
 }
 
 /// A machine with one worker that has answered.
-fn machine() -> Machine {
-    let place = ShardPlace {
+fn machine() -> ShardScheduler {
+    let place = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
     };
     let takeover = Takeover {
         epoch: 1,
-        book: Book::default(),
+        book: ShardState::default(),
         next: 0,
         inherited: HOLD,
         settled: false,
     };
-    let mut m = Machine::new(place, ShardSettings::default(), 1, takeover, NOW);
+    let mut m = ShardScheduler::new(place, ShardSettings::default(), 1, takeover, NOW);
     let event = Event::Workers {
         list: vec![worker()],
         counts: vec![1],
@@ -129,7 +129,7 @@
     let Event::Answer { worker, mut answer } = answer(NOW, 1) else {
         unreachable!()
     };
-    answer.refused = Some(gorsespur_core::shard::Reason::OldEpoch);
+    answer.refused = Some(gorsespur_core::shard::ExchangeRefusal::OldEpoch);
     answer.epoch = 9;
     let out = m.step(NOW, &Event::Answer { worker, answer });
     assert_eq!(out, [Action::Fenced { epoch: 9 }]);
@@ -166,7 +166,7 @@
         &Event::Submit(vec![spec("job", 1, 1_000, Priority::Normal)]),
     );
     old.step(NOW + 20, &Event::Tick);
-    let place = ShardPlace {
+    let place = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
@@ -178,7 +178,7 @@
         inherited: HOLD,
         settled,
     };
-    let mut new = Machine::new(place, ShardSettings::default(), 1, takeover, NOW);
+    let mut new = ShardScheduler::new(place, ShardSettings::default(), 1, takeover, NOW);
     let list = vec![worker()];
     new.step(
         NOW,
@@ -280,7 +280,7 @@
 
 #[test]
 fn a_pause_across_the_lease_needs_a_new_proof() {
-    let mut tenure = Tenure::new(4_000, NOW);
+    let mut tenure = OwnerLease::new(4_000, NOW);
     tenure.tick(NOW + 3_900);
     assert!(tenure.may_act());
     tenure.tick(NOW + 9_000);
@@ -293,7 +293,7 @@
 
 #[test]
 fn an_owner_that_only_lacks_the_table_service_may_act() {
-    let mut tenure = Tenure::new(4_000, NOW);
+    let mut tenure = OwnerLease::new(4_000, NOW);
     for i in 0..1_000 {
         tenure.tick(NOW + i * 20);
     }
@@ -315,16 +315,16 @@
     }
 }
 
-#[test_case(7, 5, Some(7), 6, Resolved::Applied(6); "own token")]
-#[test_case(7, 5, Some(4), 5, Resolved::Repeat; "row as it was")]
-#[test_case(7, 5, Some(4), 6, Resolved::Lost; "another writer")]
-#[test_case(7, 0, None, 0, Resolved::Repeat; "no row yet")]
+#[test_case(7, 5, Some(7), 6, WriteOutcome::Applied(6); "own token")]
+#[test_case(7, 5, Some(4), 5, WriteOutcome::Repeat; "row as it was")]
+#[test_case(7, 5, Some(4), 6, WriteOutcome::Lost; "another writer")]
+#[test_case(7, 0, None, 0, WriteOutcome::Repeat; "no row yet")]
 fn a_lost_answer_is_resolved_by_reading_back(
     token: u64,
     version: u64,
     found: Option<u64>,
     at: u64,
-    wanted: Resolved,
+    wanted: WriteOutcome,
 ) {
     let row = found.map(|t| row(t, Some("a")));
     assert_eq!(resolve(token, version, row.as_ref(), at), wanted);
@@ -332,7 +332,7 @@
 
 #[test]
 fn a_renewed_row_is_not_taken_and_a_still_one_is() {
-    let mut claim = Claim::new(4_000);
+    let mut claim = LeaseWatch::new(4_000);
     let owned = row(1, Some("a"));
     for i in 0..20 {
         claim.observe(NOW + i * 1_000, Some(&owned), 10 + i);
@@ -346,7 +346,7 @@
 
 #[test]
 fn a_released_row_is_taken_at_once_and_nothing_unseen_is() {
-    let mut claim = Claim::new(4_000);
+    let mut claim = LeaseWatch::new(4_000);
     assert!(!claim.may_take(NOW + 99_000));
     claim.observe(NOW, Some(&row(1, None)), 3);
     assert!(claim.may_take(NOW));
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use common::{Fault, World, WorldSettings, check_promises, spec};
 use gorsespur_core::{
-    place::{Band, CoRunner, History, Pairs, PlacePolicy},
+    place::{Band, CoRunner, History, InterferenceModel, PlacePolicy},
     shard::{AttemptId, JobState, Queue, Record, TaskRef},
     size::Size,
     template::Priority,
@@ -206,7 +206,7 @@
 
 #[test]
 fn the_guilty_neighbour_is_learned_and_a_shift_is_followed() {
-    let mut pairs = Pairs::default();
+    let mut pairs = InterferenceModel::default();
     pairs.grow(3);
     let band = Band::of(0.7);
     assert!(!pairs.estimate(0, 1, band).known);
@@ -227,7 +227,7 @@
 
 #[test]
 fn what_is_unknown_in_one_band_is_taken_from_another() {
-    let mut pairs = Pairs::default();
+    let mut pairs = InterferenceModel::default();
     pairs.grow(2);
     pairs.learn(0, &[1], Band::of(0.9), 2.0, 0);
     let low = pairs.estimate(0, 1, Band::of(0.1));
@@ -249,7 +249,7 @@
 #[test_case(-5.0; "negative")]
 #[test_case(1e9; "absurd")]
 fn an_absurd_sample_does_no_lasting_harm(slow: f32) {
-    let mut pairs = Pairs::default();
+    let mut pairs = InterferenceModel::default();
     pairs.grow(2);
     pairs.learn(0, &[1], Band(0), slow, 0);
     let e = pairs.estimate(0, 1, Band(0));
--- a/crates/core/tests/regression.rs
+++ b/crates/core/tests/regression.rs
@@ -4,7 +4,7 @@
 
 use common::{Fault, World, WorldSettings, check_promises, spec};
 use gorsespur_core::{
-    shard::{Book, Event, JobState, Machine, ShardPlace, ShardSettings, Takeover},
+    shard::{Event, JobState, ShardId, ShardScheduler, ShardSettings, ShardState, Takeover},
     template::Priority,
 };
 
@@ -79,8 +79,8 @@
 /// new owner read its inbox before it was told the templates.
 #[test]
 fn a_job_that_comes_before_the_templates_is_kept() {
-    let mut m = Machine::new(
-        ShardPlace {
+    let mut m = ShardScheduler::new(
+        ShardId {
             name: "shard".into(),
             index: 0,
             count: 1,
@@ -89,7 +89,7 @@
         1,
         Takeover {
             epoch: 1,
-            book: Book::default(),
+            book: ShardState::default(),
             next: 0,
             inherited: 0,
             settled: true,
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -2,8 +2,8 @@
 
 use gorsespur_core::{
     route::{
-        Arrival, Outcome, Refusal, RouteAction, RouteEvent, RoutePolicy, RouteSettings, Router,
-        Share, TargetList, TryEnd,
+        Arrival, AttemptOutcome, Outcome, Refusal, RouteAction, RouteEvent, RoutePolicy,
+        RouteSettings, Router, Share, TargetList,
     },
     shard::TargetInfo,
     template::Priority,
@@ -88,11 +88,11 @@
     out
 }
 
-fn ended(req: u64, attempt: u32, end: TryEnd) -> RouteEvent {
+fn ended(req: u64, attempt: u32, end: AttemptOutcome) -> RouteEvent {
     RouteEvent::Ended { req, attempt, end }
 }
 
-const OK: TryEnd = TryEnd::Answered {
+const OK: AttemptOutcome = AttemptOutcome::Answered {
     took: 5,
     busy: Some(1),
 };
@@ -104,13 +104,13 @@
     assert_eq!(refused(&out), [(1, Outcome::NotRun, Refusal::NoTarget)]);
 }
 
-#[test_case(true, TryEnd::NotSent, Some(Outcome::NotRun); "repeatable and not sent")]
-#[test_case(false, TryEnd::NotSent, Some(Outcome::NotRun); "once and not sent")]
-#[test_case(true, TryEnd::Failed, Some(Outcome::Unknown); "repeatable and failed")]
-#[test_case(false, TryEnd::Failed, Some(Outcome::Unknown); "once and failed")]
+#[test_case(true, AttemptOutcome::NotSent, Some(Outcome::NotRun); "repeatable and not sent")]
+#[test_case(false, AttemptOutcome::NotSent, Some(Outcome::NotRun); "once and not sent")]
+#[test_case(true, AttemptOutcome::Failed, Some(Outcome::Unknown); "repeatable and failed")]
+#[test_case(false, AttemptOutcome::Failed, Some(Outcome::Unknown); "once and failed")]
 fn what_a_caller_is_told_when_every_try_ends_so(
     repeatable: bool,
-    end: TryEnd,
+    end: AttemptOutcome,
     told: Option<Outcome>,
 ) {
     let mut router = router(8);
@@ -124,7 +124,7 @@
     }
     let got = refused(&out).first().map(|r| r.1);
     assert_eq!(got, told);
-    let safe = repeatable || end == TryEnd::NotSent;
+    let safe = repeatable || end == AttemptOutcome::NotSent;
     assert_eq!(tries, if safe { 3 } else { 1 });
 }
 
@@ -133,9 +133,9 @@
     let mut router = router(8);
     let out = router.step(START, &RouteEvent::Arrive(arrival(1, START)));
     let (req, attempt, _) = sent(&out)[0].clone();
-    let mut out = router.step(START, &ended(req, attempt, TryEnd::Failed));
+    let mut out = router.step(START, &ended(req, attempt, AttemptOutcome::Failed));
     while let Some((req, attempt, _)) = sent(&out).first().cloned() {
-        out = router.step(START, &ended(req, attempt, TryEnd::NotSent));
+        out = router.step(START, &ended(req, attempt, AttemptOutcome::NotSent));
     }
     assert_eq!(refused(&out)[0].1, Outcome::Unknown);
 }
@@ -145,7 +145,7 @@
     let mut router = router(2);
     let out = router.step(START, &RouteEvent::Arrive(arrival(1, START)));
     let first = sent(&out)[0].clone();
-    let out = router.step(START, &ended(1, first.1, TryEnd::NotSent));
+    let out = router.step(START, &ended(1, first.1, AttemptOutcome::NotSent));
     assert_ne!(sent(&out)[0].2, first.2);
 }
 
@@ -167,7 +167,7 @@
     let mut router = router(2);
     let out = router.step(START, &RouteEvent::Arrive(arrival(0, START)));
     let (req, attempt, gone) = sent(&out)[0].clone();
-    let end = TryEnd::Declined {
+    let end = AttemptOutcome::Declined {
         busy: None,
         leaving: true,
     };
@@ -352,7 +352,11 @@
         while let Some((req, attempt, worker)) = sent(&out).first().cloned() {
             tries += 1;
             let number: usize = worker[1..].parse().expect("a number");
-            let end = if number < 6 { TryEnd::Failed } else { OK };
+            let end = if number < 6 {
+                AttemptOutcome::Failed
+            } else {
+                OK
+            };
             ok += u64::from(number >= 6);
             out = router.step(now, &ended(req, attempt, end));
         }
@@ -412,15 +416,15 @@
     ]
 }
 
-fn end_of(kind: u8) -> TryEnd {
+fn end_of(kind: u8) -> AttemptOutcome {
     match kind {
         0 | 1 => OK,
-        2 => TryEnd::NotSent,
-        3 => TryEnd::Declined {
+        2 => AttemptOutcome::NotSent,
+        3 => AttemptOutcome::Declined {
             busy: Some(8),
             leaving: false,
         },
-        _ => TryEnd::Failed,
+        _ => AttemptOutcome::Failed,
     }
 }
 
@@ -473,12 +477,12 @@
                     let (attempt, _) = seen[req].open.remove(0);
                     let end = end_of(kind);
                     match end {
-                        TryEnd::Answered { .. } => {
+                        AttemptOutcome::Answered { .. } => {
                             seen[req].may_have_run = true;
                             seen[req].told.get_or_insert(Outcome::Ran);
                         }
-                        TryEnd::Failed => seen[req].may_have_run = true,
-                        TryEnd::NotSent | TryEnd::Declined { .. } => {}
+                        AttemptOutcome::Failed => seen[req].may_have_run = true,
+                        AttemptOutcome::NotSent | AttemptOutcome::Declined { .. } => {}
                     }
                     ended(req as u64, attempt, end)
                 }
--- a/crates/entry/src/router_thread.rs
+++ b/crates/entry/src/router_thread.rs
@@ -5,7 +5,7 @@
 use flume::{Receiver, Sender};
 use gorsespur_core::{
     Millis,
-    route::{Arrival, RouteAction, RouteCounts, RouteEvent, RouteSettings, Router, TryEnd},
+    route::{Arrival, AttemptOutcome, RouteAction, RouteCounts, RouteEvent, RouteSettings, Router},
 };
 use gorsespur_peer::Shared;
 use gorsespur_runtime::{cancel::Cancel, client::Answer, metrics::Metrics};
@@ -156,7 +156,7 @@
             let found = open.binary_search_by_key(&req, |o| o.req);
             let sent =
                 found.is_ok_and(|i| open[i].reply.try_send(ToHandler::Command(action)).is_ok());
-            let end = TryEnd::NotSent;
+            let end = AttemptOutcome::NotSent;
             (!sent).then_some(RouteEvent::Ended { req, attempt, end })
         }
     }
--- a/crates/entry/src/tries.rs
+++ b/crates/entry/src/tries.rs
@@ -11,7 +11,7 @@
 use flume::{Receiver, Sender};
 use gorsespur_core::{
     Millis,
-    route::{Outcome, RouteEvent, TryEnd},
+    route::{AttemptOutcome, Outcome, RouteEvent},
 };
 use gorsespur_runtime::{
     client::{Answer, Call, CallError, field},
@@ -80,23 +80,23 @@
             attempt: self.attempt,
             end,
         };
-        let whole = matches!(end, TryEnd::Answered { .. });
+        let whole = matches!(end, AttemptOutcome::Answered { .. });
         let _ = self
             .reply
             .try_send(ToHandler::Tried(answer.filter(|_| whole)));
         let _ = self.router.send(ToRouter::Event(event));
     }
 
-    fn send(&self, began: Instant) -> (TryEnd, Option<Box<Answer>>) {
+    fn send(&self, began: Instant) -> (AttemptOutcome, Option<Box<Answer>>) {
         let left = self.end.saturating_duration_since(began);
         if left.is_zero() {
-            return (TryEnd::NotSent, None);
+            return (AttemptOutcome::NotSent, None);
         }
         match self.call(left).send() {
             Ok(answer) => self.judge(began, answer),
-            Err(CallError::NotSent) => (TryEnd::NotSent, None),
+            Err(CallError::NotSent) => (AttemptOutcome::NotSent, None),
             Err(CallError::Timeout | CallError::Broken | CallError::TooLong) => {
-                (TryEnd::Failed, None)
+                (AttemptOutcome::Failed, None)
             }
         }
     }
@@ -125,17 +125,20 @@
     }
 
     /// Judges a whole answer: it must be the target's, and to this request.
-    fn judge(&self, began: Instant, answer: Answer) -> (TryEnd, Option<Box<Answer>>) {
+    fn judge(&self, began: Instant, answer: Answer) -> (AttemptOutcome, Option<Box<Answer>>) {
         let busy = field(&answer.fields, BUSY).and_then(|b| b.parse().ok());
         let leaving = field(&answer.fields, LEAVING) == Some("yes");
         if field(&answer.fields, REQUEST_ID) != Some(&*self.head.id) {
-            return (TryEnd::Failed, None);
+            return (AttemptOutcome::Failed, None);
         }
         let outcome = field(&answer.fields, OUTCOME).and_then(Outcome::parse);
         if outcome == Some(Outcome::NotRun) {
-            return (TryEnd::Declined { busy, leaving }, None);
+            return (AttemptOutcome::Declined { busy, leaving }, None);
         }
         let took = began.elapsed().as_millis() as Millis;
-        (TryEnd::Answered { took, busy }, Some(Box::new(answer)))
+        (
+            AttemptOutcome::Answered { took, busy },
+            Some(Box::new(answer)),
+        )
     }
 }
--- a/crates/load/src/measure/floor.rs
+++ b/crates/load/src/measure/floor.rs
@@ -9,8 +9,8 @@
     name::Name,
     place::{BANDS, PlacePolicy},
     shard::{
-        Action, Book, End, Event, JobKey, JobSpec, Machine, Record, ShardPlace, ShardSettings,
-        Takeover, WorkerInfo,
+        Action, End, Event, JobKey, JobSpec, Record, ShardId, ShardScheduler, ShardSettings,
+        ShardState, Takeover, WorkerInfo,
     },
     size::Size,
     template::{OrgLimits, Organisation, Priority, Service, Team, Weights},
@@ -83,7 +83,7 @@
 /// The floor.
 pub(crate) struct Floor {
     settings: FloorSettings,
-    machine: Machine,
+    machine: ShardScheduler,
     workers: Vec<SimWorker>,
     names: Vec<Name>,
     rng: SmallRng,
@@ -132,7 +132,7 @@
 
 impl Floor {
     pub fn new(settings: FloorSettings) -> Floor {
-        let place = ShardPlace {
+        let place = ShardId {
             name: "floor".into(),
             index: 0,
             count: 1,
@@ -146,12 +146,12 @@
         };
         let takeover = Takeover {
             epoch: 1,
-            book: Book::default(),
+            book: ShardState::default(),
             next: 0,
             inherited: 60_000,
             settled: true,
         };
-        let machine = Machine::new(place, shard, settings.seed, takeover, START);
+        let machine = ShardScheduler::new(place, shard, settings.seed, takeover, START);
         let ledger = Arc::new(Ledger::default());
         let checkpoints = Arc::new(MemoryCheckpoints::default());
         let mut workers = Vec::new();
--- a/crates/load/src/measure/overload_run.rs
+++ b/crates/load/src/measure/overload_run.rs
@@ -8,8 +8,8 @@
 use gorsespur_core::{
     Millis,
     route::{
-        Arrival, RouteAction, RouteEvent, RoutePolicy, RouteSettings, Router, Share, TargetList,
-        TryEnd,
+        Arrival, AttemptOutcome, RouteAction, RouteEvent, RoutePolicy, RouteSettings, Router,
+        Share, TargetList,
     },
     shard::TargetInfo,
     template::Priority,
@@ -427,16 +427,16 @@
             self.answered(entry, req);
         }
         let end = match end {
-            Ended::Answered { took, busy } => TryEnd::Answered {
+            Ended::Answered { took, busy } => AttemptOutcome::Answered {
                 took,
                 busy: Some(busy),
             },
-            Ended::Declined { busy } => TryEnd::Declined {
+            Ended::Declined { busy } => AttemptOutcome::Declined {
                 busy: Some(busy),
                 leaving: false,
             },
-            Ended::Failed => TryEnd::Failed,
-            Ended::NotSent => TryEnd::NotSent,
+            Ended::Failed => AttemptOutcome::Failed,
+            Ended::NotSent => AttemptOutcome::NotSent,
         };
         self.feed(entry, &RouteEvent::Ended { req, attempt, end });
     }
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -7,8 +7,8 @@
     name::Name,
     place::PlacePolicy,
     shard::{
-        Action, AttemptId, Book, Event, JobKey, JobSpec, Machine, Record, ShardPlace,
-        ShardSettings, Takeover, WorkerAnswer, WorkerInfo,
+        Action, AttemptId, Event, JobKey, JobSpec, Record, ShardId, ShardScheduler, ShardSettings,
+        ShardState, Takeover, WorkerAnswer, WorkerInfo,
     },
     size::Size,
     template::Priority,
@@ -56,8 +56,8 @@
 }
 
 /// Returns a machine whose workers all answered.
-pub(crate) fn machine(policy: PlacePolicy, workers: usize, seed: u64) -> Machine {
-    let place = ShardPlace {
+pub(crate) fn machine(policy: PlacePolicy, workers: usize, seed: u64) -> ShardScheduler {
+    let place = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
@@ -69,12 +69,12 @@
     };
     let takeover = Takeover {
         epoch: 1,
-        book: Book::default(),
+        book: ShardState::default(),
         next: 0,
         inherited: 60_000,
         settled: true,
     };
-    let mut machine = Machine::new(place, settings, seed, takeover, START);
+    let mut machine = ShardScheduler::new(place, settings, seed, takeover, START);
     machine.step(START, &Event::Organisations(vec![organisation(1)]));
     let mut list = Vec::new();
     for i in 0..workers {
@@ -96,7 +96,7 @@
 }
 
 /// Lets every worker answer that it runs what it should.
-fn answer_all(machine: &mut Machine, now: Millis) {
+fn answer_all(machine: &mut ShardScheduler, now: Millis) {
     let upto = machine.next_record();
     machine.step(now, &Event::Committed(upto));
     let mut answers = Vec::new();
@@ -158,7 +158,7 @@
 }
 
 /// Submits tasks and places them; returns how many were started.
-pub(crate) fn fill(machine: &mut Machine, tasks: u32, first: usize) -> u64 {
+pub(crate) fn fill(machine: &mut ShardScheduler, tasks: u32, first: usize) -> u64 {
     let mut specs = Vec::new();
     for i in 0..tasks.div_ceil(10) {
         specs.push(spec(&format!("job{}", first + i as usize), i as usize, 10));
@@ -249,7 +249,7 @@
         return;
     };
     let decoded = began.elapsed();
-    let place = ShardPlace {
+    let place = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
@@ -261,7 +261,7 @@
         inherited: 60_000,
         settled: true,
     };
-    let mut new = Machine::new(place, ShardSettings::default(), seed, takeover, START);
+    let mut new = ShardScheduler::new(place, ShardSettings::default(), seed, takeover, START);
     let mut list = Vec::new();
     for w in machine.workers() {
         list.push(WorkerInfo {
--- a/crates/load/src/slopes/memory.rs
+++ b/crates/load/src/slopes/memory.rs
@@ -6,7 +6,7 @@
 
 use gorsespur_core::{
     config::{ConfigEntry, Configs},
-    member::{Beat, MemberSettings, Peers, Role},
+    member::{Heartbeat, MemberSettings, Peers, Role},
     name::Name,
     place::PlacePolicy,
     route::{RouteEvent, RouteSettings, Router, TargetList},
@@ -107,8 +107,8 @@
 }
 
 /// Returns a heartbeat of instance `i`.
-pub(crate) fn beat(i: usize, seq: u64) -> Beat {
-    Beat {
+pub(crate) fn beat(i: usize, seq: u64) -> Heartbeat {
+    Heartbeat {
         id: Name::from(format!("sched-zone-{i:04}")),
         role: Role::Sched,
         zone: "zone0".into(),
@@ -117,7 +117,7 @@
         addr: ([127, 0, 0, 1], 40_000).into(),
         leaving: false,
         config: 40_000,
-        shards: vec![gorsespur_core::member::ShardClaim {
+        shards: vec![gorsespur_core::member::ShardOwnership {
             shard: i as u32,
             epoch: 7,
             targets: 99,
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -7,7 +7,7 @@
     member::{MemberSettings, Peers},
     name::Name,
     place::PlacePolicy,
-    shard::{Action, Event, Machine, WorkerAnswer, WorkerRequest},
+    shard::{Action, Event, ShardScheduler, WorkerAnswer, WorkerRequest},
     size::Size,
     template::Organisation,
 };
@@ -107,7 +107,7 @@
 }
 
 /// Lets the machine send its exchange and returns it with the worker's answer.
-fn exchange(machine: &mut Machine, now: u64) -> (Option<WorkerRequest>, WorkerAnswer) {
+fn exchange(machine: &mut ShardScheduler, now: u64) -> (Option<WorkerRequest>, WorkerAnswer) {
     let upto = machine.next_record();
     machine.step(now, &Event::Committed(upto));
     let mut request = None;
--- a/crates/peer/src/beats.rs
+++ b/crates/peer/src/beats.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use gorsespur_core::member::Beat;
+use gorsespur_core::member::Heartbeat;
 use gorsespur_runtime::cancel::Cancel;
 use gorsespur_wire::codec::{decode, encode};
 use rand::{SeedableRng, rngs::SmallRng, seq::IndexedRandom};
@@ -26,7 +26,7 @@
         let Ok((n, _)) = socket.recv_from(&mut buf) else {
             continue;
         };
-        let Ok(beat) = decode::<Beat>(&buf[..n]) else {
+        let Ok(beat) = decode::<Heartbeat>(&buf[..n]) else {
             log::debug!("beats: malformed heartbeat");
             continue;
         };
@@ -70,9 +70,9 @@
     cancel.is_cancelled()
 }
 
-fn beat(shared: &Shared, seq: u64) -> Beat {
+fn beat(shared: &Shared, seq: u64) -> Heartbeat {
     let s = &shared.settings;
-    Beat {
+    Heartbeat {
         id: s.id.clone(),
         role: s.role,
         zone: s.zone.clone(),
--- a/crates/peer/src/config.rs
+++ b/crates/peer/src/config.rs
@@ -5,7 +5,7 @@
 use gorsespur_core::{
     config::ConfigEntry,
     name::Name,
-    retry::{Backoff, Breaker},
+    retry::{Backoff, CircuitBreaker},
     spread::pick,
 };
 use gorsespur_runtime::cancel::Cancel;
@@ -42,7 +42,7 @@
 /// Follows the changes of configuration until `cancel`.
 pub(crate) fn follow(shared: &Shared, table: &dyn Table, cancel: &Cancel) {
     let mut backoff = Backoff::new(PAUSE, MAX_PAUSE, shared.incarnation);
-    let mut breaker = Breaker::new(FAILURES, MAX_PAUSE);
+    let mut breaker = CircuitBreaker::new(FAILURES, MAX_PAUSE);
     loop {
         ask_peers(shared);
         let now = shared.clock.now();
--- a/crates/peer/src/layout.rs
+++ b/crates/peer/src/layout.rs
@@ -2,7 +2,7 @@
 
 use gorsespur_core::{
     name::Name,
-    shard::{JobKey, ShardPlace},
+    shard::{JobKey, ShardId},
     spread::{slot_of, stable_hash},
 };
 
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardAt {
     /// Place among all shards.
-    pub place: ShardPlace,
+    pub place: ShardId,
     /// Its zone.
     pub zone: Name,
     /// Index in its zone.
@@ -48,7 +48,7 @@
         let mut shards = Vec::new();
         for zone in zones {
             for slot in 0..zone.shards {
-                let place = ShardPlace {
+                let place = ShardId {
                     name: format!("{}.{slot}", zone.name).into(),
                     index: shards.len() as u32,
                     count,
--- a/crates/peer/src/shared.rs
+++ b/crates/peer/src/shared.rs
@@ -7,7 +7,7 @@
 
 use gorsespur_core::{
     config::Configs,
-    member::{Peers, ShardClaim},
+    member::{Peers, ShardOwnership},
 };
 use gorsespur_runtime::clock::{Clock, wall_ms};
 use gorsespur_wire::members::MemberList;
@@ -26,7 +26,7 @@
     peers: Mutex<Peers>,
     configs: Mutex<Configs>,
     list: Mutex<MemberList>,
-    claims: Mutex<Vec<ShardClaim>>,
+    claims: Mutex<Vec<ShardOwnership>>,
     leaving: AtomicBool,
     config_changes: AtomicU64,
     list_changes: AtomicU64,
@@ -74,7 +74,7 @@
     }
 
     /// Returns the shards that this instance owns, as heartbeats tell them.
-    pub fn claims(&self) -> MutexGuard<'_, Vec<ShardClaim>> {
+    pub fn claims(&self) -> MutexGuard<'_, Vec<ShardOwnership>> {
         lock(&self.claims)
     }
 
--- a/crates/replay/src/header.rs
+++ b/crates/replay/src/header.rs
@@ -2,7 +2,7 @@
 
 use gorsespur_core::{
     Millis,
-    shard::{Event, ShardPlace, ShardSettings, Takeover},
+    shard::{Event, ShardId, ShardSettings, Takeover},
 };
 use serde::{Deserialize, Serialize};
 
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Header {
     /// Place of the shard.
-    pub place: ShardPlace,
+    pub place: ShardId,
     /// Settings.
     pub settings: ShardSettings,
     /// Seed of its random numbers.
--- a/crates/replay/src/reader.rs
+++ b/crates/replay/src/reader.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use gorsespur_core::shard::{Machine, TaskState};
+use gorsespur_core::shard::{ShardScheduler, TaskState};
 use gorsespur_wire::codec::decode;
 use snafu::{OptionExt, ResultExt};
 
@@ -49,7 +49,7 @@
 /// Errors: a step led to other actions than recorded.
 pub fn replay(trace: &Trace) -> Result<Outcome, TraceError> {
     let h = &trace.header;
-    let mut machine = Machine::new(
+    let mut machine = ShardScheduler::new(
         h.place.clone(),
         h.settings.clone(),
         h.seed,
@@ -70,7 +70,7 @@
 }
 
 /// Looks for broken invariants.
-fn inspect(machine: &Machine, outcome: &mut Outcome) {
+fn inspect(machine: &ShardScheduler, outcome: &mut Outcome) {
     for w in machine.workers() {
         let mut sum = gorsespur_core::size::Size::default();
         for r in &w.residents {
--- a/crates/replay/src/recorder.rs
+++ b/crates/replay/src/recorder.rs
@@ -9,7 +9,7 @@
 
 use gorsespur_core::{
     Millis,
-    shard::{Action, Event, ShardPlace, ShardSettings, Takeover},
+    shard::{Action, Event, ShardId, ShardSettings, Takeover},
     spread::StableHasher,
 };
 use gorsespur_wire::codec::encode;
@@ -40,7 +40,7 @@
     /// Creates a file and writes what the machine starts from.
     pub fn create(
         path: &Path,
-        place: &ShardPlace,
+        place: &ShardId,
         settings: &ShardSettings,
         seed: u64,
         takeover: &Takeover,
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -4,8 +4,8 @@
 
 use gorsespur_core::{
     shard::{
-        Book, Event, JobKey, JobSpec, Machine, ShardPlace, ShardSettings, Takeover, WorkerAnswer,
-        WorkerInfo,
+        Event, JobKey, JobSpec, ShardId, ShardScheduler, ShardSettings, ShardState, Takeover,
+        WorkerAnswer, WorkerInfo,
     },
     size::Size,
     template::Priority,
@@ -15,8 +15,8 @@
 
 const NOW: u64 = 1_000_000;
 
-fn place() -> ShardPlace {
-    ShardPlace {
+fn place() -> ShardId {
+    ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
@@ -26,7 +26,7 @@
 fn takeover() -> Takeover {
     Takeover {
         epoch: 1,
-        book: Book::default(),
+        book: ShardState::default(),
         next: 0,
         inherited: 1_000,
         settled: true,
@@ -99,7 +99,7 @@
     std::fs::create_dir_all(&dir).expect("a directory");
     let path = dir.join("one.trace");
     let settings = ShardSettings::default();
-    let mut machine = Machine::new(place(), settings.clone(), 7, takeover(), NOW);
+    let mut machine = ShardScheduler::new(place(), settings.clone(), 7, takeover(), NOW);
     let made = Recorder::create(&path, &place(), &settings, 7, &takeover(), NOW);
     let mut recorder = made.expect("created");
     for (now, event) in events() {
--- a/crates/sched/src/journal.rs
+++ b/crates/sched/src/journal.rs
@@ -9,7 +9,7 @@
 
 use gorsespur_core::{
     name::Name,
-    owner::{Resolved, ShardRow, resolve},
+    owner::{ShardRow, WriteOutcome, resolve},
     retry::Backoff,
     shard::{FinishedJob, Record},
 };
@@ -250,21 +250,21 @@
         let sent = self.clock.now();
         loop {
             let found = match self.table.tx(&tx) {
-                Ok(version) => Some(Resolved::Applied(version)),
+                Ok(version) => Some(WriteOutcome::Applied(version)),
                 Err(TableError::Unavailable) => None,
                 Err(TableError::Unknown | TableError::Conflict { .. }) => {
                     self.read_back(&key, row.token)
                 }
             };
             match found {
-                Some(Resolved::Applied(version)) => {
+                Some(WriteOutcome::Applied(version)) => {
                     self.row = row;
                     self.version = version;
                     self.backoff.reset();
                     return Ok(sent);
                 }
-                Some(Resolved::Lost) => return Err(JournalError::Fenced),
-                Some(Resolved::Repeat) | None => {}
+                Some(WriteOutcome::Lost) => return Err(JournalError::Fenced),
+                Some(WriteOutcome::Repeat) | None => {}
             }
             let delay = Duration::from_millis(self.backoff.next_delay());
             if cancel.wait(delay) {
@@ -274,7 +274,7 @@
     }
 
     /// Reads the shard's row to learn what became of a write.
-    fn read_back(&self, key: &Name, token: u64) -> Option<Resolved> {
+    fn read_back(&self, key: &Name, token: u64) -> Option<WriteOutcome> {
         let rows = self.table.get(std::slice::from_ref(key)).ok()?;
         let found = rows.first().and_then(|r| r.as_ref());
         let version = found.map_or(0, |r| r.version);
--- a/crates/sched/src/keep.rs
+++ b/crates/sched/src/keep.rs
@@ -13,8 +13,8 @@
 use flume::{Receiver, Sender};
 use gorsespur_core::{
     name::Name,
-    owner::Tenure,
-    shard::{Machine, Takeover},
+    owner::OwnerLease,
+    shard::{ShardScheduler, Takeover},
     spread::stable_hash,
 };
 use gorsespur_replay::Recorder;
@@ -132,14 +132,14 @@
         let thread = ShardThread {
             at: self.at.clone(),
             shared: self.shared.clone(),
-            machine: Machine::new(
+            machine: ShardScheduler::new(
                 self.at.place.clone(),
                 self.settings.shards.clone(),
                 seed,
                 takeover,
                 now,
             ),
-            tenure: Tenure::new(self.settings.lease, now),
+            tenure: OwnerLease::new(self.settings.lease, now),
             input: inputs,
             reply: input.clone(),
             upkeep,
--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -5,8 +5,8 @@
 use flume::Sender;
 use gorsespur_core::{
     name::Name,
-    owner::{Claim, ShardRow},
-    shard::{Book, Takeover},
+    owner::{LeaseWatch, ShardRow},
+    shard::{ShardState, Takeover},
     spread::stable_hash,
 };
 use gorsespur_peer::{ShardAt, Shared};
@@ -43,7 +43,7 @@
 impl Keeper {
     /// Watches and keeps the shard until the program stops.
     pub fn run(self) {
-        let mut claim = Claim::new(self.settings.lease);
+        let mut claim = LeaseWatch::new(self.settings.lease);
         let mut looked = self.shared.clock.now();
         while !self.stop.wait(self.settings.watch) {
             let now = self.shared.clock.now();
@@ -144,7 +144,7 @@
     }
 
     /// Recovers the book and renews the lease while that is tried.
-    fn recover(&self, journal: &mut Journal) -> Option<Book> {
+    fn recover(&self, journal: &mut Journal) -> Option<ShardState> {
         let name = &self.at.place.name;
         loop {
             let table = self.table.as_ref();
--- a/crates/sched/src/recover.rs
+++ b/crates/sched/src/recover.rs
@@ -1,6 +1,6 @@
 //! Recovery of a shard's book: snapshot and the journal behind it.
 
-use gorsespur_core::{name::Name, owner::ShardRow, shard::Book};
+use gorsespur_core::{name::Name, owner::ShardRow, shard::ShardState};
 use gorsespur_services::{ObjectError, Objects, Table, TableError};
 use gorsespur_wire::{
     codec::{CodecError, decode},
@@ -51,8 +51,8 @@
     store: &dyn Objects,
     shard: &Name,
     row: &ShardRow,
-) -> Result<Book, RecoverError> {
-    let mut book = Book::default();
+) -> Result<ShardState, RecoverError> {
+    let mut book = ShardState::default();
     let mut next = 0;
     if row.snapshot > 0 {
         let key = objects::snapshot(shard, row.snapshot);
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -5,9 +5,9 @@
 use flume::{Receiver, Sender, TrySendError};
 use gorsespur_core::{
     Millis,
-    member::ShardClaim,
-    owner::Tenure,
-    shard::{Action, Event, JobKey, JobStatus, Machine},
+    member::ShardOwnership,
+    owner::OwnerLease,
+    shard::{Action, Event, JobKey, JobStatus, ShardScheduler},
 };
 use gorsespur_peer::{ShardAt, Shared};
 use gorsespur_replay::Recorder;
@@ -29,8 +29,8 @@
 pub(crate) struct ShardThread {
     pub at: ShardAt,
     pub shared: Arc<Shared>,
-    pub machine: Machine,
-    pub tenure: Tenure,
+    pub machine: ShardScheduler,
+    pub tenure: OwnerLease,
     pub input: Receiver<Input>,
     pub reply: Sender<Input>,
     pub upkeep: Sender<Upkeep>,
@@ -280,7 +280,7 @@
             return;
         }
         desk.claimed = targets;
-        let claim = ShardClaim {
+        let claim = ShardOwnership {
             shard: self.at.place.index,
             epoch: self.machine.epoch(),
             targets,
--- a/crates/sched/tests/journal.rs
+++ b/crates/sched/tests/journal.rs
@@ -5,7 +5,7 @@
 use gorsespur_core::{
     name::Name,
     owner::ShardRow,
-    shard::{Book, JobKey, JobSpec, Record},
+    shard::{JobKey, JobSpec, Record, ShardState},
     size::Size,
     template::Priority,
 };
@@ -91,7 +91,7 @@
     journal.expect("the shard is free to take")
 }
 
-fn recovered(platform: &FakePlatform) -> Book {
+fn recovered(platform: &FakePlatform) -> ShardState {
     let (row, _) = row(platform);
     recover(platform, platform, &shard(), &row).expect("the shard recovers")
 }
--- a/crates/stand/src/sim.rs
+++ b/crates/stand/src/sim.rs
@@ -9,7 +9,8 @@
     Millis,
     name::Name,
     shard::{
-        AttemptId, EndReport, Reason, Sample, StartOrder, WorkerAnswer, WorkerEnd, WorkerRequest,
+        AttemptId, EndReport, ExchangeRefusal, Sample, StartOrder, WorkerAnswer, WorkerEnd,
+        WorkerRequest,
     },
     size::Size,
 };
@@ -185,20 +186,20 @@
         self.answer(req.seq, None)
     }
 
-    fn refusal(&mut self, req: &WorkerRequest) -> Option<Reason> {
+    fn refusal(&mut self, req: &WorkerRequest) -> Option<ExchangeRefusal> {
         if self.shard.as_ref().is_some_and(|s| *s != req.shard) {
             if !self.runs.is_empty() || !self.ended.is_empty() {
-                return Some(Reason::OtherShard);
+                return Some(ExchangeRefusal::OtherShard);
             }
             self.epoch = 0;
         }
         if req.epoch < self.epoch {
-            return Some(Reason::OldEpoch);
+            return Some(ExchangeRefusal::OldEpoch);
         }
         if req.epoch > self.epoch {
             self.seq = 0;
         }
-        (req.seq <= self.seq).then_some(Reason::OldSeq)
+        (req.seq <= self.seq).then_some(ExchangeRefusal::OldSeq)
     }
 
     fn renew(&mut self, req: &WorkerRequest) {
@@ -368,7 +369,7 @@
         });
     }
 
-    fn answer(&mut self, seq: u64, refused: Option<Reason>) -> WorkerAnswer {
+    fn answer(&mut self, seq: u64, refused: Option<ExchangeRefusal>) -> WorkerAnswer {
         let mut samples = Vec::new();
         while self.samples.front().is_some_and(|s| s.0 <= self.clock) {
             samples.extend(self.samples.pop_front().map(|s| s.1));
--- a/crates/stand/tests/worker.rs
+++ b/crates/stand/tests/worker.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use gorsespur_core::{
-    shard::{AttemptId, Reason, StartOrder, StopOrder, WorkerEnd, WorkerRequest},
+    shard::{AttemptId, ExchangeRefusal, StartOrder, StopOrder, WorkerEnd, WorkerRequest},
     size::Size,
 };
 use gorsespur_stand::{Ledger, MemoryCheckpoints, SimSettings, SimWorker, Slowdown, What};
@@ -76,13 +76,13 @@
     w
 }
 
-#[test_case(2, 9, "shard", Some(Reason::OldEpoch); "older epoch")]
-#[test_case(3, 5, "shard", Some(Reason::OldSeq); "same exchange again")]
-#[test_case(3, 4, "shard", Some(Reason::OldSeq); "older exchange")]
-#[test_case(3, 6, "other", Some(Reason::OtherShard); "another shard")]
+#[test_case(2, 9, "shard", Some(ExchangeRefusal::OldEpoch); "older epoch")]
+#[test_case(3, 5, "shard", Some(ExchangeRefusal::OldSeq); "same exchange again")]
+#[test_case(3, 4, "shard", Some(ExchangeRefusal::OldSeq); "older exchange")]
+#[test_case(3, 6, "other", Some(ExchangeRefusal::OtherShard); "another shard")]
 #[test_case(3, 6, "shard", None; "next exchange")]
 #[test_case(4, 1, "shard", None; "newer epoch")]
-fn what_is_refused(epoch: u64, seq: u64, shard: &str, refused: Option<Reason>) {
+fn what_is_refused(epoch: u64, seq: u64, shard: &str, refused: Option<ExchangeRefusal>) {
     let ledger = Arc::new(Ledger::default());
     let mut w = running(&ledger);
     let mut r = request(epoch, seq, NOW);
--- a/crates/wire/src/stored.rs
+++ b/crates/wire/src/stored.rs
@@ -4,7 +4,7 @@
 
 use gorsespur_core::{
     name::Name,
-    shard::{Book, JobKey, JobSpec, JobStatus, Record},
+    shard::{JobKey, JobSpec, JobStatus, Record, ShardState},
     template::{Organisation, RawTemplate},
 };
 use serde::{Deserialize, Serialize};
@@ -71,7 +71,7 @@
     /// Number of the next record.
     pub next: u64,
     /// The book before that record.
-    pub book: Book,
+    pub book: ShardState,
 }
 
 /// A job's row.
