--- a/crates/core/src/place/band.rs
+++ b/crates/core/src/place/band.rs
@@ -1,7 +1,7 @@
 //! Load bands.
 
 /// Number of bands.
-pub const BANDS: usize = 3;
+pub const BAND_COUNT: usize = 3;
 
 /// A band of a worker's load; interference differs between them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/core/src/place/mod.rs
+++ b/crates/core/src/place/mod.rs
@@ -5,7 +5,7 @@
 mod pairs;
 mod policy;
 
-pub use band::{BANDS, Band};
+pub use band::{BAND_COUNT, Band};
 pub use history::{CoRunner, History};
 pub use pairs::{Estimate, InterferenceModel};
 pub use policy::PlacePolicy;
--- a/crates/core/src/place/pairs.rs
+++ b/crates/core/src/place/pairs.rs
@@ -7,7 +7,7 @@
 //! half-lives; a term without evidence falls back to other bands and then to a
 //! prior.
 
-use super::{BANDS, Band};
+use super::{BAND_COUNT, Band};
 use crate::Millis;
 
 /// Half-life of evidence.
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
     /// Added slowdown; 0.5 means half as slow again.
-    pub adds: f32,
+    pub added_slowdown: f32,
     /// Whether there is evidence.
     pub known: bool,
 }
@@ -61,12 +61,12 @@
         if classes <= self.classes {
             return;
         }
-        let mut cells = vec![Cell::default(); classes * classes * BANDS];
+        let mut cells = vec![Cell::default(); classes * classes * BAND_COUNT];
         for victim in 0..self.classes {
             for other in 0..self.classes {
-                for band in 0..BANDS {
-                    let old = (victim * self.classes + other) * BANDS + band;
-                    cells[(victim * classes + other) * BANDS + band] = self.cells[old];
+                for band in 0..BAND_COUNT {
+                    let old = (victim * self.classes + other) * BAND_COUNT + band;
+                    cells[(victim * classes + other) * BAND_COUNT + band] = self.cells[old];
                 }
             }
         }
@@ -75,7 +75,7 @@
     }
 
     fn index(&self, victim: u16, other: u16, band: Band) -> usize {
-        (usize::from(victim) * self.classes + usize::from(other)) * BANDS + band.0
+        (usize::from(victim) * self.classes + usize::from(other)) * BAND_COUNT + band.0
     }
 
     /// Returns what `other` adds to the slowdown of `victim`.
@@ -83,23 +83,23 @@
     /// The age of evidence does not count here, only when it is replaced.
     pub fn estimate(&self, victim: u16, other: u16, band: Band) -> Estimate {
         let base = self.index(victim, other, Band(0));
-        let cells = &self.cells[base..base + BANDS];
+        let cells = &self.cells[base..base + BAND_COUNT];
         if cells[band.0].weight >= KNOWN {
             return Estimate {
-                adds: cells[band.0].adds,
+                added_slowdown: cells[band.0].adds,
                 known: true,
             };
         }
         for cell in cells {
             if cell.weight >= KNOWN {
                 return Estimate {
-                    adds: cell.adds,
+                    added_slowdown: cell.adds,
                     known: true,
                 };
             }
         }
         Estimate {
-            adds: PRIOR,
+            added_slowdown: PRIOR,
             known: false,
         }
     }
@@ -121,12 +121,12 @@
         }
         let mut expected = 0.0;
         for &other in others {
-            expected += self.estimate(victim, other, band).adds;
+            expected += self.estimate(victim, other, band).added_slowdown;
         }
         let error = (slow - 1.0).clamp(0.0, MAX_TERM * 4.0) - expected;
         let share = error / others.len() as f32;
         for &other in others {
-            let start = self.estimate(victim, other, band).adds;
+            let start = self.estimate(victim, other, band).added_slowdown;
             let i = self.index(victim, other, band);
             let cell = &mut self.cells[i];
             let weight = cell.weight_at(now);
--- a/crates/core/src/shard/answer.rs
+++ b/crates/core/src/shard/answer.rs
@@ -13,7 +13,7 @@
         };
         let w = &mut self.workers[i];
         if a.seq == w.seq {
-            w.busy = false;
+            w.awaiting_answer = false;
         }
         if let Some(reason) = a.refused {
             if reason == ExchangeRefusal::OldEpoch && a.epoch > self.epoch {
@@ -21,7 +21,7 @@
             }
             return;
         }
-        if w.boot == a.boot && a.clock < w.echo {
+        if w.boot == a.boot && a.clock < w.last_clock {
             return;
         }
         self.note_contact(now, i, a);
@@ -39,7 +39,7 @@
         };
         let w = &mut self.workers[i];
         if w.seq == seq {
-            w.busy = false;
+            w.awaiting_answer = false;
         }
     }
 
@@ -49,24 +49,24 @@
             w.history.clear();
         }
         w.boot = a.boot;
-        w.echo = a.clock;
-        w.echo_at = now;
-        w.seen_at = now;
+        w.last_clock = a.clock;
+        w.last_clock_at = now;
+        w.answered_at = now;
         if w.total != a.size {
             w.total = a.size;
-            self.stirred = true;
+            self.placement_due = true;
         }
         if w.health != Health::Good {
             w.health = Health::Good;
-            w.basis = now;
+            w.lease_start = now;
             w.dirty = true;
-            self.stirred = true;
+            self.placement_due = true;
             self.targets += 1;
         }
         if a.leaving && !w.leaving {
             w.leaving = true;
             self.targets += 1;
-            self.empty_worker(i);
+            self.drain_worker(i);
         }
     }
 
@@ -77,7 +77,7 @@
         for report in &a.ended {
             let id = report.attempt;
             let w = &self.workers[i];
-            if let Some(r) = w.resident(id) {
+            if let Some(r) = w.allocation(id) {
                 let end = end_of(report.end, r.stop);
                 let number = self.end_attempt(now, i, id, end);
                 self.workers[i].acks.push((number, id));
@@ -90,18 +90,18 @@
 
     fn take_running(&mut self, now: Millis, i: usize, a: &WorkerAnswer) {
         let w = &mut self.workers[i];
-        let had = !w.strays.is_empty();
-        w.strays.clear();
+        let had = !w.unknown_attempts.is_empty();
+        w.unknown_attempts.clear();
         for &id in &a.running {
-            let clock = w.echo;
-            let Some(r) = w.resident_mut(id) else {
-                w.strays.push(id);
+            let clock = w.last_clock;
+            let Some(r) = w.allocation_mut(id) else {
+                w.unknown_attempts.push(id);
                 continue;
             };
-            if r.seen {
+            if r.is_running {
                 continue;
             }
-            r.seen = true;
+            r.is_running = true;
             let class = r.class;
             r.since = now;
             let service = r.service;
@@ -109,15 +109,15 @@
             w.history.begin(who, clock);
             self.targets += u64::from(service);
         }
-        w.dirty |= !w.strays.is_empty();
-        self.stirred |= had && w.strays.is_empty();
+        w.dirty |= !w.unknown_attempts.is_empty();
+        self.placement_due |= had && w.unknown_attempts.is_empty();
     }
 
     /// Ends the attempts that the worker should have and does not have.
     fn take_missing(&mut self, now: Millis, i: usize, a: &WorkerAnswer) {
         let mut missing = Vec::new();
-        for r in &self.workers[i].residents {
-            let sent = r.sent.is_some_and(|s| s <= a.seq);
+        for r in &self.workers[i].allocations {
+            let sent = r.sent_seq.is_some_and(|s| s <= a.seq);
             if sent && !a.running.contains(&r.attempt) {
                 missing.push(r.attempt);
             }
@@ -130,9 +130,9 @@
     /// Ends the attempts that are to stop and were never sent.
     pub(super) fn end_unsent(&mut self, now: Millis, i: usize) {
         let mut unsent = Vec::new();
-        for r in &self.workers[i].residents {
+        for r in &self.workers[i].allocations {
             let Some(why) = r.stop else { continue };
-            if r.sent.is_none() {
+            if r.sent_seq.is_none() {
                 unsent.push((r.attempt, why));
             }
         }
--- a/crates/core/src/shard/effects.rs
+++ b/crates/core/src/shard/effects.rs
@@ -7,7 +7,7 @@
 
 impl ShardScheduler {
     /// Brings the soft state in line with one effect of record `number`.
-    pub(super) fn follow(&mut self, now: Millis, effect: Effect, number: u64, delay: Millis) {
+    pub(super) fn apply_effect(&mut self, now: Millis, effect: Effect, number: u64, delay: Millis) {
         match effect {
             Effect::Queued(task) => self.enqueue(now, task, delay),
             Effect::Reserved {
@@ -30,11 +30,11 @@
         let (priority, service) = (job.spec.priority, job.spec.service);
         let team = self.team(&org, &team, service);
         if delay > 0 {
-            self.queue.push_later(now + delay, priority, team, task);
+            self.queue.push_delayed(now + delay, priority, team, task);
         } else {
             self.queue.push(priority, team, task, now);
         }
-        self.stirred = true;
+        self.placement_due = true;
     }
 
     /// Reserves room on a worker for an attempt.
@@ -61,10 +61,10 @@
             return;
         };
         let w = &mut self.workers[i];
-        if w.reserve
+        if w.reservation
             .is_some_and(|r| r.task.job == attempt.job && r.task.task == attempt.task)
         {
-            w.reserve = None;
+            w.reservation = None;
         }
         w.add(Allocation {
             attempt,
@@ -73,14 +73,14 @@
             priority,
             service,
             hold,
-            record,
-            sent: None,
-            seen: false,
+            start_record: record,
+            sent_seq: None,
+            is_running: false,
             since: now,
             stop: None,
-            percent: 100,
-            slow: 1.0,
-            turned: 0,
+            cpu_percent: 100,
+            slowdown: 1.0,
+            throttle_changed_at: 0,
         });
         if service {
             self.targets += 1;
@@ -88,14 +88,14 @@
     }
 
     fn free(&mut self, attempt: AttemptId, worker: &Name) {
-        self.stirred = true;
+        self.placement_due = true;
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
             return;
         };
         let Some(resident) = self.workers[i].remove(attempt) else {
             return;
         };
-        let clock = self.workers[i].echo;
+        let clock = self.workers[i].last_clock;
         self.workers[i].history.end(attempt, clock);
         if resident.service {
             self.targets += 1;
@@ -115,7 +115,7 @@
         };
         let w = &mut self.workers[i];
         w.dirty = true;
-        if let Some(r) = w.resident_mut(attempt) {
+        if let Some(r) = w.allocation_mut(attempt) {
             r.stop = Some(StopReason::Unwanted);
             self.targets += u64::from(r.service);
         }
@@ -142,9 +142,9 @@
     }
 
     /// Marks every task on a leaving worker to be moved.
-    pub(super) fn empty_worker(&mut self, i: usize) {
+    pub(super) fn drain_worker(&mut self, i: usize) {
         let w = &mut self.workers[i];
-        for r in &mut w.residents {
+        for r in &mut w.allocations {
             if r.stop.is_none() {
                 r.stop = Some(StopReason::Leaving);
             }
--- a/crates/core/src/shard/ended.rs
+++ b/crates/core/src/shard/ended.rs
@@ -46,14 +46,14 @@
     /// mostly well elsewhere; otherwise it is the task's fault.
     fn judge(&mut self, now: Millis, i: usize, id: AttemptId, end: End) {
         let w = &self.workers[i];
-        let Some(r) = w.resident(id) else { return };
+        let Some(r) = w.allocation(id) else { return };
         let class = r.class;
         let done = match end {
             End::Done => true,
             End::Failed => false,
             End::Lost | End::Refused | End::Evicted { .. } | End::Stopped => return,
         };
-        let here = w.tally(class);
+        let here = w.stats_of(class);
         let c = &mut self.classes[usize::from(class)];
         let done_elsewhere = c.done.saturating_sub(here.done.into());
         let failed_elsewhere = c.failed.saturating_sub(here.failed.into());
@@ -63,11 +63,11 @@
             c.failed += 1;
         }
         let w = &mut self.workers[i];
-        w.count(class, done);
+        w.record_end(class, done);
         if done {
-            w.strikes.clear();
-            self.stirred |= w.bans > 0;
-            w.bans = 0;
+            w.failure_streak.clear();
+            self.placement_due |= w.quarantines > 0;
+            w.quarantines = 0;
             return;
         }
         if failed_elsewhere > done_elsewhere {
@@ -77,17 +77,17 @@
             job: id.job,
             task: id.task,
         };
-        if w.strikes.contains(&task) {
+        if w.failure_streak.contains(&task) {
             return;
         }
-        w.strikes.push(task);
-        let probing = w.bans > 0;
-        if w.strikes.len() < self.settings.strikes && !probing {
+        w.failure_streak.push(task);
+        let probing = w.quarantines > 0;
+        if w.failure_streak.len() < self.settings.strikes && !probing {
             return;
         }
-        let length = (self.settings.ban << w.bans.min(16)).min(self.settings.max_ban);
-        w.ban_until = now + length;
-        w.bans += 1;
-        w.strikes.clear();
+        let length = (self.settings.ban << w.quarantines.min(16)).min(self.settings.max_ban);
+        w.quarantined_until = now + length;
+        w.quarantines += 1;
+        w.failure_streak.clear();
     }
 }
--- a/crates/core/src/shard/evict.rs
+++ b/crates/core/src/shard/evict.rs
@@ -37,13 +37,17 @@
 
 impl ShardScheduler {
     /// Looks for tasks that slow services and acts on the worst of each worker.
-    pub(super) fn tune(&mut self, now: Millis) {
-        if now < self.tuned_at + LOOK {
+    pub(super) fn limit_interference(&mut self, now: Millis) {
+        if now < self.interference_checked_at + LOOK {
             return;
         }
-        self.tuned_at = now;
-        while self.evicted.front().is_some_and(|t| t + MINUTE <= now) {
-            self.evicted.pop_front();
+        self.interference_checked_at = now;
+        while self
+            .recent_evictions
+            .front()
+            .is_some_and(|t| t + MINUTE <= now)
+        {
+            self.recent_evictions.pop_front();
         }
         if self.settings.policy != crate::place::PlacePolicy::Interference {
             return;
@@ -55,9 +59,9 @@
 
     fn tune_worker(&mut self, now: Millis, i: usize) {
         let mut worst = 1.0f32;
-        for r in &self.workers[i].residents {
-            if r.service && r.seen {
-                worst = worst.max(r.slow);
+        for r in &self.workers[i].allocations {
+            if r.service && r.is_running {
+                worst = worst.max(r.slowdown);
             }
         }
         if worst < CALM {
@@ -69,10 +73,11 @@
         let Some((id, gain)) = self.noisiest(i) else {
             return;
         };
-        let Some(r) = self.workers[i].resident(id) else {
+        let Some(r) = self.workers[i].allocation(id) else {
             return;
         };
-        let (class, percent, turned, since) = (r.class, r.percent, r.turned, r.since);
+        let (class, percent, turned, since) =
+            (r.class, r.cpu_percent, r.throttle_changed_at, r.since);
         if percent == 100 {
             if gain >= THROTTLE_AT {
                 self.throttle(now, i, id, THROTTLED);
@@ -81,10 +86,10 @@
         }
         let settled = now >= turned + PATIENCE && now >= since + YOUNG;
         if settled && gain >= EVICT_AT + self.eviction_cost(class) && self.may_evict(id, class) {
-            self.evicted.push_back(now);
+            self.recent_evictions.push_back(now);
             let w = &mut self.workers[i];
             w.dirty = true;
-            if let Some(r) = w.resident_mut(id) {
+            if let Some(r) = w.allocation_mut(id) {
                 r.stop = Some(StopReason::Noisy);
             }
         }
@@ -96,18 +101,18 @@
         let w = &self.workers[i];
         let band = Band::of(w.used.load(&w.total));
         let mut best: Option<(AttemptId, f32)> = None;
-        for r in &w.residents {
-            if r.service || !r.seen || r.stop.is_some() {
+        for r in &w.allocations {
+            if r.service || !r.is_running || r.stop.is_some() {
                 continue;
             }
             let mut gain = 0.0;
-            for v in &w.residents {
+            for v in &w.allocations {
                 if !v.service {
                     continue;
                 }
-                let e = self.pairs.estimate(v.class, r.class, band);
+                let e = self.interference.estimate(v.class, r.class, band);
                 if e.known {
-                    gain += self.bears(v.class) * e.adds;
+                    gain += self.slowdown_weight(v.class) * e.added_slowdown;
                 }
             }
             if best.is_none_or(|b| gain > b.1) {
@@ -128,22 +133,22 @@
             .book
             .active(id)
             .is_some_and(|(_, t, _)| t.evictions < limit);
-        few && self.evicted.len() < self.settings.evictions as usize
+        few && self.recent_evictions.len() < self.settings.evictions as usize
     }
 
     fn throttle(&mut self, now: Millis, i: usize, id: AttemptId, percent: u32) {
         let w = &mut self.workers[i];
         w.dirty = true;
-        if let Some(r) = w.resident_mut(id) {
-            r.percent = percent;
-            r.turned = now;
+        if let Some(r) = w.allocation_mut(id) {
+            r.cpu_percent = percent;
+            r.throttle_changed_at = now;
         }
     }
 
     fn release(&mut self, now: Millis, i: usize) {
         let mut ids = Vec::new();
-        for r in &self.workers[i].residents {
-            if r.percent < 100 && now >= r.turned + RELEASE {
+        for r in &self.workers[i].allocations {
+            if r.cpu_percent < 100 && now >= r.throttle_changed_at + RELEASE {
                 ids.push(r.attempt);
             }
         }
--- a/crates/core/src/shard/exchanges.rs
+++ b/crates/core/src/shard/exchanges.rs
@@ -22,7 +22,7 @@
         for i in 0..self.workers.len() {
             let w = &self.workers[i];
             let wait = if w.dirty { GAP } else { self.settings.exchange };
-            let busy = w.busy && now < w.sent_at + self.settings.silent;
+            let busy = w.awaiting_answer && now < w.sent_at + self.settings.silent;
             if busy || now < w.sent_at + wait || w.addr.port() == 0 {
                 continue;
             }
@@ -42,11 +42,11 @@
         let committed = self.committed;
         let w = &mut self.workers[i];
         w.seq = seq;
-        w.busy = true;
+        w.awaiting_answer = true;
         w.dirty = false;
         w.sent_at = now;
         if renew {
-            w.basis = w.basis.max(w.echo_at);
+            w.lease_start = w.lease_start.max(w.last_clock_at);
         }
         let mut acks = Vec::new();
         for (record, attempt) in &w.acks {
@@ -55,11 +55,11 @@
             }
         }
         let request = WorkerRequest {
-            shard: self.place.name.clone(),
+            shard: self.shard.name.clone(),
             epoch: self.epoch,
             seq,
             boot: w.boot,
-            echo: w.echo,
+            echo: w.last_clock,
             lease: self.settings.lease,
             renew,
             lapse,
@@ -78,9 +78,9 @@
 
     /// Returns the attempts whose organisation's hold is over.
     fn lapsing(&self, now: Millis, w: &Worker) -> Vec<super::AttemptId> {
-        let away = now.saturating_sub(self.store_at);
+        let away = now.saturating_sub(self.store_seen_at);
         let mut out = Vec::new();
-        for r in &w.residents {
+        for r in &w.allocations {
             if !r.service && away > r.hold.min(self.hold_cap) {
                 out.push(r.attempt);
             }
@@ -91,19 +91,19 @@
     /// Returns the starts that are in the journal and not reported as running.
     fn starts(&mut self, now: Millis, i: usize, seq: u64) -> Vec<StartOrder> {
         let (committed, cap) = (self.committed, self.hold_cap);
-        let away = now.saturating_sub(self.store_at);
+        let away = now.saturating_sub(self.store_seen_at);
         let mut out = Vec::new();
         let w = &mut self.workers[i];
-        for r in &mut w.residents {
-            let due = r.record < committed && !r.seen && r.stop.is_none();
+        for r in &mut w.allocations {
+            let due = r.start_record < committed && !r.is_running && r.stop.is_none();
             if !due || (!r.service && away > r.hold.min(cap)) {
                 continue;
             }
             let Some((job, task, _)) = self.book.active(r.attempt) else {
                 continue;
             };
-            r.sent.get_or_insert(seq);
-            out.push(start_order(&self.place.name, r, &job.spec, task));
+            r.sent_seq.get_or_insert(seq);
+            out.push(start_order(&self.shard.name, r, &job.spec, task));
         }
         out
     }
@@ -131,9 +131,9 @@
 
 fn stops(w: &Worker, book: &super::ShardState) -> Vec<StopOrder> {
     let mut out = Vec::new();
-    for r in &w.residents {
+    for r in &w.allocations {
         let Some(why) = r.stop else { continue };
-        if r.sent.is_none() {
+        if r.sent_seq.is_none() {
             continue;
         }
         let can = book.job(r.attempt.job).is_some_and(|j| j.spec.checkpoint);
@@ -142,7 +142,7 @@
             save: can && why != StopReason::Unwanted,
         });
     }
-    for &attempt in &w.strays {
+    for &attempt in &w.unknown_attempts {
         out.push(StopOrder {
             attempt,
             save: false,
@@ -153,11 +153,11 @@
 
 fn throttles(w: &Worker) -> Vec<Throttle> {
     let mut out = Vec::new();
-    for r in &w.residents {
-        if r.percent < 100 || r.turned > 0 {
+    for r in &w.allocations {
+        if r.cpu_percent < 100 || r.throttle_changed_at > 0 {
             out.push(Throttle {
                 attempt: r.attempt,
-                percent: r.percent,
+                percent: r.cpu_percent,
             });
         }
     }
--- a/crates/core/src/shard/lapse.rs
+++ b/crates/core/src/shard/lapse.rs
@@ -8,10 +8,10 @@
 
 impl ShardScheduler {
     /// Marks silent workers and ends the attempts whose leases have lapsed.
-    pub(super) fn watch_workers(&mut self, now: Millis) {
+    pub(super) fn check_workers(&mut self, now: Millis) {
         for i in 0..self.workers.len() {
             let w = &mut self.workers[i];
-            let quiet = now.saturating_sub(w.seen_at) > self.settings.silent;
+            let quiet = now.saturating_sub(w.answered_at) > self.settings.silent;
             if w.health == Health::Good && quiet {
                 w.health = Health::Silent;
                 self.targets += 1;
@@ -35,7 +35,7 @@
     /// Ends the other attempts once no owner's renewal can still hold.
     fn end_lapsed(&mut self, now: Millis, i: usize) {
         let lease = self.settings.lease;
-        let end = self.workers[i].basis + lease + lease / DRIFT + self.settings.margin;
+        let end = self.workers[i].lease_start + lease + lease / DRIFT + self.settings.margin;
         if now <= end {
             return;
         }
@@ -47,7 +47,7 @@
 
     fn ids(&self, i: usize, service: bool) -> Vec<AttemptId> {
         let mut ids = Vec::new();
-        for r in &self.workers[i].residents {
+        for r in &self.workers[i].allocations {
             if r.service == service {
                 ids.push(r.attempt);
             }
--- a/crates/core/src/shard/learn.rs
+++ b/crates/core/src/shard/learn.rs
@@ -19,7 +19,13 @@
 
     /// Tells the machine what a neighbour adds; for measurements that compare
     /// what was learned with what is there to learn.
-    pub fn teach(&mut self, victim: (&Name, &Name), other: (&Name, &Name), band: usize, adds: f32) {
+    pub fn set_interference(
+        &mut self,
+        victim: (&Name, &Name),
+        other: (&Name, &Name),
+        band: usize,
+        adds: f32,
+    ) {
         let find = |m: &ShardScheduler, (org, kind): (&Name, &Name)| {
             m.classes
                 .iter()
@@ -28,7 +34,7 @@
         let (Some(v), Some(o)) = (find(self, victim), find(self, other)) else {
             return;
         };
-        self.pairs.set(v as u16, o as u16, Band(band), adds);
+        self.interference.set(v as u16, o as u16, Band(band), adds);
     }
 
     /// Matches a sample with what ran when it was measured.
@@ -37,8 +43,8 @@
         let w = &mut self.workers[i];
         let band = Band::of(w.used.load(&w.total));
         let ran = w.history.running_at(sample.at);
-        if let Some(r) = w.resident_mut(sample.attempt) {
-            r.slow += SHARE * (slow - r.slow);
+        if let Some(r) = w.allocation_mut(sample.attempt) {
+            r.slowdown += SHARE * (slow - r.slowdown);
         }
         let Some(me) = ran.iter().find(|c| c.attempt == sample.attempt) else {
             return;
@@ -51,6 +57,6 @@
         }
         let class = &mut self.classes[usize::from(me.class)];
         class.seen = class.seen.most(&sample.used);
-        self.pairs.learn(me.class, &others, band, slow, now);
+        self.interference.learn(me.class, &others, band, slow, now);
     }
 }
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -46,7 +46,7 @@
 /// Owns a shard: decides starts, stops and ends.
 #[derive(Debug)]
 pub struct ShardScheduler {
-    pub(super) place: ShardId,
+    pub(super) shard: ShardId,
     pub(super) settings: ShardSettings,
     pub(super) epoch: u64,
     pub(super) rng: SmallRng,
@@ -60,9 +60,9 @@
     pub(super) teams: Vec<TeamUsage>,
     /// Positions of the teams, sorted by organisation and name.
     team_order: Vec<u16>,
-    pub(super) pairs: InterferenceModel,
+    pub(super) interference: InterferenceModel,
     /// Number of workers that stay, by index of the shard.
-    pub(super) counts: Vec<u32>,
+    pub(super) worker_counts: Vec<u32>,
     pub(super) pending: Vec<Record>,
     pub(super) finished: Vec<FinishedJob>,
     /// Number of the next record.
@@ -70,7 +70,7 @@
     /// Records below this number are in the journal.
     pub(super) committed: u64,
     /// Last contact with the table service.
-    pub(super) store_at: Millis,
+    pub(super) store_seen_at: Millis,
     /// Hold that the shard's row states; an owner does not go beyond it.
     pub(super) hold_cap: Millis,
     /// Hold that an earlier owner stated.
@@ -81,13 +81,13 @@
     pub(super) start: Millis,
     /// Finished jobs by the time at which they leave the book.
     pub(super) closing: VecDeque<(Millis, u32)>,
-    pub(super) evicted: VecDeque<Millis>,
+    pub(super) recent_evictions: VecDeque<Millis>,
     /// Whether something changed that may let a task be placed.
-    pub(super) stirred: bool,
+    pub(super) placement_due: bool,
     /// Whether workers that the list lacks were looked for since it came.
     pub(super) adopted: bool,
     pub(super) placed_at: Millis,
-    pub(super) tuned_at: Millis,
+    pub(super) interference_checked_at: Millis,
     pub(super) out: Vec<Action>,
     pub(super) targets: u64,
 }
@@ -109,7 +109,7 @@
             settled,
         } = takeover;
         let mut machine = ShardScheduler {
-            place,
+            shard: place,
             settings,
             epoch,
             rng: SmallRng::seed_from_u64(seed),
@@ -121,23 +121,23 @@
             class_order: Vec::new(),
             teams: Vec::new(),
             team_order: Vec::new(),
-            pairs: InterferenceModel::default(),
-            counts: Vec::new(),
+            interference: InterferenceModel::default(),
+            worker_counts: Vec::new(),
             pending: Vec::new(),
             finished: Vec::new(),
             next,
             committed: next,
-            store_at: now,
+            store_seen_at: now,
             hold_cap: inherited,
             inherited,
             settled,
             start: now,
             closing: VecDeque::new(),
-            evicted: VecDeque::new(),
-            stirred: true,
+            recent_evictions: VecDeque::new(),
+            placement_due: true,
             adopted: false,
             placed_at: 0,
-            tuned_at: 0,
+            interference_checked_at: 0,
             out: Vec::new(),
             targets: 1,
         };
@@ -170,9 +170,9 @@
         match event {
             Event::Organisations(orgs) => self.set_orgs(now, orgs),
             Event::Workers { list, counts } => {
-                self.counts = counts.clone();
+                self.worker_counts = counts.clone();
                 self.set_workers(now, list);
-                self.set_services(now);
+                self.sync_services(now);
             }
             Event::Submit(specs) => self.submit(now, specs),
             Event::Cancel(keys) => self.cancel(now, keys),
@@ -180,7 +180,7 @@
             Event::NoAnswer { worker, seq } => self.no_answer(worker, *seq),
             Event::Committed(upto) => self.commit(now, *upto),
             Event::StoreSeen(hold) => {
-                self.store_at = now;
+                self.store_seen_at = now;
                 self.hold_cap = *hold;
             }
             Event::Settled => self.settle(now),
@@ -191,11 +191,11 @@
     }
 
     fn tick(&mut self, now: Millis) {
-        self.queue.wake(now);
+        self.queue.promote_delayed(now);
         self.adopt_unlisted(now);
-        self.watch_workers(now);
+        self.check_workers(now);
         self.close_jobs(now);
-        self.tune(now);
+        self.limit_interference(now);
         self.place_tasks(now);
         self.send_exchanges(now);
     }
@@ -215,16 +215,16 @@
     }
 
     fn commit(&mut self, now: Millis, upto: u64) {
-        self.store_at = now;
+        self.store_seen_at = now;
         if upto <= self.committed {
             return;
         }
         self.committed = upto;
         for w in &mut self.workers {
             let starts = w
-                .residents
+                .allocations
                 .iter()
-                .any(|r| r.sent.is_none() && r.record < upto);
+                .any(|r| r.sent_seq.is_none() && r.start_record < upto);
             let acks = w.acks.iter().any(|a| a.0 < upto);
             w.dirty |= starts || acks;
         }
@@ -239,7 +239,7 @@
         self.next += 1;
         self.pending.push(record);
         for effect in effects {
-            self.follow(now, effect, number, delay);
+            self.apply_effect(now, effect, number, delay);
         }
         number
     }
@@ -280,11 +280,11 @@
             class.evictions = org.limits.evictions;
         }
         for w in &mut self.workers {
-            for r in &mut w.residents {
+            for r in &mut w.allocations {
                 r.hold = self.classes[usize::from(r.class)].hold;
             }
         }
-        let count = u64::from(self.place.count);
+        let count = u64::from(self.shard.count);
         for team in &mut self.teams {
             let Ok(i) = self.orgs.binary_search_by(|o| o.name.cmp(&team.org)) else {
                 continue;
@@ -294,8 +294,8 @@
                 team.quota = Some(quota.unwrap_or_default());
             }
         }
-        self.stirred = true;
-        self.set_services(now);
+        self.placement_due = true;
+        self.sync_services(now);
     }
 
     /// Returns the longest time for which any owner may go on without the
@@ -316,7 +316,8 @@
             }
         }
         let before = self.workers.len();
-        self.workers.retain(|w| w.listed || !w.residents.is_empty());
+        self.workers
+            .retain(|w| w.listed || !w.allocations.is_empty());
         if self.workers.len() != before {
             self.targets += 1;
         }
@@ -328,7 +329,7 @@
         self.settled = true;
         for w in &mut self.workers {
             if w.health == Health::New {
-                w.basis = w.basis.min(now);
+                w.lease_start = w.lease_start.min(now);
             }
         }
     }
@@ -345,11 +346,11 @@
         if info.leaving && !w.leaving {
             w.leaving = true;
             self.targets += 1;
-            self.empty_worker(i);
+            self.drain_worker(i);
         } else if !info.leaving && w.leaving {
             w.leaving = false;
             self.targets += 1;
-            self.stirred = true;
+            self.placement_due = true;
         }
     }
 
@@ -384,10 +385,10 @@
         }
         for (attempt, size, unwanted) in found {
             self.reserve(now, attempt, &name, &size, 0);
-            let Some(r) = self.workers[i].resident_mut(attempt) else {
+            let Some(r) = self.workers[i].allocation_mut(attempt) else {
                 continue;
             };
-            r.sent = Some(0);
+            r.sent_seq = Some(0);
             if unwanted {
                 r.stop = Some(super::StopReason::Unwanted);
             }
@@ -398,7 +399,7 @@
     ///
     /// Not at once, since the first list may come before it is complete.
     pub(super) fn adopt_unlisted(&mut self, now: Millis) {
-        let known = !self.counts.is_empty();
+        let known = !self.worker_counts.is_empty();
         if self.adopted || !known || now < self.start + self.settings.silent {
             return;
         }
@@ -448,7 +449,7 @@
                 self.record(now, Record::Rejected { job, reason }, 0);
             }
         }
-        self.stirred = true;
+        self.placement_due = true;
     }
 
     /// Returns the number of open jobs of each organisation, in their order.
@@ -546,7 +547,7 @@
             done: 0,
             failed: 0,
         });
-        self.pairs.grow(self.classes.len());
+        self.interference.grow(self.classes.len());
         let new = (self.classes.len() - 1) as u16;
         self.class_order.insert(at, new);
         new
@@ -562,7 +563,7 @@
             Ok(at) => return self.team_order[at],
             Err(at) => at,
         };
-        let count = u64::from(self.place.count);
+        let count = u64::from(self.shard.count);
         let quota = self
             .orgs
             .iter()
--- a/crates/core/src/shard/mod.rs
+++ b/crates/core/src/shard/mod.rs
@@ -46,7 +46,7 @@
 pub use exchanges::checkpoint_key;
 pub use job::{Job, JobKey, JobSpec, JobState};
 pub use machine::{ShardId, ShardScheduler, Takeover};
-pub use queue::{Queue, ReadyTask, Shape, TaskRef};
+pub use queue::{Queue, ReadyTask, TaskRef, TaskShape};
 pub use record::{End, Record};
 pub use resident::{Allocation, StopReason};
 pub use settings::ShardSettings;
--- a/crates/core/src/shard/place_tasks.rs
+++ b/crates/core/src/shard/place_tasks.rs
@@ -3,8 +3,8 @@
 use rand::Rng;
 
 use super::{
-    AttemptId, Job, ReadyTask, Record, Reservation, Shape, ShardScheduler, StopReason, Task,
-    TaskRef, TaskState, Worker,
+    AttemptId, Job, ReadyTask, Record, Reservation, ShardScheduler, StopReason, Task, TaskRef,
+    TaskShape, TaskState, Worker,
 };
 use crate::{
     Millis,
@@ -63,9 +63,9 @@
 impl Wanted {
     /// Returns what it has in common with the tasks that find room where it does; nothing if it
     /// stands for itself alone.
-    fn shape(&self) -> Option<Shape> {
+    fn shape(&self) -> Option<TaskShape> {
         let alone = self.service || !self.avoid.is_empty();
-        (!alone).then_some(Shape {
+        (!alone).then_some(TaskShape {
             class: self.class,
             size: self.size,
         })
@@ -85,7 +85,7 @@
 #[derive(PartialEq)]
 struct Passed {
     team: u16,
-    shape: Shape,
+    shape: TaskShape,
 }
 
 /// What is left over while a priority is placed.
@@ -99,7 +99,7 @@
 }
 
 impl Leftover {
-    fn is_passed(&self, team: u16, shape: &Shape) -> bool {
+    fn is_passed(&self, team: u16, shape: &TaskShape) -> bool {
         let mut passed = self.passed.iter();
         passed.any(|p| p.team == team && p.shape == *shape)
     }
@@ -108,16 +108,16 @@
 impl ShardScheduler {
     /// Gives queued tasks to workers: urgent first.
     pub(super) fn place_tasks(&mut self, now: Millis) {
-        if !self.stirred && now < self.placed_at + RETRY {
+        if !self.placement_due && now < self.placed_at + RETRY {
             return;
         }
-        self.stirred = false;
+        self.placement_due = false;
         self.placed_at = now;
         let mut left = self.settings.batch;
         for priority in Priority::ALL {
             self.place_priority(now, priority, &mut left);
         }
-        self.stirred |= left == 0;
+        self.placement_due |= left == 0;
     }
 
     /// Places the tasks of a priority.
@@ -175,12 +175,12 @@
         over: &mut Leftover,
     ) -> Option<Head> {
         while over.tasks.iter().filter(|t| t.0 == team).count() < LOOKAHEAD {
-            let is_passed = |shape: &Shape| over.is_passed(team, shape);
+            let is_passed = |shape: &TaskShape| over.is_passed(team, shape);
             let ready = self.queue.pop_oldest(priority, team, is_passed)?;
             let Some(wanted) = self.wanted(ready.task) else {
                 continue;
             };
-            if !self.teams[usize::from(team)].allows(&wanted.size) {
+            if !self.teams[usize::from(team)].fits_quota(&wanted.size) {
                 over.tasks.push((team, ready));
                 return None;
             }
@@ -207,7 +207,7 @@
             if !stuck {
                 over.stuck.push(wanted.size);
             }
-            self.queue.hold(priority, team, ready, shape);
+            self.queue.push_blocked(priority, team, ready, shape);
             if !over.is_passed(team, &shape) {
                 over.passed.push(Passed { team, shape });
                 self.preempt_line(now, team, priority, &shape);
@@ -217,11 +217,11 @@
     }
 
     /// Makes room for urgent tasks that are held up behind the first of their shape.
-    fn preempt_line(&mut self, now: Millis, team: u16, priority: Priority, shape: &Shape) {
+    fn preempt_line(&mut self, now: Millis, team: u16, priority: Priority, shape: &TaskShape) {
         if priority != Priority::Urgent {
             return;
         }
-        let held = self.queue.first_held(priority, team, shape, PREEMPTING);
+        let held = self.queue.first_blocked(priority, team, shape, PREEMPTING);
         for ready in held.into_iter().skip(1) {
             if let Some(wanted) = self.wanted(ready.task) {
                 self.consider_preempting(now, &wanted, ready.since);
@@ -343,14 +343,14 @@
         let spread = self.workers.len() > wanted.avoid.len();
         for i in candidates {
             let w = &self.workers[i];
-            if !w.open(now) || !wanted.size.fits(&w.room_for(wanted.task, now)) {
+            if !w.accepts_tasks(now) || !wanted.size.fits(&w.available_for(wanted.task, now)) {
                 continue;
             }
             if spread && wanted.avoid.contains(&w.name) {
                 continue;
             }
             let twin = |r: &super::Allocation| r.attempt.job == wanted.task.job;
-            if wanted.service && w.residents.iter().any(twin) {
+            if wanted.service && w.allocations.iter().any(twin) {
                 continue;
             }
             let mut score = match self.settings.policy {
@@ -375,7 +375,7 @@
             if *w.rack != *rack {
                 continue;
             }
-            count += usize::from(w.residents.iter().any(|r| r.attempt.job == job));
+            count += usize::from(w.allocations.iter().any(|r| r.attempt.job == job));
         }
         count
     }
@@ -386,17 +386,18 @@
         let load = load_after(w, &wanted.size);
         let band = Band::of(f64::from(load));
         let mut cost = LOAD * load;
-        let mine = self.bears(wanted.class);
-        for r in &w.residents {
-            let to_them = self.pairs.estimate(r.class, wanted.class, band);
-            let to_me = self.pairs.estimate(wanted.class, r.class, band);
-            cost += self.bears(r.class) * to_them.adds + mine * to_me.adds;
+        let mine = self.slowdown_weight(wanted.class);
+        for r in &w.allocations {
+            let to_them = self.interference.estimate(r.class, wanted.class, band);
+            let to_me = self.interference.estimate(wanted.class, r.class, band);
+            cost += self.slowdown_weight(r.class) * to_them.added_slowdown
+                + mine * to_me.added_slowdown;
         }
         cost
     }
 
     /// Returns the weight of a slowdown of a class.
-    pub(super) fn bears(&self, class: u16) -> f32 {
+    pub(super) fn slowdown_weight(&self, class: u16) -> f32 {
         let c = &self.classes[usize::from(class)];
         let weight = if c.service {
             c.weights.tail * TAIL
@@ -409,15 +410,18 @@
     /// Makes room for an urgent task by evicting others.
     fn preempt(&mut self, now: Millis, wanted: &Wanted) {
         let task = wanted.task;
-        let kept = |w: &Worker| w.reserve.is_some_and(|r| r.task == task && r.until > now);
+        let kept = |w: &Worker| {
+            w.reservation
+                .is_some_and(|r| r.task == task && r.until > now)
+        };
         if self.workers.iter().any(kept) {
             return;
         }
         let mut best: Option<(usize, Vec<AttemptId>)> = None;
         for i in 0..self.workers.len() {
             let w = &self.workers[i];
-            let taken = w.reserve.is_some_and(|r| r.until > now);
-            if !w.open(now) || taken || !wanted.size.fits(&w.total) {
+            let taken = w.reservation.is_some_and(|r| r.until > now);
+            if !w.accepts_tasks(now) || taken || !wanted.size.fits(&w.total) {
                 continue;
             }
             let Some(victims) = self.victims(w, &wanted.size) else {
@@ -429,14 +433,14 @@
         }
         let Some((i, victims)) = best else { return };
         let w = &mut self.workers[i];
-        w.reserve = Some(Reservation {
+        w.reservation = Some(Reservation {
             task,
             size: wanted.size,
             until: now + self.settings.reserve,
         });
         w.dirty = true;
         for id in victims {
-            if let Some(r) = w.resident_mut(id) {
+            if let Some(r) = w.allocation_mut(id) {
                 r.stop = Some(StopReason::Preempted);
             }
         }
@@ -446,8 +450,8 @@
     /// ones that started last.
     fn victims(&self, w: &Worker, size: &Size) -> Option<Vec<AttemptId>> {
         let mut order = Vec::new();
-        let mut room = w.room();
-        for r in &w.residents {
+        let mut room = w.available();
+        for r in &w.allocations {
             if r.stop.is_some() {
                 room = room.plus(&r.size);
                 continue;
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -39,7 +39,7 @@
 
 /// What tasks have in common that find room alike.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Shape {
+pub struct TaskShape {
     /// Number of their class.
     pub class: u16,
     /// What each of them asks for.
@@ -49,7 +49,7 @@
 /// Tasks of one shape that found no room when they were last tried, the oldest first.
 #[derive(Debug, Clone)]
 struct Line {
-    shape: Shape,
+    shape: TaskShape,
     tasks: VecDeque<ReadyTask>,
 }
 
@@ -78,12 +78,12 @@
         self.tasks.len() + held
     }
 
-    fn line(&self, shape: &Shape) -> Option<usize> {
+    fn line(&self, shape: &TaskShape) -> Option<usize> {
         self.held.iter().position(|l| l.shape == *shape)
     }
 
     /// Returns the line with the oldest first task, of those that are not passed over.
-    fn oldest_line(&self, is_passed: impl Fn(&Shape) -> bool) -> Option<(usize, ReadyTask)> {
+    fn oldest_line(&self, is_passed: impl Fn(&TaskShape) -> bool) -> Option<(usize, ReadyTask)> {
         let lines = self.held.iter().enumerate();
         let firsts = lines
             .filter(|(_, l)| !is_passed(&l.shape))
@@ -134,7 +134,7 @@
     }
 
     /// Adds a task that becomes ready at `until`.
-    pub fn push_later(&mut self, until: u64, priority: Priority, team: u16, task: TaskRef) {
+    pub fn push_delayed(&mut self, until: u64, priority: Priority, team: u16, task: TaskRef) {
         let i = self.delayed.partition_point(|d| d.until >= until);
         self.delayed.insert(
             i,
@@ -148,7 +148,7 @@
     }
 
     /// Moves the tasks whose delay is over into their lanes.
-    pub fn wake(&mut self, now: u64) {
+    pub fn promote_delayed(&mut self, now: u64) {
         while self.delayed.last().is_some_and(|d| d.until <= now) {
             let Some(d) = self.delayed.pop() else { return };
             self.push(d.priority, d.team, d.task, d.until);
@@ -188,7 +188,7 @@
         &mut self,
         priority: Priority,
         team: u16,
-        is_passed: impl Fn(&Shape) -> bool,
+        is_passed: impl Fn(&TaskShape) -> bool,
     ) -> Option<ReadyTask> {
         let lane = self.lane(priority, team);
         let line = lane.oldest_line(is_passed);
@@ -200,7 +200,13 @@
     }
 
     /// Has a task that found no room wait behind older ones of its shape.
-    pub fn hold(&mut self, priority: Priority, team: u16, ready: ReadyTask, shape: Shape) {
+    pub fn push_blocked(
+        &mut self,
+        priority: Priority,
+        team: u16,
+        ready: ReadyTask,
+        shape: TaskShape,
+    ) {
         let lane = self.lane(priority, team);
         let Some(at) = lane.line(&shape) else {
             let tasks = VecDeque::from([ready]);
@@ -215,11 +221,11 @@
     }
 
     /// Returns the first tasks of a shape that are held up, `most` at most.
-    pub fn first_held(
+    pub fn first_blocked(
         &mut self,
         priority: Priority,
         team: u16,
-        shape: &Shape,
+        shape: &TaskShape,
         most: usize,
     ) -> Vec<ReadyTask> {
         let lane = self.lane(priority, team);
--- a/crates/core/src/shard/resident.rs
+++ b/crates/core/src/shard/resident.rs
@@ -32,19 +32,19 @@
     /// How long it goes on without the table service.
     pub hold: Millis,
     /// Number of the record that started it; sent when that is committed.
-    pub record: u64,
+    pub start_record: u64,
     /// First exchange that carried the start.
-    pub sent: Option<u64>,
+    pub sent_seq: Option<u64>,
     /// Whether the worker reported it as running.
-    pub seen: bool,
+    pub is_running: bool,
     /// When its start was recorded, by the owner's clock.
     pub since: Millis,
     /// Why it is to stop, if it is.
     pub stop: Option<StopReason>,
     /// Share of its processors in hundredths.
-    pub percent: u32,
+    pub cpu_percent: u32,
     /// How much slower than alone it was at the last sample; 1 is not slowed.
-    pub slow: f32,
+    pub slowdown: f32,
     /// When it was last throttled or released, by the owner's clock.
-    pub turned: Millis,
+    pub throttle_changed_at: Millis,
 }
--- a/crates/core/src/shard/services.rs
+++ b/crates/core/src/shard/services.rs
@@ -17,8 +17,8 @@
     /// Brings the replicas of every service to the number that the templates want.
     ///
     /// Nothing changes before the workers are known.
-    pub(super) fn set_services(&mut self, now: Millis) {
-        if self.counts.is_empty() {
+    pub(super) fn sync_services(&mut self, now: Millis) {
+        if self.worker_counts.is_empty() {
             return;
         }
         let orgs = self.orgs.clone();
@@ -31,7 +31,7 @@
     }
 
     fn set_service(&mut self, now: Millis, org: &Organisation, service: &Service) {
-        let tasks = share(service.replicas, self.place.index, &self.counts);
+        let tasks = share(service.replicas, self.shard.index, &self.worker_counts);
         let key = service_key(&org.name, &service.name);
         let Some(job) = self.book.find(&key) else {
             let spec = spec(key, service, tasks);
--- a/crates/core/src/shard/status.rs
+++ b/crates/core/src/shard/status.rs
@@ -130,8 +130,8 @@
     pub fn targets(&self) -> Vec<TargetInfo> {
         let mut out = Vec::new();
         for w in &self.workers {
-            for r in &w.residents {
-                if !r.service || !r.seen {
+            for r in &w.allocations {
+                if !r.service || !r.is_running {
                     continue;
                 }
                 let Some(job) = self.book.job(r.attempt.job) else {
@@ -167,12 +167,12 @@
     pub fn status(&self, now: Millis) -> ShardStatus {
         let largest = self.largest();
         let mut status = ShardStatus {
-            shard: self.place.name.clone(),
+            shard: self.shard.name.clone(),
             epoch: self.epoch,
             jobs: 0,
             queued: self.queue.len() as u32,
             active: 0,
-            store_age: now.saturating_sub(self.store_at),
+            store_age: now.saturating_sub(self.store_seen_at),
             workers: Vec::with_capacity(self.workers.len()),
             blocked: Vec::new(),
         };
@@ -186,15 +186,15 @@
             }
         }
         for w in &self.workers {
-            status.active += w.residents.len() as u32;
+            status.active += w.allocations.len() as u32;
             status.workers.push(WorkerStatus {
                 name: w.name.clone(),
                 health: w.health,
-                quarantined: w.bans > 0 && now < w.ban_until,
+                quarantined: w.quarantines > 0 && now < w.quarantined_until,
                 leaving: w.leaving,
                 total: w.total,
                 used: w.used,
-                residents: w.residents.len() as u32,
+                residents: w.allocations.len() as u32,
             });
         }
         status
--- a/crates/core/src/shard/team_use.rs
+++ b/crates/core/src/shard/team_use.rs
@@ -14,7 +14,7 @@
 
 impl TeamUsage {
     /// Tells whether `size` more stays within the quota.
-    pub fn allows(&self, size: &Size) -> bool {
+    pub fn fits_quota(&self, size: &Size) -> bool {
         self.quota.is_none_or(|q| self.used.plus(size).fits(&q))
     }
 
--- a/crates/core/src/shard/worker.rs
+++ b/crates/core/src/shard/worker.rs
@@ -53,10 +53,10 @@
     pub target: SocketAddr,
     /// What it can hold.
     pub total: Size,
-    /// What its residents reserve.
+    /// What its allocations reserve.
     pub used: Size,
     /// Attempts on it, sorted by id.
-    pub residents: Vec<Allocation>,
+    pub allocations: Vec<Allocation>,
     /// Health.
     pub health: Health,
     /// Whether it is about to leave.
@@ -66,35 +66,35 @@
     /// Number of its last exchange.
     pub seq: u64,
     /// Whether an exchange is under way.
-    pub busy: bool,
+    pub awaiting_answer: bool,
     /// When the last exchange was sent.
     pub sent_at: Millis,
     /// When the last answer came.
-    pub seen_at: Millis,
+    pub answered_at: Millis,
     /// Its boot; 0 before the first answer.
     pub boot: u64,
     /// Its clock in the last answer.
-    pub echo: Millis,
+    pub last_clock: Millis,
     /// When that answer came.
-    pub echo_at: Millis,
-    /// Latest `echo_at` that a renewal was based on, by any owner.
-    pub basis: Millis,
+    pub last_clock_at: Millis,
+    /// Latest `last_clock_at` that a renewal was based on, by any owner.
+    pub lease_start: Millis,
     /// Whether something new waits to be sent.
     pub dirty: bool,
     /// Ended attempts that it may forget after the record given.
     pub acks: Vec<(u64, AttemptId)>,
     /// Attempts that it runs and the book does not know.
-    pub strays: Vec<AttemptId>,
+    pub unknown_attempts: Vec<AttemptId>,
     /// Distinct tasks that failed in a row.
-    pub strikes: Vec<TaskRef>,
+    pub failure_streak: Vec<TaskRef>,
     /// How tasks ended here, sorted by class.
-    pub tallies: Vec<ClassStats>,
+    pub class_stats: Vec<ClassStats>,
     /// Quarantines in a row.
-    pub bans: u32,
+    pub quarantines: u32,
     /// End of the last quarantine.
-    pub ban_until: Millis,
+    pub quarantined_until: Millis,
     /// Room that is kept for a task.
-    pub reserve: Option<Reservation>,
+    pub reservation: Option<Reservation>,
     /// What ran when, to match late samples.
     pub history: History,
 }
@@ -111,56 +111,56 @@
             target: info.target,
             total: info.size,
             used: Size::default(),
-            residents: Vec::new(),
+            allocations: Vec::new(),
             health: Health::New,
             leaving: info.leaving,
             listed: true,
             seq: 0,
-            busy: false,
+            awaiting_answer: false,
             sent_at: 0,
-            seen_at: now,
+            answered_at: now,
             boot: 0,
-            echo: 0,
-            echo_at: 0,
-            basis,
+            last_clock: 0,
+            last_clock_at: 0,
+            lease_start: basis,
             dirty: true,
             acks: Vec::new(),
-            strays: Vec::new(),
-            strikes: Vec::new(),
-            tallies: Vec::new(),
-            bans: 0,
-            ban_until: 0,
-            reserve: None,
+            unknown_attempts: Vec::new(),
+            failure_streak: Vec::new(),
+            class_stats: Vec::new(),
+            quarantines: 0,
+            quarantined_until: 0,
+            reservation: None,
             history: History::default(),
         }
     }
 
     /// Returns the room that is not reserved.
-    pub fn room(&self) -> Size {
+    pub fn available(&self) -> Size {
         self.total.minus(&self.used)
     }
 
     /// Returns the room that `task` may use.
-    pub fn room_for(&self, task: TaskRef, now: Millis) -> Size {
-        match &self.reserve {
-            Some(r) if r.task != task && r.until > now => self.room().minus(&r.size),
-            _ => self.room(),
+    pub fn available_for(&self, task: TaskRef, now: Millis) -> Size {
+        match &self.reservation {
+            Some(r) if r.task != task && r.until > now => self.available().minus(&r.size),
+            _ => self.available(),
         }
     }
 
     /// Tells whether it may be given tasks.
     ///
     /// After a quarantine it gets one task at a time until one is done.
-    pub fn open(&self, now: Millis) -> bool {
+    pub fn accepts_tasks(&self, now: Millis) -> bool {
         let well = self.health == Health::Good && self.listed && !self.leaving;
-        let probing = self.residents.iter().any(|r| !r.service);
-        let trusted = self.bans == 0 || (now >= self.ban_until && !probing);
-        well && trusted && self.strays.is_empty()
+        let probing = self.allocations.iter().any(|r| !r.service);
+        let trusted = self.quarantines == 0 || (now >= self.quarantined_until && !probing);
+        well && trusted && self.unknown_attempts.is_empty()
     }
 
     /// Counts the end of a task of `class`.
-    pub fn count(&mut self, class: u16, done: bool) {
-        let i = match self.tallies.binary_search_by_key(&class, |t| t.class) {
+    pub fn record_end(&mut self, class: u16, done: bool) {
+        let i = match self.class_stats.binary_search_by_key(&class, |t| t.class) {
             Ok(i) => i,
             Err(i) => {
                 let new = ClassStats {
@@ -168,11 +168,11 @@
                     done: 0,
                     failed: 0,
                 };
-                self.tallies.insert(i, new);
+                self.class_stats.insert(i, new);
                 i
             }
         };
-        let tally = &mut self.tallies[i];
+        let tally = &mut self.class_stats[i];
         if done {
             tally.done += 1;
         } else {
@@ -181,54 +181,54 @@
     }
 
     /// Returns how tasks of `class` ended here.
-    pub fn tally(&self, class: u16) -> ClassStats {
+    pub fn stats_of(&self, class: u16) -> ClassStats {
         let none = ClassStats {
             class,
             done: 0,
             failed: 0,
         };
-        let found = self.tallies.binary_search_by_key(&class, |t| t.class);
-        found.map_or(none, |i| self.tallies[i])
+        let found = self.class_stats.binary_search_by_key(&class, |t| t.class);
+        found.map_or(none, |i| self.class_stats[i])
     }
 
     /// Returns the resident with this id.
-    pub fn resident(&self, id: AttemptId) -> Option<&Allocation> {
+    pub fn allocation(&self, id: AttemptId) -> Option<&Allocation> {
         let i = self
-            .residents
+            .allocations
             .binary_search_by_key(&id, |r| r.attempt)
             .ok()?;
-        Some(&self.residents[i])
+        Some(&self.allocations[i])
     }
 
     /// Returns the resident with this id.
-    pub fn resident_mut(&mut self, id: AttemptId) -> Option<&mut Allocation> {
+    pub fn allocation_mut(&mut self, id: AttemptId) -> Option<&mut Allocation> {
         let i = self
-            .residents
+            .allocations
             .binary_search_by_key(&id, |r| r.attempt)
             .ok()?;
-        Some(&mut self.residents[i])
+        Some(&mut self.allocations[i])
     }
 
     /// Adds a resident and reserves its room.
     pub fn add(&mut self, resident: Allocation) {
         let Err(i) = self
-            .residents
+            .allocations
             .binary_search_by_key(&resident.attempt, |r| r.attempt)
         else {
             return;
         };
         self.used = self.used.plus(&resident.size);
-        self.residents.insert(i, resident);
+        self.allocations.insert(i, resident);
         self.dirty = true;
     }
 
     /// Removes a resident and frees its room.
     pub fn remove(&mut self, id: AttemptId) -> Option<Allocation> {
         let i = self
-            .residents
+            .allocations
             .binary_search_by_key(&id, |r| r.attempt)
             .ok()?;
-        let resident = self.residents.remove(i);
+        let resident = self.allocations.remove(i);
         self.used = self.used.minus(&resident.size);
         Some(resident)
     }
--- a/crates/core/tests/guards.rs
+++ b/crates/core/tests/guards.rs
@@ -192,7 +192,7 @@
             new.step(now, &Event::Settled);
         }
         new.step(now, &Event::Tick);
-        if new.workers()[0].residents.is_empty() {
+        if new.workers()[0].allocations.is_empty() {
             return now - NOW;
         }
     }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -65,7 +65,7 @@
     let w = world(PlacePolicy::Interference);
     let mut racks = Vec::new();
     for worker in w.owners[0].machine.workers() {
-        let replicas = worker.residents.iter().filter(|r| r.service).count();
+        let replicas = worker.allocations.iter().filter(|r| r.service).count();
         assert!(replicas <= 1);
         if replicas == 1 {
             racks.push(worker.rack.clone());
@@ -166,7 +166,7 @@
     assert!(w.run_until_finished(30_000));
     check_promises(&w);
     for worker in w.owners[0].machine.workers() {
-        assert!(worker.residents.iter().all(|r| r.service));
+        assert!(worker.allocations.iter().all(|r| r.service));
     }
 }
 
@@ -176,12 +176,12 @@
     let task = |job| TaskRef { job, task: 0 };
     q.push(Priority::Bulk, 0, task(1), 5);
     q.push(Priority::Urgent, 1, task(2), 6);
-    q.push_later(50, Priority::Urgent, 1, task(3));
+    q.push_delayed(50, Priority::Urgent, 1, task(3));
     assert_eq!((q.len(), q.teams(Priority::Urgent)), (3, vec![1]));
-    q.wake(49);
+    q.promote_delayed(49);
     assert_eq!(q.pop(Priority::Urgent, 1).expect("ready").task, task(2));
     assert!(q.pop(Priority::Urgent, 1).is_none(), "not yet");
-    q.wake(50);
+    q.promote_delayed(50);
     assert_eq!(q.pop(Priority::Urgent, 1).expect("ready").since, 50);
     assert!(!q.is_empty());
 }
@@ -215,14 +215,14 @@
         pairs.learn(0, &[2], band, 1.0, i * 100);
     }
     let (noisy, quiet) = (pairs.estimate(0, 1, band), pairs.estimate(0, 2, band));
-    assert!(noisy.known && noisy.adds > 0.6, "{noisy:?}");
-    assert!(quiet.known && quiet.adds < 0.2, "{quiet:?}");
+    assert!(noisy.known && noisy.added_slowdown > 0.6, "{noisy:?}");
+    assert!(quiet.known && quiet.added_slowdown < 0.2, "{quiet:?}");
     for i in 200..400 {
         pairs.learn(0, &[1], band, 1.0, i * 100);
         pairs.learn(0, &[2], band, 1.8, i * 100);
     }
-    assert!(pairs.estimate(0, 1, band).adds < 0.1);
-    assert!(pairs.estimate(0, 2, band).adds > 0.6);
+    assert!(pairs.estimate(0, 1, band).added_slowdown < 0.1);
+    assert!(pairs.estimate(0, 2, band).added_slowdown > 0.6);
 }
 
 #[test]
@@ -231,7 +231,7 @@
     pairs.grow(2);
     pairs.learn(0, &[1], Band::of(0.9), 2.0, 0);
     let low = pairs.estimate(0, 1, Band::of(0.1));
-    assert!(low.known && low.adds > 0.2, "{low:?}");
+    assert!(low.known && low.added_slowdown > 0.2, "{low:?}");
     pairs.grow(5);
     assert_eq!(
         pairs.estimate(0, 1, Band::of(0.1)),
@@ -253,5 +253,8 @@
     pairs.grow(2);
     pairs.learn(0, &[1], Band(0), slow, 0);
     let e = pairs.estimate(0, 1, Band(0));
-    assert!(e.adds.is_finite() && (0.0..=4.0).contains(&e.adds), "{e:?}");
+    assert!(
+        e.added_slowdown.is_finite() && (0.0..=4.0).contains(&e.added_slowdown),
+        "{e:?}"
+    );
 }
--- a/crates/core/tests/waits.rs
+++ b/crates/core/tests/waits.rs
@@ -5,7 +5,7 @@
 use common::{World, WorldSettings, check_promises, spec};
 use gorsespur_core::{
     place::PlacePolicy,
-    shard::{JobState, Queue, Shape, TaskRef},
+    shard::{JobState, Queue, TaskRef, TaskShape},
     size::Size,
     template::Priority,
 };
@@ -58,7 +58,7 @@
 fn held_tasks_come_by_age() {
     let mut queue = Queue::default();
     let (lane, team) = (Priority::Normal, 0);
-    let shapes = [1, 2].map(|class| Shape {
+    let shapes = [1, 2].map(|class| TaskShape {
         class,
         size: Size::new(1000, 1 << 20, 0),
     });
@@ -67,16 +67,16 @@
     }
     for at in [0, 1, 0, 1] {
         let ready = queue.pop(lane, team).expect("ready");
-        queue.hold(lane, team, ready, shapes[at]);
+        queue.push_blocked(lane, team, ready, shapes[at]);
     }
     // The first of a shape was tried and is held again.
     let first = queue.pop_oldest(lane, team, |_| false).expect("held");
     assert_eq!(first.task.task, 0);
-    queue.hold(lane, team, first, shapes[0]);
-    let held = queue.first_held(lane, team, &shapes[0], 8);
+    queue.push_blocked(lane, team, first, shapes[0]);
+    let held = queue.first_blocked(lane, team, &shapes[0], 8);
     assert_eq!(held.iter().map(|r| r.task.task).collect::<Vec<_>>(), [0, 2]);
     assert_eq!((queue.len(), queue.teams(lane)), (6, vec![team]));
-    let passed = |s: &Shape| *s == shapes[0];
+    let passed = |s: &TaskShape| *s == shapes[0];
     let mut taken = Vec::new();
     while let Some(ready) = queue.pop_oldest(lane, team, passed) {
         taken.push(ready.task.task);
--- a/crates/load/src/measure/floor.rs
+++ b/crates/load/src/measure/floor.rs
@@ -7,7 +7,7 @@
 use gorsespur_core::{
     Millis,
     name::Name,
-    place::{BANDS, PlacePolicy},
+    place::{BAND_COUNT, PlacePolicy},
     shard::{
         Action, End, Event, JobKey, JobSpec, Record, ShardId, ShardScheduler, ShardSettings,
         ShardState, Takeover, WorkerInfo,
@@ -42,7 +42,7 @@
 const BASE_US: f64 = 4_000.0;
 
 /// Representative loads of the bands.
-const LOADS: [f64; BANDS] = [0.3, 0.7, 0.9];
+const LOADS: [f64; BAND_COUNT] = [0.3, 0.7, 0.9];
 
 /// What is run.
 #[derive(Debug, Clone)]
@@ -278,7 +278,7 @@
                 for (band, load) in LOADS.iter().enumerate() {
                     let adds = slowdown.adds(victim, other, *load) as f32;
                     self.machine
-                        .teach((&org, victim), (&org, other), band, adds);
+                        .set_interference((&org, victim), (&org, other), band, adds);
                 }
             }
         }
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -101,7 +101,7 @@
     machine.step(now, &Event::Committed(upto));
     let mut answers = Vec::new();
     for w in machine.workers() {
-        let running = w.residents.iter().map(|r| r.attempt).collect();
+        let running = w.allocations.iter().map(|r| r.attempt).collect();
         answers.push((
             w.name.clone(),
             WorkerAnswer {
@@ -277,7 +277,7 @@
     new.step(START, &Event::Organisations(vec![organisation(1)]));
     let counts = vec![list.len() as u32];
     new.step(START, &Event::Workers { list, counts });
-    let residents: usize = new.workers().iter().map(|w| w.residents.len()).sum();
+    let residents: usize = new.workers().iter().map(|w| w.allocations.len()).sum();
     println!(
         "starts: recovered_tasks={residents} workers={RECOVERED} snapshot_bytes={} decode_ms={:.1} total_ms={:.1}",
         bytes.len(),
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -125,7 +125,7 @@
         clock: now,
         size: Size::new(30_000, 125 << 30, 0),
         leaving: false,
-        running: w.residents.iter().map(|r| r.attempt).collect(),
+        running: w.allocations.iter().map(|r| r.attempt).collect(),
         ended: Vec::new(),
         samples: Vec::new(),
     };
--- a/crates/replay/src/reader.rs
+++ b/crates/replay/src/reader.rs
@@ -73,7 +73,7 @@
 fn inspect(machine: &ShardScheduler, outcome: &mut Outcome) {
     for w in machine.workers() {
         let mut sum = gorsespur_core::size::Size::default();
-        for r in &w.residents {
+        for r in &w.allocations {
             sum = sum.plus(&r.size);
             let id = r.attempt;
             let task = machine
