--- a/crates/core/src/config/configs.rs
+++ b/crates/core/src/config/configs.rs
@@ -14,7 +14,7 @@
 
 impl Configs {
     /// Takes over an entry if it is newer than the one in force.
-    pub fn offer(&mut self, entry: &ConfigEntry) -> bool {
+    pub fn update(&mut self, entry: &ConfigEntry) -> bool {
         let name = &entry.template.name;
         match self.entries.binary_search_by(|e| e.template.name.cmp(name)) {
             Ok(i) if self.entries[i].version >= entry.version => false,
@@ -54,7 +54,7 @@
     }
 
     /// Takes note that every change up to `head` was offered.
-    pub fn reach(&mut self, head: u64) {
+    pub fn advance_head(&mut self, head: u64) {
         self.head = self.head.max(head);
     }
 
--- a/crates/core/src/member/peer.rs
+++ b/crates/core/src/member/peer.rs
@@ -9,11 +9,11 @@
 #[derive(Debug, Clone)]
 pub struct Peer {
     /// Its last heartbeat.
-    pub beat: Heartbeat,
+    pub heartbeat: Heartbeat,
     /// Address that the heartbeat came from or that it names.
     pub addr: SocketAddr,
     /// When it was last heard.
-    pub heard: Millis,
+    pub heartbeat_at: Millis,
     /// Since when it has been heard without a gap.
-    pub steady: Millis,
+    pub steady_since: Millis,
 }
--- a/crates/core/src/member/peers.rs
+++ b/crates/core/src/member/peers.rs
@@ -54,18 +54,18 @@
     /// Takes note of a heartbeat; late and repeated ones change nothing.
     ///
     /// Returns whether it was news.
-    pub fn hear(&mut self, now: Millis, beat: Heartbeat) -> bool {
+    pub fn record_heartbeat(&mut self, now: Millis, beat: Heartbeat) -> bool {
         let limit = self.limit(&beat.zone);
         let addr = beat.addr;
         let peer = Peer {
-            beat,
+            heartbeat: beat,
             addr,
-            heard: now,
-            steady: now,
+            heartbeat_at: now,
+            steady_since: now,
         };
         match self
             .peers
-            .binary_search_by(|p| p.beat.id.cmp(&peer.beat.id))
+            .binary_search_by(|p| p.heartbeat.id.cmp(&peer.heartbeat.id))
         {
             Err(i) => {
                 self.peers.insert(i, peer);
@@ -74,13 +74,16 @@
             Ok(i) => {
                 let old = &mut self.peers[i];
                 let order = |b: &Heartbeat| (b.incarnation, b.seq);
-                if order(&peer.beat) <= order(&old.beat) {
+                if order(&peer.heartbeat) <= order(&old.heartbeat) {
                     return false;
                 }
-                let gap = now.saturating_sub(old.heard) > limit;
-                let reborn = peer.beat.incarnation != old.beat.incarnation;
-                let steady = if gap || reborn { now } else { old.steady };
-                *old = Peer { steady, ..peer };
+                let gap = now.saturating_sub(old.heartbeat_at) > limit;
+                let reborn = peer.heartbeat.incarnation != old.heartbeat.incarnation;
+                let steady = if gap || reborn { now } else { old.steady_since };
+                *old = Peer {
+                    steady_since: steady,
+                    ..peer
+                };
                 true
             }
         }
@@ -99,14 +102,15 @@
     /// Forgets instances that have been dead for long.
     pub fn forget(&mut self, now: Millis) {
         let limit = self.settings.forget;
-        self.peers.retain(|p| now.saturating_sub(p.heard) < limit);
+        self.peers
+            .retain(|p| now.saturating_sub(p.heartbeat_at) < limit);
     }
 
     /// Returns the instances that are alive, leaving ones included.
     pub fn live(&self, now: Millis) -> Vec<&Peer> {
         let mut out = Vec::new();
         for p in &self.peers {
-            if now.saturating_sub(p.heard) <= self.limit(&p.beat.zone) {
+            if now.saturating_sub(p.heartbeat_at) <= self.limit(&p.heartbeat.zone) {
                 out.push(p);
             }
         }
@@ -114,9 +118,11 @@
     }
 
     /// Returns the live instances of a role in a zone that are not leaving.
-    pub fn staying(&self, now: Millis, role: Role, zone: &str) -> Vec<&Peer> {
+    pub fn available(&self, now: Millis, role: Role, zone: &str) -> Vec<&Peer> {
         let mut out = self.live(now);
-        out.retain(|p| p.beat.role == role && *p.beat.zone == *zone && !p.beat.leaving);
+        out.retain(|p| {
+            p.heartbeat.role == role && *p.heartbeat.zone == *zone && !p.heartbeat.leaving
+        });
         out
     }
 
@@ -127,7 +133,10 @@
 
     /// Returns the instance with this id.
     pub fn get(&self, id: &str) -> Option<&Peer> {
-        let i = self.peers.binary_search_by(|p| (*p.beat.id).cmp(id)).ok()?;
+        let i = self
+            .peers
+            .binary_search_by(|p| (*p.heartbeat.id).cmp(id))
+            .ok()?;
         Some(&self.peers[i])
     }
 
@@ -135,7 +144,7 @@
     pub fn owner_of(&self, now: Millis, shard: u32) -> Option<&Peer> {
         let mut best: Option<(u64, &Peer)> = None;
         for p in self.live(now) {
-            for c in &p.beat.shards {
+            for c in &p.heartbeat.shards {
                 if c.shard == shard && best.is_none_or(|b| c.epoch > b.0) {
                     best = Some((c.epoch, p));
                 }
--- a/crates/core/src/owner/claim.rs
+++ b/crates/core/src/owner/claim.rs
@@ -34,13 +34,13 @@
 
     /// Tells whether the shard may be taken: it is free, or its owner did not
     /// renew for a lease.
-    pub fn may_take(&self, now: Millis) -> bool {
+    pub fn can_acquire(&self, now: Millis) -> bool {
         let seen = self.version.is_some();
         seen && (self.free || now >= self.since + self.lease)
     }
 
     /// Tells whether the row has been as it is for at least `time`.
-    pub fn settled(&self, now: Millis, time: Millis) -> bool {
+    pub fn is_unchanged_for(&self, now: Millis, time: Millis) -> bool {
         now >= self.since + time
     }
 
--- a/crates/core/src/owner/mod.rs
+++ b/crates/core/src/owner/mod.rs
@@ -12,6 +12,6 @@
 mod tenure;
 
 pub use claim::LeaseWatch;
-pub use resolve::{WriteOutcome, resolve};
+pub use resolve::{WriteOutcome, resolve_write};
 pub use row::ShardRow;
 pub use tenure::OwnerLease;
--- a/crates/core/src/owner/resolve.rs
+++ b/crates/core/src/owner/resolve.rs
@@ -15,7 +15,7 @@
 }
 
 /// Resolves a write with `token` that expected `version`.
-pub fn resolve(token: u64, version: u64, row: Option<&ShardRow>, found: u64) -> WriteOutcome {
+pub fn resolve_write(token: u64, version: u64, row: Option<&ShardRow>, found: u64) -> WriteOutcome {
     if row.is_some_and(|r| r.token == token) {
         return WriteOutcome::Applied(found);
     }
--- a/crates/core/src/owner/tenure.rs
+++ b/crates/core/src/owner/tenure.rs
@@ -23,7 +23,7 @@
     }
 
     /// Takes note of a write that was sent at `sent` and took effect.
-    pub fn prove(&mut self, sent: Millis) {
+    pub fn confirm(&mut self, sent: Millis) {
         self.proved = self.proved.max(sent);
         self.doubtful = false;
     }
@@ -44,7 +44,7 @@
     /// An owner that merely can't reach the table service may: it renews what
     /// runs, and starts nothing since starts need the journal. One that was
     /// paused across its lease may not before it proved its epoch again.
-    pub fn may_act(&self) -> bool {
+    pub fn can_act(&self) -> bool {
         !self.doubtful
     }
 
--- a/crates/core/src/retry/breaker.rs
+++ b/crates/core/src/retry/breaker.rs
@@ -35,7 +35,7 @@
     }
 
     /// Takes note of a call's result.
-    pub fn note(&mut self, now: Millis, ok: bool) {
+    pub fn record(&mut self, now: Millis, ok: bool) {
         if ok {
             self.failures = 0;
             return;
--- a/crates/core/src/route/admit.rs
+++ b/crates/core/src/route/admit.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Arrival, AttemptOutcome, Refusal, RoutePolicy, Router,
-    router::COME_AGAIN,
+    router::RETRY_AFTER,
     waiting::{QueueEntry, Request},
 };
 use crate::{
@@ -18,14 +18,14 @@
 const TENFOLD: u32 = 10;
 
 impl Router {
-    pub(super) fn arrive(&mut self, now: Millis, a: &Arrival) {
+    pub(super) fn admit(&mut self, now: Millis, a: &Arrival) {
         self.counts.requests += 1;
         let share = self.settings.share;
         let hedges = self.settings.hedges;
         let org = self.org(&a.org);
-        org.retries.earn(a.retries * TENFOLD);
-        org.hedges.earn(hedges);
-        let (here, waiting) = (org.here, org.waiting);
+        org.retries.deposit(a.retries * TENFOLD);
+        org.hedges.deposit(hedges);
+        let (here, waiting) = (org.open_requests, org.waiting);
         let Some(service) = self.service(&a.org, &a.service) else {
             return self.turn_away(a.req, Refusal::NoTarget);
         };
@@ -42,16 +42,16 @@
             deadline: a.deadline,
             repeatable: a.repeatable,
             tries: 0,
-            open: Vec::new(),
+            attempts: Vec::new(),
             failed: Vec::new(),
-            doubt: false,
+            may_have_run: false,
         };
         let Err(i) = self.requests.binary_search_by_key(&a.req, |r| r.req) else {
             return self.turn_away(a.req, Refusal::QueueFull);
         };
         self.requests.insert(i, request);
-        self.org(&a.org).here += 1;
-        let first = self.services[service].waiting.is_empty();
+        self.org(&a.org).open_requests += 1;
+        let first = self.services[service].queued.is_empty();
         let ahead = self.ahead(service, a.priority);
         if (first || ahead == 0) && self.send(now, i) {
             return;
@@ -72,29 +72,29 @@
     /// Refuses a request that was not taken on the books.
     fn turn_away(&mut self, req: u64, why: Refusal) {
         self.counts.refused += 1;
-        self.out.push(RouteAction::Refuse {
+        self.actions.push(RouteAction::Refuse {
             req,
             outcome: Outcome::NotRun,
             why,
-            after: COME_AGAIN,
+            after: RETRY_AFTER,
         });
     }
 
     /// Returns how many waiting requests go before a new one of `priority`.
     fn ahead(&self, service: usize, priority: crate::template::Priority) -> usize {
-        let waiting = &self.services[service].waiting;
+        let waiting = &self.services[service].queued;
         waiting.partition_point(|t| t.priority <= priority)
     }
 
     /// Refuses the last waiting request if it is of a lower priority than `a`.
     fn displace(&mut self, service: usize, a: &Arrival) -> bool {
-        let Some(last) = self.services[service].waiting.last().copied() else {
+        let Some(last) = self.services[service].queued.last().copied() else {
             return false;
         };
         if last.priority <= a.priority {
             return false;
         }
-        self.leave_queue(service, last);
+        self.dequeue(service, last);
         let Ok(i) = self.requests.binary_search_by_key(&last.req, |r| r.req) else {
             return false;
         };
@@ -107,8 +107,8 @@
         let s = &self.services[service];
         let mut capacity = 0;
         for t in &s.targets {
-            if t.ejected <= now && !t.leaving {
-                capacity += t.allowed(now, self.share, &self.settings);
+            if t.ejected_until <= now && !t.leaving {
+                capacity += t.request_limit(now, self.share, &self.settings);
             }
         }
         let rounds = (ahead + 1) as f64 / f64::from(capacity.max(1));
@@ -123,20 +123,20 @@
             req: r.req,
         };
         let s = &mut self.services[r.service];
-        let Err(k) = s.waiting.binary_search(&turn) else {
+        let Err(k) = s.queued.binary_search(&turn) else {
             return;
         };
-        s.waiting.insert(k, turn);
+        s.queued.insert(k, turn);
         let org = s.org.clone();
         self.org(&org).waiting += 1;
     }
 
-    pub(super) fn leave_queue(&mut self, service: usize, turn: QueueEntry) {
+    pub(super) fn dequeue(&mut self, service: usize, turn: QueueEntry) {
         let s = &mut self.services[service];
-        let Ok(k) = s.waiting.binary_search(&turn) else {
+        let Ok(k) = s.queued.binary_search(&turn) else {
             return;
         };
-        s.waiting.remove(k);
+        s.queued.remove(k);
         let org = s.org.clone();
         let o = self.org(&org);
         o.waiting = o.waiting.saturating_sub(1);
@@ -144,15 +144,15 @@
 
     /// Sends waiting requests while there are targets for them.
     pub(super) fn dispatch(&mut self, now: Millis, service: usize) {
-        while let Some(turn) = self.services[service].waiting.first().copied() {
+        while let Some(turn) = self.services[service].queued.first().copied() {
             let Ok(i) = self.requests.binary_search_by_key(&turn.req, |r| r.req) else {
-                self.leave_queue(service, turn);
+                self.dequeue(service, turn);
                 continue;
             };
             if !self.send(now, i) {
                 return;
             }
-            self.leave_queue(service, turn);
+            self.dequeue(service, turn);
         }
     }
 
@@ -161,13 +161,13 @@
         let mean = self.services[service].mean;
         let late = |t: &QueueEntry| now as f64 + mean * ROOM > t.deadline as f64;
         let mut gone = Vec::new();
-        for turn in &self.services[service].waiting {
+        for turn in &self.services[service].queued {
             if late(turn) {
                 gone.push(*turn);
             }
         }
         for turn in gone {
-            self.leave_queue(service, turn);
+            self.dequeue(service, turn);
             if let Ok(i) = self.requests.binary_search_by_key(&turn.req, |r| r.req) {
                 self.refuse(i, Refusal::TooLate);
             }
@@ -175,15 +175,15 @@
     }
 
     /// Decides what becomes of a request after a try that did not answer it.
-    pub(super) fn try_again(&mut self, now: Millis, i: usize, end: AttemptOutcome) {
+    pub(super) fn retry(&mut self, now: Millis, i: usize, end: AttemptOutcome) {
         let r = &self.requests[i];
-        if r.deadline == 0 || !r.open.is_empty() {
-            if r.deadline == 0 && r.open.is_empty() {
+        if r.deadline == 0 || !r.attempts.is_empty() {
+            if r.deadline == 0 && r.attempts.is_empty() {
                 self.drop_request(i);
             }
             return;
         }
-        let safe = !r.doubt || r.repeatable;
+        let safe = !r.may_have_run || r.repeatable;
         let late = now as f64 + self.services[r.service].mean * ROOM > r.deadline as f64;
         if !safe || r.tries >= self.settings.attempts || late {
             return self.refuse(i, Refusal::Failed);
@@ -191,7 +191,7 @@
         let full = matches!(end, AttemptOutcome::Declined { busy: Some(_), .. });
         let free = full || self.settings.policy == RoutePolicy::RoundRobin;
         let org = self.services[r.service].org.clone();
-        if !free && !self.org(&org).retries.spend() {
+        if !free && !self.org(&org).retries.try_withdraw() {
             return self.refuse(i, Refusal::Failed);
         }
         if !self.send(now, i) {
@@ -205,13 +205,13 @@
             return;
         };
         let r = &self.requests[i];
-        let one = r.open.len() == 1 && r.deadline > now;
+        let one = r.attempts.len() == 1 && r.deadline > now;
         if !one || !r.repeatable || r.tries >= self.settings.attempts {
             return;
         }
         let service = r.service;
         let org = self.services[service].org.clone();
-        if !self.services[service].waiting.is_empty() || !self.org(&org).hedges.spend() {
+        if !self.services[service].queued.is_empty() || !self.org(&org).hedges.try_withdraw() {
             return;
         }
         if self.send(now, i) {
--- a/crates/core/src/route/budget.rs
+++ b/crates/core/src/route/budget.rs
@@ -20,12 +20,12 @@
 
 impl Budget {
     /// Adds the share of one request, in thousandths of a use.
-    pub fn earn(&mut self, thousandths: u32) {
+    pub fn deposit(&mut self, thousandths: u32) {
         self.units = (self.units + u64::from(thousandths)).min(CAP);
     }
 
     /// Takes one use, if there is one.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         if self.units < COST {
             return false;
         }
--- a/crates/core/src/route/choose.rs
+++ b/crates/core/src/route/choose.rs
@@ -25,13 +25,13 @@
         let Some(t) = found else { return false };
         let hedge = self.hedge_after(i);
         let target = &mut self.services[service].targets[t];
-        target.mine += 1;
+        target.in_flight += 1;
         let (worker, addr) = (target.worker.clone(), target.addr);
         let r = &mut self.requests[i];
         r.tries += 1;
-        r.open.push((r.tries, worker.clone()));
+        r.attempts.push((r.tries, worker.clone()));
         self.counts.tries += 1;
-        self.out.push(RouteAction::Send {
+        self.actions.push(RouteAction::Send {
             req: r.req,
             attempt: r.tries,
             worker,
@@ -55,7 +55,7 @@
         let n = s.targets.len();
         for _ in 0..n {
             s.turn = (s.turn + 1) % n;
-            if s.targets[s.turn].near && !s.targets[s.turn].leaving {
+            if s.targets[s.turn].same_zone && !s.targets[s.turn].leaving {
                 return Some(s.turn);
             }
         }
@@ -72,7 +72,7 @@
                 two = self.scan(now, i, near);
             }
             let targets = &self.services[self.requests[i].service].targets;
-            let score = |t: &usize| targets[*t].score(now, &self.settings);
+            let score = |t: &usize| targets[*t].expected_latency(now, &self.settings);
             let best = two.into_iter().min_by(|a, b| score(a).total_cmp(&score(b)));
             if best.is_some() {
                 return best;
@@ -85,10 +85,10 @@
         let r = &self.requests[i];
         let target = &self.services[r.service].targets[t];
         let tried = |w: &Name| *w == target.worker;
-        target.near == near
-            && target.usable(now, self.share, &self.settings)
+        target.same_zone == near
+            && target.is_usable(now, self.share, &self.settings)
             && !r.failed.iter().any(tried)
-            && !r.open.iter().any(|o| tried(&o.1))
+            && !r.attempts.iter().any(|o| tried(&o.1))
     }
 
     fn probe(&mut self, now: Millis, i: usize, near: bool, two: &mut Vec<usize>) {
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -11,7 +11,7 @@
 use crate::{Millis, name::Name};
 
 /// Time after which a refused caller may come again.
-pub(super) const COME_AGAIN: Millis = 1_000;
+pub(super) const RETRY_AFTER: Millis = 1_000;
 
 /// Share of a new time in a service's running mean.
 const SHARE: f64 = 0.05;
@@ -24,7 +24,7 @@
     /// Sorted by worker.
     pub targets: Vec<Target>,
     /// Sorted; the first is served next.
-    pub waiting: Vec<QueueEntry>,
+    pub queued: Vec<QueueEntry>,
     /// Running mean of the time of an answer.
     pub mean: f64,
     /// Next target of the round-robin baseline.
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub(super) struct OrgUsage {
     pub org: Name,
-    pub here: usize,
+    pub open_requests: usize,
     pub waiting: usize,
     pub retries: Budget,
     pub hedges: Budget,
@@ -73,7 +73,7 @@
     pub(super) orgs: Vec<OrgUsage>,
     pub(super) requests: Vec<Request>,
     pub(super) share: Share,
-    pub(super) out: Vec<RouteAction>,
+    pub(super) actions: Vec<RouteAction>,
     pub(super) counts: RouteCounts,
     known: Vec<Known>,
     leaving: Vec<Name>,
@@ -92,7 +92,7 @@
                 entries: 1,
                 rank: 0,
             },
-            out: Vec::new(),
+            actions: Vec::new(),
             counts: RouteCounts::default(),
             known: Vec::new(),
             leaving: Vec::new(),
@@ -102,7 +102,7 @@
     /// Handles one event and returns what is to be done.
     pub fn step(&mut self, now: Millis, event: &RouteEvent) -> Vec<RouteAction> {
         match event {
-            RouteEvent::Arrive(a) => self.arrive(now, a),
+            RouteEvent::Arrive(a) => self.admit(now, a),
             RouteEvent::Ended { req, attempt, end } => self.ended(now, *req, *attempt, *end),
             RouteEvent::Hedge { req } => self.hedge(now, *req),
             RouteEvent::Targets(list) => self.take_list(now, list),
@@ -110,7 +110,7 @@
             RouteEvent::Entries(share) => self.share = *share,
             RouteEvent::Tick => self.tick(now),
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// Returns the counts since the start.
@@ -120,7 +120,7 @@
 
     /// Returns the number of requests that wait for a target.
     pub fn waiting(&self) -> usize {
-        self.services.iter().map(|s| s.waiting.len()).sum()
+        self.services.iter().map(|s| s.queued.len()).sum()
     }
 
     /// Returns the number of requests that are not settled.
@@ -129,7 +129,7 @@
     }
 
     /// Returns the epoch and version of the list known of a shard.
-    pub fn known(&self, shard: u32) -> Option<(u64, u64)> {
+    pub fn list_version(&self, shard: u32) -> Option<(u64, u64)> {
         let i = self.known.binary_search_by_key(&shard, |k| k.shard).ok()?;
         Some((self.known[i].epoch, self.known[i].version))
     }
@@ -160,7 +160,7 @@
             org: org.clone(),
             name: name.clone(),
             targets: Vec::new(),
-            waiting: Vec::new(),
+            queued: Vec::new(),
             mean: 5.0,
             turn: 0,
         };
@@ -177,7 +177,7 @@
             Err(i) => {
                 let new = OrgUsage {
                     org: org.clone(),
-                    here: 0,
+                    open_requests: 0,
                     waiting: 0,
                     retries: Budget::default(),
                     hedges: Budget::default(),
@@ -251,22 +251,22 @@
             return;
         };
         let r = &mut self.requests[i];
-        let Some(k) = r.open.iter().position(|o| o.0 == attempt) else {
+        let Some(k) = r.attempts.iter().position(|o| o.0 == attempt) else {
             return;
         };
-        let (_, worker) = r.open.swap_remove(k);
+        let (_, worker) = r.attempts.swap_remove(k);
         let service = r.service;
         self.note_end(now, service, &worker, end);
         match end {
             AttemptOutcome::Answered { .. } => self.settle(i),
             AttemptOutcome::NotSent | AttemptOutcome::Declined { .. } => {
                 self.requests[i].failed.push(worker);
-                self.try_again(now, i, end);
+                self.retry(now, i, end);
             }
             AttemptOutcome::Failed => {
                 self.requests[i].failed.push(worker);
-                self.requests[i].doubt = true;
-                self.try_again(now, i, end);
+                self.requests[i].may_have_run = true;
+                self.retry(now, i, end);
             }
         }
         self.dispatch(now, service);
@@ -280,22 +280,22 @@
             return;
         };
         let t = &mut s.targets[t];
-        t.mine = t.mine.saturating_sub(1);
+        t.in_flight = t.in_flight.saturating_sub(1);
         match end {
             AttemptOutcome::Answered { took, busy } => {
-                t.answered(now, took, busy);
+                t.record_answer(now, took, busy);
                 s.mean += SHARE * (took as f64 - s.mean);
             }
             AttemptOutcome::Declined { busy, leaving } => {
-                t.report(now, busy);
+                t.update_load(now, busy);
                 t.leaving |= leaving;
                 if busy.is_none() && !leaving {
-                    t.failed(now, settings, may);
+                    t.record_failure(now, settings, may);
                 }
             }
             AttemptOutcome::NotSent | AttemptOutcome::Failed => {
                 let before = t.ejections;
-                t.failed(now, settings, may);
+                t.record_failure(now, settings, may);
                 self.counts.ejections += u64::from(t.ejections > before);
             }
         }
@@ -304,8 +304,11 @@
     /// Tells whether one more target of a service may be ejected.
     fn may_eject(&self, now: Millis, service: usize) -> bool {
         let targets = &self.services[service].targets;
-        let near = targets.iter().filter(|t| t.near).count();
-        let out = targets.iter().filter(|t| t.near && t.ejected > now).count();
+        let near = targets.iter().filter(|t| t.same_zone).count();
+        let out = targets
+            .iter()
+            .filter(|t| t.same_zone && t.ejected_until > now)
+            .count();
         (out + 1) * 100 <= near * self.settings.max_ejected as usize
     }
 
@@ -313,7 +316,7 @@
     fn settle(&mut self, i: usize) {
         let r = &mut self.requests[i];
         r.deadline = 0;
-        if r.open.is_empty() {
+        if r.attempts.is_empty() {
             self.drop_request(i);
         }
     }
@@ -322,23 +325,23 @@
         let r = self.requests.remove(i);
         let org = self.services[r.service].org.clone();
         let o = self.org(&org);
-        o.here = o.here.saturating_sub(1);
+        o.open_requests = o.open_requests.saturating_sub(1);
     }
 
     /// Gives a request up at once; it is never held back.
     pub(super) fn refuse(&mut self, i: usize, why: Refusal) {
         let r = &self.requests[i];
-        let outcome = if r.doubt {
+        let outcome = if r.may_have_run {
             Outcome::Unknown
         } else {
             Outcome::NotRun
         };
         self.counts.refused += 1;
-        self.out.push(RouteAction::Refuse {
+        self.actions.push(RouteAction::Refuse {
             req: r.req,
             outcome,
             why,
-            after: COME_AGAIN,
+            after: RETRY_AFTER,
         });
         self.settle(i);
     }
--- a/crates/core/src/route/target.rs
+++ b/crates/core/src/route/target.rs
@@ -27,31 +27,31 @@
     /// Shard that announced it.
     pub shard: u32,
     /// Whether it is in this entry's zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// Requests that it runs at one time.
     pub slots: u32,
     /// Connections that it accepts.
     pub connections: u32,
     /// Shifts which entries may use one slot more than others.
-    pub turn: u32,
+    pub share_offset: u32,
     /// Whether it is about to leave.
     pub leaving: bool,
     /// Requests that this entry has under way there.
-    pub mine: u32,
+    pub in_flight: u32,
     /// Slots that others used at the last report.
-    pub others: u32,
+    pub others_in_flight: u32,
     /// When that was; 0 for never.
-    pub reported: Millis,
+    pub reported_at: Millis,
     /// Running mean of its times.
-    pub mean: f64,
+    pub mean_latency: f64,
     /// Failures in a row.
     pub failures: u32,
     /// Ejections in a row.
     pub ejections: u32,
     /// End of the ejection.
-    pub ejected: Millis,
+    pub ejected_until: Millis,
     /// When it came back or was first seen.
-    pub since: Millis,
+    pub active_since: Millis,
 }
 
 impl Target {
@@ -61,19 +61,19 @@
             worker: info.worker.clone(),
             addr: info.addr,
             shard,
-            near,
+            same_zone: near,
             slots: info.slots,
             connections: info.connections,
-            turn: (stable_hash(&[&info.worker]) % TURNS) as u32,
+            share_offset: (stable_hash(&[&info.worker]) % TURNS) as u32,
             leaving: info.leaving,
-            mine: 0,
-            others: 0,
-            reported: 0,
-            mean: FIRST,
+            in_flight: 0,
+            others_in_flight: 0,
+            reported_at: 0,
+            mean_latency: FIRST,
             failures: 0,
             ejections: 0,
-            ejected: 0,
-            since: now,
+            ejected_until: 0,
+            active_since: now,
         }
     }
 
@@ -81,17 +81,17 @@
     ///
     /// The fair shares of all entries sum to the slots. Which entries have one
     /// more than others differs from target to target.
-    pub fn allowed(&self, now: Millis, share: Share, set: &RouteSettings) -> u32 {
+    pub fn request_limit(&self, now: Millis, share: Share, set: &RouteSettings) -> u32 {
         let entries = share.entries.max(1);
         let most = (self.connections / entries).max(1);
-        let turn = (share.rank + self.turn) % entries;
-        let fair = match self.near {
+        let turn = (share.rank + self.share_offset) % entries;
+        let fair = match self.same_zone {
             true => self.slots / entries + u32::from(turn < self.slots % entries),
             false => 1,
         };
-        let fresh = self.reported > 0 && now.saturating_sub(self.reported) <= set.fresh;
+        let fresh = self.reported_at > 0 && now.saturating_sub(self.reported_at) <= set.fresh;
         let free = if fresh {
-            self.slots.saturating_sub(self.others)
+            self.slots.saturating_sub(self.others_in_flight)
         } else {
             0
         };
@@ -99,58 +99,58 @@
     }
 
     /// Tells whether it can take one more request.
-    pub fn usable(&self, now: Millis, share: Share, set: &RouteSettings) -> bool {
-        let back = self.ejected <= now;
-        let probing = self.ejections > 0 && self.mine > 0;
-        back && !probing && !self.leaving && self.mine < self.allowed(now, share, set)
+    pub fn is_usable(&self, now: Millis, share: Share, set: &RouteSettings) -> bool {
+        let back = self.ejected_until <= now;
+        let probing = self.ejections > 0 && self.in_flight > 0;
+        back && !probing && !self.leaving && self.in_flight < self.request_limit(now, share, set)
     }
 
     /// Returns the expected time of one more request; lower is better.
-    pub fn score(&self, now: Millis, set: &RouteSettings) -> f64 {
-        let fresh = now.saturating_sub(self.reported) <= set.fresh;
-        let others = if fresh { self.others } else { 0 };
-        let load = f64::from(self.mine + others + 1) / f64::from(self.slots.max(1));
-        let age = now.saturating_sub(self.since) as f64;
+    pub fn expected_latency(&self, now: Millis, set: &RouteSettings) -> f64 {
+        let fresh = now.saturating_sub(self.reported_at) <= set.fresh;
+        let others = if fresh { self.others_in_flight } else { 0 };
+        let load = f64::from(self.in_flight + others + 1) / f64::from(self.slots.max(1));
+        let age = now.saturating_sub(self.active_since) as f64;
         let warm = (age / set.slow_start.max(1) as f64).min(1.0);
         let cold = if self.ejections > 0 {
             COLD - (COLD - 1.0) * warm
         } else {
             1.0
         };
-        self.mean * (0.25 + load) * cold
+        self.mean_latency * (0.25 + load) * cold
     }
 
     /// Takes note of a whole answer.
-    pub fn answered(&mut self, now: Millis, took: Millis, busy: Option<u32>) {
+    pub fn record_answer(&mut self, now: Millis, took: Millis, busy: Option<u32>) {
         self.failures = 0;
         if self.ejections > 0 {
-            self.since = now;
+            self.active_since = now;
         }
         self.ejections = 0;
         let took = (took as f64).max(0.5);
-        self.mean += SHARE * (took - self.mean);
-        self.report(now, busy.map(|b| b.saturating_sub(1)));
+        self.mean_latency += SHARE * (took - self.mean_latency);
+        self.update_load(now, busy.map(|b| b.saturating_sub(1)));
     }
 
     /// Takes note of the slots that the target reported in use by requests
     /// other than the one that just ended.
-    pub fn report(&mut self, now: Millis, busy: Option<u32>) {
+    pub fn update_load(&mut self, now: Millis, busy: Option<u32>) {
         let Some(busy) = busy else { return };
-        self.others = busy.saturating_sub(self.mine);
-        self.reported = now;
+        self.others_in_flight = busy.saturating_sub(self.in_flight);
+        self.reported_at = now;
     }
 
     /// Takes note of a failure; ejects after enough in a row if `may`.
-    pub fn failed(&mut self, now: Millis, set: &RouteSettings, may: bool) {
+    pub fn record_failure(&mut self, now: Millis, set: &RouteSettings, may: bool) {
         self.failures += 1;
         let probing = self.ejections > 0;
         if !may || (self.failures < set.failures && !probing) {
             return;
         }
         let length = (set.eject << self.ejections.min(16)).min(set.max_eject);
-        self.ejected = now + length;
+        self.ejected_until = now + length;
         self.ejections += 1;
         self.failures = 0;
-        self.since = self.ejected;
+        self.active_since = self.ejected_until;
     }
 }
--- a/crates/core/src/route/waiting.rs
+++ b/crates/core/src/route/waiting.rs
@@ -13,11 +13,11 @@
     /// Tries so far.
     pub tries: u32,
     /// Workers of the tries under way, by number of the try.
-    pub open: Vec<(u32, crate::name::Name)>,
+    pub attempts: Vec<(u32, crate::name::Name)>,
     /// Workers that failed it.
     pub failed: Vec<crate::name::Name>,
     /// Whether a try ended without proof that it did not run.
-    pub doubt: bool,
+    pub may_have_run: bool,
 }
 
 /// Order in which waiting requests are served.
--- a/crates/core/src/shard/class.rs
+++ b/crates/core/src/shard/class.rs
@@ -12,7 +12,7 @@
     pub hold: Millis,
     pub evictions: u32,
     /// Most processors and memory that a task was seen to use.
-    pub seen: Size,
+    pub peak_usage: Size,
     pub done: u64,
     pub failed: u64,
 }
--- a/crates/core/src/shard/effects.rs
+++ b/crates/core/src/shard/effects.rs
@@ -56,7 +56,7 @@
         let hold = self.classes[usize::from(class)].hold;
         let team = self.team(&org, &team, service);
         let team = &mut self.teams[usize::from(team)];
-        team.used = team.used.plus(size);
+        team.used = team.used.saturating_add(size);
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
             return;
         };
@@ -106,7 +106,7 @@
         let (org, team) = (job.spec.key.org.clone(), job.spec.team.clone());
         let team = self.team(&org, &team, resident.service);
         let team = &mut self.teams[usize::from(team)];
-        team.used = team.used.minus(&resident.size);
+        team.used = team.used.saturating_sub(&resident.size);
     }
 
     fn unwant(&mut self, attempt: AttemptId, worker: &Name) {
--- a/crates/core/src/shard/learn.rs
+++ b/crates/core/src/shard/learn.rs
@@ -56,7 +56,7 @@
             }
         }
         let class = &mut self.classes[usize::from(me.class)];
-        class.seen = class.seen.most(&sample.used);
+        class.peak_usage = class.peak_usage.max(&sample.used);
         self.interference.learn(me.class, &others, band, slow, now);
     }
 }
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -34,7 +34,8 @@
     /// Epoch of the new ownership.
     pub epoch: u64,
     /// Book that was recovered from the journal.
-    pub book: ShardState,
+    #[serde(rename = "book")]
+    pub state: ShardState,
     /// Number of the first record that is not in the journal.
     pub next: u64,
     /// Hold that the shard's row states.
@@ -103,7 +104,7 @@
     ) -> ShardScheduler {
         let Takeover {
             epoch,
-            book,
+            state: book,
             next,
             inherited,
             settled,
@@ -290,7 +291,7 @@
                 continue;
             };
             if team.quota.is_some() {
-                let quota = self.orgs[i].team(&team.team).map(|t| t.quota.share(count));
+                let quota = self.orgs[i].team(&team.team).map(|t| t.quota.divide(count));
                 team.quota = Some(quota.unwrap_or_default());
             }
         }
@@ -485,8 +486,8 @@
         let mut largest = Size::default();
         let mut fits = self.workers.is_empty();
         for w in &self.workers {
-            fits |= spec.size.fits(&w.total);
-            largest = largest.most(&w.total);
+            fits |= spec.size.fits_in(&w.total);
+            largest = largest.max(&w.total);
         }
         if !fits {
             return Some(format!("no worker holds {}; the largest is {largest}", spec.size).into());
@@ -494,7 +495,7 @@
         let over = self.teams.iter().any(|t| {
             t.org == spec.key.org
                 && t.team == spec.team
-                && t.quota.is_some_and(|q| !spec.size.fits(&q))
+                && t.quota.is_some_and(|q| !spec.size.fits_in(&q))
         });
         over.then(|| format!("a task is larger than the quota share of {}", spec.team).into())
     }
@@ -543,7 +544,7 @@
             weights,
             hold,
             evictions,
-            seen: Size::default(),
+            peak_usage: Size::default(),
             done: 0,
             failed: 0,
         });
@@ -569,7 +570,7 @@
             .iter()
             .find(|o| o.name == *org)
             .and_then(|o| o.team(team));
-        let quota = quota.map(|t| t.quota.share(count));
+        let quota = quota.map(|t| t.quota.divide(count));
         self.teams.push(TeamUsage {
             org: org.clone(),
             team: team.clone(),
--- a/crates/core/src/shard/place_tasks.rs
+++ b/crates/core/src/shard/place_tasks.rs
@@ -184,7 +184,7 @@
                 over.tasks.push((team, ready));
                 return None;
             }
-            let stuck = over.stuck.iter().any(|s| s.fits(&wanted.size));
+            let stuck = over.stuck.iter().any(|s| s.fits_in(&wanted.size));
             let found = if stuck {
                 None
             } else {
@@ -299,13 +299,13 @@
 
     /// Returns the declared size, raised to what tasks of the class were seen to use.
     fn corrected(&self, class: u16, declared: &Size) -> Size {
-        let seen = &self.classes[usize::from(class)].seen;
+        let seen = &self.classes[usize::from(class)].peak_usage;
         let cap = Size {
             cpu: declared.cpu * CORRECTION,
             memory: declared.memory * CORRECTION,
             accels: declared.accels,
         };
-        declared.most(&seen.least(&cap))
+        declared.max(&seen.min(&cap))
     }
 
     fn next_attempt(&self, task: TaskRef) -> Option<AttemptId> {
@@ -343,7 +343,7 @@
         let spread = self.workers.len() > wanted.avoid.len();
         for i in candidates {
             let w = &self.workers[i];
-            if !w.accepts_tasks(now) || !wanted.size.fits(&w.available_for(wanted.task, now)) {
+            if !w.accepts_tasks(now) || !wanted.size.fits_in(&w.available_for(wanted.task, now)) {
                 continue;
             }
             if spread && wanted.avoid.contains(&w.name) {
@@ -421,7 +421,7 @@
         for i in 0..self.workers.len() {
             let w = &self.workers[i];
             let taken = w.reservation.is_some_and(|r| r.until > now);
-            if !w.accepts_tasks(now) || taken || !wanted.size.fits(&w.total) {
+            if !w.accepts_tasks(now) || taken || !wanted.size.fits_in(&w.total) {
                 continue;
             }
             let Some(victims) = self.victims(w, &wanted.size) else {
@@ -453,7 +453,7 @@
         let mut room = w.available();
         for r in &w.allocations {
             if r.stop.is_some() {
-                room = room.plus(&r.size);
+                room = room.saturating_add(&r.size);
                 continue;
             }
             let limit = self.classes[usize::from(r.class)].evictions;
@@ -466,16 +466,16 @@
         order.sort_by_key(|o| std::cmp::Reverse((o.0, o.1, o.2)));
         let mut out = Vec::new();
         for (_, _, id, held) in order {
-            if size.fits(&room) {
+            if size.fits_in(&room) {
                 break;
             }
-            room = room.plus(&held);
+            room = room.saturating_add(&held);
             out.push(id);
         }
-        size.fits(&room).then_some(out)
+        size.fits_in(&room).then_some(out)
     }
 }
 
 fn load_after(w: &Worker, size: &Size) -> f32 {
-    w.used.plus(size).load(&w.total) as f32
+    w.used.saturating_add(size).load(&w.total) as f32
 }
--- a/crates/core/src/shard/status.rs
+++ b/crates/core/src/shard/status.rs
@@ -158,7 +158,7 @@
     pub fn largest(&self) -> Size {
         let mut size = Size::default();
         for w in &self.workers {
-            size = size.most(&w.total);
+            size = size.max(&w.total);
         }
         size
     }
@@ -181,7 +181,7 @@
                 continue;
             }
             status.jobs += 1;
-            if !job.spec.size.fits(&largest) {
+            if !job.spec.size.fits_in(&largest) {
                 status.blocked.push(job.spec.key.id.clone());
             }
         }
--- a/crates/core/src/shard/team_use.rs
+++ b/crates/core/src/shard/team_use.rs
@@ -15,7 +15,8 @@
 impl TeamUsage {
     /// Tells whether `size` more stays within the quota.
     pub fn fits_quota(&self, size: &Size) -> bool {
-        self.quota.is_none_or(|q| self.used.plus(size).fits(&q))
+        self.quota
+            .is_none_or(|q| self.used.saturating_add(size).fits_in(&q))
     }
 
     /// Returns the largest used fraction of the quota.
--- a/crates/core/src/shard/worker.rs
+++ b/crates/core/src/shard/worker.rs
@@ -137,13 +137,13 @@
 
     /// Returns the room that is not reserved.
     pub fn available(&self) -> Size {
-        self.total.minus(&self.used)
+        self.total.saturating_sub(&self.used)
     }
 
     /// Returns the room that `task` may use.
     pub fn available_for(&self, task: TaskRef, now: Millis) -> Size {
         match &self.reservation {
-            Some(r) if r.task != task && r.until > now => self.available().minus(&r.size),
+            Some(r) if r.task != task && r.until > now => self.available().saturating_sub(&r.size),
             _ => self.available(),
         }
     }
@@ -217,7 +217,7 @@
         else {
             return;
         };
-        self.used = self.used.plus(&resident.size);
+        self.used = self.used.saturating_add(&resident.size);
         self.allocations.insert(i, resident);
         self.dirty = true;
     }
@@ -229,7 +229,7 @@
             .binary_search_by_key(&id, |r| r.attempt)
             .ok()?;
         let resident = self.allocations.remove(i);
-        self.used = self.used.minus(&resident.size);
+        self.used = self.used.saturating_sub(&resident.size);
         Some(resident)
     }
 }
--- a/crates/core/src/size.rs
+++ b/crates/core/src/size.rs
@@ -35,12 +35,12 @@
     }
 
     /// Tells whether `self` fits into `room` in every dimension.
-    pub fn fits(&self, room: &Size) -> bool {
+    pub fn fits_in(&self, room: &Size) -> bool {
         self.cpu <= room.cpu && self.memory <= room.memory && self.accels <= room.accels
     }
 
     /// Adds; saturates at the largest value.
-    pub fn plus(&self, other: &Size) -> Size {
+    pub fn saturating_add(&self, other: &Size) -> Size {
         Size {
             cpu: self.cpu.saturating_add(other.cpu),
             memory: self.memory.saturating_add(other.memory),
@@ -49,7 +49,7 @@
     }
 
     /// Subtracts; stops at zero.
-    pub fn minus(&self, other: &Size) -> Size {
+    pub fn saturating_sub(&self, other: &Size) -> Size {
         Size {
             cpu: self.cpu.saturating_sub(other.cpu),
             memory: self.memory.saturating_sub(other.memory),
@@ -58,7 +58,7 @@
     }
 
     /// Returns the smaller value of each dimension.
-    pub fn least(&self, other: &Size) -> Size {
+    pub fn min(&self, other: &Size) -> Size {
         Size {
             cpu: self.cpu.min(other.cpu),
             memory: self.memory.min(other.memory),
@@ -67,7 +67,7 @@
     }
 
     /// Returns the larger value of each dimension.
-    pub fn most(&self, other: &Size) -> Size {
+    pub fn max(&self, other: &Size) -> Size {
         Size {
             cpu: self.cpu.max(other.cpu),
             memory: self.memory.max(other.memory),
@@ -76,7 +76,7 @@
     }
 
     /// Divides by `n`, rounding down.
-    pub fn share(&self, n: u64) -> Size {
+    pub fn divide(&self, n: u64) -> Size {
         let n = n.max(1);
         Size {
             cpu: self.cpu / n,
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/spread.rs
@@ -52,7 +52,7 @@
 }
 
 /// Returns the candidate with the highest weight for `key`.
-pub fn pick<'a, I>(key: &str, candidates: I) -> Option<&'a str>
+pub fn highest_weight<'a, I>(key: &str, candidates: I) -> Option<&'a str>
 where
     I: IntoIterator<Item = &'a str>,
 {
@@ -62,6 +62,6 @@
 }
 
 /// Returns the shard of `count` that `name` belongs to.
-pub fn slot_of(name: &str, count: u32) -> u32 {
+pub fn shard_of(name: &str, count: u32) -> u32 {
     (stable_hash(&["shard", name]) % u64::from(count.max(1))) as u32
 }
--- a/crates/core/tests/common/world.rs
+++ b/crates/core/tests/common/world.rs
@@ -354,7 +354,7 @@
             return;
         }
         self.claim.observe(self.now, Some(&self.row), self.version);
-        if !self.claim.may_take(self.now) {
+        if !self.claim.can_acquire(self.now) {
             return;
         }
         let inherited = self.row.hold;
@@ -368,7 +368,7 @@
         }
         let takeover = Takeover {
             epoch: self.row.epoch,
-            book,
+            state: book,
             next: self.journal.len() as u64,
             inherited: self.row.hold,
             settled: false,
@@ -418,7 +418,7 @@
         if !self.inbox.is_empty() && reads && self.owners[i].epoch == self.row.epoch {
             events.push(Event::Submit(self.inbox.clone()));
         }
-        if self.owners[i].tenure.may_act() {
+        if self.owners[i].tenure.can_act() {
             events.push(Event::Tick);
         }
         for event in events {
@@ -567,7 +567,7 @@
         self.version += 1;
         o.version = self.version;
         o.renewed = now;
-        o.tenure.prove(now);
+        o.tenure.confirm(now);
         for record in o.backlog.drain(..) {
             if let Record::Submitted(spec) = &record {
                 self.inbox.retain(|s| s.key != spec.key);
--- a/crates/core/tests/configs.rs
+++ b/crates/core/tests/configs.rs
@@ -62,7 +62,7 @@
         let mut configs = Configs::default();
         let mut newest = [0; 3];
         for (org, version) in offers {
-            let taken = configs.offer(&entry(orgs[org], version));
+            let taken = configs.update(&entry(orgs[org], version));
             prop_assert_eq!(taken, version > newest[org]);
             newest[org] = newest[org].max(version);
             let found = configs.get(orgs[org]).expect("offered");
@@ -80,16 +80,16 @@
         let fill = |offers: &[(usize, u64)]| {
             let mut configs = Configs::default();
             for (org, version) in offers {
-                configs.offer(&entry(orgs[*org], *version));
+                configs.update(&entry(orgs[*org], *version));
             }
             configs
         };
         let (mut one, mut two) = (fill(&a), fill(&b));
         for e in two.newer_than(&one.versions()) {
-            one.offer(&e);
+            one.update(&e);
         }
         for e in one.newer_than(&two.versions()) {
-            two.offer(&e);
+            two.update(&e);
         }
         prop_assert_eq!(one.versions(), two.versions());
         prop_assert!(one.newer_than(&two.versions()).is_empty());
@@ -99,8 +99,8 @@
 #[test]
 fn what_is_newer_is_told_and_nothing_else() {
     let mut configs = Configs::default();
-    configs.offer(&entry("a", 2));
-    configs.offer(&entry("b", 5));
+    configs.update(&entry("a", 2));
+    configs.update(&entry("b", 5));
     let known = [ConfigVersion {
         org: "a".into(),
         version: 2,
@@ -108,20 +108,23 @@
     let newer = configs.newer_than(&known);
     assert_eq!(newer.len(), 1);
     assert_eq!(&*newer[0].template.name, "b");
-    configs.reach(9);
-    configs.reach(4);
+    configs.advance_head(9);
+    configs.advance_head(4);
     assert_eq!(configs.head(), 9);
 }
 
 #[test]
 fn a_late_heartbeat_changes_nothing() {
     let mut peers = Peers::new(MemberSettings::default(), "here".into());
-    assert!(peers.hear(NOW, beat("a", 1, 5)));
-    assert!(!peers.hear(NOW + 10, beat("a", 1, 4)));
-    assert!(!peers.hear(NOW + 10, beat("a", 1, 5)));
-    assert!(peers.hear(NOW + 10, beat("a", 2, 1)), "a new start counts");
+    assert!(peers.record_heartbeat(NOW, beat("a", 1, 5)));
+    assert!(!peers.record_heartbeat(NOW + 10, beat("a", 1, 4)));
+    assert!(!peers.record_heartbeat(NOW + 10, beat("a", 1, 5)));
     assert!(
-        !peers.hear(NOW + 20, beat("a", 1, 99)),
+        peers.record_heartbeat(NOW + 10, beat("a", 2, 1)),
+        "a new start counts"
+    );
+    assert!(
+        !peers.record_heartbeat(NOW + 20, beat("a", 1, 99)),
         "an earlier one does not"
     );
 }
@@ -129,14 +132,18 @@
 #[test]
 fn a_flapping_instance_is_not_steady() {
     let mut peers = Peers::new(MemberSettings::default(), "here".into());
-    peers.hear(NOW, beat("a", 1, 1));
-    peers.hear(NOW + 1_000, beat("a", 1, 2));
-    assert_eq!(peers.get("a").expect("known").steady, NOW);
-    peers.hear(NOW + 9_000, beat("a", 1, 3));
-    assert_eq!(peers.get("a").expect("known").steady, NOW + 9_000, "a gap");
-    peers.hear(NOW + 9_500, beat("a", 2, 1));
+    peers.record_heartbeat(NOW, beat("a", 1, 1));
+    peers.record_heartbeat(NOW + 1_000, beat("a", 1, 2));
+    assert_eq!(peers.get("a").expect("known").steady_since, NOW);
+    peers.record_heartbeat(NOW + 9_000, beat("a", 1, 3));
+    assert_eq!(
+        peers.get("a").expect("known").steady_since,
+        NOW + 9_000,
+        "a gap"
+    );
+    peers.record_heartbeat(NOW + 9_500, beat("a", 2, 1));
     assert_eq!(
-        peers.get("a").expect("known").steady,
+        peers.get("a").expect("known").steady_since,
         NOW + 9_500,
         "a restart"
     );
@@ -145,14 +152,14 @@
 #[test]
 fn an_instance_of_another_zone_is_given_more_time() {
     let mut peers = Peers::new(MemberSettings::default(), "here".into());
-    peers.hear(NOW, beat("near", 1, 1));
+    peers.record_heartbeat(NOW, beat("near", 1, 1));
     let mut far = beat("far", 1, 1);
     far.zone = "there".into();
-    peers.hear(NOW, far);
+    peers.record_heartbeat(NOW, far);
     let ids: Vec<&str> = peers
         .live(NOW + 5_000)
         .iter()
-        .map(|p| &*p.beat.id)
+        .map(|p| &*p.heartbeat.id)
         .collect();
     assert_eq!(ids, ["far"]);
     assert!(peers.live(NOW + 11_000).is_empty());
@@ -163,9 +170,9 @@
     let mut peers = Peers::new(MemberSettings::default(), "here".into());
     let mut leaving = beat("a", 1, 1);
     leaving.leaving = true;
-    peers.hear(NOW, leaving);
+    peers.record_heartbeat(NOW, leaving);
     assert_eq!(peers.live(NOW).len(), 1);
-    assert!(peers.staying(NOW, Role::Sched, "here").is_empty());
+    assert!(peers.available(NOW, Role::Sched, "here").is_empty());
 }
 
 #[test]
@@ -178,8 +185,8 @@
             epoch,
             targets: 1,
         });
-        peers.hear(NOW, b);
+        peers.record_heartbeat(NOW, b);
     }
-    assert_eq!(&*peers.owner_of(NOW, 2).expect("claimed").beat.id, "b");
+    assert_eq!(&*peers.owner_of(NOW, 2).expect("claimed").heartbeat.id, "b");
     assert!(peers.owner_of(NOW, 3).is_none());
 }
--- a/crates/core/tests/guards.rs
+++ b/crates/core/tests/guards.rs
@@ -4,7 +4,7 @@
 
 use common::{Fault, World, WorldSettings, check_promises, spec};
 use gorsespur_core::{
-    owner::{LeaseWatch, OwnerLease, ShardRow, WriteOutcome, resolve},
+    owner::{LeaseWatch, OwnerLease, ShardRow, WriteOutcome, resolve_write},
     shard::{
         Action, Event, ShardId, ShardScheduler, ShardSettings, ShardState, Takeover, WorkerAnswer,
         WorkerInfo, WorkerRequest,
@@ -41,7 +41,7 @@
     };
     let takeover = Takeover {
         epoch: 1,
-        book: ShardState::default(),
+        state: ShardState::default(),
         next: 0,
         inherited: HOLD,
         settled: false,
@@ -173,7 +173,7 @@
     };
     let takeover = Takeover {
         epoch: 2,
-        book: old.book().clone(),
+        state: old.book().clone(),
         next: old.next_record(),
         inherited: HOLD,
         settled,
@@ -282,13 +282,13 @@
 fn a_pause_across_the_lease_needs_a_new_proof() {
     let mut tenure = OwnerLease::new(4_000, NOW);
     tenure.tick(NOW + 3_900);
-    assert!(tenure.may_act());
+    assert!(tenure.can_act());
     tenure.tick(NOW + 9_000);
-    assert!(!tenure.may_act());
+    assert!(!tenure.can_act());
     tenure.tick(NOW + 9_020);
-    assert!(!tenure.may_act(), "time alone proves nothing");
-    tenure.prove(NOW + 9_030);
-    assert!(tenure.may_act());
+    assert!(!tenure.can_act(), "time alone proves nothing");
+    tenure.confirm(NOW + 9_030);
+    assert!(tenure.can_act());
 }
 
 #[test]
@@ -297,7 +297,7 @@
     for i in 0..1_000 {
         tenure.tick(NOW + i * 20);
     }
-    assert!(tenure.may_act());
+    assert!(tenure.can_act());
 }
 
 fn row(token: u64, owner: Option<&str>) -> ShardRow {
@@ -327,7 +327,7 @@
     wanted: WriteOutcome,
 ) {
     let row = found.map(|t| row(t, Some("a")));
-    assert_eq!(resolve(token, version, row.as_ref(), at), wanted);
+    assert_eq!(resolve_write(token, version, row.as_ref(), at), wanted);
 }
 
 #[test]
@@ -336,20 +336,20 @@
     let owned = row(1, Some("a"));
     for i in 0..20 {
         claim.observe(NOW + i * 1_000, Some(&owned), 10 + i);
-        assert!(!claim.may_take(NOW + i * 1_000));
+        assert!(!claim.can_acquire(NOW + i * 1_000));
     }
     claim.observe(NOW + 22_000, Some(&owned), 29);
-    assert!(!claim.may_take(NOW + 22_000));
+    assert!(!claim.can_acquire(NOW + 22_000));
     claim.observe(NOW + 23_000, Some(&owned), 29);
-    assert!(claim.may_take(NOW + 23_000));
+    assert!(claim.can_acquire(NOW + 23_000));
 }
 
 #[test]
 fn a_released_row_is_taken_at_once_and_nothing_unseen_is() {
     let mut claim = LeaseWatch::new(4_000);
-    assert!(!claim.may_take(NOW + 99_000));
+    assert!(!claim.can_acquire(NOW + 99_000));
     claim.observe(NOW, Some(&row(1, None)), 3);
-    assert!(claim.may_take(NOW));
+    assert!(claim.can_acquire(NOW));
     claim.reset();
-    assert!(!claim.may_take(NOW + 99_000));
+    assert!(!claim.can_acquire(NOW + 99_000));
 }
--- a/crates/core/tests/regression.rs
+++ b/crates/core/tests/regression.rs
@@ -89,7 +89,7 @@
         1,
         Takeover {
             epoch: 1,
-            book: ShardState::default(),
+            state: ShardState::default(),
             next: 0,
             inherited: 0,
             settled: true,
--- a/crates/entry/src/job_api.rs
+++ b/crates/entry/src/job_api.rs
@@ -109,7 +109,7 @@
             service: false,
         };
         if let Some(largest) = self.owners.largest(at.place.index)
-            && !spec.size.fits(&largest)
+            && !spec.size.fits_in(&largest)
         {
             let text = format!("{} is larger than the largest worker, {largest}", spec.size);
             return bad(422, "size", &text);
--- a/crates/entry/src/router_thread_tests.rs
+++ b/crates/entry/src/router_thread_tests.rs
@@ -52,5 +52,5 @@
     };
     let arrive = ToRouter::Arrive { arrival, reply };
     handle(&mut router, NOW, arrive, &mut open, &metrics);
-    assert_eq!(router.targets("org", "service")[0].mine, 0);
+    assert_eq!(router.targets("org", "service")[0].in_flight, 0);
 }
--- a/crates/entry/src/targets.rs
+++ b/crates/entry/src/targets.rs
@@ -87,7 +87,7 @@
     let now = shared.clock.now();
     let peers = shared.peers();
     let owner = peers.owner_of(now, shard)?;
-    let claim = owner.beat.shards.iter().find(|c| c.shard == shard)?;
+    let claim = owner.heartbeat.shards.iter().find(|c| c.shard == shard)?;
     Some((owner.addr, claim.epoch, claim.targets))
 }
 
@@ -106,8 +106,8 @@
     let s = &shared.settings;
     let now = shared.clock.now();
     let mut ids: Vec<Name> = Vec::new();
-    for p in shared.peers().staying(now, Role::Entry, &s.zone) {
-        ids.push(p.beat.id.clone());
+    for p in shared.peers().available(now, Role::Entry, &s.zone) {
+        ids.push(p.heartbeat.id.clone());
     }
     let share = Share {
         entries: ids.len() as u32 + 1,
--- a/crates/load/src/measure/floor.rs
+++ b/crates/load/src/measure/floor.rs
@@ -146,7 +146,7 @@
         };
         let takeover = Takeover {
             epoch: 1,
-            book: ShardState::default(),
+            state: ShardState::default(),
             next: 0,
             inherited: 60_000,
             settled: true,
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -69,7 +69,7 @@
     };
     let takeover = Takeover {
         epoch: 1,
-        book: ShardState::default(),
+        state: ShardState::default(),
         next: 0,
         inherited: 60_000,
         settled: true,
@@ -256,7 +256,7 @@
     };
     let takeover = Takeover {
         epoch: 2,
-        book: again.book,
+        state: again.book,
         next: again.next,
         inherited: 60_000,
         settled: true,
--- a/crates/load/src/slopes/memory.rs
+++ b/crates/load/src/slopes/memory.rs
@@ -63,7 +63,7 @@
         grow("memory_organisation", &[500, 1_000, 2_000, 4_000], |n| {
             let mut configs = Configs::default();
             for i in 1..=n {
-                configs.offer(&ConfigEntry {
+                configs.update(&ConfigEntry {
                     version: 1,
                     template: organisation(i),
                 });
@@ -74,7 +74,7 @@
         grow("memory_peer", &[5_000, 10_000, 20_000, 40_000], |n| {
             let mut peers = Peers::new(MemberSettings::default(), "zone0".into());
             for i in 0..n {
-                peers.hear(1, beat(i, 1));
+                peers.record_heartbeat(1, beat(i, 1));
             }
             peers
         }),
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -49,14 +49,14 @@
     for n in [10, 50, 200, 800, 3_200] {
         let mut peers = Peers::new(MemberSettings::default(), "zone0".into());
         for i in 0..n {
-            peers.hear(1, beat(i, 1));
+            peers.record_heartbeat(1, beat(i, 1));
         }
         let mut seq = 1;
         let us = time_us(|| {
             seq += 1;
             let message = encode(&beat(seq as usize % n, seq)).unwrap_or_default();
             if let Ok(beat) = decode(&message) {
-                peers.hear(seq, beat);
+                peers.record_heartbeat(seq, beat);
             }
         });
         times.push((n as f64, us));
@@ -196,7 +196,7 @@
             };
             version += 1;
             entry.version = version;
-            configs.offer(&entry);
+            configs.update(&entry);
         });
         times.push((kinds as f64, us));
     }
--- a/crates/peer/src/agent.rs
+++ b/crates/peer/src/agent.rs
@@ -77,7 +77,7 @@
             .peers()
             .live(now)
             .iter()
-            .map(|p| p.beat.id.clone())
+            .map(|p| p.heartbeat.id.clone())
             .collect();
         let configs = self.configs();
         InstanceStatus {
--- a/crates/peer/src/beats.rs
+++ b/crates/peer/src/beats.rs
@@ -33,7 +33,7 @@
         if beat.id == shared.settings.id {
             continue;
         }
-        shared.peers().hear(shared.clock.now(), beat);
+        shared.peers().record_heartbeat(shared.clock.now(), beat);
     }
 }
 
@@ -98,7 +98,7 @@
         }
     };
     for p in shared.peers().all() {
-        add(&p.beat.zone, p.addr);
+        add(&p.heartbeat.zone, p.addr);
     }
     for i in &shared.list().instances {
         add(&i.zone, i.addr);
--- a/crates/peer/src/config.rs
+++ b/crates/peer/src/config.rs
@@ -6,7 +6,7 @@
     config::ConfigEntry,
     name::Name,
     retry::{Backoff, CircuitBreaker},
-    spread::pick,
+    spread::highest_weight,
 };
 use gorsespur_runtime::cancel::Cancel;
 use gorsespur_services::{Table, TableError, post};
@@ -49,7 +49,7 @@
         let mut pause = PAUSE;
         if polls(shared) && breaker.allow(now) {
             let result = poll(shared, table);
-            breaker.note(shared.clock.now(), result.is_ok());
+            breaker.record(shared.clock.now(), result.is_ok());
             match result {
                 Ok(()) => backoff.reset(),
                 Err(err) => {
@@ -73,11 +73,11 @@
     let live = peers.live(now);
     let mut ids: Vec<&str> = vec![&s.id];
     for p in live {
-        if *p.beat.zone == *s.zone && !p.beat.leaving {
-            ids.push(&p.beat.id);
+        if *p.heartbeat.zone == *s.zone && !p.heartbeat.leaving {
+            ids.push(&p.heartbeat.id);
         }
     }
-    !shared.is_loaded() || pick(&format!("config/{}", s.zone), ids) == Some(&*s.id)
+    !shared.is_loaded() || highest_weight(&format!("config/{}", s.zone), ids) == Some(&*s.id)
 }
 
 fn poll(shared: &Shared, table: &dyn Table) -> Result<(), TableError> {
@@ -98,7 +98,7 @@
         Some(orgs) => read_named(shared, table, &orgs)?,
         None => read_all(shared, table)?,
     }
-    shared.configs().reach(change);
+    shared.configs().advance_head(change);
     shared.set_loaded();
     Ok(())
 }
@@ -154,7 +154,7 @@
 }
 
 fn offer(shared: &Shared, entry: &ConfigEntry) {
-    if shared.configs().offer(entry) {
+    if shared.configs().update(entry) {
         log::info!(
             "config: {} version {} is in force",
             entry.template.name,
@@ -183,7 +183,7 @@
     for entry in &answer.entries {
         offer(shared, entry);
     }
-    shared.configs().reach(answer.head);
+    shared.configs().advance_head(answer.head);
     shared.set_loaded();
 }
 
@@ -192,8 +192,8 @@
     let peers = shared.peers();
     let mut best: Option<(SocketAddr, u64)> = None;
     for p in peers.live(now) {
-        if best.is_none_or(|b| p.beat.config > b.1) {
-            best = Some((p.addr, p.beat.config));
+        if best.is_none_or(|b| p.heartbeat.config > b.1) {
+            best = Some((p.addr, p.heartbeat.config));
         }
     }
     best
--- a/crates/peer/src/layout.rs
+++ b/crates/peer/src/layout.rs
@@ -3,7 +3,7 @@
 use gorsespur_core::{
     name::Name,
     shard::{JobKey, ShardId},
-    spread::{slot_of, stable_hash},
+    spread::{shard_of, stable_hash},
 };
 
 /// An availability zone.
@@ -31,7 +31,7 @@
 impl ShardAt {
     /// Tells whether a worker of the zone belongs to the shard.
     pub fn has_worker(&self, zone: &str, worker: &str) -> bool {
-        *self.zone == *zone && slot_of(worker, self.of) == self.slot
+        *self.zone == *zone && shard_of(worker, self.of) == self.slot
     }
 }
 
--- a/crates/peer/src/shared.rs
+++ b/crates/peer/src/shared.rs
@@ -121,8 +121,8 @@
         let s = &self.settings;
         let now = self.clock.now();
         let mut out = Vec::new();
-        for p in self.peers().staying(now, s.role, &s.zone) {
-            out.push(p.beat.id.clone());
+        for p in self.peers().available(now, s.role, &s.zone) {
+            out.push(p.heartbeat.id.clone());
         }
         out.retain(|id| *id != s.id);
         if !self.is_leaving() {
--- a/crates/replay/src/reader.rs
+++ b/crates/replay/src/reader.rs
@@ -74,7 +74,7 @@
     for w in machine.workers() {
         let mut sum = gorsespur_core::size::Size::default();
         for r in &w.allocations {
-            sum = sum.plus(&r.size);
+            sum = sum.saturating_add(&r.size);
             let id = r.attempt;
             let task = machine
                 .book()
@@ -86,6 +86,6 @@
             outcome.doubled += u64::from(!here);
         }
         let known = w.total.cpu > 0;
-        outcome.overcommitted += u64::from(known && !sum.fits(&w.total));
+        outcome.overcommitted += u64::from(known && !sum.fits_in(&w.total));
     }
 }
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -26,7 +26,7 @@
 fn takeover() -> Takeover {
     Takeover {
         epoch: 1,
-        book: ShardState::default(),
+        state: ShardState::default(),
         next: 0,
         inherited: 1_000,
         settled: true,
--- a/crates/sched/src/journal.rs
+++ b/crates/sched/src/journal.rs
@@ -9,7 +9,7 @@
 
 use gorsespur_core::{
     name::Name,
-    owner::{ShardRow, WriteOutcome, resolve},
+    owner::{ShardRow, WriteOutcome, resolve_write},
     retry::Backoff,
     shard::{FinishedJob, Record},
 };
@@ -282,6 +282,6 @@
             Some(r) => Some(decode::<ShardRow>(&r.value).ok()?),
             None => None,
         };
-        Some(resolve(token, self.version, row.as_ref(), version))
+        Some(resolve_write(token, self.version, row.as_ref(), version))
     }
 }
--- a/crates/sched/src/keep.rs
+++ b/crates/sched/src/keep.rs
@@ -344,10 +344,13 @@
         let now = self.shared.clock.now();
         let name = &self.at.place.name;
         let mut best: (u64, bool) = (stable_hash(&[name, &s.id]), false);
-        for p in self.shared.peers().staying(now, s.role, &s.zone) {
-            let weight = stable_hash(&[name, &p.beat.id]);
+        for p in self.shared.peers().available(now, s.role, &s.zone) {
+            let weight = stable_hash(&[name, &p.heartbeat.id]);
             if weight > best.0 {
-                best = (weight, now.saturating_sub(p.steady) >= self.settings.steady);
+                best = (
+                    weight,
+                    now.saturating_sub(p.steady_since) >= self.settings.steady,
+                );
             }
         }
         best.1
--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -61,8 +61,8 @@
             let now = self.shared.clock.now();
             claim.observe(now, row.as_ref(), version);
             let patience = rank as u64 * COURTESY;
-            let due = claim.may_take(now.saturating_sub(patience));
-            if !due || !claim.settled(now, patience) {
+            let due = claim.can_acquire(now.saturating_sub(patience));
+            if !due || !claim.is_unchanged_for(now, patience) {
                 continue;
             }
             self.take(row.as_ref(), version);
@@ -125,7 +125,7 @@
         log::info!("shard {name}: owned with epoch {epoch}, {jobs} jobs recovered in {ms} ms");
         let takeover = Takeover {
             epoch,
-            book,
+            state: book,
             next: journal.row().next,
             inherited: journal.row().hold,
             settled: journal.row().settled,
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -78,7 +78,7 @@
                 self.handle(now, input, &mut desk);
             }
             self.look_around(now, &mut desk);
-            if self.tenure.may_act() {
+            if self.tenure.can_act() {
                 self.step(now, &Event::Tick, &mut desk);
             } else {
                 self.push(Upkeep::Prove, &mut desk);
@@ -96,7 +96,7 @@
                 committed,
                 hold,
             } => {
-                self.tenure.prove(sent);
+                self.tenure.confirm(sent);
                 self.step(now, &Event::StoreSeen(hold), desk);
                 self.step(now, &Event::Committed(committed), desk);
                 desk.waiters.retain(|w| {
--- a/crates/stand/src/sim.rs
+++ b/crates/stand/src/sim.rs
@@ -110,7 +110,7 @@
     pub fn used(&self) -> Size {
         let mut used = Size::default();
         for r in &self.runs {
-            used = used.plus(&r.order.size);
+            used = used.saturating_add(&r.order.size);
         }
         used
     }
@@ -218,11 +218,11 @@
             if running || self.ended.iter().any(|e| e.attempt == id) {
                 continue;
             }
-            let room = self.settings.size.minus(&self.used());
+            let room = self.settings.size.saturating_sub(&self.used());
             if req.echo + req.lease <= self.clock {
                 self.end(id, WorkerEnd::Refused);
                 self.note(What::Stale, &order.name, &id.to_string(), order.service);
-            } else if !order.size.fits(&room) {
+            } else if !order.size.fits_in(&room) {
                 self.end(id, WorkerEnd::Refused);
                 self.note(What::NoRoom, &order.name, &id.to_string(), order.service);
             } else {
