--- a/crates/core/src/member/beat.rs
+++ b/crates/core/src/member/beat.rs
@@ -24,7 +24,8 @@
     /// Epoch of the ownership.
     pub epoch: u64,
     /// Version of the list of targets.
-    pub targets: u64,
+    #[serde(rename = "targets")]
+    pub targets_version: u64,
 }
 
 /// What an instance tells the others at a constant rate.
@@ -45,7 +46,8 @@
     /// Whether it is about to leave.
     pub leaving: bool,
     /// Last configuration change that is in force on it.
-    pub config: u64,
+    #[serde(rename = "config")]
+    pub config_head: u64,
     /// Shards that it owns.
     pub shards: Vec<ShardOwnership>,
 }
--- a/crates/core/src/member/peers.rs
+++ b/crates/core/src/member/peers.rs
@@ -10,22 +10,26 @@
 #[serde(default, deny_unknown_fields)]
 pub struct MemberSettings {
     /// Time between heartbeats.
-    pub beat: Millis,
+    #[serde(rename = "beat")]
+    pub heartbeat_interval: Millis,
     /// Time without a heartbeat after which an instance counts as dead.
-    pub dead: Millis,
+    #[serde(rename = "dead")]
+    pub dead_after: Millis,
     /// Time after which a dead instance is forgotten.
-    pub forget: Millis,
+    #[serde(rename = "forget")]
+    pub forget_after: Millis,
     /// Contacts in each other zone.
-    pub contacts: usize,
+    #[serde(rename = "contacts")]
+    pub contacts_per_zone: usize,
 }
 
 impl Default for MemberSettings {
     fn default() -> MemberSettings {
         MemberSettings {
-            beat: 500,
-            dead: 2_500,
-            forget: 600_000,
-            contacts: 2,
+            heartbeat_interval: 500,
+            dead_after: 2_500,
+            forget_after: 600_000,
+            contacts_per_zone: 2,
         }
     }
 }
@@ -93,15 +97,15 @@
     /// counts as dead; those of other zones reach only some contacts here.
     fn limit(&self, zone: &str) -> Millis {
         if *zone == *self.zone {
-            self.settings.dead
+            self.settings.dead_after
         } else {
-            self.settings.dead * FAR
+            self.settings.dead_after * FAR
         }
     }
 
     /// Forgets instances that have been dead for long.
     pub fn forget(&mut self, now: Millis) {
-        let limit = self.settings.forget;
+        let limit = self.settings.forget_after;
         self.peers
             .retain(|p| now.saturating_sub(p.heartbeat_at) < limit);
     }
--- a/crates/core/src/owner/row.rs
+++ b/crates/core/src/owner/row.rs
@@ -22,7 +22,8 @@
     /// Number of the first record after the snapshot; 0 without one.
     pub snapshot: u64,
     /// Number of the journal's next row.
-    pub row: u64,
+    #[serde(rename = "row")]
+    pub next_row: u64,
     /// Number of the first row after the snapshot.
     pub first_row: u64,
     /// Longest time in milliseconds for which this owner goes on without the
--- a/crates/core/src/route/admit.rs
+++ b/crates/core/src/route/admit.rs
@@ -20,10 +20,10 @@
 impl Router {
     pub(super) fn admit(&mut self, now: Millis, a: &Arrival) {
         self.counts.requests += 1;
-        let share = self.settings.share;
-        let hedges = self.settings.hedges;
+        let share = self.settings.max_org_requests;
+        let hedges = self.settings.hedge_permille;
         let org = self.org(&a.org);
-        org.retries.deposit(a.retries * TENFOLD);
+        org.retries.deposit(a.retry_percent * TENFOLD);
         org.hedges.deposit(hedges);
         let (here, waiting) = (org.open_requests, org.waiting);
         let Some(service) = self.service(&a.org, &a.service) else {
@@ -56,7 +56,7 @@
         if (first || ahead == 0) && self.send(now, i) {
             return;
         }
-        if waiting >= a.queue as usize && !self.displace(service, a) {
+        if waiting >= a.max_queued as usize && !self.displace(service, a) {
             return self.refuse(i, Refusal::QueueFull);
         }
         let Ok(i) = self.requests.binary_search_by_key(&a.req, |r| r.req) else {
@@ -185,7 +185,7 @@
         }
         let safe = !r.may_have_run || r.repeatable;
         let late = now as f64 + self.services[r.service].mean * ROOM > r.deadline as f64;
-        if !safe || r.tries >= self.settings.attempts || late {
+        if !safe || r.tries >= self.settings.max_attempts || late {
             return self.refuse(i, Refusal::Failed);
         }
         let full = matches!(end, AttemptOutcome::Declined { busy: Some(_), .. });
@@ -206,7 +206,7 @@
         };
         let r = &self.requests[i];
         let one = r.attempts.len() == 1 && r.deadline > now;
-        if !one || !r.repeatable || r.tries >= self.settings.attempts {
+        if !one || !r.repeatable || r.tries >= self.settings.max_attempts {
             return;
         }
         let service = r.service;
--- a/crates/core/src/route/choose.rs
+++ b/crates/core/src/route/choose.rs
@@ -43,7 +43,7 @@
 
     fn hedge_after(&self, i: usize) -> Millis {
         let r = &self.requests[i];
-        if !r.repeatable || self.settings.hedges == 0 {
+        if !r.repeatable || self.settings.hedge_permille == 0 {
             return 0;
         }
         let mean = self.services[r.service].mean;
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -21,9 +21,11 @@
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// Most requests of the organisation that may wait here.
-    pub queue: u32,
+    #[serde(rename = "queue")]
+    pub max_queued: u32,
     /// Share of recent requests that may be sent again, in hundredths.
-    pub retries: u32,
+    #[serde(rename = "retries")]
+    pub retry_percent: u32,
 }
 
 /// The targets that one shard's owner announced.
@@ -36,7 +38,8 @@
     /// Version within the epoch.
     pub version: u64,
     /// Whether the shard is of this instance's zone.
-    pub near: bool,
+    #[serde(rename = "near")]
+    pub same_zone: bool,
     /// Its targets.
     pub targets: Vec<TargetInfo>,
 }
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -227,7 +227,7 @@
                     targets[i].leaving = info.leaving || left;
                 }
                 Err(i) => {
-                    let mut target = Target::new(info, list.shard, list.near, now);
+                    let mut target = Target::new(info, list.shard, list.same_zone, now);
                     target.leaving |= left;
                     targets.insert(i, target);
                 }
@@ -309,7 +309,7 @@
             .iter()
             .filter(|t| t.same_zone && t.ejected_until > now)
             .count();
-        (out + 1) * 100 <= near * self.settings.max_ejected as usize
+        (out + 1) * 100 <= near * self.settings.max_ejected_percent as usize
     }
 
     /// Takes a request off the books once no try is under way.
--- a/crates/core/src/route/settings.rs
+++ b/crates/core/src/route/settings.rs
@@ -22,38 +22,46 @@
     /// How targets are chosen.
     pub policy: RoutePolicy,
     /// Time for which a target's report of its load is trusted.
-    pub fresh: Millis,
+    #[serde(rename = "fresh")]
+    pub report_ttl: Millis,
     /// Failures in a row after which a target is ejected.
-    pub failures: u32,
+    #[serde(rename = "failures")]
+    pub ejection_threshold: u32,
     /// Length of the first ejection; doubles each time.
-    pub eject: Millis,
+    #[serde(rename = "eject")]
+    pub ejection: Millis,
     /// Longest ejection.
-    pub max_eject: Millis,
+    #[serde(rename = "max_eject")]
+    pub max_ejection: Millis,
     /// Most targets of a zone that may be ejected, in hundredths.
-    pub max_ejected: u32,
+    #[serde(rename = "max_ejected")]
+    pub max_ejected_percent: u32,
     /// Time over which a returning target gets back its full share.
     pub slow_start: Millis,
     /// Most attempts of one request.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// Share of requests that may be hedged, in thousandths; 0 switches it off.
-    pub hedges: u32,
+    #[serde(rename = "hedges")]
+    pub hedge_permille: u32,
     /// Most requests that one organisation may have here at one time.
-    pub share: usize,
+    #[serde(rename = "share")]
+    pub max_org_requests: usize,
 }
 
 impl Default for RouteSettings {
     fn default() -> RouteSettings {
         RouteSettings {
             policy: RoutePolicy::default(),
-            fresh: 500,
-            failures: 3,
-            eject: 1_000,
-            max_eject: 30_000,
-            max_ejected: 50,
+            report_ttl: 500,
+            ejection_threshold: 3,
+            ejection: 1_000,
+            max_ejection: 30_000,
+            max_ejected_percent: 50,
             slow_start: 3_000,
-            attempts: 3,
-            hedges: 20,
-            share: 80,
+            max_attempts: 3,
+            hedge_permille: 20,
+            max_org_requests: 80,
         }
     }
 }
--- a/crates/core/src/route/target.rs
+++ b/crates/core/src/route/target.rs
@@ -89,7 +89,7 @@
             true => self.slots / entries + u32::from(turn < self.slots % entries),
             false => 1,
         };
-        let fresh = self.reported_at > 0 && now.saturating_sub(self.reported_at) <= set.fresh;
+        let fresh = self.reported_at > 0 && now.saturating_sub(self.reported_at) <= set.report_ttl;
         let free = if fresh {
             self.slots.saturating_sub(self.others_in_flight)
         } else {
@@ -107,7 +107,7 @@
 
     /// Returns the expected time of one more request; lower is better.
     pub fn expected_latency(&self, now: Millis, set: &RouteSettings) -> f64 {
-        let fresh = now.saturating_sub(self.reported_at) <= set.fresh;
+        let fresh = now.saturating_sub(self.reported_at) <= set.report_ttl;
         let others = if fresh { self.others_in_flight } else { 0 };
         let load = f64::from(self.in_flight + others + 1) / f64::from(self.slots.max(1));
         let age = now.saturating_sub(self.active_since) as f64;
@@ -144,10 +144,10 @@
     pub fn record_failure(&mut self, now: Millis, set: &RouteSettings, may: bool) {
         self.failures += 1;
         let probing = self.ejections > 0;
-        if !may || (self.failures < set.failures && !probing) {
+        if !may || (self.failures < set.ejection_threshold && !probing) {
             return;
         }
-        let length = (set.eject << self.ejections.min(16)).min(set.max_eject);
+        let length = (set.ejection << self.ejections.min(16)).min(set.max_ejection);
         self.ejected_until = now + length;
         self.ejections += 1;
         self.failures = 0;
--- a/crates/core/src/shard/book.rs
+++ b/crates/core/src/shard/book.rs
@@ -72,7 +72,7 @@
 
     /// Returns the job with this number.
     pub fn job(&self, no: u32) -> Option<&Job> {
-        let i = self.jobs.binary_search_by_key(&no, |j| j.no).ok()?;
+        let i = self.jobs.binary_search_by_key(&no, |j| j.number).ok()?;
         Some(&self.jobs[i])
     }
 
@@ -117,7 +117,7 @@
     }
 
     fn job_mut(&mut self, no: u32) -> Option<&mut Job> {
-        let i = self.jobs.binary_search_by_key(&no, |j| j.no).ok()?;
+        let i = self.jobs.binary_search_by_key(&no, |j| j.number).ok()?;
         Some(&mut self.jobs[i])
     }
 
@@ -145,10 +145,10 @@
                 continue;
             }
             task.state = TaskState::Failed;
-            job.open -= 1;
+            job.open_tasks -= 1;
         }
         job.reason = Some(reason.clone());
-        if job.open == 0 {
+        if job.open_tasks == 0 {
             out.push(Effect::Finished { job: no });
         }
     }
@@ -204,8 +204,8 @@
                 }
             }
             End::Lost => {
-                task.lost += 1;
-                let last = !service && task.lost >= MAX_LOST;
+                task.lost_attempts += 1;
+                let last = !service && task.lost_attempts >= MAX_LOST;
                 if last {
                     TaskState::Failed
                 } else {
@@ -216,7 +216,7 @@
             End::Evicted { saved } => {
                 task.evictions += 1;
                 if saved {
-                    task.checkpoint = id.attempt;
+                    task.checkpoint_attempt = id.attempt;
                 }
                 TaskState::Queued
             }
@@ -233,20 +233,20 @@
             }));
             return;
         }
-        job.open -= 1;
-        if job.open == 0 {
+        job.open_tasks -= 1;
+        if job.open_tasks == 0 {
             out.push(Effect::Finished { job: id.job });
         }
     }
 
     fn cancel(&mut self, no: u32, out: &mut Vec<Effect>) {
         let Some(job) = self.job_mut(no) else { return };
-        if job.cancelled || job.open == 0 {
+        if job.cancelled || job.open_tasks == 0 {
             return;
         }
         job.cancelled = true;
         drop_tasks(job, 0, out);
-        if job.open == 0 {
+        if job.open_tasks == 0 {
             out.push(Effect::Finished { job: no });
         }
     }
@@ -264,13 +264,13 @@
             } else {
                 continue;
             }
-            job.open += 1;
+            job.open_tasks += 1;
             out.push(Effect::Queued(TaskRef { job: no, task: i }));
         }
     }
 
     fn close(&mut self, no: u32) {
-        let Ok(i) = self.jobs.binary_search_by_key(&no, |j| j.no) else {
+        let Ok(i) = self.jobs.binary_search_by_key(&no, |j| j.number) else {
             return;
         };
         let job = self.jobs.remove(i);
@@ -286,11 +286,11 @@
         match &task.state {
             TaskState::Queued => {
                 task.state = TaskState::Cancelled;
-                job.open -= 1;
+                job.open_tasks -= 1;
             }
             TaskState::Active(worker) => out.push(Effect::Unwanted {
                 attempt: AttemptId {
-                    job: job.no,
+                    job: job.number,
                     task: i as u32,
                     attempt: task.attempt,
                 },
--- a/crates/core/src/shard/effects.rs
+++ b/crates/core/src/shard/effects.rs
@@ -138,7 +138,7 @@
             no: job,
             attempts,
         });
-        self.closing.push_back((now + self.settings.retain, job));
+        self.closing.push_back((now + self.settings.retention, job));
     }
 
     /// Marks every task on a leaving worker to be moved.
--- a/crates/core/src/shard/ended.rs
+++ b/crates/core/src/shard/ended.rs
@@ -82,10 +82,11 @@
         }
         w.failure_streak.push(task);
         let probing = w.quarantines > 0;
-        if w.failure_streak.len() < self.settings.strikes && !probing {
+        if w.failure_streak.len() < self.settings.quarantine_threshold && !probing {
             return;
         }
-        let length = (self.settings.ban << w.quarantines.min(16)).min(self.settings.max_ban);
+        let length =
+            (self.settings.quarantine << w.quarantines.min(16)).min(self.settings.max_quarantine);
         w.quarantined_until = now + length;
         w.quarantines += 1;
         w.failure_streak.clear();
--- a/crates/core/src/shard/evict.rs
+++ b/crates/core/src/shard/evict.rs
@@ -133,7 +133,7 @@
             .book
             .active(id)
             .is_some_and(|(_, t, _)| t.evictions < limit);
-        few && self.recent_evictions.len() < self.settings.evictions as usize
+        few && self.recent_evictions.len() < self.settings.evictions_per_minute as usize
     }
 
     fn throttle(&mut self, now: Millis, i: usize, id: AttemptId, percent: u32) {
--- a/crates/core/src/shard/exchange.rs
+++ b/crates/core/src/shard/exchange.rs
@@ -147,7 +147,8 @@
     /// When it was measured, by the worker's clock.
     pub at: Millis,
     /// How much slower than alone, in thousandths; 1000 is not slowed.
-    pub slow: u32,
+    #[serde(rename = "slow")]
+    pub slowdown_permille: u32,
     /// Processors and memory in use.
     pub used: Size,
 }
--- a/crates/core/src/shard/exchanges.rs
+++ b/crates/core/src/shard/exchanges.rs
@@ -21,8 +21,12 @@
     pub(super) fn send_exchanges(&mut self, now: Millis) {
         for i in 0..self.workers.len() {
             let w = &self.workers[i];
-            let wait = if w.dirty { GAP } else { self.settings.exchange };
-            let busy = w.awaiting_answer && now < w.sent_at + self.settings.silent;
+            let wait = if w.dirty {
+                GAP
+            } else {
+                self.settings.exchange_interval
+            };
+            let busy = w.awaiting_answer && now < w.sent_at + self.settings.silent_after;
             if busy || now < w.sent_at + wait || w.addr.port() == 0 {
                 continue;
             }
@@ -112,8 +116,8 @@
 fn start_order(shard: &str, r: &Allocation, spec: &JobSpec, task: &Task) -> StartOrder {
     let key = &spec.key;
     let id = r.attempt;
-    let resume =
-        (task.checkpoint > 0).then(|| checkpoint_key(shard, id.job, id.task, task.checkpoint));
+    let resume = (task.checkpoint_attempt > 0)
+        .then(|| checkpoint_key(shard, id.job, id.task, task.checkpoint_attempt));
     let checkpoint = spec
         .checkpoint
         .then(|| checkpoint_key(shard, id.job, id.task, id.attempt));
@@ -122,7 +126,7 @@
         name: format!("{}/{}/{}", key.org, key.id, r.attempt.task).into(),
         kind: spec.kind.clone(),
         size: r.size,
-        run: spec.run,
+        run: spec.run_time,
         resume,
         checkpoint,
         service: r.service,
--- a/crates/core/src/shard/job.rs
+++ b/crates/core/src/shard/job.rs
@@ -28,7 +28,8 @@
     /// Declared size of a task.
     pub size: Size,
     /// Declared run time of a task; 0 runs until it is cancelled.
-    pub run: Millis,
+    #[serde(rename = "run")]
+    pub run_time: Millis,
     /// Priority.
     pub priority: Priority,
     /// Whether tasks can write checkpoints.
@@ -59,13 +60,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     /// Number in its shard.
-    pub no: u32,
+    #[serde(rename = "no")]
+    pub number: u32,
     /// What was accepted.
     pub spec: JobSpec,
     /// Tasks by index.
     pub tasks: Vec<Task>,
     /// Tasks that are neither done, failed nor cancelled.
-    pub open: u32,
+    #[serde(rename = "open")]
+    pub open_tasks: u32,
     /// Whether its caller cancelled it.
     pub cancelled: bool,
     /// Why it failed, if it did.
@@ -77,8 +80,8 @@
     pub fn new(no: u32, spec: JobSpec) -> Job {
         let tasks = vec![Task::default(); spec.tasks as usize];
         Job {
-            no,
-            open: spec.tasks,
+            number: no,
+            open_tasks: spec.tasks,
             tasks,
             spec,
             cancelled: false,
@@ -88,7 +91,7 @@
 
     /// Returns the state that its caller sees.
     pub fn state(&self) -> JobState {
-        if self.open == 0 {
+        if self.open_tasks == 0 {
             return self.final_state();
         }
         let started = self.tasks.iter().any(|t| t.attempt > 0);
--- a/crates/core/src/shard/lapse.rs
+++ b/crates/core/src/shard/lapse.rs
@@ -11,7 +11,7 @@
     pub(super) fn check_workers(&mut self, now: Millis) {
         for i in 0..self.workers.len() {
             let w = &mut self.workers[i];
-            let quiet = now.saturating_sub(w.answered_at) > self.settings.silent;
+            let quiet = now.saturating_sub(w.answered_at) > self.settings.silent_after;
             if w.health == Health::Good && quiet {
                 w.health = Health::Silent;
                 self.targets += 1;
@@ -35,7 +35,7 @@
     /// Ends the other attempts once no owner's renewal can still hold.
     fn end_lapsed(&mut self, now: Millis, i: usize) {
         let lease = self.settings.lease;
-        let end = self.workers[i].lease_start + lease + lease / DRIFT + self.settings.margin;
+        let end = self.workers[i].lease_start + lease + lease / DRIFT + self.settings.lease_margin;
         if now <= end {
             return;
         }
--- a/crates/core/src/shard/learn.rs
+++ b/crates/core/src/shard/learn.rs
@@ -39,7 +39,7 @@
 
     /// Matches a sample with what ran when it was measured.
     fn learn_one(&mut self, now: Millis, i: usize, sample: &Sample) {
-        let slow = sample.slow as f32 / UNIT;
+        let slow = sample.slowdown_permille as f32 / UNIT;
         let w = &mut self.workers[i];
         let band = Band::of(w.used.load(&w.total));
         let ran = w.history.running_at(sample.at);
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -37,9 +37,11 @@
     #[serde(rename = "book")]
     pub state: ShardState,
     /// Number of the first record that is not in the journal.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_record: u64,
     /// Hold that the shard's row states.
-    pub inherited: Millis,
+    #[serde(rename = "inherited")]
+    pub inherited_hold: Millis,
     /// Whether no earlier owner can still renew leases.
     pub settled: bool,
 }
@@ -105,8 +107,8 @@
         let Takeover {
             epoch,
             state: book,
-            next,
-            inherited,
+            next_record: next,
+            inherited_hold: inherited,
             settled,
         } = takeover;
         let mut machine = ShardScheduler {
@@ -249,13 +251,13 @@
         let mut queued = Vec::new();
         let mut finished = Vec::new();
         for job in self.book.jobs() {
-            if job.open == 0 && !job.spec.service {
-                finished.push(job.no);
+            if job.open_tasks == 0 && !job.spec.service {
+                finished.push(job.number);
             }
             for (i, task) in job.tasks.iter().enumerate() {
                 if task.state == TaskState::Queued {
                     queued.push(TaskRef {
-                        job: job.no,
+                        job: job.number,
                         task: i as u32,
                     });
                 }
@@ -265,7 +267,7 @@
             self.enqueue(now, task, 0);
         }
         for job in finished {
-            self.closing.push_back((now + self.settings.retain, job));
+            self.closing.push_back((now + self.settings.retention, job));
         }
     }
 
@@ -376,7 +378,7 @@
                     continue;
                 }
                 let attempt = AttemptId {
-                    job: job.no,
+                    job: job.number,
                     task: t as u32,
                     attempt: task.attempt,
                 };
@@ -401,7 +403,7 @@
     /// Not at once, since the first list may come before it is complete.
     pub(super) fn adopt_unlisted(&mut self, now: Millis) {
         let known = !self.worker_counts.is_empty();
-        if self.adopted || !known || now < self.start + self.settings.silent {
+        if self.adopted || !known || now < self.start + self.settings.silent_after {
             return;
         }
         self.adopted = true;
@@ -457,7 +459,7 @@
     fn open_jobs(&self) -> Vec<u32> {
         let mut open = vec![0; self.orgs.len()];
         for job in self.book.jobs() {
-            if job.open == 0 || job.spec.service {
+            if job.open_tasks == 0 || job.spec.service {
                 continue;
             }
             if let Ok(i) = self
@@ -478,7 +480,7 @@
             .orgs
             .binary_search_by(|o| o.name.cmp(&spec.key.org))
             .ok()?;
-        let limit = self.orgs[org].limits.jobs;
+        let limit = self.orgs[org].limits.open_jobs;
         if open[org] >= limit {
             return Some(format!("the organisation has {limit} open jobs here").into());
         }
@@ -505,10 +507,10 @@
             let Some(job) = self.book.find(key) else {
                 continue;
             };
-            if job.cancelled || job.open == 0 {
+            if job.cancelled || job.open_tasks == 0 {
                 continue;
             }
-            let job = job.no;
+            let job = job.number;
             self.record(now, Record::Cancelled { job }, 0);
         }
     }
--- a/crates/core/src/shard/place_tasks.rs
+++ b/crates/core/src/shard/place_tasks.rs
@@ -113,7 +113,7 @@
         }
         self.placement_due = false;
         self.placed_at = now;
-        let mut left = self.settings.batch;
+        let mut left = self.settings.max_placements;
         for priority in Priority::ALL {
             self.place_priority(now, priority, &mut left);
         }
@@ -271,7 +271,7 @@
     /// Makes room for an urgent task that has waited in vain for some.
     fn consider_preempting(&mut self, now: Millis, wanted: &Wanted, since: Millis) {
         let urgent = wanted.priority == Priority::Urgent && !wanted.service;
-        if urgent && now >= since + self.settings.patience {
+        if urgent && now >= since + self.settings.preempt_after {
             self.preempt(now, wanted);
         }
     }
@@ -400,7 +400,7 @@
     pub(super) fn slowdown_weight(&self, class: u16) -> f32 {
         let c = &self.classes[usize::from(class)];
         let weight = if c.service {
-            c.weights.tail * TAIL
+            c.weights.tail_latency * TAIL
         } else {
             c.weights.throughput
         };
@@ -436,7 +436,7 @@
         w.reservation = Some(Reservation {
             task,
             size: wanted.size,
-            until: now + self.settings.reserve,
+            until: now + self.settings.reservation,
         });
         w.dirty = true;
         for id in victims {
--- a/crates/core/src/shard/services.rs
+++ b/crates/core/src/shard/services.rs
@@ -39,7 +39,7 @@
             return;
         };
         if job.spec.tasks != tasks && !job.cancelled {
-            let job = job.no;
+            let job = job.number;
             self.record(now, Record::Resized { job, tasks }, 0);
         }
     }
@@ -54,7 +54,7 @@
             let org = self.orgs.iter().find(|o| o.name == job.spec.key.org);
             let Some(org) = org else { continue };
             if org.service(&job.spec.kind).is_none() {
-                gone.push(job.no);
+                gone.push(job.number);
             }
         }
         for job in gone {
@@ -91,7 +91,7 @@
         team: Name::from(""),
         tasks,
         size: service.size,
-        run: 0,
+        run_time: 0,
         priority: Priority::Urgent,
         checkpoint: false,
         attempts: UNLIMITED,
--- a/crates/core/src/shard/settings.rs
+++ b/crates/core/src/shard/settings.rs
@@ -11,47 +11,58 @@
     /// How places are chosen.
     pub policy: PlacePolicy,
     /// Time between exchanges with a worker that has nothing new.
-    pub exchange: Millis,
+    #[serde(rename = "exchange")]
+    pub exchange_interval: Millis,
     /// Length of a task's lease.
     pub lease: Millis,
     /// Added to a lease before its end is presumed: clock rates and pauses.
-    pub margin: Millis,
+    #[serde(rename = "margin")]
+    pub lease_margin: Millis,
     /// Time without an answer after which a worker counts as silent.
-    pub silent: Millis,
+    #[serde(rename = "silent")]
+    pub silent_after: Millis,
     /// How long a finished job stays in the book.
-    pub retain: Millis,
+    #[serde(rename = "retain")]
+    pub retention: Millis,
     /// Distinct failing tasks in a row after which a worker is quarantined.
-    pub strikes: usize,
+    #[serde(rename = "strikes")]
+    pub quarantine_threshold: usize,
     /// Length of the first quarantine; doubles each time.
-    pub ban: Millis,
+    #[serde(rename = "ban")]
+    pub quarantine: Millis,
     /// Longest quarantine.
-    pub max_ban: Millis,
+    #[serde(rename = "max_ban")]
+    pub max_quarantine: Millis,
     /// Most placements in one tick.
-    pub batch: usize,
+    #[serde(rename = "batch")]
+    pub max_placements: usize,
     /// Most evictions in a minute.
-    pub evictions: u32,
+    #[serde(rename = "evictions")]
+    pub evictions_per_minute: u32,
     /// How long an urgent task waits for room before others are evicted for it.
-    pub patience: Millis,
+    #[serde(rename = "patience")]
+    pub preempt_after: Millis,
     /// How long room is kept for a task that others were evicted for.
-    pub reserve: Millis,
+    #[serde(rename = "reserve")]
+    pub reservation: Millis,
 }
 
 impl Default for ShardSettings {
     fn default() -> ShardSettings {
         ShardSettings {
             policy: PlacePolicy::default(),
-            exchange: 500,
+            exchange_interval: 500,
             lease: 15_000,
-            margin: 1_000,
-            silent: 3_000,
-            retain: 60_000,
-            strikes: 3,
-            ban: 10_000,
-            max_ban: 600_000,
-            batch: 4_096,
-            evictions: 60,
-            patience: 600,
-            reserve: 2_000,
+            lease_margin: 1_000,
+            silent_after: 3_000,
+            retention: 60_000,
+            quarantine_threshold: 3,
+            quarantine: 10_000,
+            max_quarantine: 600_000,
+            max_placements: 4_096,
+            evictions_per_minute: 60,
+            preempt_after: 600,
+            reservation: 2_000,
         }
     }
 }
--- a/crates/core/src/shard/status.rs
+++ b/crates/core/src/shard/status.rs
@@ -96,7 +96,8 @@
     /// What is reserved.
     pub used: Size,
     /// Attempts on it.
-    pub residents: u32,
+    #[serde(rename = "residents")]
+    pub allocations: u32,
 }
 
 /// A shard as operators see it.
@@ -177,7 +178,7 @@
             blocked: Vec::new(),
         };
         for job in self.book.jobs() {
-            if job.open == 0 || job.spec.service {
+            if job.open_tasks == 0 || job.spec.service {
                 continue;
             }
             status.jobs += 1;
@@ -194,7 +195,7 @@
                 leaving: w.leaving,
                 total: w.total,
                 used: w.used,
-                residents: w.allocations.len() as u32,
+                allocations: w.allocations.len() as u32,
             });
         }
         status
--- a/crates/core/src/shard/task.rs
+++ b/crates/core/src/shard/task.rs
@@ -28,11 +28,13 @@
     /// Number of the latest attempt; 0 before the first.
     pub attempt: u32,
     /// Attempt that wrote the checkpoint to resume from; 0 for none.
-    pub checkpoint: u32,
+    #[serde(rename = "checkpoint")]
+    pub checkpoint_attempt: u32,
     /// Evictions so far.
     pub evictions: u32,
     /// Attempts that were lost with their workers.
-    pub lost: u32,
+    #[serde(rename = "lost")]
+    pub lost_attempts: u32,
     /// Attempts that failed.
     pub fails: u32,
     /// Distinct workers that it failed on.
--- a/crates/core/src/template/check.rs
+++ b/crates/core/src/template/check.rs
@@ -116,7 +116,7 @@
     let sum = raw.tail_latency + raw.throughput + raw.evictions;
     p.require(sum > 0.0, "weights", "at least one weight must be above 0");
     Weights {
-        tail: raw.tail_latency / sum,
+        tail_latency: raw.tail_latency / sum,
         throughput: raw.throughput / sum,
         evictions: raw.evictions / sum,
     }
@@ -125,7 +125,7 @@
 fn limits(raw: &RawLimits, p: &mut Problems) -> OrgLimits {
     let at = |field: &str| format!("limits.{field}");
     OrgLimits {
-        jobs: whole(raw.open_jobs, 1, 1_000_000, at("open_jobs"), p) as u32,
+        open_jobs: whole(raw.open_jobs, 1, 1_000_000, at("open_jobs"), p) as u32,
         queue: whole(raw.queued_requests, 0, 10_000, at("queued_requests"), p) as u32,
         retries: whole(raw.retry_percent, 0, 100, at("retry_percent"), p) as u32,
         evictions: whole(raw.task_evictions, 0, 1_000, at("task_evictions"), p) as u32,
@@ -197,7 +197,7 @@
         name: name(&raw.name, &at("name"), p),
         team: name(&raw.team, &at("team"), p),
         size: task_size(&raw.size, &at("size"), p),
-        tasks: whole(raw.max_tasks, 1, 100_000, at("max_tasks"), p) as u32,
+        max_tasks: whole(raw.max_tasks, 1, 100_000, at("max_tasks"), p) as u32,
         run: whole(raw.run_ms, 0, MAX_MS, at("run_ms"), p),
         priority: raw.priority,
         checkpoint: raw.checkpoint,
--- a/crates/core/src/template/job.rs
+++ b/crates/core/src/template/job.rs
@@ -15,7 +15,8 @@
     /// Declared size of a task.
     pub size: Size,
     /// Most tasks a job may have.
-    pub tasks: u32,
+    #[serde(rename = "tasks")]
+    pub max_tasks: u32,
     /// Declared run time of a task; 0 runs until it is cancelled.
     pub run: Millis,
     /// Priority of the tasks.
--- a/crates/core/src/template/limits.rs
+++ b/crates/core/src/template/limits.rs
@@ -8,7 +8,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OrgLimits {
     /// Most open jobs in a shard.
-    pub jobs: u32,
+    #[serde(rename = "jobs")]
+    pub open_jobs: u32,
     /// Most requests waiting at one entry instance.
     pub queue: u32,
     /// Share of recent requests that may be sent again, in hundredths.
--- a/crates/core/src/template/weights.rs
+++ b/crates/core/src/template/weights.rs
@@ -6,7 +6,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Weights {
     /// Tail latency of services.
-    pub tail: f64,
+    #[serde(rename = "tail")]
+    pub tail_latency: f64,
     /// Batch throughput.
     pub throughput: f64,
     /// Evictions.
@@ -17,7 +18,7 @@
     fn default() -> Weights {
         let third = 1.0 / 3.0;
         Weights {
-            tail: third,
+            tail_latency: third,
             throughput: third,
             evictions: third,
         }
--- a/crates/core/tests/common/world.rs
+++ b/crates/core/tests/common/world.rs
@@ -53,7 +53,7 @@
             workers: 4,
             hold: 12_000,
             shard: ShardSettings {
-                retain: 10_000_000,
+                retention: 10_000_000,
                 ..ShardSettings::default()
             },
             seed: 1,
@@ -141,7 +141,7 @@
         name: "weld".into(),
         weights: Weights::default(),
         limits: OrgLimits {
-            jobs: 100_000,
+            open_jobs: 100_000,
             queue: 64,
             retries: 10,
             evictions: 5,
@@ -171,7 +171,7 @@
         team: "certification".into(),
         tasks,
         size: Size::new(6_000, 10 << 30, 0),
-        run,
+        run_time: run,
         priority,
         checkpoint: true,
         attempts: 3,
@@ -197,7 +197,7 @@
                 token: 0,
                 next: 0,
                 snapshot: 0,
-                row: 0,
+                next_row: 0,
                 first_row: 0,
                 hold: 0,
                 settled: true,
@@ -276,7 +276,7 @@
         }
         self.submitted
             .iter()
-            .all(|(k, _)| book.find(k).is_some_and(|j| j.open == 0))
+            .all(|(k, _)| book.find(k).is_some_and(|j| j.open_tasks == 0))
     }
 
     /// Returns the owner that the row names.
@@ -369,8 +369,8 @@
         let takeover = Takeover {
             epoch: self.row.epoch,
             state: book,
-            next: self.journal.len() as u64,
-            inherited: self.row.hold,
+            next_record: self.journal.len() as u64,
+            inherited_hold: self.row.hold,
             settled: false,
         };
         let place = ShardId {
--- a/crates/core/tests/configs.rs
+++ b/crates/core/tests/configs.rs
@@ -21,7 +21,7 @@
             name: org.into(),
             weights: Weights::default(),
             limits: OrgLimits {
-                jobs: version as u32,
+                open_jobs: version as u32,
                 queue: 1,
                 retries: 1,
                 evictions: 1,
@@ -43,7 +43,7 @@
         seq,
         addr: ([127, 0, 0, 1], 1).into(),
         leaving: false,
-        config: 0,
+        config_head: 0,
         shards: Vec::new(),
     }
 }
@@ -67,7 +67,7 @@
             newest[org] = newest[org].max(version);
             let found = configs.get(orgs[org]).expect("offered");
             prop_assert_eq!(found.version, newest[org]);
-            prop_assert_eq!(u64::from(found.template.limits.jobs), newest[org]);
+            prop_assert_eq!(u64::from(found.template.limits.open_jobs), newest[org]);
         }
     }
 
@@ -183,7 +183,7 @@
         b.shards.push(ShardOwnership {
             shard: 2,
             epoch,
-            targets: 1,
+            targets_version: 1,
         });
         peers.record_heartbeat(NOW, b);
     }
--- a/crates/core/tests/guards.rs
+++ b/crates/core/tests/guards.rs
@@ -42,8 +42,8 @@
     let takeover = Takeover {
         epoch: 1,
         state: ShardState::default(),
-        next: 0,
-        inherited: HOLD,
+        next_record: 0,
+        inherited_hold: HOLD,
         settled: false,
     };
     let mut m = ShardScheduler::new(place, ShardSettings::default(), 1, takeover, NOW);
@@ -117,7 +117,7 @@
 #[test]
 fn a_silent_workers_leases_are_not_renewed() {
     let mut m = machine();
-    let late = NOW + ShardSettings::default().silent + 10;
+    let late = NOW + ShardSettings::default().silent_after + 10;
     m.step(late, &Event::Tick);
     let sent = request(m.step(late + 4_000, &Event::Tick)).expect("a probe");
     assert!(!sent.renew);
@@ -174,8 +174,8 @@
     let takeover = Takeover {
         epoch: 2,
         state: old.book().clone(),
-        next: old.next_record(),
-        inherited: HOLD,
+        next_record: old.next_record(),
+        inherited_hold: HOLD,
         settled,
     };
     let mut new = ShardScheduler::new(place, ShardSettings::default(), 1, takeover, NOW);
@@ -202,7 +202,7 @@
 #[test]
 fn an_unreachable_workers_task_waits_for_the_hold_unless_no_owner_renews() {
     let s = ShardSettings::default();
-    let lease = s.lease + s.lease / 100 + s.margin;
+    let lease = s.lease + s.lease / 100 + s.lease_margin;
     let near = |found: u64, wanted: u64| (wanted..=wanted + 200).contains(&found);
     assert!(near(given_up_after(false, None), lease + HOLD));
     assert!(near(given_up_after(true, None), lease));
@@ -214,7 +214,7 @@
 fn a_lease_is_over_on_the_slowest_clock_before_its_end_is_presumed() {
     for pick in 0..4 {
         let mut settings = WorldSettings::default();
-        settings.shard.margin = 40;
+        settings.shard.lease_margin = 40;
         let mut world = World::new(settings);
         for i in 0..6 {
             world.submit(spec(&format!("job{i}"), 2, 90_000, Priority::Normal));
@@ -308,7 +308,7 @@
         token,
         next: 0,
         snapshot: 0,
-        row: 0,
+        next_row: 0,
         first_row: 0,
         hold: 0,
         settled: true,
--- a/crates/core/tests/regression.rs
+++ b/crates/core/tests/regression.rs
@@ -90,8 +90,8 @@
         Takeover {
             epoch: 1,
             state: ShardState::default(),
-            next: 0,
-            inherited: 0,
+            next_record: 0,
+            inherited_hold: 0,
             settled: true,
         },
         1_000,
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -34,7 +34,7 @@
         shard: u32::from(!near),
         epoch: 1,
         version,
-        near,
+        same_zone: near,
         targets,
     })
 }
@@ -47,8 +47,8 @@
         priority: Priority::Normal,
         deadline: now + 1_000,
         repeatable: true,
-        queue: 64,
-        retries: 10,
+        max_queued: 64,
+        retry_percent: 10,
     }
 }
 
@@ -270,15 +270,15 @@
     }
     let mut bulk = arrival(10, START);
     bulk.priority = Priority::Bulk;
-    bulk.queue = 1;
+    bulk.max_queued = 1;
     router.step(START, &RouteEvent::Arrive(bulk));
     let mut urgent = arrival(11, START);
     urgent.priority = Priority::Urgent;
-    urgent.queue = 1;
+    urgent.max_queued = 1;
     let out = router.step(START, &RouteEvent::Arrive(urgent));
     assert_eq!(refused(&out), [(10, Outcome::NotRun, Refusal::QueueFull)]);
     let mut second = arrival(12, START);
-    second.queue = 1;
+    second.max_queued = 1;
     let out = router.step(START, &RouteEvent::Arrive(second));
     assert_eq!(refused(&out), [(12, Outcome::NotRun, Refusal::QueueFull)]);
 }
@@ -310,7 +310,7 @@
 fn an_organisation_has_its_share_of_an_entry() {
     let mut router = Router::new(
         RouteSettings {
-            share: 10,
+            max_org_requests: 10,
             ..RouteSettings::default()
         },
         1,
@@ -339,7 +339,7 @@
 fn run_with_failures(policy: RoutePolicy, requests: u64) -> (u64, u64) {
     let settings = RouteSettings {
         policy,
-        hedges: 0,
+        hedge_permille: 0,
         ..RouteSettings::default()
     };
     let mut router = Router::new(settings, 3);
@@ -465,7 +465,7 @@
                     a.repeatable = repeatable;
                     a.priority = Priority::ALL[usize::from(priority)];
                     a.deadline = now + deadline;
-                    a.queue = 3;
+                    a.max_queued = 3;
                     seen.push(Seen { once: !repeatable, ..Seen::default() });
                     RouteEvent::Arrive(a)
                 }
--- a/crates/core/tests/template.rs
+++ b/crates/core/tests/template.rs
@@ -20,7 +20,7 @@
 fn a_good_template_passes() {
     let org = checked(GOOD).expect("no problem");
     assert_eq!(org.job("j").expect("there").size.cpu, 500);
-    assert!((org.weights.tail - 1.0 / 3.0).abs() < 1e-9);
+    assert!((org.weights.tail_latency - 1.0 / 3.0).abs() < 1e-9);
 }
 
 #[test_case("organisation: weld", "organisation: 'we ld'", "organisation"; "space in a name")]
--- a/crates/entry/src/job_api.rs
+++ b/crates/entry/src/job_api.rs
@@ -85,8 +85,12 @@
         let Some(kind) = org.job(&json.kind) else {
             return bad(422, "kind", "the template has no such kind of job");
         };
-        if json.tasks == 0 || json.tasks > kind.tasks {
-            return bad(422, "tasks", &format!("must be from 1 to {}", kind.tasks));
+        if json.tasks == 0 || json.tasks > kind.max_tasks {
+            return bad(
+                422,
+                "tasks",
+                &format!("must be from 1 to {}", kind.max_tasks),
+            );
         }
         let Some(at) = self
             .shared
@@ -102,7 +106,7 @@
             team: kind.team.clone(),
             tasks: json.tasks,
             size: kind.size,
-            run: kind.run,
+            run_time: kind.run,
             priority: kind.priority,
             checkpoint: kind.checkpoint,
             attempts: kind.attempts,
--- a/crates/entry/src/router_thread_tests.rs
+++ b/crates/entry/src/router_thread_tests.rs
@@ -32,7 +32,7 @@
         shard: 0,
         epoch: 1,
         version: 1,
-        near: true,
+        same_zone: true,
         targets: vec![target],
     };
     router.step(NOW, &RouteEvent::Targets(list));
@@ -47,8 +47,8 @@
         priority: Priority::Normal,
         deadline: NOW + 1_000,
         repeatable: true,
-        queue: 8,
-        retries: 10,
+        max_queued: 8,
+        retry_percent: 10,
     };
     let arrive = ToRouter::Arrive { arrival, reply };
     handle(&mut router, NOW, arrive, &mut open, &metrics);
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -111,20 +111,20 @@
     p.require(ok, "limits.waiting", "must be from 1 to 100000");
     let ok = (1..=100_000).contains(&l.connections);
     p.require(ok, "limits.connections", "must be from 1 to 100000");
-    let ok = raw.route.share >= 1 && raw.route.share <= l.handlers;
+    let ok = raw.route.max_org_requests >= 1 && raw.route.max_org_requests <= l.handlers;
     p.require(ok, "route.share", "must be from 1 to limits.handlers");
     p.require(
-        raw.route.attempts >= 1,
+        raw.route.max_attempts >= 1,
         "route.attempts",
         "must be at least 1",
     );
     p.require(
-        raw.route.hedges <= 1_000,
+        raw.route.hedge_permille <= 1_000,
         "route.hedges",
         "must be at most 1000",
     );
     p.require(
-        raw.route.max_ejected <= 100,
+        raw.route.max_ejected_percent <= 100,
         "route.max_ejected",
         "must be at most 100",
     );
--- a/crates/entry/src/targets.rs
+++ b/crates/entry/src/targets.rs
@@ -74,7 +74,7 @@
             shard: answer.shard,
             epoch: answer.epoch,
             version: answer.version,
-            near: at.zone == shared.settings.zone,
+            same_zone: at.zone == shared.settings.zone,
             targets: answer.targets,
         };
         let _ = router.send(ToRouter::Event(RouteEvent::Targets(list)));
@@ -88,7 +88,7 @@
     let peers = shared.peers();
     let owner = peers.owner_of(now, shard)?;
     let claim = owner.heartbeat.shards.iter().find(|c| c.shard == shard)?;
-    Some((owner.addr, claim.epoch, claim.targets))
+    Some((owner.addr, claim.epoch, claim.targets_version))
 }
 
 fn tell_members(shared: &Shared, router: &Sender<ToRouter>, told: &mut Told) {
--- a/crates/load/src/measure/floor.rs
+++ b/crates/load/src/measure/floor.rs
@@ -111,7 +111,7 @@
         name: "org".into(),
         weights: settings.weights,
         limits: OrgLimits {
-            jobs: 1_000_000,
+            open_jobs: 1_000_000,
             queue: 64,
             retries: 10,
             evictions: 3,
@@ -139,16 +139,16 @@
         };
         let usual = ShardSettings::default();
         let shard = ShardSettings {
-            patience: settings.patience.unwrap_or(usual.patience),
+            preempt_after: settings.patience.unwrap_or(usual.preempt_after),
             policy: settings.policy,
-            retain: 1_000,
+            retention: 1_000,
             ..usual
         };
         let takeover = Takeover {
             epoch: 1,
             state: ShardState::default(),
-            next: 0,
-            inherited: 60_000,
+            next_record: 0,
+            inherited_hold: 60_000,
             settled: true,
         };
         let machine = ShardScheduler::new(place, shard, settings.seed, takeover, START);
@@ -323,7 +323,7 @@
             team: kind_name(kind),
             tasks: 1,
             size: Size::new(3_000, 6 << 30, 0),
-            run,
+            run_time: run,
             priority,
             checkpoint: true,
             attempts: 3,
@@ -389,7 +389,7 @@
                     match end {
                         End::Done => {
                             self.result.done += 1;
-                            self.result.work += job.spec.run;
+                            self.result.work += job.spec.run_time;
                         }
                         End::Evicted { .. } => self.result.evictions += 1,
                         End::Failed | End::Lost | End::Refused | End::Stopped => {}
--- a/crates/load/src/measure/interference.rs
+++ b/crates/load/src/measure/interference.rs
@@ -8,12 +8,12 @@
 
 /// Weights of Weld and of Taipei.
 const WELD: Weights = Weights {
-    tail: 0.6,
+    tail_latency: 0.6,
     throughput: 0.2,
     evictions: 0.2,
 };
 const TAIPEI: Weights = Weights {
-    tail: 0.2,
+    tail_latency: 0.2,
     throughput: 0.4,
     evictions: 0.4,
 };
--- a/crates/load/src/measure/membership.rs
+++ b/crates/load/src/measure/membership.rs
@@ -60,13 +60,13 @@
 fn full(args: &MembershipArgs, each: f64) -> Measured {
     let zone = args.instances.div_ceil(args.zones);
     let settings = MemberSettings::default();
-    let sent = (zone - 1) + settings.contacts * (args.zones - 1);
-    let rounds = 1000.0 / settings.beat as f64;
+    let sent = (zone - 1) + settings.contacts_per_zone * (args.zones - 1);
+    let rounds = 1000.0 / settings.heartbeat_interval as f64;
     Measured {
         bytes: sent as f64 * (each + DATAGRAM) * rounds,
         entries: args.instances as f64,
-        learn_s: settings.beat as f64 / 1000.0,
-        forget_s: (settings.dead + settings.beat) as f64 / 1000.0,
+        learn_s: settings.heartbeat_interval as f64 / 1000.0,
+        forget_s: (settings.dead_after + settings.heartbeat_interval) as f64 / 1000.0,
     }
 }
 
--- a/crates/load/src/measure/overload_run.rs
+++ b/crates/load/src/measure/overload_run.rs
@@ -167,7 +167,7 @@
     fn new(run: &OverloadRun) -> Sim<'_> {
         let settings = RouteSettings {
             policy: run.policy,
-            share: usize::MAX,
+            max_org_requests: usize::MAX,
             ..RouteSettings::default()
         };
         let mut nodes = Vec::new();
@@ -223,7 +223,7 @@
                 shard: 0,
                 epoch: 1,
                 version: 1,
-                near: true,
+                same_zone: true,
                 targets: targets.clone(),
             };
             self.routers[e].step(START, &RouteEvent::Targets(list));
@@ -323,8 +323,8 @@
             priority,
             deadline: self.now + DEADLINE,
             repeatable,
-            queue: 64,
-            retries: 10,
+            max_queued: 64,
+            retry_percent: 10,
         };
         self.feed(entry, &RouteEvent::Arrive(arrival));
     }
--- a/crates/load/src/measure/slopes_org.rs
+++ b/crates/load/src/measure/slopes_org.rs
@@ -20,7 +20,7 @@
             name: format!("kind{kind}").into(),
             team: "team0".into(),
             size: Size::new(1_000, 2 << 30, 0),
-            tasks: 1_000,
+            max_tasks: 1_000,
             run: 60_000,
             priority: Priority::Normal,
             checkpoint: true,
@@ -31,7 +31,7 @@
         name: format!("org{n}").into(),
         weights: Weights::default(),
         limits: OrgLimits {
-            jobs: 1_000_000,
+            open_jobs: 1_000_000,
             queue: 64,
             retries: 10,
             evictions: 3,
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -64,14 +64,14 @@
     };
     let settings = ShardSettings {
         policy,
-        batch: usize::MAX,
+        max_placements: usize::MAX,
         ..ShardSettings::default()
     };
     let takeover = Takeover {
         epoch: 1,
         state: ShardState::default(),
-        next: 0,
-        inherited: 60_000,
+        next_record: 0,
+        inherited_hold: 60_000,
         settled: true,
     };
     let mut machine = ShardScheduler::new(place, settings, seed, takeover, START);
@@ -134,7 +134,7 @@
         team: "team0".into(),
         tasks,
         size: Size::new(1_000, 2 << 30, 0),
-        run: 60_000,
+        run_time: 60_000,
         priority: Priority::Normal,
         checkpoint: true,
         attempts: 3,
@@ -257,8 +257,8 @@
     let takeover = Takeover {
         epoch: 2,
         state: again.book,
-        next: again.next,
-        inherited: 60_000,
+        next_record: again.next,
+        inherited_hold: 60_000,
         settled: true,
     };
     let mut new = ShardScheduler::new(place, ShardSettings::default(), seed, takeover, START);
--- a/crates/load/src/slopes/memory.rs
+++ b/crates/load/src/slopes/memory.rs
@@ -99,7 +99,7 @@
         shard: 0,
         epoch: 1,
         version: 1,
-        near: true,
+        same_zone: true,
         targets,
     };
     router.step(1_000, &RouteEvent::Targets(list));
@@ -116,11 +116,11 @@
         seq,
         addr: ([127, 0, 0, 1], 40_000).into(),
         leaving: false,
-        config: 40_000,
+        config_head: 40_000,
         shards: vec![gorsespur_core::member::ShardOwnership {
             shard: i as u32,
             epoch: 7,
-            targets: 99,
+            targets_version: 99,
         }],
     }
 }
--- a/crates/peer/src/beats.rs
+++ b/crates/peer/src/beats.rs
@@ -40,7 +40,7 @@
 /// Sends heartbeats until `cancel`, and a last one that says goodbye.
 pub(crate) fn send_all(shared: &Shared, socket: &UdpSocket, cancel: &Cancel) {
     let mut rng = SmallRng::seed_from_u64(shared.incarnation);
-    let pause = Duration::from_millis(shared.settings.membership.beat);
+    let pause = Duration::from_millis(shared.settings.membership.heartbeat_interval);
     let mut seq = 0;
     loop {
         seq += 1;
@@ -80,7 +80,7 @@
         seq,
         addr: s.listen,
         leaving: shared.is_leaving(),
-        config: shared.configs().head(),
+        config_head: shared.configs().head(),
         shards: shared.claims().clone(),
     }
 }
@@ -107,7 +107,7 @@
     for zone in &mut far {
         zone.sort();
         zone.dedup();
-        near.extend(zone.choose_multiple(rng, s.membership.contacts));
+        near.extend(zone.choose_multiple(rng, s.membership.contacts_per_zone));
     }
     near.remove(&s.listen);
     near
--- a/crates/peer/src/config.rs
+++ b/crates/peer/src/config.rs
@@ -192,8 +192,8 @@
     let peers = shared.peers();
     let mut best: Option<(SocketAddr, u64)> = None;
     for p in peers.live(now) {
-        if best.is_none_or(|b| p.heartbeat.config > b.1) {
-            best = Some((p.addr, p.heartbeat.config));
+        if best.is_none_or(|b| p.heartbeat.config_head > b.1) {
+            best = Some((p.addr, p.heartbeat.config_head));
         }
     }
     best
--- a/crates/peer/src/settings.rs
+++ b/crates/peer/src/settings.rs
@@ -146,9 +146,10 @@
         }
         names.sort();
         check_ms(raw.platform.timeout_ms, "platform.timeout_ms", p);
-        check_ms(raw.membership.beat, "membership.beat", p);
-        check_ms(raw.membership.dead, "membership.dead", p);
-        let enough = raw.membership.dead >= raw.membership.beat.saturating_mul(2);
+        check_ms(raw.membership.heartbeat_interval, "membership.beat", p);
+        check_ms(raw.membership.dead_after, "membership.dead", p);
+        let enough =
+            raw.membership.dead_after >= raw.membership.heartbeat_interval.saturating_mul(2);
         p.require(
             enough,
             "membership.dead",
--- a/crates/peer/tests/config.rs
+++ b/crates/peer/tests/config.rs
@@ -100,8 +100,8 @@
         members: listen,
         timeout: Duration::from_millis(500),
         membership: MemberSettings {
-            beat: 50,
-            dead: 500,
+            heartbeat_interval: 50,
+            dead_after: 500,
             ..MemberSettings::default()
         },
         log: Default::default(),
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -27,8 +27,8 @@
     Takeover {
         epoch: 1,
         state: ShardState::default(),
-        next: 0,
-        inherited: 1_000,
+        next_record: 0,
+        inherited_hold: 1_000,
         settled: true,
     }
 }
@@ -43,7 +43,7 @@
         team: "".into(),
         tasks: 1,
         size: Size::new(1_000, 1 << 30, 0),
-        run: 1_000,
+        run_time: 1_000,
         priority: Priority::Normal,
         checkpoint: false,
         attempts: 3,
@@ -130,7 +130,7 @@
 fn a_changed_decision_is_found() {
     let path = record("changed");
     let mut trace = Trace::read(&path).expect("well-formed");
-    trace.header.settings.batch = 1;
+    trace.header.settings.max_placements = 1;
     let found = replay(&trace);
     assert!(
         matches!(found, Err(TraceError::Differs { .. })),
--- a/crates/sched/src/journal.rs
+++ b/crates/sched/src/journal.rs
@@ -108,7 +108,7 @@
             token: 0,
             next: 0,
             snapshot: 0,
-            row: 0,
+            next_row: 0,
             first_row: 0,
             hold: 0,
             settled: true,
@@ -168,7 +168,7 @@
             records: batch.records.clone(),
         };
         let value = encode(&value).map_err(|_| JournalError::Encode)?;
-        let mut tx = Tx::new().put(keys::journal(&self.shard, self.row.row), value);
+        let mut tx = Tx::new().put(keys::journal(&self.shard, self.row.next_row), value);
         for record in &batch.records {
             let Record::Submitted(spec) = record else {
                 continue;
@@ -198,7 +198,7 @@
         }
         let row = ShardRow {
             next: batch.first + batch.records.len() as u64,
-            row: self.row.row + 1,
+            next_row: self.row.next_row + 1,
             hold,
             ..self.row.clone()
         };
@@ -208,7 +208,7 @@
     /// Returns the number of the next row: where a snapshot of all that is
     /// written now would cut the journal.
     pub fn next_row(&self) -> u64 {
-        self.row.row
+        self.row.next_row
     }
 
     /// Cuts the journal before row `cut`, behind a snapshot in the object store
--- a/crates/sched/src/keep.rs
+++ b/crates/sched/src/keep.rs
@@ -230,7 +230,7 @@
         mut hold: u64,
         settled: &AtomicBool,
     ) -> Parted {
-        let mut rows = journal.row().row - journal.row().first_row;
+        let mut rows = journal.row().next_row - journal.row().first_row;
         let mut asked = false;
         let (stored, stores) = flume::bounded(1);
         let mut balanced = Instant::now();
--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -126,8 +126,8 @@
         let takeover = Takeover {
             epoch,
             state: book,
-            next: journal.row().next,
-            inherited: journal.row().hold,
+            next_record: journal.row().next,
+            inherited_hold: journal.row().hold,
             settled: journal.row().settled,
         };
         let old = row
--- a/crates/sched/src/settings.rs
+++ b/crates/sched/src/settings.rs
@@ -138,13 +138,13 @@
         format!("must be from 1 to {MAX_THREADS}"),
     );
     let s = &raw.shards;
-    let ok = raw.exchange_timeout_ms >= 10 && raw.exchange_timeout_ms < s.silent;
+    let ok = raw.exchange_timeout_ms >= 10 && raw.exchange_timeout_ms < s.silent_after;
     p.require(
         ok,
         "exchange_timeout_ms",
         "must be at least 10 and less than shards.silent",
     );
-    let ok = s.lease >= s.exchange.saturating_mul(4);
+    let ok = s.lease >= s.exchange_interval.saturating_mul(4);
     p.require(
         ok,
         "shards.lease",
@@ -156,8 +156,12 @@
         "shards.lease",
         "must be more than twice ownership.lease_ms, for a takeover",
     );
-    p.require(s.batch > 0, "shards.batch", "must be more than 0");
-    p.require(s.strikes > 0, "shards.strikes", "must be more than 0");
+    p.require(s.max_placements > 0, "shards.batch", "must be more than 0");
+    p.require(
+        s.quarantine_threshold > 0,
+        "shards.strikes",
+        "must be more than 0",
+    );
     let instance = AgentSettings::check(raw.instance, Role::Sched, &mut p);
     p.into_result(SchedSettings {
         instance,
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -283,7 +283,7 @@
         let claim = ShardOwnership {
             shard: self.at.place.index,
             epoch: self.machine.epoch(),
-            targets,
+            targets_version: targets,
         };
         let mut claims = self.shared.claims();
         match claims.binary_search_by_key(&claim.shard, |c| c.shard) {
--- a/crates/sched/tests/journal.rs
+++ b/crates/sched/tests/journal.rs
@@ -48,7 +48,7 @@
         team: "certification".into(),
         tasks: 1,
         size: Size::new(1_000, 1 << 30, 0),
-        run: 1_000,
+        run_time: 1_000,
         priority: Priority::Normal,
         checkpoint: false,
         attempts: 3,
--- a/crates/stand/src/sim.rs
+++ b/crates/stand/src/sim.rs
@@ -337,7 +337,7 @@
             let sample = Sample {
                 attempt: r.order.attempt,
                 at: self.clock,
-                slow: (*slow * 1000.0) as u32,
+                slowdown_permille: (*slow * 1000.0) as u32,
                 used: Size::new(r.order.size.cpu * 9 / 10, r.order.size.memory * 9 / 10, 0),
             };
             self.samples
