--- a/crates/core/src/member/peers.rs
+++ b/crates/core/src/member/peers.rs
@@ -104,7 +104,7 @@
     }
 
     /// Forgets instances that have been dead for long.
-    pub fn forget(&mut self, now: Millis) {
+    pub fn remove_dead(&mut self, now: Millis) {
         let limit = self.settings.forget_after;
         self.peers
             .retain(|p| now.saturating_sub(p.heartbeat_at) < limit);
--- a/crates/core/src/owner/row.rs
+++ b/crates/core/src/owner/row.rs
@@ -18,9 +18,11 @@
     /// Chosen anew for each write, to recognise one's own.
     pub token: u64,
     /// Number of the next journal record.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_record: u64,
     /// Number of the first record after the snapshot; 0 without one.
-    pub snapshot: u64,
+    #[serde(rename = "snapshot")]
+    pub first_record: u64,
     /// Number of the journal's next row.
     #[serde(rename = "row")]
     pub next_row: u64,
--- a/crates/core/src/place/mod.rs
+++ b/crates/core/src/place/mod.rs
@@ -8,4 +8,4 @@
 pub use band::{BAND_COUNT, Band};
 pub use history::{CoRunner, History};
 pub use pairs::{Estimate, InterferenceModel};
-pub use policy::PlacePolicy;
+pub use policy::PlacementPolicy;
--- a/crates/core/src/route/admit.rs
+++ b/crates/core/src/route/admit.rs
@@ -25,8 +25,8 @@
         let org = self.org(&a.org);
         org.retries.deposit(a.retry_percent * TENFOLD);
         org.hedges.deposit(hedges);
-        let (here, waiting) = (org.open_requests, org.waiting);
-        let Some(service) = self.service(&a.org, &a.service) else {
+        let (here, waiting) = (org.open_requests, org.queued);
+        let Some(service) = self.service_index(&a.org, &a.service) else {
             return self.turn_away(a.req, Refusal::NoTarget);
         };
         if self.services[service].targets.iter().all(|t| t.leaving) {
@@ -42,7 +42,7 @@
             deadline: a.deadline,
             repeatable: a.repeatable,
             tries: 0,
-            attempts: Vec::new(),
+            in_flight: Vec::new(),
             failed: Vec::new(),
             may_have_run: false,
         };
@@ -112,7 +112,7 @@
             }
         }
         let rounds = (ahead + 1) as f64 / f64::from(capacity.max(1));
-        s.mean * (1.0 + rounds)
+        s.mean_latency * (1.0 + rounds)
     }
 
     fn wait(&mut self, i: usize) {
@@ -128,7 +128,7 @@
         };
         s.queued.insert(k, turn);
         let org = s.org.clone();
-        self.org(&org).waiting += 1;
+        self.org(&org).queued += 1;
     }
 
     pub(super) fn dequeue(&mut self, service: usize, turn: QueueEntry) {
@@ -139,7 +139,7 @@
         s.queued.remove(k);
         let org = s.org.clone();
         let o = self.org(&org);
-        o.waiting = o.waiting.saturating_sub(1);
+        o.queued = o.queued.saturating_sub(1);
     }
 
     /// Sends waiting requests while there are targets for them.
@@ -158,7 +158,7 @@
 
     /// Refuses waiting requests that can't be answered in time any more.
     pub(super) fn expire(&mut self, now: Millis, service: usize) {
-        let mean = self.services[service].mean;
+        let mean = self.services[service].mean_latency;
         let late = |t: &QueueEntry| now as f64 + mean * ROOM > t.deadline as f64;
         let mut gone = Vec::new();
         for turn in &self.services[service].queued {
@@ -177,14 +177,14 @@
     /// Decides what becomes of a request after a try that did not answer it.
     pub(super) fn retry(&mut self, now: Millis, i: usize, end: AttemptOutcome) {
         let r = &self.requests[i];
-        if r.deadline == 0 || !r.attempts.is_empty() {
-            if r.deadline == 0 && r.attempts.is_empty() {
+        if r.deadline == 0 || !r.in_flight.is_empty() {
+            if r.deadline == 0 && r.in_flight.is_empty() {
                 self.drop_request(i);
             }
             return;
         }
         let safe = !r.may_have_run || r.repeatable;
-        let late = now as f64 + self.services[r.service].mean * ROOM > r.deadline as f64;
+        let late = now as f64 + self.services[r.service].mean_latency * ROOM > r.deadline as f64;
         if !safe || r.tries >= self.settings.max_attempts || late {
             return self.refuse(i, Refusal::Failed);
         }
@@ -205,7 +205,7 @@
             return;
         };
         let r = &self.requests[i];
-        let one = r.attempts.len() == 1 && r.deadline > now;
+        let one = r.in_flight.len() == 1 && r.deadline > now;
         if !one || !r.repeatable || r.tries >= self.settings.max_attempts {
             return;
         }
--- a/crates/core/src/route/choose.rs
+++ b/crates/core/src/route/choose.rs
@@ -29,8 +29,8 @@
         let (worker, addr) = (target.worker.clone(), target.addr);
         let r = &mut self.requests[i];
         r.tries += 1;
-        r.attempts.push((r.tries, worker.clone()));
-        self.counts.tries += 1;
+        r.in_flight.push((r.tries, worker.clone()));
+        self.counts.attempts += 1;
         self.actions.push(RouteAction::Send {
             req: r.req,
             attempt: r.tries,
@@ -46,7 +46,7 @@
         if !r.repeatable || self.settings.hedge_permille == 0 {
             return 0;
         }
-        let mean = self.services[r.service].mean;
+        let mean = self.services[r.service].mean_latency;
         ((mean * HEDGE) as Millis).max(MIN_HEDGE)
     }
 
@@ -54,9 +54,9 @@
         let s = &mut self.services[service];
         let n = s.targets.len();
         for _ in 0..n {
-            s.turn = (s.turn + 1) % n;
-            if s.targets[s.turn].same_zone && !s.targets[s.turn].leaving {
-                return Some(s.turn);
+            s.next_target = (s.next_target + 1) % n;
+            if s.targets[s.next_target].same_zone && !s.targets[s.next_target].leaving {
+                return Some(s.next_target);
             }
         }
         None
@@ -88,7 +88,7 @@
         target.same_zone == near
             && target.is_usable(now, self.share, &self.settings)
             && !r.failed.iter().any(tried)
-            && !r.attempts.iter().any(|o| tried(&o.1))
+            && !r.in_flight.iter().any(|o| tried(&o.1))
     }
 
     fn probe(&mut self, now: Millis, i: usize, near: bool, two: &mut Vec<usize>) {
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -26,9 +26,9 @@
     /// Sorted; the first is served next.
     pub queued: Vec<QueueEntry>,
     /// Running mean of the time of an answer.
-    pub mean: f64,
+    pub mean_latency: f64,
     /// Next target of the round-robin baseline.
-    pub turn: usize,
+    pub next_target: usize,
 }
 
 /// What an organisation uses of this instance.
@@ -36,7 +36,7 @@
 pub(super) struct OrgUsage {
     pub org: Name,
     pub open_requests: usize,
-    pub waiting: usize,
+    pub queued: usize,
     pub retries: Budget,
     pub hedges: Budget,
 }
@@ -55,7 +55,8 @@
     /// Requests that came.
     pub requests: u64,
     /// Tries that were sent.
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub attempts: u64,
     /// Requests that were refused or given up.
     pub refused: u64,
     /// Second tries beside the first.
@@ -124,7 +125,7 @@
     }
 
     /// Returns the number of requests that are not settled.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
@@ -143,7 +144,7 @@
         found.map_or(&[], |s| &s.targets)
     }
 
-    pub(super) fn service(&self, org: &str, name: &str) -> Option<usize> {
+    pub(super) fn service_index(&self, org: &str, name: &str) -> Option<usize> {
         self.services
             .binary_search_by(|s| (&*s.org, &*s.name).cmp(&(org, name)))
             .ok()
@@ -161,8 +162,8 @@
             name: name.clone(),
             targets: Vec::new(),
             queued: Vec::new(),
-            mean: 5.0,
-            turn: 0,
+            mean_latency: 5.0,
+            next_target: 0,
         };
         self.services.insert(i, service);
         for r in &mut self.requests {
@@ -178,7 +179,7 @@
                 let new = OrgUsage {
                     org: org.clone(),
                     open_requests: 0,
-                    waiting: 0,
+                    queued: 0,
                     retries: Budget::default(),
                     hedges: Budget::default(),
                 };
@@ -251,10 +252,10 @@
             return;
         };
         let r = &mut self.requests[i];
-        let Some(k) = r.attempts.iter().position(|o| o.0 == attempt) else {
+        let Some(k) = r.in_flight.iter().position(|o| o.0 == attempt) else {
             return;
         };
-        let (_, worker) = r.attempts.swap_remove(k);
+        let (_, worker) = r.in_flight.swap_remove(k);
         let service = r.service;
         self.note_end(now, service, &worker, end);
         match end {
@@ -284,7 +285,7 @@
         match end {
             AttemptOutcome::Answered { took, busy } => {
                 t.record_answer(now, took, busy);
-                s.mean += SHARE * (took as f64 - s.mean);
+                s.mean_latency += SHARE * (took as f64 - s.mean_latency);
             }
             AttemptOutcome::Declined { busy, leaving } => {
                 t.update_load(now, busy);
@@ -316,7 +317,7 @@
     fn settle(&mut self, i: usize) {
         let r = &mut self.requests[i];
         r.deadline = 0;
-        if r.attempts.is_empty() {
+        if r.in_flight.is_empty() {
             self.drop_request(i);
         }
     }
--- a/crates/core/src/route/waiting.rs
+++ b/crates/core/src/route/waiting.rs
@@ -13,7 +13,7 @@
     /// Tries so far.
     pub tries: u32,
     /// Workers of the tries under way, by number of the try.
-    pub attempts: Vec<(u32, crate::name::Name)>,
+    pub in_flight: Vec<(u32, crate::name::Name)>,
     /// Workers that failed it.
     pub failed: Vec<crate::name::Name>,
     /// Whether a try ended without proof that it did not run.
--- a/crates/core/src/shard/action.rs
+++ b/crates/core/src/shard/action.rs
@@ -15,7 +15,8 @@
     /// Its last state.
     pub status: JobStatus,
     /// Number in its shard.
-    pub no: u32,
+    #[serde(rename = "no")]
+    pub number: u32,
     /// Attempts of each task, if they may have written checkpoints.
     pub attempts: Vec<u32>,
 }
--- a/crates/core/src/shard/answer.rs
+++ b/crates/core/src/shard/answer.rs
@@ -17,7 +17,7 @@
         }
         if let Some(reason) = a.refused {
             if reason == ExchangeRefusal::OldEpoch && a.epoch > self.epoch {
-                self.out.push(Action::Fenced { epoch: a.epoch });
+                self.actions.push(Action::Fenced { epoch: a.epoch });
             }
             return;
         }
--- a/crates/core/src/shard/book.rs
+++ b/crates/core/src/shard/book.rs
@@ -34,7 +34,7 @@
         worker: Name,
     },
     /// An attempt is to be stopped since its job was cancelled.
-    Unwanted {
+    StopRequested {
         /// The attempt.
         attempt: AttemptId,
         /// The worker.
@@ -88,7 +88,7 @@
     }
 
     /// Returns the task of an attempt if the attempt is its current one.
-    pub fn active(&self, id: AttemptId) -> Option<(&Job, &Task, &Name)> {
+    pub fn active_task(&self, id: AttemptId) -> Option<(&Job, &Task, &Name)> {
         let job = self.job(id.job)?;
         let task = job.tasks.get(id.task as usize)?;
         match &task.state {
@@ -170,7 +170,7 @@
     }
 
     fn end(&mut self, id: AttemptId, end: End, out: &mut Vec<Effect>) {
-        let Some((_, _, worker)) = self.active(id) else {
+        let Some((_, _, worker)) = self.active_task(id) else {
             return;
         };
         let worker = worker.clone();
@@ -193,9 +193,9 @@
                 if let Err(i) = task.failed_on.binary_search(&worker) {
                     task.failed_on.insert(i, worker);
                 }
-                task.fails += 1;
+                task.failures += 1;
                 let spread = task.failed_on.len() >= attempts;
-                let tired = task.fails as usize >= attempts * FAILS_PER_WORKER;
+                let tired = task.failures as usize >= attempts * FAILS_PER_WORKER;
                 let last = !service && (spread || tired);
                 if last {
                     TaskState::Failed
@@ -288,7 +288,7 @@
                 task.state = TaskState::Cancelled;
                 job.open_tasks -= 1;
             }
-            TaskState::Active(worker) => out.push(Effect::Unwanted {
+            TaskState::Active(worker) => out.push(Effect::StopRequested {
                 attempt: AttemptId {
                     job: job.number,
                     task: i as u32,
--- a/crates/core/src/shard/class.rs
+++ b/crates/core/src/shard/class.rs
@@ -4,7 +4,7 @@
 
 /// What a machine knows of a class.
 #[derive(Debug, Clone)]
-pub(super) struct Class {
+pub(super) struct TaskClass {
     pub org: Name,
     pub kind: Name,
     pub service: bool,
--- a/crates/core/src/shard/effects.rs
+++ b/crates/core/src/shard/effects.rs
@@ -16,19 +16,19 @@
                 size,
             } => self.reserve(now, attempt, &worker, &size, number),
             Effect::Freed { attempt, worker } => self.free(attempt, &worker),
-            Effect::Unwanted { attempt, worker } => self.unwant(attempt, &worker),
+            Effect::StopRequested { attempt, worker } => self.unwant(attempt, &worker),
             Effect::Finished { job } => self.finish(now, job),
         }
     }
 
     /// Puts a queued task into its lane.
     pub(super) fn enqueue(&mut self, now: Millis, task: TaskRef, delay: Millis) {
-        let Some(job) = self.book.job(task.job) else {
+        let Some(job) = self.state.job(task.job) else {
             return;
         };
         let (org, team) = (job.spec.key.org.clone(), job.spec.team.clone());
         let (priority, service) = (job.spec.priority, job.spec.service);
-        let team = self.team(&org, &team, service);
+        let team = self.team_index(&org, &team, service);
         if delay > 0 {
             self.queue.push_delayed(now + delay, priority, team, task);
         } else {
@@ -46,15 +46,15 @@
         size: &Size,
         record: u64,
     ) {
-        let Some(job) = self.book.job(attempt.job) else {
+        let Some(job) = self.state.job(attempt.job) else {
             return;
         };
         let spec = &job.spec;
         let (org, kind, team) = (spec.key.org.clone(), spec.kind.clone(), spec.team.clone());
         let (priority, service) = (spec.priority, spec.service);
-        let class = self.class(&org, &kind, service);
+        let class = self.class_index(&org, &kind, service);
         let hold = self.classes[usize::from(class)].hold;
-        let team = self.team(&org, &team, service);
+        let team = self.team_index(&org, &team, service);
         let team = &mut self.teams[usize::from(team)];
         team.used = team.used.saturating_add(size);
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
@@ -100,11 +100,11 @@
         if resident.service {
             self.targets += 1;
         }
-        let Some(job) = self.book.job(attempt.job) else {
+        let Some(job) = self.state.job(attempt.job) else {
             return;
         };
         let (org, team) = (job.spec.key.org.clone(), job.spec.team.clone());
-        let team = self.team(&org, &team, resident.service);
+        let team = self.team_index(&org, &team, resident.service);
         let team = &mut self.teams[usize::from(team)];
         team.used = team.used.saturating_sub(&resident.size);
     }
@@ -122,7 +122,7 @@
     }
 
     fn finish(&mut self, now: Millis, job: u32) {
-        let Some(found) = self.book.job(job) else {
+        let Some(found) = self.state.job(job) else {
             return;
         };
         if found.spec.service {
@@ -135,7 +135,7 @@
         self.finished.push(FinishedJob {
             spec: found.spec.clone(),
             status: JobStatus::of(found),
-            no: job,
+            number: job,
             attempts,
         });
         self.closing.push_back((now + self.settings.retention, job));
--- a/crates/core/src/shard/ended.rs
+++ b/crates/core/src/shard/ended.rs
@@ -20,11 +20,11 @@
     pub(super) fn end_attempt(&mut self, now: Millis, i: usize, id: AttemptId, end: End) -> u64 {
         self.judge(now, i, id, end);
         let delay = self.retry_delay(id, end);
-        self.record(now, Record::Ended { attempt: id, end }, delay)
+        self.append_record(now, Record::Ended { attempt: id, end }, delay)
     }
 
     fn retry_delay(&self, id: AttemptId, end: End) -> Millis {
-        let Some((job, task, _)) = self.book.active(id) else {
+        let Some((job, task, _)) = self.state.active_task(id) else {
             return 0;
         };
         let most = if job.spec.service {
@@ -33,7 +33,7 @@
             MAX_RETRY
         };
         match end {
-            End::Failed => (RETRY << task.fails.min(10)).min(most),
+            End::Failed => (RETRY << task.failures.min(10)).min(most),
             End::Refused => REFUSED,
             End::Done if job.spec.service => RETRY,
             End::Done | End::Lost | End::Evicted { .. } | End::Stopped => 0,
--- a/crates/core/src/shard/evict.rs
+++ b/crates/core/src/shard/evict.rs
@@ -49,7 +49,7 @@
         {
             self.recent_evictions.pop_front();
         }
-        if self.settings.policy != crate::place::PlacePolicy::Interference {
+        if self.settings.policy != crate::place::PlacementPolicy::Interference {
             return;
         }
         for i in 0..self.workers.len() {
@@ -130,8 +130,8 @@
     fn may_evict(&self, id: AttemptId, class: u16) -> bool {
         let limit = self.classes[usize::from(class)].evictions;
         let few = self
-            .book
-            .active(id)
+            .state
+            .active_task(id)
             .is_some_and(|(_, t, _)| t.evictions < limit);
         few && self.recent_evictions.len() < self.settings.evictions_per_minute as usize
     }
--- a/crates/core/src/shard/exchange.rs
+++ b/crates/core/src/shard/exchange.rs
@@ -47,7 +47,8 @@
     /// Room that is reserved for it.
     pub size: Size,
     /// Declared run time; 0 runs until stopped.
-    pub run: Millis,
+    #[serde(rename = "run")]
+    pub run_time: Millis,
     /// Key of the checkpoint to resume from, in the object store.
     pub resume: Option<Name>,
     /// Key to write checkpoints to; none if it can't write any.
--- a/crates/core/src/shard/exchanges.rs
+++ b/crates/core/src/shard/exchanges.rs
@@ -68,12 +68,12 @@
             renew,
             lapse,
             starts,
-            stops: stops(w, &self.book),
+            stops: stops(w, &self.state),
             throttles: throttles(w),
             acks,
         };
         let (worker, addr) = (w.name.clone(), w.addr);
-        self.out.push(Action::Exchange {
+        self.actions.push(Action::Exchange {
             worker,
             addr,
             request,
@@ -103,7 +103,7 @@
             if !due || (!r.service && away > r.hold.min(cap)) {
                 continue;
             }
-            let Some((job, task, _)) = self.book.active(r.attempt) else {
+            let Some((job, task, _)) = self.state.active_task(r.attempt) else {
                 continue;
             };
             r.sent_seq.get_or_insert(seq);
@@ -126,7 +126,7 @@
         name: format!("{}/{}/{}", key.org, key.id, r.attempt.task).into(),
         kind: spec.kind.clone(),
         size: r.size,
-        run: spec.run_time,
+        run_time: spec.run_time,
         resume,
         checkpoint,
         service: r.service,
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -7,7 +7,7 @@
 
 use super::{
     Action, AttemptId, Event, FinishedJob, Health, JobKey, JobSpec, Queue, Record, ShardSettings,
-    ShardState, TaskRef, TaskState, Worker, WorkerInfo, class::Class, team_use::TeamUsage,
+    ShardState, TaskRef, TaskState, Worker, WorkerInfo, class::TaskClass, team_use::TeamUsage,
 };
 use crate::{
     Millis,
@@ -54,10 +54,10 @@
     pub(super) epoch: u64,
     pub(super) rng: SmallRng,
     pub(super) orgs: Vec<Arc<Organisation>>,
-    pub(super) book: ShardState,
+    pub(super) state: ShardState,
     pub(super) workers: Vec<Worker>,
     pub(super) queue: Queue,
-    pub(super) classes: Vec<Class>,
+    pub(super) classes: Vec<TaskClass>,
     /// Positions of the classes, sorted by organisation and kind.
     class_order: Vec<u16>,
     pub(super) teams: Vec<TeamUsage>,
@@ -77,7 +77,7 @@
     /// Hold that the shard's row states; an owner does not go beyond it.
     pub(super) hold_cap: Millis,
     /// Hold that an earlier owner stated.
-    pub(super) inherited: Millis,
+    pub(super) inherited_hold: Millis,
     /// Whether no earlier owner can still renew leases.
     pub(super) settled: bool,
     /// When this owner took over.
@@ -91,7 +91,7 @@
     pub(super) adopted: bool,
     pub(super) placed_at: Millis,
     pub(super) interference_checked_at: Millis,
-    pub(super) out: Vec<Action>,
+    pub(super) actions: Vec<Action>,
     pub(super) targets: u64,
 }
 
@@ -117,7 +117,7 @@
             epoch,
             rng: SmallRng::seed_from_u64(seed),
             orgs: Vec::new(),
-            book,
+            state: book,
             workers: Vec::new(),
             queue: Queue::default(),
             classes: Vec::new(),
@@ -132,7 +132,7 @@
             committed: next,
             store_seen_at: now,
             hold_cap: inherited,
-            inherited,
+            inherited_hold: inherited,
             settled,
             start: now,
             closing: VecDeque::new(),
@@ -141,7 +141,7 @@
             adopted: false,
             placed_at: 0,
             interference_checked_at: 0,
-            out: Vec::new(),
+            actions: Vec::new(),
             targets: 1,
         };
         machine.recover(now);
@@ -155,7 +155,7 @@
 
     /// Returns the book.
     pub fn book(&self) -> &ShardState {
-        &self.book
+        &self.state
     }
 
     /// Returns the workers, sorted by name.
@@ -190,7 +190,7 @@
             Event::Tick => self.tick(now),
         }
         self.flush();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     fn tick(&mut self, now: Millis) {
@@ -210,7 +210,7 @@
         let records = std::mem::take(&mut self.pending);
         let first = self.next - records.len() as u64;
         let finished = std::mem::take(&mut self.finished);
-        self.out.push(Action::Append {
+        self.actions.push(Action::Append {
             first,
             records,
             finished,
@@ -236,9 +236,9 @@
     /// Applies a record to the book and queues it for the journal.
     ///
     /// Returns the record's number.
-    pub(super) fn record(&mut self, now: Millis, record: Record, delay: Millis) -> u64 {
+    pub(super) fn append_record(&mut self, now: Millis, record: Record, delay: Millis) -> u64 {
         let number = self.next;
-        let effects = self.book.apply(&record);
+        let effects = self.state.apply(&record);
         self.next += 1;
         self.pending.push(record);
         for effect in effects {
@@ -250,7 +250,7 @@
     fn recover(&mut self, now: Millis) {
         let mut queued = Vec::new();
         let mut finished = Vec::new();
-        for job in self.book.jobs() {
+        for job in self.state.jobs() {
             if job.open_tasks == 0 && !job.spec.service {
                 finished.push(job.number);
             }
@@ -280,7 +280,7 @@
             let org = &self.orgs[i];
             class.weights = org.weights;
             class.hold = org.limits.hold;
-            class.evictions = org.limits.evictions;
+            class.evictions = org.limits.task_evictions;
         }
         for w in &mut self.workers {
             for r in &mut w.allocations {
@@ -305,7 +305,7 @@
     /// table service.
     pub fn longest_hold(&self) -> Millis {
         let wanted = self.orgs.iter().map(|o| o.limits.hold).max();
-        wanted.unwrap_or(0).max(self.inherited)
+        wanted.unwrap_or(0).max(self.inherited_hold)
     }
 
     fn set_workers(&mut self, now: Millis, list: &[WorkerInfo]) {
@@ -369,7 +369,7 @@
     fn place_residents(&mut self, now: Millis, i: usize) {
         let name = self.workers[i].name.clone();
         let mut found = Vec::new();
-        for job in self.book.jobs() {
+        for job in self.state.jobs() {
             for (t, task) in job.tasks.iter().enumerate() {
                 let TaskState::Active(on) = &task.state else {
                     continue;
@@ -408,7 +408,7 @@
         }
         self.adopted = true;
         let mut names: Vec<Name> = Vec::new();
-        for job in self.book.jobs() {
+        for job in self.state.jobs() {
             for task in &job.tasks {
                 let TaskState::Active(on) = &task.state else {
                     continue;
@@ -442,14 +442,14 @@
     fn submit(&mut self, now: Millis, specs: &[JobSpec]) {
         let mut open = self.open_jobs();
         for spec in specs {
-            if self.book.find(&spec.key).is_some() {
+            if self.state.find(&spec.key).is_some() {
                 continue;
             }
-            let job = self.book.next_job();
+            let job = self.state.next_job();
             let reason = self.refusal(spec, &mut open);
-            self.record(now, Record::Submitted(spec.clone()), 0);
+            self.append_record(now, Record::Submitted(spec.clone()), 0);
             if let Some(reason) = reason {
-                self.record(now, Record::Rejected { job, reason }, 0);
+                self.append_record(now, Record::Rejected { job, reason }, 0);
             }
         }
         self.placement_due = true;
@@ -458,7 +458,7 @@
     /// Returns the number of open jobs of each organisation, in their order.
     fn open_jobs(&self) -> Vec<u32> {
         let mut open = vec![0; self.orgs.len()];
-        for job in self.book.jobs() {
+        for job in self.state.jobs() {
             if job.open_tasks == 0 || job.spec.service {
                 continue;
             }
@@ -504,14 +504,14 @@
 
     fn cancel(&mut self, now: Millis, keys: &[JobKey]) {
         for key in keys {
-            let Some(job) = self.book.find(key) else {
+            let Some(job) = self.state.find(key) else {
                 continue;
             };
             if job.cancelled || job.open_tasks == 0 {
                 continue;
             }
             let job = job.number;
-            self.record(now, Record::Cancelled { job }, 0);
+            self.append_record(now, Record::Cancelled { job }, 0);
         }
     }
 
@@ -520,12 +520,12 @@
             let Some((_, job)) = self.closing.pop_front() else {
                 return;
             };
-            self.record(now, Record::Closed { job }, 0);
+            self.append_record(now, Record::Closed { job }, 0);
         }
     }
 
     /// Returns the index of a class, which is made if it is new.
-    pub(super) fn class(&mut self, org: &Name, kind: &Name, service: bool) -> u16 {
+    pub(super) fn class_index(&mut self, org: &Name, kind: &Name, service: bool) -> u16 {
         let found = self.class_order.binary_search_by(|i| {
             let c = &self.classes[usize::from(*i)];
             (&c.org, &c.kind).cmp(&(org, kind))
@@ -538,8 +538,8 @@
         let (weights, limits) =
             known.map_or((Weights::default(), None), |o| (o.weights, Some(&o.limits)));
         let hold = limits.map_or(0, |l: &OrgLimits| l.hold);
-        let evictions = limits.map_or(0, |l| l.evictions);
-        self.classes.push(Class {
+        let evictions = limits.map_or(0, |l| l.task_evictions);
+        self.classes.push(TaskClass {
             org: org.clone(),
             kind: kind.clone(),
             service,
@@ -557,7 +557,7 @@
     }
 
     /// Returns the index of a team, which is made if it is new.
-    pub(super) fn team(&mut self, org: &Name, team: &Name, service: bool) -> u16 {
+    pub(super) fn team_index(&mut self, org: &Name, team: &Name, service: bool) -> u16 {
         let found = self.team_order.binary_search_by(|i| {
             let t = &self.teams[usize::from(*i)];
             (&t.org, &t.team).cmp(&(org, team))
--- a/crates/core/src/shard/place_tasks.rs
+++ b/crates/core/src/shard/place_tasks.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     Millis,
-    place::{Band, PlacePolicy},
+    place::{Band, PlacementPolicy},
     size::Size,
     template::Priority,
 };
@@ -235,7 +235,7 @@
     /// takes the pair with the lowest cost; age lowers it, so that no task
     /// waits for ever for the place that suits it.
     fn best_head(&self, now: Millis, heads: &[Head]) -> usize {
-        let learns = self.settings.policy == PlacePolicy::Interference;
+        let learns = self.settings.policy == PlacementPolicy::Interference;
         let value = |h: &Head| {
             let use_ = self.teams[usize::from(h.team)].load();
             if !learns {
@@ -265,7 +265,7 @@
             worker,
             size,
         };
-        self.record(now, record, 0);
+        self.append_record(now, record, 0);
     }
 
     /// Makes room for an urgent task that has waited in vain for some.
@@ -278,7 +278,7 @@
 
     /// Returns what placing `task` needs, or nothing if it is no longer queued.
     fn wanted(&mut self, task: TaskRef) -> Option<Wanted> {
-        let job = self.book.job(task.job)?;
+        let job = self.state.job(task.job)?;
         let t = job.tasks.get(task.task as usize)?;
         if t.state != TaskState::Queued {
             return None;
@@ -286,7 +286,7 @@
         let (org, kind) = (job.spec.key.org.clone(), job.spec.kind.clone());
         let (service, priority, declared) = (job.spec.service, job.spec.priority, job.spec.size);
         let avoid = t.failed_on.clone();
-        let class = self.class(&org, &kind, service);
+        let class = self.class_index(&org, &kind, service);
         Some(Wanted {
             task,
             size: self.corrected(class, &declared),
@@ -309,7 +309,7 @@
     }
 
     fn next_attempt(&self, task: TaskRef) -> Option<AttemptId> {
-        let job: &Job = self.book.job(task.job)?;
+        let job: &Job = self.state.job(task.job)?;
         let t: &Task = job.tasks.get(task.task as usize)?;
         Some(AttemptId {
             job: task.job,
@@ -354,9 +354,9 @@
                 continue;
             }
             let mut score = match self.settings.policy {
-                PlacePolicy::Random => self.rng.random::<f32>(),
-                PlacePolicy::LeastLoaded => load_after(w, &wanted.size),
-                PlacePolicy::Interference => self.expected_cost(w, wanted),
+                PlacementPolicy::Random => self.rng.random::<f32>(),
+                PlacementPolicy::LeastLoaded => load_after(w, &wanted.size),
+                PlacementPolicy::Interference => self.expected_cost(w, wanted),
             };
             if wanted.service {
                 score += RACK * self.in_rack(&w.rack, wanted.task.job) as f32;
@@ -457,7 +457,7 @@
                 continue;
             }
             let limit = self.classes[usize::from(r.class)].evictions;
-            let (_, task, _) = self.book.active(r.attempt)?;
+            let (_, task, _) = self.state.active_task(r.attempt)?;
             if r.service || r.priority == Priority::Urgent || task.evictions >= limit {
                 continue;
             }
--- a/crates/core/src/shard/services.rs
+++ b/crates/core/src/shard/services.rs
@@ -33,21 +33,21 @@
     fn set_service(&mut self, now: Millis, org: &Organisation, service: &Service) {
         let tasks = share(service.replicas, self.shard.index, &self.worker_counts);
         let key = service_key(&org.name, &service.name);
-        let Some(job) = self.book.find(&key) else {
+        let Some(job) = self.state.find(&key) else {
             let spec = spec(key, service, tasks);
-            self.record(now, Record::Submitted(spec), 0);
+            self.append_record(now, Record::Submitted(spec), 0);
             return;
         };
         if job.spec.tasks != tasks && !job.cancelled {
             let job = job.number;
-            self.record(now, Record::Resized { job, tasks }, 0);
+            self.append_record(now, Record::Resized { job, tasks }, 0);
         }
     }
 
     /// Shrinks the services that no template has any more.
     fn drop_services(&mut self, now: Millis) {
         let mut gone = Vec::new();
-        for job in self.book.jobs() {
+        for job in self.state.jobs() {
             if !job.spec.service || job.spec.tasks == 0 {
                 continue;
             }
@@ -58,7 +58,7 @@
             }
         }
         for job in gone {
-            self.record(now, Record::Resized { job, tasks: 0 }, 0);
+            self.append_record(now, Record::Resized { job, tasks: 0 }, 0);
         }
     }
 }
--- a/crates/core/src/shard/settings.rs
+++ b/crates/core/src/shard/settings.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Millis, place::PlacePolicy};
+use crate::{Millis, place::PlacementPolicy};
 
 /// Settings of a shard's machine; times in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ShardSettings {
     /// How places are chosen.
-    pub policy: PlacePolicy,
+    pub policy: PlacementPolicy,
     /// Time between exchanges with a worker that has nothing new.
     #[serde(rename = "exchange")]
     pub exchange_interval: Millis,
@@ -50,7 +50,7 @@
 impl Default for ShardSettings {
     fn default() -> ShardSettings {
         ShardSettings {
-            policy: PlacePolicy::default(),
+            policy: PlacementPolicy::default(),
             exchange_interval: 500,
             lease: 15_000,
             lease_margin: 1_000,
--- a/crates/core/src/shard/status.rs
+++ b/crates/core/src/shard/status.rs
@@ -135,7 +135,7 @@
                 if !r.service || !r.is_running {
                     continue;
                 }
-                let Some(job) = self.book.job(r.attempt.job) else {
+                let Some(job) = self.state.job(r.attempt.job) else {
                     continue;
                 };
                 let org = self.orgs.iter().find(|o| o.name == job.spec.key.org);
@@ -156,7 +156,7 @@
     }
 
     /// Returns the largest worker.
-    pub fn largest(&self) -> Size {
+    pub fn largest_worker(&self) -> Size {
         let mut size = Size::default();
         for w in &self.workers {
             size = size.max(&w.total);
@@ -166,7 +166,7 @@
 
     /// Returns what operators see.
     pub fn status(&self, now: Millis) -> ShardStatus {
-        let largest = self.largest();
+        let largest = self.largest_worker();
         let mut status = ShardStatus {
             shard: self.shard.name.clone(),
             epoch: self.epoch,
@@ -177,7 +177,7 @@
             workers: Vec::with_capacity(self.workers.len()),
             blocked: Vec::new(),
         };
-        for job in self.book.jobs() {
+        for job in self.state.jobs() {
             if job.open_tasks == 0 || job.spec.service {
                 continue;
             }
--- a/crates/core/src/shard/task.rs
+++ b/crates/core/src/shard/task.rs
@@ -36,7 +36,8 @@
     #[serde(rename = "lost")]
     pub lost_attempts: u32,
     /// Attempts that failed.
-    pub fails: u32,
+    #[serde(rename = "fails")]
+    pub failures: u32,
     /// Distinct workers that it failed on.
     pub failed_on: Vec<Name>,
 }
--- a/crates/core/src/template/check.rs
+++ b/crates/core/src/template/check.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use super::{
-    JobKind, OrgLimits, Organisation, RawJob, RawLimits, RawService, RawSize, RawTeam, RawTemplate,
-    RawWeights, Service, Team, Weights,
+    JobTemplate, OrgLimits, Organisation, RawJob, RawLimits, RawService, RawSize, RawTeam,
+    RawTemplate, RawWeights, Service, Team, Weights,
 };
 use crate::{
     name::{Name, check_name},
@@ -126,9 +126,9 @@
     let at = |field: &str| format!("limits.{field}");
     OrgLimits {
         open_jobs: whole(raw.open_jobs, 1, 1_000_000, at("open_jobs"), p) as u32,
-        queue: whole(raw.queued_requests, 0, 10_000, at("queued_requests"), p) as u32,
-        retries: whole(raw.retry_percent, 0, 100, at("retry_percent"), p) as u32,
-        evictions: whole(raw.task_evictions, 0, 1_000, at("task_evictions"), p) as u32,
+        queued_requests: whole(raw.queued_requests, 0, 10_000, at("queued_requests"), p) as u32,
+        retry_percent: whole(raw.retry_percent, 0, 100, at("retry_percent"), p) as u32,
+        task_evictions: whole(raw.task_evictions, 0, 1_000, at("task_evictions"), p) as u32,
         hold: whole(raw.hold_seconds, 1, 86_400, at("hold_seconds"), p) * 1_000,
     }
 }
@@ -191,9 +191,9 @@
     }
 }
 
-fn job(raw: &RawJob, path: &str, p: &mut Problems) -> JobKind {
+fn job(raw: &RawJob, path: &str, p: &mut Problems) -> JobTemplate {
     let at = |field: &str| format!("{path}.{field}");
-    JobKind {
+    JobTemplate {
         name: name(&raw.name, &at("name"), p),
         team: name(&raw.team, &at("team"), p),
         size: task_size(&raw.size, &at("size"), p),
--- a/crates/core/src/template/job.rs
+++ b/crates/core/src/template/job.rs
@@ -7,7 +7,7 @@
 
 /// A kind of job that callers may submit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct JobKind {
+pub struct JobTemplate {
     /// Name, unique among the organisation's services and jobs.
     pub name: Name,
     /// Team whose quota the tasks use.
--- a/crates/core/src/template/limits.rs
+++ b/crates/core/src/template/limits.rs
@@ -11,11 +11,14 @@
     #[serde(rename = "jobs")]
     pub open_jobs: u32,
     /// Most requests waiting at one entry instance.
-    pub queue: u32,
+    #[serde(rename = "queue")]
+    pub queued_requests: u32,
     /// Share of recent requests that may be sent again, in hundredths.
-    pub retries: u32,
+    #[serde(rename = "retries")]
+    pub retry_percent: u32,
     /// Most evictions of one task.
-    pub evictions: u32,
+    #[serde(rename = "evictions")]
+    pub task_evictions: u32,
     /// How long tasks go on without the table service.
     pub hold: Millis,
 }
--- a/crates/core/src/template/mod.rs
+++ b/crates/core/src/template/mod.rs
@@ -15,7 +15,7 @@
 mod weights;
 
 pub use check::check;
-pub use job::JobKind;
+pub use job::JobTemplate;
 pub use limits::OrgLimits;
 pub use organisation::Organisation;
 pub use priority::Priority;
--- a/crates/core/src/template/organisation.rs
+++ b/crates/core/src/template/organisation.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{JobKind, OrgLimits, Service, Team, Weights};
+use super::{JobTemplate, OrgLimits, Service, Team, Weights};
 use crate::name::Name;
 
 /// A checked template; teams, services and jobs are sorted by name.
@@ -19,7 +19,7 @@
     /// Its services.
     pub services: Vec<Service>,
     /// Its kinds of jobs.
-    pub jobs: Vec<JobKind>,
+    pub jobs: Vec<JobTemplate>,
 }
 
 impl Organisation {
@@ -39,7 +39,7 @@
     }
 
     /// Returns the kind of job called `name`.
-    pub fn job(&self, name: &str) -> Option<&JobKind> {
+    pub fn job(&self, name: &str) -> Option<&JobTemplate> {
         let i = self.jobs.binary_search_by(|j| (*j.name).cmp(name)).ok()?;
         Some(&self.jobs[i])
     }
--- a/crates/core/tests/configs.rs
+++ b/crates/core/tests/configs.rs
@@ -22,9 +22,9 @@
             weights: Weights::default(),
             limits: OrgLimits {
                 open_jobs: version as u32,
-                queue: 1,
-                retries: 1,
-                evictions: 1,
+                queued_requests: 1,
+                retry_percent: 1,
+                task_evictions: 1,
                 hold: 1,
             },
             teams: Vec::new(),
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use common::{Fault, World, WorldSettings, check_promises, spec};
 use gorsespur_core::{
-    place::{Band, CoRunner, History, InterferenceModel, PlacePolicy},
+    place::{Band, CoRunner, History, InterferenceModel, PlacementPolicy},
     shard::{AttemptId, JobState, Queue, Record, TaskRef},
     size::Size,
     template::Priority,
@@ -19,16 +19,16 @@
     }
 }
 
-fn world(policy: PlacePolicy) -> World {
+fn world(policy: PlacementPolicy) -> World {
     let mut settings = WorldSettings::default();
     settings.shard.policy = policy;
     World::new(settings)
 }
 
-#[test_case(PlacePolicy::Random)]
-#[test_case(PlacePolicy::LeastLoaded)]
-#[test_case(PlacePolicy::Interference)]
-fn every_policy_keeps_the_promises(policy: PlacePolicy) {
+#[test_case(PlacementPolicy::Random)]
+#[test_case(PlacementPolicy::LeastLoaded)]
+#[test_case(PlacementPolicy::Interference)]
+fn every_policy_keeps_the_promises(policy: PlacementPolicy) {
     let mut w = world(policy);
     for i in 0..12 {
         w.submit(spec(
@@ -44,7 +44,7 @@
 
 #[test]
 fn least_loaded_spreads_what_it_can() {
-    let mut w = world(PlacePolicy::LeastLoaded);
+    let mut w = world(PlacementPolicy::LeastLoaded);
     w.submit(spec("job", 4, 20_000, Priority::Normal));
     w.run(1_500);
     let mut workers = Vec::new();
@@ -62,7 +62,7 @@
 
 #[test]
 fn replicas_of_a_service_are_on_different_workers_and_racks() {
-    let w = world(PlacePolicy::Interference);
+    let w = world(PlacementPolicy::Interference);
     let mut racks = Vec::new();
     for worker in w.owners[0].machine.workers() {
         let replicas = worker.allocations.iter().filter(|r| r.service).count();
@@ -77,7 +77,7 @@
 
 #[test]
 fn an_urgent_task_gets_room_from_bulk_within_its_time() {
-    let mut w = world(PlacePolicy::Interference);
+    let mut w = world(PlacementPolicy::Interference);
     w.submit(spec("bulk", 30, 600_000, Priority::Bulk));
     w.run(3_000);
     let before = w.now;
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_task_is_evicted_no_more_often_than_its_limit() {
-    let mut w = world(PlacePolicy::Interference);
+    let mut w = world(PlacementPolicy::Interference);
     w.submit(spec("bulk", 30, 60_000, Priority::Bulk));
     w.run(2_000);
     for i in 0..40 {
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_job_larger_than_any_worker_fails_with_its_reason() {
-    let mut w = world(PlacePolicy::Interference);
+    let mut w = world(PlacementPolicy::Interference);
     let mut large = spec("large", 1, 1_000, Priority::Normal);
     large.size = Size::new(31_000, 1 << 30, 0);
     let key = large.key.clone();
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_failing_worker_is_quarantined_and_costs_few_tries() {
-    let mut w = world(PlacePolicy::LeastLoaded);
+    let mut w = world(PlacementPolicy::LeastLoaded);
     w.strike(Fault::WorkerFailsAll, 1);
     for i in 0..20 {
         w.submit(spec(&format!("job{i}"), 1, 500, Priority::Normal));
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_wave_of_cancellations_leaves_nothing_behind() {
-    let mut w = world(PlacePolicy::Interference);
+    let mut w = world(PlacementPolicy::Interference);
     for i in 0..500 {
         w.submit(spec(&format!("job{i}"), 2, 600_000, Priority::Normal));
     }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -392,7 +392,7 @@
         (30..=60).contains(&second),
         "{second} of 2000 at 20 in a thousand"
     );
-    assert_eq!(router.open(), 0);
+    assert_eq!(router.open_requests(), 0);
 }
 
 #[derive(Debug, Clone)]
--- a/crates/core/tests/waits.rs
+++ b/crates/core/tests/waits.rs
@@ -4,7 +4,7 @@
 
 use common::{World, WorldSettings, check_promises, spec};
 use gorsespur_core::{
-    place::PlacePolicy,
+    place::PlacementPolicy,
     shard::{JobState, Queue, TaskRef, TaskShape},
     size::Size,
     template::Priority,
@@ -16,7 +16,7 @@
 #[test_case(8)]
 fn tasks_that_fit_nowhere_hold_back_no_smaller_one(tasks: u32) {
     let mut settings = WorldSettings::default();
-    settings.shard.policy = PlacePolicy::LeastLoaded;
+    settings.shard.policy = PlacementPolicy::LeastLoaded;
     let mut w = World::new(settings);
     w.submit(spec("long", 4, 600_000, Priority::Normal));
     w.run(3_000);
@@ -36,7 +36,7 @@
 #[test]
 fn tasks_of_many_sizes_that_fit_nowhere_hold_back_no_smaller_one() {
     let mut settings = WorldSettings::default();
-    settings.shard.policy = PlacePolicy::LeastLoaded;
+    settings.shard.policy = PlacementPolicy::LeastLoaded;
     let mut w = World::new(settings);
     w.submit(spec("long", 4, 600_000, Priority::Normal));
     w.run(3_000);
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -77,8 +77,8 @@
             priority: head.priority,
             deadline: self.shared.clock.now() + head.limit.as_millis() as u64,
             repeatable: head.repeatable,
-            max_queued: limits.queue,
-            retry_percent: limits.retries,
+            max_queued: limits.queued_requests,
+            retry_percent: limits.retry_percent,
         };
         let id = head.id.clone();
         let began = Instant::now();
--- a/crates/load/src/measure/floor.rs
+++ b/crates/load/src/measure/floor.rs
@@ -7,7 +7,7 @@
 use gorsespur_core::{
     Millis,
     name::Name,
-    place::{BAND_COUNT, PlacePolicy},
+    place::{BAND_COUNT, PlacementPolicy},
     shard::{
         Action, End, Event, JobKey, JobSpec, Record, ShardId, ShardScheduler, ShardSettings,
         ShardState, Takeover, WorkerInfo,
@@ -50,7 +50,7 @@
     pub workers: usize,
     pub replicas: u32,
     pub weights: Weights,
-    pub policy: PlacePolicy,
+    pub policy: PlacementPolicy,
     /// How long urgent tasks wait before others are evicted; the usual if none.
     pub patience: Option<Millis>,
     pub seed: u64,
@@ -112,9 +112,9 @@
         weights: settings.weights,
         limits: OrgLimits {
             open_jobs: 1_000_000,
-            queue: 64,
-            retries: 10,
-            evictions: 3,
+            queued_requests: 64,
+            retry_percent: 10,
+            task_evictions: 3,
             hold: 60_000,
         },
         teams,
--- a/crates/load/src/measure/interference.rs
+++ b/crates/load/src/measure/interference.rs
@@ -1,7 +1,7 @@
 //! Placement under interference: the learning policy against the baselines,
 //! and against the same policy with the hidden table told.
 
-use gorsespur_core::{place::PlacePolicy, template::Weights};
+use gorsespur_core::{place::PlacementPolicy, template::Weights};
 
 use super::floor::{Floor, FloorResult, FloorSettings};
 use crate::{args::InterferenceArgs, error::LoadError};
@@ -22,7 +22,7 @@
 pub(crate) fn run(args: &InterferenceArgs) -> Result<(), LoadError> {
     for (user, weights) in [("weld", WELD), ("taipei", TAIPEI)] {
         let settings = |policy, told| FloorSettings {
-            patience: if policy == PlacePolicy::Interference {
+            patience: if policy == PlacementPolicy::Interference {
                 None
             } else {
                 Some(0)
@@ -38,10 +38,10 @@
             time: args.seconds * 1_000,
             told,
         };
-        let base = Floor::new(settings(PlacePolicy::LeastLoaded, false)).run();
-        let random = Floor::new(settings(PlacePolicy::Random, false)).run();
-        let mine = Floor::new(settings(PlacePolicy::Interference, false)).run();
-        let best = Floor::new(settings(PlacePolicy::Interference, true)).run();
+        let base = Floor::new(settings(PlacementPolicy::LeastLoaded, false)).run();
+        let random = Floor::new(settings(PlacementPolicy::Random, false)).run();
+        let mine = Floor::new(settings(PlacementPolicy::Interference, false)).run();
+        let best = Floor::new(settings(PlacementPolicy::Interference, true)).run();
         println!(
             "interference: user={user} seed={} table_seed={} strength={} lag_ms={} {} {} {} {} p99_ratio={:.3} work_ratio={:.3} evictions_ratio={:.3} told_p99_ratio={:.3} told_work_ratio={:.3} told_evictions_ratio={:.3}",
             args.seed,
--- a/crates/load/src/measure/slopes_org.rs
+++ b/crates/load/src/measure/slopes_org.rs
@@ -4,7 +4,7 @@
 
 use gorsespur_core::{
     size::Size,
-    template::{JobKind, OrgLimits, Organisation, Priority, Service, Team, Weights},
+    template::{JobTemplate, OrgLimits, Organisation, Priority, Service, Team, Weights},
 };
 
 /// Kinds of jobs of an organisation.
@@ -16,7 +16,7 @@
     let quota = Size::new(u64::MAX / 4, u64::MAX / 4, u32::MAX / 4);
     let mut jobs = Vec::new();
     for kind in 0..KINDS {
-        jobs.push(JobKind {
+        jobs.push(JobTemplate {
             name: format!("kind{kind}").into(),
             team: "team0".into(),
             size: Size::new(1_000, 2 << 30, 0),
@@ -32,9 +32,9 @@
         weights: Weights::default(),
         limits: OrgLimits {
             open_jobs: 1_000_000,
-            queue: 64,
-            retries: 10,
-            evictions: 3,
+            queued_requests: 64,
+            retry_percent: 10,
+            task_evictions: 3,
             hold: 60_000,
         },
         teams: vec![Team {
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -5,7 +5,7 @@
 use gorsespur_core::{
     Millis,
     name::Name,
-    place::PlacePolicy,
+    place::PlacementPolicy,
     shard::{
         Action, AttemptId, Event, JobKey, JobSpec, Record, ShardId, ShardScheduler, ShardSettings,
         ShardState, Takeover, WorkerAnswer, WorkerInfo,
@@ -44,7 +44,7 @@
 
 /// Measures and prints a line for each figure.
 pub(crate) fn run(args: &SeedArgs) -> Result<(), LoadError> {
-    for policy in [PlacePolicy::LeastLoaded, PlacePolicy::Interference] {
+    for policy in [PlacementPolicy::LeastLoaded, PlacementPolicy::Interference] {
         for workers in WORKERS {
             place(policy, workers, args.seed);
         }
@@ -56,7 +56,7 @@
 }
 
 /// Returns a machine whose workers all answered.
-pub(crate) fn machine(policy: PlacePolicy, workers: usize, seed: u64) -> ShardScheduler {
+pub(crate) fn machine(policy: PlacementPolicy, workers: usize, seed: u64) -> ShardScheduler {
     let place = ShardId {
         name: "shard".into(),
         index: 0,
@@ -142,7 +142,7 @@
     }
 }
 
-fn place(policy: PlacePolicy, workers: usize, seed: u64) {
+fn place(policy: PlacementPolicy, workers: usize, seed: u64) {
     let mut machine = machine(policy, workers, seed);
     let running = (workers as f64 * TASKS) as u32;
     fill(&mut machine, running, 0);
@@ -216,7 +216,7 @@
 
 /// A wave of cancellations of queued jobs.
 fn cancel(seed: u64) {
-    let mut machine = machine(PlacePolicy::Interference, 1, seed);
+    let mut machine = machine(PlacementPolicy::Interference, 1, seed);
     let mut specs = Vec::new();
     for i in 0..WAVE {
         specs.push(spec(&format!("job{i}"), i, 1));
@@ -236,7 +236,7 @@
 }
 
 fn recovery(seed: u64) {
-    let mut machine = machine(PlacePolicy::Interference, RECOVERED, seed);
+    let mut machine = machine(PlacementPolicy::Interference, RECOVERED, seed);
     fill(&mut machine, (RECOVERED as f64 * TASKS) as u32, 0);
     let snapshot = Snapshot {
         next: machine.next_record(),
--- a/crates/load/src/slopes/memory.rs
+++ b/crates/load/src/slopes/memory.rs
@@ -8,7 +8,7 @@
     config::{ConfigEntry, Configs},
     member::{Heartbeat, MemberSettings, Peers, Role},
     name::Name,
-    place::PlacePolicy,
+    place::PlacementPolicy,
     route::{RouteEvent, RouteSettings, Router, TargetList},
     shard::{Event, TargetInfo},
 };
@@ -40,10 +40,10 @@
         grow(
             "memory_worker",
             &[2_000, 4_000, 8_000, 16_000, 26_000],
-            |n| starts::machine(PlacePolicy::Interference, n, seed),
+            |n| starts::machine(PlacementPolicy::Interference, n, seed),
         ),
         grow("memory_task", &[10_000, 20_000, 40_000, 80_000], |n| {
-            let mut machine = starts::machine(PlacePolicy::Interference, 8_000, seed);
+            let mut machine = starts::machine(PlacementPolicy::Interference, 8_000, seed);
             starts::fill(&mut machine, n as u32, 0);
             machine
         }),
@@ -51,7 +51,7 @@
             "memory_queued_task",
             &[20_000, 40_000, 80_000, 160_000],
             |n| {
-                let mut machine = starts::machine(PlacePolicy::Interference, 1, seed);
+                let mut machine = starts::machine(PlacementPolicy::Interference, 1, seed);
                 let mut specs = Vec::new();
                 for i in 0..n / 10 {
                     specs.push(starts::spec(&format!("job{i}"), i, 10));
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -6,7 +6,7 @@
     config::{ConfigEntry, Configs},
     member::{MemberSettings, Peers},
     name::Name,
-    place::PlacePolicy,
+    place::PlacementPolicy,
     shard::{Action, Event, ShardScheduler, WorkerAnswer, WorkerRequest},
     size::Size,
     template::Organisation,
@@ -74,7 +74,7 @@
     let mut times = Vec::new();
     let mut bytes = Vec::new();
     for tasks in [0u32, 4, 8, 16, 28] {
-        let mut machine = starts::machine(PlacePolicy::Interference, 1, seed);
+        let mut machine = starts::machine(PlacementPolicy::Interference, 1, seed);
         starts::fill(&mut machine, tasks, 0);
         let mut now = 1_100_000;
         let (_, answer) = exchange(&mut machine, now);
@@ -136,7 +136,7 @@
 fn placements(seed: u64) -> Vec<Figure> {
     let mut times = Vec::new();
     for workers in [150, 300, 600, 1_200, 2_400] {
-        let mut machine = starts::machine(PlacePolicy::Interference, workers, seed);
+        let mut machine = starts::machine(PlacementPolicy::Interference, workers, seed);
         starts::fill(&mut machine, workers as u32 * 10, 0);
         let began = Instant::now();
         let placed = starts::fill(&mut machine, workers as u32 * 5, 1_000_000);
--- a/crates/peer/src/beats.rs
+++ b/crates/peer/src/beats.rs
@@ -50,7 +50,7 @@
                 let _ = socket.send_to(&bytes, addr);
             }
         }
-        shared.peers().forget(shared.clock.now());
+        shared.peers().remove_dead(shared.clock.now());
         if rest(shared, pause, cancel) {
             return;
         }
--- a/crates/sched/src/journal.rs
+++ b/crates/sched/src/journal.rs
@@ -106,8 +106,8 @@
             owner: None,
             addr: me.addr,
             token: 0,
-            next: 0,
-            snapshot: 0,
+            next_record: 0,
+            first_record: 0,
             next_row: 0,
             first_row: 0,
             hold: 0,
@@ -160,7 +160,7 @@
         hold: u64,
         cancel: &Cancel,
     ) -> Result<u64, JournalError> {
-        let (first, next) = (batch.first, self.row.next);
+        let (first, next) = (batch.first, self.row.next_record);
         ensure!(first == next, GapSnafu { first, next });
         let value = JournalRow {
             epoch: self.row.epoch,
@@ -188,7 +188,7 @@
             let ended = EndedJob {
                 key: job.spec.key.clone(),
                 hour,
-                no: job.no,
+                no: job.number,
                 attempts: job.attempts.clone(),
             };
             let listed = encode(&ended).map_err(|_| JournalError::Encode)?;
@@ -197,7 +197,7 @@
                 .put(keys::ended(&self.shard, hour, &job.spec.key), listed);
         }
         let row = ShardRow {
-            next: batch.first + batch.records.len() as u64,
+            next_record: batch.first + batch.records.len() as u64,
             next_row: self.row.next_row + 1,
             hold,
             ..self.row.clone()
@@ -221,7 +221,7 @@
             tx = tx.delete(keys::journal(&self.shard, row));
         }
         let row = ShardRow {
-            snapshot: next,
+            first_record: next,
             first_row: cut,
             ..self.row.clone()
         };
--- a/crates/sched/src/keep.rs
+++ b/crates/sched/src/keep.rs
@@ -274,7 +274,7 @@
                     self.metrics.count("commits", 1);
                     let proved = Input::Proved {
                         sent,
-                        committed: journal.row().next,
+                        committed: journal.row().next_record,
                         hold,
                     };
                     let _ = input.send(proved);
@@ -317,7 +317,7 @@
     fn store(&self, journal: &Journal, pending: Pending, done: &Sender<Option<Stored>>) {
         let (next, cut) = (pending.next, journal.next_row());
         let key = objects::snapshot(&self.at.place.name, next);
-        let old = journal.row().snapshot;
+        let old = journal.row().first_record;
         let old = objects::snapshot(&self.at.place.name, old);
         let (store, done) = (self.objects.clone(), done.clone());
         let name = self.at.place.name.clone();
--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -126,7 +126,7 @@
         let takeover = Takeover {
             epoch,
             state: book,
-            next_record: journal.row().next,
+            next_record: journal.row().next_record,
             inherited_hold: journal.row().hold,
             settled: journal.row().settled,
         };
--- a/crates/sched/src/recover.rs
+++ b/crates/sched/src/recover.rs
@@ -54,8 +54,8 @@
 ) -> Result<ShardState, RecoverError> {
     let mut book = ShardState::default();
     let mut next = 0;
-    if row.snapshot > 0 {
-        let key = objects::snapshot(shard, row.snapshot);
+    if row.first_record > 0 {
+        let key = objects::snapshot(shard, row.first_record);
         let bytes = store.get(&key).context(ObjectSnafu)?;
         let snapshot: Snapshot = decode(&bytes).context(CodecSnafu)?;
         book = snapshot.book;
@@ -82,7 +82,7 @@
             break;
         }
     }
-    let (found, wanted) = (next, row.next);
+    let (found, wanted) = (next, row.next_record);
     ensure!(found == wanted, GapSnafu { found, wanted });
     Ok(book)
 }
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -129,7 +129,7 @@
                     epoch: self.machine.epoch(),
                     version: self.machine.targets_version(),
                     targets: self.machine.targets(),
-                    largest: self.machine.largest(),
+                    largest: self.machine.largest_worker(),
                 });
             }
             Input::Status { reply } => {
--- a/crates/stand/src/sim.rs
+++ b/crates/stand/src/sim.rs
@@ -299,7 +299,7 @@
         let mut i = 0;
         while i < self.runs.len() {
             let r = &self.runs[i];
-            if r.order.run == 0 || r.progress < r.order.run as f64 {
+            if r.order.run_time == 0 || r.progress < r.order.run_time as f64 {
                 i += 1;
                 continue;
             }
--- a/crates/stand/tests/worker.rs
+++ b/crates/stand/tests/worker.rs
@@ -42,7 +42,7 @@
         name: format!("org/job{job}/0").into(),
         kind: "kind".into(),
         size: Size::new(cores * 1_000, 1 << 30, 0),
-        run: 60_000,
+        run_time: 60_000,
         resume: None,
         checkpoint: Some(format!("c{job}").into()),
         service: false,
