--- a/crates/core/src/route/admit.rs
+++ b/crates/core/src/route/admit.rs
@@ -22,7 +22,7 @@
         self.counts.requests += 1;
         let share = self.settings.max_org_requests;
         let hedges = self.settings.hedge_permille;
-        let org = self.org(&a.org);
+        let org = self.org_usage(&a.org);
         org.retries.deposit(a.retry_percent * TENFOLD);
         org.hedges.deposit(hedges);
         let (here, waiting) = (org.open_requests, org.queued);
@@ -41,16 +41,16 @@
             priority: a.priority,
             deadline: a.deadline,
             repeatable: a.repeatable,
-            tries: 0,
+            attempts: 0,
             in_flight: Vec::new(),
-            failed: Vec::new(),
+            failed_on: Vec::new(),
             may_have_run: false,
         };
         let Err(i) = self.requests.binary_search_by_key(&a.req, |r| r.req) else {
             return self.turn_away(a.req, Refusal::QueueFull);
         };
         self.requests.insert(i, request);
-        self.org(&a.org).open_requests += 1;
+        self.org_usage(&a.org).open_requests += 1;
         let first = self.services[service].queued.is_empty();
         let ahead = self.ahead(service, a.priority);
         if (first || ahead == 0) && self.send(now, i) {
@@ -128,7 +128,7 @@
         };
         s.queued.insert(k, turn);
         let org = s.org.clone();
-        self.org(&org).queued += 1;
+        self.org_usage(&org).queued += 1;
     }
 
     pub(super) fn dequeue(&mut self, service: usize, turn: QueueEntry) {
@@ -138,7 +138,7 @@
         };
         s.queued.remove(k);
         let org = s.org.clone();
-        let o = self.org(&org);
+        let o = self.org_usage(&org);
         o.queued = o.queued.saturating_sub(1);
     }
 
@@ -185,13 +185,13 @@
         }
         let safe = !r.may_have_run || r.repeatable;
         let late = now as f64 + self.services[r.service].mean_latency * ROOM > r.deadline as f64;
-        if !safe || r.tries >= self.settings.max_attempts || late {
+        if !safe || r.attempts >= self.settings.max_attempts || late {
             return self.refuse(i, Refusal::Failed);
         }
         let full = matches!(end, AttemptOutcome::Declined { busy: Some(_), .. });
         let free = full || self.settings.policy == RoutePolicy::RoundRobin;
         let org = self.services[r.service].org.clone();
-        if !free && !self.org(&org).retries.try_withdraw() {
+        if !free && !self.org_usage(&org).retries.try_withdraw() {
             return self.refuse(i, Refusal::Failed);
         }
         if !self.send(now, i) {
@@ -206,12 +206,13 @@
         };
         let r = &self.requests[i];
         let one = r.in_flight.len() == 1 && r.deadline > now;
-        if !one || !r.repeatable || r.tries >= self.settings.max_attempts {
+        if !one || !r.repeatable || r.attempts >= self.settings.max_attempts {
             return;
         }
         let service = r.service;
         let org = self.services[service].org.clone();
-        if !self.services[service].queued.is_empty() || !self.org(&org).hedges.try_withdraw() {
+        if !self.services[service].queued.is_empty() || !self.org_usage(&org).hedges.try_withdraw()
+        {
             return;
         }
         if self.send(now, i) {
--- a/crates/core/src/route/choose.rs
+++ b/crates/core/src/route/choose.rs
@@ -28,12 +28,12 @@
         target.in_flight += 1;
         let (worker, addr) = (target.worker.clone(), target.addr);
         let r = &mut self.requests[i];
-        r.tries += 1;
-        r.in_flight.push((r.tries, worker.clone()));
+        r.attempts += 1;
+        r.in_flight.push((r.attempts, worker.clone()));
         self.counts.attempts += 1;
         self.actions.push(RouteAction::Send {
             req: r.req,
-            attempt: r.tries,
+            attempt: r.attempts,
             worker,
             addr,
             hedge,
@@ -87,7 +87,7 @@
         let tried = |w: &Name| *w == target.worker;
         target.same_zone == near
             && target.is_usable(now, self.share, &self.settings)
-            && !r.failed.iter().any(tried)
+            && !r.failed_on.iter().any(tried)
             && !r.in_flight.iter().any(|o| tried(&o.1))
     }
 
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns the number of requests that wait for a target.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_requests(&self) -> usize {
         self.services.iter().map(|s| s.queued.len()).sum()
     }
 
@@ -172,7 +172,7 @@
         i
     }
 
-    pub(super) fn org(&mut self, org: &Name) -> &mut OrgUsage {
+    pub(super) fn org_usage(&mut self, org: &Name) -> &mut OrgUsage {
         let i = match self.orgs.binary_search_by(|o| o.org.cmp(org)) {
             Ok(i) => i,
             Err(i) => {
@@ -261,11 +261,11 @@
         match end {
             AttemptOutcome::Answered { .. } => self.settle(i),
             AttemptOutcome::NotSent | AttemptOutcome::Declined { .. } => {
-                self.requests[i].failed.push(worker);
+                self.requests[i].failed_on.push(worker);
                 self.retry(now, i, end);
             }
             AttemptOutcome::Failed => {
-                self.requests[i].failed.push(worker);
+                self.requests[i].failed_on.push(worker);
                 self.requests[i].may_have_run = true;
                 self.retry(now, i, end);
             }
@@ -325,7 +325,7 @@
     pub(super) fn drop_request(&mut self, i: usize) {
         let r = self.requests.remove(i);
         let org = self.services[r.service].org.clone();
-        let o = self.org(&org);
+        let o = self.org_usage(&org);
         o.open_requests = o.open_requests.saturating_sub(1);
     }
 
--- a/crates/core/src/route/waiting.rs
+++ b/crates/core/src/route/waiting.rs
@@ -11,11 +11,11 @@
     pub deadline: Millis,
     pub repeatable: bool,
     /// Tries so far.
-    pub tries: u32,
+    pub attempts: u32,
     /// Workers of the tries under way, by number of the try.
     pub in_flight: Vec<(u32, crate::name::Name)>,
     /// Workers that failed it.
-    pub failed: Vec<crate::name::Name>,
+    pub failed_on: Vec<crate::name::Name>,
     /// Whether a try ended without proof that it did not run.
     pub may_have_run: bool,
 }
--- a/crates/core/src/shard/answer.rs
+++ b/crates/core/src/shard/answer.rs
@@ -52,8 +52,8 @@
         w.last_clock = a.clock;
         w.last_clock_at = now;
         w.answered_at = now;
-        if w.total != a.size {
-            w.total = a.size;
+        if w.capacity != a.size {
+            w.capacity = a.size;
             self.placement_due = true;
         }
         if w.health != Health::Good {
@@ -138,7 +138,7 @@
         }
         for (id, why) in unsent {
             let end = match why {
-                StopReason::Unwanted => End::Stopped,
+                StopReason::Cancelled => End::Stopped,
                 StopReason::Preempted | StopReason::Noisy | StopReason::Leaving => End::Refused,
             };
             self.end_attempt(now, i, id, end);
@@ -151,7 +151,7 @@
         (WorkerEnd::Done, _) => End::Done,
         (WorkerEnd::Failed, _) => End::Failed,
         (WorkerEnd::Refused, _) => End::Refused,
-        (WorkerEnd::Stopped { .. }, Some(StopReason::Unwanted)) => End::Stopped,
+        (WorkerEnd::Stopped { .. }, Some(StopReason::Cancelled)) => End::Stopped,
         (WorkerEnd::Stopped { saved }, Some(_)) => End::Evicted { saved },
         (WorkerEnd::Stopped { saved: true }, None) => End::Evicted { saved: true },
         (WorkerEnd::Stopped { saved: false }, None) => End::Lost,
--- a/crates/core/src/shard/class.rs
+++ b/crates/core/src/shard/class.rs
@@ -10,7 +10,7 @@
     pub service: bool,
     pub weights: Weights,
     pub hold: Millis,
-    pub evictions: u32,
+    pub max_evictions: u32,
     /// Most processors and memory that a task was seen to use.
     pub peak_usage: Size,
     pub done: u64,
--- a/crates/core/src/shard/effects.rs
+++ b/crates/core/src/shard/effects.rs
@@ -116,7 +116,7 @@
         let w = &mut self.workers[i];
         w.dirty = true;
         if let Some(r) = w.allocation_mut(attempt) {
-            r.stop = Some(StopReason::Unwanted);
+            r.stop = Some(StopReason::Cancelled);
             self.targets += u64::from(r.service);
         }
     }
--- a/crates/core/src/shard/evict.rs
+++ b/crates/core/src/shard/evict.rs
@@ -99,7 +99,7 @@
     /// much, weighted by those who bear it.
     fn noisiest(&self, i: usize) -> Option<(AttemptId, f32)> {
         let w = &self.workers[i];
-        let band = Band::of(w.used.load(&w.total));
+        let band = Band::of(w.reserved.load(&w.capacity));
         let mut best: Option<(AttemptId, f32)> = None;
         for r in &w.allocations {
             if r.service || !r.is_running || r.stop.is_some() {
@@ -128,7 +128,7 @@
     }
 
     fn may_evict(&self, id: AttemptId, class: u16) -> bool {
-        let limit = self.classes[usize::from(class)].evictions;
+        let limit = self.classes[usize::from(class)].max_evictions;
         let few = self
             .state
             .active_task(id)
--- a/crates/core/src/shard/exchange.rs
+++ b/crates/core/src/shard/exchange.rs
@@ -72,7 +72,8 @@
     /// The attempt.
     pub attempt: AttemptId,
     /// Share of its processors in hundredths; 100 lifts the limit.
-    pub percent: u32,
+    #[serde(rename = "percent")]
+    pub cpu_percent: u32,
 }
 
 /// What the owner wants of a worker.
--- a/crates/core/src/shard/exchanges.rs
+++ b/crates/core/src/shard/exchanges.rs
@@ -143,7 +143,7 @@
         let can = book.job(r.attempt.job).is_some_and(|j| j.spec.checkpoint);
         out.push(StopOrder {
             attempt: r.attempt,
-            save: can && why != StopReason::Unwanted,
+            save: can && why != StopReason::Cancelled,
         });
     }
     for &attempt in &w.unknown_attempts {
@@ -161,7 +161,7 @@
         if r.cpu_percent < 100 || r.throttle_changed_at > 0 {
             out.push(Throttle {
                 attempt: r.attempt,
-                percent: r.cpu_percent,
+                cpu_percent: r.cpu_percent,
             });
         }
     }
--- a/crates/core/src/shard/learn.rs
+++ b/crates/core/src/shard/learn.rs
@@ -41,7 +41,7 @@
     fn learn_one(&mut self, now: Millis, i: usize, sample: &Sample) {
         let slow = sample.slowdown_permille as f32 / UNIT;
         let w = &mut self.workers[i];
-        let band = Band::of(w.used.load(&w.total));
+        let band = Band::of(w.reserved.load(&w.capacity));
         let ran = w.history.running_at(sample.at);
         if let Some(r) = w.allocation_mut(sample.attempt) {
             r.slowdown += SHARE * (slow - r.slowdown);
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/machine.rs
@@ -154,7 +154,7 @@
     }
 
     /// Returns the book.
-    pub fn book(&self) -> &ShardState {
+    pub fn state(&self) -> &ShardState {
         &self.state
     }
 
@@ -280,7 +280,7 @@
             let org = &self.orgs[i];
             class.weights = org.weights;
             class.hold = org.limits.hold;
-            class.evictions = org.limits.task_evictions;
+            class.max_evictions = org.limits.task_evictions;
         }
         for w in &mut self.workers {
             for r in &mut w.allocations {
@@ -341,9 +341,9 @@
         let w = &mut self.workers[i];
         w.listed = true;
         w.rack = info.rack.clone();
-        if w.addr != info.addr || w.target != info.target {
+        if w.addr != info.addr || w.service_addr != info.target {
             w.addr = info.addr;
-            w.target = info.target;
+            w.service_addr = info.target;
             self.targets += 1;
         }
         if info.leaving && !w.leaving {
@@ -393,7 +393,7 @@
             };
             r.sent_seq = Some(0);
             if unwanted {
-                r.stop = Some(super::StopReason::Unwanted);
+                r.stop = Some(super::StopReason::Cancelled);
             }
         }
     }
@@ -488,8 +488,8 @@
         let mut largest = Size::default();
         let mut fits = self.workers.is_empty();
         for w in &self.workers {
-            fits |= spec.size.fits_in(&w.total);
-            largest = largest.max(&w.total);
+            fits |= spec.size.fits_in(&w.capacity);
+            largest = largest.max(&w.capacity);
         }
         if !fits {
             return Some(format!("no worker holds {}; the largest is {largest}", spec.size).into());
@@ -545,7 +545,7 @@
             service,
             weights,
             hold,
-            evictions,
+            max_evictions: evictions,
             peak_usage: Size::default(),
             done: 0,
             failed: 0,
--- a/crates/core/src/shard/place_tasks.rs
+++ b/crates/core/src/shard/place_tasks.rs
@@ -421,7 +421,7 @@
         for i in 0..self.workers.len() {
             let w = &self.workers[i];
             let taken = w.reservation.is_some_and(|r| r.until > now);
-            if !w.accepts_tasks(now) || taken || !wanted.size.fits_in(&w.total) {
+            if !w.accepts_tasks(now) || taken || !wanted.size.fits_in(&w.capacity) {
                 continue;
             }
             let Some(victims) = self.victims(w, &wanted.size) else {
@@ -456,7 +456,7 @@
                 room = room.saturating_add(&r.size);
                 continue;
             }
-            let limit = self.classes[usize::from(r.class)].evictions;
+            let limit = self.classes[usize::from(r.class)].max_evictions;
             let (_, task, _) = self.state.active_task(r.attempt)?;
             if r.service || r.priority == Priority::Urgent || task.evictions >= limit {
                 continue;
@@ -477,5 +477,5 @@
 }
 
 fn load_after(w: &Worker, size: &Size) -> f32 {
-    w.used.saturating_add(size).load(&w.total) as f32
+    w.reserved.saturating_add(size).load(&w.capacity) as f32
 }
--- a/crates/core/src/shard/resident.rs
+++ b/crates/core/src/shard/resident.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
     /// Its job was cancelled or its service shrank.
-    Unwanted,
+    Cancelled,
     /// It makes room for an urgent task.
     Preempted,
     /// It slows others too much.
--- a/crates/core/src/shard/status.rs
+++ b/crates/core/src/shard/status.rs
@@ -145,7 +145,7 @@
                     org: job.spec.key.org.clone(),
                     service: service.name.clone(),
                     worker: w.name.clone(),
-                    addr: w.target,
+                    addr: w.service_addr,
                     slots: service.slots,
                     connections: service.connections,
                     leaving: w.leaving || r.stop.is_some(),
@@ -159,7 +159,7 @@
     pub fn largest_worker(&self) -> Size {
         let mut size = Size::default();
         for w in &self.workers {
-            size = size.max(&w.total);
+            size = size.max(&w.capacity);
         }
         size
     }
@@ -193,8 +193,8 @@
                 health: w.health,
                 quarantined: w.quarantines > 0 && now < w.quarantined_until,
                 leaving: w.leaving,
-                total: w.total,
-                used: w.used,
+                total: w.capacity,
+                used: w.reserved,
                 allocations: w.allocations.len() as u32,
             });
         }
--- a/crates/core/src/shard/worker.rs
+++ b/crates/core/src/shard/worker.rs
@@ -50,11 +50,11 @@
     /// Address for exchanges.
     pub addr: SocketAddr,
     /// Address of its services.
-    pub target: SocketAddr,
+    pub service_addr: SocketAddr,
     /// What it can hold.
-    pub total: Size,
+    pub capacity: Size,
     /// What its allocations reserve.
-    pub used: Size,
+    pub reserved: Size,
     /// Attempts on it, sorted by id.
     pub allocations: Vec<Allocation>,
     /// Health.
@@ -108,9 +108,9 @@
             name: info.name.clone(),
             rack: info.rack.clone(),
             addr: info.addr,
-            target: info.target,
-            total: info.size,
-            used: Size::default(),
+            service_addr: info.target,
+            capacity: info.size,
+            reserved: Size::default(),
             allocations: Vec::new(),
             health: Health::New,
             leaving: info.leaving,
@@ -137,7 +137,7 @@
 
     /// Returns the room that is not reserved.
     pub fn available(&self) -> Size {
-        self.total.saturating_sub(&self.used)
+        self.capacity.saturating_sub(&self.reserved)
     }
 
     /// Returns the room that `task` may use.
@@ -217,7 +217,7 @@
         else {
             return;
         };
-        self.used = self.used.saturating_add(&resident.size);
+        self.reserved = self.reserved.saturating_add(&resident.size);
         self.allocations.insert(i, resident);
         self.dirty = true;
     }
@@ -229,7 +229,7 @@
             .binary_search_by_key(&id, |r| r.attempt)
             .ok()?;
         let resident = self.allocations.remove(i);
-        self.used = self.used.saturating_sub(&resident.size);
+        self.reserved = self.reserved.saturating_sub(&resident.size);
         Some(resident)
     }
 }
--- a/crates/core/tests/guards.rs
+++ b/crates/core/tests/guards.rs
@@ -173,7 +173,7 @@
     };
     let takeover = Takeover {
         epoch: 2,
-        state: old.book().clone(),
+        state: old.state().clone(),
         next_record: old.next_record(),
         inherited_hold: HOLD,
         settled,
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -105,7 +105,7 @@
         w.submit(spec(&format!("urgent{i}"), 2, 300, Priority::Urgent));
         w.run(1_000);
     }
-    let book = w.owners[0].machine.book();
+    let book = w.owners[0].machine.state();
     let most = book
         .jobs()
         .iter()
--- a/crates/core/tests/regression.rs
+++ b/crates/core/tests/regression.rs
@@ -99,7 +99,7 @@
     let job = spec("early", 1, 1_000, Priority::Normal);
     m.step(1_000, &Event::Submit(vec![job.clone()]));
     assert_eq!(
-        m.book().find(&job.key).expect("kept").state(),
+        m.state().find(&job.key).expect("kept").state(),
         JobState::Queued
     );
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -532,6 +532,6 @@
                 seen[r as usize].told.get_or_insert(outcome);
             }
         }
-        prop_assert_eq!(router.waiting(), 0);
+        prop_assert_eq!(router.waiting_requests(), 0);
     }
 }
--- a/crates/entry/src/router_thread.rs
+++ b/crates/entry/src/router_thread.rs
@@ -75,7 +75,11 @@
     let mut open: Vec<Open> = Vec::new();
     let mut ticked = 0;
     while !cancel.is_cancelled() {
-        let pause = if router.waiting() > 0 { TICK } else { IDLE };
+        let pause = if router.waiting_requests() > 0 {
+            TICK
+        } else {
+            IDLE
+        };
         let first = rx.recv_timeout(pause);
         let now = shared.clock.now();
         if let Ok(message) = first {
@@ -89,7 +93,7 @@
             ticked = now;
             let actions = router.step(now, &RouteEvent::Tick);
             hand_out(&mut router, now, actions, &mut open, metrics);
-            metrics.gauge("waiting", router.waiting() as u64);
+            metrics.gauge("waiting", router.waiting_requests() as u64);
             open.retain(|o| !o.reply.is_disconnected());
         }
     }
--- a/crates/load/src/measure/floor.rs
+++ b/crates/load/src/measure/floor.rs
@@ -366,7 +366,7 @@
         for record in records {
             match record {
                 Record::Started { attempt, .. } => {
-                    let Some(job) = self.machine.book().job(attempt.job) else {
+                    let Some(job) = self.machine.state().job(attempt.job) else {
                         continue;
                     };
                     if job.spec.service || attempt.attempt > 1 {
@@ -383,7 +383,7 @@
                     }
                 }
                 Record::Ended { attempt, end } if counted => {
-                    let Some(job) = self.machine.book().job(attempt.job) else {
+                    let Some(job) = self.machine.state().job(attempt.job) else {
                         continue;
                     };
                     match end {
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -240,7 +240,7 @@
     fill(&mut machine, (RECOVERED as f64 * TASKS) as u32, 0);
     let snapshot = Snapshot {
         next: machine.next_record(),
-        book: machine.book().clone(),
+        book: machine.state().clone(),
     };
     let bytes = encode(&snapshot).unwrap_or_default();
     let began = Instant::now();
@@ -269,8 +269,8 @@
             zone: "zone".into(),
             rack: w.rack.clone(),
             addr: w.addr,
-            target: w.target,
-            size: w.total,
+            target: w.service_addr,
+            size: w.capacity,
             leaving: false,
         });
     }
--- a/crates/replay/src/reader.rs
+++ b/crates/replay/src/reader.rs
@@ -77,7 +77,7 @@
             sum = sum.saturating_add(&r.size);
             let id = r.attempt;
             let task = machine
-                .book()
+                .state()
                 .job(id.job)
                 .and_then(|j| j.tasks.get(id.task as usize));
             let here = task.is_some_and(|t| {
@@ -85,7 +85,7 @@
             });
             outcome.doubled += u64::from(!here);
         }
-        let known = w.total.cpu > 0;
-        outcome.overcommitted += u64::from(known && !sum.fits_in(&w.total));
+        let known = w.capacity.cpu > 0;
+        outcome.overcommitted += u64::from(known && !sum.fits_in(&w.capacity));
     }
 }
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -109,7 +109,7 @@
             }
             Input::Cancel { keys, reply } => {
                 let mut unknown = keys.clone();
-                unknown.retain(|k| self.machine.book().find(k).is_none());
+                unknown.retain(|k| self.machine.state().find(k).is_none());
                 self.step(now, &Event::Cancel(keys), desk);
                 desk.waiters.push(Waiter {
                     number: self.machine.next_record(),
@@ -119,7 +119,7 @@
                 self.push(Upkeep::Prove, desk);
             }
             Input::Watch { keys, reply } => {
-                let book = self.machine.book();
+                let book = self.machine.state();
                 let states = keys.iter().map(|k| book.find(k).map(JobStatus::of));
                 let _ = reply.send(states.collect());
             }
@@ -143,7 +143,7 @@
         let next = self.machine.next_record();
         let snapshot = Snapshot {
             next,
-            book: self.machine.book().clone(),
+            book: self.machine.state().clone(),
         };
         match encode(&snapshot) {
             Ok(bytes) => self.push(Upkeep::Snapshot { next, bytes }, desk),
--- a/crates/stand/src/sim.rs
+++ b/crates/stand/src/sim.rs
@@ -180,7 +180,7 @@
         for t in &req.throttles {
             let found = self.runs.iter_mut().find(|r| r.order.attempt == t.attempt);
             if let Some(r) = found {
-                r.percent = t.percent.clamp(1, 100);
+                r.percent = t.cpu_percent.clamp(1, 100);
             }
         }
         self.answer(req.seq, None)
