--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,16 +6,16 @@
 //! program drive them directly.
 
 pub mod config;
+pub mod hashing;
 pub mod member;
 pub mod name;
 pub mod owner;
-pub mod place;
+pub mod placement;
 pub mod problem;
 pub mod retry;
 pub mod route;
 pub mod shard;
 pub mod size;
-pub mod spread;
 pub mod template;
 
 /// Milliseconds on a process's monotonic clock.
--- a/crates/core/src/member/mod.rs
+++ b/crates/core/src/member/mod.rs
@@ -5,10 +5,10 @@
 //! zone and to a few contacts in each other zone, so that the cost does not
 //! grow with failures.
 
-mod beat;
+mod heartbeat;
 mod peer;
 mod peers;
 
-pub use beat::{Heartbeat, Role, ShardOwnership};
+pub use heartbeat::{Heartbeat, Role, ShardOwnership};
 pub use peer::Peer;
 pub use peers::{MemberSettings, Peers};
--- a/crates/core/src/owner/mod.rs
+++ b/crates/core/src/owner/mod.rs
@@ -6,12 +6,12 @@
 //! a row whose version did not change for a lease, by the contender's own
 //! clock, has no owner.
 
-mod claim;
+mod lease;
+mod lease_watch;
 mod resolve;
 mod row;
-mod tenure;
 
-pub use claim::LeaseWatch;
+pub use lease::OwnerLease;
+pub use lease_watch::LeaseWatch;
 pub use resolve::{WriteOutcome, resolve_write};
 pub use row::ShardRow;
-pub use tenure::OwnerLease;
--- a/crates/core/src/place/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -2,10 +2,10 @@
 
 mod band;
 mod history;
-mod pairs;
+mod interference;
 mod policy;
 
 pub use band::{BAND_COUNT, Band};
 pub use history::{CoRunner, History};
-pub use pairs::{Estimate, InterferenceModel};
+pub use interference::{Estimate, InterferenceModel};
 pub use policy::PlacementPolicy;
--- a/crates/core/src/route/admit.rs
+++ b/crates/core/src/route/admit.rs
@@ -2,8 +2,8 @@
 
 use super::{
     Arrival, AttemptOutcome, Refusal, RoutePolicy, Router,
+    request::{QueueEntry, Request},
     router::RETRY_AFTER,
-    waiting::{QueueEntry, Request},
 };
 use crate::{
     Millis,
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -13,10 +13,10 @@
 mod choose;
 mod event;
 mod outcome;
+mod request;
 mod router;
 mod settings;
 mod target;
-mod waiting;
 
 pub use action::{Refusal, RouteAction};
 pub use budget::Budget;
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -6,7 +6,7 @@
 use super::{
     AttemptOutcome, Budget, Outcome, Refusal, RouteAction, RouteEvent, RouteSettings, Share,
     Target, TargetList,
-    waiting::{QueueEntry, Request},
+    request::{QueueEntry, Request},
 };
 use crate::{Millis, name::Name};
 
--- a/crates/core/src/route/target.rs
+++ b/crates/core/src/route/target.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{RouteSettings, Share};
-use crate::{Millis, name::Name, shard::TargetInfo, spread::stable_hash};
+use crate::{Millis, hashing::stable_hash, name::Name, shard::TargetInfo};
 
 /// Share of a new time in the running mean.
 const SHARE: f64 = 0.2;
--- a/crates/core/src/shard/answer.rs
+++ b/crates/core/src/shard/answer.rs
@@ -3,7 +3,7 @@
 use super::{
     Action, End, ExchangeRefusal, Health, ShardScheduler, StopReason, WorkerAnswer, WorkerEnd,
 };
-use crate::{Millis, name::Name, place::CoRunner};
+use crate::{Millis, name::Name, placement::CoRunner};
 
 impl ShardScheduler {
     /// Takes a worker's answer.
--- a/crates/core/src/shard/evict.rs
+++ b/crates/core/src/shard/mitigation.rs
@@ -4,7 +4,7 @@
 //! expected gain above its cost, and is bounded for each task and each minute.
 
 use super::{AttemptId, ShardScheduler, StopReason};
-use crate::{Millis, place::Band};
+use crate::{Millis, placement::Band};
 
 /// Time between two looks at a worker.
 const LOOK: Millis = 500;
@@ -49,7 +49,7 @@
         {
             self.recent_evictions.pop_front();
         }
-        if self.settings.policy != crate::place::PlacementPolicy::Interference {
+        if self.settings.policy != crate::placement::PlacementPolicy::Interference {
             return;
         }
         for i in 0..self.workers.len() {
--- a/crates/core/src/shard/mod.rs
+++ b/crates/core/src/shard/mod.rs
@@ -10,34 +10,34 @@
 //! shards, not the code, sets how many workers a zone can have.
 
 mod action;
+mod allocation;
 mod answer;
 mod attempt;
-mod book;
+mod attempt_end;
 mod class;
 mod effects;
-mod ended;
 mod event;
-mod evict;
 mod exchange;
 mod exchanges;
 mod job;
-mod lapse;
-mod learn;
-mod machine;
+mod lease_expiry;
+mod mitigation;
 mod place_tasks;
 mod queue;
 mod record;
-mod resident;
+mod samples;
+mod scheduler;
 mod services;
 mod settings;
+mod state;
 mod status;
 mod task;
-mod team_use;
+mod team_usage;
 mod worker;
 
 pub use action::{Action, FinishedJob};
+pub use allocation::{Allocation, StopReason};
 pub use attempt::AttemptId;
-pub use book::{Effect, ShardState};
 pub use event::Event;
 pub use exchange::{
     EndReport, ExchangeRefusal, Sample, StartOrder, StopOrder, Throttle, WorkerAnswer, WorkerEnd,
@@ -45,11 +45,11 @@
 };
 pub use exchanges::checkpoint_key;
 pub use job::{Job, JobKey, JobSpec, JobState};
-pub use machine::{ShardId, ShardScheduler, Takeover};
 pub use queue::{Queue, ReadyTask, TaskRef, TaskShape};
 pub use record::{End, Record};
-pub use resident::{Allocation, StopReason};
+pub use scheduler::{ShardId, ShardScheduler, Takeover};
 pub use settings::ShardSettings;
+pub use state::{Effect, ShardState};
 pub use status::{JobStatus, ShardStatus, TargetInfo, WorkerStatus};
 pub use task::{Task, TaskState};
 pub use worker::{ClassStats, Health, Reservation, Worker};
--- a/crates/core/src/shard/place_tasks.rs
+++ b/crates/core/src/shard/place_tasks.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     Millis,
-    place::{Band, PlacementPolicy},
+    placement::{Band, PlacementPolicy},
     size::Size,
     template::Priority,
 };
--- a/crates/core/src/shard/learn.rs
+++ b/crates/core/src/shard/samples.rs
@@ -1,7 +1,7 @@
 //! Late samples.
 
 use super::{Sample, ShardScheduler, WorkerAnswer};
-use crate::{Millis, name::Name, place::Band};
+use crate::{Millis, name::Name, placement::Band};
 
 /// Share of a new sample in the running mean of a slowdown.
 const SHARE: f32 = 0.3;
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/scheduler.rs
@@ -7,12 +7,12 @@
 
 use super::{
     Action, AttemptId, Event, FinishedJob, Health, JobKey, JobSpec, Queue, Record, ShardSettings,
-    ShardState, TaskRef, TaskState, Worker, WorkerInfo, class::TaskClass, team_use::TeamUsage,
+    ShardState, TaskRef, TaskState, Worker, WorkerInfo, class::TaskClass, team_usage::TeamUsage,
 };
 use crate::{
     Millis,
     name::Name,
-    place::InterferenceModel,
+    placement::InterferenceModel,
     size::Size,
     template::{OrgLimits, Organisation, Weights},
 };
--- a/crates/core/src/shard/settings.rs
+++ b/crates/core/src/shard/settings.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Millis, place::PlacementPolicy};
+use crate::{Millis, placement::PlacementPolicy};
 
 /// Settings of a shard's machine; times in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/crates/core/src/shard/worker.rs
+++ b/crates/core/src/shard/worker.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Allocation, AttemptId, TaskRef, WorkerInfo};
-use crate::{Millis, name::Name, place::History, size::Size};
+use crate::{Millis, name::Name, placement::History, size::Size};
 
 /// What the owner thinks of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use common::{Fault, World, WorldSettings, check_promises, spec};
 use gorsespur_core::{
-    place::{Band, CoRunner, History, InterferenceModel, PlacementPolicy},
+    placement::{Band, CoRunner, History, InterferenceModel, PlacementPolicy},
     shard::{AttemptId, JobState, Queue, Record, TaskRef},
     size::Size,
     template::Priority,
--- a/crates/core/tests/waits.rs
+++ b/crates/core/tests/waits.rs
@@ -4,7 +4,7 @@
 
 use common::{World, WorldSettings, check_promises, spec};
 use gorsespur_core::{
-    place::PlacementPolicy,
+    placement::PlacementPolicy,
     shard::{JobState, Queue, TaskRef, TaskShape},
     size::Size,
     template::Priority,
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -11,10 +11,10 @@
 };
 
 use gorsespur_core::{
+    hashing::{StableHasher, stable_hash},
     name::Name,
     retry::Backoff,
     route::Outcome,
-    spread::{StableHasher, stable_hash},
 };
 use gorsespur_runtime::{
     client::field,
--- a/crates/load/src/measure/floor.rs
+++ b/crates/load/src/measure/floor.rs
@@ -7,7 +7,7 @@
 use gorsespur_core::{
     Millis,
     name::Name,
-    place::{BAND_COUNT, PlacementPolicy},
+    placement::{BAND_COUNT, PlacementPolicy},
     shard::{
         Action, End, Event, JobKey, JobSpec, Record, ShardId, ShardScheduler, ShardSettings,
         ShardState, Takeover, WorkerInfo,
--- a/crates/load/src/measure/interference.rs
+++ b/crates/load/src/measure/interference.rs
@@ -1,7 +1,7 @@
 //! Placement under interference: the learning policy against the baselines,
 //! and against the same policy with the hidden table told.
 
-use gorsespur_core::{place::PlacementPolicy, template::Weights};
+use gorsespur_core::{placement::PlacementPolicy, template::Weights};
 
 use super::floor::{Floor, FloorResult, FloorSettings};
 use crate::{args::InterferenceArgs, error::LoadError};
--- a/crates/load/src/measure/membership.rs
+++ b/crates/load/src/measure/membership.rs
@@ -8,7 +8,7 @@
 //! sends a second, the entries that it keeps, and the time until a crash or a
 //! new instance is known to all that are to know it.
 
-use gorsespur_core::{member::MemberSettings, spread::stable_hash};
+use gorsespur_core::{hashing::stable_hash, member::MemberSettings};
 use gorsespur_wire::codec::encode;
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -5,7 +5,7 @@
 use gorsespur_core::{
     Millis,
     name::Name,
-    place::PlacementPolicy,
+    placement::PlacementPolicy,
     shard::{
         Action, AttemptId, Event, JobKey, JobSpec, Record, ShardId, ShardScheduler, ShardSettings,
         ShardState, Takeover, WorkerAnswer, WorkerInfo,
--- a/crates/load/src/slopes/memory.rs
+++ b/crates/load/src/slopes/memory.rs
@@ -8,7 +8,7 @@
     config::{ConfigEntry, Configs},
     member::{Heartbeat, MemberSettings, Peers, Role},
     name::Name,
-    place::PlacementPolicy,
+    placement::PlacementPolicy,
     route::{RouteEvent, RouteSettings, Router, TargetList},
     shard::{Event, TargetInfo},
 };
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -6,7 +6,7 @@
     config::{ConfigEntry, Configs},
     member::{MemberSettings, Peers},
     name::Name,
-    place::PlacementPolicy,
+    placement::PlacementPolicy,
     shard::{Action, Event, ShardScheduler, WorkerAnswer, WorkerRequest},
     size::Size,
     template::Organisation,
--- a/crates/peer/src/config.rs
+++ b/crates/peer/src/config.rs
@@ -4,9 +4,9 @@
 
 use gorsespur_core::{
     config::ConfigEntry,
+    hashing::highest_weight,
     name::Name,
     retry::{Backoff, CircuitBreaker},
-    spread::highest_weight,
 };
 use gorsespur_runtime::cancel::Cancel;
 use gorsespur_services::{Table, TableError, post};
--- a/crates/peer/src/layout.rs
+++ b/crates/peer/src/layout.rs
@@ -1,9 +1,9 @@
 //! Availability zones and their shards.
 
 use gorsespur_core::{
+    hashing::{shard_of, stable_hash},
     name::Name,
     shard::{JobKey, ShardId},
-    spread::{shard_of, stable_hash},
 };
 
 /// An availability zone.
--- a/crates/replay/src/recorder.rs
+++ b/crates/replay/src/recorder.rs
@@ -9,8 +9,8 @@
 
 use gorsespur_core::{
     Millis,
+    hashing::StableHasher,
     shard::{Action, Event, ShardId, ShardSettings, Takeover},
-    spread::StableHasher,
 };
 use gorsespur_wire::codec::encode;
 use serde::Serialize;
--- a/crates/sched/src/keep.rs
+++ b/crates/sched/src/keep.rs
@@ -12,10 +12,10 @@
 
 use flume::{Receiver, Sender};
 use gorsespur_core::{
+    hashing::stable_hash,
     name::Name,
     owner::OwnerLease,
     shard::{ShardScheduler, Takeover},
-    spread::stable_hash,
 };
 use gorsespur_replay::Recorder;
 use gorsespur_runtime::cancel::Cancel;
--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -4,10 +4,10 @@
 
 use flume::Sender;
 use gorsespur_core::{
+    hashing::stable_hash,
     name::Name,
     owner::{LeaseWatch, ShardRow},
     shard::{ShardState, Takeover},
-    spread::stable_hash,
 };
 use gorsespur_peer::{ShardAt, Shared};
 use gorsespur_runtime::{cancel::Cancel, metrics::Metrics};
--- a/crates/stand/src/slowdown.rs
+++ b/crates/stand/src/slowdown.rs
@@ -1,6 +1,6 @@
 //! A hidden table of how kinds of tasks slow each other down.
 
-use gorsespur_core::spread::stable_hash;
+use gorsespur_core::hashing::stable_hash;
 
 /// Largest share of one neighbour, before the strength is applied.
 const SCALE: f64 = 1.0;
--- a/crates/stand/src/target.rs
+++ b/crates/stand/src/target.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use gorsespur_core::spread::stable_hash;
+use gorsespur_core::hashing::stable_hash;
 use gorsespur_runtime::server::{Incoming, Reply};
 use gorsespur_wire::fields::{BUSY, LEAVING, OUTCOME, REQUEST_ID};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
