--- a/crates/core/src/member/beat.rs
+++ b/crates/core/src/member/heartbeat.rs
@@ -18,18 +18,19 @@
 
 /// A shard that its sender owns.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShardClaim {
+pub struct ShardOwnership {
     /// Index of the shard among all shards.
     pub shard: u32,
     /// Epoch of the ownership.
     pub epoch: u64,
     /// Version of the list of targets.
-    pub targets: u64,
+    #[serde(rename = "targets")]
+    pub targets_version: u64,
 }
 
 /// What an instance tells the others at a constant rate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Sender.
     pub id: Name,
     /// Its role.
@@ -45,7 +46,8 @@
     /// Whether it is about to leave.
     pub leaving: bool,
     /// Last configuration change that is in force on it.
-    pub config: u64,
+    #[serde(rename = "config")]
+    pub config_head: u64,
     /// Shards that it owns.
-    pub shards: Vec<ShardClaim>,
+    pub shards: Vec<ShardOwnership>,
 }
--- a/crates/core/src/member/peer.rs
+++ b/crates/core/src/member/peer.rs
@@ -2,18 +2,18 @@
 
 use std::net::SocketAddr;
 
-use super::Beat;
+use super::Heartbeat;
 use crate::Millis;
 
 /// Another instance.
 #[derive(Debug, Clone)]
 pub struct Peer {
     /// Its last heartbeat.
-    pub beat: Beat,
+    pub heartbeat: Heartbeat,
     /// Address that the heartbeat came from or that it names.
     pub addr: SocketAddr,
     /// When it was last heard.
-    pub heard: Millis,
+    pub heartbeat_at: Millis,
     /// Since when it has been heard without a gap.
-    pub steady: Millis,
+    pub steady_since: Millis,
 }
--- a/crates/core/src/member/peers.rs
+++ b/crates/core/src/member/peers.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Beat, Peer, Role};
+use super::{Heartbeat, Peer, Role};
 use crate::{Millis, name::Name};
 
 /// Times of the membership; in milliseconds.
@@ -10,22 +10,26 @@
 #[serde(default, deny_unknown_fields)]
 pub struct MemberSettings {
     /// Time between heartbeats.
-    pub beat: Millis,
+    #[serde(rename = "beat")]
+    pub heartbeat_interval: Millis,
     /// Time without a heartbeat after which an instance counts as dead.
-    pub dead: Millis,
+    #[serde(rename = "dead")]
+    pub dead_after: Millis,
     /// Time after which a dead instance is forgotten.
-    pub forget: Millis,
+    #[serde(rename = "forget")]
+    pub forget_after: Millis,
     /// Contacts in each other zone.
-    pub contacts: usize,
+    #[serde(rename = "contacts")]
+    pub contacts_per_zone: usize,
 }
 
 impl Default for MemberSettings {
     fn default() -> MemberSettings {
         MemberSettings {
-            beat: 500,
-            dead: 2_500,
-            forget: 600_000,
-            contacts: 2,
+            heartbeat_interval: 500,
+            dead_after: 2_500,
+            forget_after: 600_000,
+            contacts_per_zone: 2,
         }
     }
 }
@@ -54,18 +58,18 @@
     /// Takes note of a heartbeat; late and repeated ones change nothing.
     ///
     /// Returns whether it was news.
-    pub fn hear(&mut self, now: Millis, beat: Beat) -> bool {
+    pub fn record_heartbeat(&mut self, now: Millis, beat: Heartbeat) -> bool {
         let limit = self.limit(&beat.zone);
         let addr = beat.addr;
         let peer = Peer {
-            beat,
+            heartbeat: beat,
             addr,
-            heard: now,
-            steady: now,
+            heartbeat_at: now,
+            steady_since: now,
         };
         match self
             .peers
-            .binary_search_by(|p| p.beat.id.cmp(&peer.beat.id))
+            .binary_search_by(|p| p.heartbeat.id.cmp(&peer.heartbeat.id))
         {
             Err(i) => {
                 self.peers.insert(i, peer);
@@ -73,14 +77,17 @@
             }
             Ok(i) => {
                 let old = &mut self.peers[i];
-                let order = |b: &Beat| (b.incarnation, b.seq);
-                if order(&peer.beat) <= order(&old.beat) {
+                let order = |b: &Heartbeat| (b.incarnation, b.seq);
+                if order(&peer.heartbeat) <= order(&old.heartbeat) {
                     return false;
                 }
-                let gap = now.saturating_sub(old.heard) > limit;
-                let reborn = peer.beat.incarnation != old.beat.incarnation;
-                let steady = if gap || reborn { now } else { old.steady };
-                *old = Peer { steady, ..peer };
+                let gap = now.saturating_sub(old.heartbeat_at) > limit;
+                let reborn = peer.heartbeat.incarnation != old.heartbeat.incarnation;
+                let steady = if gap || reborn { now } else { old.steady_since };
+                *old = Peer {
+                    steady_since: steady,
+                    ..peer
+                };
                 true
             }
         }
@@ -90,23 +97,24 @@
     /// counts as dead; those of other zones reach only some contacts here.
     fn limit(&self, zone: &str) -> Millis {
         if *zone == *self.zone {
-            self.settings.dead
+            self.settings.dead_after
         } else {
-            self.settings.dead * FAR
+            self.settings.dead_after * FAR
         }
     }
 
     /// Forgets instances that have been dead for long.
-    pub fn forget(&mut self, now: Millis) {
-        let limit = self.settings.forget;
-        self.peers.retain(|p| now.saturating_sub(p.heard) < limit);
+    pub fn remove_dead(&mut self, now: Millis) {
+        let limit = self.settings.forget_after;
+        self.peers
+            .retain(|p| now.saturating_sub(p.heartbeat_at) < limit);
     }
 
     /// Returns the instances that are alive, leaving ones included.
     pub fn live(&self, now: Millis) -> Vec<&Peer> {
         let mut out = Vec::new();
         for p in &self.peers {
-            if now.saturating_sub(p.heard) <= self.limit(&p.beat.zone) {
+            if now.saturating_sub(p.heartbeat_at) <= self.limit(&p.heartbeat.zone) {
                 out.push(p);
             }
         }
@@ -114,9 +122,11 @@
     }
 
     /// Returns the live instances of a role in a zone that are not leaving.
-    pub fn staying(&self, now: Millis, role: Role, zone: &str) -> Vec<&Peer> {
+    pub fn available(&self, now: Millis, role: Role, zone: &str) -> Vec<&Peer> {
         let mut out = self.live(now);
-        out.retain(|p| p.beat.role == role && *p.beat.zone == *zone && !p.beat.leaving);
+        out.retain(|p| {
+            p.heartbeat.role == role && *p.heartbeat.zone == *zone && !p.heartbeat.leaving
+        });
         out
     }
 
@@ -127,7 +137,10 @@
 
     /// Returns the instance with this id.
     pub fn get(&self, id: &str) -> Option<&Peer> {
-        let i = self.peers.binary_search_by(|p| (*p.beat.id).cmp(id)).ok()?;
+        let i = self
+            .peers
+            .binary_search_by(|p| (*p.heartbeat.id).cmp(id))
+            .ok()?;
         Some(&self.peers[i])
     }
 
@@ -135,7 +148,7 @@
     pub fn owner_of(&self, now: Millis, shard: u32) -> Option<&Peer> {
         let mut best: Option<(u64, &Peer)> = None;
         for p in self.live(now) {
-            for c in &p.beat.shards {
+            for c in &p.heartbeat.shards {
                 if c.shard == shard && best.is_none_or(|b| c.epoch > b.0) {
                     best = Some((c.epoch, p));
                 }
--- a/crates/core/src/owner/tenure.rs
+++ b/crates/core/src/owner/lease.rs
@@ -4,17 +4,17 @@
 
 /// An owner's own view of its lease.
 #[derive(Debug, Clone)]
-pub struct Tenure {
+pub struct OwnerLease {
     lease: Millis,
     proved: Millis,
     ticked: Millis,
     doubtful: bool,
 }
 
-impl Tenure {
+impl OwnerLease {
     /// Starts a tenure that was proved by a write sent at `now`.
-    pub fn new(lease: Millis, now: Millis) -> Tenure {
-        Tenure {
+    pub fn new(lease: Millis, now: Millis) -> OwnerLease {
+        OwnerLease {
             lease,
             proved: now,
             ticked: now,
@@ -23,7 +23,7 @@
     }
 
     /// Takes note of a write that was sent at `sent` and took effect.
-    pub fn prove(&mut self, sent: Millis) {
+    pub fn confirm(&mut self, sent: Millis) {
         self.proved = self.proved.max(sent);
         self.doubtful = false;
     }
@@ -44,7 +44,7 @@
     /// An owner that merely can't reach the table service may: it renews what
     /// runs, and starts nothing since starts need the journal. One that was
     /// paused across its lease may not before it proved its epoch again.
-    pub fn may_act(&self) -> bool {
+    pub fn can_act(&self) -> bool {
         !self.doubtful
     }
 
--- a/crates/core/src/owner/claim.rs
+++ b/crates/core/src/owner/lease_watch.rs
@@ -5,17 +5,17 @@
 
 /// What a contender saw of a shard's row.
 #[derive(Debug, Clone)]
-pub struct Claim {
+pub struct LeaseWatch {
     lease: Millis,
     version: Option<u64>,
     since: Millis,
     free: bool,
 }
 
-impl Claim {
+impl LeaseWatch {
     /// Returns a claim that saw nothing yet.
-    pub fn new(lease: Millis) -> Claim {
-        Claim {
+    pub fn new(lease: Millis) -> LeaseWatch {
+        LeaseWatch {
             lease,
             version: None,
             since: 0,
@@ -34,13 +34,13 @@
 
     /// Tells whether the shard may be taken: it is free, or its owner did not
     /// renew for a lease.
-    pub fn may_take(&self, now: Millis) -> bool {
+    pub fn can_acquire(&self, now: Millis) -> bool {
         let seen = self.version.is_some();
         seen && (self.free || now >= self.since + self.lease)
     }
 
     /// Tells whether the row has been as it is for at least `time`.
-    pub fn settled(&self, now: Millis, time: Millis) -> bool {
+    pub fn is_unchanged_for(&self, now: Millis, time: Millis) -> bool {
         now >= self.since + time
     }
 
--- a/crates/core/src/route/admit.rs
+++ b/crates/core/src/route/admit.rs
@@ -1,9 +1,9 @@
 //! Admission: send, wait, retry, or refuse at once.
 
 use super::{
-    Arrival, Refusal, RoutePolicy, Router, TryEnd,
-    router::COME_AGAIN,
-    waiting::{Request, Turn},
+    Arrival, AttemptOutcome, Refusal, RoutePolicy, Router,
+    request::{QueueEntry, Request},
+    router::RETRY_AFTER,
 };
 use crate::{
     Millis,
@@ -18,15 +18,15 @@
 const TENFOLD: u32 = 10;
 
 impl Router {
-    pub(super) fn arrive(&mut self, now: Millis, a: &Arrival) {
+    pub(super) fn admit(&mut self, now: Millis, a: &Arrival) {
         self.counts.requests += 1;
-        let share = self.settings.share;
-        let hedges = self.settings.hedges;
-        let org = self.org(&a.org);
-        org.retries.earn(a.retries * TENFOLD);
-        org.hedges.earn(hedges);
-        let (here, waiting) = (org.here, org.waiting);
-        let Some(service) = self.service(&a.org, &a.service) else {
+        let share = self.settings.max_org_requests;
+        let hedges = self.settings.hedge_permille;
+        let org = self.org_usage(&a.org);
+        org.retries.deposit(a.retry_percent * TENFOLD);
+        org.hedges.deposit(hedges);
+        let (here, waiting) = (org.open_requests, org.queued);
+        let Some(service) = self.service_index(&a.org, &a.service) else {
             return self.turn_away(a.req, Refusal::NoTarget);
         };
         if self.services[service].targets.iter().all(|t| t.leaving) {
@@ -41,22 +41,22 @@
             priority: a.priority,
             deadline: a.deadline,
             repeatable: a.repeatable,
-            tries: 0,
-            open: Vec::new(),
-            failed: Vec::new(),
-            doubt: false,
+            attempts: 0,
+            in_flight: Vec::new(),
+            failed_on: Vec::new(),
+            may_have_run: false,
         };
         let Err(i) = self.requests.binary_search_by_key(&a.req, |r| r.req) else {
             return self.turn_away(a.req, Refusal::QueueFull);
         };
         self.requests.insert(i, request);
-        self.org(&a.org).here += 1;
-        let first = self.services[service].waiting.is_empty();
+        self.org_usage(&a.org).open_requests += 1;
+        let first = self.services[service].queued.is_empty();
         let ahead = self.ahead(service, a.priority);
         if (first || ahead == 0) && self.send(now, i) {
             return;
         }
-        if waiting >= a.queue as usize && !self.displace(service, a) {
+        if waiting >= a.max_queued as usize && !self.displace(service, a) {
             return self.refuse(i, Refusal::QueueFull);
         }
         let Ok(i) = self.requests.binary_search_by_key(&a.req, |r| r.req) else {
@@ -72,29 +72,29 @@
     /// Refuses a request that was not taken on the books.
     fn turn_away(&mut self, req: u64, why: Refusal) {
         self.counts.refused += 1;
-        self.out.push(RouteAction::Refuse {
+        self.actions.push(RouteAction::Refuse {
             req,
             outcome: Outcome::NotRun,
             why,
-            after: COME_AGAIN,
+            after: RETRY_AFTER,
         });
     }
 
     /// Returns how many waiting requests go before a new one of `priority`.
     fn ahead(&self, service: usize, priority: crate::template::Priority) -> usize {
-        let waiting = &self.services[service].waiting;
+        let waiting = &self.services[service].queued;
         waiting.partition_point(|t| t.priority <= priority)
     }
 
     /// Refuses the last waiting request if it is of a lower priority than `a`.
     fn displace(&mut self, service: usize, a: &Arrival) -> bool {
-        let Some(last) = self.services[service].waiting.last().copied() else {
+        let Some(last) = self.services[service].queued.last().copied() else {
             return false;
         };
         if last.priority <= a.priority {
             return false;
         }
-        self.leave_queue(service, last);
+        self.dequeue(service, last);
         let Ok(i) = self.requests.binary_search_by_key(&last.req, |r| r.req) else {
             return false;
         };
@@ -107,67 +107,67 @@
         let s = &self.services[service];
         let mut capacity = 0;
         for t in &s.targets {
-            if t.ejected <= now && !t.leaving {
-                capacity += t.allowed(now, self.share, &self.settings);
+            if t.ejected_until <= now && !t.leaving {
+                capacity += t.request_limit(now, self.share, &self.settings);
             }
         }
         let rounds = (ahead + 1) as f64 / f64::from(capacity.max(1));
-        s.mean * (1.0 + rounds)
+        s.mean_latency * (1.0 + rounds)
     }
 
     fn wait(&mut self, i: usize) {
         let r = &self.requests[i];
-        let turn = Turn {
+        let turn = QueueEntry {
             priority: r.priority,
             deadline: r.deadline,
             req: r.req,
         };
         let s = &mut self.services[r.service];
-        let Err(k) = s.waiting.binary_search(&turn) else {
+        let Err(k) = s.queued.binary_search(&turn) else {
             return;
         };
-        s.waiting.insert(k, turn);
+        s.queued.insert(k, turn);
         let org = s.org.clone();
-        self.org(&org).waiting += 1;
+        self.org_usage(&org).queued += 1;
     }
 
-    pub(super) fn leave_queue(&mut self, service: usize, turn: Turn) {
+    pub(super) fn dequeue(&mut self, service: usize, turn: QueueEntry) {
         let s = &mut self.services[service];
-        let Ok(k) = s.waiting.binary_search(&turn) else {
+        let Ok(k) = s.queued.binary_search(&turn) else {
             return;
         };
-        s.waiting.remove(k);
+        s.queued.remove(k);
         let org = s.org.clone();
-        let o = self.org(&org);
-        o.waiting = o.waiting.saturating_sub(1);
+        let o = self.org_usage(&org);
+        o.queued = o.queued.saturating_sub(1);
     }
 
     /// Sends waiting requests while there are targets for them.
     pub(super) fn dispatch(&mut self, now: Millis, service: usize) {
-        while let Some(turn) = self.services[service].waiting.first().copied() {
+        while let Some(turn) = self.services[service].queued.first().copied() {
             let Ok(i) = self.requests.binary_search_by_key(&turn.req, |r| r.req) else {
-                self.leave_queue(service, turn);
+                self.dequeue(service, turn);
                 continue;
             };
             if !self.send(now, i) {
                 return;
             }
-            self.leave_queue(service, turn);
+            self.dequeue(service, turn);
         }
     }
 
     /// Refuses waiting requests that can't be answered in time any more.
     pub(super) fn expire(&mut self, now: Millis, service: usize) {
-        let mean = self.services[service].mean;
-        let late = |t: &Turn| now as f64 + mean * ROOM > t.deadline as f64;
+        let mean = self.services[service].mean_latency;
+        let late = |t: &QueueEntry| now as f64 + mean * ROOM > t.deadline as f64;
         let mut gone = Vec::new();
-        for turn in &self.services[service].waiting {
+        for turn in &self.services[service].queued {
             if late(turn) {
                 gone.push(*turn);
             }
         }
         for turn in gone {
-            self.leave_queue(service, turn);
+            self.dequeue(service, turn);
             if let Ok(i) = self.requests.binary_search_by_key(&turn.req, |r| r.req) {
                 self.refuse(i, Refusal::TooLate);
             }
@@ -175,23 +175,23 @@
     }
 
     /// Decides what becomes of a request after a try that did not answer it.
-    pub(super) fn try_again(&mut self, now: Millis, i: usize, end: TryEnd) {
+    pub(super) fn retry(&mut self, now: Millis, i: usize, end: AttemptOutcome) {
         let r = &self.requests[i];
-        if r.deadline == 0 || !r.open.is_empty() {
-            if r.deadline == 0 && r.open.is_empty() {
+        if r.deadline == 0 || !r.in_flight.is_empty() {
+            if r.deadline == 0 && r.in_flight.is_empty() {
                 self.drop_request(i);
             }
             return;
         }
-        let safe = !r.doubt || r.repeatable;
-        let late = now as f64 + self.services[r.service].mean * ROOM > r.deadline as f64;
-        if !safe || r.tries >= self.settings.attempts || late {
+        let safe = !r.may_have_run || r.repeatable;
+        let late = now as f64 + self.services[r.service].mean_latency * ROOM > r.deadline as f64;
+        if !safe || r.attempts >= self.settings.max_attempts || late {
             return self.refuse(i, Refusal::Failed);
         }
-        let full = matches!(end, TryEnd::Declined { busy: Some(_), .. });
+        let full = matches!(end, AttemptOutcome::Declined { busy: Some(_), .. });
         let free = full || self.settings.policy == RoutePolicy::RoundRobin;
         let org = self.services[r.service].org.clone();
-        if !free && !self.org(&org).retries.spend() {
+        if !free && !self.org_usage(&org).retries.try_withdraw() {
             return self.refuse(i, Refusal::Failed);
         }
         if !self.send(now, i) {
@@ -205,13 +205,14 @@
             return;
         };
         let r = &self.requests[i];
-        let one = r.open.len() == 1 && r.deadline > now;
-        if !one || !r.repeatable || r.tries >= self.settings.attempts {
+        let one = r.in_flight.len() == 1 && r.deadline > now;
+        if !one || !r.repeatable || r.attempts >= self.settings.max_attempts {
             return;
         }
         let service = r.service;
         let org = self.services[service].org.clone();
-        if !self.services[service].waiting.is_empty() || !self.org(&org).hedges.spend() {
+        if !self.services[service].queued.is_empty() || !self.org_usage(&org).hedges.try_withdraw()
+        {
             return;
         }
         if self.send(now, i) {
--- a/crates/core/src/route/choose.rs
+++ b/crates/core/src/route/choose.rs
@@ -25,15 +25,15 @@
         let Some(t) = found else { return false };
         let hedge = self.hedge_after(i);
         let target = &mut self.services[service].targets[t];
-        target.mine += 1;
+        target.in_flight += 1;
         let (worker, addr) = (target.worker.clone(), target.addr);
         let r = &mut self.requests[i];
-        r.tries += 1;
-        r.open.push((r.tries, worker.clone()));
-        self.counts.tries += 1;
-        self.out.push(RouteAction::Send {
+        r.attempts += 1;
+        r.in_flight.push((r.attempts, worker.clone()));
+        self.counts.attempts += 1;
+        self.actions.push(RouteAction::Send {
             req: r.req,
-            attempt: r.tries,
+            attempt: r.attempts,
             worker,
             addr,
             hedge,
@@ -43,10 +43,10 @@
 
     fn hedge_after(&self, i: usize) -> Millis {
         let r = &self.requests[i];
-        if !r.repeatable || self.settings.hedges == 0 {
+        if !r.repeatable || self.settings.hedge_permille == 0 {
             return 0;
         }
-        let mean = self.services[r.service].mean;
+        let mean = self.services[r.service].mean_latency;
         ((mean * HEDGE) as Millis).max(MIN_HEDGE)
     }
 
@@ -54,9 +54,9 @@
         let s = &mut self.services[service];
         let n = s.targets.len();
         for _ in 0..n {
-            s.turn = (s.turn + 1) % n;
-            if s.targets[s.turn].near && !s.targets[s.turn].leaving {
-                return Some(s.turn);
+            s.next_target = (s.next_target + 1) % n;
+            if s.targets[s.next_target].same_zone && !s.targets[s.next_target].leaving {
+                return Some(s.next_target);
             }
         }
         None
@@ -72,7 +72,7 @@
                 two = self.scan(now, i, near);
             }
             let targets = &self.services[self.requests[i].service].targets;
-            let score = |t: &usize| targets[*t].score(now, &self.settings);
+            let score = |t: &usize| targets[*t].expected_latency(now, &self.settings);
             let best = two.into_iter().min_by(|a, b| score(a).total_cmp(&score(b)));
             if best.is_some() {
                 return best;
@@ -85,10 +85,10 @@
         let r = &self.requests[i];
         let target = &self.services[r.service].targets[t];
         let tried = |w: &Name| *w == target.worker;
-        target.near == near
-            && target.usable(now, self.share, &self.settings)
-            && !r.failed.iter().any(tried)
-            && !r.open.iter().any(|o| tried(&o.1))
+        target.same_zone == near
+            && target.is_usable(now, self.share, &self.settings)
+            && !r.failed_on.iter().any(tried)
+            && !r.in_flight.iter().any(|o| tried(&o.1))
     }
 
     fn probe(&mut self, now: Millis, i: usize, near: bool, two: &mut Vec<usize>) {
--- a/crates/core/src/route/waiting.rs
+++ b/crates/core/src/route/request.rs
@@ -11,18 +11,18 @@
     pub deadline: Millis,
     pub repeatable: bool,
     /// Tries so far.
-    pub tries: u32,
+    pub attempts: u32,
     /// Workers of the tries under way, by number of the try.
-    pub open: Vec<(u32, crate::name::Name)>,
+    pub in_flight: Vec<(u32, crate::name::Name)>,
     /// Workers that failed it.
-    pub failed: Vec<crate::name::Name>,
+    pub failed_on: Vec<crate::name::Name>,
     /// Whether a try ended without proof that it did not run.
-    pub doubt: bool,
+    pub may_have_run: bool,
 }
 
 /// Order in which waiting requests are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Turn {
+pub(super) struct QueueEntry {
     pub priority: Priority,
     pub deadline: Millis,
     pub req: u64,
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -4,14 +4,14 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Budget, Outcome, Refusal, RouteAction, RouteEvent, RouteSettings, Share, Target, TargetList,
-    TryEnd,
-    waiting::{Request, Turn},
+    AttemptOutcome, Budget, Outcome, Refusal, RouteAction, RouteEvent, RouteSettings, Share,
+    Target, TargetList,
+    request::{QueueEntry, Request},
 };
 use crate::{Millis, name::Name};
 
 /// Time after which a refused caller may come again.
-pub(super) const COME_AGAIN: Millis = 1_000;
+pub(super) const RETRY_AFTER: Millis = 1_000;
 
 /// Share of a new time in a service's running mean.
 const SHARE: f64 = 0.05;
@@ -24,19 +24,19 @@
     /// Sorted by worker.
     pub targets: Vec<Target>,
     /// Sorted; the first is served next.
-    pub waiting: Vec<Turn>,
+    pub queued: Vec<QueueEntry>,
     /// Running mean of the time of an answer.
-    pub mean: f64,
+    pub mean_latency: f64,
     /// Next target of the round-robin baseline.
-    pub turn: usize,
+    pub next_target: usize,
 }
 
 /// What an organisation uses of this instance.
 #[derive(Debug)]
-pub(super) struct OrgUse {
+pub(super) struct OrgUsage {
     pub org: Name,
-    pub here: usize,
-    pub waiting: usize,
+    pub open_requests: usize,
+    pub queued: usize,
     pub retries: Budget,
     pub hedges: Budget,
 }
@@ -55,7 +55,8 @@
     /// Requests that came.
     pub requests: u64,
     /// Tries that were sent.
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub attempts: u64,
     /// Requests that were refused or given up.
     pub refused: u64,
     /// Second tries beside the first.
@@ -70,10 +71,10 @@
     pub(super) settings: RouteSettings,
     pub(super) rng: SmallRng,
     pub(super) services: Vec<Service>,
-    pub(super) orgs: Vec<OrgUse>,
+    pub(super) orgs: Vec<OrgUsage>,
     pub(super) requests: Vec<Request>,
     pub(super) share: Share,
-    pub(super) out: Vec<RouteAction>,
+    pub(super) actions: Vec<RouteAction>,
     pub(super) counts: RouteCounts,
     known: Vec<Known>,
     leaving: Vec<Name>,
@@ -92,7 +93,7 @@
                 entries: 1,
                 rank: 0,
             },
-            out: Vec::new(),
+            actions: Vec::new(),
             counts: RouteCounts::default(),
             known: Vec::new(),
             leaving: Vec::new(),
@@ -102,7 +103,7 @@
     /// Handles one event and returns what is to be done.
     pub fn step(&mut self, now: Millis, event: &RouteEvent) -> Vec<RouteAction> {
         match event {
-            RouteEvent::Arrive(a) => self.arrive(now, a),
+            RouteEvent::Arrive(a) => self.admit(now, a),
             RouteEvent::Ended { req, attempt, end } => self.ended(now, *req, *attempt, *end),
             RouteEvent::Hedge { req } => self.hedge(now, *req),
             RouteEvent::Targets(list) => self.take_list(now, list),
@@ -110,7 +111,7 @@
             RouteEvent::Entries(share) => self.share = *share,
             RouteEvent::Tick => self.tick(now),
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// Returns the counts since the start.
@@ -119,17 +120,17 @@
     }
 
     /// Returns the number of requests that wait for a target.
-    pub fn waiting(&self) -> usize {
-        self.services.iter().map(|s| s.waiting.len()).sum()
+    pub fn waiting_requests(&self) -> usize {
+        self.services.iter().map(|s| s.queued.len()).sum()
     }
 
     /// Returns the number of requests that are not settled.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
     /// Returns the epoch and version of the list known of a shard.
-    pub fn known(&self, shard: u32) -> Option<(u64, u64)> {
+    pub fn list_version(&self, shard: u32) -> Option<(u64, u64)> {
         let i = self.known.binary_search_by_key(&shard, |k| k.shard).ok()?;
         Some((self.known[i].epoch, self.known[i].version))
     }
@@ -143,7 +144,7 @@
         found.map_or(&[], |s| &s.targets)
     }
 
-    pub(super) fn service(&self, org: &str, name: &str) -> Option<usize> {
+    pub(super) fn service_index(&self, org: &str, name: &str) -> Option<usize> {
         self.services
             .binary_search_by(|s| (&*s.org, &*s.name).cmp(&(org, name)))
             .ok()
@@ -160,9 +161,9 @@
             org: org.clone(),
             name: name.clone(),
             targets: Vec::new(),
-            waiting: Vec::new(),
-            mean: 5.0,
-            turn: 0,
+            queued: Vec::new(),
+            mean_latency: 5.0,
+            next_target: 0,
         };
         self.services.insert(i, service);
         for r in &mut self.requests {
@@ -171,14 +172,14 @@
         i
     }
 
-    pub(super) fn org(&mut self, org: &Name) -> &mut OrgUse {
+    pub(super) fn org_usage(&mut self, org: &Name) -> &mut OrgUsage {
         let i = match self.orgs.binary_search_by(|o| o.org.cmp(org)) {
             Ok(i) => i,
             Err(i) => {
-                let new = OrgUse {
+                let new = OrgUsage {
                     org: org.clone(),
-                    here: 0,
-                    waiting: 0,
+                    open_requests: 0,
+                    queued: 0,
                     retries: Budget::default(),
                     hedges: Budget::default(),
                 };
@@ -227,7 +228,7 @@
                     targets[i].leaving = info.leaving || left;
                 }
                 Err(i) => {
-                    let mut target = Target::new(info, list.shard, list.near, now);
+                    let mut target = Target::new(info, list.shard, list.same_zone, now);
                     target.leaving |= left;
                     targets.insert(i, target);
                 }
@@ -246,33 +247,33 @@
         }
     }
 
-    fn ended(&mut self, now: Millis, req: u64, attempt: u32, end: TryEnd) {
+    fn ended(&mut self, now: Millis, req: u64, attempt: u32, end: AttemptOutcome) {
         let Ok(i) = self.requests.binary_search_by_key(&req, |r| r.req) else {
             return;
         };
         let r = &mut self.requests[i];
-        let Some(k) = r.open.iter().position(|o| o.0 == attempt) else {
+        let Some(k) = r.in_flight.iter().position(|o| o.0 == attempt) else {
             return;
         };
-        let (_, worker) = r.open.swap_remove(k);
+        let (_, worker) = r.in_flight.swap_remove(k);
         let service = r.service;
         self.note_end(now, service, &worker, end);
         match end {
-            TryEnd::Answered { .. } => self.settle(i),
-            TryEnd::NotSent | TryEnd::Declined { .. } => {
-                self.requests[i].failed.push(worker);
-                self.try_again(now, i, end);
+            AttemptOutcome::Answered { .. } => self.settle(i),
+            AttemptOutcome::NotSent | AttemptOutcome::Declined { .. } => {
+                self.requests[i].failed_on.push(worker);
+                self.retry(now, i, end);
             }
-            TryEnd::Failed => {
-                self.requests[i].failed.push(worker);
-                self.requests[i].doubt = true;
-                self.try_again(now, i, end);
+            AttemptOutcome::Failed => {
+                self.requests[i].failed_on.push(worker);
+                self.requests[i].may_have_run = true;
+                self.retry(now, i, end);
             }
         }
         self.dispatch(now, service);
     }
 
-    fn note_end(&mut self, now: Millis, service: usize, worker: &Name, end: TryEnd) {
+    fn note_end(&mut self, now: Millis, service: usize, worker: &Name, end: AttemptOutcome) {
         let may = self.may_eject(now, service);
         let settings = &self.settings;
         let s = &mut self.services[service];
@@ -280,22 +281,22 @@
             return;
         };
         let t = &mut s.targets[t];
-        t.mine = t.mine.saturating_sub(1);
+        t.in_flight = t.in_flight.saturating_sub(1);
         match end {
-            TryEnd::Answered { took, busy } => {
-                t.answered(now, took, busy);
-                s.mean += SHARE * (took as f64 - s.mean);
+            AttemptOutcome::Answered { took, busy } => {
+                t.record_answer(now, took, busy);
+                s.mean_latency += SHARE * (took as f64 - s.mean_latency);
             }
-            TryEnd::Declined { busy, leaving } => {
-                t.report(now, busy);
+            AttemptOutcome::Declined { busy, leaving } => {
+                t.update_load(now, busy);
                 t.leaving |= leaving;
                 if busy.is_none() && !leaving {
-                    t.failed(now, settings, may);
+                    t.record_failure(now, settings, may);
                 }
             }
-            TryEnd::NotSent | TryEnd::Failed => {
+            AttemptOutcome::NotSent | AttemptOutcome::Failed => {
                 let before = t.ejections;
-                t.failed(now, settings, may);
+                t.record_failure(now, settings, may);
                 self.counts.ejections += u64::from(t.ejections > before);
             }
         }
@@ -304,16 +305,19 @@
     /// Tells whether one more target of a service may be ejected.
     fn may_eject(&self, now: Millis, service: usize) -> bool {
         let targets = &self.services[service].targets;
-        let near = targets.iter().filter(|t| t.near).count();
-        let out = targets.iter().filter(|t| t.near && t.ejected > now).count();
-        (out + 1) * 100 <= near * self.settings.max_ejected as usize
+        let near = targets.iter().filter(|t| t.same_zone).count();
+        let out = targets
+            .iter()
+            .filter(|t| t.same_zone && t.ejected_until > now)
+            .count();
+        (out + 1) * 100 <= near * self.settings.max_ejected_percent as usize
     }
 
     /// Takes a request off the books once no try is under way.
     fn settle(&mut self, i: usize) {
         let r = &mut self.requests[i];
         r.deadline = 0;
-        if r.open.is_empty() {
+        if r.in_flight.is_empty() {
             self.drop_request(i);
         }
     }
@@ -321,24 +325,24 @@
     pub(super) fn drop_request(&mut self, i: usize) {
         let r = self.requests.remove(i);
         let org = self.services[r.service].org.clone();
-        let o = self.org(&org);
-        o.here = o.here.saturating_sub(1);
+        let o = self.org_usage(&org);
+        o.open_requests = o.open_requests.saturating_sub(1);
     }
 
     /// Gives a request up at once; it is never held back.
     pub(super) fn refuse(&mut self, i: usize, why: Refusal) {
         let r = &self.requests[i];
-        let outcome = if r.doubt {
+        let outcome = if r.may_have_run {
             Outcome::Unknown
         } else {
             Outcome::NotRun
         };
         self.counts.refused += 1;
-        self.out.push(RouteAction::Refuse {
+        self.actions.push(RouteAction::Refuse {
             req: r.req,
             outcome,
             why,
-            after: COME_AGAIN,
+            after: RETRY_AFTER,
         });
         self.settle(i);
     }
--- a/crates/core/src/shard/answer.rs
+++ b/crates/core/src/shard/answer.rs
@@ -1,9 +1,11 @@
 //! What workers answer.
 
-use super::{Action, End, Health, Machine, Reason, StopWhy, WorkerAnswer, WorkerEnd};
-use crate::{Millis, name::Name, place::CoRunner};
+use super::{
+    Action, End, ExchangeRefusal, Health, ShardScheduler, StopReason, WorkerAnswer, WorkerEnd,
+};
+use crate::{Millis, name::Name, placement::CoRunner};
 
-impl Machine {
+impl ShardScheduler {
     /// Takes a worker's answer.
     pub(super) fn answer(&mut self, now: Millis, worker: &Name, a: &WorkerAnswer) {
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
@@ -11,15 +13,15 @@
         };
         let w = &mut self.workers[i];
         if a.seq == w.seq {
-            w.busy = false;
+            w.awaiting_answer = false;
         }
         if let Some(reason) = a.refused {
-            if reason == Reason::OldEpoch && a.epoch > self.epoch {
-                self.out.push(Action::Fenced { epoch: a.epoch });
+            if reason == ExchangeRefusal::OldEpoch && a.epoch > self.epoch {
+                self.actions.push(Action::Fenced { epoch: a.epoch });
             }
             return;
         }
-        if w.boot == a.boot && a.clock < w.echo {
+        if w.boot == a.boot && a.clock < w.last_clock {
             return;
         }
         self.note_contact(now, i, a);
@@ -37,7 +39,7 @@
         };
         let w = &mut self.workers[i];
         if w.seq == seq {
-            w.busy = false;
+            w.awaiting_answer = false;
         }
     }
 
@@ -47,24 +49,24 @@
             w.history.clear();
         }
         w.boot = a.boot;
-        w.echo = a.clock;
-        w.echo_at = now;
-        w.seen_at = now;
-        if w.total != a.size {
-            w.total = a.size;
-            self.stirred = true;
+        w.last_clock = a.clock;
+        w.last_clock_at = now;
+        w.answered_at = now;
+        if w.capacity != a.size {
+            w.capacity = a.size;
+            self.placement_due = true;
         }
         if w.health != Health::Good {
             w.health = Health::Good;
-            w.basis = now;
+            w.lease_start = now;
             w.dirty = true;
-            self.stirred = true;
+            self.placement_due = true;
             self.targets += 1;
         }
         if a.leaving && !w.leaving {
             w.leaving = true;
             self.targets += 1;
-            self.empty_worker(i);
+            self.drain_worker(i);
         }
     }
 
@@ -75,7 +77,7 @@
         for report in &a.ended {
             let id = report.attempt;
             let w = &self.workers[i];
-            if let Some(r) = w.resident(id) {
+            if let Some(r) = w.allocation(id) {
                 let end = end_of(report.end, r.stop);
                 let number = self.end_attempt(now, i, id, end);
                 self.workers[i].acks.push((number, id));
@@ -88,18 +90,18 @@
 
     fn take_running(&mut self, now: Millis, i: usize, a: &WorkerAnswer) {
         let w = &mut self.workers[i];
-        let had = !w.strays.is_empty();
-        w.strays.clear();
+        let had = !w.unknown_attempts.is_empty();
+        w.unknown_attempts.clear();
         for &id in &a.running {
-            let clock = w.echo;
-            let Some(r) = w.resident_mut(id) else {
-                w.strays.push(id);
+            let clock = w.last_clock;
+            let Some(r) = w.allocation_mut(id) else {
+                w.unknown_attempts.push(id);
                 continue;
             };
-            if r.seen {
+            if r.is_running {
                 continue;
             }
-            r.seen = true;
+            r.is_running = true;
             let class = r.class;
             r.since = now;
             let service = r.service;
@@ -107,15 +109,15 @@
             w.history.begin(who, clock);
             self.targets += u64::from(service);
         }
-        w.dirty |= !w.strays.is_empty();
-        self.stirred |= had && w.strays.is_empty();
+        w.dirty |= !w.unknown_attempts.is_empty();
+        self.placement_due |= had && w.unknown_attempts.is_empty();
     }
 
     /// Ends the attempts that the worker should have and does not have.
     fn take_missing(&mut self, now: Millis, i: usize, a: &WorkerAnswer) {
         let mut missing = Vec::new();
-        for r in &self.workers[i].residents {
-            let sent = r.sent.is_some_and(|s| s <= a.seq);
+        for r in &self.workers[i].allocations {
+            let sent = r.sent_seq.is_some_and(|s| s <= a.seq);
             if sent && !a.running.contains(&r.attempt) {
                 missing.push(r.attempt);
             }
@@ -128,28 +130,28 @@
     /// Ends the attempts that are to stop and were never sent.
     pub(super) fn end_unsent(&mut self, now: Millis, i: usize) {
         let mut unsent = Vec::new();
-        for r in &self.workers[i].residents {
+        for r in &self.workers[i].allocations {
             let Some(why) = r.stop else { continue };
-            if r.sent.is_none() {
+            if r.sent_seq.is_none() {
                 unsent.push((r.attempt, why));
             }
         }
         for (id, why) in unsent {
             let end = match why {
-                StopWhy::Unwanted => End::Stopped,
-                StopWhy::Preempted | StopWhy::Noisy | StopWhy::Leaving => End::Refused,
+                StopReason::Cancelled => End::Stopped,
+                StopReason::Preempted | StopReason::Noisy | StopReason::Leaving => End::Refused,
             };
             self.end_attempt(now, i, id, end);
         }
     }
 }
 
-fn end_of(end: WorkerEnd, stop: Option<StopWhy>) -> End {
+fn end_of(end: WorkerEnd, stop: Option<StopReason>) -> End {
     match (end, stop) {
         (WorkerEnd::Done, _) => End::Done,
         (WorkerEnd::Failed, _) => End::Failed,
         (WorkerEnd::Refused, _) => End::Refused,
-        (WorkerEnd::Stopped { .. }, Some(StopWhy::Unwanted)) => End::Stopped,
+        (WorkerEnd::Stopped { .. }, Some(StopReason::Cancelled)) => End::Stopped,
         (WorkerEnd::Stopped { saved }, Some(_)) => End::Evicted { saved },
         (WorkerEnd::Stopped { saved: true }, None) => End::Evicted { saved: true },
         (WorkerEnd::Stopped { saved: false }, None) => End::Lost,
--- a/crates/core/src/shard/ended.rs
+++ b/crates/core/src/shard/attempt_end.rs
@@ -1,6 +1,6 @@
 //! Ends of attempts, and whose fault a failure is.
 
-use super::{AttemptId, End, Machine, Record, TaskRef};
+use super::{AttemptId, End, Record, ShardScheduler, TaskRef};
 use crate::Millis;
 
 /// Delay before a failed task runs again; doubles with each failure.
@@ -15,16 +15,16 @@
 /// Longest delay of a replica of a service.
 const MAX_REPLICA: Millis = 5_000;
 
-impl Machine {
+impl ShardScheduler {
     /// Records the end of an attempt on worker `i` and returns the record's number.
     pub(super) fn end_attempt(&mut self, now: Millis, i: usize, id: AttemptId, end: End) -> u64 {
         self.judge(now, i, id, end);
         let delay = self.retry_delay(id, end);
-        self.record(now, Record::Ended { attempt: id, end }, delay)
+        self.append_record(now, Record::Ended { attempt: id, end }, delay)
     }
 
     fn retry_delay(&self, id: AttemptId, end: End) -> Millis {
-        let Some((job, task, _)) = self.book.active(id) else {
+        let Some((job, task, _)) = self.state.active_task(id) else {
             return 0;
         };
         let most = if job.spec.service {
@@ -33,7 +33,7 @@
             MAX_RETRY
         };
         match end {
-            End::Failed => (RETRY << task.fails.min(10)).min(most),
+            End::Failed => (RETRY << task.failures.min(10)).min(most),
             End::Refused => REFUSED,
             End::Done if job.spec.service => RETRY,
             End::Done | End::Lost | End::Evicted { .. } | End::Stopped => 0,
@@ -46,14 +46,14 @@
     /// mostly well elsewhere; otherwise it is the task's fault.
     fn judge(&mut self, now: Millis, i: usize, id: AttemptId, end: End) {
         let w = &self.workers[i];
-        let Some(r) = w.resident(id) else { return };
+        let Some(r) = w.allocation(id) else { return };
         let class = r.class;
         let done = match end {
             End::Done => true,
             End::Failed => false,
             End::Lost | End::Refused | End::Evicted { .. } | End::Stopped => return,
         };
-        let here = w.tally(class);
+        let here = w.stats_of(class);
         let c = &mut self.classes[usize::from(class)];
         let done_elsewhere = c.done.saturating_sub(here.done.into());
         let failed_elsewhere = c.failed.saturating_sub(here.failed.into());
@@ -63,11 +63,11 @@
             c.failed += 1;
         }
         let w = &mut self.workers[i];
-        w.count(class, done);
+        w.record_end(class, done);
         if done {
-            w.strikes.clear();
-            self.stirred |= w.bans > 0;
-            w.bans = 0;
+            w.failure_streak.clear();
+            self.placement_due |= w.quarantines > 0;
+            w.quarantines = 0;
             return;
         }
         if failed_elsewhere > done_elsewhere {
@@ -77,17 +77,18 @@
             job: id.job,
             task: id.task,
         };
-        if w.strikes.contains(&task) {
+        if w.failure_streak.contains(&task) {
             return;
         }
-        w.strikes.push(task);
-        let probing = w.bans > 0;
-        if w.strikes.len() < self.settings.strikes && !probing {
+        w.failure_streak.push(task);
+        let probing = w.quarantines > 0;
+        if w.failure_streak.len() < self.settings.quarantine_threshold && !probing {
             return;
         }
-        let length = (self.settings.ban << w.bans.min(16)).min(self.settings.max_ban);
-        w.ban_until = now + length;
-        w.bans += 1;
-        w.strikes.clear();
+        let length =
+            (self.settings.quarantine << w.quarantines.min(16)).min(self.settings.max_quarantine);
+        w.quarantined_until = now + length;
+        w.quarantines += 1;
+        w.failure_streak.clear();
     }
 }
--- a/crates/core/src/shard/class.rs
+++ b/crates/core/src/shard/class.rs
@@ -4,15 +4,15 @@
 
 /// What a machine knows of a class.
 #[derive(Debug, Clone)]
-pub(super) struct Class {
+pub(super) struct TaskClass {
     pub org: Name,
     pub kind: Name,
     pub service: bool,
     pub weights: Weights,
     pub hold: Millis,
-    pub evictions: u32,
+    pub max_evictions: u32,
     /// Most processors and memory that a task was seen to use.
-    pub seen: Size,
+    pub peak_usage: Size,
     pub done: u64,
     pub failed: u64,
 }
--- a/crates/core/src/shard/effects.rs
+++ b/crates/core/src/shard/effects.rs
@@ -1,11 +1,13 @@
 //! The soft state follows the book.
 
-use super::{AttemptId, Effect, FinishedJob, JobStatus, Machine, Resident, StopWhy, TaskRef};
+use super::{
+    Allocation, AttemptId, Effect, FinishedJob, JobStatus, ShardScheduler, StopReason, TaskRef,
+};
 use crate::{Millis, name::Name, size::Size};
 
-impl Machine {
+impl ShardScheduler {
     /// Brings the soft state in line with one effect of record `number`.
-    pub(super) fn follow(&mut self, now: Millis, effect: Effect, number: u64, delay: Millis) {
+    pub(super) fn apply_effect(&mut self, now: Millis, effect: Effect, number: u64, delay: Millis) {
         match effect {
             Effect::Queued(task) => self.enqueue(now, task, delay),
             Effect::Reserved {
@@ -14,25 +16,25 @@
                 size,
             } => self.reserve(now, attempt, &worker, &size, number),
             Effect::Freed { attempt, worker } => self.free(attempt, &worker),
-            Effect::Unwanted { attempt, worker } => self.unwant(attempt, &worker),
+            Effect::StopRequested { attempt, worker } => self.unwant(attempt, &worker),
             Effect::Finished { job } => self.finish(now, job),
         }
     }
 
     /// Puts a queued task into its lane.
     pub(super) fn enqueue(&mut self, now: Millis, task: TaskRef, delay: Millis) {
-        let Some(job) = self.book.job(task.job) else {
+        let Some(job) = self.state.job(task.job) else {
             return;
         };
         let (org, team) = (job.spec.key.org.clone(), job.spec.team.clone());
         let (priority, service) = (job.spec.priority, job.spec.service);
-        let team = self.team(&org, &team, service);
+        let team = self.team_index(&org, &team, service);
         if delay > 0 {
-            self.queue.push_later(now + delay, priority, team, task);
+            self.queue.push_delayed(now + delay, priority, team, task);
         } else {
             self.queue.push(priority, team, task, now);
         }
-        self.stirred = true;
+        self.placement_due = true;
     }
 
     /// Reserves room on a worker for an attempt.
@@ -44,41 +46,41 @@
         size: &Size,
         record: u64,
     ) {
-        let Some(job) = self.book.job(attempt.job) else {
+        let Some(job) = self.state.job(attempt.job) else {
             return;
         };
         let spec = &job.spec;
         let (org, kind, team) = (spec.key.org.clone(), spec.kind.clone(), spec.team.clone());
         let (priority, service) = (spec.priority, spec.service);
-        let class = self.class(&org, &kind, service);
+        let class = self.class_index(&org, &kind, service);
         let hold = self.classes[usize::from(class)].hold;
-        let team = self.team(&org, &team, service);
+        let team = self.team_index(&org, &team, service);
         let team = &mut self.teams[usize::from(team)];
-        team.used = team.used.plus(size);
+        team.used = team.used.saturating_add(size);
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
             return;
         };
         let w = &mut self.workers[i];
-        if w.reserve
+        if w.reservation
             .is_some_and(|r| r.task.job == attempt.job && r.task.task == attempt.task)
         {
-            w.reserve = None;
+            w.reservation = None;
         }
-        w.add(Resident {
+        w.add(Allocation {
             attempt,
             size: *size,
             class,
             priority,
             service,
             hold,
-            record,
-            sent: None,
-            seen: false,
+            start_record: record,
+            sent_seq: None,
+            is_running: false,
             since: now,
             stop: None,
-            percent: 100,
-            slow: 1.0,
-            turned: 0,
+            cpu_percent: 100,
+            slowdown: 1.0,
+            throttle_changed_at: 0,
         });
         if service {
             self.targets += 1;
@@ -86,25 +88,25 @@
     }
 
     fn free(&mut self, attempt: AttemptId, worker: &Name) {
-        self.stirred = true;
+        self.placement_due = true;
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
             return;
         };
         let Some(resident) = self.workers[i].remove(attempt) else {
             return;
         };
-        let clock = self.workers[i].echo;
+        let clock = self.workers[i].last_clock;
         self.workers[i].history.end(attempt, clock);
         if resident.service {
             self.targets += 1;
         }
-        let Some(job) = self.book.job(attempt.job) else {
+        let Some(job) = self.state.job(attempt.job) else {
             return;
         };
         let (org, team) = (job.spec.key.org.clone(), job.spec.team.clone());
-        let team = self.team(&org, &team, resident.service);
+        let team = self.team_index(&org, &team, resident.service);
         let team = &mut self.teams[usize::from(team)];
-        team.used = team.used.minus(&resident.size);
+        team.used = team.used.saturating_sub(&resident.size);
     }
 
     fn unwant(&mut self, attempt: AttemptId, worker: &Name) {
@@ -113,14 +115,14 @@
         };
         let w = &mut self.workers[i];
         w.dirty = true;
-        if let Some(r) = w.resident_mut(attempt) {
-            r.stop = Some(StopWhy::Unwanted);
+        if let Some(r) = w.allocation_mut(attempt) {
+            r.stop = Some(StopReason::Cancelled);
             self.targets += u64::from(r.service);
         }
     }
 
     fn finish(&mut self, now: Millis, job: u32) {
-        let Some(found) = self.book.job(job) else {
+        let Some(found) = self.state.job(job) else {
             return;
         };
         if found.spec.service {
@@ -133,18 +135,18 @@
         self.finished.push(FinishedJob {
             spec: found.spec.clone(),
             status: JobStatus::of(found),
-            no: job,
+            number: job,
             attempts,
         });
-        self.closing.push_back((now + self.settings.retain, job));
+        self.closing.push_back((now + self.settings.retention, job));
     }
 
     /// Marks every task on a leaving worker to be moved.
-    pub(super) fn empty_worker(&mut self, i: usize) {
+    pub(super) fn drain_worker(&mut self, i: usize) {
         let w = &mut self.workers[i];
-        for r in &mut w.residents {
+        for r in &mut w.allocations {
             if r.stop.is_none() {
-                r.stop = Some(StopWhy::Leaving);
+                r.stop = Some(StopReason::Leaving);
             }
         }
         w.dirty = true;
--- a/crates/core/src/shard/exchange.rs
+++ b/crates/core/src/shard/exchange.rs
@@ -47,7 +47,8 @@
     /// Room that is reserved for it.
     pub size: Size,
     /// Declared run time; 0 runs until stopped.
-    pub run: Millis,
+    #[serde(rename = "run")]
+    pub run_time: Millis,
     /// Key of the checkpoint to resume from, in the object store.
     pub resume: Option<Name>,
     /// Key to write checkpoints to; none if it can't write any.
@@ -71,7 +72,8 @@
     /// The attempt.
     pub attempt: AttemptId,
     /// Share of its processors in hundredths; 100 lifts the limit.
-    pub percent: u32,
+    #[serde(rename = "percent")]
+    pub cpu_percent: u32,
 }
 
 /// What the owner wants of a worker.
@@ -105,7 +107,7 @@
 
 /// Why a worker did not take a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reason {
+pub enum ExchangeRefusal {
     /// A newer epoch is known.
     OldEpoch,
     /// A newer exchange was handled.
@@ -147,7 +149,8 @@
     /// When it was measured, by the worker's clock.
     pub at: Millis,
     /// How much slower than alone, in thousandths; 1000 is not slowed.
-    pub slow: u32,
+    #[serde(rename = "slow")]
+    pub slowdown_permille: u32,
     /// Processors and memory in use.
     pub used: Size,
 }
@@ -160,7 +163,7 @@
     /// Number of the exchange that this answers.
     pub seq: u64,
     /// Why the request was not taken, if it was not.
-    pub refused: Option<Reason>,
+    pub refused: Option<ExchangeRefusal>,
     /// Changes whenever the worker starts anew.
     pub boot: u64,
     /// Its clock in milliseconds.
--- a/crates/core/src/shard/exchanges.rs
+++ b/crates/core/src/shard/exchanges.rs
@@ -1,8 +1,8 @@
 //! What is sent to workers, and when.
 
 use super::{
-    Action, Health, JobSpec, Machine, Resident, StartOrder, StopOrder, StopWhy, Task, Throttle,
-    Worker, WorkerRequest,
+    Action, Allocation, Health, JobSpec, ShardScheduler, StartOrder, StopOrder, StopReason, Task,
+    Throttle, Worker, WorkerRequest,
 };
 use crate::{Millis, name::Name};
 
@@ -14,15 +14,19 @@
     format!("checkpoint/{shard}/{job}.{task}.{attempt}").into()
 }
 
-impl Machine {
+impl ShardScheduler {
     /// Sends an exchange to each worker that is due.
     ///
     /// An exchange of which nothing is heard for long does not hold up the next.
     pub(super) fn send_exchanges(&mut self, now: Millis) {
         for i in 0..self.workers.len() {
             let w = &self.workers[i];
-            let wait = if w.dirty { GAP } else { self.settings.exchange };
-            let busy = w.busy && now < w.sent_at + self.settings.silent;
+            let wait = if w.dirty {
+                GAP
+            } else {
+                self.settings.exchange_interval
+            };
+            let busy = w.awaiting_answer && now < w.sent_at + self.settings.silent_after;
             if busy || now < w.sent_at + wait || w.addr.port() == 0 {
                 continue;
             }
@@ -42,11 +46,11 @@
         let committed = self.committed;
         let w = &mut self.workers[i];
         w.seq = seq;
-        w.busy = true;
+        w.awaiting_answer = true;
         w.dirty = false;
         w.sent_at = now;
         if renew {
-            w.basis = w.basis.max(w.echo_at);
+            w.lease_start = w.lease_start.max(w.last_clock_at);
         }
         let mut acks = Vec::new();
         for (record, attempt) in &w.acks {
@@ -55,21 +59,21 @@
             }
         }
         let request = WorkerRequest {
-            shard: self.place.name.clone(),
+            shard: self.shard.name.clone(),
             epoch: self.epoch,
             seq,
             boot: w.boot,
-            echo: w.echo,
+            echo: w.last_clock,
             lease: self.settings.lease,
             renew,
             lapse,
             starts,
-            stops: stops(w, &self.book),
+            stops: stops(w, &self.state),
             throttles: throttles(w),
             acks,
         };
         let (worker, addr) = (w.name.clone(), w.addr);
-        self.out.push(Action::Exchange {
+        self.actions.push(Action::Exchange {
             worker,
             addr,
             request,
@@ -78,9 +82,9 @@
 
     /// Returns the attempts whose organisation's hold is over.
     fn lapsing(&self, now: Millis, w: &Worker) -> Vec<super::AttemptId> {
-        let away = now.saturating_sub(self.store_at);
+        let away = now.saturating_sub(self.store_seen_at);
         let mut out = Vec::new();
-        for r in &w.residents {
+        for r in &w.allocations {
             if !r.service && away > r.hold.min(self.hold_cap) {
                 out.push(r.attempt);
             }
@@ -91,29 +95,29 @@
     /// Returns the starts that are in the journal and not reported as running.
     fn starts(&mut self, now: Millis, i: usize, seq: u64) -> Vec<StartOrder> {
         let (committed, cap) = (self.committed, self.hold_cap);
-        let away = now.saturating_sub(self.store_at);
+        let away = now.saturating_sub(self.store_seen_at);
         let mut out = Vec::new();
         let w = &mut self.workers[i];
-        for r in &mut w.residents {
-            let due = r.record < committed && !r.seen && r.stop.is_none();
+        for r in &mut w.allocations {
+            let due = r.start_record < committed && !r.is_running && r.stop.is_none();
             if !due || (!r.service && away > r.hold.min(cap)) {
                 continue;
             }
-            let Some((job, task, _)) = self.book.active(r.attempt) else {
+            let Some((job, task, _)) = self.state.active_task(r.attempt) else {
                 continue;
             };
-            r.sent.get_or_insert(seq);
-            out.push(start_order(&self.place.name, r, &job.spec, task));
+            r.sent_seq.get_or_insert(seq);
+            out.push(start_order(&self.shard.name, r, &job.spec, task));
         }
         out
     }
 }
 
-fn start_order(shard: &str, r: &Resident, spec: &JobSpec, task: &Task) -> StartOrder {
+fn start_order(shard: &str, r: &Allocation, spec: &JobSpec, task: &Task) -> StartOrder {
     let key = &spec.key;
     let id = r.attempt;
-    let resume =
-        (task.checkpoint > 0).then(|| checkpoint_key(shard, id.job, id.task, task.checkpoint));
+    let resume = (task.checkpoint_attempt > 0)
+        .then(|| checkpoint_key(shard, id.job, id.task, task.checkpoint_attempt));
     let checkpoint = spec
         .checkpoint
         .then(|| checkpoint_key(shard, id.job, id.task, id.attempt));
@@ -122,27 +126,27 @@
         name: format!("{}/{}/{}", key.org, key.id, r.attempt.task).into(),
         kind: spec.kind.clone(),
         size: r.size,
-        run: spec.run,
+        run_time: spec.run_time,
         resume,
         checkpoint,
         service: r.service,
     }
 }
 
-fn stops(w: &Worker, book: &super::Book) -> Vec<StopOrder> {
+fn stops(w: &Worker, book: &super::ShardState) -> Vec<StopOrder> {
     let mut out = Vec::new();
-    for r in &w.residents {
+    for r in &w.allocations {
         let Some(why) = r.stop else { continue };
-        if r.sent.is_none() {
+        if r.sent_seq.is_none() {
             continue;
         }
         let can = book.job(r.attempt.job).is_some_and(|j| j.spec.checkpoint);
         out.push(StopOrder {
             attempt: r.attempt,
-            save: can && why != StopWhy::Unwanted,
+            save: can && why != StopReason::Cancelled,
         });
     }
-    for &attempt in &w.strays {
+    for &attempt in &w.unknown_attempts {
         out.push(StopOrder {
             attempt,
             save: false,
@@ -153,11 +157,11 @@
 
 fn throttles(w: &Worker) -> Vec<Throttle> {
     let mut out = Vec::new();
-    for r in &w.residents {
-        if r.percent < 100 || r.turned > 0 {
+    for r in &w.allocations {
+        if r.cpu_percent < 100 || r.throttle_changed_at > 0 {
             out.push(Throttle {
                 attempt: r.attempt,
-                percent: r.percent,
+                cpu_percent: r.cpu_percent,
             });
         }
     }
--- a/crates/core/src/shard/evict.rs
+++ b/crates/core/src/shard/mitigation.rs
@@ -3,8 +3,8 @@
 //! Each step waits for the one before to show its effect. An eviction needs an
 //! expected gain above its cost, and is bounded for each task and each minute.
 
-use super::{AttemptId, Machine, StopWhy};
-use crate::{Millis, place::Band};
+use super::{AttemptId, ShardScheduler, StopReason};
+use crate::{Millis, placement::Band};
 
 /// Time between two looks at a worker.
 const LOOK: Millis = 500;
@@ -35,17 +35,21 @@
 
 const MINUTE: Millis = 60_000;
 
-impl Machine {
+impl ShardScheduler {
     /// Looks for tasks that slow services and acts on the worst of each worker.
-    pub(super) fn tune(&mut self, now: Millis) {
-        if now < self.tuned_at + LOOK {
+    pub(super) fn limit_interference(&mut self, now: Millis) {
+        if now < self.interference_checked_at + LOOK {
             return;
         }
-        self.tuned_at = now;
-        while self.evicted.front().is_some_and(|t| t + MINUTE <= now) {
-            self.evicted.pop_front();
+        self.interference_checked_at = now;
+        while self
+            .recent_evictions
+            .front()
+            .is_some_and(|t| t + MINUTE <= now)
+        {
+            self.recent_evictions.pop_front();
         }
-        if self.settings.policy != crate::place::PlacePolicy::Interference {
+        if self.settings.policy != crate::placement::PlacementPolicy::Interference {
             return;
         }
         for i in 0..self.workers.len() {
@@ -55,9 +59,9 @@
 
     fn tune_worker(&mut self, now: Millis, i: usize) {
         let mut worst = 1.0f32;
-        for r in &self.workers[i].residents {
-            if r.service && r.seen {
-                worst = worst.max(r.slow);
+        for r in &self.workers[i].allocations {
+            if r.service && r.is_running {
+                worst = worst.max(r.slowdown);
             }
         }
         if worst < CALM {
@@ -69,10 +73,11 @@
         let Some((id, gain)) = self.noisiest(i) else {
             return;
         };
-        let Some(r) = self.workers[i].resident(id) else {
+        let Some(r) = self.workers[i].allocation(id) else {
             return;
         };
-        let (class, percent, turned, since) = (r.class, r.percent, r.turned, r.since);
+        let (class, percent, turned, since) =
+            (r.class, r.cpu_percent, r.throttle_changed_at, r.since);
         if percent == 100 {
             if gain >= THROTTLE_AT {
                 self.throttle(now, i, id, THROTTLED);
@@ -81,11 +86,11 @@
         }
         let settled = now >= turned + PATIENCE && now >= since + YOUNG;
         if settled && gain >= EVICT_AT + self.eviction_cost(class) && self.may_evict(id, class) {
-            self.evicted.push_back(now);
+            self.recent_evictions.push_back(now);
             let w = &mut self.workers[i];
             w.dirty = true;
-            if let Some(r) = w.resident_mut(id) {
-                r.stop = Some(StopWhy::Noisy);
+            if let Some(r) = w.allocation_mut(id) {
+                r.stop = Some(StopReason::Noisy);
             }
         }
     }
@@ -94,20 +99,20 @@
     /// much, weighted by those who bear it.
     fn noisiest(&self, i: usize) -> Option<(AttemptId, f32)> {
         let w = &self.workers[i];
-        let band = Band::of(w.used.load(&w.total));
+        let band = Band::of(w.reserved.load(&w.capacity));
         let mut best: Option<(AttemptId, f32)> = None;
-        for r in &w.residents {
-            if r.service || !r.seen || r.stop.is_some() {
+        for r in &w.allocations {
+            if r.service || !r.is_running || r.stop.is_some() {
                 continue;
             }
             let mut gain = 0.0;
-            for v in &w.residents {
+            for v in &w.allocations {
                 if !v.service {
                     continue;
                 }
-                let e = self.pairs.estimate(v.class, r.class, band);
+                let e = self.interference.estimate(v.class, r.class, band);
                 if e.known {
-                    gain += self.bears(v.class) * e.adds;
+                    gain += self.slowdown_weight(v.class) * e.added_slowdown;
                 }
             }
             if best.is_none_or(|b| gain > b.1) {
@@ -123,27 +128,27 @@
     }
 
     fn may_evict(&self, id: AttemptId, class: u16) -> bool {
-        let limit = self.classes[usize::from(class)].evictions;
+        let limit = self.classes[usize::from(class)].max_evictions;
         let few = self
-            .book
-            .active(id)
+            .state
+            .active_task(id)
             .is_some_and(|(_, t, _)| t.evictions < limit);
-        few && self.evicted.len() < self.settings.evictions as usize
+        few && self.recent_evictions.len() < self.settings.evictions_per_minute as usize
     }
 
     fn throttle(&mut self, now: Millis, i: usize, id: AttemptId, percent: u32) {
         let w = &mut self.workers[i];
         w.dirty = true;
-        if let Some(r) = w.resident_mut(id) {
-            r.percent = percent;
-            r.turned = now;
+        if let Some(r) = w.allocation_mut(id) {
+            r.cpu_percent = percent;
+            r.throttle_changed_at = now;
         }
     }
 
     fn release(&mut self, now: Millis, i: usize) {
         let mut ids = Vec::new();
-        for r in &self.workers[i].residents {
-            if r.percent < 100 && now >= r.turned + RELEASE {
+        for r in &self.workers[i].allocations {
+            if r.cpu_percent < 100 && now >= r.throttle_changed_at + RELEASE {
                 ids.push(r.attempt);
             }
         }
--- a/crates/core/src/shard/place_tasks.rs
+++ b/crates/core/src/shard/place_tasks.rs
@@ -3,12 +3,12 @@
 use rand::Rng;
 
 use super::{
-    AttemptId, Job, Machine, Ready, Record, Reserve, Shape, StopWhy, Task, TaskRef, TaskState,
-    Worker,
+    AttemptId, Job, ReadyTask, Record, Reservation, ShardScheduler, StopReason, Task, TaskRef,
+    TaskShape, TaskState, Worker,
 };
 use crate::{
     Millis,
-    place::{Band, PlacePolicy},
+    placement::{Band, PlacementPolicy},
     size::Size,
     template::Priority,
 };
@@ -63,9 +63,9 @@
 impl Wanted {
     /// Returns what it has in common with the tasks that find room where it does; nothing if it
     /// stands for itself alone.
-    fn shape(&self) -> Option<Shape> {
+    fn shape(&self) -> Option<TaskShape> {
         let alone = self.service || !self.avoid.is_empty();
-        (!alone).then_some(Shape {
+        (!alone).then_some(TaskShape {
             class: self.class,
             size: self.size,
         })
@@ -85,13 +85,13 @@
 #[derive(PartialEq)]
 struct Passed {
     team: u16,
-    shape: Shape,
+    shape: TaskShape,
 }
 
 /// What is left over while a priority is placed.
 #[derive(Default)]
 struct Leftover {
-    tasks: Vec<(u16, Ready)>,
+    tasks: Vec<(u16, ReadyTask)>,
     /// Shapes that found no room in this round.
     passed: Vec<Passed>,
     /// Sizes that fit nowhere.
@@ -99,25 +99,25 @@
 }
 
 impl Leftover {
-    fn is_passed(&self, team: u16, shape: &Shape) -> bool {
+    fn is_passed(&self, team: u16, shape: &TaskShape) -> bool {
         let mut passed = self.passed.iter();
         passed.any(|p| p.team == team && p.shape == *shape)
     }
 }
 
-impl Machine {
+impl ShardScheduler {
     /// Gives queued tasks to workers: urgent first.
     pub(super) fn place_tasks(&mut self, now: Millis) {
-        if !self.stirred && now < self.placed_at + RETRY {
+        if !self.placement_due && now < self.placed_at + RETRY {
             return;
         }
-        self.stirred = false;
+        self.placement_due = false;
         self.placed_at = now;
-        let mut left = self.settings.batch;
+        let mut left = self.settings.max_placements;
         for priority in Priority::ALL {
             self.place_priority(now, priority, &mut left);
         }
-        self.stirred |= left == 0;
+        self.placement_due |= left == 0;
     }
 
     /// Places the tasks of a priority.
@@ -146,7 +146,7 @@
             }
             heads.extend(next);
             for head in again {
-                let ready = Ready {
+                let ready = ReadyTask {
                     task: head.wanted.task,
                     since: head.since,
                 };
@@ -155,7 +155,7 @@
             }
         }
         for head in heads {
-            let ready = Ready {
+            let ready = ReadyTask {
                 task: head.wanted.task,
                 since: head.since,
             };
@@ -175,16 +175,16 @@
         over: &mut Leftover,
     ) -> Option<Head> {
         while over.tasks.iter().filter(|t| t.0 == team).count() < LOOKAHEAD {
-            let is_passed = |shape: &Shape| over.is_passed(team, shape);
+            let is_passed = |shape: &TaskShape| over.is_passed(team, shape);
             let ready = self.queue.pop_oldest(priority, team, is_passed)?;
             let Some(wanted) = self.wanted(ready.task) else {
                 continue;
             };
-            if !self.teams[usize::from(team)].allows(&wanted.size) {
+            if !self.teams[usize::from(team)].fits_quota(&wanted.size) {
                 over.tasks.push((team, ready));
                 return None;
             }
-            let stuck = over.stuck.iter().any(|s| s.fits(&wanted.size));
+            let stuck = over.stuck.iter().any(|s| s.fits_in(&wanted.size));
             let found = if stuck {
                 None
             } else {
@@ -207,7 +207,7 @@
             if !stuck {
                 over.stuck.push(wanted.size);
             }
-            self.queue.hold(priority, team, ready, shape);
+            self.queue.push_blocked(priority, team, ready, shape);
             if !over.is_passed(team, &shape) {
                 over.passed.push(Passed { team, shape });
                 self.preempt_line(now, team, priority, &shape);
@@ -217,11 +217,11 @@
     }
 
     /// Makes room for urgent tasks that are held up behind the first of their shape.
-    fn preempt_line(&mut self, now: Millis, team: u16, priority: Priority, shape: &Shape) {
+    fn preempt_line(&mut self, now: Millis, team: u16, priority: Priority, shape: &TaskShape) {
         if priority != Priority::Urgent {
             return;
         }
-        let held = self.queue.first_held(priority, team, shape, PREEMPTING);
+        let held = self.queue.first_blocked(priority, team, shape, PREEMPTING);
         for ready in held.into_iter().skip(1) {
             if let Some(wanted) = self.wanted(ready.task) {
                 self.consider_preempting(now, &wanted, ready.since);
@@ -235,7 +235,7 @@
     /// takes the pair with the lowest cost; age lowers it, so that no task
     /// waits for ever for the place that suits it.
     fn best_head(&self, now: Millis, heads: &[Head]) -> usize {
-        let learns = self.settings.policy == PlacePolicy::Interference;
+        let learns = self.settings.policy == PlacementPolicy::Interference;
         let value = |h: &Head| {
             let use_ = self.teams[usize::from(h.team)].load();
             if !learns {
@@ -265,20 +265,20 @@
             worker,
             size,
         };
-        self.record(now, record, 0);
+        self.append_record(now, record, 0);
     }
 
     /// Makes room for an urgent task that has waited in vain for some.
     fn consider_preempting(&mut self, now: Millis, wanted: &Wanted, since: Millis) {
         let urgent = wanted.priority == Priority::Urgent && !wanted.service;
-        if urgent && now >= since + self.settings.patience {
+        if urgent && now >= since + self.settings.preempt_after {
             self.preempt(now, wanted);
         }
     }
 
     /// Returns what placing `task` needs, or nothing if it is no longer queued.
     fn wanted(&mut self, task: TaskRef) -> Option<Wanted> {
-        let job = self.book.job(task.job)?;
+        let job = self.state.job(task.job)?;
         let t = job.tasks.get(task.task as usize)?;
         if t.state != TaskState::Queued {
             return None;
@@ -286,7 +286,7 @@
         let (org, kind) = (job.spec.key.org.clone(), job.spec.kind.clone());
         let (service, priority, declared) = (job.spec.service, job.spec.priority, job.spec.size);
         let avoid = t.failed_on.clone();
-        let class = self.class(&org, &kind, service);
+        let class = self.class_index(&org, &kind, service);
         Some(Wanted {
             task,
             size: self.corrected(class, &declared),
@@ -299,17 +299,17 @@
 
     /// Returns the declared size, raised to what tasks of the class were seen to use.
     fn corrected(&self, class: u16, declared: &Size) -> Size {
-        let seen = &self.classes[usize::from(class)].seen;
+        let seen = &self.classes[usize::from(class)].peak_usage;
         let cap = Size {
             cpu: declared.cpu * CORRECTION,
             memory: declared.memory * CORRECTION,
             accels: declared.accels,
         };
-        declared.most(&seen.least(&cap))
+        declared.max(&seen.min(&cap))
     }
 
     fn next_attempt(&self, task: TaskRef) -> Option<AttemptId> {
-        let job: &Job = self.book.job(task.job)?;
+        let job: &Job = self.state.job(task.job)?;
         let t: &Task = job.tasks.get(task.task as usize)?;
         Some(AttemptId {
             job: task.job,
@@ -343,20 +343,20 @@
         let spread = self.workers.len() > wanted.avoid.len();
         for i in candidates {
             let w = &self.workers[i];
-            if !w.open(now) || !wanted.size.fits(&w.room_for(wanted.task, now)) {
+            if !w.accepts_tasks(now) || !wanted.size.fits_in(&w.available_for(wanted.task, now)) {
                 continue;
             }
             if spread && wanted.avoid.contains(&w.name) {
                 continue;
             }
-            let twin = |r: &super::Resident| r.attempt.job == wanted.task.job;
-            if wanted.service && w.residents.iter().any(twin) {
+            let twin = |r: &super::Allocation| r.attempt.job == wanted.task.job;
+            if wanted.service && w.allocations.iter().any(twin) {
                 continue;
             }
             let mut score = match self.settings.policy {
-                PlacePolicy::Random => self.rng.random::<f32>(),
-                PlacePolicy::LeastLoaded => load_after(w, &wanted.size),
-                PlacePolicy::Interference => self.expected_cost(w, wanted),
+                PlacementPolicy::Random => self.rng.random::<f32>(),
+                PlacementPolicy::LeastLoaded => load_after(w, &wanted.size),
+                PlacementPolicy::Interference => self.expected_cost(w, wanted),
             };
             if wanted.service {
                 score += RACK * self.in_rack(&w.rack, wanted.task.job) as f32;
@@ -375,7 +375,7 @@
             if *w.rack != *rack {
                 continue;
             }
-            count += usize::from(w.residents.iter().any(|r| r.attempt.job == job));
+            count += usize::from(w.allocations.iter().any(|r| r.attempt.job == job));
         }
         count
     }
@@ -386,20 +386,21 @@
         let load = load_after(w, &wanted.size);
         let band = Band::of(f64::from(load));
         let mut cost = LOAD * load;
-        let mine = self.bears(wanted.class);
-        for r in &w.residents {
-            let to_them = self.pairs.estimate(r.class, wanted.class, band);
-            let to_me = self.pairs.estimate(wanted.class, r.class, band);
-            cost += self.bears(r.class) * to_them.adds + mine * to_me.adds;
+        let mine = self.slowdown_weight(wanted.class);
+        for r in &w.allocations {
+            let to_them = self.interference.estimate(r.class, wanted.class, band);
+            let to_me = self.interference.estimate(wanted.class, r.class, band);
+            cost += self.slowdown_weight(r.class) * to_them.added_slowdown
+                + mine * to_me.added_slowdown;
         }
         cost
     }
 
     /// Returns the weight of a slowdown of a class.
-    pub(super) fn bears(&self, class: u16) -> f32 {
+    pub(super) fn slowdown_weight(&self, class: u16) -> f32 {
         let c = &self.classes[usize::from(class)];
         let weight = if c.service {
-            c.weights.tail * TAIL
+            c.weights.tail_latency * TAIL
         } else {
             c.weights.throughput
         };
@@ -409,15 +410,18 @@
     /// Makes room for an urgent task by evicting others.
     fn preempt(&mut self, now: Millis, wanted: &Wanted) {
         let task = wanted.task;
-        let kept = |w: &Worker| w.reserve.is_some_and(|r| r.task == task && r.until > now);
+        let kept = |w: &Worker| {
+            w.reservation
+                .is_some_and(|r| r.task == task && r.until > now)
+        };
         if self.workers.iter().any(kept) {
             return;
         }
         let mut best: Option<(usize, Vec<AttemptId>)> = None;
         for i in 0..self.workers.len() {
             let w = &self.workers[i];
-            let taken = w.reserve.is_some_and(|r| r.until > now);
-            if !w.open(now) || taken || !wanted.size.fits(&w.total) {
+            let taken = w.reservation.is_some_and(|r| r.until > now);
+            if !w.accepts_tasks(now) || taken || !wanted.size.fits_in(&w.capacity) {
                 continue;
             }
             let Some(victims) = self.victims(w, &wanted.size) else {
@@ -429,15 +433,15 @@
         }
         let Some((i, victims)) = best else { return };
         let w = &mut self.workers[i];
-        w.reserve = Some(Reserve {
+        w.reservation = Some(Reservation {
             task,
             size: wanted.size,
-            until: now + self.settings.reserve,
+            until: now + self.settings.reservation,
         });
         w.dirty = true;
         for id in victims {
-            if let Some(r) = w.resident_mut(id) {
-                r.stop = Some(StopWhy::Preempted);
+            if let Some(r) = w.allocation_mut(id) {
+                r.stop = Some(StopReason::Preempted);
             }
         }
     }
@@ -446,14 +450,14 @@
     /// ones that started last.
     fn victims(&self, w: &Worker, size: &Size) -> Option<Vec<AttemptId>> {
         let mut order = Vec::new();
-        let mut room = w.room();
-        for r in &w.residents {
+        let mut room = w.available();
+        for r in &w.allocations {
             if r.stop.is_some() {
-                room = room.plus(&r.size);
+                room = room.saturating_add(&r.size);
                 continue;
             }
-            let limit = self.classes[usize::from(r.class)].evictions;
-            let (_, task, _) = self.book.active(r.attempt)?;
+            let limit = self.classes[usize::from(r.class)].max_evictions;
+            let (_, task, _) = self.state.active_task(r.attempt)?;
             if r.service || r.priority == Priority::Urgent || task.evictions >= limit {
                 continue;
             }
@@ -462,16 +466,16 @@
         order.sort_by_key(|o| std::cmp::Reverse((o.0, o.1, o.2)));
         let mut out = Vec::new();
         for (_, _, id, held) in order {
-            if size.fits(&room) {
+            if size.fits_in(&room) {
                 break;
             }
-            room = room.plus(&held);
+            room = room.saturating_add(&held);
             out.push(id);
         }
-        size.fits(&room).then_some(out)
+        size.fits_in(&room).then_some(out)
     }
 }
 
 fn load_after(w: &Worker, size: &Size) -> f32 {
-    w.used.plus(size).load(&w.total) as f32
+    w.reserved.saturating_add(size).load(&w.capacity) as f32
 }
--- a/crates/core/src/shard/learn.rs
+++ b/crates/core/src/shard/samples.rs
@@ -1,7 +1,7 @@
 //! Late samples.
 
-use super::{Machine, Sample, WorkerAnswer};
-use crate::{Millis, name::Name, place::Band};
+use super::{Sample, ShardScheduler, WorkerAnswer};
+use crate::{Millis, name::Name, placement::Band};
 
 /// Share of a new sample in the running mean of a slowdown.
 const SHARE: f32 = 0.3;
@@ -9,7 +9,7 @@
 /// What a slowdown of 1 is in samples.
 const UNIT: f32 = 1000.0;
 
-impl Machine {
+impl ShardScheduler {
     /// Learns from the samples in an answer.
     pub(super) fn learn(&mut self, now: Millis, i: usize, a: &WorkerAnswer) {
         for sample in &a.samples {
@@ -19,8 +19,14 @@
 
     /// Tells the machine what a neighbour adds; for measurements that compare
     /// what was learned with what is there to learn.
-    pub fn teach(&mut self, victim: (&Name, &Name), other: (&Name, &Name), band: usize, adds: f32) {
-        let find = |m: &Machine, (org, kind): (&Name, &Name)| {
+    pub fn set_interference(
+        &mut self,
+        victim: (&Name, &Name),
+        other: (&Name, &Name),
+        band: usize,
+        adds: f32,
+    ) {
+        let find = |m: &ShardScheduler, (org, kind): (&Name, &Name)| {
             m.classes
                 .iter()
                 .position(|c| c.org == *org && c.kind == *kind)
@@ -28,17 +34,17 @@
         let (Some(v), Some(o)) = (find(self, victim), find(self, other)) else {
             return;
         };
-        self.pairs.set(v as u16, o as u16, Band(band), adds);
+        self.interference.set(v as u16, o as u16, Band(band), adds);
     }
 
     /// Matches a sample with what ran when it was measured.
     fn learn_one(&mut self, now: Millis, i: usize, sample: &Sample) {
-        let slow = sample.slow as f32 / UNIT;
+        let slow = sample.slowdown_permille as f32 / UNIT;
         let w = &mut self.workers[i];
-        let band = Band::of(w.used.load(&w.total));
+        let band = Band::of(w.reserved.load(&w.capacity));
         let ran = w.history.running_at(sample.at);
-        if let Some(r) = w.resident_mut(sample.attempt) {
-            r.slow += SHARE * (slow - r.slow);
+        if let Some(r) = w.allocation_mut(sample.attempt) {
+            r.slowdown += SHARE * (slow - r.slowdown);
         }
         let Some(me) = ran.iter().find(|c| c.attempt == sample.attempt) else {
             return;
@@ -50,7 +56,7 @@
             }
         }
         let class = &mut self.classes[usize::from(me.class)];
-        class.seen = class.seen.most(&sample.used);
-        self.pairs.learn(me.class, &others, band, slow, now);
+        class.peak_usage = class.peak_usage.max(&sample.used);
+        self.interference.learn(me.class, &others, band, slow, now);
     }
 }
--- a/crates/core/src/shard/machine.rs
+++ b/crates/core/src/shard/scheduler.rs
@@ -6,20 +6,20 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Action, AttemptId, Book, Event, FinishedJob, Health, JobKey, JobSpec, Queue, Record,
-    ShardSettings, TaskRef, TaskState, Worker, WorkerInfo, class::Class, team_use::TeamUse,
+    Action, AttemptId, Event, FinishedJob, Health, JobKey, JobSpec, Queue, Record, ShardSettings,
+    ShardState, TaskRef, TaskState, Worker, WorkerInfo, class::TaskClass, team_usage::TeamUsage,
 };
 use crate::{
     Millis,
     name::Name,
-    place::Pairs,
+    placement::InterferenceModel,
     size::Size,
     template::{OrgLimits, Organisation, Weights},
 };
 
 /// Place of a shard among all shards of the system.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShardPlace {
+pub struct ShardId {
     /// Name of the shard.
     pub name: Name,
     /// Its index among all shards.
@@ -34,35 +34,38 @@
     /// Epoch of the new ownership.
     pub epoch: u64,
     /// Book that was recovered from the journal.
-    pub book: Book,
+    #[serde(rename = "book")]
+    pub state: ShardState,
     /// Number of the first record that is not in the journal.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_record: u64,
     /// Hold that the shard's row states.
-    pub inherited: Millis,
+    #[serde(rename = "inherited")]
+    pub inherited_hold: Millis,
     /// Whether no earlier owner can still renew leases.
     pub settled: bool,
 }
 
 /// Owns a shard: decides starts, stops and ends.
 #[derive(Debug)]
-pub struct Machine {
-    pub(super) place: ShardPlace,
+pub struct ShardScheduler {
+    pub(super) shard: ShardId,
     pub(super) settings: ShardSettings,
     pub(super) epoch: u64,
     pub(super) rng: SmallRng,
     pub(super) orgs: Vec<Arc<Organisation>>,
-    pub(super) book: Book,
+    pub(super) state: ShardState,
     pub(super) workers: Vec<Worker>,
     pub(super) queue: Queue,
-    pub(super) classes: Vec<Class>,
+    pub(super) classes: Vec<TaskClass>,
     /// Positions of the classes, sorted by organisation and kind.
     class_order: Vec<u16>,
-    pub(super) teams: Vec<TeamUse>,
+    pub(super) teams: Vec<TeamUsage>,
     /// Positions of the teams, sorted by organisation and name.
     team_order: Vec<u16>,
-    pub(super) pairs: Pairs,
+    pub(super) interference: InterferenceModel,
     /// Number of workers that stay, by index of the shard.
-    pub(super) counts: Vec<u32>,
+    pub(super) worker_counts: Vec<u32>,
     pub(super) pending: Vec<Record>,
     pub(super) finished: Vec<FinishedJob>,
     /// Number of the next record.
@@ -70,75 +73,75 @@
     /// Records below this number are in the journal.
     pub(super) committed: u64,
     /// Last contact with the table service.
-    pub(super) store_at: Millis,
+    pub(super) store_seen_at: Millis,
     /// Hold that the shard's row states; an owner does not go beyond it.
     pub(super) hold_cap: Millis,
     /// Hold that an earlier owner stated.
-    pub(super) inherited: Millis,
+    pub(super) inherited_hold: Millis,
     /// Whether no earlier owner can still renew leases.
     pub(super) settled: bool,
     /// When this owner took over.
     pub(super) start: Millis,
     /// Finished jobs by the time at which they leave the book.
     pub(super) closing: VecDeque<(Millis, u32)>,
-    pub(super) evicted: VecDeque<Millis>,
+    pub(super) recent_evictions: VecDeque<Millis>,
     /// Whether something changed that may let a task be placed.
-    pub(super) stirred: bool,
+    pub(super) placement_due: bool,
     /// Whether workers that the list lacks were looked for since it came.
     pub(super) adopted: bool,
     pub(super) placed_at: Millis,
-    pub(super) tuned_at: Millis,
-    pub(super) out: Vec<Action>,
+    pub(super) interference_checked_at: Millis,
+    pub(super) actions: Vec<Action>,
     pub(super) targets: u64,
 }
 
-impl Machine {
+impl ShardScheduler {
     /// Takes over a shard.
     pub fn new(
-        place: ShardPlace,
+        place: ShardId,
         settings: ShardSettings,
         seed: u64,
         takeover: Takeover,
         now: Millis,
-    ) -> Machine {
+    ) -> ShardScheduler {
         let Takeover {
             epoch,
-            book,
-            next,
-            inherited,
+            state: book,
+            next_record: next,
+            inherited_hold: inherited,
             settled,
         } = takeover;
-        let mut machine = Machine {
-            place,
+        let mut machine = ShardScheduler {
+            shard: place,
             settings,
             epoch,
             rng: SmallRng::seed_from_u64(seed),
             orgs: Vec::new(),
-            book,
+            state: book,
             workers: Vec::new(),
             queue: Queue::default(),
             classes: Vec::new(),
             class_order: Vec::new(),
             teams: Vec::new(),
             team_order: Vec::new(),
-            pairs: Pairs::default(),
-            counts: Vec::new(),
+            interference: InterferenceModel::default(),
+            worker_counts: Vec::new(),
             pending: Vec::new(),
             finished: Vec::new(),
             next,
             committed: next,
-            store_at: now,
+            store_seen_at: now,
             hold_cap: inherited,
-            inherited,
+            inherited_hold: inherited,
             settled,
             start: now,
             closing: VecDeque::new(),
-            evicted: VecDeque::new(),
-            stirred: true,
+            recent_evictions: VecDeque::new(),
+            placement_due: true,
             adopted: false,
             placed_at: 0,
-            tuned_at: 0,
-            out: Vec::new(),
+            interference_checked_at: 0,
+            actions: Vec::new(),
             targets: 1,
         };
         machine.recover(now);
@@ -151,8 +154,8 @@
     }
 
     /// Returns the book.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn state(&self) -> &ShardState {
+        &self.state
     }
 
     /// Returns the workers, sorted by name.
@@ -170,9 +173,9 @@
         match event {
             Event::Organisations(orgs) => self.set_orgs(now, orgs),
             Event::Workers { list, counts } => {
-                self.counts = counts.clone();
+                self.worker_counts = counts.clone();
                 self.set_workers(now, list);
-                self.set_services(now);
+                self.sync_services(now);
             }
             Event::Submit(specs) => self.submit(now, specs),
             Event::Cancel(keys) => self.cancel(now, keys),
@@ -180,22 +183,22 @@
             Event::NoAnswer { worker, seq } => self.no_answer(worker, *seq),
             Event::Committed(upto) => self.commit(now, *upto),
             Event::StoreSeen(hold) => {
-                self.store_at = now;
+                self.store_seen_at = now;
                 self.hold_cap = *hold;
             }
             Event::Settled => self.settle(now),
             Event::Tick => self.tick(now),
         }
         self.flush();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     fn tick(&mut self, now: Millis) {
-        self.queue.wake(now);
+        self.queue.promote_delayed(now);
         self.adopt_unlisted(now);
-        self.watch_workers(now);
+        self.check_workers(now);
         self.close_jobs(now);
-        self.tune(now);
+        self.limit_interference(now);
         self.place_tasks(now);
         self.send_exchanges(now);
     }
@@ -207,7 +210,7 @@
         let records = std::mem::take(&mut self.pending);
         let first = self.next - records.len() as u64;
         let finished = std::mem::take(&mut self.finished);
-        self.out.push(Action::Append {
+        self.actions.push(Action::Append {
             first,
             records,
             finished,
@@ -215,16 +218,16 @@
     }
 
     fn commit(&mut self, now: Millis, upto: u64) {
-        self.store_at = now;
+        self.store_seen_at = now;
         if upto <= self.committed {
             return;
         }
         self.committed = upto;
         for w in &mut self.workers {
             let starts = w
-                .residents
+                .allocations
                 .iter()
-                .any(|r| r.sent.is_none() && r.record < upto);
+                .any(|r| r.sent_seq.is_none() && r.start_record < upto);
             let acks = w.acks.iter().any(|a| a.0 < upto);
             w.dirty |= starts || acks;
         }
@@ -233,13 +236,13 @@
     /// Applies a record to the book and queues it for the journal.
     ///
     /// Returns the record's number.
-    pub(super) fn record(&mut self, now: Millis, record: Record, delay: Millis) -> u64 {
+    pub(super) fn append_record(&mut self, now: Millis, record: Record, delay: Millis) -> u64 {
         let number = self.next;
-        let effects = self.book.apply(&record);
+        let effects = self.state.apply(&record);
         self.next += 1;
         self.pending.push(record);
         for effect in effects {
-            self.follow(now, effect, number, delay);
+            self.apply_effect(now, effect, number, delay);
         }
         number
     }
@@ -247,14 +250,14 @@
     fn recover(&mut self, now: Millis) {
         let mut queued = Vec::new();
         let mut finished = Vec::new();
-        for job in self.book.jobs() {
-            if job.open == 0 && !job.spec.service {
-                finished.push(job.no);
+        for job in self.state.jobs() {
+            if job.open_tasks == 0 && !job.spec.service {
+                finished.push(job.number);
             }
             for (i, task) in job.tasks.iter().enumerate() {
                 if task.state == TaskState::Queued {
                     queued.push(TaskRef {
-                        job: job.no,
+                        job: job.number,
                         task: i as u32,
                     });
                 }
@@ -264,7 +267,7 @@
             self.enqueue(now, task, 0);
         }
         for job in finished {
-            self.closing.push_back((now + self.settings.retain, job));
+            self.closing.push_back((now + self.settings.retention, job));
         }
     }
 
@@ -277,32 +280,32 @@
             let org = &self.orgs[i];
             class.weights = org.weights;
             class.hold = org.limits.hold;
-            class.evictions = org.limits.evictions;
+            class.max_evictions = org.limits.task_evictions;
         }
         for w in &mut self.workers {
-            for r in &mut w.residents {
+            for r in &mut w.allocations {
                 r.hold = self.classes[usize::from(r.class)].hold;
             }
         }
-        let count = u64::from(self.place.count);
+        let count = u64::from(self.shard.count);
         for team in &mut self.teams {
             let Ok(i) = self.orgs.binary_search_by(|o| o.name.cmp(&team.org)) else {
                 continue;
             };
             if team.quota.is_some() {
-                let quota = self.orgs[i].team(&team.team).map(|t| t.quota.share(count));
+                let quota = self.orgs[i].team(&team.team).map(|t| t.quota.divide(count));
                 team.quota = Some(quota.unwrap_or_default());
             }
         }
-        self.stirred = true;
-        self.set_services(now);
+        self.placement_due = true;
+        self.sync_services(now);
     }
 
     /// Returns the longest time for which any owner may go on without the
     /// table service.
     pub fn longest_hold(&self) -> Millis {
         let wanted = self.orgs.iter().map(|o| o.limits.hold).max();
-        wanted.unwrap_or(0).max(self.inherited)
+        wanted.unwrap_or(0).max(self.inherited_hold)
     }
 
     fn set_workers(&mut self, now: Millis, list: &[WorkerInfo]) {
@@ -316,7 +319,8 @@
             }
         }
         let before = self.workers.len();
-        self.workers.retain(|w| w.listed || !w.residents.is_empty());
+        self.workers
+            .retain(|w| w.listed || !w.allocations.is_empty());
         if self.workers.len() != before {
             self.targets += 1;
         }
@@ -328,7 +332,7 @@
         self.settled = true;
         for w in &mut self.workers {
             if w.health == Health::New {
-                w.basis = w.basis.min(now);
+                w.lease_start = w.lease_start.min(now);
             }
         }
     }
@@ -337,19 +341,19 @@
         let w = &mut self.workers[i];
         w.listed = true;
         w.rack = info.rack.clone();
-        if w.addr != info.addr || w.target != info.target {
+        if w.addr != info.addr || w.service_addr != info.target {
             w.addr = info.addr;
-            w.target = info.target;
+            w.service_addr = info.target;
             self.targets += 1;
         }
         if info.leaving && !w.leaving {
             w.leaving = true;
             self.targets += 1;
-            self.empty_worker(i);
+            self.drain_worker(i);
         } else if !info.leaving && w.leaving {
             w.leaving = false;
             self.targets += 1;
-            self.stirred = true;
+            self.placement_due = true;
         }
     }
 
@@ -365,7 +369,7 @@
     fn place_residents(&mut self, now: Millis, i: usize) {
         let name = self.workers[i].name.clone();
         let mut found = Vec::new();
-        for job in self.book.jobs() {
+        for job in self.state.jobs() {
             for (t, task) in job.tasks.iter().enumerate() {
                 let TaskState::Active(on) = &task.state else {
                     continue;
@@ -374,7 +378,7 @@
                     continue;
                 }
                 let attempt = AttemptId {
-                    job: job.no,
+                    job: job.number,
                     task: t as u32,
                     attempt: task.attempt,
                 };
@@ -384,12 +388,12 @@
         }
         for (attempt, size, unwanted) in found {
             self.reserve(now, attempt, &name, &size, 0);
-            let Some(r) = self.workers[i].resident_mut(attempt) else {
+            let Some(r) = self.workers[i].allocation_mut(attempt) else {
                 continue;
             };
-            r.sent = Some(0);
+            r.sent_seq = Some(0);
             if unwanted {
-                r.stop = Some(super::StopWhy::Unwanted);
+                r.stop = Some(super::StopReason::Cancelled);
             }
         }
     }
@@ -398,13 +402,13 @@
     ///
     /// Not at once, since the first list may come before it is complete.
     pub(super) fn adopt_unlisted(&mut self, now: Millis) {
-        let known = !self.counts.is_empty();
-        if self.adopted || !known || now < self.start + self.settings.silent {
+        let known = !self.worker_counts.is_empty();
+        if self.adopted || !known || now < self.start + self.settings.silent_after {
             return;
         }
         self.adopted = true;
         let mut names: Vec<Name> = Vec::new();
-        for job in self.book.jobs() {
+        for job in self.state.jobs() {
             for task in &job.tasks {
                 let TaskState::Active(on) = &task.state else {
                     continue;
@@ -438,24 +442,24 @@
     fn submit(&mut self, now: Millis, specs: &[JobSpec]) {
         let mut open = self.open_jobs();
         for spec in specs {
-            if self.book.find(&spec.key).is_some() {
+            if self.state.find(&spec.key).is_some() {
                 continue;
             }
-            let job = self.book.next_job();
+            let job = self.state.next_job();
             let reason = self.refusal(spec, &mut open);
-            self.record(now, Record::Submitted(spec.clone()), 0);
+            self.append_record(now, Record::Submitted(spec.clone()), 0);
             if let Some(reason) = reason {
-                self.record(now, Record::Rejected { job, reason }, 0);
+                self.append_record(now, Record::Rejected { job, reason }, 0);
             }
         }
-        self.stirred = true;
+        self.placement_due = true;
     }
 
     /// Returns the number of open jobs of each organisation, in their order.
     fn open_jobs(&self) -> Vec<u32> {
         let mut open = vec![0; self.orgs.len()];
-        for job in self.book.jobs() {
-            if job.open == 0 || job.spec.service {
+        for job in self.state.jobs() {
+            if job.open_tasks == 0 || job.spec.service {
                 continue;
             }
             if let Ok(i) = self
@@ -476,7 +480,7 @@
             .orgs
             .binary_search_by(|o| o.name.cmp(&spec.key.org))
             .ok()?;
-        let limit = self.orgs[org].limits.jobs;
+        let limit = self.orgs[org].limits.open_jobs;
         if open[org] >= limit {
             return Some(format!("the organisation has {limit} open jobs here").into());
         }
@@ -484,8 +488,8 @@
         let mut largest = Size::default();
         let mut fits = self.workers.is_empty();
         for w in &self.workers {
-            fits |= spec.size.fits(&w.total);
-            largest = largest.most(&w.total);
+            fits |= spec.size.fits_in(&w.capacity);
+            largest = largest.max(&w.capacity);
         }
         if !fits {
             return Some(format!("no worker holds {}; the largest is {largest}", spec.size).into());
@@ -493,21 +497,21 @@
         let over = self.teams.iter().any(|t| {
             t.org == spec.key.org
                 && t.team == spec.team
-                && t.quota.is_some_and(|q| !spec.size.fits(&q))
+                && t.quota.is_some_and(|q| !spec.size.fits_in(&q))
         });
         over.then(|| format!("a task is larger than the quota share of {}", spec.team).into())
     }
 
     fn cancel(&mut self, now: Millis, keys: &[JobKey]) {
         for key in keys {
-            let Some(job) = self.book.find(key) else {
+            let Some(job) = self.state.find(key) else {
                 continue;
             };
-            if job.cancelled || job.open == 0 {
+            if job.cancelled || job.open_tasks == 0 {
                 continue;
             }
-            let job = job.no;
-            self.record(now, Record::Cancelled { job }, 0);
+            let job = job.number;
+            self.append_record(now, Record::Cancelled { job }, 0);
         }
     }
 
@@ -516,12 +520,12 @@
             let Some((_, job)) = self.closing.pop_front() else {
                 return;
             };
-            self.record(now, Record::Closed { job }, 0);
+            self.append_record(now, Record::Closed { job }, 0);
         }
     }
 
     /// Returns the index of a class, which is made if it is new.
-    pub(super) fn class(&mut self, org: &Name, kind: &Name, service: bool) -> u16 {
+    pub(super) fn class_index(&mut self, org: &Name, kind: &Name, service: bool) -> u16 {
         let found = self.class_order.binary_search_by(|i| {
             let c = &self.classes[usize::from(*i)];
             (&c.org, &c.kind).cmp(&(org, kind))
@@ -534,26 +538,26 @@
         let (weights, limits) =
             known.map_or((Weights::default(), None), |o| (o.weights, Some(&o.limits)));
         let hold = limits.map_or(0, |l: &OrgLimits| l.hold);
-        let evictions = limits.map_or(0, |l| l.evictions);
-        self.classes.push(Class {
+        let evictions = limits.map_or(0, |l| l.task_evictions);
+        self.classes.push(TaskClass {
             org: org.clone(),
             kind: kind.clone(),
             service,
             weights,
             hold,
-            evictions,
-            seen: Size::default(),
+            max_evictions: evictions,
+            peak_usage: Size::default(),
             done: 0,
             failed: 0,
         });
-        self.pairs.grow(self.classes.len());
+        self.interference.grow(self.classes.len());
         let new = (self.classes.len() - 1) as u16;
         self.class_order.insert(at, new);
         new
     }
 
     /// Returns the index of a team, which is made if it is new.
-    pub(super) fn team(&mut self, org: &Name, team: &Name, service: bool) -> u16 {
+    pub(super) fn team_index(&mut self, org: &Name, team: &Name, service: bool) -> u16 {
         let found = self.team_order.binary_search_by(|i| {
             let t = &self.teams[usize::from(*i)];
             (&t.org, &t.team).cmp(&(org, team))
@@ -562,14 +566,14 @@
             Ok(at) => return self.team_order[at],
             Err(at) => at,
         };
-        let count = u64::from(self.place.count);
+        let count = u64::from(self.shard.count);
         let quota = self
             .orgs
             .iter()
             .find(|o| o.name == *org)
             .and_then(|o| o.team(team));
-        let quota = quota.map(|t| t.quota.share(count));
-        self.teams.push(TeamUse {
+        let quota = quota.map(|t| t.quota.divide(count));
+        self.teams.push(TeamUsage {
             org: org.clone(),
             team: team.clone(),
             used: Size::default(),
--- a/crates/core/src/shard/services.rs
+++ b/crates/core/src/shard/services.rs
@@ -1,6 +1,6 @@
 //! Replicas of services as jobs of the shard.
 
-use super::{JobKey, JobSpec, Machine, Record};
+use super::{JobKey, JobSpec, Record, ShardScheduler};
 use crate::{
     Millis,
     name::Name,
@@ -13,12 +13,12 @@
 /// Failures are not counted for replicas.
 const UNLIMITED: u32 = u32::MAX / 8;
 
-impl Machine {
+impl ShardScheduler {
     /// Brings the replicas of every service to the number that the templates want.
     ///
     /// Nothing changes before the workers are known.
-    pub(super) fn set_services(&mut self, now: Millis) {
-        if self.counts.is_empty() {
+    pub(super) fn sync_services(&mut self, now: Millis) {
+        if self.worker_counts.is_empty() {
             return;
         }
         let orgs = self.orgs.clone();
@@ -31,34 +31,34 @@
     }
 
     fn set_service(&mut self, now: Millis, org: &Organisation, service: &Service) {
-        let tasks = share(service.replicas, self.place.index, &self.counts);
+        let tasks = share(service.replicas, self.shard.index, &self.worker_counts);
         let key = service_key(&org.name, &service.name);
-        let Some(job) = self.book.find(&key) else {
+        let Some(job) = self.state.find(&key) else {
             let spec = spec(key, service, tasks);
-            self.record(now, Record::Submitted(spec), 0);
+            self.append_record(now, Record::Submitted(spec), 0);
             return;
         };
         if job.spec.tasks != tasks && !job.cancelled {
-            let job = job.no;
-            self.record(now, Record::Resized { job, tasks }, 0);
+            let job = job.number;
+            self.append_record(now, Record::Resized { job, tasks }, 0);
         }
     }
 
     /// Shrinks the services that no template has any more.
     fn drop_services(&mut self, now: Millis) {
         let mut gone = Vec::new();
-        for job in self.book.jobs() {
+        for job in self.state.jobs() {
             if !job.spec.service || job.spec.tasks == 0 {
                 continue;
             }
             let org = self.orgs.iter().find(|o| o.name == job.spec.key.org);
             let Some(org) = org else { continue };
             if org.service(&job.spec.kind).is_none() {
-                gone.push(job.no);
+                gone.push(job.number);
             }
         }
         for job in gone {
-            self.record(now, Record::Resized { job, tasks: 0 }, 0);
+            self.append_record(now, Record::Resized { job, tasks: 0 }, 0);
         }
     }
 }
@@ -91,7 +91,7 @@
         team: Name::from(""),
         tasks,
         size: service.size,
-        run: 0,
+        run_time: 0,
         priority: Priority::Urgent,
         checkpoint: false,
         attempts: UNLIMITED,
--- a/crates/core/src/shard/book.rs
+++ b/crates/core/src/shard/state.rs
@@ -34,7 +34,7 @@
         worker: Name,
     },
     /// An attempt is to be stopped since its job was cancelled.
-    Unwanted {
+    StopRequested {
         /// The attempt.
         attempt: AttemptId,
         /// The worker.
@@ -58,13 +58,13 @@
 ///
 /// The same records applied in the same order give the same book.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Book {
+pub struct ShardState {
     jobs: Vec<Job>,
     keys: Vec<Entry>,
     next: u32,
 }
 
-impl Book {
+impl ShardState {
     /// Returns the jobs by number.
     pub fn jobs(&self) -> &[Job] {
         &self.jobs
@@ -72,7 +72,7 @@
 
     /// Returns the job with this number.
     pub fn job(&self, no: u32) -> Option<&Job> {
-        let i = self.jobs.binary_search_by_key(&no, |j| j.no).ok()?;
+        let i = self.jobs.binary_search_by_key(&no, |j| j.number).ok()?;
         Some(&self.jobs[i])
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Returns the task of an attempt if the attempt is its current one.
-    pub fn active(&self, id: AttemptId) -> Option<(&Job, &Task, &Name)> {
+    pub fn active_task(&self, id: AttemptId) -> Option<(&Job, &Task, &Name)> {
         let job = self.job(id.job)?;
         let task = job.tasks.get(id.task as usize)?;
         match &task.state {
@@ -117,7 +117,7 @@
     }
 
     fn job_mut(&mut self, no: u32) -> Option<&mut Job> {
-        let i = self.jobs.binary_search_by_key(&no, |j| j.no).ok()?;
+        let i = self.jobs.binary_search_by_key(&no, |j| j.number).ok()?;
         Some(&mut self.jobs[i])
     }
 
@@ -145,10 +145,10 @@
                 continue;
             }
             task.state = TaskState::Failed;
-            job.open -= 1;
+            job.open_tasks -= 1;
         }
         job.reason = Some(reason.clone());
-        if job.open == 0 {
+        if job.open_tasks == 0 {
             out.push(Effect::Finished { job: no });
         }
     }
@@ -170,7 +170,7 @@
     }
 
     fn end(&mut self, id: AttemptId, end: End, out: &mut Vec<Effect>) {
-        let Some((_, _, worker)) = self.active(id) else {
+        let Some((_, _, worker)) = self.active_task(id) else {
             return;
         };
         let worker = worker.clone();
@@ -193,9 +193,9 @@
                 if let Err(i) = task.failed_on.binary_search(&worker) {
                     task.failed_on.insert(i, worker);
                 }
-                task.fails += 1;
+                task.failures += 1;
                 let spread = task.failed_on.len() >= attempts;
-                let tired = task.fails as usize >= attempts * FAILS_PER_WORKER;
+                let tired = task.failures as usize >= attempts * FAILS_PER_WORKER;
                 let last = !service && (spread || tired);
                 if last {
                     TaskState::Failed
@@ -204,8 +204,8 @@
                 }
             }
             End::Lost => {
-                task.lost += 1;
-                let last = !service && task.lost >= MAX_LOST;
+                task.lost_attempts += 1;
+                let last = !service && task.lost_attempts >= MAX_LOST;
                 if last {
                     TaskState::Failed
                 } else {
@@ -216,7 +216,7 @@
             End::Evicted { saved } => {
                 task.evictions += 1;
                 if saved {
-                    task.checkpoint = id.attempt;
+                    task.checkpoint_attempt = id.attempt;
                 }
                 TaskState::Queued
             }
@@ -233,20 +233,20 @@
             }));
             return;
         }
-        job.open -= 1;
-        if job.open == 0 {
+        job.open_tasks -= 1;
+        if job.open_tasks == 0 {
             out.push(Effect::Finished { job: id.job });
         }
     }
 
     fn cancel(&mut self, no: u32, out: &mut Vec<Effect>) {
         let Some(job) = self.job_mut(no) else { return };
-        if job.cancelled || job.open == 0 {
+        if job.cancelled || job.open_tasks == 0 {
             return;
         }
         job.cancelled = true;
         drop_tasks(job, 0, out);
-        if job.open == 0 {
+        if job.open_tasks == 0 {
             out.push(Effect::Finished { job: no });
         }
     }
@@ -264,13 +264,13 @@
             } else {
                 continue;
             }
-            job.open += 1;
+            job.open_tasks += 1;
             out.push(Effect::Queued(TaskRef { job: no, task: i }));
         }
     }
 
     fn close(&mut self, no: u32) {
-        let Ok(i) = self.jobs.binary_search_by_key(&no, |j| j.no) else {
+        let Ok(i) = self.jobs.binary_search_by_key(&no, |j| j.number) else {
             return;
         };
         let job = self.jobs.remove(i);
@@ -286,11 +286,11 @@
         match &task.state {
             TaskState::Queued => {
                 task.state = TaskState::Cancelled;
-                job.open -= 1;
+                job.open_tasks -= 1;
             }
-            TaskState::Active(worker) => out.push(Effect::Unwanted {
+            TaskState::Active(worker) => out.push(Effect::StopRequested {
                 attempt: AttemptId {
-                    job: job.no,
+                    job: job.number,
                     task: i as u32,
                     attempt: task.attempt,
                 },
--- a/crates/core/src/shard/status.rs
+++ b/crates/core/src/shard/status.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Health, Job, JobState, Machine, TaskState};
+use super::{Health, Job, JobState, ShardScheduler, TaskState};
 use crate::{Millis, name::Name, size::Size};
 
 /// A job as its caller sees it.
@@ -96,7 +96,8 @@
     /// What is reserved.
     pub used: Size,
     /// Attempts on it.
-    pub residents: u32,
+    #[serde(rename = "residents")]
+    pub allocations: u32,
 }
 
 /// A shard as operators see it.
@@ -120,8 +121,8 @@
     pub blocked: Vec<Name>,
 }
 
-impl Machine {
-    /// Returns a number that grows with each change of [`Machine::targets`].
+impl ShardScheduler {
+    /// Returns a number that grows with each change of [`ShardScheduler::targets`].
     pub fn targets_version(&self) -> u64 {
         self.targets
     }
@@ -130,11 +131,11 @@
     pub fn targets(&self) -> Vec<TargetInfo> {
         let mut out = Vec::new();
         for w in &self.workers {
-            for r in &w.residents {
-                if !r.service || !r.seen {
+            for r in &w.allocations {
+                if !r.service || !r.is_running {
                     continue;
                 }
-                let Some(job) = self.book.job(r.attempt.job) else {
+                let Some(job) = self.state.job(r.attempt.job) else {
                     continue;
                 };
                 let org = self.orgs.iter().find(|o| o.name == job.spec.key.org);
@@ -144,7 +145,7 @@
                     org: job.spec.key.org.clone(),
                     service: service.name.clone(),
                     worker: w.name.clone(),
-                    addr: w.target,
+                    addr: w.service_addr,
                     slots: service.slots,
                     connections: service.connections,
                     leaving: w.leaving || r.stop.is_some(),
@@ -155,46 +156,46 @@
     }
 
     /// Returns the largest worker.
-    pub fn largest(&self) -> Size {
+    pub fn largest_worker(&self) -> Size {
         let mut size = Size::default();
         for w in &self.workers {
-            size = size.most(&w.total);
+            size = size.max(&w.capacity);
         }
         size
     }
 
     /// Returns what operators see.
     pub fn status(&self, now: Millis) -> ShardStatus {
-        let largest = self.largest();
+        let largest = self.largest_worker();
         let mut status = ShardStatus {
-            shard: self.place.name.clone(),
+            shard: self.shard.name.clone(),
             epoch: self.epoch,
             jobs: 0,
             queued: self.queue.len() as u32,
             active: 0,
-            store_age: now.saturating_sub(self.store_at),
+            store_age: now.saturating_sub(self.store_seen_at),
             workers: Vec::with_capacity(self.workers.len()),
             blocked: Vec::new(),
         };
-        for job in self.book.jobs() {
-            if job.open == 0 || job.spec.service {
+        for job in self.state.jobs() {
+            if job.open_tasks == 0 || job.spec.service {
                 continue;
             }
             status.jobs += 1;
-            if !job.spec.size.fits(&largest) {
+            if !job.spec.size.fits_in(&largest) {
                 status.blocked.push(job.spec.key.id.clone());
             }
         }
         for w in &self.workers {
-            status.active += w.residents.len() as u32;
+            status.active += w.allocations.len() as u32;
             status.workers.push(WorkerStatus {
                 name: w.name.clone(),
                 health: w.health,
-                quarantined: w.bans > 0 && now < w.ban_until,
+                quarantined: w.quarantines > 0 && now < w.quarantined_until,
                 leaving: w.leaving,
-                total: w.total,
-                used: w.used,
-                residents: w.residents.len() as u32,
+                total: w.capacity,
+                used: w.reserved,
+                allocations: w.allocations.len() as u32,
             });
         }
         status
--- a/crates/core/src/shard/worker.rs
+++ b/crates/core/src/shard/worker.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{AttemptId, Resident, TaskRef, WorkerInfo};
-use crate::{Millis, name::Name, place::History, size::Size};
+use super::{Allocation, AttemptId, TaskRef, WorkerInfo};
+use crate::{Millis, name::Name, placement::History, size::Size};
 
 /// What the owner thinks of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
 
 /// Room that is kept for a task that others are evicted for.
 #[derive(Debug, Clone, Copy)]
-pub struct Reserve {
+pub struct Reservation {
     /// The task.
     pub task: TaskRef,
     /// Its size.
@@ -31,7 +31,7 @@
 
 /// How the tasks of a class ended on a worker.
 #[derive(Debug, Clone, Copy)]
-pub struct Tally {
+pub struct ClassStats {
     /// Class of the tasks.
     pub class: u16,
     /// Tasks that were done.
@@ -50,13 +50,13 @@
     /// Address for exchanges.
     pub addr: SocketAddr,
     /// Address of its services.
-    pub target: SocketAddr,
+    pub service_addr: SocketAddr,
     /// What it can hold.
-    pub total: Size,
-    /// What its residents reserve.
-    pub used: Size,
+    pub capacity: Size,
+    /// What its allocations reserve.
+    pub reserved: Size,
     /// Attempts on it, sorted by id.
-    pub residents: Vec<Resident>,
+    pub allocations: Vec<Allocation>,
     /// Health.
     pub health: Health,
     /// Whether it is about to leave.
@@ -66,35 +66,35 @@
     /// Number of its last exchange.
     pub seq: u64,
     /// Whether an exchange is under way.
-    pub busy: bool,
+    pub awaiting_answer: bool,
     /// When the last exchange was sent.
     pub sent_at: Millis,
     /// When the last answer came.
-    pub seen_at: Millis,
+    pub answered_at: Millis,
     /// Its boot; 0 before the first answer.
     pub boot: u64,
     /// Its clock in the last answer.
-    pub echo: Millis,
+    pub last_clock: Millis,
     /// When that answer came.
-    pub echo_at: Millis,
-    /// Latest `echo_at` that a renewal was based on, by any owner.
-    pub basis: Millis,
+    pub last_clock_at: Millis,
+    /// Latest `last_clock_at` that a renewal was based on, by any owner.
+    pub lease_start: Millis,
     /// Whether something new waits to be sent.
     pub dirty: bool,
     /// Ended attempts that it may forget after the record given.
     pub acks: Vec<(u64, AttemptId)>,
     /// Attempts that it runs and the book does not know.
-    pub strays: Vec<AttemptId>,
+    pub unknown_attempts: Vec<AttemptId>,
     /// Distinct tasks that failed in a row.
-    pub strikes: Vec<TaskRef>,
+    pub failure_streak: Vec<TaskRef>,
     /// How tasks ended here, sorted by class.
-    pub tallies: Vec<Tally>,
+    pub class_stats: Vec<ClassStats>,
     /// Quarantines in a row.
-    pub bans: u32,
+    pub quarantines: u32,
     /// End of the last quarantine.
-    pub ban_until: Millis,
+    pub quarantined_until: Millis,
     /// Room that is kept for a task.
-    pub reserve: Option<Reserve>,
+    pub reservation: Option<Reservation>,
     /// What ran when, to match late samples.
     pub history: History,
 }
@@ -108,71 +108,71 @@
             name: info.name.clone(),
             rack: info.rack.clone(),
             addr: info.addr,
-            target: info.target,
-            total: info.size,
-            used: Size::default(),
-            residents: Vec::new(),
+            service_addr: info.target,
+            capacity: info.size,
+            reserved: Size::default(),
+            allocations: Vec::new(),
             health: Health::New,
             leaving: info.leaving,
             listed: true,
             seq: 0,
-            busy: false,
+            awaiting_answer: false,
             sent_at: 0,
-            seen_at: now,
+            answered_at: now,
             boot: 0,
-            echo: 0,
-            echo_at: 0,
-            basis,
+            last_clock: 0,
+            last_clock_at: 0,
+            lease_start: basis,
             dirty: true,
             acks: Vec::new(),
-            strays: Vec::new(),
-            strikes: Vec::new(),
-            tallies: Vec::new(),
-            bans: 0,
-            ban_until: 0,
-            reserve: None,
+            unknown_attempts: Vec::new(),
+            failure_streak: Vec::new(),
+            class_stats: Vec::new(),
+            quarantines: 0,
+            quarantined_until: 0,
+            reservation: None,
             history: History::default(),
         }
     }
 
     /// Returns the room that is not reserved.
-    pub fn room(&self) -> Size {
-        self.total.minus(&self.used)
+    pub fn available(&self) -> Size {
+        self.capacity.saturating_sub(&self.reserved)
     }
 
     /// Returns the room that `task` may use.
-    pub fn room_for(&self, task: TaskRef, now: Millis) -> Size {
-        match &self.reserve {
-            Some(r) if r.task != task && r.until > now => self.room().minus(&r.size),
-            _ => self.room(),
+    pub fn available_for(&self, task: TaskRef, now: Millis) -> Size {
+        match &self.reservation {
+            Some(r) if r.task != task && r.until > now => self.available().saturating_sub(&r.size),
+            _ => self.available(),
         }
     }
 
     /// Tells whether it may be given tasks.
     ///
     /// After a quarantine it gets one task at a time until one is done.
-    pub fn open(&self, now: Millis) -> bool {
+    pub fn accepts_tasks(&self, now: Millis) -> bool {
         let well = self.health == Health::Good && self.listed && !self.leaving;
-        let probing = self.residents.iter().any(|r| !r.service);
-        let trusted = self.bans == 0 || (now >= self.ban_until && !probing);
-        well && trusted && self.strays.is_empty()
+        let probing = self.allocations.iter().any(|r| !r.service);
+        let trusted = self.quarantines == 0 || (now >= self.quarantined_until && !probing);
+        well && trusted && self.unknown_attempts.is_empty()
     }
 
     /// Counts the end of a task of `class`.
-    pub fn count(&mut self, class: u16, done: bool) {
-        let i = match self.tallies.binary_search_by_key(&class, |t| t.class) {
+    pub fn record_end(&mut self, class: u16, done: bool) {
+        let i = match self.class_stats.binary_search_by_key(&class, |t| t.class) {
             Ok(i) => i,
             Err(i) => {
-                let new = Tally {
+                let new = ClassStats {
                     class,
                     done: 0,
                     failed: 0,
                 };
-                self.tallies.insert(i, new);
+                self.class_stats.insert(i, new);
                 i
             }
         };
-        let tally = &mut self.tallies[i];
+        let tally = &mut self.class_stats[i];
         if done {
             tally.done += 1;
         } else {
@@ -181,55 +181,55 @@
     }
 
     /// Returns how tasks of `class` ended here.
-    pub fn tally(&self, class: u16) -> Tally {
-        let none = Tally {
+    pub fn stats_of(&self, class: u16) -> ClassStats {
+        let none = ClassStats {
             class,
             done: 0,
             failed: 0,
         };
-        let found = self.tallies.binary_search_by_key(&class, |t| t.class);
-        found.map_or(none, |i| self.tallies[i])
+        let found = self.class_stats.binary_search_by_key(&class, |t| t.class);
+        found.map_or(none, |i| self.class_stats[i])
     }
 
     /// Returns the resident with this id.
-    pub fn resident(&self, id: AttemptId) -> Option<&Resident> {
+    pub fn allocation(&self, id: AttemptId) -> Option<&Allocation> {
         let i = self
-            .residents
+            .allocations
             .binary_search_by_key(&id, |r| r.attempt)
             .ok()?;
-        Some(&self.residents[i])
+        Some(&self.allocations[i])
     }
 
     /// Returns the resident with this id.
-    pub fn resident_mut(&mut self, id: AttemptId) -> Option<&mut Resident> {
+    pub fn allocation_mut(&mut self, id: AttemptId) -> Option<&mut Allocation> {
         let i = self
-            .residents
+            .allocations
             .binary_search_by_key(&id, |r| r.attempt)
             .ok()?;
-        Some(&mut self.residents[i])
+        Some(&mut self.allocations[i])
     }
 
     /// Adds a resident and reserves its room.
-    pub fn add(&mut self, resident: Resident) {
+    pub fn add(&mut self, resident: Allocation) {
         let Err(i) = self
-            .residents
+            .allocations
             .binary_search_by_key(&resident.attempt, |r| r.attempt)
         else {
             return;
         };
-        self.used = self.used.plus(&resident.size);
-        self.residents.insert(i, resident);
+        self.reserved = self.reserved.saturating_add(&resident.size);
+        self.allocations.insert(i, resident);
         self.dirty = true;
     }
 
     /// Removes a resident and frees its room.
-    pub fn remove(&mut self, id: AttemptId) -> Option<Resident> {
+    pub fn remove(&mut self, id: AttemptId) -> Option<Allocation> {
         let i = self
-            .residents
+            .allocations
             .binary_search_by_key(&id, |r| r.attempt)
             .ok()?;
-        let resident = self.residents.remove(i);
-        self.used = self.used.minus(&resident.size);
+        let resident = self.allocations.remove(i);
+        self.reserved = self.reserved.saturating_sub(&resident.size);
         Some(resident)
     }
 }
--- a/crates/core/src/template/job.rs
+++ b/crates/core/src/template/job.rs
@@ -7,7 +7,7 @@
 
 /// A kind of job that callers may submit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct JobKind {
+pub struct JobTemplate {
     /// Name, unique among the organisation's services and jobs.
     pub name: Name,
     /// Team whose quota the tasks use.
@@ -15,7 +15,8 @@
     /// Declared size of a task.
     pub size: Size,
     /// Most tasks a job may have.
-    pub tasks: u32,
+    #[serde(rename = "tasks")]
+    pub max_tasks: u32,
     /// Declared run time of a task; 0 runs until it is cancelled.
     pub run: Millis,
     /// Priority of the tasks.
--- a/crates/core/tests/common/world.rs
+++ b/crates/core/tests/common/world.rs
@@ -5,10 +5,10 @@
 use gorsespur_core::{
     Millis,
     name::Name,
-    owner::{Claim, ShardRow, Tenure},
+    owner::{LeaseWatch, OwnerLease, ShardRow},
     shard::{
-        Action, Book, Event, JobKey, JobSpec, JobStatus, Machine, Record, ShardPlace,
-        ShardSettings, Takeover, WorkerAnswer, WorkerInfo, WorkerRequest,
+        Action, Event, JobKey, JobSpec, JobStatus, Record, ShardId, ShardScheduler, ShardSettings,
+        ShardState, Takeover, WorkerAnswer, WorkerInfo, WorkerRequest,
     },
     size::Size,
     template::{OrgLimits, Organisation, Priority, Service, Team, Weights},
@@ -53,7 +53,7 @@
             workers: 4,
             hold: 12_000,
             shard: ShardSettings {
-                retain: 10_000_000,
+                retention: 10_000_000,
                 ..ShardSettings::default()
             },
             seed: 1,
@@ -122,7 +122,7 @@
     pub store_down: bool,
     pub row: ShardRow,
     version: u64,
-    claim: Claim,
+    claim: LeaseWatch,
     inbox: Vec<JobSpec>,
     flights: Vec<Flight>,
     no_answers: Vec<(Millis, usize, Name, u64)>,
@@ -141,10 +141,10 @@
         name: "weld".into(),
         weights: Weights::default(),
         limits: OrgLimits {
-            jobs: 100_000,
-            queue: 64,
-            retries: 10,
-            evictions: 5,
+            open_jobs: 100_000,
+            queued_requests: 64,
+            retry_percent: 10,
+            task_evictions: 5,
             hold,
         },
         teams: vec![team("certification")],
@@ -171,7 +171,7 @@
         team: "certification".into(),
         tasks,
         size: Size::new(6_000, 10 << 30, 0),
-        run,
+        run_time: run,
         priority,
         checkpoint: true,
         attempts: 3,
@@ -195,15 +195,15 @@
                 owner: None,
                 addr: nowhere,
                 token: 0,
-                next: 0,
-                snapshot: 0,
-                row: 0,
+                next_record: 0,
+                first_record: 0,
+                next_row: 0,
                 first_row: 0,
                 hold: 0,
                 settled: true,
             },
             version: 1,
-            claim: Claim::new(LEASE),
+            claim: LeaseWatch::new(LEASE),
             inbox: Vec::new(),
             flights: Vec::new(),
             no_answers: Vec::new(),
@@ -261,7 +261,7 @@
 
     /// Returns the state of a job by the journal.
     pub fn status(&self, key: &JobKey) -> Option<JobStatus> {
-        let mut book = Book::default();
+        let mut book = ShardState::default();
         for record in &self.journal {
             book.apply(record);
         }
@@ -270,13 +270,13 @@
 
     /// Tells whether every submitted job has ended.
     pub fn finished(&self) -> bool {
-        let mut book = Book::default();
+        let mut book = ShardState::default();
         for record in &self.journal {
             book.apply(record);
         }
         self.submitted
             .iter()
-            .all(|(k, _)| book.find(k).is_some_and(|j| j.open == 0))
+            .all(|(k, _)| book.find(k).is_some_and(|j| j.open_tasks == 0))
     }
 
     /// Returns the owner that the row names.
@@ -354,7 +354,7 @@
             return;
         }
         self.claim.observe(self.now, Some(&self.row), self.version);
-        if !self.claim.may_take(self.now) {
+        if !self.claim.can_acquire(self.now) {
             return;
         }
         let inherited = self.row.hold;
@@ -362,27 +362,28 @@
         self.row.owner = Some("sched".into());
         self.row.hold = self.settings.hold.max(inherited);
         self.version += 1;
-        let mut book = Book::default();
+        let mut book = ShardState::default();
         for record in &self.journal {
             book.apply(record);
         }
         let takeover = Takeover {
             epoch: self.row.epoch,
-            book,
-            next: self.journal.len() as u64,
-            inherited: self.row.hold,
+            state: book,
+            next_record: self.journal.len() as u64,
+            inherited_hold: self.row.hold,
             settled: false,
         };
-        let place = ShardPlace {
+        let place = ShardId {
             name: "zone.0".into(),
             index: 0,
             count: 1,
         };
         let seed = self.settings.seed + self.row.epoch;
-        let machine = Machine::new(place, self.settings.shard.clone(), seed, takeover, self.now);
+        let machine =
+            ShardScheduler::new(place, self.settings.shard.clone(), seed, takeover, self.now);
         self.owners.push(Owner {
             machine,
-            tenure: Tenure::new(LEASE, self.now),
+            tenure: OwnerLease::new(LEASE, self.now),
             epoch: self.row.epoch,
             version: self.version,
             backlog: VecDeque::new(),
@@ -417,7 +418,7 @@
         if !self.inbox.is_empty() && reads && self.owners[i].epoch == self.row.epoch {
             events.push(Event::Submit(self.inbox.clone()));
         }
-        if self.owners[i].tenure.may_act() {
+        if self.owners[i].tenure.can_act() {
             events.push(Event::Tick);
         }
         for event in events {
@@ -566,7 +567,7 @@
         self.version += 1;
         o.version = self.version;
         o.renewed = now;
-        o.tenure.prove(now);
+        o.tenure.confirm(now);
         for record in o.backlog.drain(..) {
             if let Record::Submitted(spec) = &record {
                 self.inbox.retain(|s| s.key != spec.key);
--- a/crates/core/tests/guards.rs
+++ b/crates/core/tests/guards.rs
@@ -4,9 +4,9 @@
 
 use common::{Fault, World, WorldSettings, check_promises, spec};
 use gorsespur_core::{
-    owner::{Claim, Resolved, ShardRow, Tenure, resolve},
+    owner::{LeaseWatch, OwnerLease, ShardRow, WriteOutcome, resolve_write},
     shard::{
-        Action, Book, Event, Machine, ShardPlace, ShardSettings, Takeover, WorkerAnswer,
+        Action, Event, ShardId, ShardScheduler, ShardSettings, ShardState, Takeover, WorkerAnswer,
         WorkerInfo, WorkerRequest,
     },
     size::Size,
@@ -33,20 +33,20 @@
 }
 
 /// A machine with one worker that has answered.
-fn machine() -> Machine {
-    let place = ShardPlace {
+fn machine() -> ShardScheduler {
+    let place = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
     };
     let takeover = Takeover {
         epoch: 1,
-        book: Book::default(),
-        next: 0,
-        inherited: HOLD,
+        state: ShardState::default(),
+        next_record: 0,
+        inherited_hold: HOLD,
         settled: false,
     };
-    let mut m = Machine::new(place, ShardSettings::default(), 1, takeover, NOW);
+    let mut m = ShardScheduler::new(place, ShardSettings::default(), 1, takeover, NOW);
     let event = Event::Workers {
         list: vec![worker()],
         counts: vec![1],
@@ -117,7 +117,7 @@
 #[test]
 fn a_silent_workers_leases_are_not_renewed() {
     let mut m = machine();
-    let late = NOW + ShardSettings::default().silent + 10;
+    let late = NOW + ShardSettings::default().silent_after + 10;
     m.step(late, &Event::Tick);
     let sent = request(m.step(late + 4_000, &Event::Tick)).expect("a probe");
     assert!(!sent.renew);
@@ -129,7 +129,7 @@
     let Event::Answer { worker, mut answer } = answer(NOW, 1) else {
         unreachable!()
     };
-    answer.refused = Some(gorsespur_core::shard::Reason::OldEpoch);
+    answer.refused = Some(gorsespur_core::shard::ExchangeRefusal::OldEpoch);
     answer.epoch = 9;
     let out = m.step(NOW, &Event::Answer { worker, answer });
     assert_eq!(out, [Action::Fenced { epoch: 9 }]);
@@ -166,19 +166,19 @@
         &Event::Submit(vec![spec("job", 1, 1_000, Priority::Normal)]),
     );
     old.step(NOW + 20, &Event::Tick);
-    let place = ShardPlace {
+    let place = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
     };
     let takeover = Takeover {
         epoch: 2,
-        book: old.book().clone(),
-        next: old.next_record(),
-        inherited: HOLD,
+        state: old.state().clone(),
+        next_record: old.next_record(),
+        inherited_hold: HOLD,
         settled,
     };
-    let mut new = Machine::new(place, ShardSettings::default(), 1, takeover, NOW);
+    let mut new = ShardScheduler::new(place, ShardSettings::default(), 1, takeover, NOW);
     let list = vec![worker()];
     new.step(
         NOW,
@@ -192,7 +192,7 @@
             new.step(now, &Event::Settled);
         }
         new.step(now, &Event::Tick);
-        if new.workers()[0].residents.is_empty() {
+        if new.workers()[0].allocations.is_empty() {
             return now - NOW;
         }
     }
@@ -202,7 +202,7 @@
 #[test]
 fn an_unreachable_workers_task_waits_for_the_hold_unless_no_owner_renews() {
     let s = ShardSettings::default();
-    let lease = s.lease + s.lease / 100 + s.margin;
+    let lease = s.lease + s.lease / 100 + s.lease_margin;
     let near = |found: u64, wanted: u64| (wanted..=wanted + 200).contains(&found);
     assert!(near(given_up_after(false, None), lease + HOLD));
     assert!(near(given_up_after(true, None), lease));
@@ -214,7 +214,7 @@
 fn a_lease_is_over_on_the_slowest_clock_before_its_end_is_presumed() {
     for pick in 0..4 {
         let mut settings = WorldSettings::default();
-        settings.shard.margin = 40;
+        settings.shard.lease_margin = 40;
         let mut world = World::new(settings);
         for i in 0..6 {
             world.submit(spec(&format!("job{i}"), 2, 90_000, Priority::Normal));
@@ -280,24 +280,24 @@
 
 #[test]
 fn a_pause_across_the_lease_needs_a_new_proof() {
-    let mut tenure = Tenure::new(4_000, NOW);
+    let mut tenure = OwnerLease::new(4_000, NOW);
     tenure.tick(NOW + 3_900);
-    assert!(tenure.may_act());
+    assert!(tenure.can_act());
     tenure.tick(NOW + 9_000);
-    assert!(!tenure.may_act());
+    assert!(!tenure.can_act());
     tenure.tick(NOW + 9_020);
-    assert!(!tenure.may_act(), "time alone proves nothing");
-    tenure.prove(NOW + 9_030);
-    assert!(tenure.may_act());
+    assert!(!tenure.can_act(), "time alone proves nothing");
+    tenure.confirm(NOW + 9_030);
+    assert!(tenure.can_act());
 }
 
 #[test]
 fn an_owner_that_only_lacks_the_table_service_may_act() {
-    let mut tenure = Tenure::new(4_000, NOW);
+    let mut tenure = OwnerLease::new(4_000, NOW);
     for i in 0..1_000 {
         tenure.tick(NOW + i * 20);
     }
-    assert!(tenure.may_act());
+    assert!(tenure.can_act());
 }
 
 fn row(token: u64, owner: Option<&str>) -> ShardRow {
@@ -306,50 +306,50 @@
         owner: owner.map(Into::into),
         addr: ([127, 0, 0, 1], 9).into(),
         token,
-        next: 0,
-        snapshot: 0,
-        row: 0,
+        next_record: 0,
+        first_record: 0,
+        next_row: 0,
         first_row: 0,
         hold: 0,
         settled: true,
     }
 }
 
-#[test_case(7, 5, Some(7), 6, Resolved::Applied(6); "own token")]
-#[test_case(7, 5, Some(4), 5, Resolved::Repeat; "row as it was")]
-#[test_case(7, 5, Some(4), 6, Resolved::Lost; "another writer")]
-#[test_case(7, 0, None, 0, Resolved::Repeat; "no row yet")]
+#[test_case(7, 5, Some(7), 6, WriteOutcome::Applied(6); "own token")]
+#[test_case(7, 5, Some(4), 5, WriteOutcome::Repeat; "row as it was")]
+#[test_case(7, 5, Some(4), 6, WriteOutcome::Lost; "another writer")]
+#[test_case(7, 0, None, 0, WriteOutcome::Repeat; "no row yet")]
 fn a_lost_answer_is_resolved_by_reading_back(
     token: u64,
     version: u64,
     found: Option<u64>,
     at: u64,
-    wanted: Resolved,
+    wanted: WriteOutcome,
 ) {
     let row = found.map(|t| row(t, Some("a")));
-    assert_eq!(resolve(token, version, row.as_ref(), at), wanted);
+    assert_eq!(resolve_write(token, version, row.as_ref(), at), wanted);
 }
 
 #[test]
 fn a_renewed_row_is_not_taken_and_a_still_one_is() {
-    let mut claim = Claim::new(4_000);
+    let mut claim = LeaseWatch::new(4_000);
     let owned = row(1, Some("a"));
     for i in 0..20 {
         claim.observe(NOW + i * 1_000, Some(&owned), 10 + i);
-        assert!(!claim.may_take(NOW + i * 1_000));
+        assert!(!claim.can_acquire(NOW + i * 1_000));
     }
     claim.observe(NOW + 22_000, Some(&owned), 29);
-    assert!(!claim.may_take(NOW + 22_000));
+    assert!(!claim.can_acquire(NOW + 22_000));
     claim.observe(NOW + 23_000, Some(&owned), 29);
-    assert!(claim.may_take(NOW + 23_000));
+    assert!(claim.can_acquire(NOW + 23_000));
 }
 
 #[test]
 fn a_released_row_is_taken_at_once_and_nothing_unseen_is() {
-    let mut claim = Claim::new(4_000);
-    assert!(!claim.may_take(NOW + 99_000));
+    let mut claim = LeaseWatch::new(4_000);
+    assert!(!claim.can_acquire(NOW + 99_000));
     claim.observe(NOW, Some(&row(1, None)), 3);
-    assert!(claim.may_take(NOW));
+    assert!(claim.can_acquire(NOW));
     claim.reset();
-    assert!(!claim.may_take(NOW + 99_000));
+    assert!(!claim.can_acquire(NOW + 99_000));
 }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use common::{Fault, World, WorldSettings, check_promises, spec};
 use gorsespur_core::{
-    place::{Band, CoRunner, History, Pairs, PlacePolicy},
+    placement::{Band, CoRunner, History, InterferenceModel, PlacementPolicy},
     shard::{AttemptId, JobState, Queue, Record, TaskRef},
     size::Size,
     template::Priority,
@@ -19,16 +19,16 @@
     }
 }
 
-fn world(policy: PlacePolicy) -> World {
+fn world(policy: PlacementPolicy) -> World {
     let mut settings = WorldSettings::default();
     settings.shard.policy = policy;
     World::new(settings)
 }
 
-#[test_case(PlacePolicy::Random)]
-#[test_case(PlacePolicy::LeastLoaded)]
-#[test_case(PlacePolicy::Interference)]
-fn every_policy_keeps_the_promises(policy: PlacePolicy) {
+#[test_case(PlacementPolicy::Random)]
+#[test_case(PlacementPolicy::LeastLoaded)]
+#[test_case(PlacementPolicy::Interference)]
+fn every_policy_keeps_the_promises(policy: PlacementPolicy) {
     let mut w = world(policy);
     for i in 0..12 {
         w.submit(spec(
@@ -44,7 +44,7 @@
 
 #[test]
 fn least_loaded_spreads_what_it_can() {
-    let mut w = world(PlacePolicy::LeastLoaded);
+    let mut w = world(PlacementPolicy::LeastLoaded);
     w.submit(spec("job", 4, 20_000, Priority::Normal));
     w.run(1_500);
     let mut workers = Vec::new();
@@ -62,10 +62,10 @@
 
 #[test]
 fn replicas_of_a_service_are_on_different_workers_and_racks() {
-    let w = world(PlacePolicy::Interference);
+    let w = world(PlacementPolicy::Interference);
     let mut racks = Vec::new();
     for worker in w.owners[0].machine.workers() {
-        let replicas = worker.residents.iter().filter(|r| r.service).count();
+        let replicas = worker.allocations.iter().filter(|r| r.service).count();
         assert!(replicas <= 1);
         if replicas == 1 {
             racks.push(worker.rack.clone());
@@ -77,7 +77,7 @@
 
 #[test]
 fn an_urgent_task_gets_room_from_bulk_within_its_time() {
-    let mut w = world(PlacePolicy::Interference);
+    let mut w = world(PlacementPolicy::Interference);
     w.submit(spec("bulk", 30, 600_000, Priority::Bulk));
     w.run(3_000);
     let before = w.now;
@@ -98,14 +98,14 @@
 
 #[test]
 fn a_task_is_evicted_no_more_often_than_its_limit() {
-    let mut w = world(PlacePolicy::Interference);
+    let mut w = world(PlacementPolicy::Interference);
     w.submit(spec("bulk", 30, 60_000, Priority::Bulk));
     w.run(2_000);
     for i in 0..40 {
         w.submit(spec(&format!("urgent{i}"), 2, 300, Priority::Urgent));
         w.run(1_000);
     }
-    let book = w.owners[0].machine.book();
+    let book = w.owners[0].machine.state();
     let most = book
         .jobs()
         .iter()
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_job_larger_than_any_worker_fails_with_its_reason() {
-    let mut w = world(PlacePolicy::Interference);
+    let mut w = world(PlacementPolicy::Interference);
     let mut large = spec("large", 1, 1_000, Priority::Normal);
     large.size = Size::new(31_000, 1 << 30, 0);
     let key = large.key.clone();
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_failing_worker_is_quarantined_and_costs_few_tries() {
-    let mut w = world(PlacePolicy::LeastLoaded);
+    let mut w = world(PlacementPolicy::LeastLoaded);
     w.strike(Fault::WorkerFailsAll, 1);
     for i in 0..20 {
         w.submit(spec(&format!("job{i}"), 1, 500, Priority::Normal));
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_wave_of_cancellations_leaves_nothing_behind() {
-    let mut w = world(PlacePolicy::Interference);
+    let mut w = world(PlacementPolicy::Interference);
     for i in 0..500 {
         w.submit(spec(&format!("job{i}"), 2, 600_000, Priority::Normal));
     }
@@ -166,7 +166,7 @@
     assert!(w.run_until_finished(30_000));
     check_promises(&w);
     for worker in w.owners[0].machine.workers() {
-        assert!(worker.residents.iter().all(|r| r.service));
+        assert!(worker.allocations.iter().all(|r| r.service));
     }
 }
 
@@ -176,12 +176,12 @@
     let task = |job| TaskRef { job, task: 0 };
     q.push(Priority::Bulk, 0, task(1), 5);
     q.push(Priority::Urgent, 1, task(2), 6);
-    q.push_later(50, Priority::Urgent, 1, task(3));
+    q.push_delayed(50, Priority::Urgent, 1, task(3));
     assert_eq!((q.len(), q.teams(Priority::Urgent)), (3, vec![1]));
-    q.wake(49);
+    q.promote_delayed(49);
     assert_eq!(q.pop(Priority::Urgent, 1).expect("ready").task, task(2));
     assert!(q.pop(Priority::Urgent, 1).is_none(), "not yet");
-    q.wake(50);
+    q.promote_delayed(50);
     assert_eq!(q.pop(Priority::Urgent, 1).expect("ready").since, 50);
     assert!(!q.is_empty());
 }
@@ -206,7 +206,7 @@
 
 #[test]
 fn the_guilty_neighbour_is_learned_and_a_shift_is_followed() {
-    let mut pairs = Pairs::default();
+    let mut pairs = InterferenceModel::default();
     pairs.grow(3);
     let band = Band::of(0.7);
     assert!(!pairs.estimate(0, 1, band).known);
@@ -215,23 +215,23 @@
         pairs.learn(0, &[2], band, 1.0, i * 100);
     }
     let (noisy, quiet) = (pairs.estimate(0, 1, band), pairs.estimate(0, 2, band));
-    assert!(noisy.known && noisy.adds > 0.6, "{noisy:?}");
-    assert!(quiet.known && quiet.adds < 0.2, "{quiet:?}");
+    assert!(noisy.known && noisy.added_slowdown > 0.6, "{noisy:?}");
+    assert!(quiet.known && quiet.added_slowdown < 0.2, "{quiet:?}");
     for i in 200..400 {
         pairs.learn(0, &[1], band, 1.0, i * 100);
         pairs.learn(0, &[2], band, 1.8, i * 100);
     }
-    assert!(pairs.estimate(0, 1, band).adds < 0.1);
-    assert!(pairs.estimate(0, 2, band).adds > 0.6);
+    assert!(pairs.estimate(0, 1, band).added_slowdown < 0.1);
+    assert!(pairs.estimate(0, 2, band).added_slowdown > 0.6);
 }
 
 #[test]
 fn what_is_unknown_in_one_band_is_taken_from_another() {
-    let mut pairs = Pairs::default();
+    let mut pairs = InterferenceModel::default();
     pairs.grow(2);
     pairs.learn(0, &[1], Band::of(0.9), 2.0, 0);
     let low = pairs.estimate(0, 1, Band::of(0.1));
-    assert!(low.known && low.adds > 0.2, "{low:?}");
+    assert!(low.known && low.added_slowdown > 0.2, "{low:?}");
     pairs.grow(5);
     assert_eq!(
         pairs.estimate(0, 1, Band::of(0.1)),
@@ -249,9 +249,12 @@
 #[test_case(-5.0; "negative")]
 #[test_case(1e9; "absurd")]
 fn an_absurd_sample_does_no_lasting_harm(slow: f32) {
-    let mut pairs = Pairs::default();
+    let mut pairs = InterferenceModel::default();
     pairs.grow(2);
     pairs.learn(0, &[1], Band(0), slow, 0);
     let e = pairs.estimate(0, 1, Band(0));
-    assert!(e.adds.is_finite() && (0.0..=4.0).contains(&e.adds), "{e:?}");
+    assert!(
+        e.added_slowdown.is_finite() && (0.0..=4.0).contains(&e.added_slowdown),
+        "{e:?}"
+    );
 }
--- a/crates/core/tests/regression.rs
+++ b/crates/core/tests/regression.rs
@@ -4,7 +4,7 @@
 
 use common::{Fault, World, WorldSettings, check_promises, spec};
 use gorsespur_core::{
-    shard::{Book, Event, JobState, Machine, ShardPlace, ShardSettings, Takeover},
+    shard::{Event, JobState, ShardId, ShardScheduler, ShardSettings, ShardState, Takeover},
     template::Priority,
 };
 
@@ -79,8 +79,8 @@
 /// new owner read its inbox before it was told the templates.
 #[test]
 fn a_job_that_comes_before_the_templates_is_kept() {
-    let mut m = Machine::new(
-        ShardPlace {
+    let mut m = ShardScheduler::new(
+        ShardId {
             name: "shard".into(),
             index: 0,
             count: 1,
@@ -89,9 +89,9 @@
         1,
         Takeover {
             epoch: 1,
-            book: Book::default(),
-            next: 0,
-            inherited: 0,
+            state: ShardState::default(),
+            next_record: 0,
+            inherited_hold: 0,
             settled: true,
         },
         1_000,
@@ -99,7 +99,7 @@
     let job = spec("early", 1, 1_000, Priority::Normal);
     m.step(1_000, &Event::Submit(vec![job.clone()]));
     assert_eq!(
-        m.book().find(&job.key).expect("kept").state(),
+        m.state().find(&job.key).expect("kept").state(),
         JobState::Queued
     );
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -2,8 +2,8 @@
 
 use gorsespur_core::{
     route::{
-        Arrival, Outcome, Refusal, RouteAction, RouteEvent, RoutePolicy, RouteSettings, Router,
-        Share, TargetList, TryEnd,
+        Arrival, AttemptOutcome, Outcome, Refusal, RouteAction, RouteEvent, RoutePolicy,
+        RouteSettings, Router, Share, TargetList,
     },
     shard::TargetInfo,
     template::Priority,
@@ -34,7 +34,7 @@
         shard: u32::from(!near),
         epoch: 1,
         version,
-        near,
+        same_zone: near,
         targets,
     })
 }
@@ -47,8 +47,8 @@
         priority: Priority::Normal,
         deadline: now + 1_000,
         repeatable: true,
-        queue: 64,
-        retries: 10,
+        max_queued: 64,
+        retry_percent: 10,
     }
 }
 
@@ -88,11 +88,11 @@
     out
 }
 
-fn ended(req: u64, attempt: u32, end: TryEnd) -> RouteEvent {
+fn ended(req: u64, attempt: u32, end: AttemptOutcome) -> RouteEvent {
     RouteEvent::Ended { req, attempt, end }
 }
 
-const OK: TryEnd = TryEnd::Answered {
+const OK: AttemptOutcome = AttemptOutcome::Answered {
     took: 5,
     busy: Some(1),
 };
@@ -104,13 +104,13 @@
     assert_eq!(refused(&out), [(1, Outcome::NotRun, Refusal::NoTarget)]);
 }
 
-#[test_case(true, TryEnd::NotSent, Some(Outcome::NotRun); "repeatable and not sent")]
-#[test_case(false, TryEnd::NotSent, Some(Outcome::NotRun); "once and not sent")]
-#[test_case(true, TryEnd::Failed, Some(Outcome::Unknown); "repeatable and failed")]
-#[test_case(false, TryEnd::Failed, Some(Outcome::Unknown); "once and failed")]
+#[test_case(true, AttemptOutcome::NotSent, Some(Outcome::NotRun); "repeatable and not sent")]
+#[test_case(false, AttemptOutcome::NotSent, Some(Outcome::NotRun); "once and not sent")]
+#[test_case(true, AttemptOutcome::Failed, Some(Outcome::Unknown); "repeatable and failed")]
+#[test_case(false, AttemptOutcome::Failed, Some(Outcome::Unknown); "once and failed")]
 fn what_a_caller_is_told_when_every_try_ends_so(
     repeatable: bool,
-    end: TryEnd,
+    end: AttemptOutcome,
     told: Option<Outcome>,
 ) {
     let mut router = router(8);
@@ -124,7 +124,7 @@
     }
     let got = refused(&out).first().map(|r| r.1);
     assert_eq!(got, told);
-    let safe = repeatable || end == TryEnd::NotSent;
+    let safe = repeatable || end == AttemptOutcome::NotSent;
     assert_eq!(tries, if safe { 3 } else { 1 });
 }
 
@@ -133,9 +133,9 @@
     let mut router = router(8);
     let out = router.step(START, &RouteEvent::Arrive(arrival(1, START)));
     let (req, attempt, _) = sent(&out)[0].clone();
-    let mut out = router.step(START, &ended(req, attempt, TryEnd::Failed));
+    let mut out = router.step(START, &ended(req, attempt, AttemptOutcome::Failed));
     while let Some((req, attempt, _)) = sent(&out).first().cloned() {
-        out = router.step(START, &ended(req, attempt, TryEnd::NotSent));
+        out = router.step(START, &ended(req, attempt, AttemptOutcome::NotSent));
     }
     assert_eq!(refused(&out)[0].1, Outcome::Unknown);
 }
@@ -145,7 +145,7 @@
     let mut router = router(2);
     let out = router.step(START, &RouteEvent::Arrive(arrival(1, START)));
     let first = sent(&out)[0].clone();
-    let out = router.step(START, &ended(1, first.1, TryEnd::NotSent));
+    let out = router.step(START, &ended(1, first.1, AttemptOutcome::NotSent));
     assert_ne!(sent(&out)[0].2, first.2);
 }
 
@@ -167,7 +167,7 @@
     let mut router = router(2);
     let out = router.step(START, &RouteEvent::Arrive(arrival(0, START)));
     let (req, attempt, gone) = sent(&out)[0].clone();
-    let end = TryEnd::Declined {
+    let end = AttemptOutcome::Declined {
         busy: None,
         leaving: true,
     };
@@ -270,15 +270,15 @@
     }
     let mut bulk = arrival(10, START);
     bulk.priority = Priority::Bulk;
-    bulk.queue = 1;
+    bulk.max_queued = 1;
     router.step(START, &RouteEvent::Arrive(bulk));
     let mut urgent = arrival(11, START);
     urgent.priority = Priority::Urgent;
-    urgent.queue = 1;
+    urgent.max_queued = 1;
     let out = router.step(START, &RouteEvent::Arrive(urgent));
     assert_eq!(refused(&out), [(10, Outcome::NotRun, Refusal::QueueFull)]);
     let mut second = arrival(12, START);
-    second.queue = 1;
+    second.max_queued = 1;
     let out = router.step(START, &RouteEvent::Arrive(second));
     assert_eq!(refused(&out), [(12, Outcome::NotRun, Refusal::QueueFull)]);
 }
@@ -310,7 +310,7 @@
 fn an_organisation_has_its_share_of_an_entry() {
     let mut router = Router::new(
         RouteSettings {
-            share: 10,
+            max_org_requests: 10,
             ..RouteSettings::default()
         },
         1,
@@ -339,7 +339,7 @@
 fn run_with_failures(policy: RoutePolicy, requests: u64) -> (u64, u64) {
     let settings = RouteSettings {
         policy,
-        hedges: 0,
+        hedge_permille: 0,
         ..RouteSettings::default()
     };
     let mut router = Router::new(settings, 3);
@@ -352,7 +352,11 @@
         while let Some((req, attempt, worker)) = sent(&out).first().cloned() {
             tries += 1;
             let number: usize = worker[1..].parse().expect("a number");
-            let end = if number < 6 { TryEnd::Failed } else { OK };
+            let end = if number < 6 {
+                AttemptOutcome::Failed
+            } else {
+                OK
+            };
             ok += u64::from(number >= 6);
             out = router.step(now, &ended(req, attempt, end));
         }
@@ -388,7 +392,7 @@
         (30..=60).contains(&second),
         "{second} of 2000 at 20 in a thousand"
     );
-    assert_eq!(router.open(), 0);
+    assert_eq!(router.open_requests(), 0);
 }
 
 #[derive(Debug, Clone)]
@@ -412,15 +416,15 @@
     ]
 }
 
-fn end_of(kind: u8) -> TryEnd {
+fn end_of(kind: u8) -> AttemptOutcome {
     match kind {
         0 | 1 => OK,
-        2 => TryEnd::NotSent,
-        3 => TryEnd::Declined {
+        2 => AttemptOutcome::NotSent,
+        3 => AttemptOutcome::Declined {
             busy: Some(8),
             leaving: false,
         },
-        _ => TryEnd::Failed,
+        _ => AttemptOutcome::Failed,
     }
 }
 
@@ -461,7 +465,7 @@
                     a.repeatable = repeatable;
                     a.priority = Priority::ALL[usize::from(priority)];
                     a.deadline = now + deadline;
-                    a.queue = 3;
+                    a.max_queued = 3;
                     seen.push(Seen { once: !repeatable, ..Seen::default() });
                     RouteEvent::Arrive(a)
                 }
@@ -473,12 +477,12 @@
                     let (attempt, _) = seen[req].open.remove(0);
                     let end = end_of(kind);
                     match end {
-                        TryEnd::Answered { .. } => {
+                        AttemptOutcome::Answered { .. } => {
                             seen[req].may_have_run = true;
                             seen[req].told.get_or_insert(Outcome::Ran);
                         }
-                        TryEnd::Failed => seen[req].may_have_run = true,
-                        TryEnd::NotSent | TryEnd::Declined { .. } => {}
+                        AttemptOutcome::Failed => seen[req].may_have_run = true,
+                        AttemptOutcome::NotSent | AttemptOutcome::Declined { .. } => {}
                     }
                     ended(req as u64, attempt, end)
                 }
@@ -528,6 +532,6 @@
                 seen[r as usize].told.get_or_insert(outcome);
             }
         }
-        prop_assert_eq!(router.waiting(), 0);
+        prop_assert_eq!(router.waiting_requests(), 0);
     }
 }
--- a/crates/entry/src/router_thread.rs
+++ b/crates/entry/src/router_thread.rs
@@ -5,7 +5,7 @@
 use flume::{Receiver, Sender};
 use gorsespur_core::{
     Millis,
-    route::{Arrival, RouteAction, RouteCounts, RouteEvent, RouteSettings, Router, TryEnd},
+    route::{Arrival, AttemptOutcome, RouteAction, RouteCounts, RouteEvent, RouteSettings, Router},
 };
 use gorsespur_peer::Shared;
 use gorsespur_runtime::{cancel::Cancel, client::Answer, metrics::Metrics};
@@ -75,7 +75,11 @@
     let mut open: Vec<Open> = Vec::new();
     let mut ticked = 0;
     while !cancel.is_cancelled() {
-        let pause = if router.waiting() > 0 { TICK } else { IDLE };
+        let pause = if router.waiting_requests() > 0 {
+            TICK
+        } else {
+            IDLE
+        };
         let first = rx.recv_timeout(pause);
         let now = shared.clock.now();
         if let Ok(message) = first {
@@ -89,7 +93,7 @@
             ticked = now;
             let actions = router.step(now, &RouteEvent::Tick);
             hand_out(&mut router, now, actions, &mut open, metrics);
-            metrics.gauge("waiting", router.waiting() as u64);
+            metrics.gauge("waiting", router.waiting_requests() as u64);
             open.retain(|o| !o.reply.is_disconnected());
         }
     }
@@ -156,7 +160,7 @@
             let found = open.binary_search_by_key(&req, |o| o.req);
             let sent =
                 found.is_ok_and(|i| open[i].reply.try_send(ToHandler::Command(action)).is_ok());
-            let end = TryEnd::NotSent;
+            let end = AttemptOutcome::NotSent;
             (!sent).then_some(RouteEvent::Ended { req, attempt, end })
         }
     }
--- a/crates/load/src/measure/floor.rs
+++ b/crates/load/src/measure/floor.rs
@@ -7,10 +7,10 @@
 use gorsespur_core::{
     Millis,
     name::Name,
-    place::{BANDS, PlacePolicy},
+    placement::{BAND_COUNT, PlacementPolicy},
     shard::{
-        Action, Book, End, Event, JobKey, JobSpec, Machine, Record, ShardPlace, ShardSettings,
-        Takeover, WorkerInfo,
+        Action, End, Event, JobKey, JobSpec, Record, ShardId, ShardScheduler, ShardSettings,
+        ShardState, Takeover, WorkerInfo,
     },
     size::Size,
     template::{OrgLimits, Organisation, Priority, Service, Team, Weights},
@@ -42,7 +42,7 @@
 const BASE_US: f64 = 4_000.0;
 
 /// Representative loads of the bands.
-const LOADS: [f64; BANDS] = [0.3, 0.7, 0.9];
+const LOADS: [f64; BAND_COUNT] = [0.3, 0.7, 0.9];
 
 /// What is run.
 #[derive(Debug, Clone)]
@@ -50,7 +50,7 @@
     pub workers: usize,
     pub replicas: u32,
     pub weights: Weights,
-    pub policy: PlacePolicy,
+    pub policy: PlacementPolicy,
     /// How long urgent tasks wait before others are evicted; the usual if none.
     pub patience: Option<Millis>,
     pub seed: u64,
@@ -83,7 +83,7 @@
 /// The floor.
 pub(crate) struct Floor {
     settings: FloorSettings,
-    machine: Machine,
+    machine: ShardScheduler,
     workers: Vec<SimWorker>,
     names: Vec<Name>,
     rng: SmallRng,
@@ -111,10 +111,10 @@
         name: "org".into(),
         weights: settings.weights,
         limits: OrgLimits {
-            jobs: 1_000_000,
-            queue: 64,
-            retries: 10,
-            evictions: 3,
+            open_jobs: 1_000_000,
+            queued_requests: 64,
+            retry_percent: 10,
+            task_evictions: 3,
             hold: 60_000,
         },
         teams,
@@ -132,26 +132,26 @@
 
 impl Floor {
     pub fn new(settings: FloorSettings) -> Floor {
-        let place = ShardPlace {
+        let place = ShardId {
             name: "floor".into(),
             index: 0,
             count: 1,
         };
         let usual = ShardSettings::default();
         let shard = ShardSettings {
-            patience: settings.patience.unwrap_or(usual.patience),
+            preempt_after: settings.patience.unwrap_or(usual.preempt_after),
             policy: settings.policy,
-            retain: 1_000,
+            retention: 1_000,
             ..usual
         };
         let takeover = Takeover {
             epoch: 1,
-            book: Book::default(),
-            next: 0,
-            inherited: 60_000,
+            state: ShardState::default(),
+            next_record: 0,
+            inherited_hold: 60_000,
             settled: true,
         };
-        let machine = Machine::new(place, shard, settings.seed, takeover, START);
+        let machine = ShardScheduler::new(place, shard, settings.seed, takeover, START);
         let ledger = Arc::new(Ledger::default());
         let checkpoints = Arc::new(MemoryCheckpoints::default());
         let mut workers = Vec::new();
@@ -278,7 +278,7 @@
                 for (band, load) in LOADS.iter().enumerate() {
                     let adds = slowdown.adds(victim, other, *load) as f32;
                     self.machine
-                        .teach((&org, victim), (&org, other), band, adds);
+                        .set_interference((&org, victim), (&org, other), band, adds);
                 }
             }
         }
@@ -323,7 +323,7 @@
             team: kind_name(kind),
             tasks: 1,
             size: Size::new(3_000, 6 << 30, 0),
-            run,
+            run_time: run,
             priority,
             checkpoint: true,
             attempts: 3,
@@ -366,7 +366,7 @@
         for record in records {
             match record {
                 Record::Started { attempt, .. } => {
-                    let Some(job) = self.machine.book().job(attempt.job) else {
+                    let Some(job) = self.machine.state().job(attempt.job) else {
                         continue;
                     };
                     if job.spec.service || attempt.attempt > 1 {
@@ -383,13 +383,13 @@
                     }
                 }
                 Record::Ended { attempt, end } if counted => {
-                    let Some(job) = self.machine.book().job(attempt.job) else {
+                    let Some(job) = self.machine.state().job(attempt.job) else {
                         continue;
                     };
                     match end {
                         End::Done => {
                             self.result.done += 1;
-                            self.result.work += job.spec.run;
+                            self.result.work += job.spec.run_time;
                         }
                         End::Evicted { .. } => self.result.evictions += 1,
                         End::Failed | End::Lost | End::Refused | End::Stopped => {}
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -5,10 +5,10 @@
 use gorsespur_core::{
     Millis,
     name::Name,
-    place::PlacePolicy,
+    placement::PlacementPolicy,
     shard::{
-        Action, AttemptId, Book, Event, JobKey, JobSpec, Machine, Record, ShardPlace,
-        ShardSettings, Takeover, WorkerAnswer, WorkerInfo,
+        Action, AttemptId, Event, JobKey, JobSpec, Record, ShardId, ShardScheduler, ShardSettings,
+        ShardState, Takeover, WorkerAnswer, WorkerInfo,
     },
     size::Size,
     template::Priority,
@@ -44,7 +44,7 @@
 
 /// Measures and prints a line for each figure.
 pub(crate) fn run(args: &SeedArgs) -> Result<(), LoadError> {
-    for policy in [PlacePolicy::LeastLoaded, PlacePolicy::Interference] {
+    for policy in [PlacementPolicy::LeastLoaded, PlacementPolicy::Interference] {
         for workers in WORKERS {
             place(policy, workers, args.seed);
         }
@@ -56,25 +56,25 @@
 }
 
 /// Returns a machine whose workers all answered.
-pub(crate) fn machine(policy: PlacePolicy, workers: usize, seed: u64) -> Machine {
-    let place = ShardPlace {
+pub(crate) fn machine(policy: PlacementPolicy, workers: usize, seed: u64) -> ShardScheduler {
+    let place = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
     };
     let settings = ShardSettings {
         policy,
-        batch: usize::MAX,
+        max_placements: usize::MAX,
         ..ShardSettings::default()
     };
     let takeover = Takeover {
         epoch: 1,
-        book: Book::default(),
-        next: 0,
-        inherited: 60_000,
+        state: ShardState::default(),
+        next_record: 0,
+        inherited_hold: 60_000,
         settled: true,
     };
-    let mut machine = Machine::new(place, settings, seed, takeover, START);
+    let mut machine = ShardScheduler::new(place, settings, seed, takeover, START);
     machine.step(START, &Event::Organisations(vec![organisation(1)]));
     let mut list = Vec::new();
     for i in 0..workers {
@@ -96,12 +96,12 @@
 }
 
 /// Lets every worker answer that it runs what it should.
-fn answer_all(machine: &mut Machine, now: Millis) {
+fn answer_all(machine: &mut ShardScheduler, now: Millis) {
     let upto = machine.next_record();
     machine.step(now, &Event::Committed(upto));
     let mut answers = Vec::new();
     for w in machine.workers() {
-        let running = w.residents.iter().map(|r| r.attempt).collect();
+        let running = w.allocations.iter().map(|r| r.attempt).collect();
         answers.push((
             w.name.clone(),
             WorkerAnswer {
@@ -134,7 +134,7 @@
         team: "team0".into(),
         tasks,
         size: Size::new(1_000, 2 << 30, 0),
-        run: 60_000,
+        run_time: 60_000,
         priority: Priority::Normal,
         checkpoint: true,
         attempts: 3,
@@ -142,7 +142,7 @@
     }
 }
 
-fn place(policy: PlacePolicy, workers: usize, seed: u64) {
+fn place(policy: PlacementPolicy, workers: usize, seed: u64) {
     let mut machine = machine(policy, workers, seed);
     let running = (workers as f64 * TASKS) as u32;
     fill(&mut machine, running, 0);
@@ -158,7 +158,7 @@
 }
 
 /// Submits tasks and places them; returns how many were started.
-pub(crate) fn fill(machine: &mut Machine, tasks: u32, first: usize) -> u64 {
+pub(crate) fn fill(machine: &mut ShardScheduler, tasks: u32, first: usize) -> u64 {
     let mut specs = Vec::new();
     for i in 0..tasks.div_ceil(10) {
         specs.push(spec(&format!("job{}", first + i as usize), i as usize, 10));
@@ -216,7 +216,7 @@
 
 /// A wave of cancellations of queued jobs.
 fn cancel(seed: u64) {
-    let mut machine = machine(PlacePolicy::Interference, 1, seed);
+    let mut machine = machine(PlacementPolicy::Interference, 1, seed);
     let mut specs = Vec::new();
     for i in 0..WAVE {
         specs.push(spec(&format!("job{i}"), i, 1));
@@ -236,11 +236,11 @@
 }
 
 fn recovery(seed: u64) {
-    let mut machine = machine(PlacePolicy::Interference, RECOVERED, seed);
+    let mut machine = machine(PlacementPolicy::Interference, RECOVERED, seed);
     fill(&mut machine, (RECOVERED as f64 * TASKS) as u32, 0);
     let snapshot = Snapshot {
         next: machine.next_record(),
-        book: machine.book().clone(),
+        book: machine.state().clone(),
     };
     let bytes = encode(&snapshot).unwrap_or_default();
     let began = Instant::now();
@@ -249,19 +249,19 @@
         return;
     };
     let decoded = began.elapsed();
-    let place = ShardPlace {
+    let place = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
     };
     let takeover = Takeover {
         epoch: 2,
-        book: again.book,
-        next: again.next,
-        inherited: 60_000,
+        state: again.book,
+        next_record: again.next,
+        inherited_hold: 60_000,
         settled: true,
     };
-    let mut new = Machine::new(place, ShardSettings::default(), seed, takeover, START);
+    let mut new = ShardScheduler::new(place, ShardSettings::default(), seed, takeover, START);
     let mut list = Vec::new();
     for w in machine.workers() {
         list.push(WorkerInfo {
@@ -269,15 +269,15 @@
             zone: "zone".into(),
             rack: w.rack.clone(),
             addr: w.addr,
-            target: w.target,
-            size: w.total,
+            target: w.service_addr,
+            size: w.capacity,
             leaving: false,
         });
     }
     new.step(START, &Event::Organisations(vec![organisation(1)]));
     let counts = vec![list.len() as u32];
     new.step(START, &Event::Workers { list, counts });
-    let residents: usize = new.workers().iter().map(|w| w.residents.len()).sum();
+    let residents: usize = new.workers().iter().map(|w| w.allocations.len()).sum();
     println!(
         "starts: recovered_tasks={residents} workers={RECOVERED} snapshot_bytes={} decode_ms={:.1} total_ms={:.1}",
         bytes.len(),
--- a/crates/load/src/slopes/memory.rs
+++ b/crates/load/src/slopes/memory.rs
@@ -6,9 +6,9 @@
 
 use gorsespur_core::{
     config::{ConfigEntry, Configs},
-    member::{Beat, MemberSettings, Peers, Role},
+    member::{Heartbeat, MemberSettings, Peers, Role},
     name::Name,
-    place::PlacePolicy,
+    placement::PlacementPolicy,
     route::{RouteEvent, RouteSettings, Router, TargetList},
     shard::{Event, TargetInfo},
 };
@@ -40,10 +40,10 @@
         grow(
             "memory_worker",
             &[2_000, 4_000, 8_000, 16_000, 26_000],
-            |n| starts::machine(PlacePolicy::Interference, n, seed),
+            |n| starts::machine(PlacementPolicy::Interference, n, seed),
         ),
         grow("memory_task", &[10_000, 20_000, 40_000, 80_000], |n| {
-            let mut machine = starts::machine(PlacePolicy::Interference, 8_000, seed);
+            let mut machine = starts::machine(PlacementPolicy::Interference, 8_000, seed);
             starts::fill(&mut machine, n as u32, 0);
             machine
         }),
@@ -51,7 +51,7 @@
             "memory_queued_task",
             &[20_000, 40_000, 80_000, 160_000],
             |n| {
-                let mut machine = starts::machine(PlacePolicy::Interference, 1, seed);
+                let mut machine = starts::machine(PlacementPolicy::Interference, 1, seed);
                 let mut specs = Vec::new();
                 for i in 0..n / 10 {
                     specs.push(starts::spec(&format!("job{i}"), i, 10));
@@ -63,7 +63,7 @@
         grow("memory_organisation", &[500, 1_000, 2_000, 4_000], |n| {
             let mut configs = Configs::default();
             for i in 1..=n {
-                configs.offer(&ConfigEntry {
+                configs.update(&ConfigEntry {
                     version: 1,
                     template: organisation(i),
                 });
@@ -74,7 +74,7 @@
         grow("memory_peer", &[5_000, 10_000, 20_000, 40_000], |n| {
             let mut peers = Peers::new(MemberSettings::default(), "zone0".into());
             for i in 0..n {
-                peers.hear(1, beat(i, 1));
+                peers.record_heartbeat(1, beat(i, 1));
             }
             peers
         }),
@@ -99,7 +99,7 @@
         shard: 0,
         epoch: 1,
         version: 1,
-        near: true,
+        same_zone: true,
         targets,
     };
     router.step(1_000, &RouteEvent::Targets(list));
@@ -107,8 +107,8 @@
 }
 
 /// Returns a heartbeat of instance `i`.
-pub(crate) fn beat(i: usize, seq: u64) -> Beat {
-    Beat {
+pub(crate) fn beat(i: usize, seq: u64) -> Heartbeat {
+    Heartbeat {
         id: Name::from(format!("sched-zone-{i:04}")),
         role: Role::Sched,
         zone: "zone0".into(),
@@ -116,11 +116,11 @@
         seq,
         addr: ([127, 0, 0, 1], 40_000).into(),
         leaving: false,
-        config: 40_000,
-        shards: vec![gorsespur_core::member::ShardClaim {
+        config_head: 40_000,
+        shards: vec![gorsespur_core::member::ShardOwnership {
             shard: i as u32,
             epoch: 7,
-            targets: 99,
+            targets_version: 99,
         }],
     }
 }
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -6,8 +6,8 @@
     config::{ConfigEntry, Configs},
     member::{MemberSettings, Peers},
     name::Name,
-    place::PlacePolicy,
-    shard::{Action, Event, Machine, WorkerAnswer, WorkerRequest},
+    placement::PlacementPolicy,
+    shard::{Action, Event, ShardScheduler, WorkerAnswer, WorkerRequest},
     size::Size,
     template::Organisation,
 };
@@ -49,14 +49,14 @@
     for n in [10, 50, 200, 800, 3_200] {
         let mut peers = Peers::new(MemberSettings::default(), "zone0".into());
         for i in 0..n {
-            peers.hear(1, beat(i, 1));
+            peers.record_heartbeat(1, beat(i, 1));
         }
         let mut seq = 1;
         let us = time_us(|| {
             seq += 1;
             let message = encode(&beat(seq as usize % n, seq)).unwrap_or_default();
             if let Ok(beat) = decode(&message) {
-                peers.hear(seq, beat);
+                peers.record_heartbeat(seq, beat);
             }
         });
         times.push((n as f64, us));
@@ -74,7 +74,7 @@
     let mut times = Vec::new();
     let mut bytes = Vec::new();
     for tasks in [0u32, 4, 8, 16, 28] {
-        let mut machine = starts::machine(PlacePolicy::Interference, 1, seed);
+        let mut machine = starts::machine(PlacementPolicy::Interference, 1, seed);
         starts::fill(&mut machine, tasks, 0);
         let mut now = 1_100_000;
         let (_, answer) = exchange(&mut machine, now);
@@ -107,7 +107,7 @@
 }
 
 /// Lets the machine send its exchange and returns it with the worker's answer.
-fn exchange(machine: &mut Machine, now: u64) -> (Option<WorkerRequest>, WorkerAnswer) {
+fn exchange(machine: &mut ShardScheduler, now: u64) -> (Option<WorkerRequest>, WorkerAnswer) {
     let upto = machine.next_record();
     machine.step(now, &Event::Committed(upto));
     let mut request = None;
@@ -125,7 +125,7 @@
         clock: now,
         size: Size::new(30_000, 125 << 30, 0),
         leaving: false,
-        running: w.residents.iter().map(|r| r.attempt).collect(),
+        running: w.allocations.iter().map(|r| r.attempt).collect(),
         ended: Vec::new(),
         samples: Vec::new(),
     };
@@ -136,7 +136,7 @@
 fn placements(seed: u64) -> Vec<Figure> {
     let mut times = Vec::new();
     for workers in [150, 300, 600, 1_200, 2_400] {
-        let mut machine = starts::machine(PlacePolicy::Interference, workers, seed);
+        let mut machine = starts::machine(PlacementPolicy::Interference, workers, seed);
         starts::fill(&mut machine, workers as u32 * 10, 0);
         let began = Instant::now();
         let placed = starts::fill(&mut machine, workers as u32 * 5, 1_000_000);
@@ -196,7 +196,7 @@
             };
             version += 1;
             entry.version = version;
-            configs.offer(&entry);
+            configs.update(&entry);
         });
         times.push((kinds as f64, us));
     }
--- a/crates/peer/src/beats.rs
+++ b/crates/peer/src/beats.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use gorsespur_core::member::Beat;
+use gorsespur_core::member::Heartbeat;
 use gorsespur_runtime::cancel::Cancel;
 use gorsespur_wire::codec::{decode, encode};
 use rand::{SeedableRng, rngs::SmallRng, seq::IndexedRandom};
@@ -26,21 +26,21 @@
         let Ok((n, _)) = socket.recv_from(&mut buf) else {
             continue;
         };
-        let Ok(beat) = decode::<Beat>(&buf[..n]) else {
+        let Ok(beat) = decode::<Heartbeat>(&buf[..n]) else {
             log::debug!("beats: malformed heartbeat");
             continue;
         };
         if beat.id == shared.settings.id {
             continue;
         }
-        shared.peers().hear(shared.clock.now(), beat);
+        shared.peers().record_heartbeat(shared.clock.now(), beat);
     }
 }
 
 /// Sends heartbeats until `cancel`, and a last one that says goodbye.
 pub(crate) fn send_all(shared: &Shared, socket: &UdpSocket, cancel: &Cancel) {
     let mut rng = SmallRng::seed_from_u64(shared.incarnation);
-    let pause = Duration::from_millis(shared.settings.membership.beat);
+    let pause = Duration::from_millis(shared.settings.membership.heartbeat_interval);
     let mut seq = 0;
     loop {
         seq += 1;
@@ -50,7 +50,7 @@
                 let _ = socket.send_to(&bytes, addr);
             }
         }
-        shared.peers().forget(shared.clock.now());
+        shared.peers().remove_dead(shared.clock.now());
         if rest(shared, pause, cancel) {
             return;
         }
@@ -70,9 +70,9 @@
     cancel.is_cancelled()
 }
 
-fn beat(shared: &Shared, seq: u64) -> Beat {
+fn beat(shared: &Shared, seq: u64) -> Heartbeat {
     let s = &shared.settings;
-    Beat {
+    Heartbeat {
         id: s.id.clone(),
         role: s.role,
         zone: s.zone.clone(),
@@ -80,7 +80,7 @@
         seq,
         addr: s.listen,
         leaving: shared.is_leaving(),
-        config: shared.configs().head(),
+        config_head: shared.configs().head(),
         shards: shared.claims().clone(),
     }
 }
@@ -98,7 +98,7 @@
         }
     };
     for p in shared.peers().all() {
-        add(&p.beat.zone, p.addr);
+        add(&p.heartbeat.zone, p.addr);
     }
     for i in &shared.list().instances {
         add(&i.zone, i.addr);
@@ -107,7 +107,7 @@
     for zone in &mut far {
         zone.sort();
         zone.dedup();
-        near.extend(zone.choose_multiple(rng, s.membership.contacts));
+        near.extend(zone.choose_multiple(rng, s.membership.contacts_per_zone));
     }
     near.remove(&s.listen);
     near
--- a/crates/peer/src/layout.rs
+++ b/crates/peer/src/layout.rs
@@ -1,9 +1,9 @@
 //! Availability zones and their shards.
 
 use gorsespur_core::{
+    hashing::{shard_of, stable_hash},
     name::Name,
-    shard::{JobKey, ShardPlace},
-    spread::{slot_of, stable_hash},
+    shard::{JobKey, ShardId},
 };
 
 /// An availability zone.
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardAt {
     /// Place among all shards.
-    pub place: ShardPlace,
+    pub place: ShardId,
     /// Its zone.
     pub zone: Name,
     /// Index in its zone.
@@ -31,7 +31,7 @@
 impl ShardAt {
     /// Tells whether a worker of the zone belongs to the shard.
     pub fn has_worker(&self, zone: &str, worker: &str) -> bool {
-        *self.zone == *zone && slot_of(worker, self.of) == self.slot
+        *self.zone == *zone && shard_of(worker, self.of) == self.slot
     }
 }
 
@@ -48,7 +48,7 @@
         let mut shards = Vec::new();
         for zone in zones {
             for slot in 0..zone.shards {
-                let place = ShardPlace {
+                let place = ShardId {
                     name: format!("{}.{slot}", zone.name).into(),
                     index: shards.len() as u32,
                     count,
--- a/crates/replay/src/header.rs
+++ b/crates/replay/src/header.rs
@@ -4,7 +4,7 @@
 
 use gorsespur_core::{
     Millis,
-    shard::{Event, ShardPlace, ShardSettings, Takeover},
+    shard::{Event, ShardId, ShardSettings, Takeover},
 };
 use serde::{Deserialize, Serialize};
 
--- a/crates/replay/src/reader.rs
+++ b/crates/replay/src/reader.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use gorsespur_core::shard::{Machine, TaskState};
+use gorsespur_core::shard::{ShardScheduler, TaskState};
 use gorsespur_wire::codec::decode;
 use snafu::{OptionExt, ResultExt};
 
@@ -86,7 +86,7 @@
             used = used.plus(&resident.size);
             let id = resident.attempt;
             let task = machine
-                .book()
+                .state()
                 .job(id.job)
                 .and_then(|j| j.tasks.get(id.task as usize));
             let is_current = task.is_some_and(|t| {
--- a/crates/replay/src/recorder.rs
+++ b/crates/replay/src/recorder.rs
@@ -9,8 +9,8 @@
 
 use gorsespur_core::{
     Millis,
-    shard::{Action, Event, ShardPlace, ShardSettings, Takeover},
-    spread::StableHasher,
+    hashing::StableHasher,
+    shard::{Action, Event, ShardId, ShardSettings, Takeover},
 };
 use gorsespur_wire::codec::encode;
 use serde::Serialize;
@@ -45,7 +45,7 @@
     /// Fails if the file can't be created or written.
     pub fn create(
         path: &Path,
-        place: &ShardPlace,
+        place: &ShardId,
         settings: &ShardSettings,
         seed: u64,
         takeover: &Takeover,
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -4,8 +4,8 @@
 
 use gorsespur_core::{
     shard::{
-        Book, Event, JobKey, JobSpec, Machine, ShardPlace, ShardSettings, Takeover, WorkerAnswer,
-        WorkerInfo,
+        Event, JobKey, JobSpec, ShardId, ShardScheduler, ShardSettings, ShardState, Takeover,
+        WorkerAnswer, WorkerInfo,
     },
     size::Size,
     template::Priority,
@@ -15,8 +15,8 @@
 
 const NOW: u64 = 1_000_000;
 
-fn place() -> ShardPlace {
-    ShardPlace {
+fn place() -> ShardId {
+    ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
@@ -26,9 +26,9 @@
 fn takeover() -> Takeover {
     Takeover {
         epoch: 1,
-        book: Book::default(),
-        next: 0,
-        inherited: 1_000,
+        state: ShardState::default(),
+        next_record: 0,
+        inherited_hold: 1_000,
         settled: true,
     }
 }
@@ -43,7 +43,7 @@
         team: "".into(),
         tasks: 1,
         size: Size::new(1_000, 1 << 30, 0),
-        run: 1_000,
+        run_time: 1_000,
         priority: Priority::Normal,
         checkpoint: false,
         attempts: 3,
--- a/crates/sched/src/journal.rs
+++ b/crates/sched/src/journal.rs
@@ -9,7 +9,7 @@
 
 use gorsespur_core::{
     name::Name,
-    owner::{Resolved, ShardRow, resolve},
+    owner::{ShardRow, WriteOutcome, resolve_write},
     retry::Backoff,
     shard::{FinishedJob, Record},
 };
@@ -100,15 +100,15 @@
         me: &Taker,
         cancel: &Cancel,
     ) -> Result<Journal, JournalError> {
-        let seed = gorsespur_core::spread::stable_hash(&[&me.id, shard]) ^ me.clock.micros();
+        let seed = gorsespur_core::hashing::stable_hash(&[&me.id, shard]) ^ me.clock.micros();
         let old = found.cloned().unwrap_or(ShardRow {
             epoch: 0,
             owner: None,
             addr: me.addr,
             token: 0,
-            next: 0,
-            snapshot: 0,
-            row: 0,
+            next_record: 0,
+            first_record: 0,
+            next_row: 0,
             first_row: 0,
             hold: 0,
             settled: true,
@@ -160,7 +160,7 @@
         hold: u64,
         cancel: &Cancel,
     ) -> Result<u64, JournalError> {
-        let (first, next) = (batch.first, self.row.next);
+        let (first, next) = (batch.first, self.row.next_record);
         ensure!(first == next, GapSnafu { first, next });
         let value = JournalRow {
             epoch: self.row.epoch,
@@ -168,7 +168,7 @@
             records: batch.records.clone(),
         };
         let value = encode(&value).map_err(|_| JournalError::Encode)?;
-        let mut tx = Tx::new().put(keys::journal(&self.shard, self.row.row), value);
+        let mut tx = Tx::new().put(keys::journal(&self.shard, self.row.next_row), value);
         for record in &batch.records {
             let Record::Submitted(spec) = record else {
                 continue;
@@ -188,7 +188,7 @@
             let ended = EndedJob {
                 key: job.spec.key.clone(),
                 hour,
-                no: job.no,
+                no: job.number,
                 attempts: job.attempts.clone(),
             };
             let listed = encode(&ended).map_err(|_| JournalError::Encode)?;
@@ -197,8 +197,8 @@
                 .put(keys::ended(&self.shard, hour, &job.spec.key), listed);
         }
         let row = ShardRow {
-            next: batch.first + batch.records.len() as u64,
-            row: self.row.row + 1,
+            next_record: batch.first + batch.records.len() as u64,
+            next_row: self.row.next_row + 1,
             hold,
             ..self.row.clone()
         };
@@ -208,7 +208,7 @@
     /// Returns the number of the next row: where a snapshot of all that is
     /// written now would cut the journal.
     pub fn next_row(&self) -> u64 {
-        self.row.row
+        self.row.next_row
     }
 
     /// Cuts the journal before row `cut`, behind a snapshot in the object store
@@ -221,7 +221,7 @@
             tx = tx.delete(keys::journal(&self.shard, row));
         }
         let row = ShardRow {
-            snapshot: next,
+            first_record: next,
             first_row: cut,
             ..self.row.clone()
         };
@@ -250,21 +250,21 @@
         let sent = self.clock.now();
         loop {
             let found = match self.table.tx(&tx) {
-                Ok(version) => Some(Resolved::Applied(version)),
+                Ok(version) => Some(WriteOutcome::Applied(version)),
                 Err(TableError::Unavailable) => None,
                 Err(TableError::Unknown | TableError::Conflict { .. }) => {
                     self.read_back(&key, row.token)
                 }
             };
             match found {
-                Some(Resolved::Applied(version)) => {
+                Some(WriteOutcome::Applied(version)) => {
                     self.row = row;
                     self.version = version;
                     self.backoff.reset();
                     return Ok(sent);
                 }
-                Some(Resolved::Lost) => return Err(JournalError::Fenced),
-                Some(Resolved::Repeat) | None => {}
+                Some(WriteOutcome::Lost) => return Err(JournalError::Fenced),
+                Some(WriteOutcome::Repeat) | None => {}
             }
             let delay = Duration::from_millis(self.backoff.next_delay());
             if cancel.wait(delay) {
@@ -274,7 +274,7 @@
     }
 
     /// Reads the shard's row to learn what became of a write.
-    fn read_back(&self, key: &Name, token: u64) -> Option<Resolved> {
+    fn read_back(&self, key: &Name, token: u64) -> Option<WriteOutcome> {
         let rows = self.table.get(std::slice::from_ref(key)).ok()?;
         let found = rows.first().and_then(|r| r.as_ref());
         let version = found.map_or(0, |r| r.version);
@@ -282,6 +282,6 @@
             Some(r) => Some(decode::<ShardRow>(&r.value).ok()?),
             None => None,
         };
-        Some(resolve(token, self.version, row.as_ref(), version))
+        Some(resolve_write(token, self.version, row.as_ref(), version))
     }
 }
--- a/crates/sched/src/keep.rs
+++ b/crates/sched/src/keep.rs
@@ -12,10 +12,10 @@
 
 use flume::{Receiver, Sender};
 use gorsespur_core::{
+    hashing::stable_hash,
     name::Name,
-    owner::Tenure,
-    shard::{Machine, Takeover},
-    spread::stable_hash,
+    owner::OwnerLease,
+    shard::{ShardScheduler, Takeover},
 };
 use gorsespur_replay::Recorder;
 use gorsespur_runtime::cancel::Cancel;
@@ -132,14 +132,14 @@
         let thread = ShardThread {
             at: self.at.clone(),
             shared: self.shared.clone(),
-            machine: Machine::new(
+            machine: ShardScheduler::new(
                 self.at.place.clone(),
                 self.settings.shards.clone(),
                 seed,
                 takeover,
                 now,
             ),
-            tenure: Tenure::new(self.settings.lease, now),
+            tenure: OwnerLease::new(self.settings.lease, now),
             input: inputs,
             reply: input.clone(),
             upkeep,
@@ -230,7 +230,7 @@
         mut hold: u64,
         settled: &AtomicBool,
     ) -> Parted {
-        let mut rows = journal.row().row - journal.row().first_row;
+        let mut rows = journal.row().next_row - journal.row().first_row;
         let mut asked = false;
         let (stored, stores) = flume::bounded(1);
         let mut balanced = Instant::now();
@@ -274,7 +274,7 @@
                     self.metrics.count("commits", 1);
                     let proved = Input::Proved {
                         sent,
-                        committed: journal.row().next,
+                        committed: journal.row().next_record,
                         hold,
                     };
                     let _ = input.send(proved);
@@ -317,7 +317,7 @@
     fn store(&self, journal: &Journal, pending: Pending, done: &Sender<Option<Stored>>) {
         let (next, cut) = (pending.next, journal.next_row());
         let key = objects::snapshot(&self.at.place.name, next);
-        let old = journal.row().snapshot;
+        let old = journal.row().first_record;
         let old = objects::snapshot(&self.at.place.name, old);
         let (store, done) = (self.objects.clone(), done.clone());
         let name = self.at.place.name.clone();
@@ -344,10 +344,13 @@
         let now = self.shared.clock.now();
         let name = &self.at.place.name;
         let mut best: (u64, bool) = (stable_hash(&[name, &s.id]), false);
-        for p in self.shared.peers().staying(now, s.role, &s.zone) {
-            let weight = stable_hash(&[name, &p.beat.id]);
+        for p in self.shared.peers().available(now, s.role, &s.zone) {
+            let weight = stable_hash(&[name, &p.heartbeat.id]);
             if weight > best.0 {
-                best = (weight, now.saturating_sub(p.steady) >= self.settings.steady);
+                best = (
+                    weight,
+                    now.saturating_sub(p.steady_since) >= self.settings.steady,
+                );
             }
         }
         best.1
--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -4,10 +4,10 @@
 
 use flume::Sender;
 use gorsespur_core::{
+    hashing::stable_hash,
     name::Name,
-    owner::{Claim, ShardRow},
-    shard::{Book, Takeover},
-    spread::stable_hash,
+    owner::{LeaseWatch, ShardRow},
+    shard::{ShardState, Takeover},
 };
 use gorsespur_peer::{ShardAt, Shared};
 use gorsespur_runtime::{cancel::Cancel, metrics::Metrics};
@@ -43,7 +43,7 @@
 impl Keeper {
     /// Watches and keeps the shard until the program stops.
     pub fn run(self) {
-        let mut claim = Claim::new(self.settings.lease);
+        let mut claim = LeaseWatch::new(self.settings.lease);
         let mut looked = self.shared.clock.now();
         while !self.stop.wait(self.settings.watch) {
             let now = self.shared.clock.now();
@@ -61,8 +61,8 @@
             let now = self.shared.clock.now();
             claim.observe(now, row.as_ref(), version);
             let patience = rank as u64 * COURTESY;
-            let due = claim.may_take(now.saturating_sub(patience));
-            if !due || !claim.settled(now, patience) {
+            let due = claim.can_acquire(now.saturating_sub(patience));
+            if !due || !claim.is_unchanged_for(now, patience) {
                 continue;
             }
             self.take(row.as_ref(), version);
@@ -125,9 +125,9 @@
         log::info!("shard {name}: owned with epoch {epoch}, {jobs} jobs recovered in {ms} ms");
         let takeover = Takeover {
             epoch,
-            book,
-            next: journal.row().next,
-            inherited: journal.row().hold,
+            state: book,
+            next_record: journal.row().next_record,
+            inherited_hold: journal.row().hold,
             settled: journal.row().settled,
         };
         let old = row
@@ -144,7 +144,7 @@
     }
 
     /// Recovers the book and renews the lease while that is tried.
-    fn recover(&self, journal: &mut Journal) -> Option<Book> {
+    fn recover(&self, journal: &mut Journal) -> Option<ShardState> {
         let name = &self.at.place.name;
         loop {
             let table = self.table.as_ref();
--- a/crates/sched/src/recover.rs
+++ b/crates/sched/src/recover.rs
@@ -1,6 +1,6 @@
 //! Recovery of a shard's book: snapshot and the journal behind it.
 
-use gorsespur_core::{name::Name, owner::ShardRow, shard::Book};
+use gorsespur_core::{name::Name, owner::ShardRow, shard::ShardState};
 use gorsespur_services::{ObjectError, Objects, Table, TableError};
 use gorsespur_wire::{
     codec::{CodecError, decode},
@@ -51,11 +51,11 @@
     store: &dyn Objects,
     shard: &Name,
     row: &ShardRow,
-) -> Result<Book, RecoverError> {
-    let mut book = Book::default();
+) -> Result<ShardState, RecoverError> {
+    let mut book = ShardState::default();
     let mut next = 0;
-    if row.snapshot > 0 {
-        let key = objects::snapshot(shard, row.snapshot);
+    if row.first_record > 0 {
+        let key = objects::snapshot(shard, row.first_record);
         let bytes = store.get(&key).context(ObjectSnafu)?;
         let snapshot: Snapshot = decode(&bytes).context(CodecSnafu)?;
         book = snapshot.book;
@@ -82,7 +82,7 @@
             break;
         }
     }
-    let (found, wanted) = (next, row.next);
+    let (found, wanted) = (next, row.next_record);
     ensure!(found == wanted, GapSnafu { found, wanted });
     Ok(book)
 }
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -5,9 +5,9 @@
 use flume::{Receiver, Sender, TrySendError};
 use gorsespur_core::{
     Millis,
-    member::ShardClaim,
-    owner::Tenure,
-    shard::{Action, Event, JobKey, JobStatus, Machine},
+    member::ShardOwnership,
+    owner::OwnerLease,
+    shard::{Action, Event, JobKey, JobStatus, ShardScheduler},
 };
 use gorsespur_peer::{ShardAt, Shared};
 use gorsespur_replay::Recorder;
@@ -29,8 +29,8 @@
 pub(crate) struct ShardThread {
     pub at: ShardAt,
     pub shared: Arc<Shared>,
-    pub machine: Machine,
-    pub tenure: Tenure,
+    pub machine: ShardScheduler,
+    pub tenure: OwnerLease,
     pub input: Receiver<Input>,
     pub reply: Sender<Input>,
     pub upkeep: Sender<Upkeep>,
@@ -78,7 +78,7 @@
                 self.handle(now, input, &mut desk);
             }
             self.look_around(now, &mut desk);
-            if self.tenure.may_act() {
+            if self.tenure.can_act() {
                 self.step(now, &Event::Tick, &mut desk);
             } else {
                 self.push(Upkeep::Prove, &mut desk);
@@ -96,7 +96,7 @@
                 committed,
                 hold,
             } => {
-                self.tenure.prove(sent);
+                self.tenure.confirm(sent);
                 self.step(now, &Event::StoreSeen(hold), desk);
                 self.step(now, &Event::Committed(committed), desk);
                 desk.waiters.retain(|w| {
@@ -109,7 +109,7 @@
             }
             Input::Cancel { keys, reply } => {
                 let mut unknown = keys.clone();
-                unknown.retain(|k| self.machine.book().find(k).is_none());
+                unknown.retain(|k| self.machine.state().find(k).is_none());
                 self.step(now, &Event::Cancel(keys), desk);
                 desk.waiters.push(Waiter {
                     number: self.machine.next_record(),
@@ -119,7 +119,7 @@
                 self.push(Upkeep::Prove, desk);
             }
             Input::Watch { keys, reply } => {
-                let book = self.machine.book();
+                let book = self.machine.state();
                 let states = keys.iter().map(|k| book.find(k).map(JobStatus::of));
                 let _ = reply.send(states.collect());
             }
@@ -129,7 +129,7 @@
                     epoch: self.machine.epoch(),
                     version: self.machine.targets_version(),
                     targets: self.machine.targets(),
-                    largest: self.machine.largest(),
+                    largest: self.machine.largest_worker(),
                 });
             }
             Input::Status { reply } => {
@@ -143,7 +143,7 @@
         let next = self.machine.next_record();
         let snapshot = Snapshot {
             next,
-            book: self.machine.book().clone(),
+            book: self.machine.state().clone(),
         };
         match encode(&snapshot) {
             Ok(bytes) => self.push(Upkeep::Snapshot { next, bytes }, desk),
@@ -280,10 +280,10 @@
             return;
         }
         desk.claimed = targets;
-        let claim = ShardClaim {
+        let claim = ShardOwnership {
             shard: self.at.place.index,
             epoch: self.machine.epoch(),
-            targets,
+            targets_version: targets,
         };
         let mut claims = self.shared.claims();
         match claims.binary_search_by_key(&claim.shard, |c| c.shard) {
--- a/crates/sched/tests/journal.rs
+++ b/crates/sched/tests/journal.rs
@@ -5,7 +5,7 @@
 use gorsespur_core::{
     name::Name,
     owner::ShardRow,
-    shard::{Book, JobKey, JobSpec, Record},
+    shard::{JobKey, JobSpec, Record, ShardState},
     size::Size,
     template::Priority,
 };
@@ -48,7 +48,7 @@
         team: "certification".into(),
         tasks: 1,
         size: Size::new(1_000, 1 << 30, 0),
-        run: 1_000,
+        run_time: 1_000,
         priority: Priority::Normal,
         checkpoint: false,
         attempts: 3,
@@ -91,7 +91,7 @@
     journal.expect("the shard is free to take")
 }
 
-fn recovered(platform: &FakePlatform) -> Book {
+fn recovered(platform: &FakePlatform) -> ShardState {
     let (row, _) = row(platform);
     recover(platform, platform, &shard(), &row).expect("the shard recovers")
 }
@@ -158,7 +158,7 @@
     );
     assert_eq!(beaten.err(), Some(JournalError::Fenced));
     let mut new = take(&platform, "b");
-    assert_eq!(new.row().next, 1);
+    assert_eq!(new.row().next_record, 1);
     new.append(&batch(1, &["next"]), 1_000, &Cancel::new())
         .expect("appended");
     assert_eq!(recovered(&platform).jobs().len(), 2);
