--- a/crates/stand/src/sim.rs
+++ b/crates/stand/src/sim.rs
@@ -9,7 +9,8 @@
     Millis,
     name::Name,
     shard::{
-        AttemptId, EndReport, Reason, Sample, StartOrder, WorkerAnswer, WorkerEnd, WorkerRequest,
+        AttemptId, EndReport, ExchangeRefusal, Sample, StartOrder, WorkerAnswer, WorkerEnd,
+        WorkerRequest,
     },
     size::Size,
 };
@@ -109,7 +110,7 @@
     pub fn used(&self) -> Size {
         let mut used = Size::default();
         for r in &self.runs {
-            used = used.plus(&r.order.size);
+            used = used.saturating_add(&r.order.size);
         }
         used
     }
@@ -179,26 +180,26 @@
         for t in &req.throttles {
             let found = self.runs.iter_mut().find(|r| r.order.attempt == t.attempt);
             if let Some(r) = found {
-                r.percent = t.percent.clamp(1, 100);
+                r.percent = t.cpu_percent.clamp(1, 100);
             }
         }
         self.answer(req.seq, None)
     }
 
-    fn refusal(&mut self, req: &WorkerRequest) -> Option<Reason> {
+    fn refusal(&mut self, req: &WorkerRequest) -> Option<ExchangeRefusal> {
         if self.shard.as_ref().is_some_and(|s| *s != req.shard) {
             if !self.runs.is_empty() || !self.ended.is_empty() {
-                return Some(Reason::OtherShard);
+                return Some(ExchangeRefusal::OtherShard);
             }
             self.epoch = 0;
         }
         if req.epoch < self.epoch {
-            return Some(Reason::OldEpoch);
+            return Some(ExchangeRefusal::OldEpoch);
         }
         if req.epoch > self.epoch {
             self.seq = 0;
         }
-        (req.seq <= self.seq).then_some(Reason::OldSeq)
+        (req.seq <= self.seq).then_some(ExchangeRefusal::OldSeq)
     }
 
     fn renew(&mut self, req: &WorkerRequest) {
@@ -217,11 +218,11 @@
             if running || self.ended.iter().any(|e| e.attempt == id) {
                 continue;
             }
-            let room = self.settings.size.minus(&self.used());
+            let room = self.settings.size.saturating_sub(&self.used());
             if req.echo + req.lease <= self.clock {
                 self.end(id, WorkerEnd::Refused);
                 self.note(What::Stale, &order.name, &id.to_string(), order.service);
-            } else if !order.size.fits(&room) {
+            } else if !order.size.fits_in(&room) {
                 self.end(id, WorkerEnd::Refused);
                 self.note(What::NoRoom, &order.name, &id.to_string(), order.service);
             } else {
@@ -298,7 +299,7 @@
         let mut i = 0;
         while i < self.runs.len() {
             let r = &self.runs[i];
-            if r.order.run == 0 || r.progress < r.order.run as f64 {
+            if r.order.run_time == 0 || r.progress < r.order.run_time as f64 {
                 i += 1;
                 continue;
             }
@@ -336,7 +337,7 @@
             let sample = Sample {
                 attempt: r.order.attempt,
                 at: self.clock,
-                slow: (*slow * 1000.0) as u32,
+                slowdown_permille: (*slow * 1000.0) as u32,
                 used: Size::new(r.order.size.cpu * 9 / 10, r.order.size.memory * 9 / 10, 0),
             };
             self.samples
@@ -368,7 +369,7 @@
         });
     }
 
-    fn answer(&mut self, seq: u64, refused: Option<Reason>) -> WorkerAnswer {
+    fn answer(&mut self, seq: u64, refused: Option<ExchangeRefusal>) -> WorkerAnswer {
         let mut samples = Vec::new();
         while self.samples.front().is_some_and(|s| s.0 <= self.clock) {
             samples.extend(self.samples.pop_front().map(|s| s.1));
