--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -12,8 +12,8 @@
 mod client;
 #[cfg(test)]
 mod client_tests;
+mod connection;
 mod error;
-mod link;
 mod message;
 mod parse;
 mod server;
@@ -21,8 +21,8 @@
 mod traffic;
 
 pub use client::Client;
+pub use connection::{Link, Readiness};
 pub use error::HttpError;
-pub use link::{Link, Readiness};
 pub use message::{Method, Request, Response};
 pub use parse::{Limits, parse_request, parse_response};
 pub use server::{Handler, Server, ServerSettings};
