--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::{
-    error::{HttpError, LostSnafu, not_connected},
+    error::{HttpError, LostSnafu, connect_error},
     message::{Request, Response},
     parse::{Limits, parse_response},
     socket,
@@ -16,24 +16,24 @@
 };
 
 /// Connections that are kept while nobody uses them.
-const KEPT: usize = 8;
+const MAX_IDLE: usize = 8;
 
 /// Bytes that one read takes at most.
-const CHUNK: usize = 16 << 10;
+const READ_CHUNK_BYTES: usize = 16 << 10;
 
 /// Time that a read waits at least: what has arrived is read also after the limit.
-const LEAST: Duration = Duration::from_millis(1);
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// An answer that has begun to arrive is no silence: each further part of it is waited for as long
 /// as this ...
-const PART: Duration = Duration::from_secs(1);
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// ... and all of it for no longer than this beyond its limit.
-const WHOLE: Duration = Duration::from_secs(15);
+const MAX_EXTENSION: Duration = Duration::from_secs(15);
 
 /// Reads after the limit at most: an answer of 1 MB that had arrived, and no peer that
 /// goes on sending a little for ever.
-const LATE_READS: usize = 64;
+const MAX_LATE_READS: usize = 64;
 
 /// Calls one address over kept connections; threads share it.
 ///
@@ -61,32 +61,32 @@
     ///
     /// Kept connections that the peer has closed are passed over before anything is
     /// sent; a request is never sent twice.
-    pub fn call(&self, request: &Request, limit: Duration) -> Result<Response, HttpError> {
-        self.call_counted(request, limit, &Traffic::default())
+    pub fn call(&self, request: &Request, timeout: Duration) -> Result<Response, HttpError> {
+        self.call_counted(request, timeout, &Traffic::default())
     }
 
     /// As [`Client::call`]; counts the call and the bytes of its messages.
     pub fn call_counted(
         &self,
         request: &Request,
-        limit: Duration,
+        timeout: Duration,
         traffic: &Traffic,
     ) -> Result<Response, HttpError> {
-        let end = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         let mut stream = match self.take_idle() {
             Some(stream) => stream,
-            None => self.connect(limit)?,
+            None => self.connect(timeout)?,
         };
         let mut out = Vec::with_capacity(256 + request.body.len());
         request.encode(&self.host, &mut out);
-        traffic.asked(out.len());
-        let response = exchange(&mut stream, &out, end, traffic).inspect_err(|err| {
+        traffic.record_request(out.len());
+        let response = exchange(&mut stream, &out, deadline, traffic).inspect_err(|err| {
             if matches!(err, HttpError::Timeout) {
                 self.lock().clear();
             }
         })?;
-        if response.keep {
-            self.keep(stream);
+        if response.keep_alive {
+            self.put_idle(stream);
         }
         Ok(response)
     }
@@ -100,18 +100,18 @@
         }
     }
 
-    fn keep(&self, stream: TcpStream) {
+    fn put_idle(&self, stream: TcpStream) {
         let mut idle = self.lock();
-        if idle.len() < KEPT {
+        if idle.len() < MAX_IDLE {
             idle.push(stream);
         }
     }
 
-    pub(crate) fn connect(&self, limit: Duration) -> Result<TcpStream, HttpError> {
-        let stream = TcpStream::connect_timeout(&self.addr, limit);
-        let stream = stream.map_err(|err| not_connected(&err))?;
-        socket::tune(&stream);
-        socket::probe(&stream);
+    pub(crate) fn connect(&self, timeout: Duration) -> Result<TcpStream, HttpError> {
+        let stream = TcpStream::connect_timeout(&self.addr, timeout);
+        let stream = stream.map_err(|err| connect_error(&err))?;
+        socket::set_options(&stream);
+        socket::enable_keepalive(&stream);
         Ok(stream)
     }
 
@@ -126,25 +126,25 @@
         return false;
     }
     let mut byte = [0; 1];
-    let quiet = match stream.peek(&mut byte) {
+    let is_idle = match stream.peek(&mut byte) {
         Ok(_) => false,
         Err(err) => err.kind() == ErrorKind::WouldBlock,
     };
-    quiet && stream.set_nonblocking(false).is_ok()
+    is_idle && stream.set_nonblocking(false).is_ok()
 }
 
 fn exchange(
     stream: &mut TcpStream,
     out: &[u8],
-    end: Instant,
+    deadline: Instant,
     traffic: &Traffic,
 ) -> Result<Response, HttpError> {
-    if Instant::now() >= end {
+    if Instant::now() >= deadline {
         return Err(HttpError::Timeout);
     }
-    limit_io(stream, end)?;
-    stream.write_all(out).map_err(lost)?;
-    read_response(stream, end, traffic)
+    set_timeouts(stream, deadline)?;
+    stream.write_all(out).map_err(io_error)?;
+    read_response(stream, deadline, traffic)
 }
 
 /// Reads an answer that has to have begun to arrive by `end`, and then to go on: a large one
@@ -154,44 +154,48 @@
 /// then is the call given up.
 pub(crate) fn read_response(
     stream: &mut TcpStream,
-    mut end: Instant,
+    mut deadline: Instant,
     traffic: &Traffic,
 ) -> Result<Response, HttpError> {
-    let last = end + WHOLE;
+    let max_deadline = deadline + MAX_EXTENSION;
     let mut buf = Vec::new();
-    let mut chunk = vec![0; CHUNK];
-    let mut late = 0;
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
+    let mut late_reads = 0;
     loop {
-        let is_late = Instant::now() >= end;
-        late += usize::from(is_late);
-        if late > LATE_READS {
+        let is_late = Instant::now() >= deadline;
+        late_reads += usize::from(is_late);
+        if late_reads > MAX_LATE_READS {
             return Err(HttpError::Timeout);
         }
-        limit_io(stream, end)?;
-        let n = stream.read(&mut chunk).map_err(lost)?;
+        set_timeouts(stream, deadline)?;
+        let n = stream.read(&mut chunk).map_err(io_error)?;
         if n == 0 {
             return LostSnafu { message: "closed" }.fail();
         }
-        traffic.received(n);
+        traffic.record_response(n);
         buf.extend_from_slice(&chunk[..n]);
         if let Some((mut response, size)) = parse_response(&buf, Limits::default())? {
             // What lies behind it would be taken for the answer to the next request.
-            response.keep &= size == buf.len();
+            response.keep_alive &= size == buf.len();
             return Ok(response);
         }
         if !is_late {
-            end = end.max(Instant::now() + PART).min(last);
+            deadline = deadline
+                .max(Instant::now() + PROGRESS_TIMEOUT)
+                .min(max_deadline);
         }
     }
 }
 
-fn limit_io(stream: &TcpStream, end: Instant) -> Result<(), HttpError> {
-    let left = end.saturating_duration_since(Instant::now()).max(LEAST);
-    stream.set_read_timeout(Some(left)).map_err(lost)?;
-    stream.set_write_timeout(Some(left)).map_err(lost)
+fn set_timeouts(stream: &TcpStream, deadline: Instant) -> Result<(), HttpError> {
+    let remaining = deadline
+        .saturating_duration_since(Instant::now())
+        .max(MIN_TIMEOUT);
+    stream.set_read_timeout(Some(remaining)).map_err(io_error)?;
+    stream.set_write_timeout(Some(remaining)).map_err(io_error)
 }
 
-fn lost(err: std::io::Error) -> HttpError {
+fn io_error(err: std::io::Error) -> HttpError {
     match err.kind() {
         ErrorKind::WouldBlock | ErrorKind::TimedOut => HttpError::Timeout,
         _ => HttpError::Lost {
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -42,13 +42,13 @@
 
 impl HttpError {
     /// Tells whether the call certainly had no effect.
-    pub fn not_sent(&self) -> bool {
+    pub fn is_not_sent(&self) -> bool {
         matches!(self, HttpError::Connect { .. } | HttpError::Refused)
     }
 }
 
 /// Returns why a connection could not be opened.
-pub(crate) fn not_connected(err: &io::Error) -> HttpError {
+pub(crate) fn connect_error(err: &io::Error) -> HttpError {
     if err.kind() == io::ErrorKind::ConnectionRefused {
         return HttpError::Refused;
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -3,7 +3,7 @@
 //! Instances have a tenth of a processor, so a connection a call and a thread a
 //! connection cost more than the call. This crate has one codec and three users
 //! of it: [`Client`] blocks and keeps a few connections to one address,
-//! [`Link`] never blocks and belongs to an event loop, [`Server`] has one thread
+//! [`Connection`] never blocks and belongs to an event loop, [`Server`] has one thread
 //! a connection and limits on time, size and number.
 //!
 //! Limits: bodies are held in memory whole, and have a `Content-Length`;
@@ -21,7 +21,7 @@
 mod traffic;
 
 pub use client::Client;
-pub use connection::{Link, Readiness};
+pub use connection::{Connection, Readiness};
 pub use error::HttpError;
 pub use message::{Method, Request, Response};
 pub use parse::{Limits, parse_request, parse_response};
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -53,7 +53,7 @@
     /// Body; empty for none.
     pub body: Vec<u8>,
     /// Whether the sender keeps the connection open.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 impl Request {
@@ -64,19 +64,19 @@
             path: path.into(),
             headers: Vec::new(),
             body,
-            keep: true,
+            keep_alive: true,
         }
     }
 
     /// Adds a header field.
-    pub fn with(mut self, name: &str, value: impl Into<String>) -> Request {
+    pub fn with_header(mut self, name: &str, value: impl Into<String>) -> Request {
         self.headers.push((name.to_owned(), value.into()));
         self
     }
 
     /// Returns the first header field of a name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 
     /// Writes the request into `out`, for the host `host` if it names none.
@@ -87,9 +87,9 @@
             let host = format!("host: {host}\r\n");
             out.extend_from_slice(host.as_bytes());
         }
-        fields(&self.headers, out);
+        encode_headers(&self.headers, out);
         let has_body = !self.body.is_empty() || self.method == Method::Post;
-        finish(out, has_body.then_some(self.body.as_slice()));
+        encode_body(out, has_body.then_some(self.body.as_slice()));
     }
 }
 
@@ -103,7 +103,7 @@
     /// Body.
     pub body: Vec<u8>,
     /// Whether the connection stays open.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 impl Response {
@@ -113,38 +113,43 @@
             status,
             headers: Vec::new(),
             body,
-            keep: true,
+            keep_alive: true,
         }
     }
 
     /// Adds a header field.
-    pub fn with(mut self, name: &str, value: impl Into<String>) -> Response {
+    pub fn with_header(mut self, name: &str, value: impl Into<String>) -> Response {
         self.headers.push((name.to_owned(), value.into()));
         self
     }
 
     /// Returns the first header field of a name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 
     /// Writes the answer into `out`.
     pub fn encode(&self, out: &mut Vec<u8>) {
-        let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
-        if !self.keep {
+        let _ = write!(
+            out,
+            "HTTP/1.1 {} {}\r\n",
+            self.status,
+            reason_phrase(self.status)
+        );
+        if !self.keep_alive {
             out.extend_from_slice(b"connection: close\r\n");
         }
-        fields(&self.headers, out);
-        finish(out, Some(&self.body));
+        encode_headers(&self.headers, out);
+        encode_body(out, Some(&self.body));
     }
 }
 
-fn find<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
+fn find_header<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|(n, _)| n == name);
     found.map(|(_, v)| v.as_str())
 }
 
-fn fields(headers: &[(String, String)], out: &mut Vec<u8>) {
+fn encode_headers(headers: &[(String, String)], out: &mut Vec<u8>) {
     for (name, value) in headers {
         out.extend_from_slice(name.as_bytes());
         out.extend_from_slice(b": ");
@@ -153,7 +158,7 @@
     }
 }
 
-fn finish(out: &mut Vec<u8>, body: Option<&[u8]>) {
+fn encode_body(out: &mut Vec<u8>, body: Option<&[u8]>) {
     let Some(body) = body else {
         out.extend_from_slice(b"\r\n");
         return;
@@ -162,7 +167,7 @@
     out.extend_from_slice(body);
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/http/src/parse.rs
+++ b/crates/http/src/parse.rs
@@ -6,31 +6,31 @@
 };
 
 /// Header fields that one message may have.
-const MAX_FIELDS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// Limits on the size of a message, in bytes.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// The head: first line and header fields.
-    pub head: usize,
+    pub head_bytes: usize,
     /// The body.
-    pub body: usize,
+    pub body_bytes: usize,
 }
 
 impl Default for Limits {
     /// Returns what answers of the platform fit in: 16 KiB and 16 MiB.
     fn default() -> Limits {
         Limits {
-            head: 16 << 10,
-            body: 16 << 20,
+            head_bytes: 16 << 10,
+            body_bytes: 16 << 20,
         }
     }
 }
 
 /// What the header fields say of framing.
 struct Framing {
-    length: Option<usize>,
-    keep: bool,
+    content_length: Option<usize>,
+    keep_alive: bool,
     headers: Vec<(String, String)>,
 }
 
@@ -38,11 +38,11 @@
 ///
 /// Returns the request and its length in bytes, or nothing if it is not whole yet.
 pub fn parse_request(buf: &[u8], limits: Limits) -> Result<Option<(Request, usize)>, HttpError> {
-    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut fields);
     let size = match head.parse(buf) {
         Ok(httparse::Status::Complete(size)) => size,
-        Ok(httparse::Status::Partial) => return partial(buf, limits),
+        Ok(httparse::Status::Partial) => return check_partial(buf, limits),
         Err(_) => {
             return MalformedSnafu {
                 reason: "request head",
@@ -50,8 +50,8 @@
             .fail();
         }
     };
-    let framing = framing(head.headers)?;
-    let Some(body) = body(buf, size, framing.length.unwrap_or(0), limits)? else {
+    let framing = parse_framing(head.headers)?;
+    let Some(body) = take_body(buf, size, framing.content_length.unwrap_or(0), limits)? else {
         return Ok(None);
     };
     let request = Request {
@@ -59,7 +59,7 @@
         path: head.path.unwrap_or_default().to_owned(),
         headers: framing.headers,
         body: body.to_vec(),
-        keep: framing.keep,
+        keep_alive: framing.keep_alive,
     };
     Ok(Some((request, size + body.len())))
 }
@@ -68,7 +68,7 @@
 /// to its length.
 pub fn parse_response(buf: &[u8], limits: Limits) -> Result<Option<(Response, usize)>, HttpError> {
     let mut start = 0;
-    while let Some((response, size)) = parse_any(&buf[start..], limits)? {
+    while let Some((response, size)) = parse_one_response(&buf[start..], limits)? {
         start += size;
         if !is_interim(response.status) {
             return Ok(Some((response, start)));
@@ -83,12 +83,12 @@
 }
 
 /// Parses an answer, be it an interim one.
-fn parse_any(buf: &[u8], limits: Limits) -> Result<Option<(Response, usize)>, HttpError> {
-    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+fn parse_one_response(buf: &[u8], limits: Limits) -> Result<Option<(Response, usize)>, HttpError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut fields);
     let size = match head.parse(buf) {
         Ok(httparse::Status::Complete(size)) => size,
-        Ok(httparse::Status::Partial) => return partial(buf, limits),
+        Ok(httparse::Status::Partial) => return check_partial(buf, limits),
         Err(_) => {
             return MalformedSnafu {
                 reason: "answer head",
@@ -96,9 +96,9 @@
             .fail();
         }
     };
-    let framing = framing(head.headers)?;
+    let framing = parse_framing(head.headers)?;
     let status = head.code.unwrap_or_default();
-    let length = match (framing.length, status) {
+    let length = match (framing.content_length, status) {
         // Whatever its head says, it has no body.
         (_, status) if is_interim(status) => 0,
         (Some(length), _) => length,
@@ -110,41 +110,47 @@
             .fail();
         }
     };
-    let Some(body) = body(buf, size, length, limits)? else {
+    let Some(body) = take_body(buf, size, length, limits)? else {
         return Ok(None);
     };
     let response = Response {
         status,
         headers: framing.headers,
         body: body.to_vec(),
-        keep: framing.keep,
+        keep_alive: framing.keep_alive,
     };
     Ok(Some((response, size + body.len())))
 }
 
-fn partial<T>(buf: &[u8], limits: Limits) -> Result<Option<T>, HttpError> {
-    if buf.len() > limits.head {
-        return TooLargeSnafu { limit: limits.head }.fail();
+fn check_partial<T>(buf: &[u8], limits: Limits) -> Result<Option<T>, HttpError> {
+    if buf.len() > limits.head_bytes {
+        return TooLargeSnafu {
+            limit: limits.head_bytes,
+        }
+        .fail();
     }
     Ok(None)
 }
 
-fn body(
+fn take_body(
     buf: &[u8],
     start: usize,
     length: usize,
     limits: Limits,
 ) -> Result<Option<&[u8]>, HttpError> {
-    if length > limits.body {
-        return TooLargeSnafu { limit: limits.body }.fail();
+    if length > limits.body_bytes {
+        return TooLargeSnafu {
+            limit: limits.body_bytes,
+        }
+        .fail();
     }
     Ok(buf.get(start..start + length))
 }
 
-fn framing(fields: &[httparse::Header<'_>]) -> Result<Framing, HttpError> {
+fn parse_framing(fields: &[httparse::Header<'_>]) -> Result<Framing, HttpError> {
     let mut out = Framing {
-        length: None,
-        keep: true,
+        content_length: None,
+        keep_alive: true,
         headers: Vec::new(),
     };
     for field in fields {
@@ -157,21 +163,23 @@
         };
         let value = value.trim();
         match name.as_str() {
-            "content-length" => out.length = Some(length(value, out.length)?),
+            "content-length" => {
+                out.content_length = Some(parse_content_length(value, out.content_length)?)
+            }
             "transfer-encoding" => {
                 return MalformedSnafu {
                     reason: "chunked body",
                 }
                 .fail();
             }
-            "connection" => out.keep = !value.eq_ignore_ascii_case("close"),
+            "connection" => out.keep_alive = !value.eq_ignore_ascii_case("close"),
             _ => out.headers.push((name, value.to_owned())),
         }
     }
     Ok(out)
 }
 
-fn length(value: &str, earlier: Option<usize>) -> Result<usize, HttpError> {
+fn parse_content_length(value: &str, earlier: Option<usize>) -> Result<usize, HttpError> {
     let Ok(length) = value.parse() else {
         return MalformedSnafu {
             reason: "content-length",
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -22,10 +22,10 @@
 };
 
 /// Stack of a connection's thread in bytes; handlers hold bodies on the heap.
-const STACK: usize = 256 << 10;
+const STACK_BYTES: usize = 256 << 10;
 
 /// Bytes that one read takes at most.
-const CHUNK: usize = 8 << 10;
+const READ_CHUNK_BYTES: usize = 8 << 10;
 
 /// Answers requests; called by many threads.
 pub trait Handler: Send + Sync + 'static {
@@ -42,26 +42,26 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ServerSettings {
     /// Connections that are open at once; more are closed on arrival.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time for a whole request after its first byte.
-    pub head: Duration,
+    pub request_timeout: Duration,
     /// Time that a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A listening server; it runs as long as its process.
 #[derive(Debug)]
 pub struct Server {
-    shared: Arc<Shared>,
+    state: Arc<ServerState>,
     addr: SocketAddr,
 }
 
 #[derive(Debug)]
-struct Shared {
+struct ServerState {
     settings: ServerSettings,
-    open: AtomicUsize,
-    busy: AtomicUsize,
-    last: AtomicBool,
+    open_connections: AtomicUsize,
+    active_requests: AtomicUsize,
+    draining: AtomicBool,
 }
 
 impl Server {
@@ -75,18 +75,18 @@
     ) -> std::io::Result<Server> {
         let listener = socket::listen(addr)?;
         let addr = listener.local_addr()?;
-        let shared = Arc::new(Shared {
+        let state = Arc::new(ServerState {
             settings,
-            open: AtomicUsize::new(0),
-            busy: AtomicUsize::new(0),
-            last: AtomicBool::new(false),
+            open_connections: AtomicUsize::new(0),
+            active_requests: AtomicUsize::new(0),
+            draining: AtomicBool::new(false),
         });
-        let theirs = shared.clone();
+        let accept_state = state.clone();
         thread::Builder::new()
             .name("accept".into())
-            .stack_size(STACK)
-            .spawn(move || accept(&listener, &theirs, &handler))?;
-        Ok(Server { shared, addr })
+            .stack_size(STACK_BYTES)
+            .spawn(move || accept(&listener, &accept_state, &handler))?;
+        Ok(Server { state, addr })
     }
 
     /// Returns the address that is listened on.
@@ -95,15 +95,15 @@
     }
 
     /// From now on each answer tells its caller to use another connection.
-    pub fn drain(&self) {
-        self.shared.last.store(true, Ordering::Relaxed);
+    pub fn start_draining(&self) {
+        self.state.draining.store(true, Ordering::Relaxed);
     }
 
     /// Waits up to `limit` until no answer is under way; returns whether that came.
-    pub fn quiesce(&self, limit: Duration) -> bool {
-        let end = Instant::now() + limit;
-        while self.shared.busy.load(Ordering::SeqCst) > 0 {
-            if Instant::now() >= end {
+    pub fn wait_until_idle(&self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        while self.state.active_requests.load(Ordering::SeqCst) > 0 {
+            if Instant::now() >= deadline {
                 return false;
             }
             thread::sleep(Duration::from_millis(5));
@@ -112,7 +112,7 @@
     }
 }
 
-fn accept<H: Handler>(listener: &TcpListener, shared: &Arc<Shared>, handler: &Arc<H>) {
+fn accept<H: Handler>(listener: &TcpListener, state: &Arc<ServerState>, handler: &Arc<H>) {
     for stream in listener.incoming() {
         let stream = match stream {
             Ok(stream) => stream,
@@ -122,38 +122,42 @@
                 continue;
             }
         };
-        if shared.open.fetch_add(1, Ordering::SeqCst) >= shared.settings.connections {
+        if state.open_connections.fetch_add(1, Ordering::SeqCst) >= state.settings.max_connections {
             log::warn!("http: too many connections, one is closed");
-            shared.open.fetch_sub(1, Ordering::SeqCst);
+            state.open_connections.fetch_sub(1, Ordering::SeqCst);
             continue;
         }
-        let (theirs, h) = (shared.clone(), handler.clone());
+        let (conn_state, handler) = (state.clone(), handler.clone());
         let spawned = thread::Builder::new()
             .name("conn".into())
-            .stack_size(STACK)
+            .stack_size(STACK_BYTES)
             .spawn(move || {
-                if let Err(err) = serve(stream, &theirs, &*h) {
+                if let Err(err) = serve(stream, &conn_state, &*handler) {
                     log::debug!("http: connection ended: {err}");
                 }
-                theirs.open.fetch_sub(1, Ordering::SeqCst);
+                conn_state.open_connections.fetch_sub(1, Ordering::SeqCst);
             });
         if let Err(err) = spawned {
             log::warn!("http: no thread for a connection: {err}");
-            shared.open.fetch_sub(1, Ordering::SeqCst);
+            state.open_connections.fetch_sub(1, Ordering::SeqCst);
         }
     }
 }
 
-fn serve<H: Handler>(mut stream: TcpStream, shared: &Shared, handler: &H) -> Result<(), HttpError> {
-    socket::tune(&stream);
+fn serve<H: Handler>(
+    mut stream: TcpStream,
+    state: &ServerState,
+    handler: &H,
+) -> Result<(), HttpError> {
+    socket::set_options(&stream);
     let mut buf = Vec::new();
     loop {
-        let Some(request) = read_request(&mut stream, &mut buf, shared, handler)? else {
+        let Some(request) = read_request(&mut stream, &mut buf, state, handler)? else {
             return Ok(());
         };
-        shared.busy.fetch_add(1, Ordering::SeqCst);
-        let result = answer(&mut stream, request, shared, handler);
-        shared.busy.fetch_sub(1, Ordering::SeqCst);
+        state.active_requests.fetch_add(1, Ordering::SeqCst);
+        let result = respond(&mut stream, request, state, handler);
+        state.active_requests.fetch_sub(1, Ordering::SeqCst);
         if !result? {
             return Ok(());
         }
@@ -161,36 +165,36 @@
 }
 
 /// Answers a request and tells whether the connection stays open.
-fn answer<H: Handler>(
+fn respond<H: Handler>(
     stream: &mut TcpStream,
     request: Request,
-    shared: &Shared,
+    state: &ServerState,
     handler: &H,
 ) -> Result<bool, HttpError> {
-    let keep = request.keep;
+    let keep_alive = request.keep_alive;
     let Some(mut response) = handler.handle(request) else {
         return Ok(false);
     };
-    response.keep = keep && !shared.last.load(Ordering::Relaxed);
-    send(stream, &response)?;
-    Ok(response.keep)
+    response.keep_alive = keep_alive && !state.draining.load(Ordering::Relaxed);
+    write_response(stream, &response)?;
+    Ok(response.keep_alive)
 }
 
-fn send(stream: &mut TcpStream, response: &Response) -> Result<(), HttpError> {
+fn write_response(stream: &mut TcpStream, response: &Response) -> Result<(), HttpError> {
     let mut out = Vec::with_capacity(256 + response.body.len());
     response.encode(&mut out);
-    stream.write_all(&out).map_err(lost)
+    stream.write_all(&out).map_err(connection_lost)
 }
 
 /// Reads one request; nothing when the peer is gone, idle too long, or the server stops.
 fn read_request<H: Handler>(
     stream: &mut TcpStream,
     buf: &mut Vec<u8>,
-    shared: &Shared,
+    state: &ServerState,
     handler: &H,
 ) -> Result<Option<Request>, HttpError> {
-    let mut since = Instant::now();
-    let mut chunk = [0; CHUNK];
+    let mut started = Instant::now();
+    let mut chunk = [0; READ_CHUNK_BYTES];
     loop {
         match parse_request(buf, handler.limits()) {
             Ok(Some((request, size))) => {
@@ -198,54 +202,56 @@
                 return Ok(Some(request));
             }
             Ok(None) => {}
-            Err(err) => return refuse(stream, err),
+            Err(err) => return reject(stream, err),
         }
-        let limit = match buf.is_empty() {
-            true => shared.settings.idle,
-            false => shared.settings.head,
+        let timeout = match buf.is_empty() {
+            true => state.settings.idle_timeout,
+            false => state.settings.request_timeout,
         };
-        let left = limit.saturating_sub(since.elapsed());
-        if left.is_zero() && !buf.is_empty() {
-            return refuse(stream, HttpError::Timeout);
+        let remaining = timeout.saturating_sub(started.elapsed());
+        if remaining.is_zero() && !buf.is_empty() {
+            return reject(stream, HttpError::Timeout);
         }
-        if left.is_zero() {
+        if remaining.is_zero() {
             return Ok(None);
         }
-        stream.set_read_timeout(Some(left)).map_err(lost)?;
+        stream
+            .set_read_timeout(Some(remaining))
+            .map_err(connection_lost)?;
         match stream.read(&mut chunk) {
             Ok(0) => return Ok(None),
             Ok(n) => {
                 if buf.is_empty() {
-                    since = Instant::now();
+                    started = Instant::now();
                 }
                 buf.extend_from_slice(&chunk[..n]);
             }
-            Err(err) if is_wait(&err) => continue,
-            Err(err) => return Err(lost(err)),
+            Err(err) if is_retryable(&err) => continue,
+            Err(err) => return Err(connection_lost(err)),
         }
     }
 }
 
-fn refuse(stream: &mut TcpStream, err: HttpError) -> Result<Option<Request>, HttpError> {
+fn reject(stream: &mut TcpStream, err: HttpError) -> Result<Option<Request>, HttpError> {
     let status = match &err {
         HttpError::TooLarge { .. } => 413,
         HttpError::Timeout => 408,
         _ => 400,
     };
     let mut response = Response::new(status, Vec::new());
-    response.keep = false;
-    send(stream, &response)?;
+    response.keep_alive = false;
+    write_response(stream, &response)?;
     Err(err)
 }
 
-fn is_wait(err: &std::io::Error) -> bool {
+fn is_retryable(err: &std::io::Error) -> bool {
     matches!(
         err.kind(),
         ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted
     )
 }
 
-fn lost(err: std::io::Error) -> HttpError {
+fn connection_lost(err: std::io::Error) -> HttpError {
     HttpError::Lost {
         message: err.to_string(),
     }
--- a/crates/http/src/socket.rs
+++ b/crates/http/src/socket.rs
@@ -9,7 +9,7 @@
 const USER_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// Sets what every connection needs; a socket without it still works, later.
-pub(crate) fn tune<'a, S>(socket: &'a S)
+pub(crate) fn set_options<'a, S>(socket: &'a S)
 where
     SockRef<'a>: From<&'a S>,
 {
@@ -24,16 +24,16 @@
 
 /// A connection on which nothing came for this long is probed, again after as long; one whose
 /// probe stays unanswered has ended, however long its answer may take.
-const PROBE_PERIOD: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Has the system find out that a peer can't be reached while its answer is waited for.
-pub(crate) fn probe<'a, S>(socket: &'a S)
+pub(crate) fn enable_keepalive<'a, S>(socket: &'a S)
 where
     SockRef<'a>: From<&'a S>,
 {
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_PERIOD)
-        .with_interval(PROBE_PERIOD)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(1);
     if let Err(err) = SockRef::from(socket).set_tcp_keepalive(&probes) {
         log::debug!("http: no TCP keep-alive: {err}");
--- a/crates/http/src/traffic.rs
+++ b/crates/http/src/traffic.rs
@@ -31,12 +31,12 @@
         }
     }
 
-    pub(crate) fn asked(&self, bytes: usize) {
+    pub(crate) fn record_request(&self, bytes: usize) {
         self.calls.fetch_add(1, Ordering::Relaxed);
         self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    pub(crate) fn received(&self, bytes: usize) {
+    pub(crate) fn record_response(&self, bytes: usize) {
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
--- a/crates/http/tests/contract.rs
+++ b/crates/http/tests/contract.rs
@@ -103,7 +103,7 @@
 #[test]
 fn nobody_there_means_not_sent() {
     let addr = own_addr().expect("an address");
-    assert!(get(&Client::new(addr)).expect_err("nobody").not_sent());
+    assert!(get(&Client::new(addr)).expect_err("nobody").is_not_sent());
 }
 
 /// After a failure the connection is not used again: the late answer of one call
@@ -132,17 +132,17 @@
 
     fn limits(&self) -> Limits {
         Limits {
-            head: 1024,
-            body: 100,
+            head_bytes: 1024,
+            body_bytes: 100,
         }
     }
 }
 
-fn server(connections: usize, head: Duration) -> Server {
+fn server(max_connections: usize, request_timeout: Duration) -> Server {
     let settings = ServerSettings {
-        connections,
-        head,
-        idle: LIMIT,
+        max_connections,
+        request_timeout,
+        idle_timeout: LIMIT,
     };
     let addr = "127.0.0.1:0".parse().expect("address");
     Server::start(addr, settings, Arc::new(Echo)).expect("server")
@@ -201,16 +201,16 @@
 #[test]
 fn a_draining_server_tells_its_callers_to_move() {
     let server = server(8, LIMIT);
-    server.drain();
+    server.start_draining();
     let answer = get(&Client::new(server.addr())).expect("answer");
-    assert!(!answer.keep);
-    assert!(server.quiesce(LIMIT));
+    assert!(!answer.keep_alive);
+    assert!(server.wait_until_idle(LIMIT));
 }
 
 #[test]
 fn each_split_of_a_message_parses_to_the_same() {
-    let request = Request::new(Method::Post, "/a", b"body".to_vec()).with("x", "y");
-    let response = Response::new(200, b"body".to_vec()).with("x", "y");
+    let request = Request::new(Method::Post, "/a", b"body".to_vec()).with_header("x", "y");
+    let response = Response::new(200, b"body".to_vec()).with_header("x", "y");
     let (mut first, mut second) = (Vec::new(), Vec::new());
     request.encode("host", &mut first);
     response.encode(&mut second);
--- a/crates/http/tests/links.rs
+++ b/crates/http/tests/links.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use gorsespur_http::{HttpError, Limits, Link, Method, Request, Response, parse_request};
+use gorsespur_http::{Connection, HttpError, Limits, Method, Request, Response, parse_request};
 use mio::{Events, Poll, Token};
 use test_case::test_case;
 
@@ -26,15 +26,15 @@
 
 /// What a request may have at most.
 const LIMITS: Limits = Limits {
-    head: 16 << 10,
-    body: 2 * LARGE,
+    head_bytes: 16 << 10,
+    body_bytes: 2 * LARGE,
 };
 
 /// A user of a link: it drops the link after a failure, and if it is not to be kept.
 struct Caller {
     poll: Poll,
     addr: SocketAddr,
-    link: Option<Link>,
+    link: Option<Connection>,
 }
 
 impl Caller {
@@ -47,11 +47,11 @@
     }
 
     fn send(&mut self, request: &Request) -> Result<(), HttpError> {
-        if self.link.as_ref().is_some_and(|l| !l.is_quiet()) {
+        if self.link.as_ref().is_some_and(|l| !l.is_reusable()) {
             self.drop_link();
         }
         if self.link.is_none() {
-            let link = Link::connect(self.addr, self.poll.registry(), Token(0));
+            let link = Connection::connect(self.addr, self.poll.registry(), Token(0));
             self.link = Some(link?);
         }
         self.link.as_mut().expect("connected").send(request)
@@ -69,10 +69,10 @@
             }
             for event in &events {
                 let link = self.link.as_mut().expect("connected");
-                let Some(result) = link.ready(event.into()).transpose() else {
+                let Some(result) = link.on_ready(event.into()).transpose() else {
                     continue;
                 };
-                if !result.as_ref().is_ok_and(|r| r.keep) {
+                if !result.as_ref().is_ok_and(|r| r.keep_alive) {
                     self.drop_link();
                 }
                 return result;
@@ -192,8 +192,8 @@
         caller.poll.poll(&mut events, None).expect("an event loop");
     }
     let link = caller.link.as_mut().expect("connected");
-    let read = link.readable(false);
-    if !matches!(&read, Ok(found) if found.as_ref().is_none_or(|r| r.keep)) {
+    let read = link.on_readable(false);
+    if !matches!(&read, Ok(found) if found.as_ref().is_none_or(|r| r.keep_alive)) {
         return;
     }
     caller.send(&request(b"")).expect("sent");
@@ -260,7 +260,7 @@
             return;
         }
         let link = caller.link.as_mut().expect("connected");
-        link.writable().expect("sent");
+        link.on_writable().expect("sent");
     }
 }
 
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -72,8 +72,8 @@
     fn limits(&self) -> Limits {
         let config = self.shared.config();
         config.map_or_else(Limits::default, |c| Limits {
-            head: c.limits.head,
-            body: c.limits.body,
+            head_bytes: c.limits.head,
+            body_bytes: c.limits.body,
         })
     }
 }
@@ -124,12 +124,12 @@
 
     fn refuse(&self) -> Response {
         self.shared.metrics.count(Count::Refused);
-        Response::new(503, Vec::new()).with("retry-after", COME_BACK)
+        Response::new(503, Vec::new()).with_header("retry-after", COME_BACK)
     }
 
     fn unclear(&self) -> Response {
         self.shared.metrics.count(Count::Unclear);
-        Response::new(504, Vec::new()).with("retry-after", COME_BACK)
+        Response::new(504, Vec::new()).with_header("retry-after", COME_BACK)
     }
 
     fn submit(&self, request: &Request, queue: &Queue, id: JobId, start: u64) -> Response {
--- a/crates/node/src/owner/lines.rs
+++ b/crates/node/src/owner/lines.rs
@@ -7,7 +7,7 @@
     sync::Arc,
 };
 
-use gorsespur_http::{HttpError, Link, Readiness, Response};
+use gorsespur_http::{Connection, HttpError, Readiness, Response};
 use gorsespur_jobs::{Answer, Started};
 use mio::{Registry, Token};
 
@@ -99,10 +99,10 @@
         let Some(link) = post.lines[line].link.as_mut() else {
             return;
         };
-        match link.ready(readiness) {
+        match link.on_ready(readiness) {
             Ok(None) => {}
             Ok(Some(response)) => {
-                if !response.keep {
+                if !response.keep_alive {
                     self.close(registry, worker, line);
                 }
                 self.finish(worker, line, Ok(response));
@@ -216,7 +216,7 @@
             return;
         };
         let at = &mut post.lines[line];
-        if let Some(link) = at.link.take_if(|l| !l.is_quiet()) {
+        if let Some(link) = at.link.take_if(|l| !l.is_reusable()) {
             link.close(registry);
         }
         if at.link.is_none() {
@@ -241,7 +241,7 @@
         }));
         if at.link.is_none() {
             let token = Token(worker as usize * LINES + line);
-            match Link::connect(post.addr, registry, token) {
+            match Connection::connect(post.addr, registry, token) {
                 Ok(link) => at.link = Some(link),
                 Err(err) => return self.finish(worker, line, Err(err)),
             }
--- a/crates/node/src/owner/post.rs
+++ b/crates/node/src/owner/post.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, net::SocketAddr, sync::Arc};
 
-use gorsespur_http::Link;
+use gorsespur_http::Connection;
 
 use crate::protocol::Order;
 
@@ -37,7 +37,7 @@
 /// One connection, and what is asked on it.
 #[derive(Debug, Default)]
 pub(super) struct Line {
-    pub(super) link: Option<Link>,
+    pub(super) link: Option<Connection>,
     pub(super) call: Option<Call>,
 }
 
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -65,8 +65,8 @@
 
     fn limits(&self) -> Limits {
         Limits {
-            head: 4 << 10,
-            body: 4 << 10,
+            head_bytes: 4 << 10,
+            body_bytes: 4 << 10,
         }
     }
 }
@@ -151,9 +151,9 @@
         self.shared.leaving.store(true, Ordering::Relaxed);
         self.cancel.cancel();
         if let Some(front) = &self.front {
-            front.drain();
+            front.start_draining();
             thread::sleep(self.shared.settings.linger);
-            if !front.quiesce(LAST_ANSWERS) {
+            if !front.wait_until_idle(LAST_ANSWERS) {
                 log::warn!("node: answers were cut by the stop");
             }
         }
@@ -197,9 +197,9 @@
         return Ok(None);
     };
     let settings = ServerSettings {
-        connections,
-        head: HEAD,
-        idle: IDLE,
+        max_connections: connections,
+        request_timeout: HEAD,
+        idle_timeout: IDLE,
     };
     let server = Server::start(addr, settings, Arc::new(handler));
     server.map(Some).context(ListenSnafu { addr })
