--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -4,7 +4,7 @@
 
 use gorsespur_core::problem::Problems;
 use gorsespur_runtime::{
-    exit::{Blame, FAILED, USAGE},
+    exit::{EXIT_FAILURE, EXIT_USAGE, HasExitCode},
     settings::{SettingsError, YamlError},
 };
 use gorsespur_services::{MembersError, TableError};
@@ -110,22 +110,22 @@
     },
 }
 
-impl Blame for CtlError {
-    fn code(&self) -> u8 {
+impl HasExitCode for CtlError {
+    fn exit_code(&self) -> u8 {
         match self {
-            CtlError::Settings { source } => source.code(),
+            CtlError::Settings { source } => source.exit_code(),
             CtlError::NoAddress { .. }
             | CtlError::Read { .. }
             | CtlError::Parse { .. }
             | CtlError::Check { .. }
             | CtlError::Who { .. }
             | CtlError::NoOrg { .. }
-            | CtlError::NoLines { .. } => USAGE,
+            | CtlError::NoLines { .. } => EXIT_USAGE,
             CtlError::Raced { .. }
             | CtlError::Table { .. }
             | CtlError::InDoubt
             | CtlError::Members { .. }
-            | CtlError::Stored { .. } => FAILED,
+            | CtlError::Stored { .. } => EXIT_FAILURE,
         }
     }
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -4,8 +4,8 @@
 
 use clap::Parser;
 use gorsespur_ctl::{args::CtlArgs, program::run};
-use gorsespur_runtime::exit::finish;
+use gorsespur_runtime::exit::report_result;
 
 fn main() -> ExitCode {
-    finish("gorsespur-ctl", run(&CtlArgs::parse()))
+    report_result("gorsespur-ctl", run(&CtlArgs::parse()))
 }
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -2,7 +2,7 @@
 
 use gorsespur_peer::PeerError;
 use gorsespur_runtime::{
-    exit::{Blame, FAILED},
+    exit::{EXIT_FAILURE, HasExitCode},
     logging::LogError,
     metrics::MetricError,
     server::ServeError,
@@ -52,15 +52,15 @@
     },
 }
 
-impl Blame for EntryError {
-    fn code(&self) -> u8 {
+impl HasExitCode for EntryError {
+    fn exit_code(&self) -> u8 {
         match self {
-            EntryError::Settings { source } => source.code(),
+            EntryError::Settings { source } => source.exit_code(),
             EntryError::Log { .. }
             | EntryError::Metric { .. }
             | EntryError::Agent { .. }
             | EntryError::Serve { .. }
-            | EntryError::System { .. } => FAILED,
+            | EntryError::System { .. } => EXIT_FAILURE,
         }
     }
 }
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -4,8 +4,8 @@
 
 use clap::Parser;
 use gorsespur_entry::{args::EntryArgs, program::run};
-use gorsespur_runtime::exit::finish;
+use gorsespur_runtime::exit::report_result;
 
 fn main() -> ExitCode {
-    finish("gorsespur-entry", run(&EntryArgs::parse()))
+    report_result("gorsespur-entry", run(&EntryArgs::parse()))
 }
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::{io, path::PathBuf};
 
-use gorsespur_runtime::exit::{Blame, FAILED, USAGE};
+use gorsespur_runtime::exit::{EXIT_FAILURE, EXIT_USAGE, HasExitCode};
 use gorsespur_services::MembersError;
 use gorsespur_stand::LedgerError;
 use snafu::Snafu;
@@ -70,11 +70,11 @@
     },
 }
 
-impl Blame for LoadError {
-    fn code(&self) -> u8 {
+impl HasExitCode for LoadError {
+    fn exit_code(&self) -> u8 {
         match self {
-            LoadError::Usage { .. } => USAGE,
-            _ => FAILED,
+            LoadError::Usage { .. } => EXIT_USAGE,
+            _ => EXIT_FAILURE,
         }
     }
 }
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -4,8 +4,8 @@
 
 use clap::Parser;
 use gorsespur_load::{args::LoadArgs, program::run};
-use gorsespur_runtime::exit::finish;
+use gorsespur_runtime::exit::report_result;
 
 fn main() -> ExitCode {
-    finish("gorsespur-load", run(&LoadArgs::parse()))
+    report_result("gorsespur-load", run(&LoadArgs::parse()))
 }
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use gorsespur_runtime::exit::{Blame, FAILED, USAGE};
+use gorsespur_runtime::exit::{EXIT_FAILURE, EXIT_USAGE, HasExitCode};
 use snafu::Snafu;
 
 /// Why a node can't run.
@@ -33,11 +33,11 @@
     },
 }
 
-impl Blame for NodeError {
-    fn code(&self) -> u8 {
+impl HasExitCode for NodeError {
+    fn exit_code(&self) -> u8 {
         match self {
-            NodeError::Listen { .. } => USAGE,
-            _ => FAILED,
+            NodeError::Listen { .. } => EXIT_USAGE,
+            _ => EXIT_FAILURE,
         }
     }
 }
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use gorsespur_runtime::exit::{Blame, FAILED};
+use gorsespur_runtime::exit::{EXIT_FAILURE, HasExitCode};
 use snafu::Snafu;
 
 /// Why the agent can't start.
@@ -25,8 +25,8 @@
     },
 }
 
-impl Blame for PeerError {
-    fn code(&self) -> u8 {
-        FAILED
+impl HasExitCode for PeerError {
+    fn exit_code(&self) -> u8 {
+        EXIT_FAILURE
     }
 }
--- a/crates/replay/src/error.rs
+++ b/crates/replay/src/error.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use gorsespur_runtime::{
-    exit::{Blame, FAILED, USAGE},
+    exit::{EXIT_FAILURE, EXIT_USAGE, HasExitCode},
     settings::SettingsError,
 };
 use gorsespur_wire::codec::CodecError;
@@ -56,12 +56,12 @@
     },
 }
 
-impl Blame for TraceError {
-    fn code(&self) -> u8 {
+impl HasExitCode for TraceError {
+    fn exit_code(&self) -> u8 {
         match self {
-            TraceError::File { .. } | TraceError::Codec { .. } | TraceError::Empty => USAGE,
-            TraceError::Stated { source } => source.code(),
-            TraceError::Differs { .. } | TraceError::Outcome { .. } => FAILED,
+            TraceError::File { .. } | TraceError::Codec { .. } | TraceError::Empty => EXIT_USAGE,
+            TraceError::Stated { source } => source.exit_code(),
+            TraceError::Differs { .. } | TraceError::Outcome { .. } => EXIT_FAILURE,
         }
     }
 }
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -4,8 +4,8 @@
 
 use clap::Parser;
 use gorsespur_replay::{args::ReplayArgs, program::run};
-use gorsespur_runtime::exit::finish;
+use gorsespur_runtime::exit::report_result;
 
 fn main() -> ExitCode {
-    finish("gorsespur-replay", run(&ReplayArgs::parse()))
+    report_result("gorsespur-replay", run(&ReplayArgs::parse()))
 }
--- a/crates/runtime/src/exit.rs
+++ b/crates/runtime/src/exit.rs
@@ -3,21 +3,21 @@
 use std::{error::Error, process::ExitCode};
 
 /// Exit code after a failure while running.
-pub const FAILED: u8 = 1;
+pub const EXIT_FAILURE: u8 = 1;
 
 /// Exit code for unusable arguments, settings or templates.
-pub const USAGE: u8 = 2;
+pub const EXIT_USAGE: u8 = 2;
 
 /// Tells whether an error comes from what the user gave.
-pub trait Blame {
+pub trait HasExitCode {
     /// Returns the exit code that this error ends the program with.
-    fn code(&self) -> u8;
+    fn exit_code(&self) -> u8;
 }
 
 /// Turns the result of a program into one line on stderr and an exit code.
 ///
 /// The line joins the error with its causes.
-pub fn finish<E: Error + Blame>(program: &str, result: Result<(), E>) -> ExitCode {
+pub fn report_result<E: Error + HasExitCode>(program: &str, result: Result<(), E>) -> ExitCode {
     let Err(err) = result else {
         return ExitCode::SUCCESS;
     };
@@ -29,5 +29,5 @@
         cause = c.source();
     }
     eprintln!("{program}: {}", line.replace('\n', " "));
-    ExitCode::from(err.code())
+    ExitCode::from(err.exit_code())
 }
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     clock::wall_ms,
-    exit::{Blame, FAILED},
+    exit::{EXIT_FAILURE, HasExitCode},
 };
 
 /// A library that logs each of the server's time limits as an error.
@@ -71,9 +71,9 @@
     },
 }
 
-impl Blame for LogError {
-    fn code(&self) -> u8 {
-        FAILED
+impl HasExitCode for LogError {
+    fn exit_code(&self) -> u8 {
+        EXIT_FAILURE
     }
 }
 
--- a/crates/runtime/src/metrics.rs
+++ b/crates/runtime/src/metrics.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
 
-use crate::exit::{Blame, FAILED};
+use crate::exit::{EXIT_FAILURE, HasExitCode};
 
 /// Datagrams that may wait for the network; more are dropped.
 const QUEUE: usize = 1024;
@@ -41,9 +41,9 @@
     },
 }
 
-impl Blame for MetricError {
-    fn code(&self) -> u8 {
-        FAILED
+impl HasExitCode for MetricError {
+    fn exit_code(&self) -> u8 {
+        EXIT_FAILURE
     }
 }
 
--- a/crates/runtime/src/server.rs
+++ b/crates/runtime/src/server.rs
@@ -29,7 +29,7 @@
 use crate::{
     cancel::Cancel,
     client::{Field, field},
-    exit::{Blame, FAILED},
+    exit::{EXIT_FAILURE, HasExitCode},
     idle::Callers,
 };
 
@@ -173,9 +173,9 @@
     },
 }
 
-impl Blame for ServeError {
-    fn code(&self) -> u8 {
-        FAILED
+impl HasExitCode for ServeError {
+    fn exit_code(&self) -> u8 {
+        EXIT_FAILURE
     }
 }
 
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use snafu::{ResultExt, Snafu, ensure};
 
-use crate::exit::{Blame, USAGE};
+use crate::exit::{EXIT_USAGE, HasExitCode};
 
 /// Largest settings file or template in bytes.
 pub const MAX_YAML: usize = 1 << 20;
@@ -40,9 +40,9 @@
     },
 }
 
-impl Blame for SettingsError {
-    fn code(&self) -> u8 {
-        USAGE
+impl HasExitCode for SettingsError {
+    fn exit_code(&self) -> u8 {
+        EXIT_USAGE
     }
 }
 
--- a/crates/sched/src/error.rs
+++ b/crates/sched/src/error.rs
@@ -2,7 +2,7 @@
 
 use gorsespur_peer::PeerError;
 use gorsespur_runtime::{
-    exit::{Blame, FAILED},
+    exit::{EXIT_FAILURE, HasExitCode},
     logging::LogError,
     metrics::MetricError,
     server::ServeError,
@@ -52,15 +52,15 @@
     },
 }
 
-impl Blame for SchedError {
-    fn code(&self) -> u8 {
+impl HasExitCode for SchedError {
+    fn exit_code(&self) -> u8 {
         match self {
-            SchedError::Settings { source } => source.code(),
+            SchedError::Settings { source } => source.exit_code(),
             SchedError::Log { .. }
             | SchedError::Metric { .. }
             | SchedError::Agent { .. }
             | SchedError::Serve { .. }
-            | SchedError::System { .. } => FAILED,
+            | SchedError::System { .. } => EXIT_FAILURE,
         }
     }
 }
--- a/crates/sched/src/main.rs
+++ b/crates/sched/src/main.rs
@@ -3,9 +3,9 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use gorsespur_runtime::exit::finish;
+use gorsespur_runtime::exit::report_result;
 use gorsespur_sched::{args::SchedArgs, program::run};
 
 fn main() -> ExitCode {
-    finish("gorsespur-sched", run(&SchedArgs::parse()))
+    report_result("gorsespur-sched", run(&SchedArgs::parse()))
 }
--- a/crates/stand/src/error.rs
+++ b/crates/stand/src/error.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use gorsespur_runtime::{
-    exit::{Blame, FAILED},
+    exit::{EXIT_FAILURE, HasExitCode},
     logging::LogError,
     server::ServeError,
     settings::SettingsError,
@@ -60,8 +60,8 @@
     },
 }
 
-impl Blame for StandError {
-    fn code(&self) -> u8 {
-        FAILED
+impl HasExitCode for StandError {
+    fn exit_code(&self) -> u8 {
+        EXIT_FAILURE
     }
 }
--- a/crates/stand/src/main.rs
+++ b/crates/stand/src/main.rs
@@ -11,7 +11,7 @@
 use gorsespur_runtime::{
     cancel::Cancel,
     clock::wall_ms,
-    exit::finish,
+    exit::report_result,
     logging::{LogSettings, start},
     signals::cancel_on_signal,
 };
@@ -36,7 +36,7 @@
         StandRole::Worker(args) => run_worker(args),
         StandRole::Members(args) => send_members(args.gate, &args.file),
     };
-    finish("gorsespur-stand", result)
+    report_result("gorsespur-stand", result)
 }
 
 fn prepare(id: &str) -> Result<Cancel, StandError> {
