--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -17,7 +17,7 @@
     spread::{StableHasher, stable_hash},
 };
 use gorsespur_runtime::{
-    client::field,
+    client::find_header,
     clock::{Clock, wall_hour},
     server::{Incoming, Reply},
 };
@@ -71,7 +71,7 @@
 
 impl Claims {
     pub fn new(table: Arc<dyn Table>, instance: &Name, clock: Clock) -> Claims {
-        let seed = stable_hash(&[instance]) ^ clock.micros();
+        let seed = stable_hash(&[instance]) ^ clock.now_micros();
         Claims {
             table,
             rng: Mutex::new(SmallRng::seed_from_u64(seed)),
@@ -133,7 +133,9 @@
         let whole = reply.body.len() <= MAX_KEPT;
         let ended = ClaimEnd {
             status: reply.status,
-            kind: field(&reply.fields, "content-type").unwrap_or("").into(),
+            kind: find_header(&reply.headers, "content-type")
+                .unwrap_or("")
+                .into(),
             body: if whole {
                 reply.body.clone()
             } else {
@@ -190,9 +192,9 @@
         return Claimed::Open;
     };
     let status = if ended.whole { ended.status } else { 409 };
-    let mut reply = Reply::new(status, ended.body).field(OUTCOME, Outcome::Ran.as_str());
+    let mut reply = Reply::new(status, ended.body).header(OUTCOME, Outcome::Ran.as_str());
     if !ended.kind.is_empty() {
-        reply = reply.field("content-type", &*ended.kind);
+        reply = reply.header("content-type", &*ended.kind);
     }
     Claimed::Done(reply)
 }
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -9,7 +9,7 @@
 use gorsespur_core::route::{Arrival, Outcome, RouteAction, RouteEvent};
 use gorsespur_peer::Shared;
 use gorsespur_runtime::{
-    client::Answer,
+    client::Response,
     metrics::Metrics,
     server::{Incoming, Reply},
 };
@@ -205,18 +205,18 @@
 }
 
 /// Passes a target's answer on.
-fn answered(answer: Answer, tries: u32) -> Served {
+fn answered(answer: Response, tries: u32) -> Served {
     let mut reply = Reply::new(answer.status, answer.body);
-    for f in answer.fields {
+    for f in answer.headers {
         let own = [OUTCOME, BUSY, LEAVING, TRIES, REQUEST_ID].contains(&&*f.name);
         if own || !passes(&f.name) || f.name == "date" || f.name == "server" {
             continue;
         }
-        reply.fields.push(f);
+        reply.headers.push(f);
     }
     let reply = reply
-        .field(OUTCOME, Outcome::Ran.as_str())
-        .field(TRIES, tries.to_string());
+        .header(OUTCOME, Outcome::Ran.as_str())
+        .header(TRIES, tries.to_string());
     Served {
         reply,
         outcome: Outcome::Ran,
--- a/crates/entry/src/head.rs
+++ b/crates/entry/src/head.rs
@@ -36,14 +36,14 @@
         ids: &Ids,
     ) -> Result<Head, Box<Reply>> {
         let number = ids.number();
-        let id = match req.field(REQUEST_ID) {
+        let id = match req.header(REQUEST_ID) {
             None => ids.text(number),
             Some(id) => {
                 check_name(id).map_err(|e| Box::new(bad(400, REQUEST_ID, &e.to_string())))?;
                 id.to_owned()
             }
         };
-        let key = match req.field(IDEMPOTENCY_KEY) {
+        let key = match req.header(IDEMPOTENCY_KEY) {
             None => None,
             Some(key) => {
                 check_name(key).map_err(|e| Box::new(bad(400, IDEMPOTENCY_KEY, &e.to_string())))?;
@@ -64,7 +64,7 @@
 }
 
 fn limit(req: &Incoming, service: &Service) -> Result<Duration, Box<Reply>> {
-    let Some(text) = req.field(DEADLINE) else {
+    let Some(text) = req.header(DEADLINE) else {
         return Ok(Duration::from_millis(service.deadline));
     };
     match text.parse::<u64>() {
@@ -77,7 +77,7 @@
 }
 
 fn priority(req: &Incoming) -> Result<Priority, Box<Reply>> {
-    let Some(text) = req.field(PRIORITY) else {
+    let Some(text) = req.header(PRIORITY) else {
         return Ok(Priority::Normal);
     };
     let found = Priority::parse(text);
@@ -86,7 +86,7 @@
 
 /// Reads whether a request may run twice; by default only safe methods may.
 fn repeatable(req: &Incoming) -> Result<bool, Box<Reply>> {
-    match req.field(REPEATABLE) {
+    match req.header(REPEATABLE) {
         None => Ok(matches!(&*req.method, "GET" | "HEAD" | "OPTIONS")),
         Some("yes") => Ok(true),
         Some("no") => Ok(false),
--- a/crates/entry/src/job_api.rs
+++ b/crates/entry/src/job_api.rs
@@ -226,6 +226,6 @@
 pub(crate) fn json<T: Serialize>(status: u16, value: &T) -> Reply {
     let body = serde_json::to_vec(value).unwrap_or_default();
     Reply::new(status, body)
-        .field("content-type", "application/json")
-        .field(gorsespur_wire::fields::OUTCOME, Outcome::Ran.as_str())
+        .header("content-type", "application/json")
+        .header(gorsespur_wire::fields::OUTCOME, Outcome::Ran.as_str())
 }
--- a/crates/entry/src/peer_api.rs
+++ b/crates/entry/src/peer_api.rs
@@ -32,7 +32,7 @@
             return Reply::text(404, "no such path");
         }
         match encode(&self.status()) {
-            Ok(body) => Reply::new(200, body).field("content-type", CONTENT_TYPE),
+            Ok(body) => Reply::new(200, body).header("content-type", CONTENT_TYPE),
             Err(_) => Reply::text(500, "can't encode"),
         }
     }
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -8,7 +8,7 @@
     logging,
     metrics::Metrics,
     server,
-    server::{Limits, Serving},
+    server::{Limits, ServerHandle},
     settings::load,
     signals::cancel_on_signal,
 };
@@ -41,7 +41,7 @@
     /// Address for callers.
     pub callers: SocketAddr,
     shared: Arc<Shared>,
-    serving: Serving,
+    serving: ServerHandle,
     accept: Cancel,
     end: Cancel,
     drain: Duration,
@@ -123,7 +123,7 @@
         self.shared.leave();
         thread::sleep(self.drain);
         self.accept.cancel();
-        if !self.serving.drain(FLIGHT) {
+        if !self.serving.wait_until_idle(FLIGHT) {
             log::warn!(
                 "entry: {} requests were still in flight",
                 self.serving.active()
--- a/crates/entry/src/router_thread.rs
+++ b/crates/entry/src/router_thread.rs
@@ -8,7 +8,7 @@
     route::{Arrival, RouteAction, RouteCounts, RouteEvent, RouteSettings, Router, TryEnd},
 };
 use gorsespur_peer::Shared;
-use gorsespur_runtime::{cancel::Cancel, client::Answer, metrics::Metrics};
+use gorsespur_runtime::{cancel::Cancel, client::Response, metrics::Metrics};
 
 /// Time between two ticks while no request waits.
 const IDLE: Duration = Duration::from_millis(100);
@@ -40,7 +40,7 @@
     /// What the router decided.
     Command(RouteAction),
     /// How a try ended.
-    Tried(Option<Box<Answer>>),
+    Tried(Option<Box<Response>>),
 }
 
 /// A request that a handler waits for.
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -134,13 +134,13 @@
         "must be at most 600000",
     );
     let limits = Limits {
-        head: l.head_bytes,
-        body: l.body_bytes,
-        io_time: Duration::from_millis(l.io_ms),
-        body_time: Duration::from_millis(l.body_ms),
+        head_bytes: l.head_bytes,
+        body_bytes: l.body_bytes,
+        io_timeout: Duration::from_millis(l.io_ms),
+        body_timeout: Duration::from_millis(l.body_ms),
         handlers: l.handlers,
-        waiting: l.waiting,
-        connections: l.connections,
+        max_queued: l.waiting,
+        max_connections: l.connections,
     };
     let answer = l.answer_bytes;
     let instance = AgentSettings::check(raw.instance, Role::Entry, &mut p);
--- a/crates/entry/src/tries.rs
+++ b/crates/entry/src/tries.rs
@@ -14,7 +14,7 @@
     route::{Outcome, RouteEvent, TryEnd},
 };
 use gorsespur_runtime::{
-    client::{Answer, Call, CallError, field},
+    client::{Call, CallError, Response, find_header},
     server::Incoming,
 };
 use gorsespur_wire::fields::{BUSY, DEADLINE, LEAVING, OUTCOME, PRIORITY, REPEATABLE, REQUEST_ID};
@@ -87,7 +87,7 @@
         let _ = self.router.send(ToRouter::Event(event));
     }
 
-    fn send(&self, began: Instant) -> (TryEnd, Option<Box<Answer>>) {
+    fn send(&self, began: Instant) -> (TryEnd, Option<Box<Response>>) {
         let left = self.end.saturating_duration_since(began);
         if left.is_zero() {
             return (TryEnd::NotSent, None);
@@ -111,27 +111,27 @@
             .body(r.body.clone())
             .timeout(left)
             .max_body(self.max)
-            .field(REQUEST_ID, self.head.id.clone())
-            .field(DEADLINE, left.as_millis().max(1).to_string())
-            .field(REPEATABLE, if self.head.repeatable { "yes" } else { "no" });
-        for f in &r.fields {
+            .header(REQUEST_ID, self.head.id.clone())
+            .header(DEADLINE, left.as_millis().max(1).to_string())
+            .header(REPEATABLE, if self.head.repeatable { "yes" } else { "no" });
+        for f in &r.headers {
             let own = [REQUEST_ID, DEADLINE, REPEATABLE].contains(&&*f.name);
             if own || !passes(&f.name) || f.name == PRIORITY {
                 continue;
             }
-            call = call.field(&f.name, f.value.clone());
+            call = call.header(&f.name, f.value.clone());
         }
         call
     }
 
     /// Judges a whole answer: it must be the target's, and to this request.
-    fn judge(&self, began: Instant, answer: Answer) -> (TryEnd, Option<Box<Answer>>) {
-        let busy = field(&answer.fields, BUSY).and_then(|b| b.parse().ok());
-        let leaving = field(&answer.fields, LEAVING) == Some("yes");
-        if field(&answer.fields, REQUEST_ID) != Some(&*self.head.id) {
+    fn judge(&self, began: Instant, answer: Response) -> (TryEnd, Option<Box<Response>>) {
+        let busy = find_header(&answer.headers, BUSY).and_then(|b| b.parse().ok());
+        let leaving = find_header(&answer.headers, LEAVING) == Some("yes");
+        if find_header(&answer.headers, REQUEST_ID) != Some(&*self.head.id) {
             return (TryEnd::Failed, None);
         }
-        let outcome = field(&answer.fields, OUTCOME).and_then(Outcome::parse);
+        let outcome = find_header(&answer.headers, OUTCOME).and_then(Outcome::parse);
         if outcome == Some(Outcome::NotRun) {
             return (TryEnd::Declined { busy, leaving }, None);
         }
--- a/crates/entry/tests/callers.rs
+++ b/crates/entry/tests/callers.rs
@@ -5,17 +5,17 @@
 use std::thread;
 
 use common::Zone;
-use gorsespur_runtime::client::{Answer, field};
+use gorsespur_runtime::client::{Response, find_header};
 use gorsespur_stand::{PlatformFaults, What, WorkerFaults, answer_body};
 use serde_json::Value;
 
 const SERVICE: &str = "/s/first/hello/x";
 
-fn outcome(answer: &Answer) -> &str {
-    field(&answer.fields, "x-outcome").unwrap_or("none")
+fn outcome(answer: &Response) -> &str {
+    find_header(&answer.headers, "x-outcome").unwrap_or("none")
 }
 
-fn job(answer: &Answer) -> Value {
+fn job(answer: &Response) -> Value {
     serde_json::from_slice(&answer.body).expect("JSON")
 }
 
@@ -46,7 +46,7 @@
     for (path, name, value, status) in heads {
         let answer = zone
             .call("GET", path)
-            .field(name, value)
+            .header(name, value)
             .send()
             .expect("an answer");
         assert_eq!(
@@ -155,9 +155,9 @@
     let send = |id: &str, key: &str, body: &str| {
         let call = zone
             .call("POST", SERVICE)
-            .field("x-request-id", id)
+            .header("x-request-id", id)
             .body(body.into());
-        call.field("idempotency-key", key)
+        call.header("idempotency-key", key)
             .send()
             .expect("an answer")
     };
@@ -215,7 +215,7 @@
     assert_eq!((answer.status, outcome(&answer)), (200, "ran"));
     let answer = zone.send("PUT", "/v1/orgs/first/jobs/one", "{\"kind\": \"renewal\"}");
     assert_eq!((answer.status, outcome(&answer)), (503, "not-run"));
-    assert!(field(&answer.fields, "retry-after").is_some());
+    assert!(find_header(&answer.headers, "retry-after").is_some());
     zone.platform_faults(PlatformFaults::default());
     zone.until("submissions are taken again", || {
         zone.send("PUT", "/v1/orgs/first/jobs/one", "{\"kind\": \"renewal\"}")
@@ -231,7 +231,7 @@
         slow_ms: 600,
         ..WorkerFaults::default()
     });
-    let call = zone.call("GET", SERVICE).field("x-deadline-ms", "5000");
+    let call = zone.call("GET", SERVICE).header("x-deadline-ms", "5000");
     let entry = zone.entry.take().expect("running");
     let (tx, rx) = std::sync::mpsc::channel();
     let caller = thread::spawn(move || {
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -16,7 +16,7 @@
 use gorsespur_entry::{program as entry, settings as entry_settings};
 use gorsespur_runtime::{
     cancel::Cancel,
-    client::{Answer, Call},
+    client::{Call, Response},
     settings::parse_yaml,
 };
 use gorsespur_sched::{program as sched, settings as sched_settings};
@@ -121,7 +121,7 @@
     }
 
     /// Makes a call with a body and returns the answer.
-    pub fn send(&self, method: &str, path: &str, body: &str) -> Answer {
+    pub fn send(&self, method: &str, path: &str, body: &str) -> Response {
         let call = self.call(method, path).body(body.as_bytes().to_vec());
         call.send().expect("an answer")
     }
--- a/crates/jobs/tests/all/common/clock.rs
+++ b/crates/jobs/tests/all/common/clock.rs
@@ -2,15 +2,15 @@
 
 use std::{cell::Cell, time::Duration};
 
-use gorsespur_runtime::clock::{Clock, Times};
+use gorsespur_runtime::clock::{Clock, ClockSource};
 
 thread_local! {
     static STEADY: Cell<u64> = const { Cell::new(0) };
     static BOOT: Cell<u64> = const { Cell::new(0) };
 }
 
-const TIMES: Times = Times {
-    steady: || Duration::from_millis(STEADY.get()),
+const TIMES: ClockSource = ClockSource {
+    monotonic: || Duration::from_millis(STEADY.get()),
     boot: || Duration::from_millis(BOOT.get()),
 };
 
@@ -28,7 +28,7 @@
     pub fn new(now: u64) -> OwnerClock {
         STEADY.set(now);
         BOOT.set(now);
-        let clock = Clock::over(TIMES);
+        let clock = Clock::with_source(TIMES);
         OwnerClock {
             clock,
             suspended: 0,
--- a/crates/load/src/kit/jobs.rs
+++ b/crates/load/src/kit/jobs.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use gorsespur_runtime::client::{Answer, Call};
+use gorsespur_runtime::client::{Call, Response};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde_json::{Value, json};
 
@@ -187,7 +187,7 @@
     state.to_owned()
 }
 
-fn unreached(answer: &Answer) -> usize {
+fn unreached(answer: &Response) -> usize {
     let value: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
     value["unreached"].as_array().map_or(1, Vec::len)
 }
--- a/crates/load/src/kit/requests.rs
+++ b/crates/load/src/kit/requests.rs
@@ -7,7 +7,7 @@
 };
 
 use gorsespur_core::route::Outcome;
-use gorsespur_runtime::client::{Answer, Call, CallError, field};
+use gorsespur_runtime::client::{Call, CallError, Response, find_header};
 use gorsespur_stand::answer_body;
 use gorsespur_wire::fields::{IDEMPOTENCY_KEY, OUTCOME, REPEATABLE, REQUEST_ID};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -166,18 +166,18 @@
         id: &str,
         path: &str,
         body: &[u8],
-        answer: Result<Answer, CallError>,
+        answer: Result<Response, CallError>,
         totals: &mut RequestTotals,
     ) -> Option<Outcome> {
         let answer = answer.ok()?;
-        let outcome = field(&answer.fields, OUTCOME).and_then(Outcome::parse);
+        let outcome = find_header(&answer.headers, OUTCOME).and_then(Outcome::parse);
         let Some(outcome) = outcome else {
             totals.wrong += 1;
             return None;
         };
         if outcome == Outcome::Ran && answer.status == 200 {
             let right = answer.body == answer_body(id, path, body);
-            let mine = field(&answer.fields, REQUEST_ID) == Some(id);
+            let mine = find_header(&answer.headers, REQUEST_ID) == Some(id);
             totals.wrong += u64::from(!right || !mine);
         }
         Some(outcome)
@@ -191,16 +191,16 @@
     once: bool,
     keyed: bool,
     body: Vec<u8>,
-) -> Result<Answer, CallError> {
+) -> Result<Response, CallError> {
     let method = if once { "POST" } else { "GET" };
     let mut call = Call::new(method, entry, path)
-        .field(REQUEST_ID, id)
-        .field("x-deadline-ms", DEADLINE_MS.to_string())
-        .field(REPEATABLE, if once { "no" } else { "yes" })
+        .header(REQUEST_ID, id)
+        .header("x-deadline-ms", DEADLINE_MS.to_string())
+        .header(REPEATABLE, if once { "no" } else { "yes" })
         .timeout(Duration::from_millis(DEADLINE_MS + 1_000))
         .body(body);
     if keyed {
-        call = call.field(IDEMPOTENCY_KEY, id);
+        call = call.header(IDEMPOTENCY_KEY, id);
     }
     call.send()
 }
--- a/crates/load/src/measure/overhead.rs
+++ b/crates/load/src/measure/overhead.rs
@@ -96,8 +96,8 @@
 
 fn get(addr: SocketAddr, id: &str) -> bool {
     let call = Call::new("GET", addr, PATH)
-        .field(REQUEST_ID, id)
-        .field("x-repeatable", "yes");
+        .header(REQUEST_ID, id)
+        .header("x-repeatable", "yes");
     call.timeout(LIMIT).send().is_ok_and(|a| a.status == 200)
 }
 
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -79,7 +79,7 @@
             tell_at: 0,
             keep_at: shared.clock.now() + LEARNED_PERIOD,
             woke: shared.clock.now(),
-            suspended: shared.clock.suspended(),
+            suspended: shared.clock.suspended_ms(),
             over: false,
         }
     }
@@ -136,7 +136,7 @@
         self.woke = at;
         let late = since >= LATE;
         if late {
-            let suspended = self.shared.clock.suspended();
+            let suspended = self.shared.clock.suspended_ms();
             let slept = suspended.saturating_sub(self.suspended);
             self.suspended = suspended;
             self.shared.metrics.count(Count::LateTurns);
--- a/crates/peer/src/agent.rs
+++ b/crates/peer/src/agent.rs
@@ -108,7 +108,7 @@
             entries: configs.newer_than(&request.known),
         };
         let reply = match encode(&answer) {
-            Ok(body) => Reply::new(200, body).field("content-type", CONTENT_TYPE),
+            Ok(body) => Reply::new(200, body).header("content-type", CONTENT_TYPE),
             Err(_) => Reply::text(500, "can't encode"),
         };
         Some(reply)
--- a/crates/runtime/src/cancel.rs
+++ b/crates/runtime/src/cancel.rs
@@ -15,8 +15,8 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    done: Mutex<bool>,
-    wake: Condvar,
+    cancelled: Mutex<bool>,
+    wakeup: Condvar,
 }
 
 impl Cancel {
@@ -29,36 +29,36 @@
     pub fn cancel(&self) {
         *self
             .inner
-            .done
+            .cancelled
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = true;
-        self.inner.wake.notify_all();
+        self.inner.wakeup.notify_all();
     }
 
     /// Tells whether the token was cancelled.
     pub fn is_cancelled(&self) -> bool {
         *self
             .inner
-            .done
+            .cancelled
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Waits up to `limit` and tells whether the token was cancelled.
-    pub fn wait(&self, limit: Duration) -> bool {
-        let end = Instant::now() + limit;
-        let mut done = self
+    pub fn wait(&self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        let mut cancelled = self
             .inner
-            .done
+            .cancelled
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        while !*done {
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+        while !*cancelled {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            let woken = self.inner.wake.wait_timeout(done, left);
-            done = woken.unwrap_or_else(PoisonError::into_inner).0;
+            let woken = self.inner.wakeup.wait_timeout(cancelled, remaining);
+            cancelled = woken.unwrap_or_else(PoisonError::into_inner).0;
         }
         true
     }
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -17,24 +17,24 @@
 use snafu::Snafu;
 
 /// Longest time a connect may take.
-const CONNECT: Duration = Duration::from_millis(1000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Most header fields an answer may have.
-const MAX_FIELDS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// A header field.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Field {
+pub struct HeaderField {
     /// Name in lower case.
     pub name: String,
     /// Value.
     pub value: String,
 }
 
-impl Field {
+impl HeaderField {
     /// Returns a field; the name is put in lower case.
-    pub fn new(name: &str, value: impl Into<String>) -> Field {
-        Field {
+    pub fn new(name: &str, value: impl Into<String>) -> HeaderField {
+        HeaderField {
             name: name.to_ascii_lowercase(),
             value: value.into(),
         }
@@ -42,18 +42,18 @@
 }
 
 /// Returns the value of the first field called `name` (lower case).
-pub fn field<'a>(fields: &'a [Field], name: &str) -> Option<&'a str> {
-    let found = fields.iter().find(|f| f.name == name)?;
+pub fn find_header<'a>(headers: &'a [HeaderField], name: &str) -> Option<&'a str> {
+    let found = headers.iter().find(|f| f.name == name)?;
     Some(&found.value)
 }
 
 /// A whole answer.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct Response {
     /// Status code.
     pub status: u16,
     /// Header fields.
-    pub fields: Vec<Field>,
+    pub headers: Vec<HeaderField>,
     /// The whole body.
     pub body: Vec<u8>,
 }
@@ -81,7 +81,7 @@
     method: String,
     addr: SocketAddr,
     path: String,
-    fields: Vec<Field>,
+    headers: Vec<HeaderField>,
     body: Vec<u8>,
     timeout: Duration,
     max_body: usize,
@@ -94,7 +94,7 @@
             method: method.to_owned(),
             addr,
             path: path.to_owned(),
-            fields: Vec::new(),
+            headers: Vec::new(),
             body: Vec::new(),
             timeout: Duration::from_millis(1000),
             max_body: 4 << 20,
@@ -102,8 +102,8 @@
     }
 
     /// Adds a header field.
-    pub fn field(mut self, name: &str, value: impl Into<String>) -> Call {
-        self.fields.push(Field::new(name, value));
+    pub fn header(mut self, name: &str, value: impl Into<String>) -> Call {
+        self.headers.push(HeaderField::new(name, value));
         self
     }
 
@@ -126,19 +126,19 @@
     }
 
     /// Makes the call and returns the whole answer.
-    pub fn send(self) -> Result<Answer, CallError> {
-        let end = Instant::now() + self.timeout;
-        let head = self.method == "HEAD";
+    pub fn send(self) -> Result<Response, CallError> {
+        let deadline = Instant::now() + self.timeout;
+        let is_head = self.method == "HEAD";
         let method = Method::from_bytes(self.method.as_bytes()).map_err(|_| CallError::NotSent)?;
         let url = format!("http://{}{}", self.addr, self.path);
         let mut req = RequestBuilder::try_new(method, &url)
             .map_err(|_| CallError::NotSent)?
             .follow_redirects(false)
             .proxy_settings(ProxySettings::builder().build())
-            .max_headers(MAX_FIELDS)
-            .connect_timeout(CONNECT.min(self.timeout))
+            .max_headers(MAX_HEADERS)
+            .connect_timeout(CONNECT_TIMEOUT.min(self.timeout))
             .read_timeout(self.timeout);
-        for f in &self.fields {
+        for f in &self.headers {
             let name = HeaderName::from_bytes(f.name.as_bytes());
             let value = HeaderValue::from_str(&f.value);
             let (Ok(name), Ok(value)) = (name, value) else {
@@ -146,8 +146,8 @@
             };
             req.headers_mut().append(name, value);
         }
-        let answer = req.bytes(self.body).send().map_err(classify)?;
-        read_answer(answer, self.max_body, end, head)
+        let response = req.bytes(self.body).send().map_err(classify)?;
+        read_response(response, self.max_body, deadline, is_head)
     }
 }
 
@@ -173,57 +173,62 @@
 ///
 /// The library takes the field that says so out of the head, and shows it only
 /// in the form for debugging; a contract test holds that.
-fn ends_with_chunk(reader: &ResponseReader) -> bool {
+fn is_chunked(reader: &ResponseReader) -> bool {
     format!("{reader:?}").contains("Chunked(")
 }
 
-fn read_answer(
-    answer: attohttpc::Response,
-    max: usize,
-    end: Instant,
-    head: bool,
-) -> Result<Answer, CallError> {
-    let (status, headers, mut reader) = answer.split();
-    let announced = headers
+fn read_response(
+    response: attohttpc::Response,
+    max_bytes: usize,
+    deadline: Instant,
+    is_head: bool,
+) -> Result<Response, CallError> {
+    let (status, raw_headers, mut reader) = response.split();
+    let content_length = raw_headers
         .get(CONTENT_LENGTH)
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.trim().parse::<usize>().ok());
-    let chunked = announced.is_none() && ends_with_chunk(&reader);
-    let bodyless = head || matches!(status.as_u16(), 204 | 304);
-    if !bodyless && announced.is_some_and(|n| n > max) {
+    let chunked = content_length.is_none() && is_chunked(&reader);
+    let has_no_body = is_head || matches!(status.as_u16(), 204 | 304);
+    if !has_no_body && content_length.is_some_and(|n| n > max_bytes) {
         return Err(CallError::TooLong);
     }
-    let body = if bodyless {
+    let body = if has_no_body {
         Vec::new()
     } else {
-        read_body(&mut reader, announced.unwrap_or(0), max, end)?
+        read_body(
+            &mut reader,
+            content_length.unwrap_or(0),
+            max_bytes,
+            deadline,
+        )?
     };
-    let whole = chunked || bodyless || announced == Some(body.len());
+    let whole = chunked || has_no_body || content_length == Some(body.len());
     if !whole {
         return Err(CallError::Broken);
     }
-    let mut fields = Vec::with_capacity(headers.len());
-    for (name, value) in &headers {
+    let mut headers = Vec::with_capacity(raw_headers.len());
+    for (name, value) in &raw_headers {
         let Ok(value) = value.to_str() else { continue };
-        fields.push(Field::new(name.as_str(), value));
+        headers.push(HeaderField::new(name.as_str(), value));
     }
-    Ok(Answer {
+    Ok(Response {
         status: status.as_u16(),
-        fields,
+        headers,
         body,
     })
 }
 
 fn read_body(
     reader: &mut ResponseReader,
-    announced: usize,
-    max: usize,
-    end: Instant,
+    content_length: usize,
+    max_bytes: usize,
+    deadline: Instant,
 ) -> Result<Vec<u8>, CallError> {
-    let mut body = Vec::with_capacity(announced);
+    let mut body = Vec::with_capacity(content_length);
     let mut chunk = [0u8; 16 * 1024];
     loop {
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             return Err(CallError::Timeout);
         }
         let n = match reader.read(&mut chunk) {
@@ -236,7 +241,7 @@
             Err(_) => return Err(CallError::Broken),
         };
         body.extend_from_slice(&chunk[..n]);
-        if body.len() > max {
+        if body.len() > max_bytes {
             return Err(CallError::TooLong);
         }
     }
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -9,22 +9,22 @@
 
 /// Readings of two clocks of a system; both never go back.
 #[derive(Debug, Clone, Copy)]
-pub struct Times {
+pub struct ClockSource {
     /// Time since some moment, without times of suspension.
-    pub steady: fn() -> Duration,
+    pub monotonic: fn() -> Duration,
     /// Time since the machine started, with times of suspension.
     pub boot: fn() -> Duration,
 }
 
-impl Times {
+impl ClockSource {
     /// The system's clocks.
-    pub const SYSTEM: Times = Times {
-        steady: || reading(ClockId::Monotonic),
-        boot: || reading(ClockId::Boottime),
+    pub const SYSTEM: ClockSource = ClockSource {
+        monotonic: || read_clock(ClockId::Monotonic),
+        boot: || read_clock(ClockId::Boottime),
     };
 }
 
-fn reading(clock: ClockId) -> Duration {
+fn read_clock(clock: ClockId) -> Duration {
     let Timespec { tv_sec, tv_nsec } = clock_gettime(clock);
     // Neither clock is ever negative, and a fraction is below a second.
     Duration::new(tv_sec as u64, tv_nsec as u32)
@@ -33,28 +33,28 @@
 /// Milliseconds since the clock was made; never goes back.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    times: Times,
+    source: ClockSource,
     /// Readings from which it counts.
-    steady: Duration,
-    boot: Duration,
+    start_monotonic: Duration,
+    start_boot: Duration,
 }
 
 /// A new clock shows an hour, so that subtracting a time limit from an early reading does not
 /// reach zero.
-const FIRST: Duration = Duration::from_secs(3600);
+const INITIAL_READING: Duration = Duration::from_secs(3600);
 
 impl Clock {
     /// Starts a clock.
     pub fn new() -> Clock {
-        Clock::over(Times::SYSTEM)
+        Clock::with_source(ClockSource::SYSTEM)
     }
 
     /// Starts a clock over these readings.
-    pub fn over(times: Times) -> Clock {
+    pub fn with_source(source: ClockSource) -> Clock {
         Clock {
-            times,
-            steady: (times.steady)(),
-            boot: (times.boot)(),
+            source,
+            start_monotonic: (source.monotonic)(),
+            start_boot: (source.boot)(),
         }
     }
 
@@ -64,20 +64,20 @@
     }
 
     /// Returns the reading in microseconds.
-    pub fn micros(&self) -> u64 {
+    pub fn now_micros(&self) -> u64 {
         self.elapsed().as_micros() as u64
     }
 
     /// Returns for how long the machine was suspended since the clock was made, in milliseconds.
-    pub fn suspended(&self) -> u64 {
-        let steady = (self.times.steady)().saturating_sub(self.steady);
-        let boot = (self.times.boot)().saturating_sub(self.boot);
-        boot.saturating_sub(steady).as_millis() as u64
+    pub fn suspended_ms(&self) -> u64 {
+        let monotonic = (self.source.monotonic)().saturating_sub(self.start_monotonic);
+        let boot = (self.source.boot)().saturating_sub(self.start_boot);
+        boot.saturating_sub(monotonic).as_millis() as u64
     }
 
     fn elapsed(&self) -> Duration {
         // Others go on while this machine is suspended, and what they granted runs out.
-        FIRST + (self.times.boot)().saturating_sub(self.boot)
+        INITIAL_READING + (self.source.boot)().saturating_sub(self.start_boot)
     }
 }
 
--- a/crates/runtime/src/idle.rs
+++ b/crates/runtime/src/idle.rs
@@ -19,97 +19,102 @@
 
 /// What is known of a caller's connection.
 #[derive(Debug, Clone)]
-struct Caller {
+struct ConnState {
     peer: SocketAddr,
     /// When it was first seen, or its last request ended.
-    since: Instant,
+    idle_since: Instant,
     /// Requests that are being handled.
-    busy: u32,
+    active_requests: u32,
     /// Whether the last look found it.
-    found: bool,
+    is_open: bool,
 }
 
 /// The connections of one server, sorted by the callers' addresses.
 #[derive(Debug, Clone)]
-pub(crate) struct Callers {
-    inner: Arc<Mutex<Vec<Caller>>>,
+pub(crate) struct ConnectionTracker {
+    states: Arc<Mutex<Vec<ConnState>>>,
 }
 
-impl Callers {
-    pub fn new() -> Callers {
-        Callers {
-            inner: Arc::default(),
+impl ConnectionTracker {
+    pub fn new() -> ConnectionTracker {
+        ConnectionTracker {
+            states: Arc::default(),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Caller>> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Vec<ConnState>> {
+        self.states.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes that a request of a caller is being handled, or has ended.
-    pub fn note(&self, peer: Option<SocketAddr>, begins: bool) {
+    pub fn record_request(&self, peer: Option<SocketAddr>, started: bool) {
         let Some(peer) = peer else { return };
-        let mut callers = self.lock();
-        let caller = entry(&mut callers, peer);
-        caller.since = Instant::now();
-        caller.busy = match begins {
-            true => caller.busy + 1,
-            false => caller.busy.saturating_sub(1),
+        let mut states = self.lock();
+        let state = find_or_insert(&mut states, peer);
+        state.idle_since = Instant::now();
+        state.active_requests = match started {
+            true => state.active_requests + 1,
+            false => state.active_requests.saturating_sub(1),
         };
     }
 
     /// Closes the connections at `local` that had no request for `limit`, and
     /// the oldest idle ones above `most`; returns how many.
-    pub fn sweep(&self, local: SocketAddr, limit: Duration, most: usize) -> usize {
-        let mut open = connections(local);
-        let mut callers = self.lock();
-        for c in callers.iter_mut() {
-            c.found = false;
+    pub fn close_idle(
+        &self,
+        local: SocketAddr,
+        timeout: Duration,
+        max_connections: usize,
+    ) -> usize {
+        let mut open = open_connections(local);
+        let mut states = self.lock();
+        for c in states.iter_mut() {
+            c.is_open = false;
         }
         for (peer, _) in &open {
-            entry(&mut callers, *peer).found = true;
+            find_or_insert(&mut states, *peer).is_open = true;
         }
-        callers.retain(|c| c.found || c.busy > 0);
+        states.retain(|c| c.is_open || c.active_requests > 0);
         let idle = |peer: &SocketAddr| {
-            let i = callers.binary_search_by_key(peer, |c| c.peer).ok()?;
-            (callers[i].busy == 0).then(|| callers[i].since.elapsed())
+            let i = states.binary_search_by_key(peer, |c| c.peer).ok()?;
+            (states[i].active_requests == 0).then(|| states[i].idle_since.elapsed())
         };
         open.sort_by_key(|(peer, _)| std::cmp::Reverse(idle(peer)));
-        let mut over = open.len().saturating_sub(most);
+        let mut excess = open.len().saturating_sub(max_connections);
         let mut closed = 0;
         for (peer, fd) in &open {
             let Some(age) = idle(peer) else { continue };
-            if age < limit && over == 0 {
+            if age < timeout && excess == 0 {
                 continue;
             }
-            over = over.saturating_sub(1);
+            excess = excess.saturating_sub(1);
             closed += usize::from(SockRef::from(fd).shutdown(Shutdown::Both).is_ok());
         }
         closed
     }
 }
 
-fn entry(callers: &mut Vec<Caller>, peer: SocketAddr) -> &mut Caller {
-    let i = match callers.binary_search_by_key(&peer, |c| c.peer) {
+fn find_or_insert(states: &mut Vec<ConnState>, peer: SocketAddr) -> &mut ConnState {
+    let i = match states.binary_search_by_key(&peer, |c| c.peer) {
         Ok(i) => i,
         Err(i) => {
-            let new = Caller {
+            let new = ConnState {
                 peer,
-                since: Instant::now(),
-                busy: 0,
-                found: true,
+                idle_since: Instant::now(),
+                active_requests: 0,
+                is_open: true,
             };
-            callers.insert(i, new);
+            states.insert(i, new);
             i
         }
     };
-    &mut callers[i]
+    &mut states[i]
 }
 
 /// Returns the callers connected to `local`, each with a duplicate descriptor.
-fn connections(local: SocketAddr) -> Vec<(SocketAddr, OwnedFd)> {
+fn open_connections(local: SocketAddr) -> Vec<(SocketAddr, OwnedFd)> {
     let mut out = Vec::new();
-    let (Ok(me), Ok(dir)) = (
+    let (Ok(pidfd), Ok(dir)) = (
         pidfd_open(getpid(), PidfdFlags::empty()),
         fs::read_dir("/proc/self/fd"),
     ) else {
@@ -122,7 +127,7 @@
         }
         let number = item.file_name().to_string_lossy().parse();
         let Ok(number) = number else { continue };
-        let Ok(fd) = pidfd_getfd(&me, number, PidfdGetfdFlags::empty()) else {
+        let Ok(fd) = pidfd_getfd(&pidfd, number, PidfdGetfdFlags::empty()) else {
             continue;
         };
         let sock = SockRef::from(&fd);
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -12,7 +12,7 @@
 };
 
 /// A library that logs each of the server's time limits as an error.
-const QUIET: &str = "tiny_http";
+const MUTED_TARGET: &str = "tiny_http";
 
 /// The form of a log line.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
@@ -65,7 +65,7 @@
     },
     /// A logger was installed before.
     #[snafu(display("log already started"))]
-    Twice {
+    AlreadyStarted {
         /// The library's answer.
         source: log::SetLoggerError,
     },
@@ -98,7 +98,7 @@
     let id = id.to_owned();
     let mut dispatch = fern::Dispatch::new()
         .level(level)
-        .level_for(QUIET, LevelFilter::Off)
+        .level_for(MUTED_TARGET, LevelFilter::Off)
         .format(move |out, message, record| {
             let (ms, level) = (wall_ms(), record.level().as_str());
             match format {
@@ -123,5 +123,5 @@
         None => dispatch.chain(io::stderr()),
         Some(path) => dispatch.chain(fern::log_file(path).context(OpenSnafu { path })?),
     };
-    dispatch.apply().context(TwiceSnafu)
+    dispatch.apply().context(AlreadyStartedSnafu)
 }
--- a/crates/runtime/src/metrics.rs
+++ b/crates/runtime/src/metrics.rs
@@ -14,7 +14,7 @@
 use crate::exit::{EXIT_FAILURE, HasExitCode};
 
 /// Datagrams that may wait for the network; more are dropped.
-const QUEUE: usize = 1024;
+const MAX_QUEUED_DATAGRAMS: usize = 1024;
 
 /// Settings of the metrics.
 #[derive(Debug, Clone, Default, Deserialize)]
@@ -63,7 +63,10 @@
                 let socket = UdpSocket::bind("0.0.0.0:0").context(BindSnafu)?;
                 socket.set_nonblocking(true).context(BindSnafu)?;
                 let udp = BufferedUdpMetricSink::from(addr, socket).context(SinkSnafu)?;
-                StatsdClient::from_sink(&prefix, QueuingMetricSink::with_capacity(udp, QUEUE))
+                StatsdClient::from_sink(
+                    &prefix,
+                    QueuingMetricSink::with_capacity(udp, MAX_QUEUED_DATAGRAMS),
+                )
             }
         };
         Ok(Metrics {
--- a/crates/runtime/src/server.rs
+++ b/crates/runtime/src/server.rs
@@ -28,62 +28,62 @@
 
 use crate::{
     cancel::Cancel,
-    client::{Field, field},
+    client::{HeaderField, find_header},
     exit::{EXIT_FAILURE, HasExitCode},
-    idle::Callers,
+    idle::ConnectionTracker,
 };
 
 /// Field that tells a caller whether the request ran.
 pub const OUTCOME: &str = "x-outcome";
 
 /// Pause before the next server after `accept` failed.
-const REBUILD: Duration = Duration::from_millis(20);
+const REBUILD_DELAY: Duration = Duration::from_millis(20);
 
 /// Read timeouts without a request after which a server that no longer accepts
 /// is dropped; connections may wait a while for a thread of the library.
-const QUIET: u32 = 8;
+const DRAIN_PERIODS: u32 = 8;
 
 /// Connections of our own in each read timeout.
-const AWAKE: u32 = 3;
+const WAKEUPS_PER_PERIOD: u32 = 3;
 
 /// Read timeouts without a whole request after which a connection is closed.
-const PATIENCE: u32 = 2;
+const IDLE_PERIODS: u32 = 2;
 
 /// Longest time between two looks for connections to close.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Longest time between two looks whether the program stops.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Bounds of a server.
 #[derive(Debug, Clone)]
 pub struct Limits {
     /// Most bytes of request line and header fields together.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Most bytes of a body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Time limit of one read or write on a connection.
-    pub io_time: Duration,
+    pub io_timeout: Duration,
     /// Time limit of reading a whole body.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Threads that run the handler.
     pub handlers: usize,
     /// Requests that may wait for a thread; more are refused as not run.
-    pub waiting: usize,
+    pub max_queued: usize,
     /// Connections; the longest idle ones above are closed.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            head: 16 << 10,
-            body: 1 << 20,
-            io_time: Duration::from_secs(5),
-            body_time: Duration::from_secs(5),
+            head_bytes: 16 << 10,
+            body_bytes: 1 << 20,
+            io_timeout: Duration::from_secs(5),
+            body_timeout: Duration::from_secs(5),
             handlers: 8,
-            waiting: 64,
-            connections: 1_000,
+            max_queued: 64,
+            max_connections: 1_000,
         }
     }
 }
@@ -98,15 +98,15 @@
     /// Query without the question mark; empty if absent.
     pub query: String,
     /// Header fields, names in lower case.
-    pub fields: Vec<Field>,
+    pub headers: Vec<HeaderField>,
     /// The whole body.
     pub body: Vec<u8>,
 }
 
 impl Incoming {
     /// Returns the value of the first field called `name` (lower case).
-    pub fn field(&self, name: &str) -> Option<&str> {
-        field(&self.fields, name)
+    pub fn header(&self, name: &str) -> Option<&str> {
+        find_header(&self.headers, name)
     }
 
     /// Returns the non-empty segments of the path.
@@ -121,7 +121,7 @@
     /// Status code.
     pub status: u16,
     /// Header fields besides the length.
-    pub fields: Vec<Field>,
+    pub headers: Vec<HeaderField>,
     /// Body.
     pub body: Vec<u8>,
 }
@@ -131,19 +131,19 @@
     pub fn new(status: u16, body: Vec<u8>) -> Reply {
         Reply {
             status,
-            fields: Vec::new(),
+            headers: Vec::new(),
             body,
         }
     }
 
     /// Returns a plain text reply.
     pub fn text(status: u16, text: impl Into<String>) -> Reply {
-        Reply::new(status, text.into().into_bytes()).field("content-type", "text/plain")
+        Reply::new(status, text.into().into_bytes()).header("content-type", "text/plain")
     }
 
     /// Adds a header field.
-    pub fn field(mut self, name: &str, value: impl Into<String>) -> Reply {
-        self.fields.push(Field::new(name, value));
+    pub fn header(mut self, name: &str, value: impl Into<String>) -> Reply {
+        self.headers.push(HeaderField::new(name, value));
         self
     }
 }
@@ -181,23 +181,23 @@
 
 /// A running server.
 #[derive(Debug)]
-pub struct Serving {
+pub struct ServerHandle {
     /// The address that was bound.
     pub addr: SocketAddr,
     active: Arc<AtomicUsize>,
 }
 
-impl Serving {
+impl ServerHandle {
     /// Returns the number of requests that were taken and not yet answered.
     pub fn active(&self) -> usize {
         self.active.load(Ordering::Acquire)
     }
 
     /// Waits until no request is in flight, at most `limit`.
-    pub fn drain(&self, limit: Duration) -> bool {
-        let end = Instant::now() + limit;
+    pub fn wait_until_idle(&self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         while self.active() > 0 {
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return false;
             }
             thread::sleep(Duration::from_millis(5));
@@ -213,57 +213,57 @@
     limits: Limits,
     cancel: &Cancel,
     handler: H,
-) -> Result<Serving, ServeError>
+) -> Result<ServerHandle, ServeError>
 where
     H: Fn(Incoming) -> Reply + Send + Sync + 'static,
 {
     let listener = TcpListener::bind(addr).context(BindSnafu { addr })?;
     let addr = listener.local_addr().context(BindSnafu { addr })?;
     let sock = SockRef::from(&listener);
-    sock.set_read_timeout(Some(limits.io_time))
+    sock.set_read_timeout(Some(limits.io_timeout))
         .context(OptionSnafu)?;
-    sock.set_write_timeout(Some(limits.io_time))
+    sock.set_write_timeout(Some(limits.io_timeout))
         .context(OptionSnafu)?;
     sock.set_tcp_nodelay(true).context(OptionSnafu)?;
-    let (tx, rx) = flume::bounded(limits.waiting);
+    let (tx, rx) = flume::bounded(limits.max_queued);
     let active = Arc::new(AtomicUsize::new(0));
     let handler = Arc::new(handler);
-    let callers = Callers::new();
+    let connections = ConnectionTracker::new();
     let limits = Arc::new(limits);
     for i in 0..limits.handlers {
         let (rx, handler, limits) = (rx.clone(), handler.clone(), limits.clone());
-        let (active, callers) = (active.clone(), callers.clone());
+        let (active, connections) = (active.clone(), connections.clone());
         thread::Builder::new()
             .name(format!("{name}-{i}"))
-            .spawn(move || handle_all(&rx, &limits, &active, &callers, handler.as_ref()))
+            .spawn(move || run_handler(&rx, &limits, &active, &connections, handler.as_ref()))
             .context(SpawnSnafu)?;
     }
     let acceptor = Acceptor {
         listener,
         addr,
-        io_time: limits.io_time,
+        io_timeout: limits.io_timeout,
         tx,
         active: active.clone(),
-        callers,
-        connections: limits.connections,
+        connections,
+        max_connections: limits.max_connections,
         cancel: cancel.clone(),
     };
     thread::Builder::new()
         .name(format!("{name}-accept"))
         .spawn(move || acceptor.run())
         .context(SpawnSnafu)?;
-    Ok(Serving { addr, active })
+    Ok(ServerHandle { addr, active })
 }
 
 /// Accepts connections and passes their requests on.
 struct Acceptor {
     listener: TcpListener,
     addr: SocketAddr,
-    io_time: Duration,
+    io_timeout: Duration,
     tx: Sender<tiny_http::Request>,
     active: Arc<AtomicUsize>,
-    callers: Callers,
-    connections: usize,
+    connections: ConnectionTracker,
+    max_connections: usize,
     cancel: Cancel,
 }
 
@@ -275,36 +275,37 @@
                 .try_clone()
                 .map(|l| Server::from_listener(l, None));
             let Ok(Ok(server)) = built else {
-                self.cancel.wait(REBUILD);
+                self.cancel.wait(REBUILD_DELAY);
                 continue;
             };
-            self.pump(&server);
+            self.forward_requests(&server);
             if self.cancel.is_cancelled() {
                 return;
             }
             let (tx, active) = (self.tx.clone(), self.active.clone());
-            let quiet = self.io_time * QUIET;
-            thread::spawn(move || drain_server(&server, quiet, &tx, &active));
+            let timeout = self.io_timeout * DRAIN_PERIODS;
+            thread::spawn(move || drain_server(&server, timeout, &tx, &active));
         }
     }
 
     /// Passes requests on until the server ends or the program stops.
-    fn pump(&self, server: &Server) {
-        let step = self.io_time / AWAKE;
-        let mut woken = Instant::now();
-        let mut swept = Instant::now();
+    fn forward_requests(&self, server: &Server) {
+        let wake_interval = self.io_timeout / WAKEUPS_PER_PERIOD;
+        let mut last_wakeup = Instant::now();
+        let mut last_sweep = Instant::now();
         loop {
-            if woken.elapsed() >= step {
-                woken = Instant::now();
-                let _ = TcpStream::connect_timeout(&self.addr, step);
+            if last_wakeup.elapsed() >= wake_interval {
+                last_wakeup = Instant::now();
+                let _ = TcpStream::connect_timeout(&self.addr, wake_interval);
             }
-            if swept.elapsed() >= step.min(SWEEP) {
-                swept = Instant::now();
-                let limit = self.io_time * PATIENCE;
-                self.callers.sweep(self.addr, limit, self.connections);
+            if last_sweep.elapsed() >= wake_interval.min(SWEEP_INTERVAL) {
+                last_sweep = Instant::now();
+                let timeout = self.io_timeout * IDLE_PERIODS;
+                self.connections
+                    .close_idle(self.addr, timeout, self.max_connections);
             }
-            match server.recv_timeout(step.min(LOOK)) {
-                Ok(Some(req)) => pass_on(req, &self.tx, &self.active),
+            match server.recv_timeout(wake_interval.min(POLL_INTERVAL)) {
+                Ok(Some(req)) => enqueue(req, &self.tx, &self.active),
                 Ok(None) if self.cancel.is_cancelled() => return,
                 Ok(None) => {}
                 Err(_) => return,
@@ -319,67 +320,67 @@
 /// such times without a request none is left.
 fn drain_server(
     server: &Server,
-    quiet: Duration,
+    timeout: Duration,
     tx: &Sender<tiny_http::Request>,
     active: &AtomicUsize,
 ) {
-    while let Ok(Some(req)) = server.recv_timeout(quiet) {
-        pass_on(req, tx, active);
+    while let Ok(Some(req)) = server.recv_timeout(timeout) {
+        enqueue(req, tx, active);
     }
 }
 
-fn pass_on(req: tiny_http::Request, tx: &Sender<tiny_http::Request>, active: &AtomicUsize) {
+fn enqueue(req: tiny_http::Request, tx: &Sender<tiny_http::Request>, active: &AtomicUsize) {
     active.fetch_add(1, Ordering::AcqRel);
     let Err(TrySendError::Full(req) | TrySendError::Disconnected(req)) = tx.try_send(req) else {
         return;
     };
-    let reply = refuse(503, "no thread is free").field("retry-after", "1");
+    let reply = reject(503, "no thread is free").header("retry-after", "1");
     respond(req, reply);
     active.fetch_sub(1, Ordering::AcqRel);
 }
 
-fn handle_all<H>(
+fn run_handler<H>(
     rx: &Receiver<tiny_http::Request>,
     limits: &Limits,
     active: &AtomicUsize,
-    callers: &Callers,
+    connections: &ConnectionTracker,
     handler: &H,
 ) where
     H: Fn(Incoming) -> Reply,
 {
     for mut req in rx.iter() {
         let peer = req.remote_addr().copied();
-        callers.note(peer, true);
+        connections.record_request(peer, true);
         let reply = match read_request(&mut req, limits) {
             Ok(incoming) => handler(incoming),
             Err(reply) => reply,
         };
         respond(req, reply);
-        callers.note(peer, false);
+        connections.record_request(peer, false);
         active.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-fn refuse(status: u16, text: &str) -> Reply {
-    Reply::text(status, text).field(OUTCOME, "not-run")
+fn reject(status: u16, text: &str) -> Reply {
+    Reply::text(status, text).header(OUTCOME, "not-run")
 }
 
 fn read_request(req: &mut tiny_http::Request, limits: &Limits) -> Result<Incoming, Reply> {
-    let mut head = req.url().len();
-    let mut fields = Vec::with_capacity(req.headers().len());
+    let mut head_bytes = req.url().len();
+    let mut headers = Vec::with_capacity(req.headers().len());
     for h in req.headers() {
         let (name, value) = (h.field.as_str().as_str(), h.value.as_str());
-        head += name.len() + value.len();
-        fields.push(Field::new(name, value));
+        head_bytes += name.len() + value.len();
+        headers.push(HeaderField::new(name, value));
     }
-    if head > limits.head {
-        return Err(refuse(431, "head is too long"));
+    if head_bytes > limits.head_bytes {
+        return Err(reject(431, "head is too long"));
     }
-    let announced = req.body_length();
-    if announced.is_some_and(|n| n > limits.body) {
-        return Err(refuse(413, "body is too long"));
+    let content_length = req.body_length();
+    if content_length.is_some_and(|n| n > limits.body_bytes) {
+        return Err(reject(413, "body is too long"));
     }
-    let body = read_body(req, announced, limits)?;
+    let body = read_body(req, content_length, limits)?;
     let (path, query) = match req.url().split_once('?') {
         Some((path, query)) => (path, query),
         None => (req.url(), ""),
@@ -388,45 +389,45 @@
         method: req.method().to_string(),
         path: path.to_owned(),
         query: query.to_owned(),
-        fields,
+        headers,
         body,
     })
 }
 
 fn read_body(
     req: &mut tiny_http::Request,
-    announced: Option<usize>,
+    content_length: Option<usize>,
     limits: &Limits,
 ) -> Result<Vec<u8>, Reply> {
-    let end = Instant::now() + limits.body_time;
-    let mut body = Vec::with_capacity(announced.unwrap_or(0));
-    if announced == Some(0) {
+    let deadline = Instant::now() + limits.body_timeout;
+    let mut body = Vec::with_capacity(content_length.unwrap_or(0));
+    if content_length == Some(0) {
         return Ok(body);
     }
     let mut chunk = [0u8; 8 * 1024];
     loop {
-        if Instant::now() >= end {
-            return Err(refuse(408, "body took too long"));
+        if Instant::now() >= deadline {
+            return Err(reject(408, "body took too long"));
         }
         let n = match req.as_reader().read(&mut chunk) {
             Ok(0) => break,
             Ok(n) => n,
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                return Err(refuse(408, "body took too long"));
+                return Err(reject(408, "body took too long"));
             }
-            Err(_) => return Err(refuse(400, "body is cut short")),
+            Err(_) => return Err(reject(400, "body is cut short")),
         };
         body.extend_from_slice(&chunk[..n]);
-        if body.len() > limits.body {
-            return Err(refuse(413, "body is too long"));
+        if body.len() > limits.body_bytes {
+            return Err(reject(413, "body is too long"));
         }
-        if announced == Some(body.len()) {
+        if content_length == Some(body.len()) {
             break;
         }
     }
-    if announced.is_some_and(|n| n != body.len()) {
-        return Err(refuse(400, "body is cut short"));
+    if content_length.is_some_and(|n| n != body.len()) {
+        return Err(reject(400, "body is cut short"));
     }
     Ok(body)
 }
@@ -435,13 +436,13 @@
     let len = reply.body.len();
     let mut out = Response::new(
         reply.status.into(),
-        Vec::with_capacity(reply.fields.len()),
+        Vec::with_capacity(reply.headers.len()),
         io::Cursor::new(reply.body),
         Some(len),
         None,
     )
     .with_chunked_threshold(usize::MAX);
-    for f in &reply.fields {
+    for f in &reply.headers {
         if let Ok(header) = Header::from_bytes(f.name.as_bytes(), f.value.as_bytes()) {
             out.add_header(header);
         }
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -9,7 +9,7 @@
 use crate::exit::{EXIT_USAGE, HasExitCode};
 
 /// Largest settings file or template in bytes.
-pub const MAX_YAML: usize = 1 << 20;
+pub const MAX_YAML_BYTES: usize = 1 << 20;
 
 /// Why a settings file can't be used.
 #[derive(Debug, Snafu)]
@@ -49,8 +49,8 @@
 /// Why a text is not the expected YAML document.
 #[derive(Debug, Snafu)]
 pub enum YamlError {
-    /// The document is longer than [`MAX_YAML`].
-    #[snafu(display("document has {len} bytes, more than {MAX_YAML}"))]
+    /// The document is longer than [`MAX_YAML_BYTES`].
+    #[snafu(display("document has {len} bytes, more than {MAX_YAML_BYTES}"))]
     TooLong {
         /// Its length in bytes.
         len: usize,
@@ -65,7 +65,10 @@
 
 /// Parses a YAML document; alias bombs exceed the parser's budget and fail.
 pub fn parse_yaml<T: DeserializeOwned>(text: &str) -> Result<T, YamlError> {
-    ensure!(text.len() <= MAX_YAML, TooLongSnafu { len: text.len() });
+    ensure!(
+        text.len() <= MAX_YAML_BYTES,
+        TooLongSnafu { len: text.len() }
+    );
     serde_saphyr::from_str(text).map_err(|err| {
         let text = err.to_string();
         let message = text.lines().next().unwrap_or_default().to_owned();
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -9,8 +9,8 @@
 
 use gorsespur_runtime::{
     cancel::Cancel,
-    client::{Answer, Call, CallError, field},
-    server::{Limits, Reply, Serving, serve},
+    client::{Call, CallError, Response, find_header},
+    server::{Limits, Reply, ServerHandle, serve},
 };
 use gorsespur_services::fake::own_addr;
 use test_case::test_case;
@@ -28,7 +28,7 @@
     addr
 }
 
-fn call(addr: SocketAddr) -> Result<Answer, CallError> {
+fn call(addr: SocketAddr) -> Result<Response, CallError> {
     Call::new("GET", addr, "/")
         .timeout(Duration::from_secs(2))
         .max_body(1_000)
@@ -83,7 +83,7 @@
     assert!(matches!(got, Err(CallError::Timeout)), "{got:?}");
 }
 
-fn server(limits: Limits, cancel: &Cancel) -> Serving {
+fn server(limits: Limits, cancel: &Cancel) -> ServerHandle {
     let addr = ([127, 0, 0, 1], 0).into();
     let serving = serve(addr, "test", limits, cancel, |req| {
         Reply::text(
@@ -96,13 +96,13 @@
 
 fn small() -> Limits {
     Limits {
-        head: 2_000,
-        body: 2_000,
-        io_time: Duration::from_millis(150),
-        body_time: Duration::from_millis(150),
+        head_bytes: 2_000,
+        body_bytes: 2_000,
+        io_timeout: Duration::from_millis(150),
+        body_timeout: Duration::from_millis(150),
         handlers: 2,
-        waiting: 4,
-        connections: 100,
+        max_queued: 4,
+        max_connections: 100,
     }
 }
 
@@ -218,8 +218,8 @@
 fn connections_above_the_limit_are_closed() {
     let cancel = Cancel::new();
     let limits = Limits {
-        connections: 3,
-        io_time: Duration::from_secs(20),
+        max_connections: 3,
+        io_timeout: Duration::from_secs(20),
         ..small()
     };
     let serving = server(limits, &cancel);
@@ -258,7 +258,7 @@
         b"HTTP/1.1 200 OK\r\nX-Outcome: ran\r\nContent-Length: 0\r\n\r\n",
     ));
     assert_eq!(
-        field(&got.expect("an answer").fields, "x-outcome"),
+        find_header(&got.expect("an answer").headers, "x-outcome"),
         Some("ran")
     );
 }
--- a/crates/sched/src/journal.rs
+++ b/crates/sched/src/journal.rs
@@ -100,7 +100,7 @@
         me: &Taker,
         cancel: &Cancel,
     ) -> Result<Journal, JournalError> {
-        let seed = gorsespur_core::spread::stable_hash(&[&me.id, shard]) ^ me.clock.micros();
+        let seed = gorsespur_core::spread::stable_hash(&[&me.id, shard]) ^ me.clock.now_micros();
         let old = found.cloned().unwrap_or(ShardRow {
             epoch: 0,
             owner: None,
--- a/crates/sched/src/peer_api.rs
+++ b/crates/sched/src/peer_api.rs
@@ -117,7 +117,7 @@
 
 fn reply<T: Serialize>(value: &T) -> Reply {
     match encode(value) {
-        Ok(body) => Reply::new(200, body).field("content-type", CONTENT_TYPE),
+        Ok(body) => Reply::new(200, body).header("content-type", CONTENT_TYPE),
         Err(_) => Reply::text(500, "can't encode"),
     }
 }
--- a/crates/sched/src/program.rs
+++ b/crates/sched/src/program.rs
@@ -13,7 +13,7 @@
     logging,
     metrics::Metrics,
     server,
-    server::{Limits, Serving},
+    server::{Limits, ServerHandle},
     settings::load,
     signals::cancel_on_signal,
 };
@@ -44,7 +44,7 @@
 /// A running scheduler.
 pub struct Running {
     shared: Arc<Shared>,
-    serving: Serving,
+    serving: ServerHandle,
     keepers: Vec<JoinHandle<()>>,
     stop: Cancel,
     end: Cancel,
@@ -90,7 +90,7 @@
         owned: owned.clone(),
     };
     let limits = Limits {
-        body: 16 << 20,
+        body_bytes: 16 << 20,
         ..Limits::default()
     };
     let answer = move |req| api.answer(&req);
@@ -134,6 +134,6 @@
             let _ = keeper.join();
         }
         self.end.cancel();
-        self.serving.drain(DRAIN);
+        self.serving.wait_until_idle(DRAIN);
     }
 }
--- a/crates/services/src/http_objects.rs
+++ b/crates/services/src/http_objects.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use gorsespur_runtime::client::{Answer, Call};
+use gorsespur_runtime::client::{Call, Response};
 use gorsespur_wire::paths::OBJECTS;
 
 use crate::{ObjectError, Objects};
@@ -23,7 +23,7 @@
         HttpObjects { addr, timeout }
     }
 
-    fn call(&self, method: &str, key: &str, body: Vec<u8>) -> Result<Answer, ObjectError> {
+    fn call(&self, method: &str, key: &str, body: Vec<u8>) -> Result<Response, ObjectError> {
         Call::new(method, self.addr, &format!("{OBJECTS}{key}"))
             .body(body)
             .timeout(self.timeout)
@@ -33,7 +33,7 @@
     }
 }
 
-fn check(answer: &Answer) -> Result<(), ObjectError> {
+fn check(answer: &Response) -> Result<(), ObjectError> {
     match answer.status {
         200 | 204 => Ok(()),
         404 => Err(ObjectError::Absent),
--- a/crates/services/src/post.rs
+++ b/crates/services/src/post.rs
@@ -34,7 +34,7 @@
 {
     let body = encode(message).map_err(|_| PostError::NotDone)?;
     let answer = Call::new("POST", addr, path)
-        .field("content-type", CONTENT_TYPE)
+        .header("content-type", CONTENT_TYPE)
         .body(body)
         .timeout(timeout)
         .max_body(MAX_ANSWER)
--- a/crates/stand/src/target.rs
+++ b/crates/stand/src/target.rs
@@ -49,7 +49,7 @@
 
     /// Runs a request; `ran` is called once if it runs.
     pub(crate) fn run(&self, req: &Incoming, view: &TargetView, ran: impl FnOnce(&str)) -> Reply {
-        let id = req.field(REQUEST_ID).unwrap_or("").to_owned();
+        let id = req.header(REQUEST_ID).unwrap_or("").to_owned();
         if !view.serves {
             return self.decline(&id, view, "no replica here");
         }
@@ -58,7 +58,7 @@
             self.busy.fetch_sub(1, Ordering::AcqRel);
             return self
                 .decline(&id, view, "no slot is free")
-                .field(BUSY, self.slots.to_string());
+                .header(BUSY, self.slots.to_string());
         }
         ran(&id);
         thread::sleep(self.time(&id, view));
@@ -70,9 +70,9 @@
             id
         };
         Reply::new(200, body)
-            .field(REQUEST_ID, id)
-            .field(BUSY, busy.to_string())
-            .field(LEAVING, if view.faults.leaving { "yes" } else { "no" })
+            .header(REQUEST_ID, id)
+            .header(BUSY, busy.to_string())
+            .header(LEAVING, if view.faults.leaving { "yes" } else { "no" })
     }
 
     fn time(&self, id: &str, view: &TargetView) -> Duration {
@@ -85,9 +85,9 @@
 
     fn decline(&self, id: &str, view: &TargetView, why: &str) -> Reply {
         Reply::text(503, why)
-            .field(REQUEST_ID, id)
-            .field(OUTCOME, "not-run")
-            .field(LEAVING, if view.faults.leaving { "yes" } else { "no" })
+            .header(REQUEST_ID, id)
+            .header(OUTCOME, "not-run")
+            .header(LEAVING, if view.faults.leaving { "yes" } else { "no" })
     }
 }
 
--- a/crates/stand/src/worker_http.rs
+++ b/crates/stand/src/worker_http.rs
@@ -10,7 +10,7 @@
 use gorsespur_core::shard::WorkerRequest;
 use gorsespur_runtime::{
     cancel::Cancel,
-    client::field,
+    client::find_header,
     clock::{Clock, wall_ms},
     server::{Incoming, Limits, Reply, serve},
 };
@@ -75,7 +75,7 @@
     let sim = Arc::new(Mutex::new(sim));
     let limits = Limits {
         handlers: 4,
-        body: 16 << 20,
+        body_bytes: 16 << 20,
         ..Limits::default()
     };
     let for_exchange = sim.clone();
@@ -130,7 +130,7 @@
         return Reply::text(500, "answer lost");
     }
     match encode(&answer) {
-        Ok(body) => Reply::new(200, body).field("content-type", CONTENT_TYPE),
+        Ok(body) => Reply::new(200, body).header("content-type", CONTENT_TYPE),
         Err(_) => Reply::text(500, "can't encode"),
     }
 }
@@ -152,7 +152,7 @@
             faults: sim.faults().clone(),
         }
     };
-    let once = field(&req.fields, REPEATABLE) == Some("no");
+    let once = find_header(&req.headers, REPEATABLE) == Some("no");
     let reply = load.run(req, &view, |id| {
         if once {
             ledger.add(Entry {
