--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -3,14 +3,14 @@
 use std::sync::Arc;
 
 use gorsespur_core::route::Outcome;
-use gorsespur_peer::Shared;
+use gorsespur_peer::AgentState;
 use gorsespur_runtime::server::{Incoming, Reply};
 
 use crate::{forward::Forward, job_api::JobApi, reply::plain};
 
 /// Serves callers.
 pub(crate) struct CallerApi {
-    pub shared: Arc<Shared>,
+    pub shared: Arc<AgentState>,
     pub forward: Forward,
     pub jobs: JobApi,
 }
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -7,7 +7,7 @@
 
 use flume::{RecvTimeoutError, Sender};
 use gorsespur_core::route::{Arrival, Outcome, RouteAction, RouteEvent};
-use gorsespur_peer::Shared;
+use gorsespur_peer::AgentState;
 use gorsespur_runtime::{
     client::Response,
     metrics::Metrics,
@@ -35,7 +35,7 @@
 
 /// Forwards requests to targets.
 pub(crate) struct Forward {
-    pub shared: Arc<Shared>,
+    pub shared: Arc<AgentState>,
     pub ids: Ids,
     pub router: Sender<ToRouter>,
     pub tries: Sender<Try>,
--- a/crates/entry/src/job_api.rs
+++ b/crates/entry/src/job_api.rs
@@ -9,7 +9,7 @@
     shard::{JobKey, JobSpec, JobStatus},
     template::Organisation,
 };
-use gorsespur_peer::{ShardAt, Shared};
+use gorsespur_peer::{AgentState, ZoneShard};
 use gorsespur_runtime::server::{Incoming, Reply};
 use gorsespur_services::{Table, TableError, post};
 use gorsespur_wire::{
@@ -39,7 +39,7 @@
 
 /// Serves jobs.
 pub(crate) struct JobApi {
-    pub shared: Arc<Shared>,
+    pub shared: Arc<AgentState>,
     pub table: Arc<dyn Table>,
     pub owners: Arc<Owners>,
     pub hints: Sender<Name>,
@@ -92,7 +92,7 @@
             .shared
             .settings
             .layout
-            .home(&self.shared.settings.zone, &key)
+            .shard_for_job(&self.shared.settings.zone, &key)
         else {
             return later(503, Outcome::NotRun, "no-shard", COME_AGAIN);
         };
@@ -118,7 +118,7 @@
     }
 
     /// Records a submission: the job's row and its place in the inbox.
-    fn record(&self, at: &ShardAt, spec: JobSpec) -> Reply {
+    fn record(&self, at: &ZoneShard, spec: JobSpec) -> Reply {
         let row = JobRow {
             shard: at.place.name.clone(),
             spec,
--- a/crates/entry/src/owners.rs
+++ b/crates/entry/src/owners.rs
@@ -6,19 +6,19 @@
 };
 
 use gorsespur_core::{name::Name, owner::ShardRow, size::Size};
-use gorsespur_peer::Shared;
+use gorsespur_peer::AgentState;
 use gorsespur_services::Table;
 use gorsespur_wire::{codec::decode, keys};
 
 /// Finds the owners of shards.
 pub(crate) struct Owners {
-    shared: Arc<Shared>,
+    shared: Arc<AgentState>,
     table: Arc<dyn Table>,
     largest: Mutex<Vec<Size>>,
 }
 
 impl Owners {
-    pub fn new(shared: Arc<Shared>, table: Arc<dyn Table>) -> Owners {
+    pub fn new(shared: Arc<AgentState>, table: Arc<dyn Table>) -> Owners {
         let shards = shared.settings.layout.shards().len();
         Owners {
             shared,
--- a/crates/entry/src/peer_api.rs
+++ b/crates/entry/src/peer_api.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use flume::Sender;
-use gorsespur_peer::Shared;
+use gorsespur_peer::AgentState;
 use gorsespur_runtime::server::{Incoming, Reply};
 use gorsespur_wire::{
     codec::{CONTENT_TYPE, encode},
@@ -18,14 +18,14 @@
 
 /// Answers peers.
 pub(crate) struct PeerApi {
-    pub shared: Arc<Shared>,
+    pub shared: Arc<AgentState>,
     pub router: Sender<ToRouter>,
 }
 
 impl PeerApi {
     /// Answers one request.
     pub fn answer(&self, req: &Incoming) -> Reply {
-        if let Some(reply) = self.shared.answer(req) {
+        if let Some(reply) = self.shared.handle_request(req) {
             return reply;
         }
         if req.path != PEER_STATUS {
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, thread, time::Duration};
 
-use gorsespur_peer::{Agent, Shared};
+use gorsespur_peer::{Agent, AgentState};
 use gorsespur_runtime::{
     cancel::Cancel,
     logging,
@@ -40,7 +40,7 @@
 pub struct Running {
     /// Address for callers.
     pub callers: SocketAddr,
-    shared: Arc<Shared>,
+    shared: Arc<AgentState>,
     serving: ServerHandle,
     accept: Cancel,
     end: Cancel,
@@ -73,7 +73,7 @@
     let table: Arc<dyn Table> = Arc::new(HttpTable::new(instance.table, instance.timeout));
     let members = Arc::new(HttpMembers::new(instance.members, instance.timeout));
     let agent = Agent::start(instance.clone(), table.clone(), members, &end).context(AgentSnafu)?;
-    let shared = agent.shared().clone();
+    let shared = agent.state().clone();
     let router = router_thread::start(settings.route.clone(), &shared, &metrics, &end);
     let router = router.context(SystemSnafu)?;
     let owners = Arc::new(Owners::new(shared.clone(), table.clone()));
@@ -120,7 +120,7 @@
     /// Stops: tells peers and the balancer, takes requests for the drain time,
     /// and lets those in flight end.
     pub fn stop(self) {
-        self.shared.leave();
+        self.shared.start_leaving();
         thread::sleep(self.drain);
         self.accept.cancel();
         if !self.serving.wait_until_idle(FLIGHT) {
--- a/crates/entry/src/router_thread.rs
+++ b/crates/entry/src/router_thread.rs
@@ -7,7 +7,7 @@
     Millis,
     route::{Arrival, RouteAction, RouteCounts, RouteEvent, RouteSettings, Router, TryEnd},
 };
-use gorsespur_peer::Shared;
+use gorsespur_peer::AgentState;
 use gorsespur_runtime::{cancel::Cancel, client::Response, metrics::Metrics};
 
 /// Time between two ticks while no request waits.
@@ -52,7 +52,7 @@
 /// Starts the thread; it ends with `cancel`.
 pub(crate) fn start(
     settings: RouteSettings,
-    shared: &Arc<Shared>,
+    shared: &Arc<AgentState>,
     metrics: &Metrics,
     cancel: &Cancel,
 ) -> std::io::Result<Sender<ToRouter>> {
@@ -68,7 +68,7 @@
 fn run(
     mut router: Router,
     rx: &Receiver<ToRouter>,
-    shared: &Shared,
+    shared: &AgentState,
     metrics: &Metrics,
     cancel: &Cancel,
 ) {
--- a/crates/entry/src/targets.rs
+++ b/crates/entry/src/targets.rs
@@ -8,7 +8,7 @@
     name::Name,
     route::{RouteEvent, Share, TargetList},
 };
-use gorsespur_peer::Shared;
+use gorsespur_peer::AgentState;
 use gorsespur_runtime::cancel::Cancel;
 use gorsespur_services::post;
 use gorsespur_wire::{
@@ -35,7 +35,7 @@
 
 /// Starts the thread; it ends with `cancel`.
 pub(crate) fn start(
-    shared: &Arc<Shared>,
+    shared: &Arc<AgentState>,
     owners: &Arc<Owners>,
     router: &Sender<ToRouter>,
     cancel: &Cancel,
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-fn follow(shared: &Shared, owners: &Owners, router: &Sender<ToRouter>, told: &mut Told) {
+fn follow(shared: &AgentState, owners: &Owners, router: &Sender<ToRouter>, told: &mut Told) {
     for (i, at) in shared.settings.layout.shards().iter().enumerate() {
         let Some((addr, epoch, version)) = claim(shared, at.place.index) else {
             continue;
@@ -83,7 +83,7 @@
 }
 
 /// Returns the live owner of a shard, its epoch and the version of its list.
-fn claim(shared: &Shared, shard: u32) -> Option<(std::net::SocketAddr, u64, u64)> {
+fn claim(shared: &AgentState, shard: u32) -> Option<(std::net::SocketAddr, u64, u64)> {
     let now = shared.clock.now();
     let peers = shared.peers();
     let owner = peers.owner_of(now, shard)?;
@@ -91,9 +91,9 @@
     Some((owner.addr, claim.epoch, claim.targets))
 }
 
-fn tell_members(shared: &Shared, router: &Sender<ToRouter>, told: &mut Told) {
+fn tell_members(shared: &AgentState, router: &Sender<ToRouter>, told: &mut Told) {
     let mut leaving = Vec::new();
-    for w in &shared.list().workers {
+    for w in &shared.member_list().workers {
         if w.leaving {
             leaving.push(w.name.clone());
         }
--- a/crates/peer/src/agent.rs
+++ b/crates/peer/src/agent.rs
@@ -16,18 +16,18 @@
 use snafu::ResultExt;
 
 use crate::{
-    AgentSettings, PeerError, Shared, beats, config,
+    AgentSettings, AgentState, PeerError, beats, config,
     error::{BindSnafu, SpawnSnafu},
     list,
 };
 
 /// Time limit of waiting for a heartbeat, after which cancellation is looked at.
-const LOOK: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Keeps an instance in touch with its peers.
 #[derive(Debug)]
 pub struct Agent {
-    shared: Arc<Shared>,
+    state: Arc<AgentState>,
 }
 
 impl Agent {
@@ -41,24 +41,24 @@
         let addr = settings.listen;
         let socket = UdpSocket::bind(addr).context(BindSnafu { addr })?;
         socket
-            .set_read_timeout(Some(LOOK))
+            .set_read_timeout(Some(POLL_INTERVAL))
             .context(BindSnafu { addr })?;
         let sender = socket.try_clone().context(BindSnafu { addr })?;
-        let shared = Arc::new(Shared::new(settings));
-        let (s, c) = (shared.clone(), cancel.clone());
+        let state = Arc::new(AgentState::new(settings));
+        let (s, c) = (state.clone(), cancel.clone());
         spawn("beats-in", move || beats::receive_all(&s, &socket, &c))?;
-        let (s, c) = (shared.clone(), cancel.clone());
+        let (s, c) = (state.clone(), cancel.clone());
         spawn("beats-out", move || beats::send_all(&s, &sender, &c))?;
-        let (s, c) = (shared.clone(), cancel.clone());
+        let (s, c) = (state.clone(), cancel.clone());
         spawn("config", move || config::follow(&s, table.as_ref(), &c))?;
-        let (s, c) = (shared.clone(), cancel.clone());
+        let (s, c) = (state.clone(), cancel.clone());
         spawn("members", move || list::follow(&s, members.as_ref(), &c))?;
-        Ok(Agent { shared })
+        Ok(Agent { state })
     }
 
     /// Returns what the threads share.
-    pub fn shared(&self) -> &Arc<Shared> {
-        &self.shared
+    pub fn state(&self) -> &Arc<AgentState> {
+        &self.state
     }
 }
 
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-impl Shared {
+impl AgentState {
     /// Returns what operators see of this instance.
     pub fn status(&self, shards: Vec<ShardStatus>, routed: Option<RouteCounts>) -> InstanceStatus {
         let s = &self.settings;
@@ -95,7 +95,7 @@
     }
 
     /// Answers a peer's request that is the agent's; nothing for other paths.
-    pub fn answer(&self, req: &Incoming) -> Option<Reply> {
+    pub fn handle_request(&self, req: &Incoming) -> Option<Reply> {
         if req.path != PEER_CONFIG {
             return None;
         }
@@ -103,11 +103,11 @@
             return Some(Reply::text(400, "request is malformed"));
         };
         let configs = self.configs();
-        let answer = ConfigAnswer {
+        let response = ConfigAnswer {
             head: configs.head(),
             entries: configs.newer_than(&request.known),
         };
-        let reply = match encode(&answer) {
+        let reply = match encode(&response) {
             Ok(body) => Reply::new(200, body).header("content-type", CONTENT_TYPE),
             Err(_) => Reply::text(500, "can't encode"),
         };
--- a/crates/peer/src/beats.rs
+++ b/crates/peer/src/beats.rs
@@ -11,17 +11,17 @@
 use gorsespur_wire::codec::{decode, encode};
 use rand::{SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 
-use crate::Shared;
+use crate::AgentState;
 
 /// Time between two looks whether this instance leaves.
-const LOOK: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Longest heartbeat in bytes.
-const MAX_BEAT: usize = 8 * 1024;
+const MAX_BEAT_BYTES: usize = 8 * 1024;
 
 /// Receives heartbeats until `cancel`.
-pub(crate) fn receive_all(shared: &Shared, socket: &UdpSocket, cancel: &Cancel) {
-    let mut buf = vec![0; MAX_BEAT];
+pub(crate) fn receive_all(state: &AgentState, socket: &UdpSocket, cancel: &Cancel) {
+    let mut buf = vec![0; MAX_BEAT_BYTES];
     while !cancel.is_cancelled() {
         let Ok((n, _)) = socket.recv_from(&mut buf) else {
             continue;
@@ -30,28 +30,28 @@
             log::debug!("beats: malformed heartbeat");
             continue;
         };
-        if beat.id == shared.settings.id {
+        if beat.id == state.settings.id {
             continue;
         }
-        shared.peers().hear(shared.clock.now(), beat);
+        state.peers().hear(state.clock.now(), beat);
     }
 }
 
 /// Sends heartbeats until `cancel`, and a last one that says goodbye.
-pub(crate) fn send_all(shared: &Shared, socket: &UdpSocket, cancel: &Cancel) {
-    let mut rng = SmallRng::seed_from_u64(shared.incarnation);
-    let pause = Duration::from_millis(shared.settings.membership.beat);
+pub(crate) fn send_all(state: &AgentState, socket: &UdpSocket, cancel: &Cancel) {
+    let mut rng = SmallRng::seed_from_u64(state.incarnation);
+    let interval = Duration::from_millis(state.settings.membership.beat);
     let mut seq = 0;
     loop {
         seq += 1;
-        let targets = targets(shared, &mut rng);
-        if let Ok(bytes) = encode(&beat(shared, seq)) {
-            for addr in targets {
+        let recipients = recipients(state, &mut rng);
+        if let Ok(bytes) = encode(&beat(state, seq)) {
+            for addr in recipients {
                 let _ = socket.send_to(&bytes, addr);
             }
         }
-        shared.peers().forget(shared.clock.now());
-        if rest(shared, pause, cancel) {
+        state.peers().forget(state.clock.now());
+        if wait_for_next_beat(state, interval, cancel) {
             return;
         }
     }
@@ -59,56 +59,56 @@
 
 /// Waits for the next heartbeat, which comes at once when this instance starts
 /// to leave; tells whether `cancel` came.
-fn rest(shared: &Shared, pause: Duration, cancel: &Cancel) -> bool {
-    let staying = !shared.is_leaving();
-    let end = Instant::now() + pause;
-    while Instant::now() < end && staying != shared.is_leaving() {
-        if cancel.wait(LOOK.min(pause)) {
+fn wait_for_next_beat(state: &AgentState, interval: Duration, cancel: &Cancel) -> bool {
+    let was_staying = !state.is_leaving();
+    let deadline = Instant::now() + interval;
+    while Instant::now() < deadline && was_staying != state.is_leaving() {
+        if cancel.wait(POLL_INTERVAL.min(interval)) {
             return true;
         }
     }
     cancel.is_cancelled()
 }
 
-fn beat(shared: &Shared, seq: u64) -> Beat {
-    let s = &shared.settings;
+fn beat(state: &AgentState, seq: u64) -> Beat {
+    let s = &state.settings;
     Beat {
         id: s.id.clone(),
         role: s.role,
         zone: s.zone.clone(),
-        incarnation: shared.incarnation,
+        incarnation: state.incarnation,
         seq,
         addr: s.listen,
-        leaving: shared.is_leaving(),
-        config: shared.configs().head(),
-        shards: shared.claims().clone(),
+        leaving: state.is_leaving(),
+        config: state.configs().head(),
+        shards: state.claims().clone(),
     }
 }
 
 /// Returns everyone in the zone and a few contacts in each other zone.
-fn targets(shared: &Shared, rng: &mut SmallRng) -> BTreeSet<SocketAddr> {
-    let s = &shared.settings;
-    let mut near = BTreeSet::new();
-    let mut far: Vec<Vec<SocketAddr>> = vec![Vec::new(); s.zones.len()];
+fn recipients(state: &AgentState, rng: &mut SmallRng) -> BTreeSet<SocketAddr> {
+    let s = &state.settings;
+    let mut recipients = BTreeSet::new();
+    let mut by_zone: Vec<Vec<SocketAddr>> = vec![Vec::new(); s.zones.len()];
     let mut add = |zone: &str, addr: SocketAddr| {
         if *zone == *s.zone {
-            near.insert(addr);
+            recipients.insert(addr);
         } else if let Ok(i) = s.zones.binary_search_by(|z| (**z).cmp(zone)) {
-            far[i].push(addr);
+            by_zone[i].push(addr);
         }
     };
-    for p in shared.peers().all() {
+    for p in state.peers().all() {
         add(&p.beat.zone, p.addr);
     }
-    for i in &shared.list().instances {
+    for i in &state.member_list().instances {
         add(&i.zone, i.addr);
     }
-    near.extend(s.seeds.iter().copied());
-    for zone in &mut far {
+    recipients.extend(s.seeds.iter().copied());
+    for zone in &mut by_zone {
         zone.sort();
         zone.dedup();
-        near.extend(zone.choose_multiple(rng, s.membership.contacts));
+        recipients.extend(zone.choose_multiple(rng, s.membership.contacts));
     }
-    near.remove(&s.listen);
-    near
+    recipients.remove(&s.listen);
+    recipients
 }
--- a/crates/peer/src/config.rs
+++ b/crates/peer/src/config.rs
@@ -19,46 +19,46 @@
     table::Row,
 };
 
-use crate::Shared;
+use crate::AgentState;
 
 /// Time between two looks.
-const PAUSE: u64 = 250;
+const POLL_INTERVAL_MS: u64 = 250;
 
 /// Longest time between two looks while the table service fails.
-const MAX_PAUSE: u64 = 4_000;
+const MAX_BACKOFF_MS: u64 = 4_000;
 
 /// Failures in a row after which the table service is left alone for a while.
-const FAILURES: u32 = 3;
+const BREAKER_FAILURES: u32 = 3;
 
 /// Time limit of asking a peer.
-const ASK: Duration = Duration::from_millis(500);
+const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Most changes that are read by the log; after more all templates are read.
-const MAX_LOG: u64 = 200;
+const MAX_LOG_ENTRIES: u64 = 200;
 
 /// Rows of one read.
-const BATCH: u32 = 500;
+const SCAN_ROWS: u32 = 500;
 
 /// Follows the changes of configuration until `cancel`.
-pub(crate) fn follow(shared: &Shared, table: &dyn Table, cancel: &Cancel) {
-    let mut backoff = Backoff::new(PAUSE, MAX_PAUSE, shared.incarnation);
-    let mut breaker = Breaker::new(FAILURES, MAX_PAUSE);
+pub(crate) fn follow(state: &AgentState, table: &dyn Table, cancel: &Cancel) {
+    let mut backoff = Backoff::new(POLL_INTERVAL_MS, MAX_BACKOFF_MS, state.incarnation);
+    let mut breaker = Breaker::new(BREAKER_FAILURES, MAX_BACKOFF_MS);
     loop {
-        ask_peers(shared);
-        let now = shared.clock.now();
-        let mut pause = PAUSE;
-        if polls(shared) && breaker.allow(now) {
-            let result = poll(shared, table);
-            breaker.note(shared.clock.now(), result.is_ok());
+        pull_from_peer(state);
+        let now = state.clock.now();
+        let mut pause_ms = POLL_INTERVAL_MS;
+        if is_zone_poller(state) && breaker.allow(now) {
+            let result = poll(state, table);
+            breaker.note(state.clock.now(), result.is_ok());
             match result {
                 Ok(()) => backoff.reset(),
                 Err(err) => {
                     log::debug!("config: can't poll: {err}");
-                    pause = backoff.next_delay().min(PAUSE * 2);
+                    pause_ms = backoff.next_delay().min(POLL_INTERVAL_MS * 2);
                 }
             }
         }
-        if cancel.wait(Duration::from_millis(pause)) {
+        if cancel.wait(Duration::from_millis(pause_ms)) {
             return;
         }
     }
@@ -66,10 +66,10 @@
 
 /// Tells whether this instance polls for its zone; one that has no template
 /// and heard of none does too.
-fn polls(shared: &Shared) -> bool {
-    let s = &shared.settings;
-    let now = shared.clock.now();
-    let peers = shared.peers();
+fn is_zone_poller(state: &AgentState) -> bool {
+    let s = &state.settings;
+    let now = state.clock.now();
+    let peers = state.peers();
     let live = peers.live(now);
     let mut ids: Vec<&str> = vec![&s.id];
     for p in live {
@@ -77,36 +77,36 @@
             ids.push(&p.beat.id);
         }
     }
-    !shared.is_loaded() || pick(&format!("config/{}", s.zone), ids) == Some(&*s.id)
+    !state.is_loaded() || pick(&format!("config/{}", s.zone), ids) == Some(&*s.id)
 }
 
-fn poll(shared: &Shared, table: &dyn Table) -> Result<(), TableError> {
+fn poll(state: &AgentState, table: &dyn Table) -> Result<(), TableError> {
     let rows = table.get(&[Name::from(CONFIG_HEAD)])?;
     let head = rows.first().and_then(|r| r.as_ref());
     let head = head.and_then(|r| decode::<ConfigHead>(&r.value).ok());
     let change = head.map_or(0, |h| h.change);
-    if change <= shared.configs().head() && shared.is_loaded() {
+    if change <= state.configs().head() && state.is_loaded() {
         return Ok(());
     }
-    let mine = shared.configs().head();
-    let named = if shared.is_loaded() {
-        changed(table, mine, change)?
+    let own_head = state.configs().head();
+    let changed = if state.is_loaded() {
+        changed_keys(table, own_head, change)?
     } else {
         None
     };
-    match named {
-        Some(orgs) => read_named(shared, table, &orgs)?,
-        None => read_all(shared, table)?,
+    match changed {
+        Some(keys) => read_keys(state, table, &keys)?,
+        None => read_all(state, table)?,
     }
-    shared.configs().reach(change);
-    shared.set_loaded();
+    state.configs().reach(change);
+    state.set_loaded();
     Ok(())
 }
 
 /// Returns the keys of the templates that the log names after change `from`;
 /// nothing if the log does not reach back so far.
-fn changed(table: &dyn Table, from: u64, to: u64) -> Result<Option<Vec<Name>>, TableError> {
-    if to - from > MAX_LOG {
+fn changed_keys(table: &dyn Table, from: u64, to: u64) -> Result<Option<Vec<Name>>, TableError> {
+    if to - from > MAX_LOG_ENTRIES {
         return Ok(None);
     }
     let log: Vec<Name> = (from + 1..=to).map(keys::change).collect();
@@ -121,21 +121,21 @@
     Ok(Some(out))
 }
 
-fn read_named(shared: &Shared, table: &dyn Table, keys: &[Name]) -> Result<(), TableError> {
+fn read_keys(state: &AgentState, table: &dyn Table, keys: &[Name]) -> Result<(), TableError> {
     for row in table.get(keys)?.into_iter().flatten() {
-        offer_row(shared, &row);
+        offer_row(state, &row);
     }
     Ok(())
 }
 
-fn read_all(shared: &Shared, table: &dyn Table) -> Result<(), TableError> {
+fn read_all(state: &AgentState, table: &dyn Table) -> Result<(), TableError> {
     let mut after = None;
     let prefix = Name::from(CONFIG);
     loop {
-        let (rows, more) = table.scan(&prefix, after, BATCH)?;
+        let (rows, more) = table.scan(&prefix, after, SCAN_ROWS)?;
         after = rows.last().map(|r| r.key.clone());
         for row in &rows {
-            offer_row(shared, row);
+            offer_row(state, row);
         }
         if !more {
             return Ok(());
@@ -143,58 +143,58 @@
     }
 }
 
-fn offer_row(shared: &Shared, row: &Row) {
+fn offer_row(state: &AgentState, row: &Row) {
     match decode::<StoredTemplate>(&row.value) {
         Ok(stored) => {
             let (version, template) = (stored.version, stored.template);
-            offer(shared, &ConfigEntry { version, template });
+            offer(state, &ConfigEntry { version, template });
         }
         Err(err) => log::error!("config: row {} is malformed: {err}", row.key),
     }
 }
 
-fn offer(shared: &Shared, entry: &ConfigEntry) {
-    if shared.configs().offer(entry) {
+fn offer(state: &AgentState, entry: &ConfigEntry) {
+    if state.configs().offer(entry) {
         log::info!(
             "config: {} version {} is in force",
             entry.template.name,
             entry.version
         );
-        shared.config_changed();
+        state.config_changed();
     }
 }
 
 /// Asks the peer that is furthest ahead for what is missing here.
-fn ask_peers(shared: &Shared) {
-    let mine = shared.configs().head();
-    let Some((addr, head)) = ahead(shared) else {
+fn pull_from_peer(state: &AgentState) {
+    let own_head = state.configs().head();
+    let Some((addr, head)) = most_recent_peer(state) else {
         return;
     };
-    if head <= mine && (shared.is_loaded() || head == 0) {
+    if head <= own_head && (state.is_loaded() || head == 0) {
         return;
     }
-    let known = shared.configs().versions();
+    let known = state.configs().versions();
     let request = ConfigRequest { known };
-    let answer: Result<ConfigAnswer, _> = post(addr, PEER_CONFIG, &request, ASK);
-    let Ok(answer) = answer else {
+    let response: Result<ConfigAnswer, _> = post(addr, PEER_CONFIG, &request, PEER_TIMEOUT);
+    let Ok(response) = response else {
         log::debug!("config: peer {addr} did not answer");
         return;
     };
-    for entry in &answer.entries {
-        offer(shared, entry);
+    for entry in &response.entries {
+        offer(state, entry);
     }
-    shared.configs().reach(answer.head);
-    shared.set_loaded();
+    state.configs().reach(response.head);
+    state.set_loaded();
 }
 
-fn ahead(shared: &Shared) -> Option<(SocketAddr, u64)> {
-    let now = shared.clock.now();
-    let peers = shared.peers();
-    let mut best: Option<(SocketAddr, u64)> = None;
+fn most_recent_peer(state: &AgentState) -> Option<(SocketAddr, u64)> {
+    let now = state.clock.now();
+    let peers = state.peers();
+    let mut newest: Option<(SocketAddr, u64)> = None;
     for p in peers.live(now) {
-        if best.is_none_or(|b| p.beat.config > b.1) {
-            best = Some((p.addr, p.beat.config));
+        if newest.is_none_or(|b| p.beat.config > b.1) {
+            newest = Some((p.addr, p.beat.config));
         }
     }
-    best
+    newest
 }
--- a/crates/peer/src/layout.rs
+++ b/crates/peer/src/layout.rs
@@ -17,7 +17,7 @@
 
 /// A shard and its zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ShardAt {
+pub struct ZoneShard {
     /// Place among all shards.
     pub place: ShardPlace,
     /// Its zone.
@@ -25,20 +25,20 @@
     /// Index in its zone.
     pub slot: u32,
     /// Number of shards in its zone.
-    pub of: u32,
+    pub slot_count: u32,
 }
 
-impl ShardAt {
+impl ZoneShard {
     /// Tells whether a worker of the zone belongs to the shard.
     pub fn has_worker(&self, zone: &str, worker: &str) -> bool {
-        *self.zone == *zone && slot_of(worker, self.of) == self.slot
+        *self.zone == *zone && slot_of(worker, self.slot_count) == self.slot
     }
 }
 
 /// All shards of the system.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Layout {
-    shards: Vec<ShardAt>,
+    shards: Vec<ZoneShard>,
 }
 
 impl Layout {
@@ -53,11 +53,11 @@
                     index: shards.len() as u32,
                     count,
                 };
-                shards.push(ShardAt {
+                shards.push(ZoneShard {
                     place,
                     zone: zone.name.clone(),
                     slot,
-                    of: zone.shards,
+                    slot_count: zone.shards,
                 });
             }
         }
@@ -65,20 +65,20 @@
     }
 
     /// Returns all shards by index.
-    pub fn shards(&self) -> &[ShardAt] {
+    pub fn shards(&self) -> &[ZoneShard] {
         &self.shards
     }
 
     /// Returns the shard with this name.
-    pub fn find(&self, name: &str) -> Option<&ShardAt> {
+    pub fn find(&self, name: &str) -> Option<&ZoneShard> {
         self.shards.iter().find(|s| *s.place.name == *name)
     }
 
     /// Returns the shard of a zone that a new job goes to.
-    pub fn home(&self, zone: &str, key: &JobKey) -> Option<&ShardAt> {
-        let mine: Vec<&ShardAt> = self.shards.iter().filter(|s| *s.zone == *zone).collect();
-        let n = mine.len() as u64;
+    pub fn shard_for_job(&self, zone: &str, key: &JobKey) -> Option<&ZoneShard> {
+        let in_zone: Vec<&ZoneShard> = self.shards.iter().filter(|s| *s.zone == *zone).collect();
+        let n = in_zone.len() as u64;
         let i = stable_hash(&[&key.org, &key.id]).checked_rem(n)?;
-        Some(mine[i as usize])
+        Some(in_zone[i as usize])
     }
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -17,6 +17,6 @@
 
 pub use agent::Agent;
 pub use error::PeerError;
-pub use layout::{Layout, ShardAt, Zone};
+pub use layout::{Layout, Zone, ZoneShard};
 pub use settings::{AgentSettings, RawCommon, RawPlatform, RawZone};
-pub use shared::Shared;
+pub use shared::AgentState;
--- a/crates/peer/src/list.rs
+++ b/crates/peer/src/list.rs
@@ -5,26 +5,26 @@
 use gorsespur_runtime::cancel::Cancel;
 use gorsespur_services::Members;
 
-use crate::Shared;
+use crate::AgentState;
 
 /// Time between two reads.
-const PAUSE: Duration = Duration::from_millis(1000);
+const POLL_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Reads the list until `cancel`; while it can't be read the last one stays.
-pub(crate) fn follow(shared: &Shared, members: &dyn Members, cancel: &Cancel) {
+pub(crate) fn follow(state: &AgentState, members: &dyn Members, cancel: &Cancel) {
     loop {
         match members.list() {
             Ok(list) => {
-                let mut known = shared.list();
+                let mut known = state.member_list();
                 if *known != list {
                     *known = list;
                     drop(known);
-                    shared.list_changed();
+                    state.list_changed();
                 }
             }
             Err(err) => log::debug!("members: {err}"),
         }
-        if cancel.wait(PAUSE) {
+        if cancel.wait(POLL_INTERVAL) {
             return;
         }
     }
--- a/crates/peer/src/settings.rs
+++ b/crates/peer/src/settings.rs
@@ -116,28 +116,32 @@
 impl AgentSettings {
     /// Checks the settings of an instance; problems are added to `p`.
     pub fn check(raw: RawCommon, role: Role, p: &mut Problems) -> AgentSettings {
-        check_text(&raw.id, "id", p);
-        check_text(&raw.zone, "zone", p);
-        let known = raw.zones.iter().any(|z| z.name == raw.zone);
+        check_name_at(&raw.id, "id", p);
+        check_name_at(&raw.zone, "zone", p);
+        let is_listed = raw.zones.iter().any(|z| z.name == raw.zone);
         p.require(
-            known,
+            is_listed,
             "zone",
             format!("{:?} is not in the list of zones", raw.zone),
         );
         let mut zones = Vec::new();
         let mut names: Vec<Name> = Vec::new();
         for (i, z) in raw.zones.iter().enumerate() {
-            check_text(&z.name, &format!("zones[{i}].name"), p);
-            let ok = (1..=MAX_SHARDS).contains(&z.shards);
+            check_name_at(&z.name, &format!("zones[{i}].name"), p);
+            let in_range = (1..=MAX_SHARDS).contains(&z.shards);
             let path = format!("zones[{i}].shards");
             p.require(
-                ok,
+                in_range,
                 path,
                 format!("{} is not from 1 to {MAX_SHARDS}", z.shards),
             );
             let name = Name::from(&*z.name);
-            let twice = names.contains(&name);
-            p.require(!twice, format!("zones[{i}].name"), "the name stands twice");
+            let is_duplicate = names.contains(&name);
+            p.require(
+                !is_duplicate,
+                format!("zones[{i}].name"),
+                "the name stands twice",
+            );
             names.push(name.clone());
             zones.push(Zone {
                 name,
@@ -148,9 +152,9 @@
         check_ms(raw.platform.timeout_ms, "platform.timeout_ms", p);
         check_ms(raw.membership.beat, "membership.beat", p);
         check_ms(raw.membership.dead, "membership.dead", p);
-        let enough = raw.membership.dead >= raw.membership.beat.saturating_mul(2);
+        let is_valid = raw.membership.dead >= raw.membership.beat.saturating_mul(2);
         p.require(
-            enough,
+            is_valid,
             "membership.dead",
             "must be at least twice membership.beat",
         );
@@ -178,13 +182,13 @@
     }
 }
 
-fn check_text(text: &str, path: &str, p: &mut Problems) {
+fn check_name_at(text: &str, path: &str, p: &mut Problems) {
     if let Err(err) = check_name(text) {
         p.add(path, err.to_string());
     }
 }
 
 fn check_ms(value: u64, path: &str, p: &mut Problems) {
-    let ok = (1..=MAX_MS).contains(&value);
-    p.require(ok, path, format!("{value} is not from 1 to {MAX_MS}"));
+    let in_range = (1..=MAX_MS).contains(&value);
+    p.require(in_range, path, format!("{value} is not from 1 to {MAX_MS}"));
 }
--- a/crates/peer/src/shared.rs
+++ b/crates/peer/src/shared.rs
@@ -16,7 +16,7 @@
 
 /// State of an instance towards its peers.
 #[derive(Debug)]
-pub struct Shared {
+pub struct AgentState {
     /// Settings.
     pub settings: AgentSettings,
     /// Clock of every decision.
@@ -37,10 +37,10 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Shared {
+impl AgentState {
     /// Returns the state of an instance that knows nobody.
-    pub fn new(settings: AgentSettings) -> Shared {
-        Shared {
+    pub fn new(settings: AgentSettings) -> AgentState {
+        AgentState {
             clock: Clock::new(),
             incarnation: wall_ms(),
             peers: Mutex::new(Peers::new(
@@ -69,7 +69,7 @@
     }
 
     /// Returns the membership list as last read.
-    pub fn list(&self) -> MutexGuard<'_, MemberList> {
+    pub fn member_list(&self) -> MutexGuard<'_, MemberList> {
         lock(&self.list)
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Tells the peers from now on that this instance leaves.
-    pub fn leave(&self) {
+    pub fn start_leaving(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
@@ -117,7 +117,7 @@
 
     /// Returns the ids of the live instances of this one's role in its zone,
     /// itself included unless it leaves.
-    pub fn colleagues(&self) -> Vec<gorsespur_core::name::Name> {
+    pub fn same_role_ids(&self) -> Vec<gorsespur_core::name::Name> {
         let s = &self.settings;
         let now = self.clock.now();
         let mut out = Vec::new();
--- a/crates/peer/tests/config.rs
+++ b/crates/peer/tests/config.rs
@@ -119,8 +119,8 @@
     let table: Arc<dyn Table> = platform.clone();
     let settings = settings("a", "east", here, seed);
     let agent = Agent::start(settings, table, Arc::new(NoMembers), cancel).expect("an agent");
-    let shared = agent.shared().clone();
-    let answer = move |req| shared.answer(&req).expect("a question of the agent");
+    let state = agent.state().clone();
+    let answer = move |req| state.handle_request(&req).expect("a question of the agent");
     serve(here, "peer", Limits::default(), cancel, answer).expect("served");
     agent
 }
@@ -138,7 +138,7 @@
     }
 }
 
-fn until(what: &str, ok: impl Fn() -> bool) {
+fn wait_until(what: &str, ok: impl Fn() -> bool) {
     for _ in 0..400 {
         if ok() {
             return;
@@ -149,7 +149,7 @@
 }
 
 fn replicas(agent: &Agent) -> Option<u32> {
-    let configs = agent.shared().configs();
+    let configs = agent.state().configs();
     Some(configs.get("weld")?.template.services[0].replicas)
 }
 
@@ -167,17 +167,17 @@
     );
     let agent = agent.expect("an agent");
     apply(platform.as_ref(), &change(0, 10)).expect("accepted");
-    until("first change", || replicas(&agent) == Some(10));
+    wait_until("first change", || replicas(&agent) == Some(10));
     apply(platform.as_ref(), &change(1, 11)).expect("accepted");
-    until("change by the log", || replicas(&agent) == Some(11));
+    wait_until("change by the log", || replicas(&agent) == Some(11));
     apply(platform.as_ref(), &change(2, 12)).expect("accepted");
     platform
         .tx(&Tx::new().delete(keys::change(3)))
         .expect("deleted");
-    until("change without its log entry", || {
+    wait_until("change without its log entry", || {
         replicas(&agent) == Some(12)
     });
-    assert_eq!(agent.shared().configs().head(), 3);
+    assert_eq!(agent.state().configs().head(), 3);
     cancel.cancel();
 }
 
@@ -191,12 +191,12 @@
     let far = settings("b", "west", there, here);
     let far = Agent::start(far, Arc::new(NoTable), Arc::new(NoMembers), &cancel);
     let far = far.expect("an agent");
-    until("the template comes from the peer", || {
+    wait_until("the template comes from the peer", || {
         replicas(&far) == Some(10)
     });
     apply(platform.as_ref(), &change(1, 11)).expect("accepted");
-    until("its change too", || replicas(&far) == Some(11));
-    assert!(far.shared().is_loaded());
+    wait_until("its change too", || replicas(&far) == Some(11));
+    assert!(far.state().is_loaded());
     cancel.cancel();
 }
 
@@ -223,21 +223,15 @@
     let far = settings("b", "west", there, there);
     let far = Agent::start(far, Arc::new(NoTable), Arc::new(members), &cancel);
     let far = far.expect("an agent");
-    until("the zone that is not cut off has the template", || {
+    wait_until("the zone that is not cut off has the template", || {
         replicas(&near) == Some(10)
     });
-    assert!(
-        !far.shared().is_loaded(),
-        "nothing reaches the cut-off zone"
-    );
-    assert!(near.shared().peers().all().is_empty());
+    assert!(!far.state().is_loaded(), "nothing reaches the cut-off zone");
+    assert!(near.state().peers().all().is_empty());
     shown.store(true, Ordering::Release);
-    until("the template comes from the peer", || {
+    wait_until("the template comes from the peer", || {
         replicas(&far) == Some(10)
     });
-    assert_eq!(
-        far.shared().configs().head(),
-        near.shared().configs().head()
-    );
+    assert_eq!(far.state().configs().head(), near.state().configs().head());
     cancel.cancel();
 }
--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -9,7 +9,7 @@
     shard::{Book, Takeover},
     spread::stable_hash,
 };
-use gorsespur_peer::{ShardAt, Shared};
+use gorsespur_peer::{AgentState, ZoneShard};
 use gorsespur_runtime::{cancel::Cancel, metrics::Metrics};
 use gorsespur_services::{Objects, Table};
 use gorsespur_wire::{codec::decode, keys};
@@ -28,9 +28,9 @@
 
 /// What a keeper works with.
 pub(crate) struct Keeper {
-    pub at: ShardAt,
+    pub at: ZoneShard,
     pub settings: SchedSettings,
-    pub shared: Arc<Shared>,
+    pub shared: Arc<AgentState>,
     pub table: Arc<dyn Table>,
     pub objects: Arc<dyn Objects>,
     pub owned: Arc<Owned>,
@@ -72,7 +72,7 @@
 
     /// Returns this instance's place in the line for the shard; 0 is first.
     fn rank(&self) -> Option<usize> {
-        let mut line = self.shared.colleagues();
+        let mut line = self.shared.same_role_ids();
         let name = &self.at.place.name;
         line.sort_by_key(|id| std::cmp::Reverse(stable_hash(&[name, id])));
         line.iter().position(|id| *id == self.shared.settings.id)
--- a/crates/sched/src/peer_api.rs
+++ b/crates/sched/src/peer_api.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use flume::{Receiver, Sender};
-use gorsespur_peer::Shared;
+use gorsespur_peer::AgentState;
 use gorsespur_runtime::server::{Incoming, Reply};
 use gorsespur_wire::{
     codec::{CONTENT_TYPE, decode, encode},
@@ -22,14 +22,14 @@
 
 /// Answers peers.
 pub(crate) struct PeerApi {
-    pub shared: Arc<Shared>,
+    pub shared: Arc<AgentState>,
     pub owned: Arc<Owned>,
 }
 
 impl PeerApi {
     /// Answers one request.
     pub fn answer(&self, req: &Incoming) -> Reply {
-        if let Some(reply) = self.shared.answer(req) {
+        if let Some(reply) = self.shared.handle_request(req) {
             return reply;
         }
         match &*req.path {
--- a/crates/sched/src/program.rs
+++ b/crates/sched/src/program.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use gorsespur_peer::{Agent, Shared};
+use gorsespur_peer::{Agent, AgentState};
 use gorsespur_runtime::{
     cancel::Cancel,
     logging,
@@ -43,7 +43,7 @@
 
 /// A running scheduler.
 pub struct Running {
-    shared: Arc<Shared>,
+    shared: Arc<AgentState>,
     serving: ServerHandle,
     keepers: Vec<JoinHandle<()>>,
     stop: Cancel,
@@ -83,7 +83,7 @@
     let workers: Arc<dyn Workers> = Arc::new(HttpWorkers::new(settings.timeout));
     let exchanges = exchanger::start(&workers, settings.threads).context(SystemSnafu)?;
     let agent = Agent::start(instance.clone(), table.clone(), members, &end).context(AgentSnafu)?;
-    let shared = agent.shared().clone();
+    let shared = agent.state().clone();
     let owned = Arc::new(Owned::default());
     let api = PeerApi {
         shared: shared.clone(),
@@ -129,7 +129,7 @@
     /// Releases the shards, tells the peers and ends.
     pub fn stop(self) {
         self.stop.cancel();
-        self.shared.leave();
+        self.shared.start_leaving();
         for keeper in self.keepers {
             let _ = keeper.join();
         }
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -9,7 +9,7 @@
     owner::Tenure,
     shard::{Action, Event, JobKey, JobStatus, Machine},
 };
-use gorsespur_peer::{ShardAt, Shared};
+use gorsespur_peer::{AgentState, ZoneShard};
 use gorsespur_replay::Recorder;
 use gorsespur_runtime::{cancel::Cancel, metrics::Metrics};
 use gorsespur_wire::{codec::encode, peer::TargetsAnswer, stored::Snapshot};
@@ -27,8 +27,8 @@
 
 /// What the machine thread works with.
 pub(crate) struct ShardThread {
-    pub at: ShardAt,
-    pub shared: Arc<Shared>,
+    pub at: ZoneShard,
+    pub shared: Arc<AgentState>,
     pub machine: Machine,
     pub tenure: Tenure,
     pub input: Receiver<Input>,
@@ -175,7 +175,7 @@
 
     /// Returns the workers of the shard, and how many each shard has.
     fn workers(&self) -> Event {
-        let known = self.shared.list();
+        let known = self.shared.member_list();
         let shards = self.shared.settings.layout.shards();
         let mut list = Vec::new();
         let mut counts = vec![0; shards.len()];
