--- a/crates/peer/src/agent.rs
+++ b/crates/peer/src/agent.rs
@@ -16,9 +16,9 @@
 use snafu::ResultExt;
 
 use crate::{
-    AgentSettings, AgentState, PeerError, beats, config,
+    AgentSettings, AgentState, PeerError, config,
     error::{BindSnafu, SpawnSnafu},
-    list,
+    heartbeats, member_list,
 };
 
 /// Time limit of waiting for a heartbeat, after which cancellation is looked at.
@@ -46,13 +46,15 @@
         let sender = socket.try_clone().context(BindSnafu { addr })?;
         let state = Arc::new(AgentState::new(settings));
         let (s, c) = (state.clone(), cancel.clone());
-        spawn("beats-in", move || beats::receive_all(&s, &socket, &c))?;
+        spawn("beats-in", move || heartbeats::receive_all(&s, &socket, &c))?;
         let (s, c) = (state.clone(), cancel.clone());
-        spawn("beats-out", move || beats::send_all(&s, &sender, &c))?;
+        spawn("beats-out", move || heartbeats::send_all(&s, &sender, &c))?;
         let (s, c) = (state.clone(), cancel.clone());
         spawn("config", move || config::follow(&s, table.as_ref(), &c))?;
         let (s, c) = (state.clone(), cancel.clone());
-        spawn("members", move || list::follow(&s, members.as_ref(), &c))?;
+        spawn("members", move || {
+            member_list::follow(&s, members.as_ref(), &c)
+        })?;
         Ok(Agent { state })
     }
 
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -7,16 +7,16 @@
 //! in force on its sender, and whoever is behind asks for what it lacks.
 
 mod agent;
-mod beats;
 mod config;
 mod error;
+mod heartbeats;
 mod layout;
-mod list;
+mod member_list;
 mod settings;
-mod shared;
+mod state;
 
 pub use agent::Agent;
 pub use error::PeerError;
 pub use layout::{Layout, Zone, ZoneShard};
 pub use settings::{AgentSettings, RawCommon, RawPlatform, RawZone};
-pub use shared::AgentState;
+pub use state::AgentState;
