--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -4,7 +4,7 @@
 
 use gorsespur_peer::{Agent, AgentState};
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     logging,
     metrics::Metrics,
     server,
@@ -42,8 +42,8 @@
     pub callers: SocketAddr,
     shared: Arc<AgentState>,
     serving: ServerHandle,
-    accept: Cancel,
-    end: Cancel,
+    accept: CancelToken,
+    end: CancelToken,
     drain: Duration,
 }
 
@@ -55,7 +55,7 @@
     }
     let instance = &settings.instance;
     logging::start(&instance.log, "entry", &instance.id).context(LogSnafu)?;
-    let stop = Cancel::new();
+    let stop = CancelToken::new();
     cancel_on_signal(&stop).context(SystemSnafu)?;
     let running = start(settings)?;
     log::info!("entry: serves callers at {}", running.callers);
@@ -69,7 +69,7 @@
 pub fn start(settings: EntrySettings) -> Result<Running, EntryError> {
     let instance = settings.instance.clone();
     let metrics = Metrics::start(&instance.metrics, "entry").context(MetricSnafu)?;
-    let (accept, end) = (Cancel::new(), Cancel::new());
+    let (accept, end) = (CancelToken::new(), CancelToken::new());
     let table: Arc<dyn Table> = Arc::new(HttpTable::new(instance.table, instance.timeout));
     let members = Arc::new(HttpMembers::new(instance.members, instance.timeout));
     let agent = Agent::start(instance.clone(), table.clone(), members, &end).context(AgentSnafu)?;
--- a/crates/entry/src/router_thread.rs
+++ b/crates/entry/src/router_thread.rs
@@ -8,7 +8,7 @@
     route::{Arrival, RouteAction, RouteCounts, RouteEvent, RouteSettings, Router, TryEnd},
 };
 use gorsespur_peer::AgentState;
-use gorsespur_runtime::{cancel::Cancel, client::Response, metrics::Metrics};
+use gorsespur_runtime::{cancel::CancelToken, client::Response, metrics::Metrics};
 
 /// Time between two ticks while no request waits.
 const IDLE: Duration = Duration::from_millis(100);
@@ -54,7 +54,7 @@
     settings: RouteSettings,
     shared: &Arc<AgentState>,
     metrics: &Metrics,
-    cancel: &Cancel,
+    cancel: &CancelToken,
 ) -> std::io::Result<Sender<ToRouter>> {
     let (tx, rx) = flume::bounded(WAITING);
     let router = Router::new(settings, shared.incarnation);
@@ -70,7 +70,7 @@
     rx: &Receiver<ToRouter>,
     shared: &AgentState,
     metrics: &Metrics,
-    cancel: &Cancel,
+    cancel: &CancelToken,
 ) {
     let mut open: Vec<Open> = Vec::new();
     let mut ticked = 0;
--- a/crates/entry/src/targets.rs
+++ b/crates/entry/src/targets.rs
@@ -9,7 +9,7 @@
     route::{RouteEvent, Share, TargetList},
 };
 use gorsespur_peer::AgentState;
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 use gorsespur_services::post;
 use gorsespur_wire::{
     paths::PEER_TARGETS,
@@ -38,7 +38,7 @@
     shared: &Arc<AgentState>,
     owners: &Arc<Owners>,
     router: &Sender<ToRouter>,
-    cancel: &Cancel,
+    cancel: &CancelToken,
 ) -> std::io::Result<()> {
     let (shared, owners) = (shared.clone(), owners.clone());
     let (router, cancel) = (router.clone(), cancel.clone());
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -15,7 +15,7 @@
 };
 use gorsespur_entry::{program as entry, settings as entry_settings};
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     client::{Call, Response},
     settings::parse_yaml,
 };
@@ -38,7 +38,7 @@
     pub entry: Option<entry::Running>,
     platform: Arc<Mutex<Platform>>,
     sched: Option<sched::Running>,
-    cancel: Cancel,
+    cancel: CancelToken,
 }
 
 fn common(id: &str, listen: SocketAddr, seed: SocketAddr, gate: SocketAddr) -> String {
@@ -52,7 +52,7 @@
 impl Zone {
     /// Starts everything and waits until requests are served.
     pub fn start() -> Zone {
-        let cancel = Cancel::new();
+        let cancel = CancelToken::new();
         let platform = Platform::new(5_000, 5_000, Duration::ZERO, 1);
         let platform = Arc::new(Mutex::new(platform));
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
@@ -90,7 +90,7 @@
         let (s, e) = (own(), own());
         let raw = parse_yaml(&common("sched1", s, e, gate)).expect("good settings");
         let settings = sched_settings::check(raw).expect("good settings");
-        let sched = sched::start(&settings, None, &Cancel::new()).expect("a scheduler");
+        let sched = sched::start(&settings, None, &CancelToken::new()).expect("a scheduler");
         let text = format!(
             "{}callers: '{any}'\ndrain_ms: 100\n",
             common("entry1", e, s, gate)
@@ -159,7 +159,7 @@
     platform.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn start_worker(gate: SocketAddr, ledger: &Arc<Ledger>, cancel: &Cancel) -> WorkerStand {
+fn start_worker(gate: SocketAddr, ledger: &Arc<Ledger>, cancel: &CancelToken) -> WorkerStand {
     let settings = SimSettings {
         name: Name::from("w1"),
         size: Size::new(30_000, 125 << 30, 0),
--- a/crates/node/src/census.rs
+++ b/crates/node/src/census.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use gorsespur_core::retry::Backoff;
-use gorsespur_runtime::{cancel::Cancel, clock::wall_ms};
+use gorsespur_runtime::{cancel::CancelToken, clock::wall_ms};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
@@ -73,7 +73,7 @@
 }
 
 /// Announces the instance until cancelled.
-pub(crate) fn announce(shared: &std::sync::Arc<Shared>, cancel: &Cancel) {
+pub(crate) fn announce(shared: &std::sync::Arc<Shared>, cancel: &CancelToken) {
     let mut rng = rand::rng();
     let mut backoff = Backoff::new(FIRST_PAUSE, LAST_PAUSE, rng.random());
     let mut wait = rng.random_range(0..SPREAD);
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use gorsespur_core::retry::Backoff;
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 
 use crate::{
     metrics::{Count, Duty},
@@ -57,7 +57,7 @@
 }
 
 /// Follows the configuration until cancelled.
-pub(crate) fn follow(shared: &Arc<Shared>, cancel: &Cancel) {
+pub(crate) fn follow(shared: &Arc<Shared>, cancel: &CancelToken) {
     let (table, _) = shared.protocol.config_row();
     let mut version = None;
     let mut lost = false;
--- a/crates/node/src/follow_tests.rs
+++ b/crates/node/src/follow_tests.rs
@@ -2,7 +2,7 @@
 
 use std::{thread, time::Duration};
 
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 
 use crate::{
     fakes_tests::{NoStore, shared},
@@ -14,7 +14,7 @@
 #[test]
 fn a_store_that_refuses_is_asked_less_and_less() {
     let shared = shared(NoStore);
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     thread::scope(|scope| {
         scope.spawn(|| follow(&shared, &cancel));
         thread::sleep(Duration::from_secs(3));
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -7,7 +7,7 @@
 
 use gorsespur_core::retry::Backoff;
 use gorsespur_jobs::Takeover;
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 use rand::Rng;
 
 use crate::{
@@ -79,7 +79,7 @@
 }
 
 /// Watches until cancelled; while this instance owns the lease, it decides.
-pub(crate) fn watch(shared: &Arc<Shared>, cancel: &Cancel) {
+pub(crate) fn watch(shared: &Arc<Shared>, cancel: &CancelToken) {
     let mut watch = Watch::default();
     let mut rng = rand::rng();
     let mut jitter = rng.random_range(0..JITTER);
--- a/crates/node/src/owner/census.rs
+++ b/crates/node/src/owner/census.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use gorsespur_runtime::{cancel::Cancel, clock::wall_ms};
+use gorsespur_runtime::{cancel::CancelToken, clock::wall_ms};
 
 use crate::{
     census::Register,
@@ -23,7 +23,7 @@
 const MOST_REMOVED: usize = 100;
 
 /// Follows the announcements of instances until cancelled.
-pub(crate) fn count(shared: &Arc<Shared>, cancel: &Cancel) {
+pub(crate) fn count(shared: &Arc<Shared>, cancel: &CancelToken) {
     let mut register = Register::default();
     let mut version = None;
     // An owner has more urgent things to read at first.
--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use gorsespur_jobs::{Event, Job};
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 
 use super::{
     gather::{Listing, all_jobs, list_workers},
@@ -52,7 +52,7 @@
 }
 
 /// Follows the accepted jobs until cancelled.
-pub(crate) fn jobs(shared: &Arc<Shared>, mut follow: Follow, input: &Input, cancel: &Cancel) {
+pub(crate) fn jobs(shared: &Arc<Shared>, mut follow: Follow, input: &Input, cancel: &CancelToken) {
     while !cancel.is_cancelled() {
         let mut events = Vec::new();
         let step = match follow.version {
@@ -113,7 +113,12 @@
 }
 
 /// Follows the workers' announcements until cancelled.
-pub(crate) fn workers(shared: &Arc<Shared>, mut follow: Follow, input: &Input, cancel: &Cancel) {
+pub(crate) fn workers(
+    shared: &Arc<Shared>,
+    mut follow: Follow,
+    input: &Input,
+    cancel: &CancelToken,
+) {
     let table = shared.protocol.workers_table();
     while !cancel.is_cancelled() {
         let mut events = Vec::new();
@@ -221,7 +226,7 @@
     }
 }
 
-fn failed(shared: &Shared, follow: &mut Follow, err: &StoreError, cancel: &Cancel) {
+fn failed(shared: &Shared, follow: &mut Follow, err: &StoreError, cancel: &CancelToken) {
     shared.metrics.count(Count::StoreErrors);
     log::debug!(err = err.to_string().as_str(); "feed: failed");
     if *err == StoreError::Forgotten {
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -27,7 +27,7 @@
 
 use flume::Sender;
 use gorsespur_jobs::Takeover;
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 
 use self::{inbox::Inbox, journal::Entry, load::Loaded, turn::Turn};
 use crate::{census::Census, shared::Shared};
@@ -59,7 +59,7 @@
 ///
 /// The lease is renewed from the first moment: a small instance may take seconds to
 /// read all jobs, and would lose it meanwhile to another that fares no better.
-pub(crate) fn run(shared: &Arc<Shared>, tenure: Tenure, cancel: &Cancel) {
+pub(crate) fn run(shared: &Arc<Shared>, tenure: Tenure, cancel: &CancelToken) {
     let inbox = match Inbox::new() {
         Ok(inbox) => inbox,
         Err(err) => {
@@ -69,7 +69,7 @@
     };
     // Its own questions and renewals are answered more often than those of other instances.
     shared.asks_each(feed::WAIT);
-    let mine = Cancel::new();
+    let mine = CancelToken::new();
     let input = inbox.input();
     let (batches, journal) = flume::bounded(RING);
     thread::scope(|scope| {
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -4,7 +4,7 @@
 
 use flume::Sender;
 use gorsespur_jobs::{Action, Event, Machine};
-use gorsespur_runtime::{cancel::Cancel, clock::wall_ms};
+use gorsespur_runtime::{cancel::CancelToken, clock::wall_ms};
 use mio::Events;
 
 use super::{
@@ -85,7 +85,7 @@
     }
 
     /// Decides until the lease is lost or `cancel` is cancelled.
-    pub(crate) fn run(mut self, journal: &Sender<Entry>, cancel: &Cancel) {
+    pub(crate) fn run(mut self, journal: &Sender<Entry>, cancel: &CancelToken) {
         let mut events = Events::with_capacity(EVENTS);
         while !self.over && !cancel.is_cancelled() {
             let wake = match self.wake(&mut events) {
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -8,7 +8,7 @@
 };
 
 use gorsespur_http::{Handler, Limits, Request, Response, Server, ServerSettings};
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 use signal_hook::{
     consts::{SIGHUP, SIGINT, SIGTERM},
     iterator::Signals,
@@ -86,7 +86,7 @@
 /// A node that runs.
 pub struct Node {
     shared: Arc<Shared>,
-    cancel: Cancel,
+    cancel: CancelToken,
     watcher: thread::JoinHandle<()>,
     front: Option<Server>,
     ready: Option<Server>,
@@ -103,7 +103,7 @@
         protocol: Box<dyn Protocol>,
     ) -> Result<Node, NodeError> {
         let shared = Arc::new(Shared::new(settings, store, protocol));
-        let cancel = Cancel::new();
+        let cancel = CancelToken::new();
         log::info!(name = &*shared.settings.name, share = shared.settings.share; "node: starts");
         let handler = Ready {
             shared: shared.clone(),
@@ -114,7 +114,7 @@
         };
         let metrics = serve(shared.settings.metrics, FEW, handler)?;
         // The configuration is followed to the very end: a stopping instance answers.
-        spawn("config", &shared, &Cancel::new(), follow)?;
+        spawn("config", &shared, &CancelToken::new(), follow)?;
         let handler = Front {
             shared: shared.clone(),
         };
@@ -208,8 +208,8 @@
 fn spawn(
     name: &'static str,
     shared: &Arc<Shared>,
-    cancel: &Cancel,
-    duty: fn(&Arc<Shared>, &Cancel),
+    cancel: &CancelToken,
+    duty: fn(&Arc<Shared>, &CancelToken),
 ) -> Result<thread::JoinHandle<()>, NodeError> {
     let (shared, cancel) = (shared.clone(), cancel.clone());
     thread::Builder::new()
--- a/crates/peer/src/agent.rs
+++ b/crates/peer/src/agent.rs
@@ -4,7 +4,7 @@
 
 use gorsespur_core::{name::Name, route::RouteCounts, shard::ShardStatus};
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     server::{Incoming, Reply},
 };
 use gorsespur_services::{Members, Table};
@@ -36,7 +36,7 @@
         settings: AgentSettings,
         table: Arc<dyn Table>,
         members: Arc<dyn Members>,
-        cancel: &Cancel,
+        cancel: &CancelToken,
     ) -> Result<Agent, PeerError> {
         let addr = settings.listen;
         let socket = UdpSocket::bind(addr).context(BindSnafu { addr })?;
--- a/crates/peer/src/config.rs
+++ b/crates/peer/src/config.rs
@@ -8,7 +8,7 @@
     retry::{Backoff, Breaker},
     spread::pick,
 };
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 use gorsespur_services::{Table, TableError, post};
 use gorsespur_wire::{
     codec::decode,
@@ -40,7 +40,7 @@
 const SCAN_ROWS: u32 = 500;
 
 /// Follows the changes of configuration until `cancel`.
-pub(crate) fn follow(state: &AgentState, table: &dyn Table, cancel: &Cancel) {
+pub(crate) fn follow(state: &AgentState, table: &dyn Table, cancel: &CancelToken) {
     let mut backoff = Backoff::new(POLL_INTERVAL_MS, MAX_BACKOFF_MS, state.incarnation);
     let mut breaker = Breaker::new(BREAKER_FAILURES, MAX_BACKOFF_MS);
     loop {
--- a/crates/peer/src/heartbeats.rs
+++ b/crates/peer/src/heartbeats.rs
@@ -7,7 +7,7 @@
 };
 
 use gorsespur_core::member::Beat;
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 use gorsespur_wire::codec::{decode, encode};
 use rand::{SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 
@@ -20,7 +20,7 @@
 const MAX_BEAT_BYTES: usize = 8 * 1024;
 
 /// Receives heartbeats until `cancel`.
-pub(crate) fn receive_all(state: &AgentState, socket: &UdpSocket, cancel: &Cancel) {
+pub(crate) fn receive_all(state: &AgentState, socket: &UdpSocket, cancel: &CancelToken) {
     let mut buf = vec![0; MAX_BEAT_BYTES];
     while !cancel.is_cancelled() {
         let Ok((n, _)) = socket.recv_from(&mut buf) else {
@@ -38,7 +38,7 @@
 }
 
 /// Sends heartbeats until `cancel`, and a last one that says goodbye.
-pub(crate) fn send_all(state: &AgentState, socket: &UdpSocket, cancel: &Cancel) {
+pub(crate) fn send_all(state: &AgentState, socket: &UdpSocket, cancel: &CancelToken) {
     let mut rng = SmallRng::seed_from_u64(state.incarnation);
     let interval = Duration::from_millis(state.settings.membership.beat);
     let mut seq = 0;
@@ -59,7 +59,7 @@
 
 /// Waits for the next heartbeat, which comes at once when this instance starts
 /// to leave; tells whether `cancel` came.
-fn wait_for_next_beat(state: &AgentState, interval: Duration, cancel: &Cancel) -> bool {
+fn wait_for_next_beat(state: &AgentState, interval: Duration, cancel: &CancelToken) -> bool {
     let was_staying = !state.is_leaving();
     let deadline = Instant::now() + interval;
     while Instant::now() < deadline && was_staying != state.is_leaving() {
--- a/crates/peer/src/member_list.rs
+++ b/crates/peer/src/member_list.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 use gorsespur_services::Members;
 
 use crate::AgentState;
@@ -11,7 +11,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Reads the list until `cancel`; while it can't be read the last one stays.
-pub(crate) fn follow(state: &AgentState, members: &dyn Members, cancel: &Cancel) {
+pub(crate) fn follow(state: &AgentState, members: &dyn Members, cancel: &CancelToken) {
     loop {
         match members.list() {
             Ok(list) => {
--- a/crates/peer/tests/config.rs
+++ b/crates/peer/tests/config.rs
@@ -21,7 +21,7 @@
 };
 use gorsespur_peer::{Agent, AgentSettings, Layout, Zone};
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     server::{Limits, serve},
 };
 use gorsespur_services::{
@@ -114,7 +114,7 @@
     platform: &Arc<FakePlatform>,
     here: SocketAddr,
     seed: SocketAddr,
-    cancel: &Cancel,
+    cancel: &CancelToken,
 ) -> Agent {
     let table: Arc<dyn Table> = platform.clone();
     let settings = settings("a", "east", here, seed);
@@ -156,7 +156,7 @@
 #[test]
 fn changes_come_into_force_by_the_log_and_without_it() {
     let platform = Arc::new(FakePlatform::new());
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     let here = own();
     let table: Arc<dyn Table> = platform.clone();
     let agent = Agent::start(
@@ -185,7 +185,7 @@
 fn an_instance_without_the_platform_learns_from_a_peer_of_another_zone() {
     let platform = Arc::new(FakePlatform::new());
     apply(platform.as_ref(), &change(0, 10)).expect("accepted");
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     let (here, there) = (own(), own());
     serving_agent(&platform, here, there, &cancel);
     let far = settings("b", "west", there, here);
@@ -206,7 +206,7 @@
 fn a_zone_that_was_cut_off_from_everything_catches_up() {
     let platform = Arc::new(FakePlatform::new());
     apply(platform.as_ref(), &change(0, 10)).expect("accepted");
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     let (here, there) = (own(), own());
     let near = serving_agent(&platform, here, here, &cancel);
     let shown = Arc::new(AtomicBool::new(false));
--- a/crates/runtime/src/cancel.rs
+++ b/crates/runtime/src/cancel.rs
@@ -9,7 +9,7 @@
 ///
 /// Clones share one state: cancelling any of them cancels all.
 #[derive(Debug, Clone, Default)]
-pub struct Cancel {
+pub struct CancelToken {
     inner: Arc<Inner>,
 }
 
@@ -19,10 +19,10 @@
     wakeup: Condvar,
 }
 
-impl Cancel {
+impl CancelToken {
     /// Returns a token that is not cancelled.
-    pub fn new() -> Cancel {
-        Cancel::default()
+    pub fn new() -> CancelToken {
+        CancelToken::default()
     }
 
     /// Cancels the token and wakes every waiter.
--- a/crates/runtime/src/server.rs
+++ b/crates/runtime/src/server.rs
@@ -27,7 +27,7 @@
 use tiny_http::{Header, Response, Server};
 
 use crate::{
-    cancel::Cancel,
+    cancel::CancelToken,
     client::{HeaderField, find_header},
     exit::{EXIT_FAILURE, HasExitCode},
     idle::ConnectionTracker,
@@ -211,7 +211,7 @@
     addr: SocketAddr,
     name: &'static str,
     limits: Limits,
-    cancel: &Cancel,
+    cancel: &CancelToken,
     handler: H,
 ) -> Result<ServerHandle, ServeError>
 where
@@ -264,7 +264,7 @@
     active: Arc<AtomicUsize>,
     connections: ConnectionTracker,
     max_connections: usize,
-    cancel: Cancel,
+    cancel: CancelToken,
 }
 
 impl Acceptor {
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -7,12 +7,12 @@
     iterator::Signals,
 };
 
-use crate::cancel::Cancel;
+use crate::cancel::CancelToken;
 
 /// Cancels `cancel` at the first SIGTERM or SIGINT.
 ///
 /// Errors: the system refuses the handler.
-pub fn cancel_on_signal(cancel: &Cancel) -> io::Result<()> {
+pub fn cancel_on_signal(cancel: &CancelToken) -> io::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let cancel = cancel.clone();
     thread::Builder::new()
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -8,7 +8,7 @@
 };
 
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     client::{Call, CallError, Response, find_header},
     server::{Limits, Reply, ServerHandle, serve},
 };
@@ -83,7 +83,7 @@
     assert!(matches!(got, Err(CallError::Timeout)), "{got:?}");
 }
 
-fn server(limits: Limits, cancel: &Cancel) -> ServerHandle {
+fn server(limits: Limits, cancel: &CancelToken) -> ServerHandle {
     let addr = ([127, 0, 0, 1], 0).into();
     let serving = serve(addr, "test", limits, cancel, |req| {
         Reply::text(
@@ -124,7 +124,7 @@
 #[test_case(b"POST / HTTP/1.1\r\nContent-Length: 1500\r\n\r\nab", false, "408"; "body never ends")]
 #[test_case(b"POST / HTTP/1.1\r\nContent-Length: 5000\r\n\r\nab", true, "413"; "body over the limit")]
 fn a_body_that_is_not_whole_is_not_handled(bytes: &[u8], close: bool, status: &str) {
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     let serving = server(small(), &cancel);
     let text = raw_call(serving.addr, bytes, close);
     assert!(text.starts_with(&format!("HTTP/1.1 {status}")), "{text}");
@@ -135,7 +135,7 @@
 /// The library reads short bodies by itself, before there is a request.
 #[test]
 fn a_short_body_that_is_cut_is_not_handled() {
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     let addr = ([127, 0, 0, 1], 0).into();
     let (tx, rx) = flume::unbounded();
     let serving = serve(addr, "test", small(), &cancel, move |_| {
@@ -151,7 +151,7 @@
 
 #[test]
 fn a_long_head_is_refused() {
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     let serving = server(small(), &cancel);
     let head = format!(
         "GET / HTTP/1.1\r\nx: {}\r\nConnection: close\r\n\r\n",
@@ -164,7 +164,7 @@
 
 #[test]
 fn slow_callers_hold_nobody_up_for_ever() {
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     let serving = server(small(), &cancel);
     let mut held = Vec::new();
     for bytes in [
@@ -199,7 +199,7 @@
 /// The read timeout starts anew with each byte.
 #[test]
 fn a_caller_that_trickles_its_head_is_cut_off() {
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     let serving = server(small(), &cancel);
     let mut stream = TcpStream::connect(serving.addr).expect("a connection");
     let mut cut = false;
@@ -216,7 +216,7 @@
 
 #[test]
 fn connections_above_the_limit_are_closed() {
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     let limits = Limits {
         max_connections: 3,
         io_timeout: Duration::from_secs(20),
@@ -240,7 +240,7 @@
 
 #[test]
 fn an_idle_server_goes_on_after_its_accept_timed_out() {
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     let serving = server(small(), &cancel);
     for _ in 0..3 {
         thread::sleep(Duration::from_millis(400));
--- a/crates/sched/src/inbox.rs
+++ b/crates/sched/src/inbox.rs
@@ -8,7 +8,7 @@
     retry::Backoff,
     shard::{Event, JobSpec},
 };
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 use gorsespur_services::Table;
 use gorsespur_wire::{codec::decode, keys};
 
@@ -36,7 +36,7 @@
     input: &Sender<Input>,
     look: &Receiver<()>,
     seed: u64,
-    cancel: &Cancel,
+    cancel: &CancelToken,
 ) {
     let prefix = keys::inbox_rows(shard);
     let mut backoff = Backoff::new(PAUSE, MAX_PAUSE, seed);
--- a/crates/sched/src/inquiry.rs
+++ b/crates/sched/src/inquiry.rs
@@ -15,7 +15,7 @@
 
 use flume::Sender;
 use gorsespur_core::{name::Name, shard::Event};
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 use gorsespur_services::post;
 use gorsespur_wire::{
     paths::PEER_JOBS,
@@ -42,7 +42,7 @@
     pub hold: Duration,
     pub input: Sender<Input>,
     pub settled: Arc<AtomicBool>,
-    pub cancel: Cancel,
+    pub cancel: CancelToken,
 }
 
 impl Inquiry {
--- a/crates/sched/src/journal.rs
+++ b/crates/sched/src/journal.rs
@@ -14,7 +14,7 @@
     shard::{FinishedJob, Record},
 };
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     clock::{Clock, wall_hour},
 };
 use gorsespur_services::{Table, TableError};
@@ -98,7 +98,7 @@
         found: Option<&ShardRow>,
         version: u64,
         me: &Taker,
-        cancel: &Cancel,
+        cancel: &CancelToken,
     ) -> Result<Journal, JournalError> {
         let seed = gorsespur_core::spread::stable_hash(&[&me.id, shard]) ^ me.clock.now_micros();
         let old = found.cloned().unwrap_or(ShardRow {
@@ -140,7 +140,7 @@
     }
 
     /// Renews the lease and states the hold; returns when that was sent.
-    pub fn renew(&mut self, hold: u64, cancel: &Cancel) -> Result<u64, JournalError> {
+    pub fn renew(&mut self, hold: u64, cancel: &CancelToken) -> Result<u64, JournalError> {
         let row = ShardRow {
             hold,
             ..self.row.clone()
@@ -158,7 +158,7 @@
         &mut self,
         batch: &Batch,
         hold: u64,
-        cancel: &Cancel,
+        cancel: &CancelToken,
     ) -> Result<u64, JournalError> {
         let (first, next) = (batch.first, self.row.next);
         ensure!(first == next, GapSnafu { first, next });
@@ -215,7 +215,7 @@
     /// that ends before record `next`; returns when that was sent.
     ///
     /// Every record before `next` must be in a row before `cut`.
-    pub fn cut(&mut self, next: u64, cut: u64, cancel: &Cancel) -> Result<u64, JournalError> {
+    pub fn cut(&mut self, next: u64, cut: u64, cancel: &CancelToken) -> Result<u64, JournalError> {
         let mut tx = Tx::new();
         for row in self.row.first_row..cut {
             tx = tx.delete(keys::journal(&self.shard, row));
@@ -229,7 +229,7 @@
     }
 
     /// Gives the shard up, so that another instance can take it at once.
-    pub fn release(&mut self, cancel: &Cancel) -> Result<u64, JournalError> {
+    pub fn release(&mut self, cancel: &CancelToken) -> Result<u64, JournalError> {
         let row = ShardRow {
             owner: None,
             ..self.row.clone()
@@ -238,7 +238,12 @@
     }
 
     /// Writes the row and what goes with it; returns when the first try was sent.
-    fn write(&mut self, mut row: ShardRow, tx: Tx, cancel: &Cancel) -> Result<u64, JournalError> {
+    fn write(
+        &mut self,
+        mut row: ShardRow,
+        tx: Tx,
+        cancel: &CancelToken,
+    ) -> Result<u64, JournalError> {
         row.token = self.rng.random_range(1..=u64::MAX);
         let key = keys::shard(&self.shard);
         let expect = match self.version {
--- a/crates/sched/src/keep.rs
+++ b/crates/sched/src/keep.rs
@@ -18,7 +18,7 @@
     spread::stable_hash,
 };
 use gorsespur_replay::Recorder;
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 use gorsespur_wire::objects;
 
 use crate::{
@@ -77,7 +77,7 @@
         takeover: Takeover,
         old: Option<SocketAddr>,
     ) -> Parted {
-        let cancel = Cancel::new();
+        let cancel = CancelToken::new();
         let (input, inputs) = flume::bounded(INPUTS);
         let (upkeep, upkeeps) = flume::bounded(UPKEEP);
         let (look, looks) = flume::bounded(1);
@@ -122,7 +122,7 @@
         input: &Sender<Input>,
         inputs: Receiver<Input>,
         upkeep: Sender<Upkeep>,
-        cancel: &Cancel,
+        cancel: &CancelToken,
     ) -> Option<thread::JoinHandle<()>> {
         let now = self.shared.clock.now();
         let epoch = takeover.epoch;
@@ -176,7 +176,7 @@
         &self,
         input: &Sender<Input>,
         looks: Receiver<()>,
-        cancel: &Cancel,
+        cancel: &CancelToken,
     ) -> Option<thread::JoinHandle<()>> {
         let (table, name) = (self.table.clone(), self.at.place.name.clone());
         let (input, cancel) = (input.clone(), cancel.clone());
@@ -186,7 +186,7 @@
         })
     }
 
-    fn start_sweep(&self, cancel: &Cancel) -> Option<thread::JoinHandle<()>> {
+    fn start_sweep(&self, cancel: &CancelToken) -> Option<thread::JoinHandle<()>> {
         let sweep = Sweep {
             table: self.table.clone(),
             objects: self.objects.clone(),
@@ -206,7 +206,7 @@
         hold: u64,
         input: &Sender<Input>,
         settled: &Arc<AtomicBool>,
-        cancel: &Cancel,
+        cancel: &CancelToken,
     ) -> Option<thread::JoinHandle<()>> {
         let inquiry = Inquiry {
             shard: self.at.place.name.clone(),
@@ -374,8 +374,8 @@
 }
 
 /// Returns a token that is cancelled after `limit`.
-pub(crate) fn expire(limit: Duration) -> Cancel {
-    let cancel = Cancel::new();
+pub(crate) fn expire(limit: Duration) -> CancelToken {
+    let cancel = CancelToken::new();
     let timer = cancel.clone();
     thread::spawn(move || {
         thread::sleep(limit);
--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -10,7 +10,7 @@
     spread::stable_hash,
 };
 use gorsespur_peer::{AgentState, ZoneShard};
-use gorsespur_runtime::{cancel::Cancel, metrics::Metrics};
+use gorsespur_runtime::{cancel::CancelToken, metrics::Metrics};
 use gorsespur_services::{Objects, Table};
 use gorsespur_wire::{codec::decode, keys};
 
@@ -37,7 +37,7 @@
     pub exchanges: Sender<Exchange>,
     pub metrics: Metrics,
     pub record: Option<PathBuf>,
-    pub stop: Cancel,
+    pub stop: CancelToken,
 }
 
 impl Keeper {
--- a/crates/sched/src/program.rs
+++ b/crates/sched/src/program.rs
@@ -9,7 +9,7 @@
 
 use gorsespur_peer::{Agent, AgentState};
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     logging,
     metrics::Metrics,
     server,
@@ -46,8 +46,8 @@
     shared: Arc<AgentState>,
     serving: ServerHandle,
     keepers: Vec<JoinHandle<()>>,
-    stop: Cancel,
-    end: Cancel,
+    stop: CancelToken,
+    end: CancelToken,
 }
 
 /// Runs the scheduler until a signal stops it.
@@ -58,7 +58,7 @@
     }
     let instance = &settings.instance;
     logging::start(&instance.log, "sched", &instance.id).context(LogSnafu)?;
-    let stop = Cancel::new();
+    let stop = CancelToken::new();
     cancel_on_signal(&stop).context(SystemSnafu)?;
     let running = start(&settings, args.record.clone(), &stop)?;
     log::info!("sched: serves peers at {}", instance.listen);
@@ -72,11 +72,11 @@
 pub fn start(
     settings: &SchedSettings,
     record: Option<PathBuf>,
-    stop: &Cancel,
+    stop: &CancelToken,
 ) -> Result<Running, SchedError> {
     let instance = &settings.instance;
     let metrics = Metrics::start(&instance.metrics, "sched").context(MetricSnafu)?;
-    let end = Cancel::new();
+    let end = CancelToken::new();
     let table: Arc<dyn Table> = Arc::new(HttpTable::new(instance.table, instance.timeout));
     let objects: Arc<dyn Objects> = Arc::new(HttpObjects::new(instance.objects, OBJECTS));
     let members = Arc::new(HttpMembers::new(instance.members, instance.timeout));
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -11,7 +11,7 @@
 };
 use gorsespur_peer::{AgentState, ZoneShard};
 use gorsespur_replay::Recorder;
-use gorsespur_runtime::{cancel::Cancel, metrics::Metrics};
+use gorsespur_runtime::{cancel::CancelToken, metrics::Metrics};
 use gorsespur_wire::{codec::encode, peer::TargetsAnswer, stored::Snapshot};
 
 use crate::{
@@ -37,7 +37,7 @@
     pub exchanges: Sender<Exchange>,
     pub metrics: Metrics,
     pub recorder: Option<Recorder>,
-    pub cancel: Cancel,
+    pub cancel: CancelToken,
 }
 
 /// A cancellation that waits for the journal.
--- a/crates/sched/src/sweep.rs
+++ b/crates/sched/src/sweep.rs
@@ -9,7 +9,7 @@
 use std::{sync::Arc, time::Duration};
 
 use gorsespur_core::{name::Name, shard::checkpoint_key};
-use gorsespur_runtime::{cancel::Cancel, clock::wall_hour};
+use gorsespur_runtime::{cancel::CancelToken, clock::wall_hour};
 use gorsespur_services::{Objects, Table, TableError};
 use gorsespur_wire::{
     codec::decode,
@@ -40,7 +40,7 @@
 
 impl Sweep {
     /// Sweeps until `cancel`.
-    pub fn run(self, cancel: &Cancel) {
+    pub fn run(self, cancel: &CancelToken) {
         while !cancel.wait(PAUSE) {
             if let Err(err) = self.sweep(wall_hour()) {
                 log::debug!("sweep: {err}");
--- a/crates/sched/tests/journal.rs
+++ b/crates/sched/tests/journal.rs
@@ -9,7 +9,7 @@
     size::Size,
     template::Priority,
 };
-use gorsespur_runtime::{cancel::Cancel, clock::Clock};
+use gorsespur_runtime::{cancel::CancelToken, clock::Clock};
 use gorsespur_sched::{
     journal::{Batch, Journal, JournalError, Taker},
     recover,
@@ -86,7 +86,7 @@
         found.as_ref(),
         version,
         &taker(id),
-        &Cancel::new(),
+        &CancelToken::new(),
     );
     journal.expect("the shard is free to take")
 }
@@ -111,10 +111,10 @@
     let mut journal = take(&platform, "a");
     platform.fail_next(faults);
     journal
-        .append(&batch(0, &["one", "two"]), 1_000, &Cancel::new())
+        .append(&batch(0, &["one", "two"]), 1_000, &CancelToken::new())
         .expect("appended");
     journal
-        .append(&batch(2, &["three"]), 1_000, &Cancel::new())
+        .append(&batch(2, &["three"]), 1_000, &CancelToken::new())
         .expect("appended");
     assert_eq!(platform.count("journal/"), 2);
     let book = recovered(&platform);
@@ -128,9 +128,9 @@
     let mut old = take(&platform, "a");
     let mut new = take(&platform, "b");
     assert_eq!(new.row().epoch, old.row().epoch + 1);
-    let lost = old.append(&batch(0, &["stale"]), 1_000, &Cancel::new());
+    let lost = old.append(&batch(0, &["stale"]), 1_000, &CancelToken::new());
     assert_eq!(lost, Err(JournalError::Fenced));
-    new.append(&batch(0, &["fresh"]), 1_000, &Cancel::new())
+    new.append(&batch(0, &["fresh"]), 1_000, &CancelToken::new())
         .expect("appended");
     assert_eq!(recovered(&platform).jobs().len(), 1);
 }
@@ -140,7 +140,7 @@
     let platform = Arc::new(FakePlatform::new());
     let mut old = take(&platform, "a");
     platform.fail_next(&[Fault::Delayed]);
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     cancel.cancel();
     let gave_up = old.append(&batch(0, &["late"]), 1_000, &cancel);
     assert_eq!(gave_up, Err(JournalError::GaveUp));
@@ -154,12 +154,12 @@
         Some(&found),
         version,
         &taker("b"),
-        &Cancel::new(),
+        &CancelToken::new(),
     );
     assert_eq!(beaten.err(), Some(JournalError::Fenced));
     let mut new = take(&platform, "b");
     assert_eq!(new.row().next, 1);
-    new.append(&batch(1, &["next"]), 1_000, &Cancel::new())
+    new.append(&batch(1, &["next"]), 1_000, &CancelToken::new())
         .expect("appended");
     assert_eq!(recovered(&platform).jobs().len(), 2);
 }
@@ -176,7 +176,7 @@
         Some(&found),
         version,
         &taker("b"),
-        &Cancel::new(),
+        &CancelToken::new(),
     );
     let second = Journal::take(
         table,
@@ -184,7 +184,7 @@
         Some(&found),
         version,
         &taker("c"),
-        &Cancel::new(),
+        &CancelToken::new(),
     );
     assert!(first.is_ok());
     assert_eq!(second.err(), Some(JournalError::Fenced));
@@ -194,7 +194,7 @@
 fn a_takeover_keeps_the_longer_hold() {
     let platform = Arc::new(FakePlatform::new());
     let mut old = take(&platform, "a");
-    old.renew(9_000, &Cancel::new()).expect("renewed");
+    old.renew(9_000, &CancelToken::new()).expect("renewed");
     assert_eq!(take(&platform, "b").row().hold, 9_000);
 }
 
@@ -202,7 +202,7 @@
 fn a_snapshot_cuts_the_journal() {
     let platform = Arc::new(FakePlatform::new());
     let mut journal = take(&platform, "a");
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     journal
         .append(&batch(0, &["one", "two"]), 1_000, &cancel)
         .expect("appended");
@@ -233,7 +233,7 @@
 fn rows_written_while_a_snapshot_is_stored_stay() {
     let platform = Arc::new(FakePlatform::new());
     let mut journal = take(&platform, "a");
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     journal
         .append(&batch(0, &["one"]), 1_000, &cancel)
         .expect("appended");
@@ -264,13 +264,13 @@
     let platform = Arc::new(FakePlatform::new());
     let mut journal = take(&platform, "a");
     platform.fail_next(&[Fault::Down]);
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     cancel.cancel();
     let gave_up = journal.append(&batch(0, &["one"]), 1_000, &cancel);
     assert_eq!(gave_up, Err(JournalError::GaveUp));
-    let gap = journal.append(&batch(1, &["two"]), 1_000, &Cancel::new());
+    let gap = journal.append(&batch(1, &["two"]), 1_000, &CancelToken::new());
     assert_eq!(gap, Err(JournalError::Gap { first: 1, next: 0 }));
-    journal.release(&Cancel::new()).expect("released");
+    journal.release(&CancelToken::new()).expect("released");
     assert!(recovered(&platform).jobs().is_empty());
 }
 
@@ -278,7 +278,7 @@
 fn a_missing_row_is_noticed() {
     let platform = Arc::new(FakePlatform::new());
     let mut journal = take(&platform, "a");
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     journal
         .append(&batch(0, &["one"]), 1_000, &cancel)
         .expect("appended");
@@ -299,7 +299,7 @@
     let tx = gorsespur_wire::table::Tx::new().put(key, Vec::new());
     platform.tx(&tx).expect("written");
     journal
-        .append(&batch(0, &["one"]), 1_000, &Cancel::new())
+        .append(&batch(0, &["one"]), 1_000, &CancelToken::new())
         .expect("appended");
     assert_eq!(platform.count("inbox/"), 0);
 }
@@ -308,7 +308,7 @@
 fn a_released_shard_names_no_owner() {
     let platform = Arc::new(FakePlatform::new());
     let mut journal = take(&platform, "a");
-    journal.release(&Cancel::new()).expect("released");
+    journal.release(&CancelToken::new()).expect("released");
     assert_eq!(row(&platform).0.owner, None);
     assert!(platform.delete("x").is_ok());
 }
--- a/crates/stand/src/main.rs
+++ b/crates/stand/src/main.rs
@@ -9,7 +9,7 @@
 use clap::Parser;
 use gorsespur_core::{name::Name, size::Size};
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     clock::wall_ms,
     exit::report_result,
     logging::{LogSettings, start},
@@ -39,9 +39,9 @@
     report_result("gorsespur-stand", result)
 }
 
-fn prepare(id: &str) -> Result<Cancel, StandError> {
+fn prepare(id: &str) -> Result<CancelToken, StandError> {
     start(&LogSettings::default(), "stand", id).map_err(|source| StandError::Log { source })?;
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     cancel_on_signal(&cancel).map_err(|source| StandError::System { source })?;
     Ok(cancel)
 }
--- a/crates/stand/src/platform_http.rs
+++ b/crates/stand/src/platform_http.rs
@@ -12,7 +12,7 @@
 };
 
 use gorsespur_core::name::Name;
-use gorsespur_runtime::cancel::Cancel;
+use gorsespur_runtime::cancel::CancelToken;
 use gorsespur_wire::{
     codec::{decode, encode},
     paths::{GET, MEMBERS, OBJECTS, SCAN, TX},
@@ -44,7 +44,7 @@
 pub fn serve_platform(
     platform: Arc<Mutex<Platform>>,
     gates: &[Gate],
-    cancel: &Cancel,
+    cancel: &CancelToken,
 ) -> Result<Vec<Gate>, StandError> {
     let mut bound = Vec::new();
     for gate in gates {
--- a/crates/stand/src/worker_http.rs
+++ b/crates/stand/src/worker_http.rs
@@ -9,7 +9,7 @@
 
 use gorsespur_core::shard::WorkerRequest;
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     client::find_header,
     clock::{Clock, wall_ms},
     server::{Incoming, Limits, Reply, serve},
@@ -69,7 +69,7 @@
     load: TargetLoad,
     ledger: Arc<Ledger>,
     name: &str,
-    cancel: &Cancel,
+    cancel: &CancelToken,
 ) -> Result<WorkerStand, StandError> {
     let clock = Clock::new();
     let sim = Arc::new(Mutex::new(sim));
