--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that blocks, for one address.
+//! A blocking client for one address.
 
 use std::{
     io::{ErrorKind, Read, Write},
@@ -15,31 +15,30 @@
     traffic::Traffic,
 };
 
-/// Connections that are kept while nobody uses them.
+/// Most idle connections in the pool.
 const MAX_IDLE: usize = 8;
 
-/// Bytes that one read takes at most.
+/// Most bytes read at once.
 const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// Time that a read waits at least: what has arrived is read also after the limit.
+/// Shortest timeout of a read, so that bytes that have arrived are read even after the deadline.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// An answer that has begun to arrive is no silence: each further part of it is waited for as long
-/// as this ...
+/// Longest wait for each further part of a response that has begun to arrive.
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// ... and all of it for no longer than this beyond its limit.
+/// Longest time beyond the deadline for the whole of such a response.
 const MAX_EXTENSION: Duration = Duration::from_secs(15);
 
-/// Reads after the limit at most: an answer of 1 MB that had arrived, and no peer that
-/// goes on sending a little for ever.
+/// Most reads after the deadline. They suffice for a response of 1 MB that has arrived, and bound
+/// the time spent on a peer that keeps sending a little.
 const MAX_LATE_READS: usize = 64;
 
-/// Calls one address over kept connections; threads share it.
+/// A client for one address with a pool of connections; shared by threads.
 ///
-/// A connection is dropped after any failure, since an answer that was lost may
-/// still arrive on it. After silence all kept connections are: open ones may have
-/// gone silent for good, all at once, while new ones work.
+/// A connection is dropped after any failure, since the response to the failed call may
+/// still arrive on it. After a timeout all pooled connections are dropped: open
+/// connections may stop working all at once while new ones work.
 #[derive(Debug)]
 pub struct Client {
     addr: SocketAddr,
@@ -48,7 +47,7 @@
 }
 
 impl Client {
-    /// Makes a client; connections are opened when they are needed.
+    /// Creates a client; connections are opened on demand.
     pub fn new(addr: SocketAddr) -> Client {
         Client {
             addr,
@@ -57,15 +56,16 @@
         }
     }
 
-    /// Sends a request and returns the whole answer, which begins within `limit`.
+    /// Sends a request and returns the whole response, which has to begin to arrive within
+    /// `timeout`.
     ///
-    /// Kept connections that the peer has closed are passed over before anything is
+    /// Pooled connections that the peer has closed are skipped before anything is
     /// sent; a request is never sent twice.
     pub fn call(&self, request: &Request, timeout: Duration) -> Result<Response, HttpError> {
         self.call_counted(request, timeout, &Traffic::default())
     }
 
-    /// As [`Client::call`]; counts the call and the bytes of its messages.
+    /// Like [`Client::call`], but counts the call and the bytes of its messages in `traffic`.
     pub fn call_counted(
         &self,
         request: &Request,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Tells whether an idle connection is still open: nothing to read, no end.
+/// Returns whether an idle connection is still open and has nothing to read.
 fn is_open(stream: &TcpStream) -> bool {
     if stream.set_nonblocking(true).is_err() {
         return false;
@@ -147,11 +147,12 @@
     read_response(stream, deadline, traffic)
 }
 
-/// Reads an answer that has to have begun to arrive by `end`, and then to go on: a large one
-/// takes seconds on a narrow link, and asked for anew it would take the link from others.
+/// Reads a response, which has to begin to arrive by `deadline` and then keep arriving. A large
+/// response takes seconds on a narrow link, and repeating the request would take bandwidth from
+/// other calls.
 ///
-/// A process that was paused meanwhile finds it later: what has arrived is read, and only
-/// then is the call given up.
+/// If the process was paused past the deadline, bytes that have already arrived are still read
+/// before the call times out.
 pub(crate) fn read_response(
     stream: &mut TcpStream,
     mut deadline: Instant,
@@ -170,12 +171,15 @@
         set_timeouts(stream, deadline)?;
         let n = stream.read(&mut chunk).map_err(io_error)?;
         if n == 0 {
-            return LostSnafu { message: "closed" }.fail();
+            return LostSnafu {
+                message: "closed by the peer",
+            }
+            .fail();
         }
         traffic.record_response(n);
         buf.extend_from_slice(&chunk[..n]);
         if let Some((mut response, size)) = parse_response(&buf, Limits::default())? {
-            // What lies behind it would be taken for the answer to the next request.
+            // Surplus bytes would be taken for the response to the next request.
             response.keep_alive &= size == buf.len();
             return Ok(response);
         }
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection that never blocks, for an event loop.
+//! A non-blocking client connection for an event loop.
 
 use std::{
     io::{ErrorKind, Read, Write},
@@ -14,17 +14,17 @@
     socket,
 };
 
-/// Bytes that one read takes at most.
+/// Most bytes read at once.
 const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// What an event loop tells of a connection.
+/// Readiness of a connection as reported by an event loop.
 #[derive(Debug, Clone, Copy)]
 pub struct Readiness {
-    /// Something has arrived, the end or a failure included.
+    /// Bytes, the end of the stream or an error can be read.
     pub readable: bool,
-    /// More can be sent.
+    /// Bytes can be written.
     pub writable: bool,
-    /// The peer sends nothing more.
+    /// The peer sends no more bytes.
     pub closed: bool,
 }
 
@@ -39,9 +39,9 @@
     }
 }
 
-/// One connection with at most one request under way.
+/// A connection with at most one request in flight.
 ///
-/// Limits on time are the event loop's: it drops connections that are late.
+/// It has no timeouts: the event loop drops connections whose response is overdue.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -50,7 +50,6 @@
     sent: usize,
     input: Vec<u8>,
     connected: bool,
-    /// Whether a request is under way.
     in_flight: bool,
 }
 
@@ -78,8 +77,8 @@
         })
     }
 
-    /// Tells whether nothing has arrived since the last answer, nor the end: else that would
-    /// be read as the answer to the next request.
+    /// Returns whether neither bytes nor the end of the stream have arrived since the last
+    /// response. Such bytes would be taken for the response to the next request.
     pub fn is_reusable(&self) -> bool {
         let is_empty = match self.stream.peek(&mut [0; 1]) {
             Ok(_) => false,
@@ -88,7 +87,7 @@
         is_empty && self.input.is_empty()
     }
 
-    /// Queues a request and sends what the socket takes at once.
+    /// Starts sending a request, as far as the socket takes it without blocking.
     pub fn send(&mut self, request: &Request) -> Result<(), HttpError> {
         self.output.clear();
         self.sent = 0;
@@ -97,7 +96,7 @@
         self.flush()
     }
 
-    /// Goes on sending after the socket became writable.
+    /// Continues sending after the socket has become writable.
     pub fn on_writable(&mut self) -> Result<(), HttpError> {
         if !self.connected {
             if let Ok(Some(err)) = self.stream.take_error() {
@@ -111,7 +110,7 @@
         self.flush()
     }
 
-    /// Does what the event loop tells that can be done; returns the answer once it is whole.
+    /// Writes and reads as far as the socket is ready; returns the response once it is whole.
     pub fn on_ready(&mut self, readiness: Readiness) -> Result<Option<Response>, HttpError> {
         if readiness.writable {
             self.on_writable()?;
@@ -122,12 +121,13 @@
         }
     }
 
-    /// Reads after the socket became readable; returns the answer once it is whole. `ended`
-    /// tells that the peer sends nothing more.
+    /// Reads after the socket has become readable; returns the response once it is whole.
+    /// `closed` states that the peer sends no more bytes.
     ///
-    /// What comes without having been asked for is a failure. An answer with more behind it, or
-    /// to a request that is not sent whole, is the last one: on a kept connection the rest would
-    /// be taken for the answer to the next request.
+    /// Bytes that arrive while no request is in flight are an error. A response that is followed
+    /// by more bytes, or that arrives before its request is sent completely, ends the
+    /// connection: the surplus bytes would be taken for the next response, or the next request
+    /// for the rest of the previous one.
     pub fn on_readable(&mut self, closed: bool) -> Result<Option<Response>, HttpError> {
         let failure = self.read_available(closed);
         if !self.in_flight && !self.input.is_empty() {
@@ -146,17 +146,18 @@
         Ok(Some(response))
     }
 
-    /// Reads what has arrived; returns how the connection ended if it did.
+    /// Reads all available bytes; returns an error if the connection has ended.
     ///
-    /// A short read usually means that nothing is left, but an end that came with the last bytes
-    /// has to be read as well: the event loop tells of both only once.
+    /// A short read usually means that no more bytes are available. If the stream has ended, its
+    /// end has to be read as well, because the event loop reports it only once, together with
+    /// the last bytes.
     fn read_available(&mut self, closed: bool) -> Option<HttpError> {
         let mut chunk = [0; READ_CHUNK_BYTES];
         loop {
             match self.stream.read(&mut chunk) {
                 Ok(0) => {
                     return Some(HttpError::Lost {
-                        message: "closed".into(),
+                        message: "closed by the peer".into(),
                     });
                 }
                 Ok(n) => {
@@ -172,10 +173,10 @@
         }
     }
 
-    /// Takes the connection out of its event loop.
+    /// Closes the connection and removes it from its event loop.
     pub fn close(mut self, registry: &Registry) {
         if let Err(err) = registry.deregister(&mut self.stream) {
-            log::debug!("http: deregister: {err}");
+            log::debug!("http: can't deregister a connection: {err}");
         }
     }
 
@@ -191,7 +192,7 @@
         Ok(())
     }
 
-    /// Before the connection stands nothing can have been sent.
+    /// Converts an error of the socket; nothing was sent before the connection was established.
     fn io_error(&self, err: std::io::Error) -> HttpError {
         if !self.connected {
             return connect_error(&err);
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,35 +1,35 @@
-//! Why a call failed, and whether it may have had an effect.
+//! Errors of HTTP calls.
 
 use std::io;
 
 use snafu::Snafu;
 
-/// Why a call failed.
+/// An error of an HTTP call. Each variant states whether the call may have had an effect.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum HttpError {
     /// No connection could be opened; nothing was sent.
     #[snafu(display("can't connect: {message}"))]
     Connect {
-        /// The system's answer.
+        /// Message of the system's error.
         message: String,
     },
-    /// The peer's machine refused the connection: nobody listens there; nothing was sent.
+    /// The peer's machine refused the connection, as nothing listens there; nothing was sent.
     #[snafu(display("connection refused"))]
     Refused,
-    /// The answer did not come in time; the call may have had an effect.
-    #[snafu(display("no answer in time"))]
+    /// The response did not arrive in time; the call may have had an effect.
+    #[snafu(display("timed out waiting for the response"))]
     Timeout,
-    /// The connection ended before the whole answer; the call may have had an effect.
+    /// The connection ended before the response was whole; the call may have had an effect.
     #[snafu(display("connection lost: {message}"))]
     Lost {
-        /// The system's answer.
+        /// Message of the system's error.
         message: String,
     },
-    /// The peer sent something that is not HTTP/1.1 as this crate takes it.
+    /// The peer sent a message that is not HTTP/1.1, or not in the subset that this crate supports.
     #[snafu(display("malformed message: {reason}"))]
     Malformed {
-        /// What is wrong with it.
+        /// The invalid or unsupported part.
         reason: &'static str,
     },
     /// A message exceeds a limit on its size.
@@ -41,13 +41,13 @@
 }
 
 impl HttpError {
-    /// Tells whether the call certainly had no effect.
+    /// Returns whether nothing was sent, so that the call certainly had no effect.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, HttpError::Connect { .. } | HttpError::Refused)
     }
 }
 
-/// Returns why a connection could not be opened.
+/// Converts an error of opening a connection.
 pub(crate) fn connect_error(err: &io::Error) -> HttpError {
     if err.kind() == io::ErrorKind::ConnectionRefused {
         return HttpError::Refused;
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,13 +1,16 @@
-//! HTTP/1.1 over connections that are kept.
+//! HTTP/1.1 over persistent connections.
 //!
-//! Instances have a tenth of a processor, so a connection a call and a thread a
-//! connection cost more than the call. This crate has one codec and three users
-//! of it: [`Client`] blocks and keeps a few connections to one address,
-//! [`Connection`] never blocks and belongs to an event loop, [`Server`] has one thread
-//! a connection and limits on time, size and number.
+//! Instances have a tenth of a processor, so opening a connection for each call
+//! and using a thread for each outgoing connection would cost more than the call
+//! itself.
 //!
-//! Limits: bodies are held in memory whole, and have a `Content-Length`;
-//! chunked bodies are refused with an error, never passed on half.
+//! Limits: bodies are held in memory as a whole and need a `Content-Length`;
+//! chunked bodies are rejected with an error, never passed on in part.
+//!
+//! One codec has three users: [`Client`] blocks and pools a few connections to
+//! one address, [`Connection`] never blocks and belongs to an event loop, and
+//! [`Server`] runs one thread per connection, with limits on time, size and the
+//! number of connections.
 
 mod client;
 #[cfg(test)]
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,24 +1,24 @@
-//! Requests and answers, and how they are written.
+//! Requests and responses, and their encoding.
 
 use std::io::Write;
 
-/// Methods that are used.
+/// Supported request methods.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
-    /// Reads.
+    /// Reads a resource.
     Get,
-    /// Creates or changes.
+    /// Creates or changes a resource.
     Post,
-    /// Stores under a name.
+    /// Stores a resource under the given path.
     Put,
-    /// Removes.
+    /// Removes a resource.
     Delete,
-    /// Any other; servers refuse it.
+    /// Any other method; servers reject it.
     Other,
 }
 
 impl Method {
-    /// Returns the name on the wire.
+    /// Returns the method's name on the wire.
     pub fn name(self) -> &'static str {
         match self {
             Method::Get => "GET",
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Reads a name from the wire.
+    /// Parses a method name from the wire.
     pub fn parse(name: &str) -> Method {
         match name {
             "GET" => Method::Get,
@@ -41,23 +41,23 @@
     }
 }
 
-/// A request.
+/// An HTTP request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Method.
+    /// Request method.
     pub method: Method,
-    /// Path with query.
+    /// Path with the query.
     pub path: String,
-    /// Header fields but for those of framing; names in lower case when parsed.
+    /// Header fields except those for framing; parsed names are in lower case.
     pub headers: Vec<(String, String)>,
-    /// Body; empty for none.
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
-    /// Whether the sender keeps the connection open.
+    /// Whether the sender keeps the connection open after this request.
     pub keep_alive: bool,
 }
 
 impl Request {
-    /// Makes a request without header fields.
+    /// Creates a request without header fields.
     pub fn new(method: Method, path: impl Into<String>, body: Vec<u8>) -> Request {
         Request {
             method,
@@ -74,12 +74,12 @@
         self
     }
 
-    /// Returns the first header field of a name in lower case.
+    /// Returns the value of the first header field with this name (lower case).
     pub fn header(&self, name: &str) -> Option<&str> {
         find_header(&self.headers, name)
     }
 
-    /// Writes the request into `out`, for the host `host` if it names none.
+    /// Appends the encoded request to `out`; adds a `host` field unless there is one.
     pub fn encode(&self, host: &str, out: &mut Vec<u8>) {
         let head = format!("{} {} HTTP/1.1\r\n", self.method.name(), self.path);
         out.extend_from_slice(head.as_bytes());
@@ -93,21 +93,21 @@
     }
 }
 
-/// An answer.
+/// An HTTP response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// Header fields but for those of framing; names in lower case when parsed.
+    /// Header fields except those for framing; parsed names are in lower case.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
-    /// Whether the connection stays open.
+    /// Whether the connection stays open after this response.
     pub keep_alive: bool,
 }
 
 impl Response {
-    /// Makes an answer without header fields.
+    /// Creates a response without header fields.
     pub fn new(status: u16, body: Vec<u8>) -> Response {
         Response {
             status,
@@ -123,12 +123,12 @@
         self
     }
 
-    /// Returns the first header field of a name in lower case.
+    /// Returns the value of the first header field with this name (lower case).
     pub fn header(&self, name: &str) -> Option<&str> {
         find_header(&self.headers, name)
     }
 
-    /// Writes the answer into `out`.
+    /// Appends the encoded response to `out`.
     pub fn encode(&self, out: &mut Vec<u8>) {
         let _ = write!(
             out,
--- a/crates/http/src/parse.rs
+++ b/crates/http/src/parse.rs
@@ -1,24 +1,24 @@
-//! Reads messages from a buffer that grows, with `httparse`.
+//! Parses messages incrementally from a growing buffer, with `httparse`.
 
 use crate::{
     error::{HttpError, MalformedSnafu, TooLargeSnafu},
     message::{Method, Request, Response},
 };
 
-/// Header fields that one message may have.
+/// Most header fields of a message.
 const MAX_HEADERS: usize = 64;
 
 /// Limits on the size of a message, in bytes.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// The head: first line and header fields.
+    /// Largest head, that is the first line and the header fields.
     pub head_bytes: usize,
-    /// The body.
+    /// Largest body.
     pub body_bytes: usize,
 }
 
 impl Default for Limits {
-    /// Returns what answers of the platform fit in: 16 KiB and 16 MiB.
+    /// Returns limits that the platform's responses fit in: 16 KiB and 16 MiB.
     fn default() -> Limits {
         Limits {
             head_bytes: 16 << 10,
@@ -27,7 +27,7 @@
     }
 }
 
-/// What the header fields say of framing.
+/// Framing by the header fields, and the remaining fields.
 struct Framing {
     content_length: Option<usize>,
     keep_alive: bool,
@@ -36,7 +36,7 @@
 
 /// Parses a request at the start of `buf`.
 ///
-/// Returns the request and its length in bytes, or nothing if it is not whole yet.
+/// Returns the request and its length in bytes, or `None` if it is not whole yet.
 pub fn parse_request(buf: &[u8], limits: Limits) -> Result<Option<(Request, usize)>, HttpError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut fields);
@@ -45,7 +45,7 @@
         Ok(httparse::Status::Partial) => return check_partial(buf, limits),
         Err(_) => {
             return MalformedSnafu {
-                reason: "request head",
+                reason: "invalid request head",
             }
             .fail();
         }
@@ -64,8 +64,8 @@
     Ok(Some((request, size + body.len())))
 }
 
-/// Parses an answer at the start of `buf`, like [`parse_request`]; interim ones before it count
-/// to its length.
+/// Parses a response at the start of `buf`, like [`parse_request`]. The length includes interim
+/// responses before it.
 pub fn parse_response(buf: &[u8], limits: Limits) -> Result<Option<(Response, usize)>, HttpError> {
     let mut start = 0;
     while let Some((response, size)) = parse_one_response(&buf[start..], limits)? {
@@ -77,12 +77,12 @@
     Ok(None)
 }
 
-/// Tells whether an answer of this status is followed by another one to the same request.
+/// Returns whether a response with this status is followed by another one to the same request.
 fn is_interim(status: u16) -> bool {
     (100..200).contains(&status)
 }
 
-/// Parses an answer, be it an interim one.
+/// Parses a response, which may be an interim one.
 fn parse_one_response(buf: &[u8], limits: Limits) -> Result<Option<(Response, usize)>, HttpError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut fields);
@@ -91,7 +91,7 @@
         Ok(httparse::Status::Partial) => return check_partial(buf, limits),
         Err(_) => {
             return MalformedSnafu {
-                reason: "answer head",
+                reason: "invalid response head",
             }
             .fail();
         }
@@ -99,13 +99,13 @@
     let framing = parse_framing(head.headers)?;
     let status = head.code.unwrap_or_default();
     let length = match (framing.content_length, status) {
-        // Whatever its head says, it has no body.
+        // An interim response has no body, whatever its header fields say.
         (_, status) if is_interim(status) => 0,
         (Some(length), _) => length,
         (None, 204 | 304) => 0,
         (None, _) => {
             return MalformedSnafu {
-                reason: "answer without length",
+                reason: "response without content-length",
             }
             .fail();
         }
@@ -157,7 +157,7 @@
         let name = field.name.to_ascii_lowercase();
         let Ok(value) = std::str::from_utf8(field.value) else {
             return MalformedSnafu {
-                reason: "header field is not text",
+                reason: "header field is not valid UTF-8",
             }
             .fail();
         };
@@ -168,7 +168,7 @@
             }
             "transfer-encoding" => {
                 return MalformedSnafu {
-                    reason: "chunked body",
+                    reason: "transfer-encoding is not supported",
                 }
                 .fail();
             }
@@ -182,13 +182,13 @@
 fn parse_content_length(value: &str, earlier: Option<usize>) -> Result<usize, HttpError> {
     let Ok(length) = value.parse() else {
         return MalformedSnafu {
-            reason: "content-length",
+            reason: "invalid content-length",
         }
         .fail();
     };
     if earlier.is_some_and(|e| e != length) {
         return MalformedSnafu {
-            reason: "two lengths",
+            reason: "conflicting content-length fields",
         }
         .fail();
     }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,7 +1,7 @@
-//! A server with one thread a connection.
+//! A server with one thread per connection.
 //!
-//! Callers are few and keep their connections, so a thread each is cheap; the
-//! number of threads is bounded all the same, and each read has a time limit.
+//! Clients are few and reuse their connections, so a thread each is cheap. The
+//! number of threads is bounded nevertheless, and each read has a timeout.
 
 use std::{
     io::{ErrorKind, Read, Write},
@@ -21,18 +21,18 @@
     socket,
 };
 
-/// Stack of a connection's thread in bytes; handlers hold bodies on the heap.
+/// Stack size of a connection's thread; handlers hold bodies on the heap.
 const STACK_BYTES: usize = 256 << 10;
 
-/// Bytes that one read takes at most.
+/// Most bytes read at once.
 const READ_CHUNK_BYTES: usize = 8 << 10;
 
-/// Answers requests; called by many threads.
+/// Handles requests; called by several threads at once.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request. Returns nothing to close the connection unanswered.
+    /// Handles one request. Returns `None` to close the connection without a response.
     fn handle(&self, request: Request) -> Option<Response>;
 
-    /// Returns the limits on size that hold now.
+    /// Returns the current limits on the size of requests.
     fn limits(&self) -> Limits {
         Limits::default()
     }
@@ -41,15 +41,15 @@
 /// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerSettings {
-    /// Connections that are open at once; more are closed on arrival.
+    /// Most open connections; further ones are closed on arrival.
     pub max_connections: usize,
-    /// Time for a whole request after its first byte.
+    /// Longest time from the first byte of a request to its last.
     pub request_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Longest time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// A listening server; it runs as long as its process.
+/// A listening server, which runs as long as its process.
 #[derive(Debug)]
 pub struct Server {
     state: Arc<ServerState>,
@@ -65,9 +65,9 @@
 }
 
 impl Server {
-    /// Binds `addr` and starts answering.
+    /// Binds `addr` and starts serving.
     ///
-    /// Errors: the address can't be bound, or no thread can be started.
+    /// Fails if the address can't be bound or no thread can be started.
     pub fn start<H: Handler>(
         addr: SocketAddr,
         settings: ServerSettings,
@@ -89,17 +89,17 @@
         Ok(Server { state, addr })
     }
 
-    /// Returns the address that is listened on.
+    /// Returns the address that the server listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// From now on each answer tells its caller to use another connection.
+    /// Closes each connection from now on after its next response.
     pub fn start_draining(&self) {
         self.state.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Waits up to `limit` until no answer is under way; returns whether that came.
+    /// Waits up to `timeout` until no request is being handled; returns whether that is reached.
     pub fn wait_until_idle(&self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         while self.state.active_requests.load(Ordering::SeqCst) > 0 {
@@ -123,7 +123,7 @@
             }
         };
         if state.open_connections.fetch_add(1, Ordering::SeqCst) >= state.settings.max_connections {
-            log::warn!("http: too many connections, one is closed");
+            log::warn!("http: too many connections; closing a new one");
             state.open_connections.fetch_sub(1, Ordering::SeqCst);
             continue;
         }
@@ -138,7 +138,7 @@
                 conn_state.open_connections.fetch_sub(1, Ordering::SeqCst);
             });
         if let Err(err) = spawned {
-            log::warn!("http: no thread for a connection: {err}");
+            log::warn!("http: can't start a thread for a connection: {err}");
             state.open_connections.fetch_sub(1, Ordering::SeqCst);
         }
     }
@@ -164,7 +164,7 @@
     }
 }
 
-/// Answers a request and tells whether the connection stays open.
+/// Handles a request and returns whether the connection stays open.
 fn respond<H: Handler>(
     stream: &mut TcpStream,
     request: Request,
@@ -186,7 +186,8 @@
     stream.write_all(&out).map_err(connection_lost)
 }
 
-/// Reads one request; nothing when the peer is gone, idle too long, or the server stops.
+/// Reads one request; returns `None` if the peer has closed the connection or the idle timeout
+/// has passed.
 fn read_request<H: Handler>(
     stream: &mut TcpStream,
     buf: &mut Vec<u8>,
--- a/crates/http/src/traffic.rs
+++ b/crates/http/src/traffic.rs
@@ -1,8 +1,8 @@
-//! What calls cost on the network.
+//! Counters of network traffic.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Calls and the bytes of their messages, heads included; threads share it.
+/// Counters of calls and of the bytes of their messages, heads included; shared by threads.
 #[derive(Debug, Default)]
 pub struct Traffic {
     calls: AtomicU64,
@@ -10,19 +10,19 @@
     received: AtomicU64,
 }
 
-/// What a [`Traffic`] had counted at one time.
+/// A snapshot of a [`Traffic`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Calls, whatever came of them.
+    /// Calls, whether they succeeded or failed.
     pub calls: u64,
-    /// Bytes of requests.
+    /// Bytes of requests sent.
     pub sent: u64,
-    /// Bytes of answers.
+    /// Bytes of responses received.
     pub received: u64,
 }
 
 impl Traffic {
-    /// Returns what was counted.
+    /// Returns a snapshot of the counters.
     pub fn usage(&self) -> Usage {
         Usage {
             calls: self.calls.load(Ordering::Relaxed),
--- a/crates/http/tests/links.rs
+++ b/crates/http/tests/links.rs
@@ -345,8 +345,8 @@
 /// A peer ends the connection together with the last bytes that it sends. The event loop tells
 /// of both at once, and only once: a call that gets no answer any more need not wait for its
 /// limit, and the next one needs another connection.
-#[test_case(&OWN[..20], Err(HttpError::Lost { message: "closed".into() }); "within the head")]
-#[test_case(&OWN[..OWN.len() - 1], Err(HttpError::Lost { message: "closed".into() }); "within the body")]
+#[test_case(&OWN[..20], Err(HttpError::Lost { message: "closed by the peer".into() }); "within the head")]
+#[test_case(&OWN[..OWN.len() - 1], Err(HttpError::Lost { message: "closed by the peer".into() }); "within the body")]
 #[test_case(OWN, Ok(()); "behind the answer")]
 fn the_end_of_a_connection_is_noticed(sent: &'static [u8], expected: Result<(), HttpError>) {
     let (addr, peers) = accepting();
