--- a/crates/http/src/client_tests.rs
+++ b/crates/http/src/client_tests.rs
@@ -16,7 +16,7 @@
 };
 
 /// Connects to a peer that has sent these bytes.
-fn connected(sent: &[u8]) -> (TcpStream, TcpStream) {
+fn connect_to_peer(sent: &[u8]) -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
     let stream = TcpStream::connect(addr).expect("connected");
@@ -29,27 +29,28 @@
     (stream, peer)
 }
 
-fn over() -> Instant {
+fn past_deadline() -> Instant {
     Instant::now() - Duration::from_millis(1)
 }
 
 #[test]
-fn an_answer_that_has_arrived_is_read_after_the_limit() {
-    let (mut stream, _peer) = connected(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
-    let response = read_response(&mut stream, over(), &Traffic::default()).expect("an answer");
+fn a_response_that_has_arrived_is_read_after_the_deadline() {
+    let (mut stream, _peer) = connect_to_peer(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
+    let response =
+        read_response(&mut stream, past_deadline(), &Traffic::default()).expect("an answer");
     assert_eq!(response.body, b"ok");
 }
 
 #[test]
-fn nothing_that_is_still_to_come_is_waited_for_after_the_limit() {
-    let (mut stream, _peer) = connected(b"");
+fn missing_bytes_are_not_awaited_after_the_deadline() {
+    let (mut stream, _peer) = connect_to_peer(b"");
     assert_eq!(
-        read_response(&mut stream, over(), &Traffic::default()),
+        read_response(&mut stream, past_deadline(), &Traffic::default()),
         Err(HttpError::Timeout)
     );
-    let (mut stream, _peer) = connected(b"HTTP/1.1 200 OK\r\n");
+    let (mut stream, _peer) = connect_to_peer(b"HTTP/1.1 200 OK\r\n");
     assert_eq!(
-        read_response(&mut stream, over(), &Traffic::default()),
+        read_response(&mut stream, past_deadline(), &Traffic::default()),
         Err(HttpError::Timeout)
     );
 }
@@ -57,19 +58,19 @@
 /// A question may wait for its answer for many seconds: the system probes meanwhile whether its
 /// peer can be reached.
 #[test]
-fn connections_are_probed_while_an_answer_is_waited_for() {
+fn connections_are_probed_while_a_response_is_awaited() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let client = Client::new(listener.local_addr().expect("bound"));
     let stream = client.connect(Duration::from_secs(5)).expect("connected");
     let socket = SockRef::from(&stream);
     assert!(socket.keepalive().expect("told"));
-    let idle = socket.tcp_keepalive_time().expect("told");
-    let period = socket.tcp_keepalive_interval().expect("told");
-    assert!(idle + period <= Duration::from_secs(2));
+    let keepalive_time = socket.tcp_keepalive_time().expect("told");
+    let interval = socket.tcp_keepalive_interval().expect("told");
+    assert!(keepalive_time + interval <= Duration::from_secs(2));
 }
 
 #[test]
-fn a_port_on_which_nobody_listens_refuses() {
+fn a_port_without_a_listener_refuses() {
     // No other test listens on this address.
     let listener = TcpListener::bind("127.0.71.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
--- a/crates/http/tests/contract.rs
+++ b/crates/http/tests/contract.rs
@@ -21,18 +21,18 @@
 const LIMIT: Duration = Duration::from_secs(20);
 
 /// A peer that reads a head and writes these bytes, on each connection in turn.
-fn peer(answers: Vec<&'static [u8]>) -> (SocketAddr, Arc<AtomicUsize>) {
+fn spawn_peer(responses: Vec<&'static [u8]>) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let addr = listener.local_addr().expect("address");
     let heads = Arc::new(AtomicUsize::new(0));
     let count = heads.clone();
     thread::spawn(move || {
-        for answer in answers {
+        for response in responses {
             let (mut stream, _) = listener.accept().expect("accept");
             let mut buf = [0; 4096];
             let _ = stream.read(&mut buf).expect("read");
             count.fetch_add(1, Ordering::SeqCst);
-            stream.write_all(answer).expect("write");
+            stream.write_all(response).expect("write");
         }
     });
     (addr, heads)
@@ -45,15 +45,15 @@
 #[test_case(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nab"; "body")]
 #[test_case(b"HTTP/1.1 200 OK\r\ncontent-le"; "head")]
 #[test_case(b""; "all")]
-fn a_cut_answer_is_never_whole(answer: &'static [u8]) {
-    let (addr, heads) = peer(vec![answer]);
+fn a_cut_answer_is_never_whole(response: &'static [u8]) {
+    let (addr, heads) = spawn_peer(vec![response]);
     let err = get(&Client::new(addr)).expect_err("cut");
     assert!(matches!(err, HttpError::Lost { .. }), "{err}");
     assert_eq!(heads.load(Ordering::SeqCst), 1, "a request is sent once");
 }
 
 /// A peer that sends an answer of five bytes one by one, each after a pause, and then no more.
-fn drip(count: usize) -> SocketAddr {
+fn slow_peer(count: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let addr = listener.local_addr().expect("address");
     thread::spawn(move || {
@@ -72,12 +72,12 @@
 
 /// A large answer on a narrow link takes longer than an answer may take to begin.
 #[test]
-fn an_answer_that_keeps_arriving_is_waited_for() {
+fn a_response_that_keeps_arriving_is_awaited() {
     let request = Request::new(Method::Get, "/", Vec::new());
     let limit = Duration::from_millis(150);
-    let answer = Client::new(drip(5)).call(&request, limit);
-    assert_eq!(answer.expect("whole").body, b"xxxxx");
-    let stalled = Client::new(drip(3)).call(&request, limit);
+    let response = Client::new(slow_peer(5)).call(&request, limit);
+    assert_eq!(response.expect("whole").body, b"xxxxx");
+    let stalled = Client::new(slow_peer(3)).call(&request, limit);
     assert_eq!(stalled, Err(HttpError::Timeout));
 }
 
@@ -85,14 +85,14 @@
 #[test_case(b"HTTP/1.1 200 OK\r\n\r\nabc"; "no length")]
 #[test_case(b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nab"; "two lengths")]
 #[test_case(b"SSH-2.0-OpenSSH\r\n\r\n"; "not HTTP")]
-fn what_is_not_understood_is_an_error(answer: &'static [u8]) {
-    let (addr, _) = peer(vec![answer]);
+fn a_malformed_response_is_an_error(response: &'static [u8]) {
+    let (addr, _) = spawn_peer(vec![response]);
     let err = get(&Client::new(addr)).expect_err("malformed");
     assert!(matches!(err, HttpError::Malformed { .. }), "{err}");
 }
 
 #[test]
-fn a_silent_peer_is_given_up() {
+fn a_silent_peer_is_a_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let client = Client::new(listener.local_addr().expect("address"));
     let request = Request::new(Method::Get, "/", Vec::new());
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn nobody_there_means_not_sent() {
+fn a_refused_connection_means_not_sent() {
     let addr = own_addr().expect("an address");
     assert!(get(&Client::new(addr)).expect_err("nobody").is_not_sent());
 }
@@ -111,7 +111,7 @@
 #[test]
 fn a_late_answer_is_not_taken_for_the_next() {
     let ok: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-    let (addr, _) = peer(vec![
+    let (addr, _) = spawn_peer(vec![
         b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nlate",
         ok,
     ]);
@@ -148,7 +148,7 @@
     Server::start(addr, settings, Arc::new(Echo)).expect("server")
 }
 
-fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
+fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).expect("connect");
     stream.write_all(bytes).expect("write");
     let mut text = String::new();
@@ -171,21 +171,21 @@
 #[test_case("\u{0}\r\n\r\n", "400"; "not HTTP")]
 fn a_bad_request_is_refused(bytes: &str, status: &str) {
     let server = server(8, LIMIT);
-    let answer = raw(server.addr(), bytes.as_bytes());
-    assert!(answer.contains(status), "{answer}");
+    let response = send_raw(server.addr(), bytes.as_bytes());
+    assert!(response.contains(status), "{response}");
 }
 
 #[test]
 fn a_head_without_end_is_refused() {
     let server = server(8, LIMIT);
     let long = format!("GET / HTTP/1.1\r\nx: {}", "y".repeat(2000));
-    assert!(raw(server.addr(), long.as_bytes()).contains("413"));
+    assert!(send_raw(server.addr(), long.as_bytes()).contains("413"));
 }
 
 #[test]
 fn a_request_that_does_not_end_is_refused() {
     let server = server(8, Duration::from_millis(50));
-    assert!(raw(server.addr(), b"GET / HT").contains("408"));
+    assert!(send_raw(server.addr(), b"GET / HT").contains("408"));
 }
 
 #[test]
@@ -199,11 +199,11 @@
 }
 
 #[test]
-fn a_draining_server_tells_its_callers_to_move() {
+fn a_draining_server_closes_its_connections() {
     let server = server(8, LIMIT);
     server.start_draining();
-    let answer = get(&Client::new(server.addr())).expect("answer");
-    assert!(!answer.keep_alive);
+    let response = get(&Client::new(server.addr())).expect("answer");
+    assert!(!response.keep_alive);
     assert!(server.wait_until_idle(LIMIT));
 }
 
@@ -254,8 +254,8 @@
                 held.len() - 1
             };
             for stream in &mut held[first..] {
-                let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-                stream.write_all(answer).expect("answer");
+                let response = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
+                stream.write_all(response).expect("answer");
             }
         }
     });
@@ -265,12 +265,12 @@
 /// The users' pages: open connections may go silent for good, all at once, while new
 /// ones work. Each kept one cost a call its whole time limit.
 #[test]
-fn after_one_silent_connection_no_other_kept_one_is_used() {
-    const KEPT: usize = 3;
-    let client = Arc::new(Client::new(silent_after_one(KEPT)));
+fn a_timeout_drops_all_pooled_connections() {
+    const POOLED: usize = 3;
+    let client = Arc::new(Client::new(silent_after_one(POOLED)));
     let request = Request::new(Method::Get, "/", Vec::new());
     thread::scope(|scope| {
-        for _ in 0..KEPT {
+        for _ in 0..POOLED {
             scope.spawn(|| client.call(&request, LIMIT).expect("first"));
         }
     });
--- a/crates/http/tests/links.rs
+++ b/crates/http/tests/links.rs
@@ -13,28 +13,28 @@
 use test_case::test_case;
 
 /// An answer whose body is "own".
-const OWN: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nown";
+const OWN_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nown";
 
 /// An answer whose body is "surplus".
-const SURPLUS: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\nsurplus";
+const SURPLUS_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\nsurplus";
 
 /// Bytes of a request that no socket takes at once.
-const LARGE: usize = 8 << 20;
+const LARGE_BYTES: usize = 8 << 20;
 
 /// A peer to which nothing comes for this long has nothing to wait for.
-const QUIET: Duration = Duration::from_millis(1000);
+const QUIET_PERIOD: Duration = Duration::from_millis(1000);
 
 /// What a request may have at most.
 const LIMITS: Limits = Limits {
     head_bytes: 16 << 10,
-    body_bytes: 2 * LARGE,
+    body_bytes: 2 * LARGE_BYTES,
 };
 
 /// A user of a link: it drops the link after a failure, and if it is not to be kept.
 struct Caller {
     poll: Poll,
     addr: SocketAddr,
-    link: Option<Connection>,
+    connection: Option<Connection>,
 }
 
 impl Caller {
@@ -42,53 +42,53 @@
         Caller {
             poll: Poll::new().expect("descriptors"),
             addr,
-            link: None,
+            connection: None,
         }
     }
 
     fn send(&mut self, request: &Request) -> Result<(), HttpError> {
-        if self.link.as_ref().is_some_and(|l| !l.is_reusable()) {
-            self.drop_link();
+        if self.connection.as_ref().is_some_and(|c| !c.is_reusable()) {
+            self.drop_connection();
         }
-        if self.link.is_none() {
-            let link = Connection::connect(self.addr, self.poll.registry(), Token(0));
-            self.link = Some(link?);
+        if self.connection.is_none() {
+            let connection = Connection::connect(self.addr, self.poll.registry(), Token(0));
+            self.connection = Some(connection?);
         }
-        self.link.as_mut().expect("connected").send(request)
+        self.connection.as_mut().expect("connected").send(request)
     }
 
     /// Reads until an answer is there or the link has failed; gives up when nothing comes.
-    fn answer(&mut self) -> Result<Response, HttpError> {
+    fn read_response(&mut self) -> Result<Response, HttpError> {
         let mut events = Events::with_capacity(16);
-        let wait = Some(QUIET * 2);
+        let wait = Some(QUIET_PERIOD * 2);
         loop {
             self.poll.poll(&mut events, wait).expect("an event loop");
             if events.is_empty() {
-                self.drop_link();
+                self.drop_connection();
                 return Err(HttpError::Timeout);
             }
             for event in &events {
-                let link = self.link.as_mut().expect("connected");
-                let Some(result) = link.on_ready(event.into()).transpose() else {
+                let connection = self.connection.as_mut().expect("connected");
+                let Some(result) = connection.on_ready(event.into()).transpose() else {
                     continue;
                 };
                 if !result.as_ref().is_ok_and(|r| r.keep_alive) {
-                    self.drop_link();
+                    self.drop_connection();
                 }
                 return result;
             }
         }
     }
 
-    fn drop_link(&mut self) {
-        if let Some(link) = self.link.take() {
-            link.close(self.poll.registry());
+    fn drop_connection(&mut self) {
+        if let Some(connection) = self.connection.take() {
+            connection.close(self.poll.registry());
         }
     }
 
     fn call(&mut self, request: &Request) -> Result<Response, HttpError> {
         self.send(request)?;
-        self.answer()
+        self.read_response()
     }
 }
 
@@ -113,7 +113,7 @@
 
 /// A peer that answers the first request with these bytes, each piece in its own packet, and
 /// all others with an answer of their own.
-fn peer(first: Vec<Vec<u8>>) -> SocketAddr {
+fn spawn_peer(first: Vec<Vec<u8>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
     thread::spawn(move || {
@@ -123,7 +123,7 @@
             stream.set_nodelay(true).expect("an option");
             let mut buf = Vec::new();
             while read_request(&mut stream, &mut buf).is_some() {
-                for piece in first.take().unwrap_or_else(|| vec![OWN.to_vec()]) {
+                for piece in first.take().unwrap_or_else(|| vec![OWN_RESPONSE.to_vec()]) {
                     if stream.write_all(&piece).is_err() {
                         break;
                     }
@@ -136,25 +136,25 @@
 }
 
 /// The bytes one by one.
-fn cut(bytes: &[u8]) -> Vec<Vec<u8>> {
+fn split_bytes(bytes: &[u8]) -> Vec<Vec<u8>> {
     bytes.iter().map(|&b| vec![b]).collect()
 }
 
 /// An answer that is not its call's own is told as a failure at most: a look that got the
 /// answer to the one before would show runs that have ended, and hide those that have begun.
-#[test_case(vec![OWN.to_vec()]; "whole")]
-#[test_case(cut(OWN); "in pieces")]
-#[test_case(vec![[OWN, SURPLUS].concat()]; "two at once")]
-#[test_case(vec![[OWN, &SURPLUS[..SURPLUS.len() - 3]].concat()]; "one and a half at once")]
-#[test_case(vec![[OWN, b"surplus"].concat()]; "a body longer than its length")]
-#[test_case(vec![[OWN, b"\r\n"].concat()]; "an empty line behind it")]
-#[test_case(vec![[b"HTTP/1.1 100 Continue\r\n\r\n", OWN].concat()]; "an interim answer before it")]
-#[test_case(vec![[b"HTTP/1.1 102 Processing\r\ncontent-length: 0\r\n\r\n", OWN].concat()]; "an interim answer with a length before it")]
+#[test_case(vec![OWN_RESPONSE.to_vec()]; "whole")]
+#[test_case(split_bytes(OWN_RESPONSE); "in pieces")]
+#[test_case(vec![[OWN_RESPONSE, SURPLUS_RESPONSE].concat()]; "two at once")]
+#[test_case(vec![[OWN_RESPONSE, &SURPLUS_RESPONSE[..SURPLUS_RESPONSE.len() - 3]].concat()]; "one and a half at once")]
+#[test_case(vec![[OWN_RESPONSE, b"surplus"].concat()]; "a body longer than its length")]
+#[test_case(vec![[OWN_RESPONSE, b"\r\n"].concat()]; "an empty line behind it")]
+#[test_case(vec![[b"HTTP/1.1 100 Continue\r\n\r\n", OWN_RESPONSE].concat()]; "an interim answer before it")]
+#[test_case(vec![[b"HTTP/1.1 102 Processing\r\ncontent-length: 0\r\n\r\n", OWN_RESPONSE].concat()]; "an interim answer with a length before it")]
 #[test_case(vec![b"HTTP/1.1 204 No Content\r\n\r\n".to_vec()]; "no body")]
-#[test_case(vec![[b"HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 3\r\n\r\nown", SURPLUS].concat()]; "the last one on its connection")]
+#[test_case(vec![[b"HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 3\r\n\r\nown", SURPLUS_RESPONSE].concat()]; "the last one on its connection")]
 #[test_case(vec![b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nown\r\n0\r\n\r\n".to_vec()]; "chunked")]
 fn each_answer_is_that_of_its_call(first: Vec<Vec<u8>>) {
-    let mut caller = Caller::new(peer(first));
+    let mut caller = Caller::new(spawn_peer(first));
     for at in 0..3 {
         let Ok(response) = caller.call(&request(b"")) else {
             continue;
@@ -173,7 +173,7 @@
         let (mut stream, _) = listener.accept().expect("a connection");
         let mut buf = Vec::new();
         read_request(&mut stream, &mut buf).expect("a request");
-        stream.write_all(OWN).expect("sent");
+        stream.write_all(OWN_RESPONSE).expect("sent");
         stream
     });
     assert_eq!(caller.call(&request(b"")).expect("an answer").body, b"own");
@@ -181,9 +181,9 @@
 }
 
 /// What arrives while nothing is asked answers nothing.
-#[test_case(SURPLUS; "a whole answer")]
-#[test_case(&SURPLUS[..SURPLUS.len() - 3]; "half an answer")]
-fn what_comes_between_two_calls_answers_neither(between: &'static [u8]) {
+#[test_case(SURPLUS_RESPONSE; "a whole answer")]
+#[test_case(&SURPLUS_RESPONSE[..SURPLUS_RESPONSE.len() - 3]; "half an answer")]
+fn bytes_between_two_calls_answer_neither(between: &'static [u8]) {
     let (mut caller, mut stream) = answered_once();
     stream.write_all(between).expect("sent");
     // The event loop tells of it before the next call.
@@ -191,30 +191,30 @@
     while !events.iter().any(|e| e.is_readable()) {
         caller.poll.poll(&mut events, None).expect("an event loop");
     }
-    let link = caller.link.as_mut().expect("connected");
-    let read = link.on_readable(false);
+    let connection = caller.connection.as_mut().expect("connected");
+    let read = connection.on_readable(false);
     if !matches!(&read, Ok(found) if found.as_ref().is_none_or(|r| r.keep_alive)) {
         return;
     }
     caller.send(&request(b"")).expect("sent");
-    stream.write_all(OWN).expect("sent");
-    if let Ok(response) = caller.answer() {
+    stream.write_all(OWN_RESPONSE).expect("sent");
+    if let Ok(response) = caller.read_response() {
         assert_eq!(response.body, b"own");
     }
 }
 
 /// What has arrived answers nothing either where the next call is sent before the event loop
 /// tells of it: an owner reads all answers of a turn, and then sends the next orders.
-#[test_case(SURPLUS; "a whole answer")]
+#[test_case(SURPLUS_RESPONSE; "a whole answer")]
 #[test_case(b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n"; "a farewell")]
-fn what_lies_there_before_a_call_does_not_answer_it(before: &'static [u8]) {
+fn bytes_that_arrived_before_a_call_do_not_answer_it(before: &'static [u8]) {
     let (mut caller, mut stream) = answered_once();
     stream.write_all(before).expect("sent");
     thread::sleep(Duration::from_millis(20));
     if caller.send(&request(b"")).is_err() {
         return;
     }
-    if let Ok(response) = caller.answer() {
+    if let Ok(response) = caller.read_response() {
         assert_eq!(response.body, b"own", "{response:?}");
     }
 }
@@ -226,32 +226,32 @@
 }
 
 impl Peer {
-    fn request(&mut self) -> Option<Request> {
+    fn read_request(&mut self) -> Option<Request> {
         read_request(&mut self.stream, &mut self.buf)
     }
 }
 
 /// Accepts connections, and hands each over.
-fn accept(listener: TcpListener, to: Sender<Peer>) {
+fn accept(listener: TcpListener, peers: Sender<Peer>) {
     for stream in listener.incoming() {
         let stream = stream.expect("a connection");
         let buf = Vec::new();
-        if to.send(Peer { stream, buf }).is_err() {
+        if peers.send(Peer { stream, buf }).is_err() {
             return;
         }
     }
 }
 
-fn accepting() -> (SocketAddr, Receiver<Peer>) {
+fn spawn_listener() -> (SocketAddr, Receiver<Peer>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
-    let (to, peers) = channel();
-    thread::spawn(move || accept(listener, to));
+    let (sender, peers) = channel();
+    thread::spawn(move || accept(listener, sender));
     (addr, peers)
 }
 
 /// Sends until the socket takes no more.
-fn fill(caller: &mut Caller) {
+fn fill_socket(caller: &mut Caller) {
     let mut events = Events::with_capacity(16);
     let wait = Some(Duration::from_millis(200));
     loop {
@@ -259,25 +259,25 @@
         if events.is_empty() {
             return;
         }
-        let link = caller.link.as_mut().expect("connected");
-        link.on_writable().expect("sent");
+        let connection = caller.connection.as_mut().expect("connected");
+        connection.on_writable().expect("sent");
     }
 }
 
 /// A request that the socket takes in parts arrives whole, and so does the next one.
 #[test]
 fn a_request_that_is_sent_in_parts_is_whole() {
-    let (addr, peers) = accepting();
+    let (addr, peers) = spawn_listener();
     let mut caller = Caller::new(addr);
-    let bodies = [vec![b'a'; LARGE], b"next".to_vec()];
+    let bodies = [vec![b'a'; LARGE_BYTES], b"next".to_vec()];
     let reader = thread::spawn(move || {
         let mut peer = peers.recv().expect("a connection");
         // Meanwhile the socket becomes full.
         thread::sleep(Duration::from_millis(300));
         let mut read = Vec::new();
         for _ in 0..2 {
-            read.push(peer.request().expect("a request").body);
-            peer.stream.write_all(OWN).expect("sent");
+            read.push(peer.read_request().expect("a request").body);
+            peer.stream.write_all(OWN_RESPONSE).expect("sent");
         }
         read
     });
@@ -291,33 +291,35 @@
 /// another connection, whole, and the first one never becomes whole.
 #[test]
 fn a_request_that_was_given_up_is_not_continued() {
-    let (addr, peers) = accepting();
+    let (addr, peers) = spawn_listener();
     let mut caller = Caller::new(addr);
-    caller.send(&request(&vec![b'a'; LARGE])).expect("sent");
-    fill(&mut caller);
-    caller.drop_link();
+    caller
+        .send(&request(&vec![b'a'; LARGE_BYTES]))
+        .expect("sent");
+    fill_socket(&mut caller);
+    caller.drop_connection();
     let mut first = peers.recv().expect("a connection");
-    assert!(first.request().is_none());
+    assert!(first.read_request().is_none());
     caller.send(&request(b"next")).expect("sent");
-    fill(&mut caller);
+    fill_socket(&mut caller);
     let mut second = peers.recv().expect("a connection");
-    assert_eq!(second.request().expect("a request").body, b"next");
+    assert_eq!(second.read_request().expect("a request").body, b"next");
 }
 
 /// A peer that refuses a request before it has read all of it: the rest is still to be sent,
 /// and the next request must not stand in its place.
 #[test]
 fn a_request_that_was_answered_early_is_not_continued_with_the_next() {
-    let (addr, peers) = accepting();
+    let (addr, peers) = spawn_listener();
     let mut caller = Caller::new(addr);
-    let large = vec![b'a'; LARGE];
+    let large = vec![b'a'; LARGE_BYTES];
     caller.send(&request(&large)).expect("sent");
-    fill(&mut caller);
+    fill_socket(&mut caller);
     let mut peer = peers.recv().expect("a connection");
     peer.stream
         .write_all(b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n")
         .expect("sent");
-    assert_eq!(caller.answer().expect("an answer").status, 503);
+    assert_eq!(caller.read_response().expect("an answer").status, 503);
     caller.send(&request(b"next")).expect("sent");
     // What the first connection brings, then the next one, if there is one.
     let reader = thread::spawn(move || {
@@ -325,44 +327,44 @@
         let mut next = Some(peer);
         while let Some(mut peer) = next {
             peer.stream
-                .set_read_timeout(Some(QUIET))
+                .set_read_timeout(Some(QUIET_PERIOD))
                 .expect("an option");
-            while let Some(request) = peer.request() {
+            while let Some(request) = peer.read_request() {
                 bodies.push(request.body);
-                peer.stream.write_all(OWN).expect("sent");
+                peer.stream.write_all(OWN_RESPONSE).expect("sent");
             }
-            next = peers.recv_timeout(QUIET).ok();
+            next = peers.recv_timeout(QUIET_PERIOD).ok();
         }
         bodies
     });
-    let answer = caller.answer();
-    caller.drop_link();
+    let response = caller.read_response();
+    caller.drop_connection();
     let bodies = reader.join().expect("a peer");
     assert!(bodies.iter().all(|b| *b == large || b == b"next"));
-    assert_eq!(answer.expect("own").body, b"own");
+    assert_eq!(response.expect("own").body, b"own");
 }
 
 /// A peer ends the connection together with the last bytes that it sends. The event loop tells
 /// of both at once, and only once: a call that gets no answer any more need not wait for its
 /// limit, and the next one needs another connection.
-#[test_case(&OWN[..20], Err(HttpError::Lost { message: "closed by the peer".into() }); "within the head")]
-#[test_case(&OWN[..OWN.len() - 1], Err(HttpError::Lost { message: "closed by the peer".into() }); "within the body")]
-#[test_case(OWN, Ok(()); "behind the answer")]
-fn the_end_of_a_connection_is_noticed(sent: &'static [u8], expected: Result<(), HttpError>) {
-    let (addr, peers) = accepting();
+#[test_case(&OWN_RESPONSE[..20], Err(HttpError::Lost { message: "closed by the peer".into() }); "within the head")]
+#[test_case(&OWN_RESPONSE[..OWN_RESPONSE.len() - 1], Err(HttpError::Lost { message: "closed by the peer".into() }); "within the body")]
+#[test_case(OWN_RESPONSE, Ok(()); "behind the answer")]
+fn the_end_of_a_connection_is_detected(sent: &'static [u8], expected: Result<(), HttpError>) {
+    let (addr, peers) = spawn_listener();
     let mut caller = Caller::new(addr);
     caller.send(&request(b"")).expect("sent");
-    fill(&mut caller);
+    fill_socket(&mut caller);
     let mut first = peers.recv().expect("a connection");
-    first.request().expect("a request");
+    first.read_request().expect("a request");
     first.stream.write_all(sent).expect("sent");
     drop(first);
-    let answer = caller.answer();
-    assert_eq!(answer.map(|r| assert_eq!(r.body, b"own")), expected);
+    let response = caller.read_response();
+    assert_eq!(response.map(|r| assert_eq!(r.body, b"own")), expected);
     let peer = thread::spawn(move || {
         let mut second = peers.recv().expect("a connection");
-        second.request().expect("a request");
-        second.stream.write_all(OWN).expect("sent");
+        second.read_request().expect("a request");
+        second.stream.write_all(OWN_RESPONSE).expect("sent");
         second
     });
     assert_eq!(caller.call(&request(b"")).expect("own").body, b"own");
