--- a/crates/http/src/client_tests.rs
+++ b/crates/http/src/client_tests.rs
@@ -1,4 +1,4 @@
-//! Answers that a paused process finds late, and peers that are not there.
+//! Responses that arrive while the process is paused, and unreachable peers.
 
 use std::{
     io::Write,
@@ -15,7 +15,7 @@
     traffic::Traffic,
 };
 
-/// Connects to a peer that has sent these bytes.
+/// Connects to a peer that has already sent these bytes.
 fn connect_to_peer(sent: &[u8]) -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
@@ -23,7 +23,7 @@
     let (mut peer, _) = listener.accept().expect("accepted");
     peer.write_all(sent).expect("sent");
     if !sent.is_empty() {
-        // Waits until it has arrived.
+        // Waits until the first byte has arrived.
         stream.peek(&mut [0; 1]).expect("arrived");
     }
     (stream, peer)
@@ -37,7 +37,7 @@
 fn a_response_that_has_arrived_is_read_after_the_deadline() {
     let (mut stream, _peer) = connect_to_peer(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
     let response =
-        read_response(&mut stream, past_deadline(), &Traffic::default()).expect("an answer");
+        read_response(&mut stream, past_deadline(), &Traffic::default()).expect("a response");
     assert_eq!(response.body, b"ok");
 }
 
@@ -55,23 +55,23 @@
     );
 }
 
-/// A question may wait for its answer for many seconds: the system probes meanwhile whether its
-/// peer can be reached.
+/// Guards against a long poll that waits for its whole timeout although its peer has become
+/// unreachable: TCP keep-alive has to detect that within two seconds.
 #[test]
 fn connections_are_probed_while_a_response_is_awaited() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let client = Client::new(listener.local_addr().expect("bound"));
     let stream = client.connect(Duration::from_secs(5)).expect("connected");
     let socket = SockRef::from(&stream);
-    assert!(socket.keepalive().expect("told"));
-    let keepalive_time = socket.tcp_keepalive_time().expect("told");
-    let interval = socket.tcp_keepalive_interval().expect("told");
+    assert!(socket.keepalive().expect("socket option"));
+    let keepalive_time = socket.tcp_keepalive_time().expect("socket option");
+    let interval = socket.tcp_keepalive_interval().expect("socket option");
     assert!(keepalive_time + interval <= Duration::from_secs(2));
 }
 
 #[test]
 fn a_port_without_a_listener_refuses() {
-    // No other test listens on this address.
+    // No other test binds a port of this address.
     let listener = TcpListener::bind("127.0.71.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
     drop(listener);
--- a/crates/http/tests/contract.rs
+++ b/crates/http/tests/contract.rs
@@ -1,4 +1,4 @@
-//! The client and the server against peers that misbehave.
+//! The client and the server against misbehaving peers.
 
 use std::{
     io::{Read, Write},
@@ -20,7 +20,7 @@
 
 const LIMIT: Duration = Duration::from_secs(20);
 
-/// A peer that reads a head and writes these bytes, on each connection in turn.
+/// Starts a peer that accepts a connection for each response, reads a head and writes the bytes.
 fn spawn_peer(responses: Vec<&'static [u8]>) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let addr = listener.local_addr().expect("address");
@@ -52,7 +52,7 @@
     assert_eq!(heads.load(Ordering::SeqCst), 1, "a request is sent once");
 }
 
-/// A peer that sends an answer of five bytes one by one, each after a pause, and then no more.
+/// Starts a peer that sends `count` bytes of a body of five, each after a pause, and then stalls.
 fn slow_peer(count: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let addr = listener.local_addr().expect("address");
@@ -70,7 +70,8 @@
     addr
 }
 
-/// A large answer on a narrow link takes longer than an answer may take to begin.
+/// Guards against a call that fails while a large response is arriving over a narrow link: its
+/// transfer takes longer than a response may take to begin.
 #[test]
 fn a_response_that_keeps_arriving_is_awaited() {
     let request = Request::new(Method::Get, "/", Vec::new());
@@ -106,8 +107,8 @@
     assert!(get(&Client::new(addr)).expect_err("nobody").is_not_sent());
 }
 
-/// After a failure the connection is not used again: the late answer of one call
-/// must not be taken for that of the next.
+/// A connection is not reused after a failure, so that the late response to one call
+/// is not taken for that to the next.
 #[test]
 fn a_late_answer_is_not_taken_for_the_next() {
     let ok: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
@@ -233,8 +234,8 @@
     assert_eq!(whole.expect("whole").0.header("x"), Some("y"));
 }
 
-/// Answers one request on each connection, then stays silent on it; the first
-/// `together` answers wait for each other, so that as many connections are opened.
+/// Starts a peer that answers one request on each connection and then stops answering on it. The
+/// first `together` responses are sent at the same time, so that as many connections are opened.
 fn silent_after_one(together: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let addr = listener.local_addr().expect("address");
@@ -262,8 +263,8 @@
     addr
 }
 
-/// The users' pages: open connections may go silent for good, all at once, while new
-/// ones work. Each kept one cost a call its whole time limit.
+/// Open connections may stop working all at once while new ones work. Guards against calls that
+/// spend their whole timeout on each of the pooled connections in turn.
 #[test]
 fn a_timeout_drops_all_pooled_connections() {
     const POOLED: usize = 3;
--- a/crates/http/tests/links.rs
+++ b/crates/http/tests/links.rs
@@ -1,4 +1,4 @@
-//! A connection of an event loop: each answer is that of its call, and each request is whole.
+//! Non-blocking connections: each response belongs to its call, and requests are sent whole.
 
 use std::{
     io::{Read, Write},
@@ -12,25 +12,25 @@
 use mio::{Events, Poll, Token};
 use test_case::test_case;
 
-/// An answer whose body is "own".
+/// A response with the body "own".
 const OWN_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nown";
 
-/// An answer whose body is "surplus".
+/// A response with the body "surplus".
 const SURPLUS_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\nsurplus";
 
-/// Bytes of a request that no socket takes at once.
+/// Size of a request that exceeds every socket buffer.
 const LARGE_BYTES: usize = 8 << 20;
 
-/// A peer to which nothing comes for this long has nothing to wait for.
+/// Time without received bytes after which a peer stops waiting.
 const QUIET_PERIOD: Duration = Duration::from_millis(1000);
 
-/// What a request may have at most.
+/// Size limits of requests.
 const LIMITS: Limits = Limits {
     head_bytes: 16 << 10,
     body_bytes: 2 * LARGE_BYTES,
 };
 
-/// A user of a link: it drops the link after a failure, and if it is not to be kept.
+/// A client that drops its connection after a failure and after a response that closes it.
 struct Caller {
     poll: Poll,
     addr: SocketAddr,
@@ -57,7 +57,7 @@
         self.connection.as_mut().expect("connected").send(request)
     }
 
-    /// Reads until an answer is there or the link has failed; gives up when nothing comes.
+    /// Reads until a response is whole or the connection has failed; times out without events.
     fn read_response(&mut self) -> Result<Response, HttpError> {
         let mut events = Events::with_capacity(16);
         let wait = Some(QUIET_PERIOD * 2);
@@ -96,7 +96,7 @@
     Request::new(Method::Post, "/", body.to_vec())
 }
 
-/// Reads one request, whole; nothing at the end of the connection.
+/// Reads one whole request; returns `None` at the end of the connection.
 fn read_request(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<Request> {
     let mut chunk = vec![0; 64 << 10];
     loop {
@@ -111,8 +111,8 @@
     }
 }
 
-/// A peer that answers the first request with these bytes, each piece in its own packet, and
-/// all others with an answer of their own.
+/// Starts a peer that answers the first request with these bytes, each piece in its own packet,
+/// and all others with [`OWN_RESPONSE`].
 fn spawn_peer(first: Vec<Vec<u8>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
@@ -135,13 +135,14 @@
     addr
 }
 
-/// The bytes one by one.
+/// Splits the bytes into single ones.
 fn split_bytes(bytes: &[u8]) -> Vec<Vec<u8>> {
     bytes.iter().map(|&b| vec![b]).collect()
 }
 
-/// An answer that is not its call's own is told as a failure at most: a look that got the
-/// answer to the one before would show runs that have ended, and hide those that have begun.
+/// Guards against a response that is returned for another call: a look at a worker that got the
+/// previous look's response would list runs that have ended and miss those that have started. A
+/// call may fail instead.
 #[test_case(vec![OWN_RESPONSE.to_vec()]; "whole")]
 #[test_case(split_bytes(OWN_RESPONSE); "in pieces")]
 #[test_case(vec![[OWN_RESPONSE, SURPLUS_RESPONSE].concat()]; "two at once")]
@@ -165,7 +166,7 @@
     assert_eq!(caller.call(&request(b"")).expect("own").body, b"own");
 }
 
-/// A caller that got one answer, and the other end of its connection.
+/// Returns a client that has got one response, and the peer's end of its connection.
 fn answered_once() -> (Caller, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut caller = Caller::new(listener.local_addr().expect("bound"));
@@ -180,13 +181,13 @@
     (caller, peer.join().expect("a peer"))
 }
 
-/// What arrives while nothing is asked answers nothing.
+/// Bytes that arrive while no request is in flight are not returned for a later call.
 #[test_case(SURPLUS_RESPONSE; "a whole answer")]
 #[test_case(&SURPLUS_RESPONSE[..SURPLUS_RESPONSE.len() - 3]; "half an answer")]
 fn bytes_between_two_calls_answer_neither(between: &'static [u8]) {
     let (mut caller, mut stream) = answered_once();
     stream.write_all(between).expect("sent");
-    // The event loop tells of it before the next call.
+    // The event loop reports the bytes before the next call.
     let mut events = Events::with_capacity(16);
     while !events.iter().any(|e| e.is_readable()) {
         caller.poll.poll(&mut events, None).expect("an event loop");
@@ -203,8 +204,8 @@
     }
 }
 
-/// What has arrived answers nothing either where the next call is sent before the event loop
-/// tells of it: an owner reads all answers of a turn, and then sends the next orders.
+/// The same if the next request is sent before the event loop reports the bytes: an owner reads
+/// all responses of a turn and then sends the next orders.
 #[test_case(SURPLUS_RESPONSE; "a whole answer")]
 #[test_case(b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n"; "a farewell")]
 fn bytes_that_arrived_before_a_call_do_not_answer_it(before: &'static [u8]) {
@@ -219,7 +220,7 @@
     }
 }
 
-/// A peer that does as it is told: it reads only when asked to.
+/// A peer's end of a connection, which reads only on request.
 struct Peer {
     stream: TcpStream,
     buf: Vec<u8>,
@@ -231,7 +232,7 @@
     }
 }
 
-/// Accepts connections, and hands each over.
+/// Accepts connections and sends each to `peers`.
 fn accept(listener: TcpListener, peers: Sender<Peer>) {
     for stream in listener.incoming() {
         let stream = stream.expect("a connection");
@@ -250,7 +251,7 @@
     (addr, peers)
 }
 
-/// Sends until the socket takes no more.
+/// Sends until the socket's buffer is full.
 fn fill_socket(caller: &mut Caller) {
     let mut events = Events::with_capacity(16);
     let wait = Some(Duration::from_millis(200));
@@ -264,7 +265,7 @@
     }
 }
 
-/// A request that the socket takes in parts arrives whole, and so does the next one.
+/// A request that exceeds the socket's buffer arrives whole, and so does the next one.
 #[test]
 fn a_request_that_is_sent_in_parts_is_whole() {
     let (addr, peers) = spawn_listener();
@@ -272,7 +273,7 @@
     let bodies = [vec![b'a'; LARGE_BYTES], b"next".to_vec()];
     let reader = thread::spawn(move || {
         let mut peer = peers.recv().expect("a connection");
-        // Meanwhile the socket becomes full.
+        // The socket's buffer fills up meanwhile.
         thread::sleep(Duration::from_millis(300));
         let mut read = Vec::new();
         for _ in 0..2 {
@@ -287,8 +288,8 @@
     assert!(reader.join().expect("a peer") == bodies);
 }
 
-/// A call is given up while its request is sent in part only: the next one goes out on
-/// another connection, whole, and the first one never becomes whole.
+/// After a call that timed out while its request was sent in part, the next request is sent whole
+/// on another connection, and the first request is never completed.
 #[test]
 fn a_request_that_was_given_up_is_not_continued() {
     let (addr, peers) = spawn_listener();
@@ -306,8 +307,8 @@
     assert_eq!(second.read_request().expect("a request").body, b"next");
 }
 
-/// A peer that refuses a request before it has read all of it: the rest is still to be sent,
-/// and the next request must not stand in its place.
+/// Guards against a request that is sent in place of the rest of the previous one: the peer has
+/// rejected the previous request before reading all of it, so that a part is still unsent.
 #[test]
 fn a_request_that_was_answered_early_is_not_continued_with_the_next() {
     let (addr, peers) = spawn_listener();
@@ -321,7 +322,7 @@
         .expect("sent");
     assert_eq!(caller.read_response().expect("an answer").status, 503);
     caller.send(&request(b"next")).expect("sent");
-    // What the first connection brings, then the next one, if there is one.
+    // Reads the requests of the first connection, then those of further connections.
     let reader = thread::spawn(move || {
         let mut bodies = Vec::new();
         let mut next = Some(peer);
@@ -344,9 +345,9 @@
     assert_eq!(response.expect("own").body, b"own");
 }
 
-/// A peer ends the connection together with the last bytes that it sends. The event loop tells
-/// of both at once, and only once: a call that gets no answer any more need not wait for its
-/// limit, and the next one needs another connection.
+/// Guards against a missed end of a stream that arrives together with the last bytes: the event
+/// loop reports both only once. A call that can't get a response any more has to fail without
+/// waiting for its timeout, and the next one needs another connection.
 #[test_case(&OWN_RESPONSE[..20], Err(HttpError::Lost { message: "closed by the peer".into() }); "within the head")]
 #[test_case(&OWN_RESPONSE[..OWN_RESPONSE.len() - 1], Err(HttpError::Lost { message: "closed by the peer".into() }); "within the body")]
 #[test_case(OWN_RESPONSE, Ok(()); "behind the answer")]
