--- a/crates/runtime/src/cancel.rs
+++ b/crates/runtime/src/cancel.rs
@@ -1,13 +1,13 @@
-//! Cancellation tokens that are passed down from a program to its threads.
+//! Cancellation tokens, passed from a program to its threads.
 
 use std::{
     sync::{Arc, Condvar, Mutex, PoisonError},
     time::{Duration, Instant},
 };
 
-/// A token that says when to stop.
+/// A cancellation token.
 ///
-/// Clones share one state: cancelling any of them cancels all.
+/// Clones share their state: cancelling one of them cancels all.
 #[derive(Debug, Clone, Default)]
 pub struct CancelToken {
     inner: Arc<Inner>,
@@ -20,12 +20,12 @@
 }
 
 impl CancelToken {
-    /// Returns a token that is not cancelled.
+    /// Creates a token that is not cancelled.
     pub fn new() -> CancelToken {
         CancelToken::default()
     }
 
-    /// Cancels the token and wakes every waiter.
+    /// Cancels the token and wakes all waiting threads.
     pub fn cancel(&self) {
         *self
             .inner
@@ -35,7 +35,7 @@
         self.inner.wakeup.notify_all();
     }
 
-    /// Tells whether the token was cancelled.
+    /// Returns whether the token is cancelled.
     pub fn is_cancelled(&self) -> bool {
         *self
             .inner
@@ -44,7 +44,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits up to `limit` and tells whether the token was cancelled.
+    /// Waits up to `timeout` for the cancellation; returns whether the token is cancelled.
     pub fn wait(&self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         let mut cancelled = self
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -1,8 +1,8 @@
-//! HTTP calls by `attohttpc` with the checks that it leaves out.
+//! HTTP calls with `attohttpc`, plus the checks that it lacks.
 //!
-//! Redirects, proxies from the environment and compression are off. A body is
-//! whole only if its length was announced and met, or its last chunk arrived.
-//! Each call opens a connection, which is what the library gives.
+//! Redirects, proxies from the environment and compression are disabled. A body
+//! is whole only if its length matches `Content-Length` or its last chunk has
+//! arrived. Each call opens a connection, as the library has no connection pool.
 
 use std::{
     io::{ErrorKind as IoKind, Read},
@@ -16,10 +16,10 @@
 };
 use snafu::Snafu;
 
-/// Longest time a connect may take.
+/// Longest time of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Most header fields an answer may have.
+/// Most header fields of a response.
 const MAX_HEADERS: usize = 64;
 
 /// A header field.
@@ -32,7 +32,7 @@
 }
 
 impl HeaderField {
-    /// Returns a field; the name is put in lower case.
+    /// Creates a field; the name is converted to lower case.
     pub fn new(name: &str, value: impl Into<String>) -> HeaderField {
         HeaderField {
             name: name.to_ascii_lowercase(),
@@ -41,13 +41,13 @@
     }
 }
 
-/// Returns the value of the first field called `name` (lower case).
+/// Returns the value of the first field with this name (lower case).
 pub fn find_header<'a>(headers: &'a [HeaderField], name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|f| f.name == name)?;
     Some(&found.value)
 }
 
-/// A whole answer.
+/// A whole response.
 #[derive(Debug, Clone)]
 pub struct Response {
     /// Status code.
@@ -58,24 +58,24 @@
     pub body: Vec<u8>,
 }
 
-/// Why a call has no whole answer.
+/// An error of a call without a whole response.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// Nothing was sent: the connection was refused or the call is malformed.
+    /// Nothing was sent: the connection failed or the call is malformed.
     #[snafu(display("nothing was sent"))]
     NotSent,
-    /// The time was up; the peer may have acted on the request.
+    /// The call timed out; the peer may have acted on the request.
     #[snafu(display("timeout"))]
     Timeout,
-    /// The connection broke or the answer was cut or malformed.
-    #[snafu(display("connection broke or answer is not whole"))]
+    /// The connection broke, or the response is truncated or malformed.
+    #[snafu(display("connection broke or response is truncated"))]
     Broken,
-    /// The answer's body is longer than allowed.
-    #[snafu(display("answer is too long"))]
+    /// The body of the response exceeds the limit.
+    #[snafu(display("response is too long"))]
     TooLong,
 }
 
-/// A call to be made.
+/// A request to be sent, with its limits.
 #[derive(Debug, Clone)]
 pub struct Call {
     method: String,
@@ -88,7 +88,7 @@
 }
 
 impl Call {
-    /// Returns a call with no body, a timeout of 1 s and answers of at most 4 MiB.
+    /// Creates a call without a body, with a timeout of 1 s and a response body of at most 4 MiB.
     pub fn new(method: &str, addr: SocketAddr, path: &str) -> Call {
         Call {
             method: method.to_owned(),
@@ -113,19 +113,19 @@
         self
     }
 
-    /// Sets the time limit of the whole call.
+    /// Sets the timeout of the whole call.
     pub fn timeout(mut self, timeout: Duration) -> Call {
         self.timeout = timeout;
         self
     }
 
-    /// Sets the longest answer in bytes.
+    /// Sets the size limit of the response's body in bytes.
     pub fn max_body(mut self, max: usize) -> Call {
         self.max_body = max;
         self
     }
 
-    /// Makes the call and returns the whole answer.
+    /// Sends the request and returns the whole response.
     pub fn send(self) -> Result<Response, CallError> {
         let deadline = Instant::now() + self.timeout;
         let is_head = self.method == "HEAD";
@@ -168,11 +168,11 @@
     }
 }
 
-/// Tells whether a body without an announced length comes in chunks, whose end
-/// the library checks, or ends with the connection, which proves nothing.
+/// Returns whether a body without `Content-Length` is chunked. The library checks the end of
+/// a chunked body; any other body may have been truncated by the end of the connection.
 ///
-/// The library takes the field that says so out of the head, and shows it only
-/// in the form for debugging; a contract test holds that.
+/// The library removes the `Transfer-Encoding` field and shows the encoding only in its `Debug`
+/// output; a contract test checks that this still works.
 fn is_chunked(reader: &ResponseReader) -> bool {
     format!("{reader:?}").contains("Chunked(")
 }
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,18 +1,18 @@
 //! The process's monotonic clock.
 //!
-//! A machine may be suspended for seconds. The system's steady clock stands still meanwhile, the
-//! clock that counts from the machine's start goes on, as do all other machines.
+//! A machine may be suspended for seconds. The system's monotonic clock stops meanwhile, while
+//! the boot-time clock and all other machines go on. The clock here follows the boot-time clock.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 
-/// Readings of two clocks of a system; both never go back.
+/// The two system clocks that a [`Clock`] reads; neither goes back.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockSource {
-    /// Time since some moment, without times of suspension.
+    /// Time since an arbitrary moment, without times of suspension.
     pub monotonic: fn() -> Duration,
-    /// Time since the machine started, with times of suspension.
+    /// Time since the machine booted, including times of suspension.
     pub boot: fn() -> Duration,
 }
 
@@ -26,30 +26,30 @@
 
 fn read_clock(clock: ClockId) -> Duration {
     let Timespec { tv_sec, tv_nsec } = clock_gettime(clock);
-    // Neither clock is ever negative, and a fraction is below a second.
+    // Neither clock is negative, and the fraction is less than a second.
     Duration::new(tv_sec as u64, tv_nsec as u32)
 }
 
-/// Milliseconds since the clock was made; never goes back.
+/// A clock that starts at one hour and never goes back.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     source: ClockSource,
-    /// Readings from which it counts.
+    /// Readings of the source when the clock was started.
     start_monotonic: Duration,
     start_boot: Duration,
 }
 
-/// A new clock shows an hour, so that subtracting a time limit from an early reading does not
+/// First reading of a clock, so that subtracting a time limit from an early reading does not
 /// reach zero.
 const INITIAL_READING: Duration = Duration::from_secs(3600);
 
 impl Clock {
-    /// Starts a clock.
+    /// Starts a clock over the system's clocks.
     pub fn new() -> Clock {
         Clock::with_source(ClockSource::SYSTEM)
     }
 
-    /// Starts a clock over these readings.
+    /// Starts a clock over the given source.
     pub fn with_source(source: ClockSource) -> Clock {
         Clock {
             source,
@@ -68,7 +68,7 @@
         self.elapsed().as_micros() as u64
     }
 
-    /// Returns for how long the machine was suspended since the clock was made, in milliseconds.
+    /// Returns the time of suspension since the clock was started, in milliseconds.
     pub fn suspended_ms(&self) -> u64 {
         let monotonic = (self.source.monotonic)().saturating_sub(self.start_monotonic);
         let boot = (self.source.boot)().saturating_sub(self.start_boot);
@@ -76,7 +76,7 @@
     }
 
     fn elapsed(&self) -> Duration {
-        // Others go on while this machine is suspended, and what they granted runs out.
+        // Includes times of suspension, during which leases granted by other machines expire.
         INITIAL_READING + (self.source.boot)().saturating_sub(self.start_boot)
     }
 }
@@ -87,12 +87,12 @@
     }
 }
 
-/// Returns hours since the Unix epoch, for deleting what is old.
+/// Returns the hours since the Unix epoch, for the deletion of old data.
 pub fn wall_hour() -> u64 {
     wall_ms() / 3_600_000
 }
 
-/// Returns milliseconds since the Unix epoch, for logs and audit entries only.
+/// Returns the milliseconds since the Unix epoch, for logs and audit entries only.
 pub fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| d.as_millis() as u64)
--- a/crates/runtime/src/exit.rs
+++ b/crates/runtime/src/exit.rs
@@ -1,22 +1,22 @@
-//! One error on standard error, and an exit code.
+//! Exit codes, and errors on standard error.
 
 use std::{error::Error, process::ExitCode};
 
-/// Exit code after a failure while running.
+/// Exit code after a failure at run time.
 pub const EXIT_FAILURE: u8 = 1;
 
-/// Exit code for unusable arguments, settings or templates.
+/// Exit code for invalid arguments, settings or templates.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Tells whether an error comes from what the user gave.
+/// An error with an exit code, which shows whether the user's input caused the error.
 pub trait HasExitCode {
-    /// Returns the exit code that this error ends the program with.
+    /// Returns the exit code of a program that fails with this error.
     fn exit_code(&self) -> u8;
 }
 
-/// Turns the result of a program into one line on stderr and an exit code.
+/// Writes an error to standard error and returns the program's exit code.
 ///
-/// The line joins the error with its causes.
+/// The error and its causes are joined on one line.
 pub fn report_result<E: Error + HasExitCode>(program: &str, result: Result<(), E>) -> ExitCode {
     let Err(err) = result else {
         return ExitCode::SUCCESS;
--- a/crates/runtime/src/idle.rs
+++ b/crates/runtime/src/idle.rs
@@ -1,10 +1,11 @@
-//! Closes connections that send no whole request.
+//! Closes idle and excess connections.
 //!
-//! The server library gives no access to its connections. This looks for them
-//! among the process's own descriptors, each second, and shuts down those that
-//! have had no request for long: callers that send a byte of a head or of a
-//! short body within every read timeout, or more connections than allowed.
-//! Where the system refuses to duplicate descriptors nothing is closed.
+//! The server library gives no access to its connections, so a client could hold
+//! one for ever by sending a byte of a head or of a short body within every read
+//! timeout. This module finds the connections among the descriptors of the
+//! process, each second, and shuts down those without a whole request for too
+//! long, and the longest idle ones above the limit on their number. No connection
+//! is closed if the system refuses to duplicate descriptors.
 
 use std::{
     fs,
@@ -17,19 +18,18 @@
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
 use socket2::SockRef;
 
-/// What is known of a caller's connection.
+/// State of a client's connection.
 #[derive(Debug, Clone)]
 struct ConnState {
     peer: SocketAddr,
-    /// When it was first seen, or its last request ended.
+    /// When the connection was first seen, or when its last request started or ended.
     idle_since: Instant,
-    /// Requests that are being handled.
     active_requests: u32,
-    /// Whether the last look found it.
+    /// Whether the last sweep found the connection open.
     is_open: bool,
 }
 
-/// The connections of one server, sorted by the callers' addresses.
+/// The connections of one server, sorted by the clients' addresses.
 #[derive(Debug, Clone)]
 pub(crate) struct ConnectionTracker {
     states: Arc<Mutex<Vec<ConnState>>>,
@@ -46,7 +46,7 @@
         self.states.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a request of a caller is being handled, or has ended.
+    /// Records the start or the end of a request.
     pub fn record_request(&self, peer: Option<SocketAddr>, started: bool) {
         let Some(peer) = peer else { return };
         let mut states = self.lock();
@@ -58,8 +58,8 @@
         };
     }
 
-    /// Closes the connections at `local` that had no request for `limit`, and
-    /// the oldest idle ones above `most`; returns how many.
+    /// Closes the connections to `local` that have been idle for `timeout`, and
+    /// the longest idle ones above `max_connections`; returns their number.
     pub fn close_idle(
         &self,
         local: SocketAddr,
@@ -111,7 +111,7 @@
     &mut states[i]
 }
 
-/// Returns the callers connected to `local`, each with a duplicate descriptor.
+/// Returns the clients connected to `local`, each with a duplicate descriptor.
 fn open_connections(local: SocketAddr) -> Vec<(SocketAddr, OwnedFd)> {
     let mut out = Vec::new();
     let (Ok(pidfd), Ok(dir)) = (
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,10 +1,10 @@
-//! What every gorsespur program needs around its decisions.
+//! Infrastructure that all gorsespur programs share.
 //!
-//! Settings, logs, metrics, cancellation, and HTTP on both sides. The HTTP
-//! modules exist because the libraries beneath them accept cut bodies as whole
-//! and have no limit on time: every promise of that kind is checked here, once,
-//! and nowhere else. The price is one copy of each body into memory, so bodies
-//! are bounded.
+//! It covers settings, logs, metrics, cancellation, and an HTTP client and server.
+//! The HTTP modules exist because the libraries that they wrap accept truncated
+//! bodies as whole and don't limit the duration of a call; both are checked here
+//! and nowhere else. For that each body is copied into memory, so the size of
+//! bodies is bounded.
 
 pub mod cancel;
 pub mod client;
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs by `log` and `fern`, as text or as one JSON object a line.
+//! Logging with `log` and `fern`, as text or as one JSON object per line.
 
 use std::{io, path::PathBuf};
 
@@ -11,62 +11,62 @@
     exit::{EXIT_FAILURE, HasExitCode},
 };
 
-/// A library that logs each of the server's time limits as an error.
+/// Log target that is muted: the library logs each timeout of a connection as an error.
 const MUTED_TARGET: &str = "tiny_http";
 
-/// The form of a log line.
+/// Format of a log line.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
     /// Time, level, program and message.
     #[default]
     Text,
-    /// The same as a JSON object.
+    /// The same fields as a JSON object.
     Json,
 }
 
-/// The lowest level that is logged.
+/// Lowest level that is logged.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Failures that need an operator.
+    /// Failures that need an operator's attention.
     Error,
-    /// Failures that the system handles by itself.
+    /// Failures that the system handles on its own.
     Warn,
     /// Changes of state.
     #[default]
     Info,
-    /// Decisions.
+    /// Single decisions.
     Debug,
 }
 
-/// Settings of the log.
+/// Settings of logging.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// Form of the lines.
+    /// Format of the lines.
     pub format: LogFormat,
-    /// Lowest level.
+    /// Lowest level that is logged.
     pub level: LogLevel,
     /// File to append to; standard error if absent.
     pub file: Option<PathBuf>,
 }
 
-/// Why logging can't start.
+/// An error of starting the log.
 #[derive(Debug, Snafu)]
 pub enum LogError {
-    /// The file can't be opened.
-    #[snafu(display("{}: can't open log", path.display()))]
+    /// The log file can't be opened.
+    #[snafu(display("{}: can't open the log file", path.display()))]
     Open {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's answer.
+        /// The system's error.
         source: io::Error,
     },
-    /// A logger was installed before.
-    #[snafu(display("log already started"))]
+    /// A logger is already installed.
+    #[snafu(display("a logger is already installed"))]
     AlreadyStarted {
-        /// The library's answer.
+        /// The library's error.
         source: log::SetLoggerError,
     },
 }
@@ -86,7 +86,7 @@
     message: &'a str,
 }
 
-/// Starts logging for the program `program` running as instance `id`.
+/// Installs the logger of `program`, running as instance `id`.
 pub fn start(settings: &LogSettings, program: &'static str, id: &str) -> Result<(), LogError> {
     let level = match settings.level {
         LogLevel::Error => LevelFilter::Error,
--- a/crates/runtime/src/metrics.rs
+++ b/crates/runtime/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by `cadence`, sent as StatsD datagrams.
+//! Metrics with `cadence`, sent as StatsD datagrams.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -13,30 +13,30 @@
 
 use crate::exit::{EXIT_FAILURE, HasExitCode};
 
-/// Datagrams that may wait for the network; more are dropped.
+/// Most datagrams that wait to be sent; further ones are dropped.
 const MAX_QUEUED_DATAGRAMS: usize = 1024;
 
-/// Settings of the metrics.
+/// Settings of metrics.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MetricSettings {
-    /// Address of a StatsD collector; without it metrics are dropped.
+    /// Address of a StatsD collector; metrics are dropped if absent.
     pub statsd: Option<SocketAddr>,
 }
 
-/// Why metrics can't start.
+/// An error of starting metrics.
 #[derive(Debug, Snafu)]
 pub enum MetricError {
     /// No socket can be bound.
     #[snafu(display("can't bind a socket for metrics"))]
     Bind {
-        /// The system's answer.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The collector's address is refused.
+    /// The collector's address is invalid.
     #[snafu(display("can't send metrics"))]
     Sink {
-        /// The library's answer.
+        /// The library's error.
         source: cadence::MetricError,
     },
 }
@@ -47,14 +47,14 @@
     }
 }
 
-/// Sends counters, gauges and timings; never blocks and never fails its caller.
+/// Sends counters, gauges and timings. Sending never blocks, and errors are ignored.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     client: Arc<StatsdClient>,
 }
 
 impl Metrics {
-    /// Connects to the collector, if one is set; names get the prefix `gorsespur.<role>`.
+    /// Starts sending to the collector, if one is set, with the name prefix `gorsespur.<role>`.
     pub fn start(settings: &MetricSettings, role: &str) -> Result<Metrics, MetricError> {
         let prefix = format!("gorsespur.{role}");
         let client = match settings.statsd {
--- a/crates/runtime/src/server.rs
+++ b/crates/runtime/src/server.rs
@@ -1,14 +1,15 @@
-//! An HTTP server on `tiny_http`, the base of `rouille`, with bounds.
+//! An HTTP server with limits, based on `tiny_http`.
 //!
-//! `rouille` gives no access to its listener and has no time limits, so slow
-//! callers could hold its threads for ever. Here the listening socket has a
-//! read and a write timeout, which accepted sockets inherit. `accept` would
-//! time out too and end that server, so a connection of our own keeps it awake;
-//! should it end all the same, the next one is built on the same listener while
-//! the earlier one is drained.
+//! `rouille`, which also builds on `tiny_http`, gives no access to its listener
+//! and has no timeouts, so slow clients could hold its threads for ever. Here the
+//! listening socket has a read and a write timeout, which accepted sockets
+//! inherit. `accept` would time out as well and end the `tiny_http` server, so
+//! the acceptor connects to its own listener from time to time. If the server
+//! ends nevertheless, a new one is built on the same listener while the old one
+//! is drained.
 //!
-//! A caller that sends a byte within every read timeout, and connections above
-//! the limit, are closed from outside, see the module for idle connections.
+//! The `idle` module closes the connections of clients that send a byte within
+//! every read timeout, and connections above the limit.
 
 use std::{
     io::{self, ErrorKind},
@@ -33,44 +34,44 @@
     idle::ConnectionTracker,
 };
 
-/// Field that tells a caller whether the request ran.
+/// Name of the header field that states whether the request was run.
 pub const OUTCOME: &str = "x-outcome";
 
-/// Pause before the next server after `accept` failed.
+/// Delay before a new server is built after `accept` has failed.
 const REBUILD_DELAY: Duration = Duration::from_millis(20);
 
 /// Read timeouts without a request after which a server that no longer accepts
-/// is dropped; connections may wait a while for a thread of the library.
+/// is dropped. Its connections may wait for one of the library's threads.
 const DRAIN_PERIODS: u32 = 8;
 
-/// Connections of our own in each read timeout.
+/// Connections to the own listener per read timeout, which keep `accept` from timing out.
 const WAKEUPS_PER_PERIOD: u32 = 3;
 
 /// Read timeouts without a whole request after which a connection is closed.
 const IDLE_PERIODS: u32 = 2;
 
-/// Longest time between two looks for connections to close.
+/// Longest interval between two sweeps for idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest time between two looks whether the program stops.
+/// Longest interval between two checks for cancellation.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Most bytes of request line and header fields together.
+    /// Largest head, that is the path and the header fields.
     pub head_bytes: usize,
-    /// Most bytes of a body.
+    /// Largest body.
     pub body_bytes: usize,
-    /// Time limit of one read or write on a connection.
+    /// Timeout of one read or write on a connection.
     pub io_timeout: Duration,
-    /// Time limit of reading a whole body.
+    /// Timeout of reading a whole body.
     pub body_timeout: Duration,
     /// Threads that run the handler.
     pub handlers: usize,
-    /// Requests that may wait for a thread; more are refused as not run.
+    /// Most requests that wait for a thread; further ones are rejected as not run.
     pub max_queued: usize,
-    /// Connections; the longest idle ones above are closed.
+    /// Most connections; the longest idle ones above this number are closed.
     pub max_connections: usize,
 }
 
@@ -104,7 +105,7 @@
 }
 
 impl Incoming {
-    /// Returns the value of the first field called `name` (lower case).
+    /// Returns the value of the first header field with this name (lower case).
     pub fn header(&self, name: &str) -> Option<&str> {
         find_header(&self.headers, name)
     }
@@ -115,19 +116,19 @@
     }
 }
 
-/// What a handler answers.
+/// A handler's response.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// Status code.
     pub status: u16,
-    /// Header fields besides the length.
+    /// Header fields except `Content-Length`.
     pub headers: Vec<HeaderField>,
     /// Body.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// Returns a reply with a body and no fields.
+    /// Creates a reply with a body and no header fields.
     pub fn new(status: u16, body: Vec<u8>) -> Reply {
         Reply {
             status,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Returns a plain text reply.
+    /// Creates a plain text reply.
     pub fn text(status: u16, text: impl Into<String>) -> Reply {
         Reply::new(status, text.into().into_bytes()).header("content-type", "text/plain")
     }
@@ -148,27 +149,27 @@
     }
 }
 
-/// Why a server can't start.
+/// An error of starting a server.
 #[derive(Debug, Snafu)]
 pub enum ServeError {
     /// The address can't be bound.
     #[snafu(display("can't listen on {addr}"))]
     Bind {
-        /// The address.
+        /// Address to listen on.
         addr: SocketAddr,
-        /// The system's answer.
+        /// The system's error.
         source: io::Error,
     },
-    /// The socket refuses its time limits.
-    #[snafu(display("can't set time limits"))]
+    /// An option of the listening socket can't be set.
+    #[snafu(display("can't set socket options"))]
     Option {
-        /// The system's answer.
+        /// The system's error.
         source: io::Error,
     },
     /// A thread can't be started.
     #[snafu(display("can't start a thread"))]
     Spawn {
-        /// The system's answer.
+        /// The system's error.
         source: io::Error,
     },
 }
@@ -179,21 +180,21 @@
     }
 }
 
-/// A running server.
+/// Handle of a running server.
 #[derive(Debug)]
 pub struct ServerHandle {
-    /// The address that was bound.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
     active: Arc<AtomicUsize>,
 }
 
 impl ServerHandle {
-    /// Returns the number of requests that were taken and not yet answered.
+    /// Returns the number of requests that were received and not yet answered.
     pub fn active(&self) -> usize {
         self.active.load(Ordering::Acquire)
     }
 
-    /// Waits until no request is in flight, at most `limit`.
+    /// Waits up to `timeout` until no request is in flight; returns whether that is reached.
     pub fn wait_until_idle(&self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         while self.active() > 0 {
@@ -206,7 +207,7 @@
     }
 }
 
-/// Binds `addr` and serves until `cancel`.
+/// Binds `addr` and serves requests until `cancel` is cancelled; `name` prefixes thread names.
 pub fn serve<H>(
     addr: SocketAddr,
     name: &'static str,
@@ -255,7 +256,7 @@
     Ok(ServerHandle { addr, active })
 }
 
-/// Accepts connections and passes their requests on.
+/// Accepts connections and forwards their requests to the handler threads.
 struct Acceptor {
     listener: TcpListener,
     addr: SocketAddr,
@@ -288,7 +289,7 @@
         }
     }
 
-    /// Passes requests on until the server ends or the program stops.
+    /// Forwards requests until the server ends or is cancelled.
     fn forward_requests(&self, server: &Server) {
         let wake_interval = self.io_timeout / WAKEUPS_PER_PERIOD;
         let mut last_wakeup = Instant::now();
@@ -314,10 +315,10 @@
     }
 }
 
-/// Serves the connections of a server that no longer accepts.
+/// Forwards the requests of a server that no longer accepts connections.
 ///
-/// A connection that is idle for the read timeout closes, so that after some
-/// such times without a request none is left.
+/// Connections that are idle for a read timeout are closed, so none is left after
+/// several timeouts without a request.
 fn drain_server(
     server: &Server,
     timeout: Duration,
@@ -448,6 +449,6 @@
         }
     }
     if let Err(err) = req.respond(out) {
-        log::debug!("server: caller left before its answer: {err}");
+        log::debug!("server: can't send a response: {err}");
     }
 }
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reading YAML documents within bounds.
+//! Bounded reading of YAML documents.
 
 use std::path::{Path, PathBuf};
 
@@ -8,34 +8,34 @@
 
 use crate::exit::{EXIT_USAGE, HasExitCode};
 
-/// Largest settings file or template in bytes.
+/// Largest size of a settings file or template.
 pub const MAX_YAML_BYTES: usize = 1 << 20;
 
-/// Why a settings file can't be used.
+/// An error of loading a settings file.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file can't be read.
-    #[snafu(display("{}: can't read", path.display()))]
+    #[snafu(display("{}: can't read the file", path.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's answer.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The file is not YAML of the expected shape.
+    /// The file is not YAML of the expected structure.
     #[snafu(display("{}", path.display()))]
     Parse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong and where.
+        /// The error and its position.
         source: YamlError,
     },
-    /// The values don't pass the checks.
+    /// The values are invalid.
     #[snafu(display("{}", path.display()))]
     Check {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Every problem found.
+        /// All problems found.
         source: Problems,
     },
 }
@@ -46,16 +46,16 @@
     }
 }
 
-/// Why a text is not the expected YAML document.
+/// An error of parsing a YAML document.
 #[derive(Debug, Snafu)]
 pub enum YamlError {
     /// The document is longer than [`MAX_YAML_BYTES`].
     #[snafu(display("document has {len} bytes, more than {MAX_YAML_BYTES}"))]
     TooLong {
-        /// Its length in bytes.
+        /// Length of the document in bytes.
         len: usize,
     },
-    /// The document is malformed, has an unknown key or a value of a wrong type.
+    /// The document is malformed, or has an unknown key or a value of the wrong type.
     #[snafu(display("{message}"))]
     Malformed {
         /// The parser's message with line and column, on one line.
@@ -63,7 +63,7 @@
     },
 }
 
-/// Parses a YAML document; alias bombs exceed the parser's budget and fail.
+/// Parses a YAML document. The parser's budget rejects alias bombs.
 pub fn parse_yaml<T: DeserializeOwned>(text: &str) -> Result<T, YamlError> {
     ensure!(
         text.len() <= MAX_YAML_BYTES,
@@ -76,7 +76,7 @@
     })
 }
 
-/// Reads a settings file and turns it into checked settings.
+/// Reads, parses and checks a settings file.
 pub fn load<R, T>(
     path: &Path,
     check: impl FnOnce(R) -> Result<T, Problems>,
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -1,4 +1,4 @@
-//! SIGTERM and SIGINT as cancellation.
+//! Cancellation by SIGTERM and SIGINT.
 
 use std::{io, thread};
 
@@ -11,7 +11,7 @@
 
 /// Cancels `cancel` at the first SIGTERM or SIGINT.
 ///
-/// Errors: the system refuses the handler.
+/// Fails if the signal handler can't be installed.
 pub fn cancel_on_signal(cancel: &CancelToken) -> io::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let cancel = cancel.clone();
--- a/crates/runtime/tests/clock.rs
+++ b/crates/runtime/tests/clock.rs
@@ -1,7 +1,8 @@
-//! What the clock shows while its machine is suspended.
+//! The clock includes times of suspension.
 //!
-//! An owner that was suspended took its last contact with the store for new: by its clock no
-//! time had passed. It renewed a worker's leases beyond the time for which its successor waits.
+//! Guards against a clock that stops while its machine is suspended: the owner took its last
+//! contact with the store for recent and renewed a worker's leases beyond the time that its
+//! successor waits for.
 
 use std::{cell::Cell, fs, time::Duration};
 
@@ -33,7 +34,7 @@
     assert_eq!(clock.now_micros() / 1000, clock.now());
 }
 
-/// The system's own count of the time since its start has times of suspension in it.
+/// The boot-time clock matches the system's uptime, which includes times of suspension.
 #[test]
 fn the_systems_clock_counts_from_its_start() {
     let text = fs::read_to_string("/proc/uptime").expect("a system with /proc");
@@ -41,6 +42,6 @@
     let uptime = Duration::from_secs_f64(seconds.parse().expect("seconds"));
     let boot = (ClockSource::SYSTEM.boot)();
     assert!(boot + Duration::from_millis(20) >= uptime);
-    // Reading the two may have been held up in between.
+    // The process may have been delayed between the two readings.
     assert!(boot < uptime + Duration::from_secs(60));
 }
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -1,4 +1,4 @@
-//! Promises of the HTTP modules that the libraries beneath them break.
+//! Guarantees of the HTTP modules that the underlying libraries don't give.
 
 use std::{
     io::{Read, Write},
@@ -15,7 +15,7 @@
 use gorsespur_services::fake::own_addr;
 use test_case::test_case;
 
-/// Serves one connection with raw bytes and returns the address.
+/// Starts a peer that answers one connection with raw bytes; returns its address.
 fn raw_peer(answer: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("bound");
@@ -106,7 +106,7 @@
     }
 }
 
-/// Sends raw bytes, optionally closes the sending side, and reads the answer.
+/// Sends raw bytes, optionally shuts down the sending side, and reads the response.
 fn raw_call(addr: SocketAddr, bytes: &[u8], close: bool) -> String {
     let mut stream = TcpStream::connect(addr).expect("a connection");
     stream.write_all(bytes).expect("sent");
@@ -132,7 +132,7 @@
     cancel.cancel();
 }
 
-/// The library reads short bodies by itself, before there is a request.
+/// The library reads short bodies itself, before it returns the request.
 #[test]
 fn a_short_body_that_is_cut_is_not_handled() {
     let cancel = CancelToken::new();
@@ -196,7 +196,7 @@
     cancel.cancel();
 }
 
-/// The read timeout starts anew with each byte.
+/// Guards against a client that restarts the read timeout with each byte.
 #[test]
 fn a_caller_that_trickles_its_head_is_cut_off() {
     let cancel = CancelToken::new();
