--- a/crates/http/tests/contract.rs
+++ b/crates/http/tests/contract.rs
@@ -45,7 +45,7 @@
 #[test_case(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nab"; "body")]
 #[test_case(b"HTTP/1.1 200 OK\r\ncontent-le"; "head")]
 #[test_case(b""; "all")]
-fn a_cut_answer_is_never_whole(response: &'static [u8]) {
+fn a_truncated_response_is_an_error(response: &'static [u8]) {
     let (addr, heads) = spawn_peer(vec![response]);
     let err = get(&Client::new(addr)).expect_err("cut");
     assert!(matches!(err, HttpError::Lost { .. }), "{err}");
--- a/crates/runtime/tests/clock.rs
+++ b/crates/runtime/tests/clock.rs
@@ -13,16 +13,16 @@
     static BOOT: Cell<u64> = const { Cell::new(0) };
 }
 
-const TIMES: ClockSource = ClockSource {
+const SOURCE: ClockSource = ClockSource {
     monotonic: || Duration::from_millis(STEADY.get()),
     boot: || Duration::from_millis(BOOT.get()),
 };
 
 #[test]
-fn a_suspension_counts() {
+fn a_suspension_is_included() {
     STEADY.set(70_000);
     BOOT.set(90_000);
-    let clock = Clock::with_source(TIMES);
+    let clock = Clock::with_source(SOURCE);
     let first = clock.now();
     STEADY.set(70_400);
     BOOT.set(90_400);
@@ -36,7 +36,7 @@
 
 /// The boot-time clock matches the system's uptime, which includes times of suspension.
 #[test]
-fn the_systems_clock_counts_from_its_start() {
+fn the_boot_time_clock_matches_the_uptime() {
     let text = fs::read_to_string("/proc/uptime").expect("a system with /proc");
     let seconds = text.split_whitespace().next().expect("a figure");
     let uptime = Duration::from_secs_f64(seconds.parse().expect("seconds"));
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -16,14 +16,14 @@
 use test_case::test_case;
 
 /// Starts a peer that answers one connection with raw bytes; returns its address.
-fn raw_peer(answer: &'static [u8]) -> SocketAddr {
+fn raw_peer(response: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("bound");
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a call");
         let mut buf = [0; 1024];
         let _ = stream.read(&mut buf);
-        let _ = stream.write_all(answer);
+        let _ = stream.write_all(response);
     });
     addr
 }
@@ -41,30 +41,30 @@
 #[test_case(b"HTTP/1.1 200 OK\r\n\r\nabcde"; "no length at all")]
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-Le"; "head cut short")]
 #[test_case(b""; "closed without an answer")]
-fn a_cut_answer_is_never_whole(answer: &'static [u8]) {
-    let got = call(raw_peer(answer));
-    assert!(matches!(got, Err(CallError::Broken)), "{got:?}");
+fn a_truncated_response_is_an_error(response: &'static [u8]) {
+    let result = call(raw_peer(response));
+    assert!(matches!(result, Err(CallError::Broken)), "{result:?}");
 }
 
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabcde"; "by length")]
 #[test_case(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n0\r\n\r\n"; "by chunks")]
-fn a_whole_answer_is_passed_on(answer: &'static [u8]) {
-    let got = call(raw_peer(answer)).expect("a whole answer");
-    assert_eq!(got.body, b"abcde");
+fn a_whole_response_is_returned(response: &'static [u8]) {
+    let result = call(raw_peer(response)).expect("a whole answer");
+    assert_eq!(result.body, b"abcde");
 }
 
 #[test]
 fn a_long_answer_is_refused() {
-    let got = call(raw_peer(b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n"));
-    assert!(matches!(got, Err(CallError::TooLong)), "{got:?}");
+    let result = call(raw_peer(b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n"));
+    assert!(matches!(result, Err(CallError::TooLong)), "{result:?}");
 }
 
 #[test]
 fn a_redirect_is_not_followed() {
-    let got = call(raw_peer(
+    let result = call(raw_peer(
         b"HTTP/1.1 307 Temporary Redirect\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n",
     ));
-    assert_eq!(got.expect("an answer").status, 307);
+    assert_eq!(result.expect("an answer").status, 307);
 }
 
 #[test]
@@ -74,27 +74,27 @@
 }
 
 #[test]
-fn silence_is_a_timeout_and_proves_nothing() {
+fn a_missing_response_is_a_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("bound");
-    let got = Call::new("GET", addr, "/")
+    let result = Call::new("GET", addr, "/")
         .timeout(Duration::from_millis(100))
         .send();
-    assert!(matches!(got, Err(CallError::Timeout)), "{got:?}");
+    assert!(matches!(result, Err(CallError::Timeout)), "{result:?}");
 }
 
 fn server(limits: Limits, cancel: &CancelToken) -> ServerHandle {
     let addr = ([127, 0, 0, 1], 0).into();
-    let serving = serve(addr, "test", limits, cancel, |req| {
+    let handle = serve(addr, "test", limits, cancel, |req| {
         Reply::text(
             200,
             format!("{} {} {}", req.method, req.path, req.body.len()),
         )
     });
-    serving.expect("a free port")
+    handle.expect("a free port")
 }
 
-fn small() -> Limits {
+fn small_limits() -> Limits {
     Limits {
         head_bytes: 2_000,
         body_bytes: 2_000,
@@ -125,8 +125,8 @@
 #[test_case(b"POST / HTTP/1.1\r\nContent-Length: 5000\r\n\r\nab", true, "413"; "body over the limit")]
 fn a_body_that_is_not_whole_is_not_handled(bytes: &[u8], close: bool, status: &str) {
     let cancel = CancelToken::new();
-    let serving = server(small(), &cancel);
-    let text = raw_call(serving.addr, bytes, close);
+    let handle = server(small_limits(), &cancel);
+    let text = raw_call(handle.addr, bytes, close);
     assert!(text.starts_with(&format!("HTTP/1.1 {status}")), "{text}");
     assert!(text.to_lowercase().contains("x-outcome: not-run"), "{text}");
     cancel.cancel();
@@ -138,12 +138,12 @@
     let cancel = CancelToken::new();
     let addr = ([127, 0, 0, 1], 0).into();
     let (tx, rx) = flume::unbounded();
-    let serving = serve(addr, "test", small(), &cancel, move |_| {
+    let handle = serve(addr, "test", small_limits(), &cancel, move |_| {
         let _ = tx.send(());
         Reply::text(200, "ran")
     });
     let bytes = b"POST / HTTP/1.1\r\nContent-Length: 50\r\n\r\nab";
-    let text = raw_call(serving.expect("a free port").addr, bytes, true);
+    let text = raw_call(handle.expect("a free port").addr, bytes, true);
     assert_eq!(text, "");
     assert!(rx.try_recv().is_err(), "handled a cut request");
     cancel.cancel();
@@ -152,20 +152,20 @@
 #[test]
 fn a_long_head_is_refused() {
     let cancel = CancelToken::new();
-    let serving = server(small(), &cancel);
+    let handle = server(small_limits(), &cancel);
     let head = format!(
         "GET / HTTP/1.1\r\nx: {}\r\nConnection: close\r\n\r\n",
         "y".repeat(3_000)
     );
-    let text = raw_call(serving.addr, head.as_bytes(), false);
+    let text = raw_call(handle.addr, head.as_bytes(), false);
     assert!(text.starts_with("HTTP/1.1 431"), "{text}");
     cancel.cancel();
 }
 
 #[test]
-fn slow_callers_hold_nobody_up_for_ever() {
+fn slow_clients_do_not_block_other_clients() {
     let cancel = CancelToken::new();
-    let serving = server(small(), &cancel);
+    let handle = server(small_limits(), &cancel);
     let mut held = Vec::new();
     for bytes in [
         &b"GET / HT"[..],
@@ -173,22 +173,22 @@
         b"",
     ] {
         for _ in 0..4 {
-            let mut stream = TcpStream::connect(serving.addr).expect("a connection");
+            let mut stream = TcpStream::connect(handle.addr).expect("a connection");
             stream.write_all(bytes).expect("sent");
             held.push(stream);
         }
     }
-    let answer = loop {
-        let got = Call::new("GET", serving.addr, "/")
+    let response = loop {
+        let result = Call::new("GET", handle.addr, "/")
             .timeout(Duration::from_secs(5))
             .send();
-        match got {
-            Ok(answer) if answer.status == 503 => thread::sleep(Duration::from_millis(20)),
-            Ok(answer) => break answer,
+        match result {
+            Ok(response) if response.status == 503 => thread::sleep(Duration::from_millis(20)),
+            Ok(response) => break response,
             Err(err) => panic!("{err}"),
         }
     };
-    assert_eq!(answer.status, 200);
+    assert_eq!(response.status, 200);
     for mut stream in held {
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest);
@@ -198,10 +198,10 @@
 
 /// Guards against a client that restarts the read timeout with each byte.
 #[test]
-fn a_caller_that_trickles_its_head_is_cut_off() {
+fn a_client_that_sends_its_head_slowly_is_disconnected() {
     let cancel = CancelToken::new();
-    let serving = server(small(), &cancel);
-    let mut stream = TcpStream::connect(serving.addr).expect("a connection");
+    let handle = server(small_limits(), &cancel);
+    let mut stream = TcpStream::connect(handle.addr).expect("a connection");
     let mut cut = false;
     for byte in b"GET / HTTP/1.1\r\nx: ".iter().chain([b'y'; 400].iter()) {
         cut = stream.write_all(&[*byte]).is_err();
@@ -220,12 +220,12 @@
     let limits = Limits {
         max_connections: 3,
         io_timeout: Duration::from_secs(20),
-        ..small()
+        ..small_limits()
     };
-    let serving = server(limits, &cancel);
+    let handle = server(limits, &cancel);
     let mut held = Vec::new();
     for _ in 0..12 {
-        held.push(TcpStream::connect(serving.addr).expect("a connection"));
+        held.push(TcpStream::connect(handle.addr).expect("a connection"));
     }
     let mut closed = 0;
     for stream in &mut held[..9] {
@@ -239,26 +239,26 @@
 }
 
 #[test]
-fn an_idle_server_goes_on_after_its_accept_timed_out() {
+fn an_idle_server_keeps_serving_after_a_timeout_of_accept() {
     let cancel = CancelToken::new();
-    let serving = server(small(), &cancel);
+    let handle = server(small_limits(), &cancel);
     for _ in 0..3 {
         thread::sleep(Duration::from_millis(400));
-        let got = Call::new("GET", serving.addr, "/x")
+        let result = Call::new("GET", handle.addr, "/x")
             .send()
             .expect("an answer");
-        assert_eq!(got.body, b"GET /x 0");
+        assert_eq!(result.body, b"GET /x 0");
     }
     cancel.cancel();
 }
 
 #[test]
-fn fields_are_found_by_their_lower_case_names() {
-    let got = call(raw_peer(
+fn header_fields_are_found_by_their_lower_case_names() {
+    let result = call(raw_peer(
         b"HTTP/1.1 200 OK\r\nX-Outcome: ran\r\nContent-Length: 0\r\n\r\n",
     ));
     assert_eq!(
-        find_header(&got.expect("an answer").headers, "x-outcome"),
+        find_header(&result.expect("an answer").headers, "x-outcome"),
         Some("ran")
     );
 }
