--- a/crates/peer/src/agent.rs
+++ b/crates/peer/src/agent.rs
@@ -1,4 +1,4 @@
-//! The agent's threads.
+//! The agent's threads, and its requests from peers.
 
 use std::{net::UdpSocket, sync::Arc, thread, time::Duration};
 
@@ -21,17 +21,19 @@
     heartbeats, member_list,
 };
 
-/// Time limit of waiting for a heartbeat, after which cancellation is looked at.
+/// Longest wait for a heartbeat between two checks for cancellation.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Keeps an instance in touch with its peers.
+/// Exchanges heartbeats and configuration with the peers of an instance.
 #[derive(Debug)]
 pub struct Agent {
     state: Arc<AgentState>,
 }
 
 impl Agent {
-    /// Starts the threads; they end with `cancel`.
+    /// Starts the threads, which run until `cancel` is cancelled.
+    ///
+    /// Fails if the address can't be bound or a thread can't be started.
     pub fn start(
         settings: AgentSettings,
         table: Arc<dyn Table>,
@@ -58,7 +60,7 @@
         Ok(Agent { state })
     }
 
-    /// Returns what the threads share.
+    /// Returns the state that the threads share.
     pub fn state(&self) -> &Arc<AgentState> {
         &self.state
     }
@@ -71,7 +73,7 @@
 }
 
 impl AgentState {
-    /// Returns what operators see of this instance.
+    /// Returns the status of this instance for operators.
     pub fn status(&self, shards: Vec<ShardStatus>, routed: Option<RouteCounts>) -> InstanceStatus {
         let s = &self.settings;
         let now = self.clock.now();
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Answers a peer's request that is the agent's; nothing for other paths.
+    /// Handles a peer's request for configuration; returns `None` for other paths.
     pub fn handle_request(&self, req: &Incoming) -> Option<Reply> {
         if req.path != PEER_CONFIG {
             return None;
--- a/crates/peer/src/config.rs
+++ b/crates/peer/src/config.rs
@@ -1,4 +1,4 @@
-//! Templates in force: polled by one instance a zone, handed on by its peers.
+//! Templates in force, polled by one instance per zone and distributed by its peers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -21,25 +21,25 @@
 
 use crate::AgentState;
 
-/// Time between two looks.
+/// Interval between two polls of peers and the table service.
 const POLL_INTERVAL_MS: u64 = 250;
 
-/// Longest time between two looks while the table service fails.
+/// Longest interval between two polls while the table service fails.
 const MAX_BACKOFF_MS: u64 = 4_000;
 
-/// Failures in a row after which the table service is left alone for a while.
+/// Consecutive failures after which the table service is not polled for a while.
 const BREAKER_FAILURES: u32 = 3;
 
-/// Time limit of asking a peer.
+/// Timeout of a request to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Most changes that are read by the log; after more all templates are read.
+/// Most changes that are read from the log; beyond that all templates are read.
 const MAX_LOG_ENTRIES: u64 = 200;
 
-/// Rows of one read.
+/// Rows per scan of the table.
 const SCAN_ROWS: u32 = 500;
 
-/// Follows the changes of configuration until `cancel`.
+/// Follows the changes of configuration until `cancel` is cancelled.
 pub(crate) fn follow(state: &AgentState, table: &dyn Table, cancel: &CancelToken) {
     let mut backoff = Backoff::new(POLL_INTERVAL_MS, MAX_BACKOFF_MS, state.incarnation);
     let mut breaker = Breaker::new(BREAKER_FAILURES, MAX_BACKOFF_MS);
@@ -53,7 +53,7 @@
             match result {
                 Ok(()) => backoff.reset(),
                 Err(err) => {
-                    log::debug!("config: can't poll: {err}");
+                    log::debug!("config: can't poll the table service: {err}");
                     pause_ms = backoff.next_delay().min(POLL_INTERVAL_MS * 2);
                 }
             }
@@ -64,8 +64,8 @@
     }
 }
 
-/// Tells whether this instance polls for its zone; one that has no template
-/// and heard of none does too.
+/// Returns whether this instance polls the table service: one instance per zone does, and
+/// each one that has not loaded any configuration yet.
 fn is_zone_poller(state: &AgentState) -> bool {
     let s = &state.settings;
     let now = state.clock.now();
@@ -103,8 +103,8 @@
     Ok(())
 }
 
-/// Returns the keys of the templates that the log names after change `from`;
-/// nothing if the log does not reach back so far.
+/// Returns the keys of the templates that changed after change `from`, by the log; returns
+/// `None` if the log does not reach back that far.
 fn changed_keys(table: &dyn Table, from: u64, to: u64) -> Result<Option<Vec<Name>>, TableError> {
     if to - from > MAX_LOG_ENTRIES {
         return Ok(None);
@@ -164,7 +164,7 @@
     }
 }
 
-/// Asks the peer that is furthest ahead for what is missing here.
+/// Requests the missing templates from the peer with the most recent change.
 fn pull_from_peer(state: &AgentState) {
     let own_head = state.configs().head();
     let Some((addr, head)) = most_recent_peer(state) else {
@@ -177,7 +177,7 @@
     let request = ConfigRequest { known };
     let response: Result<ConfigAnswer, _> = post(addr, PEER_CONFIG, &request, PEER_TIMEOUT);
     let Ok(response) = response else {
-        log::debug!("config: peer {addr} did not answer");
+        log::debug!("config: no valid response from peer {addr}");
         return;
     };
     for entry in &response.entries {
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -5,22 +5,22 @@
 use gorsespur_runtime::exit::{EXIT_FAILURE, HasExitCode};
 use snafu::Snafu;
 
-/// Why the agent can't start.
+/// An error of starting the agent.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum PeerError {
     /// The address for heartbeats can't be bound.
     #[snafu(display("can't receive heartbeats on {addr}"))]
     Bind {
-        /// The address.
+        /// Address to listen on.
         addr: SocketAddr,
-        /// The system's answer.
+        /// The system's error.
         source: std::io::Error,
     },
     /// A thread can't be started.
     #[snafu(display("can't start a thread"))]
     Spawn {
-        /// The system's answer.
+        /// The system's error.
         source: std::io::Error,
     },
 }
--- a/crates/peer/src/heartbeats.rs
+++ b/crates/peer/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats.
+//! Sending and receiving of heartbeats.
 
 use std::{
     collections::BTreeSet,
@@ -13,13 +13,13 @@
 
 use crate::AgentState;
 
-/// Time between two looks whether this instance leaves.
+/// Interval between two checks whether this instance is leaving.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Longest heartbeat in bytes.
+/// Largest heartbeat.
 const MAX_BEAT_BYTES: usize = 8 * 1024;
 
-/// Receives heartbeats until `cancel`.
+/// Receives heartbeats until `cancel` is cancelled.
 pub(crate) fn receive_all(state: &AgentState, socket: &UdpSocket, cancel: &CancelToken) {
     let mut buf = vec![0; MAX_BEAT_BYTES];
     while !cancel.is_cancelled() {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Sends heartbeats until `cancel`, and a last one that says goodbye.
+/// Sends heartbeats until `cancel` is cancelled, and one at once when the instance starts to leave.
 pub(crate) fn send_all(state: &AgentState, socket: &UdpSocket, cancel: &CancelToken) {
     let mut rng = SmallRng::seed_from_u64(state.incarnation);
     let interval = Duration::from_millis(state.settings.membership.beat);
@@ -57,8 +57,8 @@
     }
 }
 
-/// Waits for the next heartbeat, which comes at once when this instance starts
-/// to leave; tells whether `cancel` came.
+/// Waits until the next heartbeat is due, which is at once when this instance starts
+/// to leave; returns whether `cancel` is cancelled.
 fn wait_for_next_beat(state: &AgentState, interval: Duration, cancel: &CancelToken) -> bool {
     let was_staying = !state.is_leaving();
     let deadline = Instant::now() + interval;
@@ -85,7 +85,7 @@
     }
 }
 
-/// Returns everyone in the zone and a few contacts in each other zone.
+/// Returns the addresses of all instances in the zone and of a few in each other zone.
 fn recipients(state: &AgentState, rng: &mut SmallRng) -> BTreeSet<SocketAddr> {
     let s = &state.settings;
     let mut recipients = BTreeSet::new();
--- a/crates/peer/src/layout.rs
+++ b/crates/peer/src/layout.rs
@@ -11,25 +11,25 @@
 pub struct Zone {
     /// Name.
     pub name: Name,
-    /// Number of its shards; all instances must have the same.
+    /// Number of shards; has to be the same on all instances.
     pub shards: u32,
 }
 
 /// A shard and its zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneShard {
-    /// Place among all shards.
+    /// Name and index among all shards.
     pub place: ShardPlace,
-    /// Its zone.
+    /// Zone of the shard.
     pub zone: Name,
-    /// Index in its zone.
+    /// Index in the zone.
     pub slot: u32,
-    /// Number of shards in its zone.
+    /// Number of shards in the zone.
     pub slot_count: u32,
 }
 
 impl ZoneShard {
-    /// Tells whether a worker of the zone belongs to the shard.
+    /// Returns whether a worker of `zone` belongs to the shard.
     pub fn has_worker(&self, zone: &str, worker: &str) -> bool {
         *self.zone == *zone && slot_of(worker, self.slot_count) == self.slot
     }
@@ -42,7 +42,7 @@
 }
 
 impl Layout {
-    /// Numbers the shards of all zones in the order of the list.
+    /// Creates a layout that numbers the shards in the order of the zones.
     pub fn new(zones: &[Zone]) -> Layout {
         let count = zones.iter().map(|z| z.shards).sum();
         let mut shards = Vec::new();
@@ -64,7 +64,7 @@
         Layout { shards }
     }
 
-    /// Returns all shards by index.
+    /// Returns all shards, sorted by index.
     pub fn shards(&self) -> &[ZoneShard] {
         &self.shards
     }
@@ -74,7 +74,7 @@
         self.shards.iter().find(|s| *s.place.name == *name)
     }
 
-    /// Returns the shard of a zone that a new job goes to.
+    /// Returns the shard of the zone that a new job is assigned to; `None` if it has no shards.
     pub fn shard_for_job(&self, zone: &str, key: &JobKey) -> Option<&ZoneShard> {
         let in_zone: Vec<&ZoneShard> = self.shards.iter().filter(|s| *s.zone == *zone).collect();
         let n = in_zone.len() as u64;
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,10 +1,10 @@
-//! What every instance shares with its peers: heartbeats, configuration and
-//! the membership list.
+//! The agent of an instance: heartbeats, configuration and the membership list.
 //!
-//! Heartbeats are datagrams, sent at a constant rate; a lost one is made good
-//! by the next. Configuration is polled from the table service by one instance
-//! a zone and handed on from there: a heartbeat names the last change that is
-//! in force on its sender, and whoever is behind asks for what it lacks.
+//! Heartbeats are datagrams, sent at a constant rate; the next one makes up for a
+//! lost one. Configuration is polled from the table service by one instance per
+//! zone and distributed from there: a heartbeat contains the number of the last
+//! change that is in force on its sender, and instances that are behind request
+//! the missing templates.
 
 mod agent;
 mod config;
--- a/crates/peer/src/member_list.rs
+++ b/crates/peer/src/member_list.rs
@@ -1,4 +1,4 @@
-//! The membership list.
+//! Polling of the membership list.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use crate::AgentState;
 
-/// Time between two reads.
+/// Interval between two reads.
 const POLL_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Reads the list until `cancel`; while it can't be read the last one stays.
+/// Reads the list until `cancel` is cancelled; keeps the last list while reads fail.
 pub(crate) fn follow(state: &AgentState, members: &dyn Members, cancel: &CancelToken) {
     loop {
         match members.list() {
@@ -22,7 +22,7 @@
                     state.list_changed();
                 }
             }
-            Err(err) => log::debug!("members: {err}"),
+            Err(err) => log::debug!("members: can't read the list: {err}"),
         }
         if cancel.wait(POLL_INTERVAL) {
             return;
--- a/crates/peer/src/settings.rs
+++ b/crates/peer/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that every instance has.
+//! Settings that all instances have.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,10 +15,10 @@
 /// Most shards of a zone.
 const MAX_SHARDS: u32 = 1_000;
 
-/// Longest time limit in milliseconds.
+/// Longest duration in a setting.
 const MAX_MS: u64 = 600_000;
 
-/// The platform's services as written.
+/// The platform's services as written in the settings file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawPlatform {
@@ -28,7 +28,7 @@
     pub objects: SocketAddr,
     /// Address of the membership list.
     pub members: SocketAddr,
-    /// Time limit of a call in milliseconds.
+    /// Timeout of a call in milliseconds.
     #[serde(default = "default_timeout")]
     pub timeout_ms: u64,
 }
@@ -37,13 +37,13 @@
     1_000
 }
 
-/// A zone as written.
+/// A zone as written in the settings file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawZone {
     /// Name.
     pub name: String,
-    /// Number of its shards.
+    /// Number of shards.
     #[serde(default = "default_shards")]
     pub shards: u32,
 }
@@ -52,24 +52,24 @@
     1
 }
 
-/// Settings as written that every instance has.
+/// Settings of all instances as written in the settings file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawCommon {
     /// Name of the instance.
     pub id: String,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Address for its peers: HTTP, and heartbeats as datagrams.
+    /// Address for peers: HTTP, and heartbeats as datagrams.
     pub listen: SocketAddr,
-    /// Addresses of some peers, for a start without the platform.
+    /// Addresses of some peers, for starting without the platform.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// All zones; the same on every instance.
+    /// All zones; the same on all instances.
     pub zones: Vec<RawZone>,
     /// The platform's services.
     pub platform: RawPlatform,
-    /// Times of the membership.
+    /// Intervals and time limits of the membership.
     #[serde(default)]
     pub membership: MemberSettings,
     /// Logs.
@@ -80,20 +80,20 @@
     pub metrics: MetricSettings,
 }
 
-/// Checked settings that every instance has.
+/// Checked settings that all instances have.
 #[derive(Debug, Clone)]
 pub struct AgentSettings {
     /// Name of the instance.
     pub id: Name,
-    /// Its role.
+    /// Role of the instance.
     pub role: Role,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: Name,
-    /// Address for its peers.
+    /// Address for peers.
     pub listen: SocketAddr,
     /// Addresses of some peers.
     pub seeds: Vec<SocketAddr>,
-    /// All shards.
+    /// Layout of all shards.
     pub layout: Layout,
     /// Names of all zones, sorted.
     pub zones: Vec<Name>,
@@ -103,9 +103,9 @@
     pub objects: SocketAddr,
     /// Address of the membership list.
     pub members: SocketAddr,
-    /// Time limit of a call to the platform.
+    /// Timeout of a call to the platform.
     pub timeout: Duration,
-    /// Times of the membership.
+    /// Intervals and time limits of the membership.
     pub membership: MemberSettings,
     /// Logs.
     pub log: LogSettings,
@@ -114,7 +114,7 @@
 }
 
 impl AgentSettings {
-    /// Checks the settings of an instance; problems are added to `p`.
+    /// Checks the settings of an instance and adds problems to `p`.
     pub fn check(raw: RawCommon, role: Role, p: &mut Problems) -> AgentSettings {
         check_name_at(&raw.id, "id", p);
         check_name_at(&raw.zone, "zone", p);
@@ -137,11 +137,7 @@
             );
             let name = Name::from(&*z.name);
             let is_duplicate = names.contains(&name);
-            p.require(
-                !is_duplicate,
-                format!("zones[{i}].name"),
-                "the name stands twice",
-            );
+            p.require(!is_duplicate, format!("zones[{i}].name"), "duplicate name");
             names.push(name.clone());
             zones.push(Zone {
                 name,
@@ -161,7 +157,7 @@
         p.require(
             !raw.listen.ip().is_unspecified(),
             "listen",
-            "peers need an address they can reach",
+            "must be an address that peers can reach",
         );
         AgentSettings {
             id: raw.id.into(),
--- a/crates/peer/src/state.rs
+++ b/crates/peer/src/state.rs
@@ -1,4 +1,4 @@
-//! What the agent's threads share with the program.
+//! State that the agent's threads share with the program.
 
 use std::sync::{
     Mutex, MutexGuard, PoisonError,
@@ -14,14 +14,14 @@
 
 use crate::AgentSettings;
 
-/// State of an instance towards its peers.
+/// Membership and configuration as one instance sees them, and its own state.
 #[derive(Debug)]
 pub struct AgentState {
     /// Settings.
     pub settings: AgentSettings,
-    /// Clock of every decision.
+    /// Clock of all decisions.
     pub clock: Clock,
-    /// Differs from start to start of an instance.
+    /// Start time of the instance, which distinguishes its starts.
     pub incarnation: u64,
     peers: Mutex<Peers>,
     configs: Mutex<Configs>,
@@ -38,7 +38,7 @@
 }
 
 impl AgentState {
-    /// Returns the state of an instance that knows nobody.
+    /// Creates the state of an instance without known peers.
     pub fn new(settings: AgentSettings) -> AgentState {
         AgentState {
             clock: Clock::new(),
@@ -68,37 +68,37 @@
         lock(&self.configs)
     }
 
-    /// Returns the membership list as last read.
+    /// Returns the membership list of the last successful read.
     pub fn member_list(&self) -> MutexGuard<'_, MemberList> {
         lock(&self.list)
     }
 
-    /// Returns the shards that this instance owns, as heartbeats tell them.
+    /// Returns the shards that this instance owns, as sent in its heartbeats.
     pub fn claims(&self) -> MutexGuard<'_, Vec<ShardClaim>> {
         lock(&self.claims)
     }
 
-    /// Tells the peers from now on that this instance leaves.
+    /// Marks this instance as leaving, which its next heartbeats report.
     pub fn start_leaving(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
-    /// Tells whether this instance leaves.
+    /// Returns whether this instance is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Returns a number that grows with each change of the templates.
+    /// Returns a counter of the changes of the templates.
     pub fn config_changes(&self) -> u64 {
         self.config_changes.load(Ordering::Acquire)
     }
 
-    /// Returns a number that grows with each change of the membership list.
+    /// Returns a counter of the changes of the membership list.
     pub fn list_changes(&self) -> u64 {
         self.list_changes.load(Ordering::Acquire)
     }
 
-    /// Tells whether the templates were read from the platform or a peer.
+    /// Returns whether the templates were read from the platform or a peer.
     pub fn is_loaded(&self) -> bool {
         self.loaded.load(Ordering::Acquire)
     }
@@ -115,8 +115,8 @@
         self.loaded.store(true, Ordering::Release);
     }
 
-    /// Returns the ids of the live instances of this one's role in its zone,
-    /// itself included unless it leaves.
+    /// Returns the sorted ids of the live instances with the same role in the same zone, this
+    /// one included unless it is leaving.
     pub fn same_role_ids(&self) -> Vec<gorsespur_core::name::Name> {
         let s = &self.settings;
         let now = self.clock.now();
--- a/crates/peer/tests/config.rs
+++ b/crates/peer/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configuration comes into force from the platform, or from a peer without it.
+//! Configuration is read from the platform, or from a peer if the platform is unreachable.
 
 use std::{
     net::SocketAddr,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A membership list that shows one instance once it is told to.
+/// A membership list that is unavailable until `shown` is set, and then lists one instance.
 struct LateMembers {
     shown: Arc<AtomicBool>,
     instance: InstanceInfo,
@@ -60,7 +60,7 @@
     }
 }
 
-/// A table service that is out of reach.
+/// An unreachable table service.
 struct NoTable;
 
 impl Table for NoTable {
@@ -109,7 +109,7 @@
     }
 }
 
-/// Starts an agent with the platform, which answers its peers at `here`.
+/// Starts an agent that can reach the platform and serves requests of peers at `here`.
 fn serving_agent(
     platform: &Arc<FakePlatform>,
     here: SocketAddr,
@@ -200,8 +200,8 @@
     cancel.cancel();
 }
 
-/// A zone that is cut off from the platform and from the other zones keeps what
-/// is in force, never goes back, and catches up when one of both returns.
+/// A zone that is cut off from the platform and from the other zones gets the
+/// configuration as soon as it can reach a peer.
 #[test]
 fn a_zone_that_was_cut_off_from_everything_catches_up() {
     let platform = Arc::new(FakePlatform::new());
@@ -226,7 +226,10 @@
     wait_until("the zone that is not cut off has the template", || {
         replicas(&near) == Some(10)
     });
-    assert!(!far.state().is_loaded(), "nothing reaches the cut-off zone");
+    assert!(
+        !far.state().is_loaded(),
+        "the cut-off zone has loaded a configuration"
+    );
     assert!(near.state().peers().all().is_empty());
     shown.store(true, Ordering::Release);
     wait_until("the template comes from the peer", || {
