--- a/crates/peer/tests/config.rs
+++ b/crates/peer/tests/config.rs
@@ -34,21 +34,21 @@
     table::{Row, Tx},
 };
 
-struct NoMembers;
+struct UnavailableMembers;
 
-impl Members for NoMembers {
+impl Members for UnavailableMembers {
     fn list(&self) -> Result<MemberList, MembersError> {
         Err(MembersError::Unavailable)
     }
 }
 
 /// A membership list that is unavailable until `shown` is set, and then lists one instance.
-struct LateMembers {
+struct DelayedMembers {
     shown: Arc<AtomicBool>,
     instance: InstanceInfo,
 }
 
-impl Members for LateMembers {
+impl Members for DelayedMembers {
     fn list(&self) -> Result<MemberList, MembersError> {
         if !self.shown.load(Ordering::Acquire) {
             return Err(MembersError::Unavailable);
@@ -61,9 +61,9 @@
 }
 
 /// An unreachable table service.
-struct NoTable;
+struct UnavailableTable;
 
-impl Table for NoTable {
+impl Table for UnavailableTable {
     fn tx(&self, _: &Tx) -> Result<u64, TableError> {
         Err(TableError::Unavailable)
     }
@@ -77,7 +77,7 @@
     }
 }
 
-fn own() -> SocketAddr {
+fn free_addr() -> SocketAddr {
     own_addr().expect("an address")
 }
 
@@ -109,19 +109,20 @@
     }
 }
 
-/// Starts an agent that can reach the platform and serves requests of peers at `here`.
+/// Starts an agent that can reach the platform and serves requests of peers at `addr`.
 fn serving_agent(
     platform: &Arc<FakePlatform>,
-    here: SocketAddr,
+    addr: SocketAddr,
     seed: SocketAddr,
     cancel: &CancelToken,
 ) -> Agent {
     let table: Arc<dyn Table> = platform.clone();
-    let settings = settings("a", "east", here, seed);
-    let agent = Agent::start(settings, table, Arc::new(NoMembers), cancel).expect("an agent");
+    let settings = settings("a", "east", addr, seed);
+    let agent =
+        Agent::start(settings, table, Arc::new(UnavailableMembers), cancel).expect("an agent");
     let state = agent.state().clone();
     let answer = move |req| state.handle_request(&req).expect("a question of the agent");
-    serve(here, "peer", Limits::default(), cancel, answer).expect("served");
+    serve(addr, "peer", Limits::default(), cancel, answer).expect("served");
     agent
 }
 
@@ -154,15 +155,15 @@
 }
 
 #[test]
-fn changes_come_into_force_by_the_log_and_without_it() {
+fn changes_are_applied_with_and_without_the_log() {
     let platform = Arc::new(FakePlatform::new());
     let cancel = CancelToken::new();
-    let here = own();
+    let addr = free_addr();
     let table: Arc<dyn Table> = platform.clone();
     let agent = Agent::start(
-        settings("a", "east", here, here),
+        settings("a", "east", addr, addr),
         table,
-        Arc::new(NoMembers),
+        Arc::new(UnavailableMembers),
         &cancel,
     );
     let agent = agent.expect("an agent");
@@ -182,21 +183,26 @@
 }
 
 #[test]
-fn an_instance_without_the_platform_learns_from_a_peer_of_another_zone() {
+fn an_instance_without_the_platform_is_configured_by_a_peer_of_another_zone() {
     let platform = Arc::new(FakePlatform::new());
     apply(platform.as_ref(), &change(0, 10)).expect("accepted");
     let cancel = CancelToken::new();
-    let (here, there) = (own(), own());
-    serving_agent(&platform, here, there, &cancel);
-    let far = settings("b", "west", there, here);
-    let far = Agent::start(far, Arc::new(NoTable), Arc::new(NoMembers), &cancel);
-    let far = far.expect("an agent");
+    let (addr, remote_addr) = (free_addr(), free_addr());
+    serving_agent(&platform, addr, remote_addr, &cancel);
+    let remote = settings("b", "west", remote_addr, addr);
+    let remote = Agent::start(
+        remote,
+        Arc::new(UnavailableTable),
+        Arc::new(UnavailableMembers),
+        &cancel,
+    );
+    let remote = remote.expect("an agent");
     wait_until("the template comes from the peer", || {
-        replicas(&far) == Some(10)
+        replicas(&remote) == Some(10)
     });
     apply(platform.as_ref(), &change(1, 11)).expect("accepted");
-    wait_until("its change too", || replicas(&far) == Some(11));
-    assert!(far.state().is_loaded());
+    wait_until("its change too", || replicas(&remote) == Some(11));
+    assert!(remote.state().is_loaded());
     cancel.cancel();
 }
 
@@ -207,34 +213,42 @@
     let platform = Arc::new(FakePlatform::new());
     apply(platform.as_ref(), &change(0, 10)).expect("accepted");
     let cancel = CancelToken::new();
-    let (here, there) = (own(), own());
-    let near = serving_agent(&platform, here, here, &cancel);
+    let (addr, remote_addr) = (free_addr(), free_addr());
+    let local = serving_agent(&platform, addr, addr, &cancel);
     let shown = Arc::new(AtomicBool::new(false));
-    let members = LateMembers {
+    let members = DelayedMembers {
         shown: shown.clone(),
         instance: InstanceInfo {
             id: "a".into(),
             role: Role::Entry,
             zone: "east".into(),
-            addr: here,
+            addr,
             leaving: false,
         },
     };
-    let far = settings("b", "west", there, there);
-    let far = Agent::start(far, Arc::new(NoTable), Arc::new(members), &cancel);
-    let far = far.expect("an agent");
+    let remote = settings("b", "west", remote_addr, remote_addr);
+    let remote = Agent::start(
+        remote,
+        Arc::new(UnavailableTable),
+        Arc::new(members),
+        &cancel,
+    );
+    let remote = remote.expect("an agent");
     wait_until("the zone that is not cut off has the template", || {
-        replicas(&near) == Some(10)
+        replicas(&local) == Some(10)
     });
     assert!(
-        !far.state().is_loaded(),
+        !remote.state().is_loaded(),
         "the cut-off zone has loaded a configuration"
     );
-    assert!(near.state().peers().all().is_empty());
+    assert!(local.state().peers().all().is_empty());
     shown.store(true, Ordering::Release);
     wait_until("the template comes from the peer", || {
-        replicas(&far) == Some(10)
+        replicas(&remote) == Some(10)
     });
-    assert_eq!(far.state().configs().head(), near.state().configs().head());
+    assert_eq!(
+        remote.state().configs().head(),
+        local.state().configs().head()
+    );
     cancel.cancel();
 }
