--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -171,10 +171,7 @@
         set_timeouts(stream, deadline)?;
         let n = stream.read(&mut chunk).map_err(io_error)?;
         if n == 0 {
-            return LostSnafu {
-                message: "closed by the peer",
-            }
-            .fail();
+            return LostSnafu { message: "closed" }.fail();
         }
         traffic.record_response(n);
         buf.extend_from_slice(&chunk[..n]);
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -157,7 +157,7 @@
             match self.stream.read(&mut chunk) {
                 Ok(0) => {
                     return Some(HttpError::Lost {
-                        message: "closed by the peer".into(),
+                        message: "closed".into(),
                     });
                 }
                 Ok(n) => {
--- a/crates/http/src/socket.rs
+++ b/crates/http/src/socket.rs
@@ -8,8 +8,8 @@
 /// hang when the network is partitioned.
 const USER_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// Sets the options of every connection. Failures are only logged: without the options a
-/// connection works, but failures are noticed later.
+/// Sets the options of every connection. Errors are only logged: without the options a connection
+/// works, but sends and detects failures later.
 pub(crate) fn set_options<'a, S>(socket: &'a S)
 where
     SockRef<'a>: From<&'a S>,
--- a/crates/http/tests/contract.rs
+++ b/crates/http/tests/contract.rs
@@ -118,7 +118,7 @@
     ]);
     let client = Client::new(addr);
     assert!(get(&client).is_err());
-    assert_eq!(get(&client).expect("answer").body, b"ok");
+    assert_eq!(get(&client).expect("response").body, b"ok");
 }
 
 struct Echo;
@@ -163,7 +163,7 @@
     let client = Client::new(server.addr());
     for body in [b"one", b"two"] {
         let request = Request::new(Method::Post, "/", body.to_vec());
-        assert_eq!(client.call(&request, LIMIT).expect("answer").body, body);
+        assert_eq!(client.call(&request, LIMIT).expect("response").body, body);
     }
 }
 
@@ -203,7 +203,7 @@
 fn a_draining_server_closes_its_connections() {
     let server = server(8, LIMIT);
     server.start_draining();
-    let response = get(&Client::new(server.addr())).expect("answer");
+    let response = get(&Client::new(server.addr())).expect("response");
     assert!(!response.keep_alive);
     assert!(server.wait_until_idle(LIMIT));
 }
@@ -230,7 +230,7 @@
         (size, parsed.body, parsed.method),
         (first.len(), b"body".to_vec(), Method::Post)
     );
-    let whole = parse_response(&second, Limits::default()).expect("answer");
+    let whole = parse_response(&second, Limits::default()).expect("response");
     assert_eq!(whole.expect("whole").0.header("x"), Some("y"));
 }
 
@@ -256,7 +256,7 @@
             };
             for stream in &mut held[first..] {
                 let response = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-                stream.write_all(response).expect("answer");
+                stream.write_all(response).expect("response");
             }
         }
     });
--- a/crates/http/tests/links.rs
+++ b/crates/http/tests/links.rs
@@ -148,9 +148,9 @@
 #[test_case(vec![[OWN_RESPONSE, SURPLUS_RESPONSE].concat()]; "two at once")]
 #[test_case(vec![[OWN_RESPONSE, &SURPLUS_RESPONSE[..SURPLUS_RESPONSE.len() - 3]].concat()]; "one and a half at once")]
 #[test_case(vec![[OWN_RESPONSE, b"surplus"].concat()]; "a body longer than its length")]
-#[test_case(vec![[OWN_RESPONSE, b"\r\n"].concat()]; "an empty line behind it")]
-#[test_case(vec![[b"HTTP/1.1 100 Continue\r\n\r\n", OWN_RESPONSE].concat()]; "an interim answer before it")]
-#[test_case(vec![[b"HTTP/1.1 102 Processing\r\ncontent-length: 0\r\n\r\n", OWN_RESPONSE].concat()]; "an interim answer with a length before it")]
+#[test_case(vec![[OWN_RESPONSE, b"\r\n"].concat()]; "an empty line after it")]
+#[test_case(vec![[b"HTTP/1.1 100 Continue\r\n\r\n", OWN_RESPONSE].concat()]; "an interim response before it")]
+#[test_case(vec![[b"HTTP/1.1 102 Processing\r\ncontent-length: 0\r\n\r\n", OWN_RESPONSE].concat()]; "an interim response with a length before it")]
 #[test_case(vec![b"HTTP/1.1 204 No Content\r\n\r\n".to_vec()]; "no body")]
 #[test_case(vec![[b"HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 3\r\n\r\nown", SURPLUS_RESPONSE].concat()]; "the last one on its connection")]
 #[test_case(vec![b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nown\r\n0\r\n\r\n".to_vec()]; "chunked")]
@@ -177,13 +177,13 @@
         stream.write_all(OWN_RESPONSE).expect("sent");
         stream
     });
-    assert_eq!(caller.call(&request(b"")).expect("an answer").body, b"own");
+    assert_eq!(caller.call(&request(b"")).expect("a response").body, b"own");
     (caller, peer.join().expect("a peer"))
 }
 
 /// Bytes that arrive while no request is in flight are not returned for a later call.
-#[test_case(SURPLUS_RESPONSE; "a whole answer")]
-#[test_case(&SURPLUS_RESPONSE[..SURPLUS_RESPONSE.len() - 3]; "half an answer")]
+#[test_case(SURPLUS_RESPONSE; "a whole response")]
+#[test_case(&SURPLUS_RESPONSE[..SURPLUS_RESPONSE.len() - 3]; "half a response")]
 fn bytes_between_two_calls_answer_neither(between: &'static [u8]) {
     let (mut caller, mut stream) = answered_once();
     stream.write_all(between).expect("sent");
@@ -206,7 +206,7 @@
 
 /// The same if the next request is sent before the event loop reports the bytes: an owner reads
 /// all responses of a turn and then sends the next orders.
-#[test_case(SURPLUS_RESPONSE; "a whole answer")]
+#[test_case(SURPLUS_RESPONSE; "a whole response")]
 #[test_case(b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n"; "a farewell")]
 fn bytes_that_arrived_before_a_call_do_not_answer_it(before: &'static [u8]) {
     let (mut caller, mut stream) = answered_once();
@@ -320,7 +320,7 @@
     peer.stream
         .write_all(b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n")
         .expect("sent");
-    assert_eq!(caller.read_response().expect("an answer").status, 503);
+    assert_eq!(caller.read_response().expect("a response").status, 503);
     caller.send(&request(b"next")).expect("sent");
     // Reads the requests of the first connection, then those of further connections.
     let reader = thread::spawn(move || {
@@ -348,9 +348,9 @@
 /// Guards against a missed end of a stream that arrives together with the last bytes: the event
 /// loop reports both only once. A call that can't get a response any more has to fail without
 /// waiting for its timeout, and the next one needs another connection.
-#[test_case(&OWN_RESPONSE[..20], Err(HttpError::Lost { message: "closed by the peer".into() }); "within the head")]
-#[test_case(&OWN_RESPONSE[..OWN_RESPONSE.len() - 1], Err(HttpError::Lost { message: "closed by the peer".into() }); "within the body")]
-#[test_case(OWN_RESPONSE, Ok(()); "behind the answer")]
+#[test_case(&OWN_RESPONSE[..20], Err(HttpError::Lost { message: "closed".into() }); "within the head")]
+#[test_case(&OWN_RESPONSE[..OWN_RESPONSE.len() - 1], Err(HttpError::Lost { message: "closed".into() }); "within the body")]
+#[test_case(OWN_RESPONSE, Ok(()); "after the response")]
 fn the_end_of_a_connection_is_detected(sent: &'static [u8], expected: Result<(), HttpError>) {
     let (addr, peers) = spawn_listener();
     let mut caller = Caller::new(addr);
--- a/crates/peer/tests/config.rs
+++ b/crates/peer/tests/config.rs
@@ -206,8 +206,8 @@
     cancel.cancel();
 }
 
-/// A zone that is cut off from the platform and from the other zones gets the
-/// configuration as soon as it can reach a peer.
+/// A zone that is cut off from the platform and from the other zones keeps the configuration in
+/// force, never returns to an older one, and catches up when it can reach either again.
 #[test]
 fn a_zone_that_was_cut_off_from_everything_catches_up() {
     let platform = Arc::new(FakePlatform::new());
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -30,7 +30,7 @@
     Duration::new(tv_sec as u64, tv_nsec as u32)
 }
 
-/// A clock that starts at one hour and never goes back.
+/// A monotonic clock that starts at one hour and includes times of suspension.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     source: ClockSource,
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -40,7 +40,7 @@
 #[test_case(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nabcde"; "chunk cut short")]
 #[test_case(b"HTTP/1.1 200 OK\r\n\r\nabcde"; "no length at all")]
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-Le"; "head cut short")]
-#[test_case(b""; "closed without an answer")]
+#[test_case(b""; "closed without a response")]
 fn a_truncated_response_is_an_error(response: &'static [u8]) {
     let result = call(raw_peer(response));
     assert!(matches!(result, Err(CallError::Broken)), "{result:?}");
@@ -49,7 +49,7 @@
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabcde"; "by length")]
 #[test_case(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n0\r\n\r\n"; "by chunks")]
 fn a_whole_response_is_returned(response: &'static [u8]) {
-    let result = call(raw_peer(response)).expect("a whole answer");
+    let result = call(raw_peer(response)).expect("a whole response");
     assert_eq!(result.body, b"abcde");
 }
 
@@ -64,7 +64,7 @@
     let result = call(raw_peer(
         b"HTTP/1.1 307 Temporary Redirect\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n",
     ));
-    assert_eq!(result.expect("an answer").status, 307);
+    assert_eq!(result.expect("a response").status, 307);
 }
 
 #[test]
@@ -246,7 +246,7 @@
         thread::sleep(Duration::from_millis(400));
         let result = Call::new("GET", handle.addr, "/x")
             .send()
-            .expect("an answer");
+            .expect("a response");
         assert_eq!(result.body, b"GET /x 0");
     }
     cancel.cancel();
@@ -258,7 +258,7 @@
         b"HTTP/1.1 200 OK\r\nX-Outcome: ran\r\nContent-Length: 0\r\n\r\n",
     ));
     assert_eq!(
-        find_header(&result.expect("an answer").headers, "x-outcome"),
+        find_header(&result.expect("a response").headers, "x-outcome"),
         Some("ran")
     );
 }
