--- a/crates/entry/src/peer_api.rs
+++ b/crates/entry/src/peer_api.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use flume::Sender;
-use gorsespur_peer::Shared;
+use gorsespur_peer::AgentState;
 use gorsespur_runtime::server::{Incoming, Reply};
 use gorsespur_wire::{
     codec::{CONTENT_TYPE, encode},
@@ -18,21 +18,21 @@
 
 /// Answers peers.
 pub(crate) struct PeerApi {
-    pub shared: Arc<Shared>,
+    pub shared: Arc<AgentState>,
     pub router: Sender<ToRouter>,
 }
 
 impl PeerApi {
     /// Answers one request.
     pub fn answer(&self, req: &Incoming) -> Reply {
-        if let Some(reply) = self.shared.answer(req) {
+        if let Some(reply) = self.shared.handle_request(req) {
             return reply;
         }
         if req.path != PEER_STATUS {
             return Reply::text(404, "no such path");
         }
         match encode(&self.status()) {
-            Ok(body) => Reply::new(200, body).field("content-type", CONTENT_TYPE),
+            Ok(body) => Reply::new(200, body).header("content-type", CONTENT_TYPE),
             Err(_) => Reply::text(500, "can't encode"),
         }
     }
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -2,13 +2,13 @@
 
 use std::{net::SocketAddr, sync::Arc, thread, time::Duration};
 
-use gorsespur_peer::{Agent, Shared};
+use gorsespur_peer::{Agent, AgentState};
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     logging,
     metrics::Metrics,
     server,
-    server::{Limits, Serving},
+    server::{Limits, ServerHandle},
     settings::load,
     signals::cancel_on_signal,
 };
@@ -40,10 +40,10 @@
 pub struct Running {
     /// Address for callers.
     pub callers: SocketAddr,
-    shared: Arc<Shared>,
-    serving: Serving,
-    accept: Cancel,
-    end: Cancel,
+    shared: Arc<AgentState>,
+    serving: ServerHandle,
+    accept: CancelToken,
+    end: CancelToken,
     drain: Duration,
 }
 
@@ -55,7 +55,7 @@
     }
     let instance = &settings.instance;
     logging::start(&instance.log, "entry", &instance.id).context(LogSnafu)?;
-    let stop = Cancel::new();
+    let stop = CancelToken::new();
     cancel_on_signal(&stop).context(SystemSnafu)?;
     let running = start(settings)?;
     log::info!("entry: serves callers at {}", running.callers);
@@ -69,11 +69,11 @@
 pub fn start(settings: EntrySettings) -> Result<Running, EntryError> {
     let instance = settings.instance.clone();
     let metrics = Metrics::start(&instance.metrics, "entry").context(MetricSnafu)?;
-    let (accept, end) = (Cancel::new(), Cancel::new());
+    let (accept, end) = (CancelToken::new(), CancelToken::new());
     let table: Arc<dyn Table> = Arc::new(HttpTable::new(instance.table, instance.timeout));
     let members = Arc::new(HttpMembers::new(instance.members, instance.timeout));
     let agent = Agent::start(instance.clone(), table.clone(), members, &end).context(AgentSnafu)?;
-    let shared = agent.shared().clone();
+    let shared = agent.state().clone();
     let router = router_thread::start(settings.route.clone(), &shared, &metrics, &end);
     let router = router.context(SystemSnafu)?;
     let owners = Arc::new(Owners::new(shared.clone(), table.clone()));
@@ -120,10 +120,10 @@
     /// Stops: tells peers and the balancer, takes requests for the drain time,
     /// and lets those in flight end.
     pub fn stop(self) {
-        self.shared.leave();
+        self.shared.start_leaving();
         thread::sleep(self.drain);
         self.accept.cancel();
-        if !self.serving.drain(FLIGHT) {
+        if !self.serving.wait_until_idle(FLIGHT) {
             log::warn!(
                 "entry: {} requests were still in flight",
                 self.serving.active()
--- a/crates/entry/src/router_thread.rs
+++ b/crates/entry/src/router_thread.rs
@@ -7,8 +7,8 @@
     Millis,
     route::{Arrival, AttemptOutcome, RouteAction, RouteCounts, RouteEvent, RouteSettings, Router},
 };
-use gorsespur_peer::Shared;
-use gorsespur_runtime::{cancel::Cancel, client::Answer, metrics::Metrics};
+use gorsespur_peer::AgentState;
+use gorsespur_runtime::{cancel::CancelToken, client::Response, metrics::Metrics};
 
 /// Time between two ticks while no request waits.
 const IDLE: Duration = Duration::from_millis(100);
@@ -40,7 +40,7 @@
     /// What the router decided.
     Command(RouteAction),
     /// How a try ended.
-    Tried(Option<Box<Answer>>),
+    Tried(Option<Box<Response>>),
 }
 
 /// A request that a handler waits for.
@@ -52,9 +52,9 @@
 /// Starts the thread; it ends with `cancel`.
 pub(crate) fn start(
     settings: RouteSettings,
-    shared: &Arc<Shared>,
+    shared: &Arc<AgentState>,
     metrics: &Metrics,
-    cancel: &Cancel,
+    cancel: &CancelToken,
 ) -> std::io::Result<Sender<ToRouter>> {
     let (tx, rx) = flume::bounded(WAITING);
     let router = Router::new(settings, shared.incarnation);
@@ -68,9 +68,9 @@
 fn run(
     mut router: Router,
     rx: &Receiver<ToRouter>,
-    shared: &Shared,
+    shared: &AgentState,
     metrics: &Metrics,
-    cancel: &Cancel,
+    cancel: &CancelToken,
 ) {
     let mut open: Vec<Open> = Vec::new();
     let mut ticked = 0;
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that blocks, for one address.
+//! A blocking client for one address.
 
 use std::{
     io::{ErrorKind, Read, Write},
@@ -8,38 +8,37 @@
 };
 
 use crate::{
-    error::{HttpError, LostSnafu, not_connected},
+    error::{HttpError, LostSnafu, connect_error},
     message::{Request, Response},
     parse::{Limits, parse_response},
     socket,
     traffic::Traffic,
 };
 
-/// Connections that are kept while nobody uses them.
-const KEPT: usize = 8;
+/// Most idle connections in the pool.
+const MAX_IDLE: usize = 8;
 
-/// Bytes that one read takes at most.
-const CHUNK: usize = 16 << 10;
+/// Most bytes read at once.
+const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// Time that a read waits at least: what has arrived is read also after the limit.
-const LEAST: Duration = Duration::from_millis(1);
+/// Shortest timeout of a read, so that bytes that have arrived are read even after the deadline.
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// An answer that has begun to arrive is no silence: each further part of it is waited for as long
-/// as this ...
-const PART: Duration = Duration::from_secs(1);
+/// Longest wait for each further part of a response that has begun to arrive.
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// ... and all of it for no longer than this beyond its limit.
-const WHOLE: Duration = Duration::from_secs(15);
+/// Longest time beyond the deadline for the whole of such a response.
+const MAX_EXTENSION: Duration = Duration::from_secs(15);
 
-/// Reads after the limit at most: an answer of 1 MB that had arrived, and no peer that
-/// goes on sending a little for ever.
-const LATE_READS: usize = 64;
+/// Most reads after the deadline. They suffice for a response of 1 MB that has arrived, and bound
+/// the time spent on a peer that keeps sending a little.
+const MAX_LATE_READS: usize = 64;
 
-/// Calls one address over kept connections; threads share it.
+/// A client for one address with a pool of connections; shared by threads.
 ///
-/// A connection is dropped after any failure, since an answer that was lost may
-/// still arrive on it. After silence all kept connections are: open ones may have
-/// gone silent for good, all at once, while new ones work.
+/// A connection is dropped after any failure, since the response to the failed call may
+/// still arrive on it. After a timeout all pooled connections are dropped: open
+/// connections may stop working all at once while new ones work.
 #[derive(Debug)]
 pub struct Client {
     addr: SocketAddr,
@@ -48,7 +47,7 @@
 }
 
 impl Client {
-    /// Makes a client; connections are opened when they are needed.
+    /// Creates a client; connections are opened on demand.
     pub fn new(addr: SocketAddr) -> Client {
         Client {
             addr,
@@ -57,36 +56,37 @@
         }
     }
 
-    /// Sends a request and returns the whole answer, which begins within `limit`.
+    /// Sends a request and returns the whole response, which has to begin to arrive within
+    /// `timeout`.
     ///
-    /// Kept connections that the peer has closed are passed over before anything is
+    /// Pooled connections that the peer has closed are skipped before anything is
     /// sent; a request is never sent twice.
-    pub fn call(&self, request: &Request, limit: Duration) -> Result<Response, HttpError> {
-        self.call_counted(request, limit, &Traffic::default())
+    pub fn call(&self, request: &Request, timeout: Duration) -> Result<Response, HttpError> {
+        self.call_counted(request, timeout, &Traffic::default())
     }
 
-    /// As [`Client::call`]; counts the call and the bytes of its messages.
+    /// Like [`Client::call`], but counts the call and the bytes of its messages in `traffic`.
     pub fn call_counted(
         &self,
         request: &Request,
-        limit: Duration,
+        timeout: Duration,
         traffic: &Traffic,
     ) -> Result<Response, HttpError> {
-        let end = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         let mut stream = match self.take_idle() {
             Some(stream) => stream,
-            None => self.connect(limit)?,
+            None => self.connect(timeout)?,
         };
         let mut out = Vec::with_capacity(256 + request.body.len());
         request.encode(&self.host, &mut out);
-        traffic.asked(out.len());
-        let response = exchange(&mut stream, &out, end, traffic).inspect_err(|err| {
+        traffic.record_request(out.len());
+        let response = exchange(&mut stream, &out, deadline, traffic).inspect_err(|err| {
             if matches!(err, HttpError::Timeout) {
                 self.lock().clear();
             }
         })?;
-        if response.keep {
-            self.keep(stream);
+        if response.keep_alive {
+            self.put_idle(stream);
         }
         Ok(response)
     }
@@ -100,18 +100,18 @@
         }
     }
 
-    fn keep(&self, stream: TcpStream) {
+    fn put_idle(&self, stream: TcpStream) {
         let mut idle = self.lock();
-        if idle.len() < KEPT {
+        if idle.len() < MAX_IDLE {
             idle.push(stream);
         }
     }
 
-    pub(crate) fn connect(&self, limit: Duration) -> Result<TcpStream, HttpError> {
-        let stream = TcpStream::connect_timeout(&self.addr, limit);
-        let stream = stream.map_err(|err| not_connected(&err))?;
-        socket::tune(&stream);
-        socket::probe(&stream);
+    pub(crate) fn connect(&self, timeout: Duration) -> Result<TcpStream, HttpError> {
+        let stream = TcpStream::connect_timeout(&self.addr, timeout);
+        let stream = stream.map_err(|err| connect_error(&err))?;
+        socket::set_options(&stream);
+        socket::enable_keepalive(&stream);
         Ok(stream)
     }
 
@@ -120,78 +120,83 @@
     }
 }
 
-/// Tells whether an idle connection is still open: nothing to read, no end.
+/// Returns whether an idle connection is still open and has nothing to read.
 fn is_open(stream: &TcpStream) -> bool {
     if stream.set_nonblocking(true).is_err() {
         return false;
     }
     let mut byte = [0; 1];
-    let quiet = match stream.peek(&mut byte) {
+    let is_idle = match stream.peek(&mut byte) {
         Ok(_) => false,
         Err(err) => err.kind() == ErrorKind::WouldBlock,
     };
-    quiet && stream.set_nonblocking(false).is_ok()
+    is_idle && stream.set_nonblocking(false).is_ok()
 }
 
 fn exchange(
     stream: &mut TcpStream,
     out: &[u8],
-    end: Instant,
+    deadline: Instant,
     traffic: &Traffic,
 ) -> Result<Response, HttpError> {
-    if Instant::now() >= end {
+    if Instant::now() >= deadline {
         return Err(HttpError::Timeout);
     }
-    limit_io(stream, end)?;
-    stream.write_all(out).map_err(lost)?;
-    read_response(stream, end, traffic)
+    set_timeouts(stream, deadline)?;
+    stream.write_all(out).map_err(io_error)?;
+    read_response(stream, deadline, traffic)
 }
 
-/// Reads an answer that has to have begun to arrive by `end`, and then to go on: a large one
-/// takes seconds on a narrow link, and asked for anew it would take the link from others.
+/// Reads a response, which has to begin to arrive by `deadline` and then keep arriving. A large
+/// response takes seconds on a narrow link, and repeating the request would take bandwidth from
+/// other calls.
 ///
-/// A process that was paused meanwhile finds it later: what has arrived is read, and only
-/// then is the call given up.
+/// If the process was paused past the deadline, bytes that have already arrived are still read
+/// before the call times out.
 pub(crate) fn read_response(
     stream: &mut TcpStream,
-    mut end: Instant,
+    mut deadline: Instant,
     traffic: &Traffic,
 ) -> Result<Response, HttpError> {
-    let last = end + WHOLE;
+    let max_deadline = deadline + MAX_EXTENSION;
     let mut buf = Vec::new();
-    let mut chunk = vec![0; CHUNK];
-    let mut late = 0;
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
+    let mut late_reads = 0;
     loop {
-        let is_late = Instant::now() >= end;
-        late += usize::from(is_late);
-        if late > LATE_READS {
+        let is_late = Instant::now() >= deadline;
+        late_reads += usize::from(is_late);
+        if late_reads > MAX_LATE_READS {
             return Err(HttpError::Timeout);
         }
-        limit_io(stream, end)?;
-        let n = stream.read(&mut chunk).map_err(lost)?;
+        set_timeouts(stream, deadline)?;
+        let n = stream.read(&mut chunk).map_err(io_error)?;
         if n == 0 {
             return LostSnafu { message: "closed" }.fail();
         }
-        traffic.received(n);
+        traffic.record_response(n);
         buf.extend_from_slice(&chunk[..n]);
         if let Some((mut response, size)) = parse_response(&buf, Limits::default())? {
-            // What lies behind it would be taken for the answer to the next request.
-            response.keep &= size == buf.len();
+            // Surplus bytes would be taken for the response to the next request.
+            response.keep_alive &= size == buf.len();
             return Ok(response);
         }
         if !is_late {
-            end = end.max(Instant::now() + PART).min(last);
+            deadline = deadline
+                .max(Instant::now() + PROGRESS_TIMEOUT)
+                .min(max_deadline);
         }
     }
 }
 
-fn limit_io(stream: &TcpStream, end: Instant) -> Result<(), HttpError> {
-    let left = end.saturating_duration_since(Instant::now()).max(LEAST);
-    stream.set_read_timeout(Some(left)).map_err(lost)?;
-    stream.set_write_timeout(Some(left)).map_err(lost)
+fn set_timeouts(stream: &TcpStream, deadline: Instant) -> Result<(), HttpError> {
+    let remaining = deadline
+        .saturating_duration_since(Instant::now())
+        .max(MIN_TIMEOUT);
+    stream.set_read_timeout(Some(remaining)).map_err(io_error)?;
+    stream.set_write_timeout(Some(remaining)).map_err(io_error)
 }
 
-fn lost(err: std::io::Error) -> HttpError {
+fn io_error(err: std::io::Error) -> HttpError {
     match err.kind() {
         ErrorKind::WouldBlock | ErrorKind::TimedOut => HttpError::Timeout,
         _ => HttpError::Lost {
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,24 +1,24 @@
-//! Requests and answers, and how they are written.
+//! Requests and responses, and their encoding.
 
 use std::io::Write;
 
-/// Methods that are used.
+/// Supported request methods.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
-    /// Reads.
+    /// Reads a resource.
     Get,
-    /// Creates or changes.
+    /// Creates or changes a resource.
     Post,
-    /// Stores under a name.
+    /// Stores a resource under the given path.
     Put,
-    /// Removes.
+    /// Removes a resource.
     Delete,
-    /// Any other; servers refuse it.
+    /// Any other method; servers reject it.
     Other,
 }
 
 impl Method {
-    /// Returns the name on the wire.
+    /// Returns the method's name on the wire.
     pub fn name(self) -> &'static str {
         match self {
             Method::Get => "GET",
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Reads a name from the wire.
+    /// Parses a method name from the wire.
     pub fn parse(name: &str) -> Method {
         match name {
             "GET" => Method::Get,
@@ -41,45 +41,45 @@
     }
 }
 
-/// A request.
+/// An HTTP request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Method.
+    /// Request method.
     pub method: Method,
-    /// Path with query.
+    /// Path with the query.
     pub path: String,
-    /// Header fields but for those of framing; names in lower case when parsed.
+    /// Header fields except those for framing; parsed names are in lower case.
     pub headers: Vec<(String, String)>,
-    /// Body; empty for none.
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
-    /// Whether the sender keeps the connection open.
-    pub keep: bool,
+    /// Whether the sender keeps the connection open after this request.
+    pub keep_alive: bool,
 }
 
 impl Request {
-    /// Makes a request without header fields.
+    /// Creates a request without header fields.
     pub fn new(method: Method, path: impl Into<String>, body: Vec<u8>) -> Request {
         Request {
             method,
             path: path.into(),
             headers: Vec::new(),
             body,
-            keep: true,
+            keep_alive: true,
         }
     }
 
     /// Adds a header field.
-    pub fn with(mut self, name: &str, value: impl Into<String>) -> Request {
+    pub fn with_header(mut self, name: &str, value: impl Into<String>) -> Request {
         self.headers.push((name.to_owned(), value.into()));
         self
     }
 
-    /// Returns the first header field of a name in lower case.
+    /// Returns the value of the first header field with this name (lower case).
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 
-    /// Writes the request into `out`, for the host `host` if it names none.
+    /// Appends the encoded request to `out`; adds a `host` field unless there is one.
     pub fn encode(&self, host: &str, out: &mut Vec<u8>) {
         let head = format!("{} {} HTTP/1.1\r\n", self.method.name(), self.path);
         out.extend_from_slice(head.as_bytes());
@@ -87,64 +87,69 @@
             let host = format!("host: {host}\r\n");
             out.extend_from_slice(host.as_bytes());
         }
-        fields(&self.headers, out);
+        encode_headers(&self.headers, out);
         let has_body = !self.body.is_empty() || self.method == Method::Post;
-        finish(out, has_body.then_some(self.body.as_slice()));
+        encode_body(out, has_body.then_some(self.body.as_slice()));
     }
 }
 
-/// An answer.
+/// An HTTP response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// Header fields but for those of framing; names in lower case when parsed.
+    /// Header fields except those for framing; parsed names are in lower case.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
-    /// Whether the connection stays open.
-    pub keep: bool,
+    /// Whether the connection stays open after this response.
+    pub keep_alive: bool,
 }
 
 impl Response {
-    /// Makes an answer without header fields.
+    /// Creates a response without header fields.
     pub fn new(status: u16, body: Vec<u8>) -> Response {
         Response {
             status,
             headers: Vec::new(),
             body,
-            keep: true,
+            keep_alive: true,
         }
     }
 
     /// Adds a header field.
-    pub fn with(mut self, name: &str, value: impl Into<String>) -> Response {
+    pub fn with_header(mut self, name: &str, value: impl Into<String>) -> Response {
         self.headers.push((name.to_owned(), value.into()));
         self
     }
 
-    /// Returns the first header field of a name in lower case.
+    /// Returns the value of the first header field with this name (lower case).
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 
-    /// Writes the answer into `out`.
+    /// Appends the encoded response to `out`.
     pub fn encode(&self, out: &mut Vec<u8>) {
-        let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
-        if !self.keep {
+        let _ = write!(
+            out,
+            "HTTP/1.1 {} {}\r\n",
+            self.status,
+            reason_phrase(self.status)
+        );
+        if !self.keep_alive {
             out.extend_from_slice(b"connection: close\r\n");
         }
-        fields(&self.headers, out);
-        finish(out, Some(&self.body));
+        encode_headers(&self.headers, out);
+        encode_body(out, Some(&self.body));
     }
 }
 
-fn find<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
+fn find_header<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|(n, _)| n == name);
     found.map(|(_, v)| v.as_str())
 }
 
-fn fields(headers: &[(String, String)], out: &mut Vec<u8>) {
+fn encode_headers(headers: &[(String, String)], out: &mut Vec<u8>) {
     for (name, value) in headers {
         out.extend_from_slice(name.as_bytes());
         out.extend_from_slice(b": ");
@@ -153,7 +158,7 @@
     }
 }
 
-fn finish(out: &mut Vec<u8>, body: Option<&[u8]>) {
+fn encode_body(out: &mut Vec<u8>, body: Option<&[u8]>) {
     let Some(body) = body else {
         out.extend_from_slice(b"\r\n");
         return;
@@ -162,7 +167,7 @@
     out.extend_from_slice(body);
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/http/src/parse.rs
+++ b/crates/http/src/parse.rs
@@ -1,57 +1,57 @@
-//! Reads messages from a buffer that grows, with `httparse`.
+//! Parses messages incrementally from a growing buffer, with `httparse`.
 
 use crate::{
     error::{HttpError, MalformedSnafu, TooLargeSnafu},
     message::{Method, Request, Response},
 };
 
-/// Header fields that one message may have.
-const MAX_FIELDS: usize = 64;
+/// Most header fields of a message.
+const MAX_HEADERS: usize = 64;
 
 /// Limits on the size of a message, in bytes.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// The head: first line and header fields.
-    pub head: usize,
-    /// The body.
-    pub body: usize,
+    /// Largest head, that is the first line and the header fields.
+    pub head_bytes: usize,
+    /// Largest body.
+    pub body_bytes: usize,
 }
 
 impl Default for Limits {
-    /// Returns what answers of the platform fit in: 16 KiB and 16 MiB.
+    /// Returns limits that the platform's responses fit in: 16 KiB and 16 MiB.
     fn default() -> Limits {
         Limits {
-            head: 16 << 10,
-            body: 16 << 20,
+            head_bytes: 16 << 10,
+            body_bytes: 16 << 20,
         }
     }
 }
 
-/// What the header fields say of framing.
+/// Framing by the header fields, and the remaining fields.
 struct Framing {
-    length: Option<usize>,
-    keep: bool,
+    content_length: Option<usize>,
+    keep_alive: bool,
     headers: Vec<(String, String)>,
 }
 
 /// Parses a request at the start of `buf`.
 ///
-/// Returns the request and its length in bytes, or nothing if it is not whole yet.
+/// Returns the request and its length in bytes, or `None` if it is not whole yet.
 pub fn parse_request(buf: &[u8], limits: Limits) -> Result<Option<(Request, usize)>, HttpError> {
-    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut fields);
     let size = match head.parse(buf) {
         Ok(httparse::Status::Complete(size)) => size,
-        Ok(httparse::Status::Partial) => return partial(buf, limits),
+        Ok(httparse::Status::Partial) => return check_partial(buf, limits),
         Err(_) => {
             return MalformedSnafu {
-                reason: "request head",
+                reason: "invalid request head",
             }
             .fail();
         }
     };
-    let framing = framing(head.headers)?;
-    let Some(body) = body(buf, size, framing.length.unwrap_or(0), limits)? else {
+    let framing = parse_framing(head.headers)?;
+    let Some(body) = take_body(buf, size, framing.content_length.unwrap_or(0), limits)? else {
         return Ok(None);
     };
     let request = Request {
@@ -59,16 +59,16 @@
         path: head.path.unwrap_or_default().to_owned(),
         headers: framing.headers,
         body: body.to_vec(),
-        keep: framing.keep,
+        keep_alive: framing.keep_alive,
     };
     Ok(Some((request, size + body.len())))
 }
 
-/// Parses an answer at the start of `buf`, like [`parse_request`]; interim ones before it count
-/// to its length.
+/// Parses a response at the start of `buf`, like [`parse_request`]. The length includes interim
+/// responses before it.
 pub fn parse_response(buf: &[u8], limits: Limits) -> Result<Option<(Response, usize)>, HttpError> {
     let mut start = 0;
-    while let Some((response, size)) = parse_any(&buf[start..], limits)? {
+    while let Some((response, size)) = parse_one_response(&buf[start..], limits)? {
         start += size;
         if !is_interim(response.status) {
             return Ok(Some((response, start)));
@@ -77,110 +77,118 @@
     Ok(None)
 }
 
-/// Tells whether an answer of this status is followed by another one to the same request.
+/// Returns whether a response with this status is followed by another one to the same request.
 fn is_interim(status: u16) -> bool {
     (100..200).contains(&status)
 }
 
-/// Parses an answer, be it an interim one.
-fn parse_any(buf: &[u8], limits: Limits) -> Result<Option<(Response, usize)>, HttpError> {
-    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+/// Parses a response, which may be an interim one.
+fn parse_one_response(buf: &[u8], limits: Limits) -> Result<Option<(Response, usize)>, HttpError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut fields);
     let size = match head.parse(buf) {
         Ok(httparse::Status::Complete(size)) => size,
-        Ok(httparse::Status::Partial) => return partial(buf, limits),
+        Ok(httparse::Status::Partial) => return check_partial(buf, limits),
         Err(_) => {
             return MalformedSnafu {
-                reason: "answer head",
+                reason: "invalid response head",
             }
             .fail();
         }
     };
-    let framing = framing(head.headers)?;
+    let framing = parse_framing(head.headers)?;
     let status = head.code.unwrap_or_default();
-    let length = match (framing.length, status) {
-        // Whatever its head says, it has no body.
+    let length = match (framing.content_length, status) {
+        // An interim response has no body, whatever its header fields say.
         (_, status) if is_interim(status) => 0,
         (Some(length), _) => length,
         (None, 204 | 304) => 0,
         (None, _) => {
             return MalformedSnafu {
-                reason: "answer without length",
+                reason: "response without content-length",
             }
             .fail();
         }
     };
-    let Some(body) = body(buf, size, length, limits)? else {
+    let Some(body) = take_body(buf, size, length, limits)? else {
         return Ok(None);
     };
     let response = Response {
         status,
         headers: framing.headers,
         body: body.to_vec(),
-        keep: framing.keep,
+        keep_alive: framing.keep_alive,
     };
     Ok(Some((response, size + body.len())))
 }
 
-fn partial<T>(buf: &[u8], limits: Limits) -> Result<Option<T>, HttpError> {
-    if buf.len() > limits.head {
-        return TooLargeSnafu { limit: limits.head }.fail();
+fn check_partial<T>(buf: &[u8], limits: Limits) -> Result<Option<T>, HttpError> {
+    if buf.len() > limits.head_bytes {
+        return TooLargeSnafu {
+            limit: limits.head_bytes,
+        }
+        .fail();
     }
     Ok(None)
 }
 
-fn body(
+fn take_body(
     buf: &[u8],
     start: usize,
     length: usize,
     limits: Limits,
 ) -> Result<Option<&[u8]>, HttpError> {
-    if length > limits.body {
-        return TooLargeSnafu { limit: limits.body }.fail();
+    if length > limits.body_bytes {
+        return TooLargeSnafu {
+            limit: limits.body_bytes,
+        }
+        .fail();
     }
     Ok(buf.get(start..start + length))
 }
 
-fn framing(fields: &[httparse::Header<'_>]) -> Result<Framing, HttpError> {
+fn parse_framing(fields: &[httparse::Header<'_>]) -> Result<Framing, HttpError> {
     let mut out = Framing {
-        length: None,
-        keep: true,
+        content_length: None,
+        keep_alive: true,
         headers: Vec::new(),
     };
     for field in fields {
         let name = field.name.to_ascii_lowercase();
         let Ok(value) = std::str::from_utf8(field.value) else {
             return MalformedSnafu {
-                reason: "header field is not text",
+                reason: "header field is not valid UTF-8",
             }
             .fail();
         };
         let value = value.trim();
         match name.as_str() {
-            "content-length" => out.length = Some(length(value, out.length)?),
+            "content-length" => {
+                out.content_length = Some(parse_content_length(value, out.content_length)?)
+            }
             "transfer-encoding" => {
                 return MalformedSnafu {
-                    reason: "chunked body",
+                    reason: "transfer-encoding is not supported",
                 }
                 .fail();
             }
-            "connection" => out.keep = !value.eq_ignore_ascii_case("close"),
+            "connection" => out.keep_alive = !value.eq_ignore_ascii_case("close"),
             _ => out.headers.push((name, value.to_owned())),
         }
     }
     Ok(out)
 }
 
-fn length(value: &str, earlier: Option<usize>) -> Result<usize, HttpError> {
+fn parse_content_length(value: &str, earlier: Option<usize>) -> Result<usize, HttpError> {
     let Ok(length) = value.parse() else {
         return MalformedSnafu {
-            reason: "content-length",
+            reason: "invalid content-length",
         }
         .fail();
     };
     if earlier.is_some_and(|e| e != length) {
         return MalformedSnafu {
-            reason: "two lengths",
+            reason: "conflicting content-length fields",
         }
         .fail();
     }
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -4,7 +4,7 @@
 
 use flume::Sender;
 use gorsespur_jobs::{Action, Event, Machine};
-use gorsespur_runtime::{cancel::Cancel, clock::wall_ms};
+use gorsespur_runtime::{cancel::CancelToken, clock::wall_ms};
 use mio::Events;
 
 use super::{
@@ -79,13 +79,13 @@
             tell_at: 0,
             keep_at: shared.clock.now() + LEARNED_PERIOD,
             woke: shared.clock.now(),
-            suspended: shared.clock.suspended(),
+            suspended: shared.clock.suspended_ms(),
             over: false,
         }
     }
 
     /// Decides until the lease is lost or `cancel` is cancelled.
-    pub(crate) fn run(mut self, journal: &Sender<Entry>, cancel: &Cancel) {
+    pub(crate) fn run(mut self, journal: &Sender<Entry>, cancel: &CancelToken) {
         let mut events = Events::with_capacity(EVENTS);
         while !self.over && !cancel.is_cancelled() {
             let wake = match self.wake(&mut events) {
@@ -136,7 +136,7 @@
         self.woke = at;
         let late = since >= LATE;
         if late {
-            let suspended = self.shared.clock.suspended();
+            let suspended = self.shared.clock.suspended_ms();
             let slept = suspended.saturating_sub(self.suspended);
             self.suspended = suspended;
             self.shared.metrics.count(Count::LateTurns);
--- a/crates/peer/src/agent.rs
+++ b/crates/peer/src/agent.rs
@@ -1,10 +1,10 @@
-//! The agent's threads.
+//! The agent's threads, and its requests from peers.
 
 use std::{net::UdpSocket, sync::Arc, thread, time::Duration};
 
 use gorsespur_core::{name::Name, route::RouteCounts, shard::ShardStatus};
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     server::{Incoming, Reply},
 };
 use gorsespur_services::{Members, Table};
@@ -16,49 +16,53 @@
 use snafu::ResultExt;
 
 use crate::{
-    AgentSettings, PeerError, Shared, beats, config,
+    AgentSettings, AgentState, PeerError, config,
     error::{BindSnafu, SpawnSnafu},
-    list,
+    heartbeats, member_list,
 };
 
-/// Time limit of waiting for a heartbeat, after which cancellation is looked at.
-const LOOK: Duration = Duration::from_millis(200);
+/// Longest wait for a heartbeat between two checks for cancellation.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Keeps an instance in touch with its peers.
+/// Exchanges heartbeats and configuration with the peers of an instance.
 #[derive(Debug)]
 pub struct Agent {
-    shared: Arc<Shared>,
+    state: Arc<AgentState>,
 }
 
 impl Agent {
-    /// Starts the threads; they end with `cancel`.
+    /// Starts the threads, which run until `cancel` is cancelled.
+    ///
+    /// Fails if the address can't be bound or a thread can't be started.
     pub fn start(
         settings: AgentSettings,
         table: Arc<dyn Table>,
         members: Arc<dyn Members>,
-        cancel: &Cancel,
+        cancel: &CancelToken,
     ) -> Result<Agent, PeerError> {
         let addr = settings.listen;
         let socket = UdpSocket::bind(addr).context(BindSnafu { addr })?;
         socket
-            .set_read_timeout(Some(LOOK))
+            .set_read_timeout(Some(POLL_INTERVAL))
             .context(BindSnafu { addr })?;
         let sender = socket.try_clone().context(BindSnafu { addr })?;
-        let shared = Arc::new(Shared::new(settings));
-        let (s, c) = (shared.clone(), cancel.clone());
-        spawn("beats-in", move || beats::receive_all(&s, &socket, &c))?;
-        let (s, c) = (shared.clone(), cancel.clone());
-        spawn("beats-out", move || beats::send_all(&s, &sender, &c))?;
-        let (s, c) = (shared.clone(), cancel.clone());
+        let state = Arc::new(AgentState::new(settings));
+        let (s, c) = (state.clone(), cancel.clone());
+        spawn("beats-in", move || heartbeats::receive_all(&s, &socket, &c))?;
+        let (s, c) = (state.clone(), cancel.clone());
+        spawn("beats-out", move || heartbeats::send_all(&s, &sender, &c))?;
+        let (s, c) = (state.clone(), cancel.clone());
         spawn("config", move || config::follow(&s, table.as_ref(), &c))?;
-        let (s, c) = (shared.clone(), cancel.clone());
-        spawn("members", move || list::follow(&s, members.as_ref(), &c))?;
-        Ok(Agent { shared })
+        let (s, c) = (state.clone(), cancel.clone());
+        spawn("members", move || {
+            member_list::follow(&s, members.as_ref(), &c)
+        })?;
+        Ok(Agent { state })
     }
 
-    /// Returns what the threads share.
-    pub fn shared(&self) -> &Arc<Shared> {
-        &self.shared
+    /// Returns the state that the threads share.
+    pub fn state(&self) -> &Arc<AgentState> {
+        &self.state
     }
 }
 
@@ -68,8 +72,8 @@
     Ok(())
 }
 
-impl Shared {
-    /// Returns what operators see of this instance.
+impl AgentState {
+    /// Returns the status of this instance for operators.
     pub fn status(&self, shards: Vec<ShardStatus>, routed: Option<RouteCounts>) -> InstanceStatus {
         let s = &self.settings;
         let now = self.clock.now();
@@ -94,8 +98,8 @@
         }
     }
 
-    /// Answers a peer's request that is the agent's; nothing for other paths.
-    pub fn answer(&self, req: &Incoming) -> Option<Reply> {
+    /// Handles a peer's request for configuration; returns `None` for other paths.
+    pub fn handle_request(&self, req: &Incoming) -> Option<Reply> {
         if req.path != PEER_CONFIG {
             return None;
         }
@@ -103,12 +107,12 @@
             return Some(Reply::text(400, "request is malformed"));
         };
         let configs = self.configs();
-        let answer = ConfigAnswer {
+        let response = ConfigAnswer {
             head: configs.head(),
             entries: configs.newer_than(&request.known),
         };
-        let reply = match encode(&answer) {
-            Ok(body) => Reply::new(200, body).field("content-type", CONTENT_TYPE),
+        let reply = match encode(&response) {
+            Ok(body) => Reply::new(200, body).header("content-type", CONTENT_TYPE),
             Err(_) => Reply::text(500, "can't encode"),
         };
         Some(reply)
--- a/crates/peer/src/layout.rs
+++ b/crates/peer/src/layout.rs
@@ -11,38 +11,38 @@
 pub struct Zone {
     /// Name.
     pub name: Name,
-    /// Number of its shards; all instances must have the same.
+    /// Number of shards; has to be the same on all instances.
     pub shards: u32,
 }
 
 /// A shard and its zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ShardAt {
-    /// Place among all shards.
+pub struct ZoneShard {
+    /// Name and index among all shards.
     pub place: ShardId,
-    /// Its zone.
+    /// Zone of the shard.
     pub zone: Name,
-    /// Index in its zone.
+    /// Index in the zone.
     pub slot: u32,
-    /// Number of shards in its zone.
-    pub of: u32,
+    /// Number of shards in the zone.
+    pub slot_count: u32,
 }
 
-impl ShardAt {
-    /// Tells whether a worker of the zone belongs to the shard.
+impl ZoneShard {
+    /// Returns whether a worker of `zone` belongs to the shard.
     pub fn has_worker(&self, zone: &str, worker: &str) -> bool {
-        *self.zone == *zone && shard_of(worker, self.of) == self.slot
+        *self.zone == *zone && shard_of(worker, self.slot_count) == self.slot
     }
 }
 
 /// All shards of the system.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Layout {
-    shards: Vec<ShardAt>,
+    shards: Vec<ZoneShard>,
 }
 
 impl Layout {
-    /// Numbers the shards of all zones in the order of the list.
+    /// Creates a layout that numbers the shards in the order of the zones.
     pub fn new(zones: &[Zone]) -> Layout {
         let count = zones.iter().map(|z| z.shards).sum();
         let mut shards = Vec::new();
@@ -53,32 +53,32 @@
                     index: shards.len() as u32,
                     count,
                 };
-                shards.push(ShardAt {
+                shards.push(ZoneShard {
                     place,
                     zone: zone.name.clone(),
                     slot,
-                    of: zone.shards,
+                    slot_count: zone.shards,
                 });
             }
         }
         Layout { shards }
     }
 
-    /// Returns all shards by index.
-    pub fn shards(&self) -> &[ShardAt] {
+    /// Returns all shards, sorted by index.
+    pub fn shards(&self) -> &[ZoneShard] {
         &self.shards
     }
 
     /// Returns the shard with this name.
-    pub fn find(&self, name: &str) -> Option<&ShardAt> {
+    pub fn find(&self, name: &str) -> Option<&ZoneShard> {
         self.shards.iter().find(|s| *s.place.name == *name)
     }
 
-    /// Returns the shard of a zone that a new job goes to.
-    pub fn home(&self, zone: &str, key: &JobKey) -> Option<&ShardAt> {
-        let mine: Vec<&ShardAt> = self.shards.iter().filter(|s| *s.zone == *zone).collect();
-        let n = mine.len() as u64;
+    /// Returns the shard of the zone that a new job is assigned to; `None` if it has no shards.
+    pub fn shard_for_job(&self, zone: &str, key: &JobKey) -> Option<&ZoneShard> {
+        let in_zone: Vec<&ZoneShard> = self.shards.iter().filter(|s| *s.zone == *zone).collect();
+        let n = in_zone.len() as u64;
         let i = stable_hash(&[&key.org, &key.id]).checked_rem(n)?;
-        Some(mine[i as usize])
+        Some(in_zone[i as usize])
     }
 }
--- a/crates/peer/tests/config.rs
+++ b/crates/peer/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configuration comes into force from the platform, or from a peer without it.
+//! Configuration is read from the platform, or from a peer if the platform is unreachable.
 
 use std::{
     net::SocketAddr,
@@ -21,7 +21,7 @@
 };
 use gorsespur_peer::{Agent, AgentSettings, Layout, Zone};
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     server::{Limits, serve},
 };
 use gorsespur_services::{
@@ -34,21 +34,21 @@
     table::{Row, Tx},
 };
 
-struct NoMembers;
+struct UnavailableMembers;
 
-impl Members for NoMembers {
+impl Members for UnavailableMembers {
     fn list(&self) -> Result<MemberList, MembersError> {
         Err(MembersError::Unavailable)
     }
 }
 
-/// A membership list that shows one instance once it is told to.
-struct LateMembers {
+/// A membership list that is unavailable until `shown` is set, and then lists one instance.
+struct DelayedMembers {
     shown: Arc<AtomicBool>,
     instance: InstanceInfo,
 }
 
-impl Members for LateMembers {
+impl Members for DelayedMembers {
     fn list(&self) -> Result<MemberList, MembersError> {
         if !self.shown.load(Ordering::Acquire) {
             return Err(MembersError::Unavailable);
@@ -60,10 +60,10 @@
     }
 }
 
-/// A table service that is out of reach.
-struct NoTable;
+/// An unreachable table service.
+struct UnavailableTable;
 
-impl Table for NoTable {
+impl Table for UnavailableTable {
     fn tx(&self, _: &Tx) -> Result<u64, TableError> {
         Err(TableError::Unavailable)
     }
@@ -77,7 +77,7 @@
     }
 }
 
-fn own() -> SocketAddr {
+fn free_addr() -> SocketAddr {
     own_addr().expect("an address")
 }
 
@@ -109,36 +109,37 @@
     }
 }
 
-/// Starts an agent with the platform, which answers its peers at `here`.
+/// Starts an agent that can reach the platform and serves requests of peers at `addr`.
 fn serving_agent(
     platform: &Arc<FakePlatform>,
-    here: SocketAddr,
+    addr: SocketAddr,
     seed: SocketAddr,
-    cancel: &Cancel,
+    cancel: &CancelToken,
 ) -> Agent {
     let table: Arc<dyn Table> = platform.clone();
-    let settings = settings("a", "east", here, seed);
-    let agent = Agent::start(settings, table, Arc::new(NoMembers), cancel).expect("an agent");
-    let shared = agent.shared().clone();
-    let answer = move |req| shared.answer(&req).expect("a question of the agent");
-    serve(here, "peer", Limits::default(), cancel, answer).expect("served");
+    let settings = settings("a", "east", addr, seed);
+    let agent =
+        Agent::start(settings, table, Arc::new(UnavailableMembers), cancel).expect("an agent");
+    let state = agent.state().clone();
+    let answer = move |req| state.handle_request(&req).expect("a question of the agent");
+    serve(addr, "peer", Limits::default(), cancel, answer).expect("served");
     agent
 }
 
-fn change(base_version: u64, replicas: i64) -> Change {
+fn change(edited: u64, replicas: i64) -> Change {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../templates/weld.yaml");
     let mut document = Document::read(&PathBuf::from(path)).expect("a good template");
     document.raw.services[0].replicas = replicas;
     document.template = Arc::new(gorsespur_core::template::check(&document.raw).expect("good"));
     Change {
         document,
-        base_version,
-        author: "test".to_owned(),
-        reason: String::new(),
+        edited,
+        who: "test".to_owned(),
+        why: String::new(),
     }
 }
 
-fn until(what: &str, ok: impl Fn() -> bool) {
+fn wait_until(what: &str, ok: impl Fn() -> bool) {
     for _ in 0..400 {
         if ok() {
             return;
@@ -149,95 +150,105 @@
 }
 
 fn replicas(agent: &Agent) -> Option<u32> {
-    let configs = agent.shared().configs();
+    let configs = agent.state().configs();
     Some(configs.get("weld")?.template.services[0].replicas)
 }
 
 #[test]
-fn changes_come_into_force_by_the_log_and_without_it() {
+fn changes_are_applied_with_and_without_the_log() {
     let platform = Arc::new(FakePlatform::new());
-    let cancel = Cancel::new();
-    let here = own();
+    let cancel = CancelToken::new();
+    let addr = free_addr();
     let table: Arc<dyn Table> = platform.clone();
     let agent = Agent::start(
-        settings("a", "east", here, here),
+        settings("a", "east", addr, addr),
         table,
-        Arc::new(NoMembers),
+        Arc::new(UnavailableMembers),
         &cancel,
     );
     let agent = agent.expect("an agent");
     apply(platform.as_ref(), &change(0, 10)).expect("accepted");
-    until("first change", || replicas(&agent) == Some(10));
+    wait_until("first change", || replicas(&agent) == Some(10));
     apply(platform.as_ref(), &change(1, 11)).expect("accepted");
-    until("change by the log", || replicas(&agent) == Some(11));
+    wait_until("change by the log", || replicas(&agent) == Some(11));
     apply(platform.as_ref(), &change(2, 12)).expect("accepted");
     platform
         .tx(&Tx::new().delete(keys::change(3)))
         .expect("deleted");
-    until("change without its log entry", || {
+    wait_until("change without its log entry", || {
         replicas(&agent) == Some(12)
     });
-    assert_eq!(agent.shared().configs().head(), 3);
+    assert_eq!(agent.state().configs().head(), 3);
     cancel.cancel();
 }
 
 #[test]
-fn an_instance_without_the_platform_learns_from_a_peer_of_another_zone() {
+fn an_instance_without_the_platform_is_configured_by_a_peer_of_another_zone() {
     let platform = Arc::new(FakePlatform::new());
     apply(platform.as_ref(), &change(0, 10)).expect("accepted");
-    let cancel = Cancel::new();
-    let (here, there) = (own(), own());
-    serving_agent(&platform, here, there, &cancel);
-    let far = settings("b", "west", there, here);
-    let far = Agent::start(far, Arc::new(NoTable), Arc::new(NoMembers), &cancel);
-    let far = far.expect("an agent");
-    until("the template comes from the peer", || {
-        replicas(&far) == Some(10)
+    let cancel = CancelToken::new();
+    let (addr, remote_addr) = (free_addr(), free_addr());
+    serving_agent(&platform, addr, remote_addr, &cancel);
+    let remote = settings("b", "west", remote_addr, addr);
+    let remote = Agent::start(
+        remote,
+        Arc::new(UnavailableTable),
+        Arc::new(UnavailableMembers),
+        &cancel,
+    );
+    let remote = remote.expect("an agent");
+    wait_until("the template comes from the peer", || {
+        replicas(&remote) == Some(10)
     });
     apply(platform.as_ref(), &change(1, 11)).expect("accepted");
-    until("its change too", || replicas(&far) == Some(11));
-    assert!(far.shared().is_loaded());
+    wait_until("its change too", || replicas(&remote) == Some(11));
+    assert!(remote.state().is_loaded());
     cancel.cancel();
 }
 
-/// A zone that is cut off from the platform and from the other zones keeps what
-/// is in force, never goes back, and catches up when one of both returns.
+/// A zone that is cut off from the platform and from the other zones keeps the configuration in
+/// force, never returns to an older one, and catches up when it can reach either again.
 #[test]
 fn a_zone_that_was_cut_off_from_everything_catches_up() {
     let platform = Arc::new(FakePlatform::new());
     apply(platform.as_ref(), &change(0, 10)).expect("accepted");
-    let cancel = Cancel::new();
-    let (here, there) = (own(), own());
-    let near = serving_agent(&platform, here, here, &cancel);
+    let cancel = CancelToken::new();
+    let (addr, remote_addr) = (free_addr(), free_addr());
+    let local = serving_agent(&platform, addr, addr, &cancel);
     let shown = Arc::new(AtomicBool::new(false));
-    let members = LateMembers {
+    let members = DelayedMembers {
         shown: shown.clone(),
         instance: InstanceInfo {
             id: "a".into(),
             role: Role::Entry,
             zone: "east".into(),
-            addr: here,
+            addr,
             leaving: false,
         },
     };
-    let far = settings("b", "west", there, there);
-    let far = Agent::start(far, Arc::new(NoTable), Arc::new(members), &cancel);
-    let far = far.expect("an agent");
-    until("the zone that is not cut off has the template", || {
-        replicas(&near) == Some(10)
+    let remote = settings("b", "west", remote_addr, remote_addr);
+    let remote = Agent::start(
+        remote,
+        Arc::new(UnavailableTable),
+        Arc::new(members),
+        &cancel,
+    );
+    let remote = remote.expect("an agent");
+    wait_until("the zone that is not cut off has the template", || {
+        replicas(&local) == Some(10)
     });
     assert!(
-        !far.shared().is_loaded(),
-        "nothing reaches the cut-off zone"
+        !remote.state().is_loaded(),
+        "the cut-off zone has loaded a configuration"
     );
-    assert!(near.shared().peers().all().is_empty());
+    assert!(local.state().peers().all().is_empty());
     shown.store(true, Ordering::Release);
-    until("the template comes from the peer", || {
-        replicas(&far) == Some(10)
+    wait_until("the template comes from the peer", || {
+        replicas(&remote) == Some(10)
     });
     assert_eq!(
-        far.shared().configs().head(),
-        near.shared().configs().head()
+        remote.state().configs().head(),
+        local.state().configs().head()
     );
     cancel.cancel();
 }
--- a/crates/replay/src/header.rs
+++ b/crates/replay/src/header.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Header {
     /// Place of the shard among all shards.
-    pub place: ShardPlace,
+    pub place: ShardId,
     /// Settings of the shard.
     pub settings: ShardSettings,
     /// Seed of the random number generator.
--- a/crates/replay/src/reader.rs
+++ b/crates/replay/src/reader.rs
@@ -58,7 +58,7 @@
 /// Fails at the first step whose actions differ from the recorded ones.
 pub fn replay(trace: &Trace) -> Result<Outcome, TraceError> {
     let header = &trace.header;
-    let mut machine = Machine::new(
+    let mut machine = ShardScheduler::new(
         header.place.clone(),
         header.settings.clone(),
         header.seed,
@@ -79,11 +79,11 @@
 }
 
 /// Counts violations of the invariants after a step.
-fn count_violations(machine: &Machine, outcome: &mut Outcome) {
+fn count_violations(machine: &ShardScheduler, outcome: &mut Outcome) {
     for worker in machine.workers() {
         let mut used = gorsespur_core::size::Size::default();
-        for resident in &worker.residents {
-            used = used.plus(&resident.size);
+        for resident in &worker.allocations {
+            used = used.saturating_add(&resident.size);
             let id = resident.attempt;
             let task = machine
                 .state()
@@ -94,7 +94,7 @@
             });
             outcome.doubled += u64::from(!is_current);
         }
-        let is_size_known = worker.total.cpu > 0;
-        outcome.overcommitted += u64::from(is_size_known && !used.fits(&worker.total));
+        let is_size_known = worker.capacity.cpu > 0;
+        outcome.overcommitted += u64::from(is_size_known && !used.fits_in(&worker.capacity));
     }
 }
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -99,7 +99,7 @@
     std::fs::create_dir_all(&dir).expect("a directory");
     let path = dir.join("one.trace");
     let settings = ShardSettings::default();
-    let mut machine = Machine::new(place(), settings.clone(), 7, takeover(), NOW);
+    let mut machine = ShardScheduler::new(place(), settings.clone(), 7, takeover(), NOW);
     let created = Recorder::create(&path, &place(), &settings, 7, &takeover(), NOW);
     let mut recorder = created.expect("created");
     for (now, event) in events() {
--- a/crates/runtime/src/cancel.rs
+++ b/crates/runtime/src/cancel.rs
@@ -1,64 +1,64 @@
-//! Cancellation tokens that are passed down from a program to its threads.
+//! Cancellation tokens, passed from a program to its threads.
 
 use std::{
     sync::{Arc, Condvar, Mutex, PoisonError},
     time::{Duration, Instant},
 };
 
-/// A token that says when to stop.
+/// A cancellation token.
 ///
-/// Clones share one state: cancelling any of them cancels all.
+/// Clones share their state: cancelling one of them cancels all.
 #[derive(Debug, Clone, Default)]
-pub struct Cancel {
+pub struct CancelToken {
     inner: Arc<Inner>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    done: Mutex<bool>,
-    wake: Condvar,
+    cancelled: Mutex<bool>,
+    wakeup: Condvar,
 }
 
-impl Cancel {
-    /// Returns a token that is not cancelled.
-    pub fn new() -> Cancel {
-        Cancel::default()
+impl CancelToken {
+    /// Creates a token that is not cancelled.
+    pub fn new() -> CancelToken {
+        CancelToken::default()
     }
 
-    /// Cancels the token and wakes every waiter.
+    /// Cancels the token and wakes all waiting threads.
     pub fn cancel(&self) {
         *self
             .inner
-            .done
+            .cancelled
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = true;
-        self.inner.wake.notify_all();
+        self.inner.wakeup.notify_all();
     }
 
-    /// Tells whether the token was cancelled.
+    /// Returns whether the token is cancelled.
     pub fn is_cancelled(&self) -> bool {
         *self
             .inner
-            .done
+            .cancelled
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits up to `limit` and tells whether the token was cancelled.
-    pub fn wait(&self, limit: Duration) -> bool {
-        let end = Instant::now() + limit;
-        let mut done = self
+    /// Waits up to `timeout` for the cancellation; returns whether the token is cancelled.
+    pub fn wait(&self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        let mut cancelled = self
             .inner
-            .done
+            .cancelled
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        while !*done {
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+        while !*cancelled {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            let woken = self.inner.wake.wait_timeout(done, left);
-            done = woken.unwrap_or_else(PoisonError::into_inner).0;
+            let woken = self.inner.wakeup.wait_timeout(cancelled, remaining);
+            cancelled = woken.unwrap_or_else(PoisonError::into_inner).0;
         }
         true
     }
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs by `log` and `fern`, as text or as one JSON object a line.
+//! Logging with `log` and `fern`, as text or as one JSON object per line.
 
 use std::{io, path::PathBuf};
 
@@ -8,72 +8,72 @@
 
 use crate::{
     clock::wall_ms,
-    exit::{Blame, FAILED},
+    exit::{EXIT_FAILURE, HasExitCode},
 };
 
-/// A library that logs each of the server's time limits as an error.
-const QUIET: &str = "tiny_http";
+/// Log target that is muted: the library logs each timeout of a connection as an error.
+const MUTED_TARGET: &str = "tiny_http";
 
-/// The form of a log line.
+/// Format of a log line.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
     /// Time, level, program and message.
     #[default]
     Text,
-    /// The same as a JSON object.
+    /// The same fields as a JSON object.
     Json,
 }
 
-/// The lowest level that is logged.
+/// Lowest level that is logged.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Failures that need an operator.
+    /// Failures that need an operator's attention.
     Error,
-    /// Failures that the system handles by itself.
+    /// Failures that the system handles on its own.
     Warn,
     /// Changes of state.
     #[default]
     Info,
-    /// Decisions.
+    /// Single decisions.
     Debug,
 }
 
-/// Settings of the log.
+/// Settings of logging.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// Form of the lines.
+    /// Format of the lines.
     pub format: LogFormat,
-    /// Lowest level.
+    /// Lowest level that is logged.
     pub level: LogLevel,
     /// File to append to; standard error if absent.
     pub file: Option<PathBuf>,
 }
 
-/// Why logging can't start.
+/// An error of starting the log.
 #[derive(Debug, Snafu)]
 pub enum LogError {
-    /// The file can't be opened.
-    #[snafu(display("{}: can't open log", path.display()))]
+    /// The log file can't be opened.
+    #[snafu(display("{}: can't open the log file", path.display()))]
     Open {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's answer.
+        /// The system's error.
         source: io::Error,
     },
-    /// A logger was installed before.
-    #[snafu(display("log already started"))]
-    Twice {
-        /// The library's answer.
+    /// A logger is already installed.
+    #[snafu(display("a logger is already installed"))]
+    AlreadyStarted {
+        /// The library's error.
         source: log::SetLoggerError,
     },
 }
 
-impl Blame for LogError {
-    fn code(&self) -> u8 {
-        FAILED
+impl HasExitCode for LogError {
+    fn exit_code(&self) -> u8 {
+        EXIT_FAILURE
     }
 }
 
@@ -86,7 +86,7 @@
     message: &'a str,
 }
 
-/// Starts logging for the program `program` running as instance `id`.
+/// Installs the logger of `program`, running as instance `id`.
 pub fn start(settings: &LogSettings, program: &'static str, id: &str) -> Result<(), LogError> {
     let level = match settings.level {
         LogLevel::Error => LevelFilter::Error,
@@ -98,7 +98,7 @@
     let id = id.to_owned();
     let mut dispatch = fern::Dispatch::new()
         .level(level)
-        .level_for(QUIET, LevelFilter::Off)
+        .level_for(MUTED_TARGET, LevelFilter::Off)
         .format(move |out, message, record| {
             let (ms, level) = (wall_ms(), record.level().as_str());
             match format {
@@ -123,5 +123,5 @@
         None => dispatch.chain(io::stderr()),
         Some(path) => dispatch.chain(fern::log_file(path).context(OpenSnafu { path })?),
     };
-    dispatch.apply().context(TwiceSnafu)
+    dispatch.apply().context(AlreadyStartedSnafu)
 }
--- a/crates/runtime/src/metrics.rs
+++ b/crates/runtime/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by `cadence`, sent as StatsD datagrams.
+//! Metrics with `cadence`, sent as StatsD datagrams.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -11,50 +11,50 @@
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
 
-use crate::exit::{Blame, FAILED};
+use crate::exit::{EXIT_FAILURE, HasExitCode};
 
-/// Datagrams that may wait for the network; more are dropped.
-const QUEUE: usize = 1024;
+/// Most datagrams that wait to be sent; further ones are dropped.
+const MAX_QUEUED_DATAGRAMS: usize = 1024;
 
-/// Settings of the metrics.
+/// Settings of metrics.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MetricSettings {
-    /// Address of a StatsD collector; without it metrics are dropped.
+    /// Address of a StatsD collector; metrics are dropped if absent.
     pub statsd: Option<SocketAddr>,
 }
 
-/// Why metrics can't start.
+/// An error of starting metrics.
 #[derive(Debug, Snafu)]
 pub enum MetricError {
     /// No socket can be bound.
     #[snafu(display("can't bind a socket for metrics"))]
     Bind {
-        /// The system's answer.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The collector's address is refused.
+    /// The collector's address is invalid.
     #[snafu(display("can't send metrics"))]
     Sink {
-        /// The library's answer.
+        /// The library's error.
         source: cadence::MetricError,
     },
 }
 
-impl Blame for MetricError {
-    fn code(&self) -> u8 {
-        FAILED
+impl HasExitCode for MetricError {
+    fn exit_code(&self) -> u8 {
+        EXIT_FAILURE
     }
 }
 
-/// Sends counters, gauges and timings; never blocks and never fails its caller.
+/// Sends counters, gauges and timings. Sending never blocks, and errors are ignored.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     client: Arc<StatsdClient>,
 }
 
 impl Metrics {
-    /// Connects to the collector, if one is set; names get the prefix `gorsespur.<role>`.
+    /// Starts sending to the collector, if one is set, with the name prefix `gorsespur.<role>`.
     pub fn start(settings: &MetricSettings, role: &str) -> Result<Metrics, MetricError> {
         let prefix = format!("gorsespur.{role}");
         let client = match settings.statsd {
@@ -63,7 +63,10 @@
                 let socket = UdpSocket::bind("0.0.0.0:0").context(BindSnafu)?;
                 socket.set_nonblocking(true).context(BindSnafu)?;
                 let udp = BufferedUdpMetricSink::from(addr, socket).context(SinkSnafu)?;
-                StatsdClient::from_sink(&prefix, QueuingMetricSink::with_capacity(udp, QUEUE))
+                StatsdClient::from_sink(
+                    &prefix,
+                    QueuingMetricSink::with_capacity(udp, MAX_QUEUED_DATAGRAMS),
+                )
             }
         };
         Ok(Metrics {
--- a/crates/sched/src/program.rs
+++ b/crates/sched/src/program.rs
@@ -7,13 +7,13 @@
     time::Duration,
 };
 
-use gorsespur_peer::{Agent, Shared};
+use gorsespur_peer::{Agent, AgentState};
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     logging,
     metrics::Metrics,
     server,
-    server::{Limits, Serving},
+    server::{Limits, ServerHandle},
     settings::load,
     signals::cancel_on_signal,
 };
@@ -43,11 +43,11 @@
 
 /// A running scheduler.
 pub struct Running {
-    shared: Arc<Shared>,
-    serving: Serving,
+    shared: Arc<AgentState>,
+    serving: ServerHandle,
     keepers: Vec<JoinHandle<()>>,
-    stop: Cancel,
-    end: Cancel,
+    stop: CancelToken,
+    end: CancelToken,
 }
 
 /// Runs the scheduler until a signal stops it.
@@ -58,7 +58,7 @@
     }
     let instance = &settings.instance;
     logging::start(&instance.log, "sched", &instance.id).context(LogSnafu)?;
-    let stop = Cancel::new();
+    let stop = CancelToken::new();
     cancel_on_signal(&stop).context(SystemSnafu)?;
     let running = start(&settings, args.record.clone(), &stop)?;
     log::info!("sched: serves peers at {}", instance.listen);
@@ -72,25 +72,25 @@
 pub fn start(
     settings: &SchedSettings,
     record: Option<PathBuf>,
-    stop: &Cancel,
+    stop: &CancelToken,
 ) -> Result<Running, SchedError> {
     let instance = &settings.instance;
     let metrics = Metrics::start(&instance.metrics, "sched").context(MetricSnafu)?;
-    let end = Cancel::new();
+    let end = CancelToken::new();
     let table: Arc<dyn Table> = Arc::new(HttpTable::new(instance.table, instance.timeout));
     let objects: Arc<dyn Objects> = Arc::new(HttpObjects::new(instance.objects, OBJECTS));
     let members = Arc::new(HttpMembers::new(instance.members, instance.timeout));
     let workers: Arc<dyn Workers> = Arc::new(HttpWorkers::new(settings.timeout));
     let exchanges = exchanger::start(&workers, settings.threads).context(SystemSnafu)?;
     let agent = Agent::start(instance.clone(), table.clone(), members, &end).context(AgentSnafu)?;
-    let shared = agent.shared().clone();
+    let shared = agent.state().clone();
     let owned = Arc::new(Owned::default());
     let api = PeerApi {
         shared: shared.clone(),
         owned: owned.clone(),
     };
     let limits = Limits {
-        body: 16 << 20,
+        body_bytes: 16 << 20,
         ..Limits::default()
     };
     let answer = move |req| api.answer(&req);
@@ -129,11 +129,11 @@
     /// Releases the shards, tells the peers and ends.
     pub fn stop(self) {
         self.stop.cancel();
-        self.shared.leave();
+        self.shared.start_leaving();
         for keeper in self.keepers {
             let _ = keeper.join();
         }
         self.end.cancel();
-        self.serving.drain(DRAIN);
+        self.serving.wait_until_idle(DRAIN);
     }
 }
--- a/crates/stand/src/main.rs
+++ b/crates/stand/src/main.rs
@@ -9,9 +9,9 @@
 use clap::Parser;
 use gorsespur_core::{name::Name, size::Size};
 use gorsespur_runtime::{
-    cancel::Cancel,
+    cancel::CancelToken,
     clock::wall_ms,
-    exit::finish,
+    exit::report_result,
     logging::{LogSettings, start},
     signals::cancel_on_signal,
 };
@@ -36,12 +36,12 @@
         StandRole::Worker(args) => run_worker(args),
         StandRole::Members(args) => send_members(args.gate, &args.file),
     };
-    finish("gorsespur-stand", result)
+    report_result("gorsespur-stand", result)
 }
 
-fn prepare(id: &str) -> Result<Cancel, StandError> {
+fn prepare(id: &str) -> Result<CancelToken, StandError> {
     start(&LogSettings::default(), "stand", id).map_err(|source| StandError::Log { source })?;
-    let cancel = Cancel::new();
+    let cancel = CancelToken::new();
     cancel_on_signal(&cancel).map_err(|source| StandError::System { source })?;
     Ok(cancel)
 }
