--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -90,8 +90,8 @@
             Settings::default(),
             now,
             Takeover {
-                asked: now,
-                inherited: 0,
+                asked_at: now,
+                prior_leases_end: 0,
             },
         );
         let policy = |queue: &str, priority| QueuePolicy {
@@ -324,7 +324,7 @@
                 true => 100,
                 false => ((now - r.begun) * 100 / r.work).min(99) as u32,
             },
-            figure: Some(match r.target {
+            metric: Some(match r.target {
                 0 => r.cpu,
                 target => target * (30 + (now / 500 + r.task.job.0) % 20) / 100,
             }),
@@ -338,7 +338,7 @@
         self.answers.push(Event::Answer {
             worker,
             sent,
-            answer: Answer::Looked(look),
+            answer: Answer::Report(look),
         });
     }
 
@@ -349,7 +349,8 @@
         for event in answers {
             self.machine.handle(now, now, event);
         }
-        self.machine.handle(now, now, Event::Current { asked: now });
+        self.machine
+            .handle(now, now, Event::WorkersSynced { asked: now });
         let actions = self.machine.settle(now, now);
         self.spent += start.elapsed();
         for action in actions {
@@ -360,7 +361,7 @@
     fn act(&mut self, action: Action) {
         let sent = self.now;
         let answer = match action {
-            Action::Look {
+            Action::Poll {
                 worker,
                 observed,
                 wait,
@@ -399,7 +400,7 @@
             Action::Pace {
                 worker, task, run, ..
             } => (worker, Answer::Paced(task, run, true)),
-            Action::Depose => return,
+            Action::StepDown => return,
         };
         let (worker, answer) = answer;
         self.answers.push(Event::Answer {
--- a/crates/jobs/benches/takeover.rs
+++ b/crates/jobs/benches/takeover.rs
@@ -73,8 +73,8 @@
         Settings::default(),
         now,
         Takeover {
-            asked: now,
-            inherited: now,
+            asked_at: now,
+            prior_leases_end: now,
         },
     );
     let jobs = rows.jobs.iter().map(|row| {
--- a/crates/jobs/src/action.rs
+++ b/crates/jobs/src/action.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Ask a worker what runs and what ended, and renew its lease.
-    Look {
+    Poll {
         /// The worker.
         worker: u32,
         /// Ends up to this number may be dropped.
@@ -79,5 +79,5 @@
     /// Make a batch durable, all of it or none; one at a time.
     Commit(Batch),
     /// Another owner has taken over: stop at once.
-    Depose,
+    StepDown,
 }
--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -137,7 +137,7 @@
     /// Stops a run that stands still; returns in how many milliseconds it will have stood
     /// still for too long if it takes longer than was thought.
     fn check_stall(&mut self, slot: u32, id: TaskId) -> Option<u64> {
-        let (now, stall) = (self.now, self.settings.stall);
+        let (now, stall) = (self.now, self.settings.stall_limit);
         let (clock, _) = self.fleet.get(slot).clock?;
         let state = self.jobs.get_mut(&id.job)?;
         let job = state.job.clone();
@@ -203,7 +203,7 @@
         worker.looking = true;
         worker.looked = now;
         self.figures.looks += 1;
-        self.out.push(Action::Look {
+        self.out.push(Action::Poll {
             worker: slot,
             observed,
             deadline,
--- a/crates/jobs/src/event.rs
+++ b/crates/jobs/src/event.rs
@@ -56,7 +56,7 @@
     pub percent: u32,
     /// For a task that serves, the tail of its latency in milliseconds; for
     /// another, the thousandths of a core in use. Rough, of the last half second.
-    pub figure: Option<u64>,
+    pub metric: Option<u64>,
 }
 
 /// A worker's answer to a look.
@@ -116,12 +116,12 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     /// To a look.
-    Looked(Look),
+    Report(Look),
     /// No answer to a look.
-    Silent,
+    NoReply,
     /// No answer to a look: the worker's machine refused the connection, since no process
     /// listens there.
-    Absent,
+    ConnectionRefused,
     /// The worker has seen a higher epoch.
     Fenced,
     /// The worker's life has ended.
@@ -144,9 +144,9 @@
     /// A worker announced itself or changed.
     Worker(WorkerInfo),
     /// A worker's announcement is gone, or can't be read.
-    Unlisted(Arc<str>),
+    WorkerRemoved(Arc<str>),
     /// All announcements that there were at a time have been told.
-    Current {
+    WorkersSynced {
         /// When they were asked for, on the own steady clock in milliseconds.
         asked: u64,
     },
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -52,7 +52,7 @@
     spec::{Job, Schedule, Spec, SpecError, Step},
 };
 pub use runs::worker::{Capacity, WorkerInfo};
-pub use settings::{Settings, longest_lease};
+pub use settings::{Settings, lease_upper_bound};
 pub use share::learned::Learned;
 pub use sorted::Sorted;
 pub use takeover::Takeover;
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -94,7 +94,7 @@
 impl Machine {
     /// Makes a machine at `now` on the own steady clock, in milliseconds.
     pub fn new(settings: Settings, now: u64, takeover: Takeover) -> Machine {
-        let fleet = Fleet::new(takeover.inherited);
+        let fleet = Fleet::new(takeover.prior_leases_end);
         Machine {
             settings,
             jobs: Sorted::default(),
@@ -118,7 +118,7 @@
             images: Sorted::default(),
             flight: None,
             log: Log::default(),
-            contact: takeover.asked,
+            contact: takeover.asked_at,
             moved: true,
             placed: 0,
             checked: 0,
@@ -203,8 +203,8 @@
                 self.fleet.evacuate(zones);
                 self.moved = true;
             }
-            Event::Current { asked } => self.fleet.note_current(asked),
-            Event::Unlisted(id) => self.fleet.unlist(&id),
+            Event::WorkersSynced { asked } => self.fleet.note_current(asked),
+            Event::WorkerRemoved(id) => self.fleet.unlist(&id),
             Event::Queues(queues) => {
                 self.queues = queues;
                 self.moved = true;
@@ -318,13 +318,13 @@
 
     fn answered(&mut self, worker: u32, sent: u64, answer: Answer) {
         match answer {
-            Answer::Looked(look) => self.looked(worker, sent, look),
-            Answer::Silent => self.silent(worker, sent),
-            Answer::Absent => {
+            Answer::Report(look) => self.looked(worker, sent, look),
+            Answer::NoReply => self.silent(worker, sent),
+            Answer::ConnectionRefused => {
                 self.silent(worker, sent);
                 self.fleet.get_mut(worker).absent = true;
             }
-            Answer::Fenced => self.out.push(Action::Depose),
+            Answer::Fenced => self.out.push(Action::StepDown),
             Answer::Dead => self.worker_dead(worker),
             Answer::Started(task, run, started) => self.started(worker, task, run, started),
             Answer::Stopped(task, run, stopped) => self.stopped(worker, task, run, stopped),
--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -38,7 +38,7 @@
                 }
                 return self.worker_dead(slot);
             }
-            Started::Fenced => return self.out.push(Action::Depose),
+            Started::Fenced => return self.out.push(Action::StepDown),
             _ => {}
         }
         let stage = self.run_on(slot, id, number).map(|r| r.stage);
@@ -89,7 +89,7 @@
         let now = self.now;
         match stopped {
             Stopped::Dead => return self.worker_dead(slot),
-            Stopped::Fenced => return self.out.push(Action::Depose),
+            Stopped::Fenced => return self.out.push(Action::StepDown),
             _ => {}
         }
         let done = stopped == Stopped::Done;
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -44,7 +44,7 @@
             flight: Flight::default(),
         };
         let mut written = 0;
-        while written < self.dirty.len() && writer.records.len() < self.settings.batch {
+        while written < self.dirty.len() && writer.records.len() < self.settings.batch_records {
             if !self.write_job(self.dirty[written], &mut writer) {
                 break;
             }
--- a/crates/jobs/src/runs/fleet.rs
+++ b/crates/jobs/src/runs/fleet.rs
@@ -103,7 +103,7 @@
 
     /// Tells whether enough is known of the workers' announcements for something to begin.
     pub(crate) fn is_current(&self, now: u64, settings: &Settings) -> bool {
-        self.age(now) <= settings.stale
+        self.age(now) <= settings.max_staleness
     }
 
     /// Takes note that a worker's announcement is gone.
--- a/crates/jobs/src/runs/look.rs
+++ b/crates/jobs/src/runs/look.rs
@@ -40,7 +40,7 @@
     pub(crate) fn look_due(&self, deadline: Option<u64>, settings: &Settings) -> u64 {
         let gained = deadline.unwrap_or(0).saturating_sub(self.promised);
         if self.is_behind() && gained <= LEASE_GAP {
-            self.next_look.max(self.looked + settings.recheck)
+            self.next_look.max(self.looked + settings.repoll_delay)
         } else {
             self.next_look
         }
@@ -58,6 +58,6 @@
         if self.runs.is_empty() {
             return IDLE_WAIT;
         }
-        settings.wait.min(self.suspect.unwrap_or(u64::MAX))
+        settings.poll_wait.min(self.suspect.unwrap_or(u64::MAX))
     }
 }
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -18,7 +18,7 @@
         unlisted::HELD_UP,
         worker::{Capacity, size},
     },
-    settings::longest_lease,
+    settings::lease_upper_bound,
 };
 
 impl Machine {
@@ -74,7 +74,7 @@
         let dead = std::mem::replace(&mut worker.dead, true);
         let late = if worker.promised > 0 { HELD_UP } else { 0 };
         if worker.clock.is_some() || !worker.runs.is_empty() {
-            let end = now + late + longest_lease(settings.longest);
+            let end = now + late + lease_upper_bound(settings.max_lease);
             let worker = self.fleet.get_mut(new);
             worker.foreign = worker.foreign.max(end);
         }
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -37,8 +37,8 @@
     fn new() -> Owner {
         let now = 100_000;
         let takeover = Takeover {
-            asked: now,
-            inherited: 0,
+            asked_at: now,
+            prior_leases_end: 0,
         };
         let mut owner = Owner {
             machine: Machine::new(Settings::default(), now, takeover),
@@ -94,12 +94,12 @@
         for _ in 0..50 {
             self.now += 5;
             let asked = self.now;
-            self.tell(Event::Current { asked });
+            self.tell(Event::WorkersSynced { asked });
             self.tell(Event::Renewed { asked });
             for action in self.machine.settle(self.now, self.now) {
                 match action {
                     Action::Commit(_) => self.tell(Event::Committed { asked }),
-                    Action::Look { .. } => {}
+                    Action::Poll { .. } => {}
                     action => self.sent.push(action),
                 }
             }
@@ -134,7 +134,7 @@
             run,
             saved: "".into(),
             percent: 1,
-            figure: None,
+            metric: None,
         });
         let look = Look {
             born: Some(born),
@@ -144,7 +144,7 @@
         };
         let sent = self.now;
         self.now += 5;
-        self.answer(worker, sent, Answer::Looked(look));
+        self.answer(worker, sent, Answer::Report(look));
     }
 
     fn started(&mut self, worker: u32, run: u32, started: Started) {
@@ -261,10 +261,10 @@
     owner.list(0, 2, &[]);
     assert_eq!(owner.starts(), [(1, 2)]);
     owner.list(1, 2, &[2]);
-    let end = owner.now + Settings::default().longest;
+    let end = owner.now + Settings::default().max_lease;
     while owner.now < end {
         let sent = owner.now;
-        owner.answer(1, sent, Answer::Silent);
+        owner.answer(1, sent, Answer::NoReply);
         assert!(
             owner
                 .machine
@@ -275,7 +275,7 @@
     }
     while owner.now < end + 4000 {
         let sent = owner.now;
-        owner.answer(1, sent, Answer::Silent);
+        owner.answer(1, sent, Answer::NoReply);
     }
     assert!(
         owner
@@ -296,7 +296,7 @@
         .is_some_and(|j| j.has_runs())
     {
         let sent = owner.now;
-        owner.answer(0, sent, Answer::Silent);
+        owner.answer(0, sent, Answer::NoReply);
         assert!(owner.now < since + 60_000, "held for good");
     }
     owner.now - since
@@ -306,7 +306,7 @@
 /// that get no answer follow; one that its own life has taken does not.
 #[test]
 fn a_start_without_a_list_is_waited_for_as_long_as_a_later_life_may_run_it() {
-    let longest = Settings::default().longest;
+    let longest = Settings::default().max_lease;
     let mut own = Owner::new();
     own.started(0, 1, Started::DoneAt(own.now - 1));
     let own = hold(own);
--- a/crates/jobs/src/runs/trust.rs
+++ b/crates/jobs/src/runs/trust.rs
@@ -67,7 +67,7 @@
 impl Machine {
     /// Takes note that a run failed or hung on a worker, or was refused by it.
     pub(crate) fn blame(&mut self, slot: u32) {
-        let limits = (self.settings.quarantine, self.settings.exile);
+        let limits = (self.settings.quarantine, self.settings.max_quarantine);
         self.fleet.get_mut(slot).did_badly(self.now, limits);
     }
 }
--- a/crates/jobs/src/runs/unlisted.rs
+++ b/crates/jobs/src/runs/unlisted.rs
@@ -18,7 +18,7 @@
     machine::Machine,
     model::{ids::TaskId, task::Run},
     runs::worker::Worker,
-    settings::{Settings, longest_lease, slowest_clock},
+    settings::{Settings, lease_upper_bound, min_clock_advance},
 };
 
 /// An order is carried out within this time or not at all, in milliseconds.
@@ -36,7 +36,7 @@
     /// Takes note that an order which names the end of a lease is sent.
     pub(crate) fn note_lease_order(&mut self, now: u64, settings: &Settings) {
         if self.born.is_some() {
-            self.successor_lease = now + HELD_UP + longest_lease(settings.longest);
+            self.successor_lease = now + HELD_UP + lease_upper_bound(settings.max_lease);
         }
     }
 
@@ -48,7 +48,7 @@
     pub(super) fn has_reached(&self, reading: u64, sent: u64) -> bool {
         self.clock.is_some_and(|(last, at)| {
             let elapsed = sent.saturating_sub(at);
-            reading >= last + slowest_clock(elapsed)
+            reading >= last + min_clock_advance(elapsed)
         })
     }
 }
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -5,7 +5,7 @@
 use crate::{
     model::{ids::TaskId, life::Life, spec::Step},
     runs::{loose::Loose, stray::Stray},
-    settings::{Settings, longest_lease},
+    settings::{Settings, lease_upper_bound},
     share::{own_load::OwnLoad, slack::Slack, spare::unused},
 };
 
@@ -276,7 +276,7 @@
     /// delayed order grants no more than its sender knows of.
     pub(crate) fn deadline(&self, settings: &Settings, contact: u64) -> Option<u64> {
         let (reading, at) = self.clock?;
-        let left = (contact + settings.reach).saturating_sub(at);
+        let left = (contact + settings.store_grace).saturating_sub(at);
         (left > 0).then_some(reading + settings.lease.min(left))
     }
 
@@ -287,7 +287,7 @@
             return others;
         };
         let left = self.promised.saturating_sub(reading);
-        let own = at + longest_lease(left);
+        let own = at + lease_upper_bound(left);
         own.max(others)
     }
 
@@ -298,7 +298,7 @@
     /// promises less than that.
     pub(crate) fn heard(&mut self, reading: u64, now: u64, settings: &Settings) {
         if self.clock.is_none() {
-            let latest = now + longest_lease(settings.lease);
+            let latest = now + lease_upper_bound(settings.lease);
             self.inherited = self.inherited.min(latest);
         }
         self.clock = Some((reading, now));
--- a/crates/jobs/src/share/watch.rs
+++ b/crates/jobs/src/share/watch.rs
@@ -49,7 +49,7 @@
             let Some(run) = task.and_then(|t| t.run.as_mut()) else {
                 continue;
             };
-            let Some(ms) = row.figure.filter(|f| *f > 0) else {
+            let Some(ms) = row.metric.filter(|f| *f > 0) else {
                 run.note_no_tail();
                 over |= run.over.is_some();
                 continue;
@@ -145,7 +145,7 @@
     /// A look is answered as soon as a run ends, so that one that has just ended filled for
     /// all of that time.
     fn press(&self, slot: u32, look: &Look, ended: &[&End]) -> Vec<Press> {
-        let running = look.running.iter().map(|r| (r.task, r.figure));
+        let running = look.running.iter().map(|r| (r.task, r.metric));
         let ended = ended.iter().map(|e| (e.task, None));
         let mut out: Vec<Press> = Vec::new();
         for (task, figure) in running.chain(ended) {
--- a/crates/jobs/src/takeover.rs
+++ b/crates/jobs/src/takeover.rs
@@ -6,7 +6,7 @@
 pub struct Takeover {
     /// When it asked for the lease on the jobs that it was given: its first contact with the
     /// store. A successor counts from when that was done, however late the answer was read.
-    pub asked: u64,
+    pub asked_at: u64,
     /// When all leases of workers are over that earlier owners may have granted.
-    pub inherited: u64,
+    pub prior_leases_end: u64,
 }
--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -183,7 +183,7 @@
     world.run(late);
     // Only the record is late: what the workers announce is known.
     let now = world.now;
-    world.tell(Event::Current { asked: now });
+    world.tell(Event::WorkersSynced { asked: now });
     world.tell(Event::Committed { asked });
     world.run(300);
     assert_eq!(world.workers[0].runs.len(), 2, "nothing was started");
@@ -223,7 +223,7 @@
     world.run(50);
     let worker = &world.workers[0];
     let left = worker.deadline - worker.clock(world.now);
-    let reach = contact + Settings::default().reach - world.now;
+    let reach = contact + Settings::default().store_grace - world.now;
     assert!(left + 500 > reach, "{left} of {reach} ms left");
 }
 
--- a/crates/jobs/tests/all/common/crash.rs
+++ b/crates/jobs/tests/all/common/crash.rs
@@ -42,7 +42,7 @@
             let at = self.workers.iter().position(|w| w.id == id);
             match at.filter(|_| self.settings.lives) {
                 Some(at) => self.lapse_row(at),
-                None => self.tell(Event::Unlisted(id)),
+                None => self.tell(Event::WorkerRemoved(id)),
             }
         }
         self.tell_arrivals();
@@ -82,13 +82,13 @@
 /// What answers an order at an address where nobody listens.
 pub(super) fn refused(action: &Action) -> Option<Answer> {
     match action {
-        Action::Look { .. } => Some(Answer::Absent),
+        Action::Poll { .. } => Some(Answer::ConnectionRefused),
         Action::Start(_, order) => {
             let started = Started::NotSent;
             Some(Answer::Started(order.task, order.run, started))
         }
         Action::Stop { task, run, .. } => Some(Answer::Stopped(*task, *run, Stopped::Unknown)),
         Action::Pace { task, run, .. } => Some(Answer::Paced(*task, *run, false)),
-        Action::Commit(_) | Action::Depose => None,
+        Action::Commit(_) | Action::StepDown => None,
     }
 }
--- a/crates/jobs/tests/all/common/lives.rs
+++ b/crates/jobs/tests/all/common/lives.rs
@@ -78,7 +78,7 @@
     /// A worker's row is gone, though the worker may be there.
     pub fn lapse_row(&mut self, at: usize) {
         self.rows[at] = None;
-        self.tell(Event::Unlisted(self.workers[at].id.clone()));
+        self.tell(Event::WorkerRemoved(self.workers[at].id.clone()));
     }
 
     /// What a worker announces under a name.
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -45,11 +45,11 @@
                 self.owners[at].commit = Some((now + self.write, batch.clone()));
                 return;
             }
-            Action::Depose => {
+            Action::StepDown => {
                 self.owners[at].deposed = true;
                 return;
             }
-            Action::Look { worker, .. }
+            Action::Poll { worker, .. }
             | Action::Stop { worker, .. }
             | Action::Pace { worker, .. } => *worker,
             Action::Start(worker, _) => *worker,
@@ -112,7 +112,7 @@
                 Parcel::Answer(worker, sent, answer) => {
                     let owner = &mut self.owners[at];
                     if !owner.deposed {
-                        if let Answer::Looked(look) = &answer {
+                        if let Answer::Report(look) = &answer {
                             let (_, id) = owner.machine.worker(worker).expect("announced");
                             self.judge.read(now, owner.epoch, id, look);
                         }
@@ -163,7 +163,7 @@
         let reached = worker.alive && !worker.cut;
         let (slot, silence) = silence(&action);
         let answer = match &action {
-            Action::Look {
+            Action::Poll {
                 observed, deadline, ..
             } => {
                 let look = reached
@@ -181,7 +181,7 @@
                         Some(look)
                     })
                     .flatten();
-                look.map_or(Answer::Fenced, Answer::Looked)
+                look.map_or(Answer::Fenced, Answer::Report)
             }
             Action::Start(_, order) => {
                 let mut started = Started::Unknown;
@@ -233,11 +233,11 @@
                 let done = reached && worker.pace(*task, *run, *percent);
                 Answer::Paced(*task, *run, done)
             }
-            Action::Commit(_) | Action::Depose => return,
+            Action::Commit(_) | Action::StepDown => return,
         };
-        let waits = matches!(&action, Action::Look { wait, .. } if *wait > 0);
+        let waits = matches!(&action, Action::Poll { wait, .. } if *wait > 0);
         let idle = match &answer {
-            Answer::Looked(look) => look.finished.is_empty(),
+            Answer::Report(look) => look.finished.is_empty(),
             _ => false,
         };
         if late {
@@ -296,7 +296,7 @@
 }
 
 fn is_look(action: &Action) -> bool {
-    matches!(action, Action::Look { .. })
+    matches!(action, Action::Poll { .. })
 }
 
 /// The slot of the worker that an order is for.
@@ -307,7 +307,7 @@
 /// Milliseconds after which an order is given up.
 fn limit(action: &Action) -> u64 {
     match action {
-        Action::Look { wait, .. } => wait + LOOK_LIMIT,
+        Action::Poll { wait, .. } => wait + LOOK_LIMIT,
         _ => ORDER_LIMIT,
     }
 }
@@ -315,7 +315,7 @@
 /// What the owner is told of an order that gets no answer.
 fn silence(action: &Action) -> (u32, Answer) {
     match action {
-        Action::Look { worker, .. } => (*worker, Answer::Silent),
+        Action::Poll { worker, .. } => (*worker, Answer::NoReply),
         Action::Start(worker, order) => {
             let answer = Answer::Started(order.task, order.run, Started::Unknown);
             (*worker, answer)
@@ -326,6 +326,6 @@
         Action::Pace {
             worker, task, run, ..
         } => (*worker, Answer::Paced(*task, *run, false)),
-        Action::Commit(_) | Action::Depose => unreachable!("not an order"),
+        Action::Commit(_) | Action::StepDown => unreachable!("not an order"),
     }
 }
--- a/crates/jobs/tests/all/common/sim.rs
+++ b/crates/jobs/tests/all/common/sim.rs
@@ -287,7 +287,7 @@
                 true => 100,
                 false => (r.done * 100 / r.work.max(1)).min(99) as u32,
             },
-            figure: Some(self.figure(now, r)),
+            metric: Some(self.figure(now, r)),
         });
         Some(Look {
             born: self.born,
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -191,7 +191,10 @@
         self.epoch += 1;
         let learned = self.owners.last().map(|o| o.machine.learned());
         let asked = self.now - self.claim;
-        let takeover = Takeover { asked, inherited };
+        let takeover = Takeover {
+            asked_at: asked,
+            prior_leases_end: inherited,
+        };
         let mut machine = Machine::new(settings(), self.now, takeover);
         if let Some(learned) = learned.filter(|_| self.remembers) {
             machine.recall(&learned);
@@ -263,7 +266,7 @@
     /// contact may be newer by half a second than the renewal that this one saw.
     pub fn lease_end(&self) -> u64 {
         let settings = Settings::default();
-        self.renewed.max(self.now) + 500 + settings.reach * 100 / 98 + 100
+        self.renewed.max(self.now) + 500 + settings.store_grace * 100 / 98 + 100
     }
 
     /// The newest owner's machine is suspended for so many milliseconds.
@@ -437,7 +440,7 @@
         if !self.unheard {
             owner
                 .machine
-                .handle(at_owner, now, Event::Current { asked: at_owner });
+                .handle(at_owner, now, Event::WorkersSynced { asked: at_owner });
         }
         let Some((due, batch)) = owner.commit.take_if(|(due, _)| *due <= now) else {
             return;
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -38,8 +38,8 @@
     fn new(step: Step) -> Owner {
         let now = 100_000;
         let takeover = Takeover {
-            asked: now,
-            inherited: 0,
+            asked_at: now,
+            prior_leases_end: 0,
         };
         let mut owner = Owner {
             machine: Machine::new(Settings::default(), now, takeover),
@@ -93,7 +93,7 @@
         while self.now < end {
             self.now += 5;
             let asked = self.now;
-            self.tell(Event::Current { asked });
+            self.tell(Event::WorkersSynced { asked });
             self.tell(Event::Renewed { asked });
             for action in self.machine.settle(self.now, self.now) {
                 self.act(action);
@@ -105,8 +105,8 @@
         let sent = self.now;
         let (worker, answer) = match action {
             Action::Commit(_) => return self.tell(Event::Committed { asked: sent }),
-            Action::Depose => panic!("there is no other owner"),
-            Action::Look {
+            Action::StepDown => panic!("there is no other owner"),
+            Action::Poll {
                 worker, observed, ..
             } => {
                 let lists = self.workers.entry(worker).or_default();
@@ -117,7 +117,7 @@
                     running: lists.running.clone(),
                     finished: lists.finished.clone(),
                 };
-                (worker, Answer::Looked(look))
+                (worker, Answer::Report(look))
             }
             Action::Start(worker, order) => {
                 self.workers
@@ -129,7 +129,7 @@
                         run: order.run,
                         saved: order.saved.clone(),
                         percent: 10,
-                        figure: None,
+                        metric: None,
                     });
                 let answer = Answer::Started(order.task, order.run, Started::Done);
                 self.starts.push(order);
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -74,7 +74,7 @@
             latency: 250,
         }]));
         owner.tell(Event::Worker(info("w")));
-        owner.tell(Event::Current { asked: NOW });
+        owner.tell(Event::WorkersSynced { asked: NOW });
         for job in jobs {
             owner.tell(Event::Accepted(job.clone()));
         }
@@ -90,7 +90,7 @@
         let end = self.now + ms;
         while self.now < end {
             self.now += 50;
-            self.tell(Event::Current { asked: self.now });
+            self.tell(Event::WorkersSynced { asked: self.now });
             self.tell(Event::Renewed { asked: self.now });
             for action in self.machine.settle(self.now, self.now) {
                 self.act(action);
@@ -114,21 +114,21 @@
                     run: order.run,
                     saved: "".into(),
                     percent: 100,
-                    figure: None,
+                    metric: None,
                 });
                 let started = Answer::Started(order.task, order.run, Started::Done);
                 (worker, started)
             }
-            Action::Look { worker, .. } => {
+            Action::Poll { worker, .. } => {
                 let look = Look {
                     born: None,
                     clock: sent,
                     running: self.running.clone(),
                     finished: self.finished.clone(),
                 };
-                (worker, Answer::Looked(look))
+                (worker, Answer::Report(look))
             }
-            Action::Stop { .. } | Action::Pace { .. } | Action::Depose => return,
+            Action::Stop { .. } | Action::Pace { .. } | Action::StepDown => return,
         };
         self.tell(Event::Answer {
             worker,
@@ -140,8 +140,8 @@
 
 fn takeover() -> Takeover {
     Takeover {
-        asked: NOW,
-        inherited: NOW,
+        asked_at: NOW,
+        prior_leases_end: NOW,
     }
 }
 
@@ -240,7 +240,7 @@
 #[test]
 fn what_the_log_tells_of_a_job_outlasts_its_end() {
     let short = Settings {
-        batch: 1,
+        batch_records: 1,
         log_rows: 0,
         ..Settings::default()
     };
--- a/crates/jobs/tests/all/promises.rs
+++ b/crates/jobs/tests/all/promises.rs
@@ -225,7 +225,7 @@
 fn an_unlisted_worker_gets_nothing_new() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
-    world.tell(Event::Unlisted("w0".into()));
+    world.tell(Event::WorkerRemoved("w0".into()));
     world.submit(1, chain(vec![short(8, 500)]));
     world.run(300);
     assert!(world.workers[0].runs.is_empty());
--- a/crates/jobs/tests/all/records/life.rs
+++ b/crates/jobs/tests/all/records/life.rs
@@ -122,9 +122,9 @@
             run: r.number,
             saved: r.saved.clone(),
             percent: 50,
-            figure: None,
+            metric: None,
         });
-        Answer::Looked(Look {
+        Answer::Report(Look {
             born: None,
             clock,
             running: rows.collect(),
--- a/crates/jobs/tests/all/records/play.rs
+++ b/crates/jobs/tests/all/records/play.rs
@@ -114,7 +114,7 @@
             self.deliver(parcel);
         }
         let asked = self.now;
-        self.tell(Event::Current { asked });
+        self.tell(Event::WorkersSynced { asked });
         self.tell(Event::Renewed { asked });
         for action in self.machine.settle(self.now, self.now) {
             self.act(action);
@@ -159,7 +159,7 @@
     fn deliver(&mut self, parcel: Parcel) {
         match parcel {
             Parcel::Answer(epoch, worker, sent, answer) if epoch == self.epoch => {
-                if let Answer::Looked(look) = &answer {
+                if let Answer::Report(look) = &answer {
                     let running = look.running.iter().map(|r| (r.task, &r.saved));
                     let ended = look.finished.iter().map(|e| (e.task, &e.saved));
                     for (task, saved) in running.chain(ended) {
@@ -193,7 +193,7 @@
 
     fn act(&mut self, action: Action) {
         let (worker, answer) = match action {
-            Action::Look {
+            Action::Poll {
                 worker, observed, ..
             } => {
                 let (clock, fence) = (self.now, self.epoch);
@@ -215,7 +215,7 @@
                 self.parcels.push((due, Parcel::Batch(self.epoch, batch)));
                 return;
             }
-            Action::Pace { .. } | Action::Depose => panic!("not expected"),
+            Action::Pace { .. } | Action::StepDown => panic!("not expected"),
         };
         let due = self.now + self.delay();
         let parcel = Parcel::Answer(self.epoch, worker, self.now, answer);
@@ -263,8 +263,8 @@
 /// A machine of a new owner.
 fn machine(now: u64) -> Machine {
     let takeover = Takeover {
-        asked: now,
-        inherited: now + 1000,
+        asked_at: now,
+        prior_leases_end: now + 1000,
     };
     Machine::new(Settings::default(), now, takeover)
 }
--- a/crates/jobs/tests/all/regression.rs
+++ b/crates/jobs/tests/all/regression.rs
@@ -248,7 +248,7 @@
     world.run(1500);
     world.workers[2].alive = false;
     world.workers[2].runs.clear();
-    world.tell(Event::Unlisted("w2".into()));
+    world.tell(Event::WorkerRemoved("w2".into()));
     world.run(10_000);
     assert!(at(&world).is_some(), "it does not run");
 }
--- a/crates/node/src/contest.rs
+++ b/crates/node/src/contest.rs
@@ -1,6 +1,6 @@
 //! Who takes a lease that may be free.
 
-use gorsespur_jobs::{Settings, longest_lease};
+use gorsespur_jobs::{Settings, lease_upper_bound};
 
 use crate::{
     census::is_small,
@@ -105,12 +105,12 @@
         };
         let last = if lease.released || lease.owner == self.name {
             // One process runs under a name: the one that held the lease has ended.
-            now + longest_lease(jobs.lease)
+            now + lease_upper_bound(jobs.lease)
         } else {
             // Whatever it still grants reaches no further from its last contact. Without that
             // the times of renewing and of a lease add up to 12.7 s, and a lasting task may be
             // away for 10 s.
-            (now + RENEWAL + longest_lease(jobs.reach)).saturating_sub(self.age)
+            (now + RENEWAL + lease_upper_bound(jobs.store_grace)).saturating_sub(self.age)
         };
         // One before it may live on in a zone that is cut off, and renew what runs there.
         last.max((now + lease.earlier).saturating_sub(self.age))
--- a/crates/node/src/fakes_tests.rs
+++ b/crates/node/src/fakes_tests.rs
@@ -96,13 +96,13 @@
             return Answer::Started(start.task, start.run, started);
         }
         match result {
-            Ok(_) => Answer::Looked(Look {
+            Ok(_) => Answer::Report(Look {
                 born: None,
                 clock: 1,
                 running: Vec::new(),
                 finished: Vec::new(),
             }),
-            Err(_) => Answer::Silent,
+            Err(_) => Answer::NoReply,
         }
     }
 
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -284,7 +284,10 @@
         census: lease.census,
         pending: lease.pending,
         head: version,
-        takeover: Takeover { asked, inherited },
+        takeover: Takeover {
+            asked_at: asked,
+            prior_leases_end: inherited,
+        },
     }))
 }
 
--- a/crates/node/src/lease_tests.rs
+++ b/crates/node/src/lease_tests.rs
@@ -54,7 +54,10 @@
     let tenure = claim(&shared, seen).expect("an answer").expect("not taken");
     let takeover = tenure.takeover;
     // Both count from when the lease was seen, whenever the claim was asked for.
-    assert_eq!(takeover.inherited, seen.since + u64::from(u32::MAX));
-    assert_eq!(store.newest().earlier, takeover.inherited - takeover.asked);
+    assert_eq!(takeover.prior_leases_end, seen.since + u64::from(u32::MAX));
+    assert_eq!(
+        store.newest().earlier,
+        takeover.prior_leases_end - takeover.asked_at
+    );
     assert_eq!(store.newest().epoch, 4);
 }
--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -132,7 +132,7 @@
                     take_workers(shared, &mut follow, &c.rows, &mut events);
                     follow.version = Some(c.version);
                     if c.whole {
-                        events.push(Event::Current { asked });
+                        events.push(Event::WorkersSynced { asked });
                     }
                     pause_after(&c)
                 })
@@ -173,12 +173,12 @@
     let rows = &listing.page.rows;
     for key in &follow.keys {
         if !rows.iter().any(|r| r.key == *key) {
-            events.push(Event::Unlisted(key.as_str().into()));
+            events.push(Event::WorkerRemoved(key.as_str().into()));
         }
     }
     follow.keys.clear();
     take_workers(shared, follow, rows, events);
-    events.push(Event::Current {
+    events.push(Event::WorkersSynced {
         asked: listing.asked,
     });
     follow.version = Some(listing.page.version);
@@ -189,7 +189,7 @@
         let at = follow.keys.binary_search(&row.key);
         if row.removed {
             log::info!(worker = row.key.as_str(); "worker: no longer listed");
-            events.push(Event::Unlisted(row.key.as_str().into()));
+            events.push(Event::WorkerRemoved(row.key.as_str().into()));
             if let Ok(at) = at {
                 follow.keys.remove(at);
             }
@@ -203,7 +203,7 @@
                 shared.metrics.count(Count::BadRows);
                 log::warn!(worker = row.key.as_str(), err = err.to_string().as_str(); "worker: can't be read");
                 // Nothing begins there any more; what runs there is asked after as before.
-                events.push(Event::Unlisted(row.key.as_str().into()));
+                events.push(Event::WorkerRemoved(row.key.as_str().into()));
             }
         }
         if let Err(at) = at {
--- a/crates/node/src/owner/journal_tests.rs
+++ b/crates/node/src/owner/journal_tests.rs
@@ -40,8 +40,8 @@
         pending: Vec::new(),
         head: 1,
         takeover: Takeover {
-            asked: 0,
-            inherited,
+            asked_at: 0,
+            prior_leases_end: inherited,
         },
     };
     let (ring, entries) = flume::bounded(1);
--- a/crates/node/src/owner/lines_tests.rs
+++ b/crates/node/src/owner/lines_tests.rs
@@ -141,7 +141,7 @@
 fn what_was_answered_is_not_given_up() {
     let mut desk = asked(true);
     let answers = desk.read();
-    assert!(matches!(answers[..], [(0, _, Answer::Looked(_))]));
+    assert!(matches!(answers[..], [(0, _, Answer::Report(_))]));
     assert!(desk.expire(desk.sent + 60_000, false).is_empty());
 }
 
@@ -149,7 +149,7 @@
 fn a_call_is_given_up_at_its_time() {
     let mut desk = asked(false);
     assert!(desk.expire(desk.sent + 800, false).is_empty());
-    assert_eq!(desk.expire(desk.sent + 1500, false), [Answer::Silent]);
+    assert_eq!(desk.expire(desk.sent + 1500, false), [Answer::NoReply]);
 }
 
 /// What lies unread after a pause is read before its call is given up: the pause itself
@@ -159,7 +159,7 @@
     let mut desk = asked(false);
     assert!(desk.expire(desk.sent + 5000, true).is_empty());
     assert!(desk.expire(desk.sent + 5050, false).is_empty());
-    assert_eq!(desk.expire(desk.sent + 5200, true), [Answer::Silent]);
+    assert_eq!(desk.expire(desk.sent + 5200, true), [Answer::NoReply]);
 }
 
 /// A start that waited while the connection was held up is not sent on what was known
@@ -347,7 +347,7 @@
         let target = (addr, "w".into());
         desk.lines.send(desk.poll.registry(), 0, target, look);
         let answers = desk.read();
-        assert!(matches!(answers[..], [(0, _, Answer::Looked(_))]));
+        assert!(matches!(answers[..], [(0, _, Answer::Report(_))]));
         if observed == 2 {
             closed.recv().expect("closed");
         }
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -244,7 +244,7 @@
             return;
         }
         let (worker, order) = match action {
-            Action::Look {
+            Action::Poll {
                 worker,
                 observed,
                 deadline,
@@ -266,7 +266,7 @@
                 percent,
             } => (worker, Order::Pace(task, run, percent)),
             Action::Commit(batch) => return send(journal, Entry::Batch(batch)),
-            Action::Depose => {
+            Action::StepDown => {
                 log::warn!("owner: a worker has seen a higher epoch");
                 self.over = true;
                 return;
