--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -8,8 +8,9 @@
 };
 
 use gorsespur_jobs::{
-    Action, Answer, Capacity, End, Ending, Event, Figures, Job, JobId, Look, Machine, QueuePolicy,
-    Running, Settings, Spec, StartOrder, Started, Step, Stopped, Takeover, TaskId, WorkerInfo,
+    Action, Answer, Capacity, Ending, Event, Job, JobId, Machine, QueuePolicy, ReportedRun, RunEnd,
+    Settings, Spec, StartOrder, Started, Stats, Step, Stopped, Takeover, TaskId, WorkerInfo,
+    WorkerReport,
 };
 
 use crate::ledger::Ledger;
@@ -54,7 +55,7 @@
 #[derive(Debug, Default)]
 struct Worker {
     runs: Vec<TaskIndex>,
-    ends: Vec<End>,
+    ends: Vec<RunEnd>,
     next: u64,
     /// A look that waits: its number and when it was sent.
     look: Option<(u64, u64)>,
@@ -127,8 +128,8 @@
                 count: 24,
                 cpu: 6400,
                 memory: 13_000,
-                lasting: true,
-                target: 150,
+                long_running: true,
+                latency_target: 150,
                 image: Some(format!("serve{image}").into()),
                 ..Step::default()
             };
@@ -187,15 +188,15 @@
     }
 
     /// What the machine counted.
-    pub fn figures(&self) -> Figures {
-        self.machine.figures()
+    pub fn figures(&self) -> Stats {
+        self.machine.stats()
     }
 
     /// What waits.
     pub fn backlog(&self) -> String {
         let pending = self.machine.pending();
-        let figures = self.machine.figures();
-        let (open, passes, cut) = (figures.open, figures.passes, figures.cut);
+        let figures = self.machine.stats();
+        let (open, passes, cut) = (figures.open, figures.passes, figures.truncated_passes);
         format!("{open} open, waiting {pending:?}, {cut} of {passes} passes cut")
     }
 
@@ -226,7 +227,7 @@
                     cpu: 3500,
                     memory: 6400,
                     estimate: 1700,
-                    fill: true,
+                    best_effort: true,
                     checkpoints: true,
                     image: Some(format!("fill{image}").into()),
                     ..Step::default()
@@ -298,12 +299,12 @@
         let at = &mut self.workers[worker as usize];
         at.runs.retain(|&r| r != run);
         at.next += 1;
-        at.ends.push(End {
+        at.ends.push(RunEnd {
             number: at.next,
             task: self.runs[run].task,
             run: self.runs[run].number,
             ending,
-            saved: "".into(),
+            checkpoint: "".into(),
         });
         if at.look.is_some() {
             self.looked(worker);
@@ -316,10 +317,10 @@
         let Some((_, sent)) = at.look.take() else {
             return;
         };
-        let row = |r: &Run| Running {
+        let row = |r: &Run| ReportedRun {
             task: r.task,
             run: r.number,
-            saved: "".into(),
+            checkpoint: "".into(),
             percent: match r.lasting {
                 true => 100,
                 false => ((now - r.begun) * 100 / r.work).min(99) as u32,
@@ -329,7 +330,7 @@
                 target => target * (30 + (now / 500 + r.task.job.0) % 20) / 100,
             }),
         };
-        let look = Look {
+        let look = WorkerReport {
             born: None,
             clock: CLOCK + now,
             running: at.runs.iter().map(|&r| row(&self.runs[r])).collect(),
@@ -351,7 +352,7 @@
         }
         self.machine
             .handle(now, now, Event::WorkersSynced { asked: now });
-        let actions = self.machine.settle(now, now);
+        let actions = self.machine.decide(now, now);
         self.spent += start.elapsed();
         for action in actions {
             self.act(action);
@@ -418,13 +419,13 @@
             number: order.run,
             begun: self.now,
             work: step.estimate.max(1),
-            lasting: step.lasting,
-            target: step.target,
+            lasting: step.long_running,
+            target: step.latency_target,
             cpu: step.cpu,
             over: false,
         });
         self.workers[worker as usize].runs.push(index);
-        if !step.lasting {
+        if !step.long_running {
             let due = Due::End(worker, index);
             self.due.push(Reverse((self.now + step.estimate, due)));
         }
--- a/crates/jobs/src/action.rs
+++ b/crates/jobs/src/action.rs
@@ -19,7 +19,7 @@
     /// End of the lease on the worker's clock, in milliseconds.
     pub deadline: u64,
     /// Progress to go on from; empty for none.
-    pub saved: Arc<str>,
+    pub checkpoint: Arc<str>,
 }
 
 /// What is made durable together.
--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -40,7 +40,7 @@
         self.fit();
         if self.place_due() {
             self.placed = self.now;
-            self.figures.passes += 1;
+            self.stats.passes += 1;
             // What a cut pass has left is placed by the next one.
             self.moved = self.place() == Coverage::Partial;
         }
@@ -115,7 +115,7 @@
         let Some(run) = state.task(id).and_then(|t| t.run.as_ref()) else {
             return true;
         };
-        if step.lasting {
+        if step.long_running {
             return false;
         }
         let left = step.estimate * u64::from(100 - run.percent.min(100)) / 100;
@@ -147,10 +147,10 @@
             return None;
         };
         // A look a second shows progress: what takes longer a percent is not judged.
-        let limit = stall.max(step.estimate / 20) * if step.fill { 3 } else { 1 };
+        let limit = stall.max(step.estimate / 20) * if step.best_effort { 3 } else { 1 };
         let slowed = run.pace < 100 || run.wanted < 100;
         let over = !slowed && now > at + step.estimate + limit;
-        if step.lasting || step.gang || !over {
+        if step.long_running || step.gang || !over {
             return None;
         }
         // Only what the worker's own answers show counts: they may be read late.
@@ -202,7 +202,7 @@
         }
         worker.looking = true;
         worker.looked = now;
-        self.figures.looks += 1;
+        self.stats.polls += 1;
         self.out.push(Action::Poll {
             worker: slot,
             observed,
@@ -212,7 +212,7 @@
     }
 
     /// Returns the names of the workers whose connections may be closed.
-    pub fn closable(&self) -> Vec<u32> {
+    pub fn closable_workers(&self) -> Vec<u32> {
         let mut out = Vec::new();
         for (slot, worker) in self.fleet.workers.iter().enumerate() {
             let idle = worker.runs.is_empty() && worker.strays.is_empty();
--- a/crates/jobs/src/event.rs
+++ b/crates/jobs/src/event.rs
@@ -30,7 +30,7 @@
 
 /// An end that a worker lists.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct End {
+pub struct RunEnd {
     /// Number of the end in the worker's life, rising from 1.
     pub number: u64,
     /// The task.
@@ -40,18 +40,18 @@
     /// How it ended.
     pub ending: Ending,
     /// Progress it saved; empty for none.
-    pub saved: Arc<str>,
+    pub checkpoint: Arc<str>,
 }
 
 /// A run that a worker lists.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Running {
+pub struct ReportedRun {
     /// The task.
     pub task: TaskId,
     /// Number of the run.
     pub run: u32,
     /// Progress it saved; empty for none.
-    pub saved: Arc<str>,
+    pub checkpoint: Arc<str>,
     /// Progress in percent.
     pub percent: u32,
     /// For a task that serves, the tail of its latency in milliseconds; for
@@ -61,15 +61,15 @@
 
 /// A worker's answer to a look.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Look {
+pub struct WorkerReport {
     /// When the life that answers began, in milliseconds since 1970, if it says so.
     pub born: Option<u64>,
     /// The worker's steady clock in milliseconds.
     pub clock: u64,
     /// What runs.
-    pub running: Vec<Running>,
+    pub running: Vec<ReportedRun>,
     /// What ended and was not dropped yet, in order.
-    pub finished: Vec<End>,
+    pub finished: Vec<RunEnd>,
 }
 
 /// What came of a start.
@@ -116,7 +116,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     /// To a look.
-    Report(Look),
+    Report(WorkerReport),
     /// No answer to a look.
     NoReply,
     /// No answer to a look: the worker's machine refused the connection, since no process
--- a/crates/jobs/src/figures.rs
+++ b/crates/jobs/src/figures.rs
@@ -2,7 +2,7 @@
 
 /// What the machine counts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Stats {
     /// Jobs that are not finished.
     pub open: u64,
     /// Tasks that are kept in memory, of finished jobs as well.
@@ -20,34 +20,34 @@
     /// Starts that workers rejected for the checkpoint that they brought.
     pub rejected: u64,
     /// Starts without an answer.
-    pub unclear: u64,
+    pub unanswered_starts: u64,
     /// Runs given up since their leases were over.
     pub lapsed: u64,
     /// Runs lost with their workers, for whatever cause; those whose leases were over as well.
     pub lost: u64,
     /// Jobs given up since a task of theirs crashed its workers.
-    pub given_up: u64,
+    pub jobs_given_up: u64,
     /// Runs of earlier owners on workers that were not heard yet; they hold their tasks.
-    pub unheard: u64,
+    pub unverified_runs: u64,
     /// Jobs of which nothing has run for seconds though a task could.
-    pub still: u64,
+    pub starved_jobs: u64,
     /// Tasks that have a run. None beside jobs that stand still: a guard keeps work from all
     /// workers.
     pub running: u64,
     /// Looks that were sent.
-    pub looks: u64,
+    pub polls: u64,
     /// Passes of placement over the open jobs.
     pub passes: u64,
     /// Workers that were rated for a step, in all passes.
     pub ratings: u64,
     /// Passes that left steps to the next one.
-    pub cut: u64,
+    pub truncated_passes: u64,
     /// Passes that were held back, since starts were answered late.
-    pub held: u64,
+    pub throttled_passes: u64,
     /// Passes that placed nothing, since too little was known of the workers.
-    pub stale: u64,
+    pub skipped_passes: u64,
     /// How old what is known of the workers' announcements is, in milliseconds.
-    pub age: u64,
+    pub workers_age: u64,
     /// Batches that were sent to be committed.
     pub commits: u64,
 }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -42,8 +42,8 @@
 mod takeover;
 
 pub use action::{Action, Batch, StartOrder};
-pub use event::{Answer, End, Ending, Event, Look, Running, Started, Stopped};
-pub use figures::Figures;
+pub use event::{Answer, Ending, Event, ReportedRun, RunEnd, Started, Stopped, WorkerReport};
+pub use figures::Stats;
 pub use machine::Machine;
 pub use model::{
     ids::{IdError, JobId, TaskId},
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -5,7 +5,7 @@
 use crate::{
     action::Action,
     event::{Answer, Event},
-    figures::Figures,
+    figures::Stats,
     model::{
         ids::{JobId, TaskId},
         job::JobState,
@@ -88,7 +88,7 @@
     pub(crate) now: u64,
     pub(crate) wall: u64,
     pub(crate) out: Vec<Action>,
-    pub(crate) figures: Figures,
+    pub(crate) stats: Stats,
 }
 
 impl Machine {
@@ -127,7 +127,7 @@
             now,
             wall: 0,
             out: Vec::new(),
-            figures: Figures::default(),
+            stats: Stats::default(),
         }
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Takes an event at `now` on the own steady clock, and `wall` since 1970,
-    /// both in milliseconds. [`Machine::settle`] follows after one or several.
+    /// both in milliseconds. [`Machine::decide`] follows after one or several.
     pub fn handle(&mut self, now: u64, wall: u64, event: Event) {
         self.now = now.max(self.now);
         self.wall = wall;
@@ -223,7 +223,7 @@
     }
 
     /// Decides, and returns what is to be done.
-    pub fn settle(&mut self, now: u64, wall: u64) -> Vec<Action> {
+    pub fn decide(&mut self, now: u64, wall: u64) -> Vec<Action> {
         self.now = now.max(self.now);
         self.wall = wall;
         self.drive();
@@ -231,13 +231,13 @@
     }
 
     /// Returns the figures.
-    pub fn figures(&self) -> Figures {
-        Figures {
+    pub fn stats(&self) -> Stats {
+        Stats {
             open: self.open.len() as u64,
             tasks: self.jobs.iter().map(|(_, j)| j.size()).sum(),
-            age: self.fleet.age(self.now),
-            unheard: self.unheard(),
-            ..self.figures
+            workers_age: self.fleet.age(self.now),
+            unverified_runs: self.unheard(),
+            ..self.stats
         }
     }
 
@@ -264,7 +264,7 @@
     }
 
     /// Tells whether the job is known already.
-    pub fn knows(&self, id: JobId) -> bool {
+    pub fn has_job(&self, id: JobId) -> bool {
         self.jobs.get(&id).is_some()
     }
 
@@ -276,10 +276,10 @@
 
     fn accepted(&mut self, job: Arc<Job>) {
         let id = job.id;
-        if self.knows(id) {
+        if self.has_job(id) {
             return;
         }
-        log::info!(job = id.to_string().as_str(), queue = &*job.queue, chain = job.spec.chain(); "jobs: taken up");
+        log::info!(job = id.to_string().as_str(), queue = &*job.queue, chain = job.spec.critical_path(); "jobs: taken up");
         let images = self.number_images(&job);
         self.jobs.insert(id, JobState::new(job, images, self.now));
         self.open.push(id);
--- a/crates/jobs/src/model/ids.rs
+++ b/crates/jobs/src/model/ids.rs
@@ -46,7 +46,7 @@
     /// The job.
     pub job: JobId,
     /// Repetition, counted from 0.
-    pub time: u32,
+    pub repetition: u32,
     /// Step, counted from 0.
     pub step: u32,
     /// Index in the step, counted from 0.
@@ -55,7 +55,11 @@
 
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}.{}.{}", self.job, self.time, self.step, self.index)
+        write!(
+            f,
+            "{}.{}.{}.{}",
+            self.job, self.repetition, self.step, self.index
+        )
     }
 }
 
@@ -69,7 +73,7 @@
         let (time, step, index) = (number(), number(), number());
         let id = TaskId {
             job,
-            time: time.context(IdSnafu { text })?,
+            repetition: time.context(IdSnafu { text })?,
             step: step.context(IdSnafu { text })?,
             index: index.context(IdSnafu { text })?,
         };
--- a/crates/jobs/src/model/job.rs
+++ b/crates/jobs/src/model/job.rs
@@ -138,13 +138,13 @@
 
     /// Returns a task.
     pub(crate) fn task(&self, id: TaskId) -> Option<&Task> {
-        let step = self.step(id.time, id.step)?;
+        let step = self.step(id.repetition, id.step)?;
         step.tasks.get(id.index as usize)
     }
 
     /// Returns a task, to be changed.
     pub(crate) fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
-        let step = self.step_mut(id.time, id.step)?;
+        let step = self.step_mut(id.repetition, id.step)?;
         step.tasks.get_mut(id.index as usize)
     }
 
@@ -168,7 +168,7 @@
                 for index in 0..state.tasks.len() {
                     out.push(TaskId {
                         job: self.job.id,
-                        time: time as u32,
+                        repetition: time as u32,
                         step: step as u32,
                         index: index as u32,
                     });
@@ -202,7 +202,7 @@
             let task = &mut state.tasks[index as usize];
             task.last = kept.run;
             task.failed = kept.failed.clone();
-            task.saved = Checkpoint::kept(&kept.saved);
+            task.checkpoint = Checkpoint::kept(&kept.saved);
             task.crashes = kept.crashes.clone();
             let run = kept.worker.as_ref();
             let run = run.map(|w| Run::new(slot(w), Stage::Inherited, self.seen));
--- a/crates/jobs/src/model/record.rs
+++ b/crates/jobs/src/model/record.rs
@@ -114,7 +114,7 @@
     }
 
     /// Tells whether it can be one of a job with this spec: somebody else may have written it.
-    pub fn fits(&self, spec: &Spec) -> bool {
+    pub fn is_valid_for(&self, spec: &Spec) -> bool {
         let count = |time: u32, step: u32| {
             let step = spec.steps.get(step as usize);
             step.filter(|_| time < spec.repetitions()).map(|s| s.count)
--- a/crates/jobs/src/model/spec.rs
+++ b/crates/jobs/src/model/spec.rs
@@ -60,21 +60,27 @@
     /// Label that its workers must have.
     pub label: Option<Arc<str>>,
     /// Rack in which its data lies.
-    pub rack: Option<Arc<str>>,
+    #[serde(rename = "rack")]
+    pub data_rack: Option<Arc<str>>,
     /// Tasks of the step that one worker may run at most; 0 for any number.
-    pub spread: u32,
+    #[serde(rename = "spread")]
+    pub max_per_worker: u32,
     /// Whether copies of a task may run beside each other.
     pub copies: bool,
     /// Whether its tasks run until the job is cancelled.
-    pub lasting: bool,
+    #[serde(rename = "lasting")]
+    pub long_running: bool,
     /// What its tasks run.
     pub image: Option<Arc<str>>,
     /// Latency in milliseconds that the tail of its answers stays under; 0 for none.
-    pub target: u64,
+    #[serde(rename = "target")]
+    pub latency_target: u64,
     /// Whether its tasks take the processor time that others leave.
-    pub fill: bool,
+    #[serde(rename = "fill")]
+    pub best_effort: bool,
     /// Tasks that may be away at once by the scheduler's doing; none without a budget.
-    pub away: Option<u32>,
+    #[serde(rename = "away")]
+    pub disruption_budget: Option<u32>,
 }
 
 /// When a repeated job falls due.
@@ -121,7 +127,7 @@
     }
 
     /// Returns the longest chain of estimated times, in milliseconds.
-    pub fn chain(&self) -> u64 {
+    pub fn critical_path(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let before = step.deps.iter().map(|&d| ends[d as usize]).max();
--- a/crates/jobs/src/model/step.rs
+++ b/crates/jobs/src/model/step.rs
@@ -72,12 +72,12 @@
     /// Gives all tasks the newest checkpoint of any of them: the members of a gang work jointly,
     /// and workers take what began from different checkpoints for different work.
     pub(crate) fn share_checkpoint(&mut self) {
-        let saved = self.tasks.iter().filter_map(|t| t.saved.as_ref());
+        let saved = self.tasks.iter().filter_map(|t| t.checkpoint.as_ref());
         let Some(newest) = saved.max_by_key(|c| c.recency()).cloned() else {
             return;
         };
         for task in &mut self.tasks {
-            task.saved = Some(newest.clone());
+            task.checkpoint = Some(newest.clone());
         }
     }
 
@@ -91,7 +91,7 @@
     /// Has no task go on from this checkpoint any more.
     pub(crate) fn reject(&mut self, text: &Arc<str>) {
         for task in &mut self.tasks {
-            task.saved = task.saved.take().filter(|c| c.text != *text);
+            task.checkpoint = task.checkpoint.take().filter(|c| c.text != *text);
         }
         self.rejected = Some(text.clone());
     }
--- a/crates/jobs/src/model/task.rs
+++ b/crates/jobs/src/model/task.rs
@@ -168,7 +168,7 @@
     /// Workers that crashed under its runs.
     pub(crate) crashes: Crashes,
     /// What its next run goes on from; apart, since most tasks have none.
-    pub(crate) saved: Option<Box<Checkpoint>>,
+    pub(crate) checkpoint: Option<Box<Checkpoint>>,
     /// No new run before this time, after a failure.
     pub(crate) pause: u64,
     /// Worker on which the last run failed.
@@ -208,7 +208,7 @@
                 && l.run == self.last
                 && l.worker == self.run.as_ref().map(|r| r.worker)
                 && l.failed as usize == self.failed.len()
-                && l.saved.as_ref() == self.saved.as_ref().map(|c| &c.text)
+                && l.saved.as_ref() == self.checkpoint.as_ref().map(|c| &c.text)
                 && crashes.map_or(self.crashes.is_empty(), |c| *c == self.crashes)
         });
         !unchanged
@@ -223,7 +223,7 @@
             run: self.last,
             worker: self.run.as_ref().map(|r| r.worker),
             failed: self.failed.len() as u32,
-            saved: self.saved.as_ref().map(|c| c.text.clone()),
+            saved: self.checkpoint.as_ref().map(|c| c.text.clone()),
             crashes: crashes.map(|c| Box::new(c.clone())),
         }));
     }
@@ -243,17 +243,17 @@
 
     /// Returns the text that its next run goes on from; empty for none.
     pub(crate) fn saved_text(&self) -> Arc<str> {
-        let text = self.saved.as_ref().map(|c| c.text.clone());
+        let text = self.checkpoint.as_ref().map(|c| c.text.clone());
         text.unwrap_or_default()
     }
 
     /// Takes over a checkpoint that a run of it listed; an empty text is none.
     pub(crate) fn save(&mut self, text: &Arc<str>, origin: Origin) {
-        let known = self.saved.as_ref().is_some_and(|c| c.text == *text);
+        let known = self.checkpoint.as_ref().is_some_and(|c| c.text == *text);
         if text.is_empty() || known {
             return;
         }
-        self.saved = Some(Box::new(Checkpoint {
+        self.checkpoint = Some(Box::new(Checkpoint {
             text: text.clone(),
             origin: Some(origin),
         }));
--- a/crates/jobs/src/order/standing.rs
+++ b/crates/jobs/src/order/standing.rs
@@ -88,7 +88,7 @@
         let Some(policy) = policy.filter(|_| spec.schedule.times == 0) else {
             return Standing::Begun;
         };
-        if spec.steps.iter().any(|s| s.lasting) {
+        if spec.steps.iter().any(|s| s.long_running) {
             return match self.is_overdue(state) {
                 true => Standing::Overdue,
                 false => Standing::Lasting,
--- a/crates/jobs/src/place/aging.rs
+++ b/crates/jobs/src/place/aging.rs
@@ -54,7 +54,7 @@
         for (time, steps) in (0..).zip(&self.times) {
             for (step, state) in (0..).zip(steps) {
                 let kept = &self.job.spec.steps[step as usize];
-                if kept.gang || kept.lasting || !self.is_ready(time as usize, step as usize) {
+                if kept.gang || kept.long_running || !self.is_ready(time as usize, step as usize) {
                     continue;
                 }
                 let Some(&index) = state.waiting(now).first() else {
@@ -62,7 +62,7 @@
                 };
                 return Some(TaskId {
                     job: self.job.id,
-                    time,
+                    repetition: time,
                     step,
                     index,
                 });
--- a/crates/jobs/src/place/hold.rs
+++ b/crates/jobs/src/place/hold.rs
@@ -71,7 +71,7 @@
         let Some(state) = state.filter(|s| !s.outcome.is_final()) else {
             return false;
         };
-        let waits = state.times[first.time as usize][first.step as usize].idle > 0;
+        let waits = state.times[first.repetition as usize][first.step as usize].idle > 0;
         let held_up = hold.lasting || !state.has_runs();
         let open = self.fleet.get(hold.slot).is_open(self.now);
         waits && held_up && open && self.now < hold.until
@@ -83,7 +83,7 @@
         let mut others = others.filter(|h| h.first != request.first);
         let step = request.step;
         let worker = self.fleet.get(slot);
-        others.any(|h| !step.fill || h.is_short(worker, size(step)))
+        others.any(|h| !step.best_effort || h.is_short(worker, size(step)))
     }
 
     /// Holds a worker for a task that fits nowhere, if it has waited for long.
@@ -95,7 +95,7 @@
         let Some(state) = self.jobs.get(&first.job) else {
             return;
         };
-        let lasting = request.step.lasting;
+        let lasting = request.step.long_running;
         let due = match lasting {
             true => self.is_overdue(state),
             false => self.is_held_up(state, request, pass),
@@ -148,7 +148,7 @@
             let worker = self.fleet.get(slot);
             let wait = self.time_to_room(worker, size(step))?;
             // Else it would wait for too long.
-            (step.lasting || wait < LONGEST).then_some((wait, worker.used.cpu, slot))
+            (step.long_running || wait < LONGEST).then_some((wait, worker.used.cpu, slot))
         });
         waits.min().map(|(_, _, slot)| slot)
     }
@@ -162,7 +162,7 @@
             let room = worker.capacity();
             let lacks = shortage(worker, wanted);
             // One that lacks nothing is refused for another reason than room.
-            if lacks == 0 && !step.lasting || !room.holds(worker.lasting_size, wanted) {
+            if lacks == 0 && !step.long_running || !room.holds(worker.lasting_size, wanted) {
                 continue;
             }
             let is_kept = pass.held.iter().any(|h| h.slot == slot);
@@ -188,7 +188,7 @@
             let Some(run) = state.task(id).and_then(|t| t.run.as_ref()) else {
                 continue;
             };
-            if !step.lasting || !run.is_wanted() {
+            if !step.long_running || !run.is_wanted() {
                 ends.push((time_left(run, step.estimate), size(step)));
             }
         }
--- a/crates/jobs/src/place/misfit.rs
+++ b/crates/jobs/src/place/misfit.rs
@@ -24,7 +24,7 @@
         let step = request.step;
         Misfit {
             image: request.image,
-            fill: step.fill,
+            fill: step.best_effort,
             starved: request.starved,
             service: request.service.clone(),
             label: step.label.clone(),
--- a/crates/jobs/src/place/rank.rs
+++ b/crates/jobs/src/place/rank.rs
@@ -60,7 +60,7 @@
     /// Returns the headroom that a request takes from each serving image; none if it does not
     /// fill.
     pub(super) fn takes(&self, request: &Request<'_>) -> Vec<f64> {
-        match request.step.fill {
+        match request.step.best_effort {
             true => self.pairs.takes(request.image, self.images.len() + 1),
             false => Vec::new(),
         }
@@ -107,11 +107,11 @@
             return Err(Refusal::Spread);
         }
         let mut points = rating(worker, step);
-        if step.target > 0 {
+        if step.latency_target > 0 {
             points += self.alike(worker, request.image);
             points -= (self.pressure_on(slot, request.image) * DISTURBED) as i64;
         }
-        if step.fill {
+        if step.best_effort {
             let share = worker.share(step.cpu);
             let slack = self.slack(slot);
             let excess = slack.excess(takes, share);
@@ -134,12 +134,12 @@
 
     /// Tells whether a worker has as many tasks of a step as it may have.
     pub(super) fn is_spread(&self, slot: u32, request: &Request<'_>) -> bool {
-        let (first, spread) = (request.first, request.step.spread);
+        let (first, spread) = (request.first, request.step.max_per_worker);
         if spread == 0 {
             return false;
         }
         let state = self.jobs.get(&first.job);
-        let runs = state.map(|j| &j.times[first.time as usize][first.step as usize]);
+        let runs = state.map(|j| &j.times[first.repetition as usize][first.step as usize]);
         runs.is_some_and(|r| r.on_worker(slot) >= spread)
     }
 
@@ -153,7 +153,7 @@
             let Some(state) = self.jobs.get(&id.job) else {
                 continue;
             };
-            if state.job.spec.steps[id.step as usize].target == 0 {
+            if state.job.spec.steps[id.step as usize].latency_target == 0 {
                 continue;
             }
             points += match state.images[id.step as usize] == image {
@@ -170,7 +170,7 @@
     let room = worker.capacity();
     let free = (room.cpu + worker.spare) as i64 - (worker.used.cpu + worker.filling) as i64;
     let mut points = free * 1000 / (room.cpu as i64).max(1);
-    if let (Some(rack), Some(info)) = (&step.rack, &worker.info)
+    if let (Some(rack), Some(info)) = (&step.data_rack, &worker.info)
         && info.labels.contains(rack)
     {
         points += NEAR;
--- a/crates/jobs/src/place/room.rs
+++ b/crates/jobs/src/place/room.rs
@@ -55,7 +55,7 @@
         if self.over || !enough {
             return Err(Refusal::Room);
         }
-        match starved || !step.fill || step.cpu <= self.fill {
+        match starved || !step.best_effort || step.cpu <= self.fill {
             true => Ok(()),
             false => Err(Refusal::Share),
         }
--- a/crates/jobs/src/place/starving.rs
+++ b/crates/jobs/src/place/starving.rs
@@ -41,7 +41,7 @@
                 };
                 return Some(TaskId {
                     job: self.job.id,
-                    time,
+                    repetition: time,
                     step,
                     index: index as u32,
                 });
@@ -63,7 +63,7 @@
             let waits = state.first_waiting(self.now).is_some();
             still.extend(since.filter(|_| waits).map(|at| (at, id)));
         }
-        self.figures.still = still.len() as u64;
+        self.stats.starved_jobs = still.len() as u64;
         still.sort_unstable();
         let pass = Pass::begin(&self.fleet, self.now);
         for (since, id) in still.into_iter().take(MOST_LINES) {
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -61,7 +61,7 @@
     /// Nothing is placed while it is not known which workers are about to leave.
     pub(crate) fn place(&mut self) -> Coverage {
         if !self.fleet.is_current(self.now, &self.settings) {
-            self.figures.stale += 1;
+            self.stats.skipped_passes += 1;
             return Coverage::Whole;
         }
         self.sort_open();
@@ -77,18 +77,18 @@
                 self.place_aged(&mut pass);
             }
             if pass.starts == 0 {
-                self.figures.held += 1;
+                self.stats.throttled_passes += 1;
                 break;
             }
             if pass.is_spent() {
-                self.figures.cut += 1;
+                self.stats.truncated_passes += 1;
                 break;
             }
             let id = self.open[at];
             self.place_job(id, &mut pass);
         }
         self.place_on_idle(&mut pass);
-        self.figures.ratings += pass.ratings as u64;
+        self.stats.ratings += pass.ratings as u64;
         match pass.is_spent() {
             true => Coverage::Partial,
             false => Coverage::Whole,
@@ -131,7 +131,7 @@
                 let request = Request {
                     first: TaskId {
                         job: id,
-                        time: time as u32,
+                        repetition: time as u32,
                         step: at as u32,
                         index: 0,
                     },
@@ -139,7 +139,7 @@
                     image: state.images[at],
                     service: &service,
                     avoid: None,
-                    starved: idle && step.fill,
+                    starved: idle && step.best_effort,
                 };
                 // What waits of one step holds back no other one: that may ask for less.
                 match step.gang {
@@ -159,7 +159,7 @@
         let (step, first) = (request.step, request.first);
         let mut ranking: Option<Ranking> = None;
         let state = self.jobs.get(&first.job);
-        let runs = state.map(|j| &j.times[first.time as usize][first.step as usize]);
+        let runs = state.map(|j| &j.times[first.repetition as usize][first.step as usize]);
         let waiting = runs.map_or(Vec::new(), |r| r.waiting(self.now));
         for index in waiting {
             if pass.starts == 0 {
@@ -191,7 +191,7 @@
         let Some(state) = self.jobs.get(&first.job) else {
             return Placed::All;
         };
-        let tasks = &state.times[first.time as usize][first.step as usize].tasks;
+        let tasks = &state.times[first.repetition as usize][first.step as usize].tasks;
         if tasks.iter().any(|t| !t.is_waiting(self.now)) {
             return Placed::All;
         }
@@ -283,7 +283,7 @@
     ) -> Option<Assigned> {
         let now = self.now;
         let state = self.jobs.get_mut(&id.job)?;
-        let runs = state.step_mut(id.time, id.step)?;
+        let runs = state.step_mut(id.repetition, id.step)?;
         let task = &mut runs.tasks[id.index as usize];
         let assigned = Assigned {
             id,
@@ -295,7 +295,7 @@
         runs.set_run(id.index as usize, Run::new(slot, Stage::Planned, now));
         let worker = self.fleet.get_mut(slot);
         worker.reserve(id, step);
-        if step.fill {
+        if step.best_effort {
             worker.own_load.note_filling(true, now);
         }
         self.mark(id.job);
@@ -339,7 +339,7 @@
         }
         let best = self.best(ranking.as_mut()?, request, pass);
         // A worker that has as many tasks of one step as it may have takes those of another one.
-        if best.is_none() && request.step.spread == 0 {
+        if best.is_none() && request.step.max_per_worker == 0 {
             pass.misfits.push(misfit);
         }
         best
--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -62,14 +62,14 @@
                 if matches!(run.stage, Stage::Sent(_)) {
                     run.stage = Stage::Unclear(now);
                 }
-                self.figures.unclear += 1;
+                self.stats.unanswered_starts += 1;
                 log::warn!(task = id.to_string().as_str(), run = number, worker = &*self.fleet.get(slot).id, started:?; "start: unclear");
                 return;
             }
             _ => {}
         }
         let sent = matches!(run.stage, Stage::Sent(_));
-        self.figures.refused += 1;
+        self.stats.refused += 1;
         let worker = self.fleet.get_mut(slot);
         log::info!(task = id.to_string().as_str(), run = number, worker = &*worker.id, started:?; "start: refused");
         match started {
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -22,7 +22,7 @@
     /// Has all members of a gang go on from the newest checkpoint of any of them.
     pub(crate) fn share_checkpoint(&mut self, member: TaskId) {
         let state = self.jobs.get_mut(&member.job);
-        if let Some(step) = state.and_then(|j| j.step_mut(member.time, member.step)) {
+        if let Some(step) = state.and_then(|j| j.step_mut(member.repetition, member.step)) {
             step.share_checkpoint();
         }
     }
@@ -36,7 +36,7 @@
             return;
         };
         let gang = state.job.spec.steps[id.step as usize].gang;
-        let Some(step) = state.step_mut(id.time, id.step) else {
+        let Some(step) = state.step_mut(id.repetition, id.step) else {
             return;
         };
         let task = &mut step.tasks[id.index as usize];
@@ -45,9 +45,9 @@
             task.pause = now + REJECTED_PAUSE;
             return self.blame(slot);
         }
-        self.figures.rejected += 1;
+        self.stats.rejected += 1;
         // The answer to another member's start may have taken it away already.
-        let Some(rejected) = task.saved.take() else {
+        let Some(rejected) = task.checkpoint.take() else {
             return;
         };
         if gang {
--- a/crates/jobs/src/runs/close.rs
+++ b/crates/jobs/src/runs/close.rs
@@ -54,7 +54,7 @@
         };
         task.cleared = now;
         let number = task.last;
-        let step = state.step_mut(id.time, id.step);
+        let step = state.step_mut(id.repetition, id.step);
         let Some(run) = step.and_then(|s| s.take_run(id.index as usize)) else {
             return;
         };
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -66,7 +66,7 @@
             log: writer.rows.finish(&mut self.log),
         };
         if !batch.is_empty() {
-            self.figures.commits += 1;
+            self.stats.commits += 1;
             self.flight = Some(flight);
             self.out.push(Action::Commit(batch));
         } else if whole {
@@ -125,7 +125,7 @@
                     if run.is_some_and(|r| r.stage == Stage::Planned) {
                         let id = TaskId {
                             job: id,
-                            time,
+                            repetition: time,
                             step,
                             index,
                         };
@@ -264,13 +264,13 @@
         worker.promised = worker.promised.max(deadline);
         worker.note_lease_order(now, &settings);
         let (slot, waited) = (run.worker, now - run.since);
-        self.figures.starts += 1;
+        self.stats.starts += 1;
         let order = StartOrder {
             task: id,
             run: number,
             spec,
             deadline,
-            saved,
+            checkpoint: saved,
         };
         self.tell_start(slot, &order, waited);
         self.out.push(Action::Start(slot, order));
@@ -283,7 +283,7 @@
         let worker = self.fleet.get(slot);
         let apart = worker.guest == Some(id);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
-        let Some(checkpoint) = task.and_then(|t| t.saved.as_deref()) else {
+        let Some(checkpoint) = task.and_then(|t| t.checkpoint.as_deref()) else {
             log::info!(task = id.to_string().as_str(), run, worker = &*worker.id, waited_ms = waited, apart; "start: sent");
             return;
         };
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -162,7 +162,7 @@
             return;
         };
         log::warn!(task = id.to_string().as_str(), crashes = task.crashes.count(); "job: a task crashes its workers");
-        self.figures.given_up += 1;
+        self.stats.jobs_given_up += 1;
         self.finish(id.job, Outcome::Failed);
     }
 
--- a/crates/jobs/src/runs/ends.rs
+++ b/crates/jobs/src/runs/ends.rs
@@ -1,7 +1,7 @@
 //! What the workers' lists say.
 
 use crate::{
-    event::{End, Ending, Look},
+    event::{Ending, RunEnd, WorkerReport},
     machine::Machine,
     model::{
         checkpoint::{Origin, shown},
@@ -21,7 +21,7 @@
 
 impl Machine {
     /// Takes a worker's answer to a look that was sent at `sent`.
-    pub(crate) fn looked(&mut self, slot: u32, sent: u64, look: Look) {
+    pub(crate) fn looked(&mut self, slot: u32, sent: u64, look: WorkerReport) {
         let (now, settings) = (self.now, self.settings);
         self.fleet.get_mut(slot).looking = false;
         let Some(slot) = self.answering(slot, sent, look.born) else {
@@ -54,7 +54,7 @@
         self.watch(slot, &look, &ended.collect::<Vec<_>>());
     }
 
-    fn count_ends(&mut self, slot: u32, look: &Look) {
+    fn count_ends(&mut self, slot: u32, look: &WorkerReport) {
         for end in &look.finished {
             let worker = self.fleet.get_mut(slot);
             if end.number <= worker.counted {
@@ -66,7 +66,7 @@
         }
     }
 
-    fn ended(&mut self, slot: u32, end: &End) {
+    fn ended(&mut self, slot: u32, end: &RunEnd) {
         let id = end.task;
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
@@ -79,15 +79,15 @@
         let current = run.is_some_and(|r| r.worker == slot) && task.last == end.run;
         let ran = run.map_or(0, |r| self.now.saturating_sub(r.since));
         let partial = run.is_none_or(|r| r.partial);
-        if current && let Some(step) = state.step_mut(id.time, id.step) {
+        if current && let Some(step) = state.step_mut(id.repetition, id.step) {
             let origin = Origin {
                 run: end.run,
                 worker: slot,
                 listed: self.now,
             };
-            step.save(id.index as usize, &end.saved, origin);
+            step.save(id.index as usize, &end.checkpoint, origin);
         }
-        log::info!(task = id.to_string().as_str(), run = end.run, worker = &*self.fleet.get(slot).id, how:? = end.ending, current, ran_ms = ran, saved = shown(&end.saved); "run: ended");
+        log::info!(task = id.to_string().as_str(), run = end.run, worker = &*self.fleet.get(slot).id, how:? = end.ending, current, ran_ms = ran, saved = shown(&end.checkpoint); "run: ended");
         if current {
             self.clear(id);
         }
@@ -95,12 +95,12 @@
         match end.ending {
             Ending::Done => self.done(slot, id, ran, current && !partial),
             Ending::Failed => self.failed(slot, id, end.run, is_final),
-            _ => self.figures.stopped += 1,
+            _ => self.stats.stopped += 1,
         }
     }
 
     fn done(&mut self, slot: u32, id: TaskId, ran: u64, telling: bool) {
-        self.figures.done += 1;
+        self.stats.done += 1;
         self.fleet.get_mut(slot).did_well();
         if telling {
             self.note_time(id, ran);
@@ -109,10 +109,10 @@
             return;
         };
         let step = &state.job.spec.steps[id.step as usize];
-        if step.lasting || state.outcome.is_final() {
+        if step.long_running || state.outcome.is_final() {
             return;
         }
-        if !step.fill && step.estimate > 0 && ran > 0 {
+        if !step.best_effort && step.estimate > 0 && ran > 0 {
             self.fleet.get_mut(slot).took(ran * 100 / step.estimate);
         }
         let members = match step.gang {
@@ -122,7 +122,7 @@
         for index in members {
             let member = TaskId { index, ..id };
             if let Some(state) = self.jobs.get_mut(&id.job) {
-                state.times[id.time as usize][id.step as usize].finish(index as usize);
+                state.times[id.repetition as usize][id.step as usize].finish(index as usize);
             }
             self.abandon(member);
         }
@@ -139,24 +139,24 @@
         };
         let job = state.job.clone();
         let step = &job.spec.steps[id.step as usize];
-        if let Some(state) = state.step_mut(id.time, id.step) {
+        if let Some(state) = state.step_mut(id.repetition, id.step) {
             state.seen.note(ran);
         }
-        if step.lasting || step.estimate == 0 {
+        if step.long_running || step.estimate == 0 {
             return;
         }
         self.guesses.or_default(&job.queue).note(step.estimate, ran);
     }
 
     fn failed(&mut self, slot: u32, id: TaskId, run: u32, is_final: bool) {
-        self.figures.failed += 1;
+        self.stats.failed += 1;
         let now = self.now;
         self.blame(slot);
         let Some(state) = self.jobs.get(&id.job) else {
             return;
         };
         let step = &state.job.spec.steps[id.step as usize];
-        let (gang, lasting) = (step.gang, step.lasting);
+        let (gang, lasting) = (step.gang, step.long_running);
         let queue = state.job.queue.clone();
         let attempts = self.policy(&queue).map(|q| q.attempts);
         // A gang fails as one: its runs are counted at its first member.
--- a/crates/jobs/src/runs/listed.rs
+++ b/crates/jobs/src/runs/listed.rs
@@ -1,7 +1,7 @@
 //! What follows from the runs that a worker lists, and from those that it does not.
 
 use crate::{
-    event::{Look, Running},
+    event::{ReportedRun, WorkerReport},
     machine::Machine,
     model::{
         checkpoint::Origin,
@@ -20,14 +20,14 @@
 
 impl Machine {
     /// Takes note of a run that a worker lists when its clock shows `clock`.
-    pub(super) fn listed(&mut self, slot: u32, row: &Running, clock: u64) {
+    pub(super) fn listed(&mut self, slot: u32, row: &ReportedRun, clock: u64) {
         let now = self.now;
         let id = row.task;
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return self.stray(slot, row);
         };
         let pending = state.outcome == Outcome::Pending;
-        let step = state.step_mut(id.time, id.step);
+        let step = state.step_mut(id.repetition, id.step);
         let Some(step) = step.filter(|s| s.tasks.len() > id.index as usize) else {
             return self.stray(slot, row);
         };
@@ -43,7 +43,7 @@
         };
         let crashed = !task.crashes.is_empty();
         let idle = task.run.is_none();
-        step.save(id.index as usize, &row.saved, origin);
+        step.save(id.index as usize, &row.checkpoint, origin);
         if idle {
             step.set_run(id.index as usize, Run::new(slot, Stage::There(now), now));
             self.adopt(slot, id, row.run);
@@ -58,7 +58,7 @@
     }
 
     /// Takes note of how far a run is.
-    fn progress(&mut self, slot: u32, row: &Running, clock: u64) {
+    fn progress(&mut self, slot: u32, row: &ReportedRun, clock: u64) {
         let now = self.now;
         let Some(run) = self.run_on(slot, row.task, row.run) else {
             return;
@@ -105,7 +105,7 @@
         }
     }
 
-    fn stray(&mut self, slot: u32, row: &Running) {
+    fn stray(&mut self, slot: u32, row: &ReportedRun) {
         let worker = self.fleet.get(slot);
         let known = |s: &Stray| s.task == row.task && s.run == row.run;
         if worker.strays.iter().any(known) {
@@ -126,7 +126,7 @@
     }
 
     /// Draws conclusions from what a look that was sent at `sent` does not list.
-    pub(super) fn check_absent(&mut self, slot: u32, sent: u64, look: &Look) {
+    pub(super) fn check_absent(&mut self, slot: u32, sent: u64, look: &WorkerReport) {
         let is_listed = |id: TaskId, run: u32| {
             let rows = &look.running;
             rows.iter().any(|r| r.task == id && r.run == run)
--- a/crates/jobs/src/runs/lost.rs
+++ b/crates/jobs/src/runs/lost.rs
@@ -49,7 +49,7 @@
             }
             let (runs, held) = (ended.len(), worker.runs.len() - ended.len());
             log::warn!(worker = &*worker.id, runs, held, absent = worker.absent; "worker: its leases are over");
-            self.figures.lapsed += runs as u64;
+            self.stats.lapsed += runs as u64;
             if !worker.dead {
                 self.account(slot, Loss::Lapsed);
             }
@@ -85,7 +85,7 @@
     /// worker was last heard.
     fn tell_lost(&mut self, slot: u32, runs: &[TaskId]) {
         let worker = self.fleet.get(slot);
-        self.figures.lost += runs.len() as u64;
+        self.stats.lost += runs.len() as u64;
         let end = worker.silent.unwrap_or(self.now);
         for &id in runs {
             let Some(task) = self.jobs.get(&id.job).and_then(|j| j.task(id)) else {
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -174,7 +174,7 @@
             return;
         };
         let job = state.job.clone();
-        let Some(step) = state.step_mut(id.time, id.step) else {
+        let Some(step) = state.step_mut(id.repetition, id.step) else {
             return;
         };
         let run = Run::new(slot, Stage::Stopping(None), now);
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -5,7 +5,7 @@
 use super::worker::{Capacity, WorkerInfo};
 use crate::{
     action::Action,
-    event::{Answer, Event, Look, Running, Started, Stopped},
+    event::{Answer, Event, ReportedRun, Started, Stopped, WorkerReport},
     machine::Machine,
     model::{
         ids::{JobId, TaskId},
@@ -19,7 +19,7 @@
 /// The only task.
 const TASK: TaskId = TaskId {
     job: JobId(1),
-    time: 0,
+    repetition: 0,
     step: 0,
     index: 0,
 };
@@ -96,7 +96,7 @@
             let asked = self.now;
             self.tell(Event::WorkersSynced { asked });
             self.tell(Event::Renewed { asked });
-            for action in self.machine.settle(self.now, self.now) {
+            for action in self.machine.decide(self.now, self.now) {
                 match action {
                     Action::Commit(_) => self.tell(Event::Committed { asked }),
                     Action::Poll { .. } => {}
@@ -129,14 +129,14 @@
 
     /// A list of a life is read with these runs of the task, which was asked for just before.
     fn list(&mut self, worker: u32, born: u64, runs: &[u32]) {
-        let running = runs.iter().map(|&run| Running {
+        let running = runs.iter().map(|&run| ReportedRun {
             task: TASK,
             run,
-            saved: "".into(),
+            checkpoint: "".into(),
             percent: 1,
             metric: None,
         });
-        let look = Look {
+        let look = WorkerReport {
             born: Some(born),
             clock: self.now - born,
             running: running.collect(),
--- a/crates/jobs/src/runs/unheard.rs
+++ b/crates/jobs/src/runs/unheard.rs
@@ -25,7 +25,7 @@
     }
 
     /// Logs the workers that can't be asked after their runs, and for how long these wait.
-    pub fn tell_unheard(&self) {
+    pub fn log_unverified_runs(&self) {
         for worker in &self.fleet.workers {
             if worker.info.is_some() || worker.runs.is_empty() {
                 continue;
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -325,8 +325,8 @@
         self.slack = None;
         self.used.add(size(step));
         self.filling += filling(step);
-        self.serving += u32::from(step.target > 0);
-        if step.lasting {
+        self.serving += u32::from(step.latency_target > 0);
+        if step.long_running {
             self.lasting += 1;
             self.lasting_size.add(size(step));
         }
@@ -343,8 +343,8 @@
         self.slack = None;
         self.used.free(size(step));
         self.filling -= filling(step).min(self.filling);
-        self.serving -= u32::from(step.target > 0).min(self.serving);
-        if step.lasting {
+        self.serving -= u32::from(step.latency_target > 0).min(self.serving);
+        if step.long_running {
             self.lasting -= self.lasting.min(1);
             self.lasting_size.free(size(step));
         }
@@ -375,16 +375,16 @@
 /// Returns the room that a task of a step takes up.
 pub(crate) fn size(step: &Step) -> Capacity {
     Capacity {
-        cpu: if step.fill { 0 } else { step.cpu },
+        cpu: if step.best_effort { 0 } else { step.cpu },
         memory: step.memory,
         gpu: step.gpu,
     }
 }
 
 fn serving(step: &Step) -> u64 {
-    if step.target > 0 { step.cpu } else { 0 }
+    if step.latency_target > 0 { step.cpu } else { 0 }
 }
 
 fn filling(step: &Step) -> u64 {
-    if step.fill { step.cpu } else { 0 }
+    if step.best_effort { step.cpu } else { 0 }
 }
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -87,15 +87,15 @@
                 continue;
             };
             let image = state.images[task.step as usize];
-            if step.target > 0 {
-                let runs = &state.times[task.time as usize][task.step as usize];
+            if step.latency_target > 0 {
+                let runs = &state.times[task.repetition as usize][task.step as usize];
                 served.push(Served {
                     image,
                     headroom: runs.headroom,
                     over: run.over.map_or(0, |since| (self.now - since).max(1)),
                     is_own: run.over.is_some() && worker.own_load.may_fill(self.now),
                 });
-            } else if step.fill {
+            } else if step.best_effort {
                 fillers.push(Filler {
                     task,
                     image,
--- a/crates/jobs/src/share/spare.rs
+++ b/crates/jobs/src/share/spare.rs
@@ -53,10 +53,10 @@
                 continue;
             };
             let step = &state.job.spec.steps[task.step as usize];
-            if step.target == 0 {
+            if step.latency_target == 0 {
                 continue;
             }
-            let runs = &state.times[task.time as usize][task.step as usize];
+            let runs = &state.times[task.repetition as usize][task.step as usize];
             asked.cpu += step.cpu as f64;
             asked.weighed += step.cpu as f64 * runs.headroom.average().max(0.0);
         }
@@ -67,7 +67,7 @@
 /// Returns what a task of a step is thought to leave before its first figure, in
 /// thousandths of a core.
 pub(crate) fn unused(step: &Step) -> u64 {
-    match step.target {
+    match step.latency_target {
         0 => 0,
         _ => step.cpu * (100 - SERVING_USE) / 100,
     }
--- a/crates/jobs/src/share/watch.rs
+++ b/crates/jobs/src/share/watch.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::{
-    event::{End, Look},
+    event::{RunEnd, WorkerReport},
     machine::Machine,
     share::{
         forecast::Point,
@@ -21,7 +21,7 @@
 impl Machine {
     /// Takes note of the figures that a worker lists, and chooses paces; `ended` are the ends
     /// that it lists for the first time.
-    pub(crate) fn watch(&mut self, slot: u32, look: &Look, ended: &[&End]) {
+    pub(crate) fn watch(&mut self, slot: u32, look: &WorkerReport, ended: &[&RunEnd]) {
         let now = self.now;
         let worker = self.fleet.get_mut(slot);
         if worker.serving == 0 {
@@ -39,8 +39,8 @@
                 continue;
             };
             let image = state.images[row.task.step as usize];
-            let target = state.job.spec.steps[row.task.step as usize].target;
-            let step = state.step_mut(row.task.time, row.task.step);
+            let target = state.job.spec.steps[row.task.step as usize].latency_target;
+            let step = state.step_mut(row.task.repetition, row.task.step);
             let Some(step) = step.filter(|_| target > 0) else {
                 continue;
             };
@@ -56,7 +56,7 @@
             };
             let group = Group {
                 job: row.task.job,
-                time: row.task.time,
+                time: row.task.repetition,
                 step: row.task.step,
             };
             let share = ms as f64 / target as f64;
@@ -144,7 +144,7 @@
     ///
     /// A look is answered as soon as a run ends, so that one that has just ended filled for
     /// all of that time.
-    fn press(&self, slot: u32, look: &Look, ended: &[&End]) -> Vec<Press> {
+    fn press(&self, slot: u32, look: &WorkerReport, ended: &[&RunEnd]) -> Vec<Press> {
         let running = look.running.iter().map(|r| (r.task, r.metric));
         let ended = ended.iter().map(|e| (e.task, None));
         let mut out: Vec<Press> = Vec::new();
@@ -155,7 +155,7 @@
             let Some(step) = state.job.spec.steps.get(task.step as usize) else {
                 continue;
             };
-            if !step.fill {
+            if !step.best_effort {
                 continue;
             }
             let image = state.images[task.step as usize];
--- a/crates/jobs/src/summary.rs
+++ b/crates/jobs/src/summary.rs
@@ -41,7 +41,7 @@
                 slowed += u32::from(run.wanted < 100);
             }
         }
-        self.figures.running = u64::from(running);
+        self.stats.running = u64::from(running);
         log::info!(
             workers = open, cpu = room.cpu, cpu_used = used.cpu, serving, filling,
             age_ms = self.fleet.age(self.now), memory = room.memory, memory_used = used.memory,
--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -246,11 +246,14 @@
     let before = site.figures();
     site.play(200);
     let after = site.figures();
-    let (passes, cut) = (after.passes - before.passes, after.cut - before.cut);
+    let (passes, cut) = (
+        after.passes - before.passes,
+        after.truncated_passes - before.truncated_passes,
+    );
     let ratings = after.ratings - before.ratings;
     assert!(passes > 0 && cut == passes, "{cut} of {passes} passes cut");
     assert!(ratings <= passes * 301_000, "{ratings} in {passes} passes");
-    assert!(after.looks > before.looks + 100, "leases are not renewed");
+    assert!(after.polls > before.polls + 100, "leases are not renewed");
 }
 
 /// Jobs that have ended are asked after for minutes; their tasks take memory no more.
@@ -286,7 +289,10 @@
     world.run(4000);
     let after = world.figures();
     assert_eq!(world.outcome(id), Outcome::Active);
-    assert_eq!(after.unclear, before.unclear, "starts are given up");
+    assert_eq!(
+        after.unanswered_starts, before.unanswered_starts,
+        "starts are given up"
+    );
     assert_eq!(after.lapsed, 0);
     check_seed(&world, 1);
 }
@@ -302,7 +308,7 @@
     let id = world.submit(1, chain(vec![short(4, 500)]));
     world.run(3_000);
     assert_eq!(world.outcome(id), Outcome::Pending);
-    assert!(world.figures().stale > 0);
+    assert!(world.figures().skipped_passes > 0);
     world.unheard = false;
     assert!(world.run_until_done(3_000));
 }
--- a/crates/jobs/tests/all/checkpoints.rs
+++ b/crates/jobs/tests/all/checkpoints.rs
@@ -15,7 +15,13 @@
 fn world(step: Step) -> (World, JobId) {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
-    let id = world.submit(1, chain(vec![Step { spread: 1, ..step }]));
+    let id = world.submit(
+        1,
+        chain(vec![Step {
+            max_per_worker: 1,
+            ..step
+        }]),
+    );
     world.run(1500);
     let begun: Vec<_> = world.workers.iter().map(|w| w.runs.len()).collect();
     assert_eq!(begun, [1, 1, 1, 0]);
@@ -85,7 +91,7 @@
 fn a_rejected_checkpoint_of_a_gang_is_no_workers_fault() {
     let gang = Step {
         gang: true,
-        spread: 4,
+        max_per_worker: 4,
         ..saving(short(12, 3000))
     };
     let mut world = World::new(WorldSettings::default());
@@ -220,13 +226,13 @@
     let plain = short(rng.random_range(1..5), rng.random_range(300..4000));
     let step = match rng.random_range(0..4) {
         0 | 1 => Step {
-            fill: true,
+            best_effort: true,
             image: Some("fill".into()),
             ..plain
         },
         2 if shape == Shape::Gang => Step {
             gang: true,
-            fill: rng.random_bool(0.3),
+            best_effort: rng.random_bool(0.3),
             ..plain
         },
         _ => plain,
--- a/crates/jobs/tests/all/common/checkpoints.rs
+++ b/crates/jobs/tests/all/common/checkpoints.rs
@@ -7,7 +7,7 @@
     sync::Arc,
 };
 
-use gorsespur_jobs::{Look, StartOrder, TaskId};
+use gorsespur_jobs::{StartOrder, TaskId, WorkerReport};
 
 /// A checkpoint that a worker wrote.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -92,15 +92,15 @@
     /// Tells whether an order brings none, or one that was written for its task or gang.
     pub fn is_own(&self, order: &StartOrder) -> bool {
         let gang = order.spec.steps[order.task.step as usize].gang;
-        let made = self.written.get(&order.saved);
+        let made = self.written.get(&order.checkpoint);
         let own = made.is_some_and(|c| holder(c.task, gang) == holder(order.task, gang));
-        order.saved.is_empty() || own
+        order.checkpoint.is_empty() || own
     }
 
     /// A worker rejected what an order brings; returns what is wrong if it did so before.
     pub fn rejected(&mut self, order: &StartOrder) -> Option<String> {
-        self.rejected.push((order.task, order.saved.clone()));
-        let (task, saved) = (order.task, &order.saved);
+        self.rejected.push((order.task, order.checkpoint.clone()));
+        let (task, saved) = (order.task, &order.checkpoint);
         let before = &self.rejected[..self.rejected.len() - 1];
         let again = before.iter().any(|(t, s)| *t == task && s == saved);
         again.then(|| format!("{task} brings {saved} again, which was rejected"))
@@ -112,9 +112,9 @@
     }
 
     /// A worker sent this answer; `gang` tells whether a task belongs to one.
-    pub fn listed(&mut self, look: &Look, gang: impl Fn(TaskId) -> bool) {
-        let running = look.running.iter().map(|r| (r.task, &r.saved));
-        let finished = look.finished.iter().map(|e| (e.task, &e.saved));
+    pub fn listed(&mut self, look: &WorkerReport, gang: impl Fn(TaskId) -> bool) {
+        let running = look.running.iter().map(|r| (r.task, &r.checkpoint));
+        let finished = look.finished.iter().map(|e| (e.task, &e.checkpoint));
         for (task, text) in running.chain(finished) {
             if text.is_empty() {
                 continue;
@@ -126,7 +126,7 @@
 
     /// A worker began what this order says; returns what is wrong with what it brings.
     pub fn begun(&mut self, order: &StartOrder) -> Option<String> {
-        let (task, run, saved) = (order.task, order.run, &order.saved);
+        let (task, run, saved) = (order.task, order.run, &order.checkpoint);
         let gang = order.spec.steps[task.step as usize].gang;
         let holder = holder(task, gang);
         let listed = self.listed.get(&holder);
--- a/crates/jobs/tests/all/common/judge.rs
+++ b/crates/jobs/tests/all/common/judge.rs
@@ -5,7 +5,7 @@
     sync::Arc,
 };
 
-use gorsespur_jobs::{Ending, Look, Spec, StartOrder, TaskId};
+use gorsespur_jobs::{Ending, Spec, StartOrder, TaskId, WorkerReport};
 
 use super::{SimWorker, checkpoints::Checkpoints};
 
@@ -73,7 +73,7 @@
         }
         let step = &spec.steps[task.step as usize];
         let failed = self.noted_failed.get(&task).copied().unwrap_or(0);
-        if !step.lasting && failed >= attempts {
+        if !step.long_running && failed >= attempts {
             self.wrong
                 .push(format!("{now}: {task} begins after {failed} failures"));
         }
@@ -131,7 +131,7 @@
     }
 
     /// An owner has read a worker's answer.
-    pub fn read(&mut self, now: u64, epoch: u64, id: Arc<str>, look: &Look) {
+    pub fn read(&mut self, now: u64, epoch: u64, id: Arc<str>, look: &WorkerReport) {
         let heard = self.heard.entry((id.clone(), look.born));
         let heard = heard.or_insert((epoch, now));
         if heard.0 < epoch {
--- a/crates/jobs/tests/all/common/mod.rs
+++ b/crates/jobs/tests/all/common/mod.rs
@@ -32,7 +32,7 @@
 /// A step of tasks that last.
 pub fn lasting(count: u32) -> Step {
     Step {
-        lasting: true,
+        long_running: true,
         ..short(count, 0)
     }
 }
@@ -40,7 +40,7 @@
 /// A step of tasks that last and serve under a target.
 pub fn serving(count: u32) -> Step {
     Step {
-        target: 100,
+        latency_target: 100,
         image: Some("serve".into()),
         ..lasting(count)
     }
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -188,13 +188,13 @@
                 let malformed = &*order.spec.text == "malformed";
                 if reached && (malformed || worker.mode == Mode::Rejects) {
                     started = Started::Rejected;
-                    worker.rejected.push((order.task, order.saved.clone()));
+                    worker.rejected.push((order.task, order.checkpoint.clone()));
                 } else if reached && !self.judge.checkpoints.is_own(order) {
                     started = Started::Rejected;
                     self.judge.rejected(now, order);
                 } else if reached {
                     let before = worker.runs.len();
-                    let progress = self.judge.checkpoints.progress(&order.saved);
+                    let progress = self.judge.checkpoints.progress(&order.checkpoint);
                     started = worker.start(now, fence, order, progress);
                     let excuse = match late {
                         true => self.judge.excuse(now, self.epoch, worker, order),
--- a/crates/jobs/tests/all/common/sim.rs
+++ b/crates/jobs/tests/all/common/sim.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use super::checkpoints::Checkpoint;
-use gorsespur_jobs::{End, Ending, Look, Running, StartOrder, Started, Stopped, TaskId};
+use gorsespur_jobs::{
+    Ending, ReportedRun, RunEnd, StartOrder, Started, Stopped, TaskId, WorkerReport,
+};
 
 /// Ends that one answer holds at most.
 const FULL_LIST: usize = 500;
@@ -107,7 +109,7 @@
     /// Whether it refuses what goes beyond its room.
     pub guards: bool,
     pub runs: Vec<SimRun>,
-    pub ends: Vec<End>,
+    pub ends: Vec<RunEnd>,
     /// Checkpoints that it wrote of late.
     pub written: Vec<Checkpoint>,
     /// Runs at or below these never begin any more.
@@ -213,12 +215,12 @@
         }
         let run = self.runs.remove(at);
         self.barred.push((run.task, run.run));
-        self.ends.push(End {
+        self.ends.push(RunEnd {
             number: self.next,
             task: run.task,
             run: run.run,
             ending,
-            saved: run.saved.0,
+            checkpoint: run.saved.0,
         });
         self.next += 1;
     }
@@ -272,24 +274,24 @@
         fence: u64,
         observed: u64,
         deadline: Option<u64>,
-    ) -> Option<Look> {
+    ) -> Option<WorkerReport> {
         if fence < self.fence {
             return None;
         }
         self.fence = fence;
         self.grant(now, deadline);
         self.ends.retain(|e| e.number > observed);
-        let running = self.runs.iter().map(|r| Running {
+        let running = self.runs.iter().map(|r| ReportedRun {
             task: r.task,
             run: r.run,
-            saved: r.saved.0.clone(),
+            checkpoint: r.saved.0.clone(),
             percent: match r.lasting {
                 true => 100,
                 false => (r.done * 100 / r.work.max(1)).min(99) as u32,
             },
             metric: Some(self.figure(now, r)),
         });
-        Some(Look {
+        Some(WorkerReport {
             born: self.born,
             clock: self.clock(now),
             running: running.collect(),
@@ -365,13 +367,13 @@
             return Started::NoRoom;
         }
         let step = &order.spec.steps[order.task.step as usize];
-        let size = (if step.fill { 0 } else { step.cpu }, step.memory);
+        let size = (if step.best_effort { 0 } else { step.cpu }, step.memory);
         let used = self.used();
         let over = used.0 + size.0 > self.room.0 || used.1 + size.1 > self.room.1;
         if over && self.guards {
             return Started::NoRoom;
         }
-        let restores = !order.saved.is_empty();
+        let restores = !order.checkpoint.is_empty();
         self.runs.push(SimRun {
             task: order.task,
             run: order.run,
@@ -382,15 +384,15 @@
             first: progress,
             ready: if restores { now + RESTORE } else { now },
             saves: step.checkpoints,
-            saved: (order.saved.clone(), progress),
-            lasting: step.lasting,
+            saved: (order.checkpoint.clone(), progress),
+            lasting: step.long_running,
             gang: step.gang.then_some(step.count),
             waits: false,
             joined: false,
             joint: false,
-            fill: step.fill,
+            fill: step.best_effort,
             image: step.image.clone(),
-            target: step.target,
+            target: step.latency_target,
             pace: 100,
             stops: None,
             size: (step.cpu, step.memory),
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use gorsespur_jobs::{
-    Batch, Event, Figures, Job, JobId, Machine, Outcome, QueuePolicy, Settings, Spec, Takeover,
+    Batch, Event, Job, JobId, Machine, Outcome, QueuePolicy, Settings, Spec, Stats, Takeover,
     TaskId, WorkerInfo,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -338,7 +338,7 @@
 
     pub fn all_done(&self) -> bool {
         self.jobs.keys().all(|&id| {
-            let lasting = self.jobs[&id].spec.steps.iter().any(|s| s.lasting);
+            let lasting = self.jobs[&id].spec.steps.iter().any(|s| s.long_running);
             lasting || self.outcome(id).is_final()
         })
     }
@@ -352,9 +352,9 @@
     }
 
     /// What the newest owner counted.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> Stats {
         let owner = self.owners.last();
-        owner.map(|o| o.machine.figures()).unwrap_or_default()
+        owner.map(|o| o.machine.stats()).unwrap_or_default()
     }
 
     pub fn run(&mut self, ms: u64) {
@@ -385,7 +385,7 @@
     /// Members of a gang work only while all of them are there, and end jointly.
     fn hold_gangs(&mut self) {
         let mut there: BTreeMap<(JobId, u32, u32, u32), u32> = BTreeMap::new();
-        let key = |r: &SimRun| (r.task.job, r.task.time, r.task.step, r.run);
+        let key = |r: &SimRun| (r.task.job, r.task.repetition, r.task.step, r.run);
         for worker in self.workers.iter().filter(|w| w.alive) {
             for run in worker.runs.iter().filter(|r| r.gang.is_some()) {
                 *there.entry(key(run)).or_insert(0) += 1;
@@ -462,7 +462,7 @@
         if self.turns > 0 {
             owner.busy = now + self.rng.random_range(0..self.turns);
         }
-        let actions = owner.machine.settle(owner.clock.read(now), now);
+        let actions = owner.machine.decide(owner.clock.read(now), now);
         for action in actions {
             self.act(at, action);
         }
--- a/crates/jobs/tests/all/crashing/crowds.rs
+++ b/crates/jobs/tests/all/crashing/crowds.rs
@@ -43,7 +43,7 @@
         let job = world.submit(id, chain(vec![step]));
         let task = TaskId {
             job,
-            time: 0,
+            repetition: 0,
             step: 0,
             index: 0,
         };
--- a/crates/jobs/tests/all/crashing/losses.rs
+++ b/crates/jobs/tests/all/crashing/losses.rs
@@ -147,7 +147,7 @@
 fn a_new_owner_starts_work_beside_what_lost_its_power(times: u32) {
     let mut world = world(6);
     let lasting = Step {
-        spread: 1,
+        max_per_worker: 1,
         ..lasting(WORKERS as u32)
     };
     world.submit(2, chain(vec![lasting]));
--- a/crates/jobs/tests/all/crashing/mod.rs
+++ b/crates/jobs/tests/all/crashing/mod.rs
@@ -52,7 +52,7 @@
 fn culprit() -> TaskId {
     TaskId {
         job: CULPRIT,
-        time: 0,
+        repetition: 0,
         step: 0,
         index: 1,
     }
@@ -95,7 +95,7 @@
 fn shapes() -> [(&'static str, Step); 4] {
     let plain = short(3, 800);
     let fill = Step {
-        fill: true,
+        best_effort: true,
         image: Some("fill".into()),
         ..short(3, 3000)
     };
--- a/crates/jobs/tests/all/evacuation.rs
+++ b/crates/jobs/tests/all/evacuation.rs
@@ -21,7 +21,7 @@
     let mut world = World::new(WorldSettings::default());
     world.run(100);
     let lasting = Step {
-        lasting: true,
+        long_running: true,
         ..short(8, 0)
     };
     world.submit(1, chain(vec![lasting]));
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -7,8 +7,8 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use gorsespur_jobs::{
-    Action, Answer, Capacity, End, Ending, Event, Job, JobId, Look, Machine, QueuePolicy, Running,
-    Settings, StartOrder, Started, Step, Stopped, Takeover, TaskId, WorkerInfo,
+    Action, Answer, Capacity, Ending, Event, Job, JobId, Machine, QueuePolicy, ReportedRun, RunEnd,
+    Settings, StartOrder, Started, Step, Stopped, Takeover, TaskId, WorkerInfo, WorkerReport,
 };
 use test_case::test_case;
 
@@ -20,8 +20,8 @@
 /// Runs on a worker and ends that it lists.
 #[derive(Debug, Default)]
 struct Lists {
-    running: Vec<Running>,
-    finished: Vec<End>,
+    running: Vec<ReportedRun>,
+    finished: Vec<RunEnd>,
     /// Ends so far.
     ends: u64,
 }
@@ -95,7 +95,7 @@
             let asked = self.now;
             self.tell(Event::WorkersSynced { asked });
             self.tell(Event::Renewed { asked });
-            for action in self.machine.settle(self.now, self.now) {
+            for action in self.machine.decide(self.now, self.now) {
                 self.act(action);
             }
         }
@@ -111,7 +111,7 @@
             } => {
                 let lists = self.workers.entry(worker).or_default();
                 lists.finished.retain(|e| e.number > observed);
-                let look = Look {
+                let look = WorkerReport {
                     born: None,
                     clock: sent,
                     running: lists.running.clone(),
@@ -124,10 +124,10 @@
                     .entry(worker)
                     .or_default()
                     .running
-                    .push(Running {
+                    .push(ReportedRun {
                         task: order.task,
                         run: order.run,
-                        saved: order.saved.clone(),
+                        checkpoint: order.checkpoint.clone(),
                         percent: 10,
                         metric: None,
                     });
@@ -153,7 +153,7 @@
     fn save(&mut self, index: u32, saved: &str) {
         let runs = self.workers.values_mut().flat_map(|w| &mut w.running);
         for run in runs.filter(|r| r.task.index == index) {
-            run.saved = saved.into();
+            run.checkpoint = saved.into();
         }
     }
 
@@ -162,7 +162,7 @@
         for lists in self.workers.values_mut() {
             for run in std::mem::take(&mut lists.running) {
                 lists.ends += 1;
-                lists.finished.push(End {
+                lists.finished.push(RunEnd {
                     number: lists.ends,
                     task: run.task,
                     run: run.run,
@@ -170,7 +170,7 @@
                         0 => first,
                         _ => Ending::Broken,
                     },
-                    saved: run.saved,
+                    checkpoint: run.checkpoint,
                 });
             }
         }
@@ -184,7 +184,7 @@
         let expected: Vec<TaskId> = (0..MEMBERS)
             .map(|index| TaskId {
                 job: JobId(1),
-                time: 0,
+                repetition: 0,
                 step: 0,
                 index,
             })
@@ -210,7 +210,7 @@
     });
     owner.run(500);
     let starts = owner.take_starts();
-    assert!(starts.iter().all(|s| s.saved.is_empty()));
+    assert!(starts.iter().all(|s| s.checkpoint.is_empty()));
     for (index, saved) in (0..).zip(saved) {
         owner.save(index, saved);
     }
@@ -218,7 +218,7 @@
     owner.end(first);
     owner.run(2000);
     let starts = owner.take_starts();
-    let brought: Vec<&str> = starts.iter().map(|s| &*s.saved).collect();
+    let brought: Vec<&str> = starts.iter().map(|s| &*s.checkpoint).collect();
     assert!(brought.iter().all(|&s| s == brought[0]), "{brought:?}");
     assert!(!brought[0].is_empty() && saved.contains(&brought[0]));
 }
--- a/crates/jobs/tests/all/ledger.rs
+++ b/crates/jobs/tests/all/ledger.rs
@@ -33,7 +33,7 @@
             let Some(record) = machine.recorded(job.id, record) else {
                 continue;
             };
-            assert!(record.fits(&job.spec));
+            assert!(record.is_valid_for(&job.spec));
             machine.restore(job.clone(), &record);
         }
     }
--- a/crates/jobs/tests/all/lives.rs
+++ b/crates/jobs/tests/all/lives.rs
@@ -469,7 +469,7 @@
         world.away = away;
         let task = TaskId {
             job: FIRST,
-            time: 0,
+            repetition: 0,
             step: 0,
             index: 0,
         };
--- a/crates/jobs/tests/all/load.rs
+++ b/crates/jobs/tests/all/load.rs
@@ -117,7 +117,7 @@
     }
     world.run(5000);
     let fill = Step {
-        fill: true,
+        best_effort: true,
         image: Some("light".into()),
         ..short(TASKS, LENGTH)
     };
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -7,8 +7,8 @@
     ledger::Ledger,
 };
 use gorsespur_jobs::{
-    Action, Answer, Batch, Capacity, End, Ending, Event, Job, JobId, Look, Machine, Outcome,
-    QueuePolicy, Record, Running, Settings, Spec, Started, Step, Takeover, WorkerInfo,
+    Action, Answer, Batch, Capacity, Ending, Event, Job, JobId, Machine, Outcome, QueuePolicy,
+    Record, ReportedRun, RunEnd, Settings, Spec, Started, Step, Takeover, WorkerInfo, WorkerReport,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
@@ -45,9 +45,9 @@
     /// Bytes that commits have appended to the log.
     logged: usize,
     /// What the worker runs.
-    running: Vec<Running>,
+    running: Vec<ReportedRun>,
     /// What ended there.
-    finished: Vec<End>,
+    finished: Vec<RunEnd>,
     /// Commits that are still done.
     commits: usize,
 }
@@ -92,7 +92,7 @@
             self.now += 50;
             self.tell(Event::WorkersSynced { asked: self.now });
             self.tell(Event::Renewed { asked: self.now });
-            for action in self.machine.settle(self.now, self.now) {
+            for action in self.machine.decide(self.now, self.now) {
                 self.act(action);
             }
         }
@@ -109,10 +109,10 @@
                 return self.tell(Event::Committed { asked: sent });
             }
             Action::Start(worker, order) => {
-                self.running.push(Running {
+                self.running.push(ReportedRun {
                     task: order.task,
                     run: order.run,
-                    saved: "".into(),
+                    checkpoint: "".into(),
                     percent: 100,
                     metric: None,
                 });
@@ -120,7 +120,7 @@
                 (worker, started)
             }
             Action::Poll { worker, .. } => {
-                let look = Look {
+                let look = WorkerReport {
                     born: None,
                     clock: sent,
                     running: self.running.clone(),
@@ -199,11 +199,11 @@
 fn a_change_of_one_task_costs_the_same_in_a_wide_job() {
     let mut owner = Owner::new(Ledger::default(), &[job(1, 1000)], Settings::default());
     owner.run(500);
-    assert_eq!(owner.machine.figures().starts, 1000);
+    assert_eq!(owner.machine.stats().starts, 1000);
     let before = owner.logged;
     owner.running.remove(17);
     owner.run(2500);
-    assert_eq!(owner.machine.figures().starts, 1001);
+    assert_eq!(owner.machine.stats().starts, 1001);
     assert!(owner.logged - before < 500, "{}", owner.logged - before);
 }
 
@@ -248,12 +248,12 @@
     let mut owner = Owner::new(Ledger::default(), &jobs, short);
     owner.run(500);
     for running in std::mem::take(&mut owner.running) {
-        owner.finished.push(End {
+        owner.finished.push(RunEnd {
             number: owner.finished.len() as u64 + 1,
             task: running.task,
             run: running.run,
             ending: Ending::Failed,
-            saved: "".into(),
+            checkpoint: "".into(),
         });
     }
     for id in [1, 2] {
@@ -269,7 +269,7 @@
         machine.replay(row).expect("own row");
     }
     let record = machine.recorded(JobId(open), None).expect("logged");
-    assert!(record.fits(&job(open, 1).spec));
+    assert!(record.is_valid_for(&job(open, 1).spec));
 }
 
 /// A record of an earlier version tells of the job's tasks itself. Its owner's successor reads
@@ -306,7 +306,7 @@
         machine.replay(row).expect("own row");
     }
     let record = machine.recorded(JobId(1), None).expect("logged");
-    assert!(record.fits(&job(1, 3).spec));
-    assert!(!record.fits(&job(1, 2).spec));
+    assert!(record.is_valid_for(&job(1, 3).spec));
+    assert!(!record.is_valid_for(&job(1, 2).spec));
     assert_eq!(machine.recorded(JobId(2), None), None::<Record>);
 }
--- a/crates/jobs/tests/all/promises.rs
+++ b/crates/jobs/tests/all/promises.rs
@@ -212,7 +212,7 @@
     world.run(100);
     let step = Step {
         label: Some("r1".into()),
-        spread: 2,
+        max_per_worker: 2,
         ..short(4, 60_000)
     };
     world.submit(1, chain(vec![step]));
@@ -242,7 +242,7 @@
     world.submit(1, chain(vec![serving(1)]));
     world.run(1500);
     let fill = Step {
-        fill: true,
+        best_effort: true,
         image: Some("fill".into()),
         ..short(5, 20_000)
     };
--- a/crates/jobs/tests/all/records/life.rs
+++ b/crates/jobs/tests/all/records/life.rs
@@ -3,7 +3,8 @@
 use std::sync::Arc;
 
 use gorsespur_jobs::{
-    Answer, Capacity, End, Ending, Look, Running, StartOrder, Started, Stopped, TaskId, WorkerInfo,
+    Answer, Capacity, Ending, ReportedRun, RunEnd, StartOrder, Started, Stopped, TaskId,
+    WorkerInfo, WorkerReport,
 };
 
 /// A run on a worker.
@@ -20,7 +21,7 @@
     pub id: Arc<str>,
     fence: u64,
     pub runs: Vec<Run>,
-    ends: Vec<End>,
+    ends: Vec<RunEnd>,
     next: u64,
     /// Runs at or below these never begin any more.
     barred: Vec<(TaskId, u32)>,
@@ -77,7 +78,7 @@
         self.runs.push(Run {
             task,
             number,
-            saved: order.saved.clone(),
+            saved: order.checkpoint.clone(),
         });
         Started::Done
     }
@@ -85,12 +86,12 @@
     pub fn end(&mut self, at: usize, ending: Ending) {
         let run = self.runs.remove(at);
         self.barred.push((run.task, run.number));
-        self.ends.push(End {
+        self.ends.push(RunEnd {
             number: self.next,
             task: run.task,
             run: run.number,
             ending,
-            saved: run.saved,
+            checkpoint: run.saved,
         });
         self.next += 1;
     }
@@ -117,14 +118,14 @@
         }
         self.fence = fence;
         self.ends.retain(|e| e.number > observed);
-        let rows = self.runs.iter().map(|r| Running {
+        let rows = self.runs.iter().map(|r| ReportedRun {
             task: r.task,
             run: r.number,
-            saved: r.saved.clone(),
+            checkpoint: r.saved.clone(),
             percent: 50,
             metric: None,
         });
-        Answer::Report(Look {
+        Answer::Report(WorkerReport {
             born: None,
             clock,
             running: rows.collect(),
--- a/crates/jobs/tests/all/records/mod.rs
+++ b/crates/jobs/tests/all/records/mod.rs
@@ -135,7 +135,7 @@
     for _ in 0..20 {
         play.step();
     }
-    let saved: Vec<&str> = play.starts[3..].iter().map(|s| &*s.saved).collect();
+    let saved: Vec<&str> = play.starts[3..].iter().map(|s| &*s.checkpoint).collect();
     assert!(
         matches!(saved[..], [a, b, c] if !a.is_empty() && a == b && b == c),
         "{saved:?}"
--- a/crates/jobs/tests/all/records/play.rs
+++ b/crates/jobs/tests/all/records/play.rs
@@ -116,7 +116,7 @@
         let asked = self.now;
         self.tell(Event::WorkersSynced { asked });
         self.tell(Event::Renewed { asked });
-        for action in self.machine.settle(self.now, self.now) {
+        for action in self.machine.decide(self.now, self.now) {
             self.act(action);
         }
     }
@@ -160,8 +160,8 @@
         match parcel {
             Parcel::Answer(epoch, worker, sent, answer) if epoch == self.epoch => {
                 if let Answer::Report(look) = &answer {
-                    let running = look.running.iter().map(|r| (r.task, &r.saved));
-                    let ended = look.finished.iter().map(|e| (e.task, &e.saved));
+                    let running = look.running.iter().map(|r| (r.task, &r.checkpoint));
+                    let ended = look.finished.iter().map(|e| (e.task, &e.checkpoint));
                     for (task, saved) in running.chain(ended) {
                         self.listed.entry(task).or_default().push(saved.clone());
                     }
@@ -232,7 +232,7 @@
         let task = order.task;
         self.starts.push(order.clone());
         assert_eq!(&*order.spec.text, format!("text of {}", task.job));
-        if !order.saved.is_empty() {
+        if !order.checkpoint.is_empty() {
             self.brought += 1;
             let step = &order.spec.steps[task.step as usize];
             // That of any member of a gang is good for all.
@@ -241,8 +241,8 @@
                 false => task.index..task.index + 1,
             };
             let mut listed = members.filter_map(|index| self.listed.get(&TaskId { index, ..task }));
-            let own = listed.any(|l| l.contains(&order.saved));
-            assert!(own, "{task} brings {}", order.saved);
+            let own = listed.any(|l| l.contains(&order.checkpoint));
+            assert!(own, "{task} brings {}", order.checkpoint);
         }
         let fence = self.epoch;
         if !self.calm && self.rng.random_range(0..20) == 0 {
--- a/crates/jobs/tests/all/regression.rs
+++ b/crates/jobs/tests/all/regression.rs
@@ -5,7 +5,7 @@
 
 fn filling(count: u32, estimate: u64) -> Step {
     Step {
-        fill: true,
+        best_effort: true,
         image: Some("fill".into()),
         ..short(count, estimate)
     }
@@ -201,7 +201,7 @@
     world.run(100);
     let large = Step {
         cpu: 4000,
-        spread: 1,
+        max_per_worker: 1,
         ..serving(2)
     };
     world.submit(1, chain(vec![large]));
@@ -225,7 +225,7 @@
     world.run(100);
     let lasting = |label: &str, cpu: u64, target: u64| Step {
         cpu,
-        target,
+        latency_target: target,
         label: Some(label.into()),
         ..serving(1)
     };
--- a/crates/jobs/tests/all/resizing.rs
+++ b/crates/jobs/tests/all/resizing.rs
@@ -89,7 +89,7 @@
     world.run(1500);
     resize(&mut world, 0, (4000, 16000));
     let fill = Step {
-        fill: true,
+        best_effort: true,
         image: Some("fill".into()),
         ..short(1, 500)
     };
@@ -202,7 +202,7 @@
             worker.guards = guards;
         }
         let lasting = Step {
-            spread: 2,
+            max_per_worker: 2,
             ..serving(2 * MANY as u32)
         };
         world.submit(1, chain(vec![lasting]));
--- a/crates/jobs/tests/all/sharing.rs
+++ b/crates/jobs/tests/all/sharing.rs
@@ -28,9 +28,9 @@
     world.run(100);
     for id in 1..3 {
         let serve = Step {
-            lasting: true,
-            target: 100,
-            spread: 1,
+            long_running: true,
+            latency_target: 100,
+            max_per_worker: 1,
             image: Some("serve".into()),
             ..sized(WORKERS as u32, 0, times)
         };
@@ -55,7 +55,7 @@
 
 fn sized_filling(image: &str, count: u32, times: u64) -> Step {
     Step {
-        fill: true,
+        best_effort: true,
         image: Some(image.into()),
         ..sized(count, 2_000, times)
     }
@@ -147,7 +147,7 @@
     let long = |image: &str| Step {
         count: 4,
         estimate: 60_000,
-        spread: 1,
+        max_per_worker: 1,
         ..filling(image, 4)
     };
     world.submit(10, chain(vec![long("heavy")]));
@@ -155,7 +155,7 @@
     world.submit(11, chain(vec![long("light")]));
     world.run(8000);
     let serve = Step {
-        spread: 1,
+        max_per_worker: 1,
         ..serving(4)
     };
     let before: Vec<usize> = world.workers.iter().map(|w| w.runs.len()).collect();
--- a/crates/jobs/tests/all/still.rs
+++ b/crates/jobs/tests/all/still.rs
@@ -65,9 +65,9 @@
         for id in 1..4 {
             let serve = Step {
                 cpu,
-                lasting: true,
-                target: 100,
-                spread: 1,
+                long_running: true,
+                latency_target: 100,
+                max_per_worker: 1,
                 image: Some("serve".into()),
                 ..short(WORKERS as u32, 0)
             };
@@ -104,7 +104,7 @@
     fn filling(&mut self, images: &[&str]) -> Step {
         let image = images[self.rng.random_range(0..images.len())];
         saving(Step {
-            fill: true,
+            best_effort: true,
             cpu: self.rng.random_range(1000..2000),
             memory: 200,
             image: Some(image.into()),
@@ -179,7 +179,7 @@
 /// A step whose tasks fill for long, and save their progress.
 fn fill(image: &str, count: u32) -> Step {
     saving(Step {
-        fill: true,
+        best_effort: true,
         memory: 500,
         image: Some(image.into()),
         ..short(count, LENGTH)
--- a/crates/jobs/tests/all/takeovers.rs
+++ b/crates/jobs/tests/all/takeovers.rs
@@ -14,7 +14,7 @@
         count: 4,
         cpu: 1000,
         memory: 1000,
-        lasting: true,
+        long_running: true,
         ..Step::default()
     };
     world.submit(LASTING.0, chain(vec![step]));
@@ -37,11 +37,11 @@
     vanish(&mut world, 0);
     let over = world.lease_end();
     world.take_over(over);
-    assert_eq!(world.figures().unheard, 4);
+    assert_eq!(world.figures().unverified_runs, 4);
     world.run(500);
-    assert_eq!(world.figures().unheard, 1);
+    assert_eq!(world.figures().unverified_runs, 1);
     world.run(over - world.now + 500);
-    assert_eq!(world.figures().unheard, 0);
+    assert_eq!(world.figures().unverified_runs, 0);
     check_seed(&world, 0);
 }
 
@@ -105,7 +105,7 @@
     world.claim = 9000;
     world.take_over(world.lease_end());
     world.run(100);
-    assert_eq!(world.figures().unheard, 0);
+    assert_eq!(world.figures().unverified_runs, 0);
     world.workers[0].cut = true;
     world.run(2500);
     world.store_down = false;
--- a/crates/jobs/tests/all/waits.rs
+++ b/crates/jobs/tests/all/waits.rs
@@ -33,7 +33,7 @@
 /// A step whose tasks fill, and save their progress.
 fn fill(image: &str, count: u32, estimate: u64) -> Step {
     saving(Step {
-        fill: true,
+        best_effort: true,
         memory: 500,
         image: Some(image.into()),
         ..short(count, estimate)
@@ -72,7 +72,7 @@
     let mut world = world(WORKERS);
     set_tails(&mut world, tails);
     let serve = Step {
-        spread: 1,
+        max_per_worker: 1,
         ..serving(WORKERS as u32)
     };
     world.submit(1, chain(vec![serve]));
@@ -128,7 +128,7 @@
     for (id, rack) in [(11, "r2"), (12, "r3")] {
         let other = Step {
             cpu,
-            spread: 1,
+            max_per_worker: 1,
             label: Some(rack.into()),
             ..lasting(2)
         };
@@ -157,7 +157,7 @@
     }
     let serve = Step {
         cpu: 1200,
-        spread: 1,
+        max_per_worker: 1,
         ..serving(4)
     };
     world.submit(1, chain(vec![serve]));
@@ -210,7 +210,7 @@
         // One on each worker; they don't end at once.
         let small = Step {
             memory,
-            spread: 1,
+            max_per_worker: 1,
             estimate: 1500 + 170 * at,
             ..fill("light", 300, 0)
         };
@@ -248,9 +248,9 @@
     }
     world.run(5000);
     let id = world.submit(LAST, chain(vec![short(2, 500)]));
-    let held = world.figures().held;
+    let held = world.figures().throttled_passes;
     let wait = longest_wait(&mut world, id, 30_000);
-    let held = world.figures().held - held;
+    let held = world.figures().throttled_passes - held;
     assert!(wait < LOST, "{wait} ms, {held} passes held");
 }
 
@@ -261,7 +261,7 @@
     world.submit(
         1,
         chain(vec![Step {
-            spread: 1,
+            max_per_worker: 1,
             ..short(8, 600_000)
         }]),
     );
@@ -290,7 +290,7 @@
     let mut world = world(400);
     let all = Step {
         cpu: 8000,
-        spread: 1,
+        max_per_worker: 1,
         ..lasting(400)
     };
     let all = world.submit(1, chain(vec![all]));
@@ -388,7 +388,7 @@
         worker.mode = Mode::FailsAll;
     }
     let once = Step {
-        spread: 1,
+        max_per_worker: 1,
         ..short(WORKERS as u32, 200)
     };
     world.submit(100, chain(vec![once]));
--- a/crates/node/src/fakes_tests.rs
+++ b/crates/node/src/fakes_tests.rs
@@ -9,7 +9,7 @@
 };
 
 use gorsespur_http::{HttpError, Method, Request, Response, Traffic};
-use gorsespur_jobs::{Answer, Look, Outcome, Settings, Spec, Started, WorkerInfo};
+use gorsespur_jobs::{Answer, Outcome, Settings, Spec, Started, WorkerInfo, WorkerReport};
 
 use crate::{
     config::Config,
@@ -96,7 +96,7 @@
             return Answer::Started(start.task, start.run, started);
         }
         match result {
-            Ok(_) => Answer::Report(Look {
+            Ok(_) => Answer::Report(WorkerReport {
                 born: None,
                 clock: 1,
                 running: Vec::new(),
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -9,7 +9,7 @@
 };
 
 use gorsespur_http::Traffic;
-use gorsespur_jobs::Figures;
+use gorsespur_jobs::Stats;
 use hdrhistogram::Histogram;
 
 /// Digits that histograms keep.
@@ -88,7 +88,7 @@
     traffic: [Traffic; DUTIES.len()],
     accept: Mutex<Histogram<u32>>,
     /// What the owner counted; of its last time as the owner.
-    decided: Mutex<Figures>,
+    decided: Mutex<Stats>,
 }
 
 impl Default for Metrics {
@@ -124,7 +124,7 @@
     }
 
     /// Takes over what the owner has counted.
-    pub(crate) fn decided(&self, figures: Figures) {
+    pub(crate) fn decided(&self, figures: Stats) {
         *self.decided.lock().unwrap_or_else(PoisonError::into_inner) = figures;
     }
 
@@ -157,24 +157,24 @@
             ("starts", decided.starts),
             ("starts_refused", decided.refused),
             ("starts_rejected", decided.rejected),
-            ("starts_unclear", decided.unclear),
+            ("starts_unclear", decided.unanswered_starts),
             ("runs_done", decided.done),
             ("runs_failed", decided.failed),
             ("runs_stopped", decided.stopped),
             ("runs_lapsed", decided.lapsed),
             ("runs_lost", decided.lost),
-            ("jobs_given_up", decided.given_up),
-            ("runs_unheard", decided.unheard),
-            ("jobs_still", decided.still),
+            ("jobs_given_up", decided.jobs_given_up),
+            ("runs_unheard", decided.unverified_runs),
+            ("jobs_still", decided.starved_jobs),
             ("tasks_running", decided.running),
-            ("looks", decided.looks),
+            ("looks", decided.polls),
             ("tasks", decided.tasks),
             ("passes", decided.passes),
             ("ratings", decided.ratings),
-            ("cut", decided.cut),
-            ("held", decided.held),
-            ("stale", decided.stale),
-            ("workers_age_ms", decided.age),
+            ("cut", decided.truncated_passes),
+            ("held", decided.throttled_passes),
+            ("stale", decided.skipped_passes),
+            ("workers_age_ms", decided.workers_age),
             ("commits", decided.commits),
         ];
         for (name, count) in rows {
--- a/crates/node/src/owner/lines_tests.rs
+++ b/crates/node/src/owner/lines_tests.rs
@@ -59,14 +59,14 @@
     Order::Start(StartOrder {
         task: TaskId {
             job: JobId(job),
-            time: 0,
+            repetition: 0,
             step: 0,
             index: 0,
         },
         run: 1,
         spec: Arc::default(),
         deadline: 0,
-        saved: "".into(),
+        checkpoint: "".into(),
     })
 }
 
--- a/crates/node/src/owner/load.rs
+++ b/crates/node/src/owner/load.rs
@@ -67,7 +67,7 @@
         let Some(job) = feed::read_job(shared, row) else {
             return false;
         };
-        if !record.fits(&job.spec) {
+        if !record.is_valid_for(&job.spec) {
             shared.metrics.count(Count::BadRows);
             log::error!(key = row.key.as_str(); "owner: record of another job, the job is left alone");
             return false;
@@ -90,7 +90,7 @@
     for event in events {
         machine.handle(shared.clock.now(), wall_ms(), event);
     }
-    machine.tell_unheard();
+    machine.log_unverified_runs();
     Ok(Loaded {
         machine,
         log,
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -168,7 +168,7 @@
                 };
                 self.machine.handle(now, wall_ms(), event);
             }
-            let actions = self.machine.settle(now, wall_ms());
+            let actions = self.machine.decide(now, wall_ms());
             if actions.is_empty() {
                 break;
             }
@@ -180,8 +180,8 @@
         if now >= self.tell_at {
             self.tell_at = now + TELL_PERIOD;
             send(journal, Entry::Pending(self.machine.pending()));
-            self.shared.metrics.decided(self.machine.figures());
-            for worker in self.machine.closable() {
+            self.shared.metrics.decided(self.machine.stats());
+            for worker in self.machine.closable_workers() {
                 self.lines.drop_worker(self.inbox.poll.registry(), worker);
             }
         }
