--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -143,7 +143,7 @@
         for _ in 0..count {
             let at = self.workers.len();
             let info = WorkerInfo {
-                born: None,
+                start_time: None,
                 id: format!("w{at:04}").into(),
                 addr: format!("127.0.0.1:{}", 1000 + at).parse().expect("address"),
                 service: "s".into(),
@@ -331,7 +331,7 @@
             }),
         };
         let look = WorkerReport {
-            born: None,
+            start_time: None,
             clock: CLOCK + now,
             running: at.runs.iter().map(|&r| row(&self.runs[r])).collect(),
             finished: at.ends.clone(),
--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -91,7 +91,7 @@
     fn check_leaving(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
-            let (Some(since), Some(info)) = (worker.leaving, worker.info.as_ref()) else {
+            let (Some(since), Some(info)) = (worker.leaving_since, worker.info.as_ref()) else {
                 continue;
             };
             let end = since + info.remaining;
@@ -131,7 +131,7 @@
         let runs = worker.runs.clone();
         let left = runs.iter().filter_map(|&id| self.check_stall(slot, id));
         let least = left.min();
-        self.fleet.get_mut(slot).suspect = least;
+        self.fleet.get_mut(slot).stall_due = least;
     }
 
     /// Stops a run that stands still; returns in how many milliseconds it will have stood
@@ -161,7 +161,7 @@
         log::warn!(task = id.to_string().as_str(), percent = run.percent, still_ms = still, worker = &*self.fleet.get(slot).id; "run: stands still");
         run.stage = Stage::Stopping(None);
         self.stopping.push(id);
-        self.blame(slot);
+        self.note_worker_failure(slot);
         None
     }
 
@@ -178,30 +178,30 @@
     fn send_look(&mut self, slot: u32) {
         let (now, settings) = (self.now, self.settings);
         let worker = &mut self.fleet.workers[slot as usize];
-        let wanted = worker.listed || !worker.runs.is_empty() || !worker.strays.is_empty();
-        if worker.dead || worker.looking || worker.info.is_none() || !wanted {
+        let wanted = worker.registered || !worker.runs.is_empty() || !worker.orphans.is_empty();
+        if worker.dead || worker.poll_in_flight || worker.info.is_none() || !wanted {
             return;
         }
         // A later life would take it for a lease of the longest length, at each try anew.
-        let renews = worker.born.is_none() || worker.silent.is_none();
+        let renews = worker.start_time.is_none() || worker.silent_since.is_none();
         let deadline = worker.deadline(&settings, self.contact);
         let deadline = deadline.filter(|_| renews);
-        let at = worker.look_due(deadline, &settings);
+        let at = worker.poll_due(deadline, &settings);
         if now < at {
-            if worker.reminded != at {
-                worker.reminded = at;
-                self.fleet.remind(slot, at);
+            if worker.timer_at != at {
+                worker.timer_at = at;
+                self.fleet.set_timer(slot, at);
             }
             return;
         }
-        let wait = worker.look_wait(&settings);
-        let observed = worker.droppable();
+        let wait = worker.poll_wait(&settings);
+        let observed = worker.droppable_end();
         if let Some(end) = deadline {
-            worker.promised = worker.promised.max(end);
+            worker.granted_until = worker.granted_until.max(end);
             worker.note_lease_order(now, &settings);
         }
-        worker.looking = true;
-        worker.looked = now;
+        worker.poll_in_flight = true;
+        worker.polled_at = now;
         self.stats.polls += 1;
         self.out.push(Action::Poll {
             worker: slot,
@@ -215,8 +215,8 @@
     pub fn closable_workers(&self) -> Vec<u32> {
         let mut out = Vec::new();
         for (slot, worker) in self.fleet.workers.iter().enumerate() {
-            let idle = worker.runs.is_empty() && worker.strays.is_empty();
-            if worker.dead || !worker.listed && idle {
+            let idle = worker.runs.is_empty() && worker.orphans.is_empty();
+            if worker.dead || !worker.registered && idle {
                 out.push(slot as u32);
             }
         }
--- a/crates/jobs/src/event.rs
+++ b/crates/jobs/src/event.rs
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerReport {
     /// When the life that answers began, in milliseconds since 1970, if it says so.
-    pub born: Option<u64>,
+    pub start_time: Option<u64>,
     /// The worker's steady clock in milliseconds.
     pub clock: u64,
     /// What runs.
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -177,7 +177,7 @@
             worker.reserve(id, step);
             // After losses of power there may be others on each worker.
             if task.crashes.is_likely() {
-                worker.guest = Some(id);
+                worker.isolated_task = Some(id);
             }
         }
         self.jobs.insert(id, state);
@@ -198,13 +198,13 @@
         match event {
             Event::Accepted(job) => self.accepted(job),
             Event::Cancelled(job) => self.cancelled(job),
-            Event::Worker(info) => self.moved |= self.fleet.announce(info, self.now),
+            Event::Worker(info) => self.moved |= self.fleet.register(info, self.now),
             Event::Evacuated(zones) => {
                 self.fleet.evacuate(zones);
                 self.moved = true;
             }
-            Event::WorkersSynced { asked } => self.fleet.note_current(asked),
-            Event::WorkerRemoved(id) => self.fleet.unlist(&id),
+            Event::WorkersSynced { asked } => self.fleet.note_synced(asked),
+            Event::WorkerRemoved(id) => self.fleet.deregister(&id),
             Event::Queues(queues) => {
                 self.queues = queues;
                 self.moved = true;
@@ -322,7 +322,7 @@
             Answer::NoReply => self.silent(worker, sent),
             Answer::ConnectionRefused => {
                 self.silent(worker, sent);
-                self.fleet.get_mut(worker).absent = true;
+                self.fleet.get_mut(worker).process_ended = true;
             }
             Answer::Fenced => self.out.push(Action::StepDown),
             Answer::Dead => self.worker_dead(worker),
--- a/crates/jobs/src/model/life.rs
+++ b/crates/jobs/src/model/life.rs
@@ -11,37 +11,37 @@
 
 /// A life of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Life {
+pub(crate) struct Incarnation {
     /// The worker's name.
     pub(crate) id: Arc<str>,
     /// When the life began, in milliseconds since 1970, if it says so. Clocks step: it tells
     /// lives apart and does not order them.
-    pub(crate) born: Option<u64>,
+    pub(crate) start_time: Option<u64>,
 }
 
-impl Life {
+impl Incarnation {
     /// Returns the life's own name.
     pub(crate) fn name(&self) -> Arc<str> {
-        match self.born {
+        match self.start_time {
             Some(born) => format!("{}{MARK}{born}", self.id).into(),
             None => self.id.clone(),
         }
     }
 
     /// Reads a life's own name.
-    pub(crate) fn parse(name: &Arc<str>) -> Life {
+    pub(crate) fn parse(name: &Arc<str>) -> Incarnation {
         let parts = name.rsplit_once(MARK);
         // `parse` would take a sign as well.
         let parts = parts.filter(|(_, born)| born.bytes().all(|b| b.is_ascii_digit()));
         let known = parts.and_then(|(id, born)| Some((id, born.parse().ok()?)));
         match known {
-            Some((id, born)) => Life {
+            Some((id, born)) => Incarnation {
                 id: id.into(),
-                born: Some(born),
+                start_time: Some(born),
             },
-            None => Life {
+            None => Incarnation {
                 id: name.clone(),
-                born: None,
+                start_time: None,
             },
         }
     }
--- a/crates/jobs/src/model/life_tests.rs
+++ b/crates/jobs/src/model/life_tests.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-use super::life::Life;
+use super::life::Incarnation;
 
-fn life(id: &str, born: Option<u64>) -> Life {
-    Life {
+fn life(id: &str, born: Option<u64>) -> Incarnation {
+    Incarnation {
         id: id.into(),
-        born,
+        start_time: born,
     }
 }
 
@@ -15,14 +15,14 @@
 fn a_life_that_tells_no_start_has_its_workers_name() {
     let name = life("w-17", None).name();
     assert_eq!(&*name, "w-17");
-    assert_eq!(Life::parse(&name), life("w-17", None));
+    assert_eq!(Incarnation::parse(&name), life("w-17", None));
 }
 
 #[test]
 fn names_of_lives_are_read_back() {
     for (id, born) in [("w-17", 0), ("w", 1_780_000_000_123), ("a@b", u64::MAX)] {
         let life = life(id, Some(born));
-        assert_eq!(Life::parse(&life.name()), life);
+        assert_eq!(Incarnation::parse(&life.name()), life);
     }
 }
 
@@ -30,6 +30,6 @@
 fn what_is_no_start_belongs_to_the_workers_name() {
     for name in ["w@", "w@+5", "w@-5", "w@5x", "w@99999999999999999999999"] {
         let name: Arc<str> = name.into();
-        assert_eq!(Life::parse(&name), life(&name, None));
+        assert_eq!(Incarnation::parse(&name), life(&name, None));
     }
 }
--- a/crates/jobs/src/place/apart.rs
+++ b/crates/jobs/src/place/apart.rs
@@ -140,7 +140,7 @@
 
     /// Keeps others away from a worker while a suspect runs there.
     pub(super) fn keep_apart(&mut self, id: TaskId, slot: u32, pass: &mut Pass) {
-        self.fleet.get_mut(slot).guest = Some(id);
+        self.fleet.get_mut(slot).isolated_task = Some(id);
         pass.note_room(slot, &self.fleet);
         pass.open.retain(|&s| s != slot);
     }
@@ -156,17 +156,22 @@
         if !self.may_host(share, pass) {
             return None;
         }
-        let empty = self.best_apart(request, pass, |w| w.runs.is_empty() && w.strays.is_empty());
+        let empty = self.best_apart(request, pass, |w| w.runs.is_empty() && w.orphans.is_empty());
         if empty.is_some() || pass.idle || self.now <= task.cleared + PATIENCE {
             return empty;
         }
         // Whatever else had just begun there might be blamed as well.
-        self.best_apart(request, pass, |w| self.now > w.probed + YOUNG)
+        self.best_apart(request, pass, |w| self.now > w.probed_at + YOUNG)
     }
 
     /// Tells whether one more worker may run a suspect, of those of which one in `share` may.
     fn may_host(&self, share: usize, pass: &Pass) -> bool {
-        let hosts = self.fleet.workers.iter().filter(|w| w.is_hosting()).count();
+        let hosts = self
+            .fleet
+            .workers
+            .iter()
+            .filter(|w| w.is_isolating())
+            .count();
         let all = hosts + pass.open.len();
         let most = match pass.idle {
             true => all - all.div_ceil(SPARE_SHARE),
@@ -208,7 +213,7 @@
             suits(w) && fits.is_ok() && !self.is_spread(slot, request)
         });
         let best = fitting.min_by_key(|&(slot, w)| {
-            let stake = (w.lasting, w.runs.len());
+            let stake = (w.long_running_tasks, w.runs.len());
             (stake, Reverse(rating(w, request.step)), slot)
         });
         best.map(|(slot, _)| slot)
--- a/crates/jobs/src/place/hold.rs
+++ b/crates/jobs/src/place/hold.rs
@@ -12,7 +12,7 @@
     machine::Machine,
     model::{ids::TaskId, job::JobState, task::Run},
     place::{pass::Pass, request::Request},
-    runs::worker::{Capacity, Worker, size},
+    runs::worker::{Capacity, Worker, demand},
 };
 
 /// A job of which nothing has run for this long may hold a worker, in milliseconds: users count
@@ -73,7 +73,7 @@
         };
         let waits = state.times[first.repetition as usize][first.step as usize].idle > 0;
         let held_up = hold.lasting || !state.has_runs();
-        let open = self.fleet.get(hold.slot).is_open(self.now);
+        let open = self.fleet.get(hold.slot).accepts_runs(self.now);
         waits && held_up && open && self.now < hold.until
     }
 
@@ -83,7 +83,7 @@
         let mut others = others.filter(|h| h.first != request.first);
         let step = request.step;
         let worker = self.fleet.get(slot);
-        others.any(|h| !step.best_effort || h.is_short(worker, size(step)))
+        others.any(|h| !step.best_effort || h.is_short(worker, demand(step)))
     }
 
     /// Holds a worker for a task that fits nowhere, if it has waited for long.
@@ -115,7 +115,7 @@
         let hold = Hold {
             first,
             slot,
-            size: size(request.step),
+            size: demand(request.step),
             lasting,
             until: self.now + LONGEST,
         };
@@ -146,7 +146,7 @@
         }
         let waits = short[..most].iter().filter_map(|&(_, slot)| {
             let worker = self.fleet.get(slot);
-            let wait = self.time_to_room(worker, size(step))?;
+            let wait = self.time_to_room(worker, demand(step))?;
             // Else it would wait for too long.
             (step.long_running || wait < LONGEST).then_some((wait, worker.used.cpu, slot))
         });
@@ -156,13 +156,13 @@
     /// Returns the workers that may have room for a task of a step once others have ended, with
     /// how much is short, in thousandths of what they can hold.
     fn short_workers(&self, request: &Request<'_>, pass: &Pass) -> Vec<(u64, u32)> {
-        let (step, wanted) = (request.step, size(request.step));
+        let (step, wanted) = (request.step, demand(request.step));
         let mut short = Vec::new();
         for (slot, worker) in (0..).zip(&self.fleet.workers) {
             let room = worker.capacity();
             let lacks = shortage(worker, wanted);
             // One that lacks nothing is refused for another reason than room.
-            if lacks == 0 && !step.long_running || !room.holds(worker.lasting_size, wanted) {
+            if lacks == 0 && !step.long_running || !room.holds(worker.long_running_size, wanted) {
                 continue;
             }
             let is_kept = pass.held.iter().any(|h| h.slot == slot);
@@ -189,7 +189,7 @@
                 continue;
             };
             if !step.long_running || !run.is_wanted() {
-                ends.push((time_left(run, step.estimate), size(step)));
+                ends.push((time_left(run, step.estimate), demand(step)));
             }
         }
         ends.sort_unstable_by_key(|(at, _)| *at);
--- a/crates/jobs/src/place/pass.rs
+++ b/crates/jobs/src/place/pass.rs
@@ -96,14 +96,14 @@
         for (slot, worker) in (0..).zip(&fleet.workers) {
             let room = Room::of(worker);
             pass.rooms.push(room);
-            let info = worker.info.as_ref().filter(|_| worker.is_open(now));
-            let Some(info) = info.filter(|_| worker.guest.is_none()) else {
+            let info = worker.info.as_ref().filter(|_| worker.accepts_runs(now));
+            let Some(info) = info.filter(|_| worker.isolated_task.is_none()) else {
                 continue;
             };
             pass.open.push(slot);
             let load = pass.load_mut(&info.service);
             load.left += room.fill();
-            load.filling += worker.filling;
+            load.filling += worker.best_effort_cpu;
             load.all.add(worker.capacity());
             load.used.add(worker.used);
         }
--- a/crates/jobs/src/place/rank.rs
+++ b/crates/jobs/src/place/rank.rs
@@ -129,7 +129,7 @@
     /// Tells whether a task may begin to fill beside a tail that is over its target.
     fn may_fill_beside(&self, slot: u32, request: &Request<'_>) -> bool {
         let worker = self.fleet.get(slot);
-        request.starved && worker.filling == 0 && worker.own_load.may_fill(self.now)
+        request.starved && worker.best_effort_cpu == 0 && worker.own_load.may_fill(self.now)
     }
 
     /// Tells whether a worker has as many tasks of a step as it may have.
@@ -168,7 +168,8 @@
 /// Returns how well a worker suits a task of a step by its room, place and speed.
 pub(super) fn rating(worker: &Worker, step: &Step) -> i64 {
     let room = worker.capacity();
-    let free = (room.cpu + worker.spare) as i64 - (worker.used.cpu + worker.filling) as i64;
+    let free =
+        (room.cpu + worker.spare_cpu) as i64 - (worker.used.cpu + worker.best_effort_cpu) as i64;
     let mut points = free * 1000 / (room.cpu as i64).max(1);
     if let (Some(rack), Some(info)) = (&step.data_rack, &worker.info)
         && info.labels.contains(rack)
--- a/crates/jobs/src/place/room.rs
+++ b/crates/jobs/src/place/room.rs
@@ -6,7 +6,7 @@
     machine::Machine,
     model::spec::Step,
     place::refusal::Refusal,
-    runs::worker::{Capacity, Worker, size},
+    runs::worker::{Capacity, Worker, demand},
 };
 
 /// What a worker has left.
@@ -25,13 +25,13 @@
         let (room, used) = (worker.capacity(), worker.used);
         let cpu = room.cpu.saturating_sub(used.cpu);
         Room {
-            over: worker.is_over(),
+            over: worker.is_overcommitted(),
             free: Capacity {
                 cpu,
                 memory: room.memory.saturating_sub(used.memory),
                 gpu: room.gpu.saturating_sub(used.gpu),
             },
-            fill: (cpu + worker.spare).saturating_sub(worker.filling),
+            fill: (cpu + worker.spare_cpu).saturating_sub(worker.best_effort_cpu),
         }
     }
 
@@ -48,7 +48,7 @@
 
     /// Says why a task of a step does not fit, as [`Room::fits`] asks.
     fn check(&self, step: &Step, starved: bool) -> Result<(), Refusal> {
-        let size = size(step);
+        let size = demand(step);
         let enough = size.cpu <= self.free.cpu
             && size.memory <= self.free.memory
             && size.gpu <= self.free.gpu;
@@ -70,13 +70,16 @@
         step: &Step,
         service: &Arc<str>,
     ) -> Result<(), Refusal> {
-        let info = worker.info.as_ref().filter(|_| worker.is_open(self.now));
+        let info = worker
+            .info
+            .as_ref()
+            .filter(|_| worker.accepts_runs(self.now));
         let info = info.ok_or(Refusal::Closed)?;
         let label = step.label.as_ref();
         match () {
-            () if worker.guest.is_some() => Err(Refusal::Guest),
+            () if worker.isolated_task.is_some() => Err(Refusal::Guest),
             () if !Arc::ptr_eq(&info.service, service) => Err(Refusal::Label),
-            () if worker.is_on_trial(self.now) => Err(Refusal::Trial),
+            () if worker.is_on_probation(self.now) => Err(Refusal::Trial),
             () if label.is_some_and(|l| !info.labels.contains(l)) => Err(Refusal::Label),
             () => Ok(()),
         }
--- a/crates/jobs/src/place/starving.rs
+++ b/crates/jobs/src/place/starving.rs
@@ -115,10 +115,10 @@
         let mut refusals = Refusals::default();
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
-            if !worker.listed {
+            if !worker.registered {
                 continue;
             }
-            if !worker.is_open(self.now) {
+            if !worker.accepts_runs(self.now) {
                 refusals.0[Refusal::Closed as usize] += 1;
                 continue;
             }
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -60,7 +60,7 @@
     ///
     /// Nothing is placed while it is not known which workers are about to leave.
     pub(crate) fn place(&mut self) -> Coverage {
-        if !self.fleet.is_current(self.now, &self.settings) {
+        if !self.fleet.is_fresh(self.now, &self.settings) {
             self.stats.skipped_passes += 1;
             return Coverage::Whole;
         }
@@ -210,7 +210,7 @@
         let placed = self.assign_members(&request, &members, run, pass);
         if placed.len() == step.count as usize {
             for member in placed {
-                self.fleet.get_mut(member.slot).note_try(self.now);
+                self.fleet.get_mut(member.slot).note_probe(self.now);
             }
             self.share_checkpoint(first);
             return Placed::All;
@@ -268,7 +268,7 @@
     /// Places a task on a worker, as one of those that it is tried with.
     pub(super) fn plan(&mut self, id: TaskId, slot: u32, step: &Step) {
         if self.assign(id, slot, step, None).is_some() {
-            self.fleet.get_mut(slot).note_try(self.now);
+            self.fleet.get_mut(slot).note_probe(self.now);
         }
     }
 
--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -73,12 +73,12 @@
         let worker = self.fleet.get_mut(slot);
         log::info!(task = id.to_string().as_str(), run = number, worker = &*worker.id, started:?; "start: refused");
         match started {
-            Started::Refused => self.blame(slot),
+            Started::Refused => self.note_worker_failure(slot),
             Started::Rejected => self.reject_start(slot, id),
             Started::NotSent => {
-                worker.silent.get_or_insert(now);
+                worker.silent_since.get_or_insert(now);
             }
-            _ => worker.closed = worker.closed.max(now + NO_ROOM_PAUSE),
+            _ => worker.closed_until = worker.closed_until.max(now + NO_ROOM_PAUSE),
         }
         if sent {
             self.clear(id);
@@ -102,7 +102,7 @@
             }
             return;
         }
-        let strays = &mut self.fleet.get_mut(slot).strays;
+        let strays = &mut self.fleet.get_mut(slot).orphans;
         let Some(stray) = strays.iter_mut().find(|s| s.task == id && s.run == number) else {
             return;
         };
@@ -120,11 +120,11 @@
         if worker.dead {
             return;
         }
-        worker.looking = false;
-        worker.next_look = now + SILENT_RETRY;
-        worker.missed = Some(sent);
-        if worker.silent.is_none() {
-            worker.silent = Some(now);
+        worker.poll_in_flight = false;
+        worker.next_poll_at = now + SILENT_RETRY;
+        worker.unanswered_poll = Some(sent);
+        if worker.silent_since.is_none() {
+            worker.silent_since = Some(now);
             log::warn!(worker = &*worker.id, runs = worker.runs.len(); "worker: silent");
         }
     }
@@ -132,7 +132,7 @@
     /// Sends the stops that are wanted.
     pub(crate) fn send_stops(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
-            if !self.fleet.get(slot).strays.is_empty() {
+            if !self.fleet.get(slot).orphans.is_empty() {
                 self.stop_strays(slot);
             }
         }
@@ -146,10 +146,10 @@
     /// Sends stops of the runs on a worker that nobody wants.
     fn stop_strays(&mut self, slot: u32) {
         let now = self.now;
-        if !self.fleet.get(slot).takes_orders() {
+        if !self.fleet.get(slot).can_take_orders() {
             return;
         }
-        for stray in &mut self.fleet.get_mut(slot).strays {
+        for stray in &mut self.fleet.get_mut(slot).orphans {
             if stray.sent.is_some() || stray.halted.is_some() || stray.pause > now {
                 continue;
             }
@@ -181,7 +181,7 @@
         };
         let slot = run.worker;
         let worker = self.fleet.get(slot);
-        if !due || !worker.takes_orders() {
+        if !due || !worker.can_take_orders() {
             return true;
         }
         // The answer sets the next time; this one only guards against its loss.
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -43,7 +43,7 @@
         let run = task.last;
         if task.run.as_ref().is_none_or(|r| !r.partial) {
             task.pause = now + REJECTED_PAUSE;
-            return self.blame(slot);
+            return self.note_worker_failure(slot);
         }
         self.stats.rejected += 1;
         // The answer to another member's start may have taken it away already.
--- a/crates/jobs/src/runs/close.rs
+++ b/crates/jobs/src/runs/close.rs
@@ -61,10 +61,10 @@
         let step = &job.spec.steps[id.step as usize];
         let worker = self.fleet.get_mut(run.worker);
         worker.release(id, step);
-        worker.note_loose(id, number, &run, now);
+        worker.note_late_start(id, number, &run, now);
         // One that is lost keeps it: what was lost there is explained by it.
-        if !worker.dead && !worker.absent {
-            worker.guest = worker.guest.filter(|&g| g != id);
+        if !worker.dead && !worker.process_ended {
+            worker.isolated_task = worker.isolated_task.filter(|&g| g != id);
         }
         self.moved = true;
         self.forget_tasks(id.job);
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -11,13 +11,13 @@
     },
     runs::{
         log::{Appender, TASK_BYTES},
-        look::IDLE_WAIT,
+        look::IDLE_POLL_WAIT_MS,
     },
 };
 
 /// A start with a shorter lease is not sent, in milliseconds: the look at an idle worker goes
 /// on waiting, and the run would lapse before its lease is renewed.
-const LEAST_LEASE: u64 = IDLE_WAIT + 1000;
+const LEAST_LEASE: u64 = IDLE_POLL_WAIT_MS + 1000;
 
 /// A batch as it is made.
 struct Writer {
@@ -207,10 +207,10 @@
         let mut left = std::mem::take(&mut self.counted);
         left.sort_unstable();
         left.dedup();
-        left.retain(|&slot| self.fleet.get(slot).is_behind());
+        left.retain(|&slot| self.fleet.get(slot).has_pending_ends());
         let rows = left
             .iter()
-            .map(|&slot| (slot, self.fleet.get(slot).counted));
+            .map(|&slot| (slot, self.fleet.get(slot).counted_end));
         flight.observed.extend(rows);
         self.counted = left;
     }
@@ -218,8 +218,8 @@
     fn observe(&mut self, flight: &Flight) {
         for &(slot, number) in &flight.observed {
             let worker = self.fleet.get_mut(slot);
-            worker.observed = worker.observed.max(number);
-            worker.next_look = worker.next_look.min(self.now);
+            worker.durable_end = worker.durable_end.max(number);
+            worker.next_poll_at = worker.next_poll_at.min(self.now);
         }
     }
 
@@ -247,21 +247,21 @@
         let Some(run) = task.run.as_mut().filter(|r| r.stage == Stage::Planned) else {
             return;
         };
-        let current = self.fleet.is_current(now, &settings);
+        let current = self.fleet.is_fresh(now, &settings);
         let worker = self.fleet.get_mut(run.worker);
         let reading = worker.clock.map_or(0, |(reading, _)| reading);
         let deadline = worker.deadline(&settings, self.contact);
         let lasts = |d: &u64| *d >= reading + LEAST_LEASE;
         // A place may become durable seconds after it was chosen: meanwhile the worker may
         // have said that it leaves or has less room, or this owner may not have heard.
-        let fits = current && worker.is_open(now) && !worker.is_over();
+        let fits = current && worker.accepts_runs(now) && !worker.is_overcommitted();
         let Some(deadline) = deadline.filter(lasts).filter(|_| fits) else {
             return self.clear(id);
         };
         run.stage = Stage::Sent(now);
         run.sent = Some(now);
         run.partial = !saved.is_empty();
-        worker.promised = worker.promised.max(deadline);
+        worker.granted_until = worker.granted_until.max(deadline);
         worker.note_lease_order(now, &settings);
         let (slot, waited) = (run.worker, now - run.since);
         self.stats.starts += 1;
@@ -281,7 +281,7 @@
     fn tell_start(&self, slot: u32, order: &StartOrder, waited: u64) {
         let (id, run) = (order.task, order.run);
         let worker = self.fleet.get(slot);
-        let apart = worker.guest == Some(id);
+        let apart = worker.isolated_task == Some(id);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let Some(checkpoint) = task.and_then(|t| t.checkpoint.as_deref()) else {
             log::info!(task = id.to_string().as_str(), run, worker = &*worker.id, waited_ms = waited, apart; "start: sent");
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -50,8 +50,10 @@
     pub(crate) fn note_crashes(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
-            let due = worker.silent.is_some_and(|at| self.now > at + AT_ONCE);
-            if due && worker.absent && !worker.charged {
+            let due = worker
+                .silent_since
+                .is_some_and(|at| self.now > at + AT_ONCE);
+            if due && worker.process_ended && !worker.crash_recorded {
                 self.note_crash(slot);
             }
         }
@@ -60,7 +62,7 @@
     /// Takes note of what the crash of a worker tells, once.
     pub(super) fn note_crash(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
-        if std::mem::replace(&mut worker.charged, true) || worker.leaving.is_some() {
+        if std::mem::replace(&mut worker.crash_recorded, true) || worker.leaving_since.is_some() {
             return;
         }
         let most = match self.many_lost(slot) {
@@ -73,10 +75,12 @@
     /// A worker answers though its machine refused connections: it has not crashed.
     pub(crate) fn note_present(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
-        worker.absent = false;
-        worker.charged = false;
+        worker.process_ended = false;
+        worker.crash_recorded = false;
         let (life, runs) = (worker.name.clone(), worker.runs.clone());
-        worker.guest = worker.guest.filter(|g| runs.binary_search(g).is_ok());
+        worker.isolated_task = worker
+            .isolated_task
+            .filter(|g| runs.binary_search(g).is_ok());
         for task in runs {
             let state = self.jobs.get_mut(&task.job);
             let Some(state) = state.and_then(|j| j.task_mut(task)) else {
@@ -91,7 +95,7 @@
     pub(super) fn charge(&mut self, slot: u32, most: Blame) {
         let worker = self.fleet.get(slot);
         let (life, runs) = (worker.name.clone(), worker.runs.clone());
-        let end = worker.silent.unwrap_or(self.now);
+        let end = worker.silent_since.unwrap_or(self.now);
         let young: Vec<TaskId> = runs
             .iter()
             .copied()
@@ -130,15 +134,16 @@
     /// Tells whether so many other workers crashed at the same time that the cause is none
     /// of their tasks. Those that ran a suspect apart don't count: it may be the cause there.
     fn many_lost(&self, slot: u32) -> bool {
-        let at = self.fleet.get(slot).silent;
+        let at = self.fleet.get(slot).silent_since;
         let Some(at) = at else {
             return false;
         };
         let workers = (0..).zip(&self.fleet.workers);
-        let others = workers.filter(|&(other, w)| other != slot && w.guest.is_none());
-        let others = others.filter(|(_, w)| w.absent && w.leaving.is_none());
-        let lost = others.filter(|(_, w)| w.silent.is_some_and(|s| s.abs_diff(at) <= AT_ONCE));
-        let listed = self.fleet.workers.iter().filter(|w| w.listed).count();
+        let others = workers.filter(|&(other, w)| other != slot && w.isolated_task.is_none());
+        let others = others.filter(|(_, w)| w.process_ended && w.leaving_since.is_none());
+        let lost =
+            others.filter(|(_, w)| w.silent_since.is_some_and(|s| s.abs_diff(at) <= AT_ONCE));
+        let listed = self.fleet.workers.iter().filter(|w| w.registered).count();
         lost.count() >= MANY.max(listed / MANY_SHARE)
     }
 
@@ -149,7 +154,7 @@
         let Some(run) = task.and_then(|t| t.run.as_ref()) else {
             return false;
         };
-        run.is_young(end) || self.fleet.get(run.worker).guest == Some(id)
+        run.is_young(end) || self.fleet.get(run.worker).isolated_task == Some(id)
     }
 
     /// Ends a job one task of which crashes the workers that start it.
@@ -175,9 +180,9 @@
         };
         let listed = task.run.as_ref().and_then(|r| r.listed);
         let ms = listed.map_or(0, |at| clock.saturating_sub(at));
-        if ms > task.crashes.probation() && self.fleet.get(slot).guest == Some(id) {
+        if ms > task.crashes.probation() && self.fleet.get(slot).isolated_task == Some(id) {
             log::info!(task = id.to_string().as_str(), worker = &*self.fleet.get(slot).id, after_ms = ms; "run: no longer apart");
-            self.fleet.get_mut(slot).guest = None;
+            self.fleet.get_mut(slot).isolated_task = None;
             self.moved = true;
         }
         if ms > CLEARED {
--- a/crates/jobs/src/runs/ends.rs
+++ b/crates/jobs/src/runs/ends.rs
@@ -23,22 +23,22 @@
     /// Takes a worker's answer to a look that was sent at `sent`.
     pub(crate) fn looked(&mut self, slot: u32, sent: u64, look: WorkerReport) {
         let (now, settings) = (self.now, self.settings);
-        self.fleet.get_mut(slot).looking = false;
-        let Some(slot) = self.answering(slot, sent, look.born) else {
+        self.fleet.get_mut(slot).poll_in_flight = false;
+        let Some(slot) = self.answering(slot, sent, look.start_time) else {
             return;
         };
         let worker = self.fleet.get_mut(slot);
         if worker.dead {
             return;
         }
-        worker.heard(look.clock, now, &settings);
+        worker.note_clock(look.clock, now, &settings);
         worker.first_end = look.finished.first().map(|e| e.number);
-        let was_absent = worker.absent;
-        if let Some(since) = worker.silent.take() {
+        let was_absent = worker.process_ended;
+        if let Some(since) = worker.silent_since.take() {
             log::info!(worker = &*worker.id, silent_ms = now - since; "worker: answers again");
             self.moved = true;
         }
-        let counted = worker.counted;
+        let counted = worker.counted_end;
         if was_absent {
             self.note_present(slot);
         }
@@ -57,10 +57,10 @@
     fn count_ends(&mut self, slot: u32, look: &WorkerReport) {
         for end in &look.finished {
             let worker = self.fleet.get_mut(slot);
-            if end.number <= worker.counted {
+            if end.number <= worker.counted_end {
                 continue;
             }
-            worker.counted = end.number;
+            worker.counted_end = end.number;
             self.counted.push(slot);
             self.ended(slot, end);
         }
@@ -101,7 +101,7 @@
 
     fn done(&mut self, slot: u32, id: TaskId, ran: u64, telling: bool) {
         self.stats.done += 1;
-        self.fleet.get_mut(slot).did_well();
+        self.fleet.get_mut(slot).note_success();
         if telling {
             self.note_time(id, ran);
         }
@@ -113,7 +113,9 @@
             return;
         }
         if !step.best_effort && step.estimate > 0 && ran > 0 {
-            self.fleet.get_mut(slot).took(ran * 100 / step.estimate);
+            self.fleet
+                .get_mut(slot)
+                .note_duration(ran * 100 / step.estimate);
         }
         let members = match step.gang {
             true => 0..step.count,
@@ -151,7 +153,7 @@
     fn failed(&mut self, slot: u32, id: TaskId, run: u32, is_final: bool) {
         self.stats.failed += 1;
         let now = self.now;
-        self.blame(slot);
+        self.note_worker_failure(slot);
         let Some(state) = self.jobs.get(&id.job) else {
             return;
         };
--- a/crates/jobs/src/runs/fleet.rs
+++ b/crates/jobs/src/runs/fleet.rs
@@ -18,7 +18,7 @@
     /// The lives of each name.
     pub(super) names: Sorted<Arc<str>, Lives>,
     /// When leases of an earlier owner are over everywhere.
-    pub(super) inherited: u64,
+    pub(super) prior_leases_end: u64,
     /// Workers that changed since they were last asked for.
     touched: Vec<u32>,
     /// Workers to be seen to at a time.
@@ -37,7 +37,7 @@
         Fleet {
             workers: Vec::new(),
             names: Sorted::default(),
-            inherited,
+            prior_leases_end: inherited,
             touched: Vec::new(),
             timers: BinaryHeap::new(),
             services: Vec::new(),
@@ -49,28 +49,28 @@
     /// Takes what a worker announced; true if that is new.
     ///
     /// Workers repeat themselves every other second, which is not worth a pass of placement.
-    pub(crate) fn announce(&mut self, mut info: WorkerInfo, now: u64) -> bool {
+    pub(crate) fn register(&mut self, mut info: WorkerInfo, now: u64) -> bool {
         info.service = self.service(&info.service);
         let Some(slot) = self.announced(&info) else {
             return false;
         };
         let known = self.get(slot);
-        if known.listed && known.info.as_ref() == Some(&info) {
+        if known.registered && known.info.as_ref() == Some(&info) {
             return false;
         }
         let worker = self.get_mut(slot);
         if info.ready {
-            worker.leaving = None;
-        } else if worker.leaving.is_none() {
-            worker.leaving = Some(now);
+            worker.leaving_since = None;
+        } else if worker.leaving_since.is_none() {
+            worker.leaving_since = Some(now);
         }
-        let old = worker.info.as_ref().filter(|_| worker.listed);
-        if old.is_none_or(|o| o.ready != info.ready || o.born != info.born) {
-            log::info!(worker = &*info.id, addr = info.addr.to_string().as_str(), ready = info.ready, remaining_ms = info.remaining, born:? = info.born; "worker: listed");
+        let old = worker.info.as_ref().filter(|_| worker.registered);
+        if old.is_none_or(|o| o.ready != info.ready || o.start_time != info.start_time) {
+            log::info!(worker = &*info.id, addr = info.addr.to_string().as_str(), ready = info.ready, remaining_ms = info.remaining, born:? = info.start_time; "worker: listed");
         }
-        worker.listed = true;
-        if worker.announced == 0 {
-            worker.announced = now;
+        worker.registered = true;
+        if worker.registered_at == 0 {
+            worker.registered_at = now;
         }
         worker.info = Some(info);
         let evacuated = self.is_evacuated(slot);
@@ -92,7 +92,7 @@
     }
 
     /// Takes note that all announcements of a time are known.
-    pub(crate) fn note_current(&mut self, asked: u64) {
+    pub(crate) fn note_synced(&mut self, asked: u64) {
         self.current = self.current.max(asked);
     }
 
@@ -102,14 +102,14 @@
     }
 
     /// Tells whether enough is known of the workers' announcements for something to begin.
-    pub(crate) fn is_current(&self, now: u64, settings: &Settings) -> bool {
+    pub(crate) fn is_fresh(&self, now: u64, settings: &Settings) -> bool {
         self.age(now) <= settings.max_staleness
     }
 
     /// Takes note that a worker's announcement is gone.
-    pub(crate) fn unlist(&mut self, id: &Arc<str>) {
+    pub(crate) fn deregister(&mut self, id: &Arc<str>) {
         for slot in self.lives(id).to_vec() {
-            self.get_mut(slot).listed = false;
+            self.get_mut(slot).registered = false;
         }
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Has a worker seen to at a time.
-    pub(crate) fn remind(&mut self, slot: u32, at: u64) {
+    pub(crate) fn set_timer(&mut self, slot: u32, at: u64) {
         self.timers.push(Reverse((at, slot)));
     }
 
--- a/crates/jobs/src/runs/listed.rs
+++ b/crates/jobs/src/runs/listed.rs
@@ -10,8 +10,8 @@
         task::{Run, Stage},
     },
     runs::{
-        stray::Stray,
-        worker::{Capacity, size},
+        stray::Orphan,
+        worker::{Capacity, demand},
     },
 };
 
@@ -77,8 +77,8 @@
         let since = run.since;
         run.listed.get_or_insert(clock);
         let worker = self.fleet.get(slot);
-        if settled && worker.failures > 0 && since > worker.failed {
-            self.fleet.get_mut(slot).did_well();
+        if settled && worker.failures > 0 && since > worker.failed_at {
+            self.fleet.get_mut(slot).note_success();
         }
     }
 
@@ -107,15 +107,15 @@
 
     fn stray(&mut self, slot: u32, row: &ReportedRun) {
         let worker = self.fleet.get(slot);
-        let known = |s: &Stray| s.task == row.task && s.run == row.run;
-        if worker.strays.iter().any(known) {
+        let known = |s: &Orphan| s.task == row.task && s.run == row.run;
+        if worker.orphans.iter().any(known) {
             return;
         }
         let state = self.jobs.get(&row.task.job);
         let step = state.and_then(|j| j.job.spec.steps.get(row.task.step as usize));
         log::info!(task = row.task.to_string().as_str(), run = row.run, worker = &*worker.id; "run: not wanted");
-        let size = step.map_or(Capacity::default(), size);
-        self.fleet.get_mut(slot).add_stray(Stray {
+        let size = step.map_or(Capacity::default(), demand);
+        self.fleet.get_mut(slot).add_orphan(Orphan {
             task: row.task,
             run: row.run,
             size,
@@ -132,8 +132,8 @@
             rows.iter().any(|r| r.task == id && r.run == run)
         };
         let worker = self.fleet.get_mut(slot);
-        worker.drop_strays(|s| s.halted.is_some_and(|at| sent > at) && !is_listed(s.task, s.run));
-        let strays: Vec<TaskId> = worker.strays.iter().map(|s| s.task).collect();
+        worker.drop_orphans(|s| s.halted.is_some_and(|at| sent > at) && !is_listed(s.task, s.run));
+        let strays: Vec<TaskId> = worker.orphans.iter().map(|s| s.task).collect();
         for id in worker.runs.clone() {
             let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
             let Some(task) = task else {
--- a/crates/jobs/src/runs/lives.rs
+++ b/crates/jobs/src/runs/lives.rs
@@ -16,7 +16,7 @@
 use std::{collections::VecDeque, sync::Arc};
 
 use crate::{
-    model::life::Life,
+    model::life::Incarnation,
     runs::{
         fleet::Fleet,
         worker::{Worker, WorkerInfo},
@@ -50,15 +50,15 @@
 impl Worker {
     /// Tells whether it can't be known which life of its name this is.
     pub(super) fn is_nameless(&self) -> bool {
-        self.born.is_none() && self.clock.is_none()
+        self.start_time.is_none() && self.clock.is_none()
     }
 }
 
 impl Fleet {
     /// Returns the slot of a life, by its own name, a new one if need be.
     pub(crate) fn slot(&mut self, name: &Arc<str>) -> u32 {
-        let life = Life::parse(name);
-        self.find(&life.id, life.born)
+        let life = Incarnation::parse(name);
+        self.find(&life.id, life.start_time)
             .unwrap_or_else(|| self.add(life))
     }
 
@@ -69,13 +69,13 @@
 
     fn find(&self, id: &str, born: Option<u64>) -> Option<u32> {
         let mut lives = self.lives(id).iter().copied();
-        lives.find(|&slot| self.get(slot).born == born)
+        lives.find(|&slot| self.get(slot).start_time == born)
     }
 
-    fn add(&mut self, life: Life) -> u32 {
+    fn add(&mut self, life: Incarnation) -> u32 {
         let slot = self.workers.len() as u32;
         self.names.or_default(&life.id).slots.push(slot);
-        self.workers.push(Worker::new(life, self.inherited));
+        self.workers.push(Worker::new(life, self.prior_leases_end));
         slot
     }
 
@@ -86,10 +86,10 @@
 
     /// Returns the slot of the life that an announcement is of; nothing if it was replaced.
     pub(super) fn announced(&mut self, info: &WorkerInfo) -> Option<u32> {
-        if let Some(slot) = self.find(&info.id, info.born) {
+        if let Some(slot) = self.find(&info.id, info.start_time) {
             return Some(slot);
         }
-        let Some(born) = info.born else {
+        let Some(born) = info.start_time else {
             // One that tells its start in its lists alone.
             let mut lives = self.lives(&info.id).iter().copied();
             let heard = lives.find(|&slot| self.get(slot).clock.is_some());
@@ -116,8 +116,8 @@
     /// Returns what a list says that was read in the place of one life, asked for at `sent`.
     pub(super) fn attribute(&mut self, slot: u32, sent: u64, born: Option<u64>) -> Listed {
         let worker = self.get(slot);
-        let born = born.or(worker.born);
-        let same = worker.born == born && worker.clock.is_some();
+        let born = born.or(worker.start_time);
+        let same = worker.start_time == born && worker.clock.is_some();
         if same && !worker.contested && !worker.dead {
             return Listed::Life(slot, Vec::new());
         }
@@ -139,9 +139,9 @@
             return Listed::Unclear;
         }
         let target = target.unwrap_or_else(|| {
-            self.add(Life {
+            self.add(Incarnation {
                 id: id.clone(),
-                born,
+                start_time: born,
             })
         });
         self.introduce(target, slot);
@@ -167,7 +167,7 @@
             return;
         };
         let worker = self.get_mut(target);
-        info.born = worker.born;
+        info.start_time = worker.start_time;
         worker.info = Some(info);
         let evacuated = self.is_evacuated(target);
         self.get_mut(target).evacuated = evacuated;
@@ -180,7 +180,7 @@
         let others = lives.filter(|&slot| slot != target);
         others.partition(|&slot| {
             let worker = self.get(slot);
-            worker.clock.is_some() || worker.announced <= sent
+            worker.clock.is_some() || worker.registered_at <= sent
         })
     }
 
@@ -188,9 +188,9 @@
     pub(super) fn retire(&mut self, slot: u32) {
         let worker = self.get_mut(slot);
         worker.dead = true;
-        worker.listed = false;
-        worker.looking = false;
-        let (id, born) = (worker.id.clone(), worker.born);
+        worker.registered = false;
+        worker.poll_in_flight = false;
+        let (id, born) = (worker.id.clone(), worker.start_time);
         let lives = self.names.or_default(&id);
         lives.slots.retain(|&s| s != slot);
         let Some(born) = born else {
@@ -203,9 +203,9 @@
     }
 }
 
-fn life(info: &WorkerInfo) -> Life {
-    Life {
+fn life(info: &WorkerInfo) -> Incarnation {
+    Incarnation {
         id: info.id.clone(),
-        born: info.born,
+        start_time: info.start_time,
     }
 }
--- a/crates/jobs/src/runs/lives_tests.rs
+++ b/crates/jobs/src/runs/lives_tests.rs
@@ -28,7 +28,7 @@
         self.now += 10;
         let info = WorkerInfo {
             id: "w".into(),
-            born,
+            start_time: born,
             addr: ([127, 0, 0, 1], 1000).into(),
             service: "s".into(),
             zone: "z".into(),
@@ -38,7 +38,7 @@
             ready: true,
             remaining: 0,
         };
-        self.fleet.announce(info, self.now)
+        self.fleet.register(info, self.now)
     }
 
     /// Reads a list in the place of a life that was asked for at `sent`.
@@ -46,7 +46,7 @@
         let listed = self.fleet.attribute(slot, sent, born);
         if let Listed::Life(there, over) = &listed {
             let worker = self.fleet.get_mut(*there);
-            worker.heard(5, self.now, &Settings::default());
+            worker.note_clock(5, self.now, &Settings::default());
             for &slot in over {
                 self.fleet.retire(slot);
             }
@@ -62,7 +62,7 @@
     }
 
     fn is_open(&self, slot: u32) -> bool {
-        self.fleet.get(slot).is_open(self.now)
+        self.fleet.get(slot).accepts_runs(self.now)
     }
 
     fn slot(&mut self, name: &str) -> u32 {
@@ -83,7 +83,7 @@
         assert!(lives.fleet.get(0).dead);
         assert_eq!(lives.fleet.get(1).info, {
             let mut info = lives.fleet.get(0).info.clone();
-            info.as_mut().expect("announced").born = Some(born);
+            info.as_mut().expect("announced").start_time = Some(born);
             info
         });
         // Its room may be another one.
@@ -207,10 +207,10 @@
     lives.row(Some(1));
     lives.ask(0, Some(1));
     lives.row(Some(2));
-    lives.fleet.unlist(&"w".into());
+    lives.fleet.deregister(&"w".into());
     lives.ask(0, Some(1));
     assert!(!lives.is_open(0));
-    lives.fleet.unlist(&"other".into());
+    lives.fleet.deregister(&"other".into());
     assert_eq!(lives.fleet.workers.len(), 2);
 }
 
--- a/crates/jobs/src/runs/loose.rs
+++ b/crates/jobs/src/runs/loose.rs
@@ -22,7 +22,7 @@
 
 /// A start that may still be carried out, though its run was given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Loose {
+pub(crate) struct LateStart {
     pub(crate) task: TaskId,
     pub(crate) run: u32,
     /// When it was sent.
@@ -31,26 +31,27 @@
 
 impl Worker {
     /// Takes note of a run that is given up, if its start may still be carried out.
-    pub(super) fn note_loose(&mut self, task: TaskId, run: u32, given_up: &Run, now: u64) {
+    pub(super) fn note_late_start(&mut self, task: TaskId, run: u32, given_up: &Run, now: u64) {
         let sent = given_up.unlisted().filter(|_| !given_up.answered);
         let Some(sent) = sent.filter(|_| given_up.stage != Stage::Planned) else {
             return;
         };
-        self.keep_loose(Loose { task, run, sent }, now);
+        self.keep_late_start(LateStart { task, run, sent }, now);
     }
 
     /// Keeps such a start, and of those that are kept only what may still be carried out.
-    pub(super) fn keep_loose(&mut self, start: Loose, now: u64) {
-        self.loose.retain(|l| now <= l.sent + KEPT && *l != start);
-        if self.loose.len() >= MOST {
-            self.loose.remove(0);
+    pub(super) fn keep_late_start(&mut self, start: LateStart, now: u64) {
+        self.late_starts
+            .retain(|l| now <= l.sent + KEPT && *l != start);
+        if self.late_starts.len() >= MOST {
+            self.late_starts.remove(0);
         }
-        self.loose.push(start);
+        self.late_starts.push(start);
     }
 
     /// Takes the starts that may still be carried out by its next life.
-    pub(super) fn take_loose(&mut self, now: u64) -> Vec<Loose> {
-        let mut out = std::mem::take(&mut self.loose);
+    pub(super) fn take_late_starts(&mut self, now: u64) -> Vec<LateStart> {
+        let mut out = std::mem::take(&mut self.late_starts);
         out.retain(|l| now <= l.sent + KEPT);
         out
     }
--- a/crates/jobs/src/runs/lost.rs
+++ b/crates/jobs/src/runs/lost.rs
@@ -25,11 +25,11 @@
         if worker.dead {
             return;
         }
-        let silent = worker.silent.map_or(0, |at| self.now - at);
-        log::warn!(worker = &*worker.id, born:? = worker.born, runs = worker.runs.len(), silent_ms = silent, absent = worker.absent; "worker: its life has ended");
+        let silent = worker.silent_since.map_or(0, |at| self.now - at);
+        log::warn!(worker = &*worker.id, born:? = worker.start_time, runs = worker.runs.len(), silent_ms = silent, absent = worker.process_ended; "worker: its life has ended");
         let worker = self.fleet.get_mut(slot);
         worker.dead = true;
-        worker.looking = false;
+        worker.poll_in_flight = false;
         self.account(slot, Loss::Ended);
         let ended = self.ended_runs(slot);
         self.drop_runs(slot, &ended);
@@ -39,16 +39,16 @@
     pub(crate) fn lapse(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
-            let idle = worker.runs.is_empty() && worker.strays.is_empty();
-            if idle || !worker.dead && !worker.is_given_up(self.now) {
+            let idle = worker.runs.is_empty() && worker.orphans.is_empty();
+            if idle || !worker.dead && !worker.is_lost(self.now) {
                 continue;
             }
             let ended = self.ended_runs(slot);
-            if ended.is_empty() && worker.strays.is_empty() {
+            if ended.is_empty() && worker.orphans.is_empty() {
                 continue;
             }
             let (runs, held) = (ended.len(), worker.runs.len() - ended.len());
-            log::warn!(worker = &*worker.id, runs, held, absent = worker.absent; "worker: its leases are over");
+            log::warn!(worker = &*worker.id, runs, held, absent = worker.process_ended; "worker: its leases are over");
             self.stats.lapsed += runs as u64;
             if !worker.dead {
                 self.account(slot, Loss::Lapsed);
@@ -63,9 +63,9 @@
         // Without its row it can't be asked: it may have crashed. One that was silent until its
         // leases were over may be cut off.
         let unclear = loss == Loss::Ended || worker.info.is_none();
-        if worker.absent {
+        if worker.process_ended {
             self.note_crash(slot);
-        } else if unclear && worker.leaving.is_none() {
+        } else if unclear && worker.leaving_since.is_none() {
             self.charge(slot, Blame::Unseen);
         }
     }
@@ -74,7 +74,7 @@
     pub(super) fn drop_runs(&mut self, slot: u32, runs: &[TaskId]) {
         self.tell_lost(slot, runs);
         let worker = self.fleet.get_mut(slot);
-        worker.drop_strays(|_| true);
+        worker.drop_orphans(|_| true);
         for &id in runs {
             self.clear(id);
             self.mark(id.job);
@@ -86,7 +86,7 @@
     fn tell_lost(&mut self, slot: u32, runs: &[TaskId]) {
         let worker = self.fleet.get(slot);
         self.stats.lost += runs.len() as u64;
-        let end = worker.silent.unwrap_or(self.now);
+        let end = worker.silent_since.unwrap_or(self.now);
         for &id in runs {
             let Some(task) = self.jobs.get(&id.job).and_then(|j| j.task(id)) else {
                 continue;
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -12,11 +12,11 @@
     },
     runs::{
         lives::Listed,
-        loose::Loose,
+        loose::LateStart,
         lost::Loss,
-        stray::Stray,
+        stray::Orphan,
         unlisted::HELD_UP,
-        worker::{Capacity, size},
+        worker::{Capacity, demand},
     },
     settings::lease_upper_bound,
 };
@@ -36,7 +36,7 @@
 
     fn replace(&mut self, old: u32, new: u32) {
         let worker = self.fleet.get(old);
-        let (runs, counted) = (worker.runs.len(), worker.counted);
+        let (runs, counted) = (worker.runs.len(), worker.counted_end);
         let moved = match worker.is_nameless() {
             true => self.rename(old, new),
             false => self.succeed(old, new),
@@ -45,24 +45,24 @@
         self.moved = true;
         let (worker, old) = (self.fleet.get(new), self.fleet.get(old));
         if old.clock.is_none() && runs == 0 {
-            log::info!(worker = &*worker.id, born:? = worker.born, old_born:? = old.born; "worker: row of an earlier life");
+            log::info!(worker = &*worker.id, born:? = worker.start_time, old_born:? = old.start_time; "worker: row of an earlier life");
             return;
         }
-        log::warn!(worker = &*worker.id, born:? = worker.born, old_born:? = old.born, counted, runs, unconfirmed = moved; "worker: another life");
+        log::warn!(worker = &*worker.id, born:? = worker.start_time, old_born:? = old.start_time, counted, runs, unconfirmed = moved; "worker: another life");
     }
 
     /// Hands what is known of a life over to the same one, now that its name is known; returns
     /// how many runs that were.
     fn rename(&mut self, old: u32, new: u32) -> usize {
         let worker = self.fleet.get(old);
-        let (runs, guest) = (worker.runs.clone(), worker.guest);
-        let listed = worker.listed;
+        let (runs, guest) = (worker.runs.clone(), worker.isolated_task);
+        let listed = worker.registered;
         for &id in &runs {
             self.move_run(id, new, |stage| stage);
         }
         let worker = self.fleet.get_mut(new);
-        worker.guest = worker.guest.or(guest);
-        worker.listed |= listed;
+        worker.isolated_task = worker.isolated_task.or(guest);
+        worker.registered |= listed;
         runs.len()
     }
 
@@ -72,16 +72,16 @@
         let (now, settings) = (self.now, self.settings);
         let worker = self.fleet.get_mut(old);
         let dead = std::mem::replace(&mut worker.dead, true);
-        let late = if worker.promised > 0 { HELD_UP } else { 0 };
+        let late = if worker.granted_until > 0 { HELD_UP } else { 0 };
         if worker.clock.is_some() || !worker.runs.is_empty() {
             let end = now + late + lease_upper_bound(settings.max_lease);
             let worker = self.fleet.get_mut(new);
-            worker.foreign = worker.foreign.max(end);
+            worker.misdirected_lease_end = worker.misdirected_lease_end.max(end);
         }
         if !dead {
             self.account(old, Loss::Ended);
         }
-        let loose = self.fleet.get_mut(old).take_loose(now);
+        let loose = self.fleet.get_mut(old).take_late_starts(now);
         let unlisted = self.unlisted(old);
         for &id in &unlisted {
             self.move_run(id, new, unclear);
@@ -124,18 +124,18 @@
         }
         let worker = self.fleet.get_mut(old);
         worker.release(id, step);
-        let guest = worker.guest.filter(|&g| g == id);
+        let guest = worker.isolated_task.filter(|&g| g == id);
         let worker = self.fleet.get_mut(new);
         worker.reserve(id, step);
-        worker.guest = worker.guest.or(guest);
+        worker.isolated_task = worker.isolated_task.or(guest);
         self.mark(id.job);
     }
 
     /// Has the next life stop what it may still start of a run that was given up. Where its
     /// task would need a run now it waits until that is barred.
-    fn bar(&mut self, old: u32, new: u32, start: Loose) {
+    fn bar(&mut self, old: u32, new: u32, start: LateStart) {
         let id = start.task;
-        self.fleet.get_mut(new).keep_loose(start, self.now);
+        self.fleet.get_mut(new).keep_late_start(start, self.now);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let Some(task) = task.filter(|t| !t.done) else {
             return self.add_stray(new, start);
@@ -152,12 +152,12 @@
     }
 
     /// Has a worker stop a run that it may still start and that nobody wants.
-    fn add_stray(&mut self, slot: u32, start: Loose) {
+    fn add_stray(&mut self, slot: u32, start: LateStart) {
         let id = start.task;
         let state = self.jobs.get(&id.job);
         let step = state.and_then(|j| j.job.spec.steps.get(id.step as usize));
-        let size = step.map_or(Capacity::default(), size);
-        self.fleet.get_mut(slot).add_stray(Stray {
+        let size = step.map_or(Capacity::default(), demand);
+        self.fleet.get_mut(slot).add_orphan(Orphan {
             task: id,
             run: start.run,
             size,
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -110,7 +110,7 @@
     fn row(&mut self, born: u64) {
         self.tell(Event::Worker(WorkerInfo {
             id: "w".into(),
-            born: Some(born),
+            start_time: Some(born),
             addr: ([127, 0, 0, 1], 1000).into(),
             service: "s".into(),
             zone: "z".into(),
@@ -137,7 +137,7 @@
             metric: None,
         });
         let look = WorkerReport {
-            born: Some(born),
+            start_time: Some(born),
             clock: self.now - born,
             running: running.collect(),
             finished: Vec::new(),
@@ -326,7 +326,7 @@
 fn a_look_tells_of_ends_only_where_they_are_kept_and_its_reader_is_known() {
     let mut owner = Owner::new();
     let worker = owner.machine.fleet.get_mut(0);
-    worker.observed = 5;
+    worker.durable_end = 5;
     for (first, silent, contested, expected) in [
         (Some(5), None, false, 5),
         (None, None, false, 0),
@@ -335,8 +335,8 @@
         (Some(5), None, true, 0),
     ] {
         worker.first_end = first;
-        worker.silent = silent;
+        worker.silent_since = silent;
         worker.contested = contested;
-        assert_eq!(worker.droppable(), expected);
+        assert_eq!(worker.droppable_end(), expected);
     }
 }
--- a/crates/jobs/src/runs/stray.rs
+++ b/crates/jobs/src/runs/stray.rs
@@ -4,7 +4,7 @@
 
 /// A run on a worker that is not wanted there.
 #[derive(Debug, Clone)]
-pub(crate) struct Stray {
+pub(crate) struct Orphan {
     pub(crate) task: TaskId,
     pub(crate) run: u32,
     /// What it takes up.
--- a/crates/jobs/src/runs/trust.rs
+++ b/crates/jobs/src/runs/trust.rs
@@ -25,40 +25,40 @@
 
 impl Worker {
     /// Takes note that a run did its work here.
-    pub(crate) fn did_well(&mut self) {
+    pub(crate) fn note_success(&mut self) {
         self.failures = 0;
         self.probes = 0;
     }
 
     /// Takes note that a run is placed here.
-    pub(crate) fn note_try(&mut self, now: u64) {
+    pub(crate) fn note_probe(&mut self, now: u64) {
         self.probes += 1;
-        self.probed = now;
+        self.probed_at = now;
     }
 
     /// Tells whether its last runs failed and enough others are to show why.
-    pub(crate) fn is_on_trial(&self, now: u64) -> bool {
-        let recent = now < self.probed + PROBE_AGAIN;
+    pub(crate) fn is_on_probation(&self, now: u64) -> bool {
+        let recent = now < self.probed_at + PROBE_AGAIN;
         self.failures > 0 && recent && self.probes >= PROBES
     }
 
     /// Takes note that a run failed or hung here; `limits` are the first and the
     /// longest time without new work.
-    pub(crate) fn did_badly(&mut self, now: u64, limits: (u64, u64)) {
+    pub(crate) fn note_failure(&mut self, now: u64, limits: (u64, u64)) {
         self.failures += 1;
-        self.failed = now;
+        self.failed_at = now;
         self.probes = 0;
         if self.failures < TOO_MANY_FAILURES {
             return;
         }
         let doublings = (self.failures - TOO_MANY_FAILURES).min(4);
         let pause = (limits.0 << doublings).min(limits.1);
-        self.closed = self.closed.max(now + pause);
+        self.closed_until = self.closed_until.max(now + pause);
         log::warn!(worker = &*self.id, failures = self.failures, pause_ms = pause; "worker: gets no work");
     }
 
     /// Takes note of a run's time against its estimate, in percent.
-    pub(crate) fn took(&mut self, percent: u64) {
+    pub(crate) fn note_duration(&mut self, percent: u64) {
         let old = self.slowness * (SLOWNESS_WEIGHT - 1);
         self.slowness = (old + percent.min(1000)) / SLOWNESS_WEIGHT;
     }
@@ -66,8 +66,8 @@
 
 impl Machine {
     /// Takes note that a run failed or hung on a worker, or was refused by it.
-    pub(crate) fn blame(&mut self, slot: u32) {
+    pub(crate) fn note_worker_failure(&mut self, slot: u32) {
         let limits = (self.settings.quarantine, self.settings.max_quarantine);
-        self.fleet.get_mut(slot).did_badly(self.now, limits);
+        self.fleet.get_mut(slot).note_failure(self.now, limits);
     }
 }
--- a/crates/jobs/src/runs/unlisted.rs
+++ b/crates/jobs/src/runs/unlisted.rs
@@ -35,7 +35,7 @@
 impl Worker {
     /// Takes note that an order which names the end of a lease is sent.
     pub(crate) fn note_lease_order(&mut self, now: u64, settings: &Settings) {
-        if self.born.is_some() {
+        if self.start_time.is_some() {
             self.successor_lease = now + HELD_UP + lease_upper_bound(settings.max_lease);
         }
     }
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use crate::{
-    model::{ids::TaskId, life::Life, spec::Step},
-    runs::{loose::Loose, stray::Stray},
+    model::{ids::TaskId, life::Incarnation, spec::Step},
+    runs::{loose::LateStart, stray::Orphan},
     settings::{Settings, lease_upper_bound},
     share::{own_load::OwnLoad, slack::Slack, spare::unused},
 };
@@ -54,7 +54,7 @@
     /// Its name; other lives may have the same one if they say when they began.
     pub id: Arc<str>,
     /// When this life began, in milliseconds since 1970, if it says so.
-    pub born: Option<u64>,
+    pub start_time: Option<u64>,
     /// Where it listens.
     pub addr: SocketAddr,
     /// The service whose tasks it runs.
@@ -79,17 +79,17 @@
     /// Its name, which it may share with other lives.
     pub(crate) id: Arc<str>,
     /// When this life began, if it says so.
-    pub(crate) born: Option<u64>,
+    pub(crate) start_time: Option<u64>,
     /// This life's own name.
     pub(crate) name: Arc<str>,
     /// When this life was first announced; 0 if it was not.
-    pub(crate) announced: u64,
+    pub(crate) registered_at: u64,
     /// Whether another life of its name may be there instead: nothing new begins meanwhile.
     pub(crate) contested: bool,
     /// What it announced; nothing if only records name it.
     pub(crate) info: Option<WorkerInfo>,
     /// Whether its announcement is still there.
-    pub(crate) listed: bool,
+    pub(crate) registered: bool,
     /// Whether its availability zone is evacuated: it gets nothing new.
     pub(crate) evacuated: bool,
     /// Whether its life has ended.
@@ -99,78 +99,78 @@
     /// Its clock's last reading and when that arrived.
     pub(crate) clock: Option<(u64, u64)>,
     /// The latest end of a lease that was sent, on its clock.
-    pub(crate) promised: u64,
+    pub(crate) granted_until: u64,
     /// When leases of earlier owners are over on it.
-    pub(crate) inherited: u64,
+    pub(crate) prior_leases_end: u64,
     /// When leases are over that it took from orders meant for an earlier life.
-    pub(crate) foreign: u64,
+    pub(crate) misdirected_lease_end: u64,
     /// When leases are over that a later life of its name may have taken from orders for this
     /// one.
     pub(crate) successor_lease: u64,
     /// Highest end that was counted.
-    pub(crate) counted: u64,
+    pub(crate) counted_end: u64,
     /// Highest end whose count is durable.
-    pub(crate) observed: u64,
+    pub(crate) durable_end: u64,
     /// The first end that it listed last.
     pub(crate) first_end: Option<u64>,
     /// Whether a look is under way.
-    pub(crate) looking: bool,
+    pub(crate) poll_in_flight: bool,
     /// When the last look was sent.
-    pub(crate) looked: u64,
+    pub(crate) polled_at: u64,
     /// No look before this time.
-    pub(crate) next_look: u64,
+    pub(crate) next_poll_at: u64,
     /// In how many milliseconds a run here has stood still for too long, if none moves.
-    pub(crate) suspect: Option<u64>,
+    pub(crate) stall_due: Option<u64>,
     /// The latest time for which a reminder is set.
-    pub(crate) reminded: u64,
+    pub(crate) timer_at: u64,
     /// Since when it has not answered.
-    pub(crate) silent: Option<u64>,
+    pub(crate) silent_since: Option<u64>,
     /// Whether its machine has refused a connection since: its process has ended.
-    pub(crate) absent: bool,
+    pub(crate) process_ended: bool,
     /// Whether that was taken note of for the tasks there.
-    pub(crate) charged: bool,
+    pub(crate) crash_recorded: bool,
     /// When the last look was sent that got no answer.
-    pub(crate) missed: Option<u64>,
+    pub(crate) unanswered_poll: Option<u64>,
     /// When it began to leave.
-    pub(crate) leaving: Option<u64>,
+    pub(crate) leaving_since: Option<u64>,
     /// Runs on it, sorted.
     pub(crate) runs: Vec<TaskId>,
     /// The suspect that runs on it apart: nothing else begins there meanwhile.
-    pub(crate) guest: Option<TaskId>,
+    pub(crate) isolated_task: Option<TaskId>,
     /// Runs on it that nobody wants.
-    pub(crate) strays: Vec<Stray>,
+    pub(crate) orphans: Vec<Orphan>,
     /// Starts that may still be carried out, by this life or the next, whose runs were given up.
-    pub(crate) loose: Vec<Loose>,
+    pub(crate) late_starts: Vec<LateStart>,
     /// Room that is taken; `cpu` without tasks that fill.
     pub(crate) used: Capacity,
     /// Thousandths of a core that its filling tasks ask for.
-    pub(crate) filling: u64,
+    pub(crate) best_effort_cpu: u64,
     /// Tasks on it that serve under a target.
-    pub(crate) serving: u32,
+    pub(crate) serving_tasks: u32,
     /// Tasks on it that last.
-    pub(crate) lasting: u32,
+    pub(crate) long_running_tasks: u32,
     /// Room that these take up.
-    pub(crate) lasting_size: Capacity,
+    pub(crate) long_running_size: Capacity,
     /// Runs that failed or hung on it since one did well.
     pub(crate) failures: u32,
     /// When the last of them did.
-    pub(crate) failed: u64,
+    pub(crate) failed_at: u64,
     /// Runs placed on it since then.
     pub(crate) probes: u32,
     /// When the last of these was placed.
-    pub(crate) probed: u64,
+    pub(crate) probed_at: u64,
     /// No new runs before this time.
-    pub(crate) closed: u64,
+    pub(crate) closed_until: u64,
     /// Time that its tasks take against their estimate, in percent, averaged.
     pub(crate) slowness: u64,
     /// Thousandths of a core that its serving tasks ask for.
     pub(crate) serving_cpu: u64,
     /// Thousandths of a core that its serving tasks are thought to leave.
-    pub(crate) spare: u64,
+    pub(crate) spare_cpu: u64,
     /// When its figures were last used.
-    pub(crate) figured: u64,
+    pub(crate) metrics_at: u64,
     /// Whether a tail on it was over its target then, and something filled.
-    pub(crate) over: bool,
+    pub(crate) is_over_target: bool,
     /// What its figures tell of the load of what serves there.
     pub(crate) own_load: OwnLoad,
     /// What its serving tasks bear; nothing if that has to be worked out anew.
@@ -178,55 +178,55 @@
 }
 
 impl Worker {
-    pub(crate) fn new(life: Life, inherited: u64) -> Worker {
+    pub(crate) fn new(life: Incarnation, inherited: u64) -> Worker {
         Worker {
             name: life.name(),
             id: life.id,
-            born: life.born,
-            announced: 0,
+            start_time: life.start_time,
+            registered_at: 0,
             contested: false,
             info: None,
-            listed: false,
+            registered: false,
             evacuated: false,
             dead: false,
             touched: false,
             clock: None,
-            promised: 0,
-            inherited,
-            foreign: 0,
+            granted_until: 0,
+            prior_leases_end: inherited,
+            misdirected_lease_end: 0,
             successor_lease: 0,
-            counted: 0,
-            observed: 0,
+            counted_end: 0,
+            durable_end: 0,
             first_end: None,
-            looking: false,
-            looked: 0,
-            next_look: 0,
-            suspect: None,
-            reminded: 0,
-            silent: None,
-            absent: false,
-            charged: false,
-            missed: None,
-            leaving: None,
+            poll_in_flight: false,
+            polled_at: 0,
+            next_poll_at: 0,
+            stall_due: None,
+            timer_at: 0,
+            silent_since: None,
+            process_ended: false,
+            crash_recorded: false,
+            unanswered_poll: None,
+            leaving_since: None,
             runs: Vec::new(),
-            guest: None,
-            strays: Vec::new(),
-            loose: Vec::new(),
+            isolated_task: None,
+            orphans: Vec::new(),
+            late_starts: Vec::new(),
             used: Capacity::default(),
-            filling: 0,
-            serving: 0,
-            lasting: 0,
-            lasting_size: Capacity::default(),
+            best_effort_cpu: 0,
+            serving_tasks: 0,
+            long_running_tasks: 0,
+            long_running_size: Capacity::default(),
             failures: 0,
-            failed: 0,
+            failed_at: 0,
             probes: 0,
-            probed: 0,
-            closed: 0,
+            probed_at: 0,
+            closed_until: 0,
             slowness: 100,
             serving_cpu: 0,
-            spare: 0,
-            figured: 0,
-            over: false,
+            spare_cpu: 0,
+            metrics_at: 0,
+            is_over_target: false,
             own_load: OwnLoad::default(),
             slack: None,
         }
@@ -238,7 +238,7 @@
     }
 
     /// Tells whether it has more than it can hold, since its room has shrunk.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn is_overcommitted(&self) -> bool {
         let (room, used) = (self.capacity(), self.used);
         used.cpu > room.cpu || used.memory > room.memory || used.gpu > room.gpu
     }
@@ -249,23 +249,23 @@
     }
 
     /// Tells whether new runs may be placed here.
-    pub(crate) fn is_open(&self, now: u64) -> bool {
+    pub(crate) fn accepts_runs(&self, now: u64) -> bool {
         let ready = self.info.as_ref().is_some_and(|i| i.ready);
-        ready && !self.evacuated && !self.contested && self.is_live() && self.closed <= now
+        ready && !self.evacuated && !self.contested && self.is_live() && self.closed_until <= now
     }
 
     /// Tells whether it is listed and answers.
     pub(crate) fn is_live(&self) -> bool {
-        self.listed && !self.dead && self.silent.is_none() && self.clock.is_some()
+        self.registered && !self.dead && self.silent_since.is_none() && self.clock.is_some()
     }
 
     /// Tells whether a suspect runs on it apart.
-    pub(crate) fn is_hosting(&self) -> bool {
-        self.guest.is_some() && self.is_live()
+    pub(crate) fn is_isolating(&self) -> bool {
+        self.isolated_task.is_some() && self.is_live()
     }
 
     /// Tells whether it may be sent orders: it has been heard, and its life has not ended.
-    pub(crate) fn takes_orders(&self) -> bool {
+    pub(crate) fn can_take_orders(&self) -> bool {
         !self.dead && self.info.is_some() && self.clock.is_some()
     }
 
@@ -282,11 +282,11 @@
 
     /// Returns when every lease that any owner granted here is over, on our clock.
     pub(crate) fn lapse(&self) -> u64 {
-        let others = self.inherited.max(self.foreign);
+        let others = self.prior_leases_end.max(self.misdirected_lease_end);
         let Some((reading, at)) = self.clock else {
             return others;
         };
-        let left = self.promised.saturating_sub(reading);
+        let left = self.granted_until.saturating_sub(reading);
         let own = at + lease_upper_bound(left);
         own.max(others)
     }
@@ -296,10 +296,10 @@
     /// From the first one on it refuses earlier owners; what they granted before is a lease
     /// from then on at the most. An owner whose last contact with the store is long past
     /// promises less than that.
-    pub(crate) fn heard(&mut self, reading: u64, now: u64, settings: &Settings) {
+    pub(crate) fn note_clock(&mut self, reading: u64, now: u64, settings: &Settings) {
         if self.clock.is_none() {
             let latest = now + lease_upper_bound(settings.lease);
-            self.inherited = self.inherited.min(latest);
+            self.prior_leases_end = self.prior_leases_end.min(latest);
         }
         self.clock = Some((reading, now));
     }
@@ -310,9 +310,9 @@
     /// Time alone tells nothing: a worker that an owner had not asked yet listed runs
     /// that were done, and these were started again. One that only records name can't
     /// be asked.
-    pub(crate) fn is_given_up(&self, now: u64) -> bool {
-        let missed = self.missed.is_some_and(|at| now <= at + FRESH);
-        let asked = self.silent.is_some() && missed;
+    pub(crate) fn is_lost(&self, now: u64) -> bool {
+        let missed = self.unanswered_poll.is_some_and(|at| now <= at + FRESH);
+        let asked = self.silent_since.is_some() && missed;
         let unknown = self.info.is_none();
         (asked || unknown) && now > self.lapse()
     }
@@ -323,15 +323,15 @@
             self.runs.insert(at, task);
         }
         self.slack = None;
-        self.used.add(size(step));
-        self.filling += filling(step);
-        self.serving += u32::from(step.latency_target > 0);
+        self.used.add(demand(step));
+        self.best_effort_cpu += filling(step);
+        self.serving_tasks += u32::from(step.latency_target > 0);
         if step.long_running {
-            self.lasting += 1;
-            self.lasting_size.add(size(step));
+            self.long_running_tasks += 1;
+            self.long_running_size.add(demand(step));
         }
         self.serving_cpu += serving(step);
-        self.spare += unused(step);
+        self.spare_cpu += unused(step);
     }
 
     /// Gives back the room of a run of a step.
@@ -341,39 +341,39 @@
         };
         self.runs.remove(at);
         self.slack = None;
-        self.used.free(size(step));
-        self.filling -= filling(step).min(self.filling);
-        self.serving -= u32::from(step.latency_target > 0).min(self.serving);
+        self.used.free(demand(step));
+        self.best_effort_cpu -= filling(step).min(self.best_effort_cpu);
+        self.serving_tasks -= u32::from(step.latency_target > 0).min(self.serving_tasks);
         if step.long_running {
-            self.lasting -= self.lasting.min(1);
-            self.lasting_size.free(size(step));
+            self.long_running_tasks -= self.long_running_tasks.min(1);
+            self.long_running_size.free(demand(step));
         }
         self.serving_cpu -= serving(step).min(self.serving_cpu);
-        self.spare -= unused(step).min(self.spare);
+        self.spare_cpu -= unused(step).min(self.spare_cpu);
     }
 
     /// Takes up room for a run that is not wanted.
-    pub(crate) fn add_stray(&mut self, stray: Stray) {
+    pub(crate) fn add_orphan(&mut self, stray: Orphan) {
         self.used.add(stray.size);
-        self.strays.push(stray);
+        self.orphans.push(stray);
     }
 
     /// Gives back the room of runs that are not wanted and gone.
-    pub(crate) fn drop_strays(&mut self, gone: impl Fn(&Stray) -> bool) {
+    pub(crate) fn drop_orphans(&mut self, gone: impl Fn(&Orphan) -> bool) {
         let mut at = 0;
-        while at < self.strays.len() {
-            if !gone(&self.strays[at]) {
+        while at < self.orphans.len() {
+            if !gone(&self.orphans[at]) {
                 at += 1;
                 continue;
             }
-            let stray = self.strays.remove(at);
+            let stray = self.orphans.remove(at);
             self.used.free(stray.size);
         }
     }
 }
 
 /// Returns the room that a task of a step takes up.
-pub(crate) fn size(step: &Step) -> Capacity {
+pub(crate) fn demand(step: &Step) -> Capacity {
     Capacity {
         cpu: if step.best_effort { 0 } else { step.cpu },
         memory: step.memory,
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -116,7 +116,7 @@
     }
 
     fn work_out(&self, slot: u32) -> Slack {
-        if self.fleet.get(slot).serving == 0 {
+        if self.fleet.get(slot).serving_tasks == 0 {
             return Slack::default();
         }
         let (served, fillers) = self.residents(slot);
@@ -135,7 +135,7 @@
 
     /// Returns the headroom that what fills on a worker would take from a serving task.
     pub(crate) fn pressure_on(&self, slot: u32, serve: Image) -> f64 {
-        if self.fleet.get(slot).filling == 0 {
+        if self.fleet.get(slot).best_effort_cpu == 0 {
             return 0.0;
         }
         let (_, fillers) = self.residents(slot);
--- a/crates/jobs/src/share/spare.rs
+++ b/crates/jobs/src/share/spare.rs
@@ -42,7 +42,7 @@
         let share = (100 - SERVING_USE) as f64 / 100.0 * all.cpu / all.weighed;
         for (slot, asked) in rows.into_iter().enumerate() {
             let most = asked.cpu * MOST_UNUSED;
-            self.fleet.get_mut(slot as u32).spare = (asked.weighed * share).min(most) as u64;
+            self.fleet.get_mut(slot as u32).spare_cpu = (asked.weighed * share).min(most) as u64;
         }
     }
 
--- a/crates/jobs/src/share/watch.rs
+++ b/crates/jobs/src/share/watch.rs
@@ -24,13 +24,13 @@
     pub(crate) fn watch(&mut self, slot: u32, look: &WorkerReport, ended: &[&RunEnd]) {
         let now = self.now;
         let worker = self.fleet.get_mut(slot);
-        if worker.serving == 0 {
+        if worker.serving_tasks == 0 {
             return self.watch_fillers(slot);
         }
-        if now < worker.figured + PERIOD {
+        if now < worker.metrics_at + PERIOD {
             return;
         }
-        worker.figured = now;
+        worker.metrics_at = now;
         let is_working = self.fills_at_work(slot);
         let press: Arc<[Press]> = self.press(slot, look, ended).into();
         let (mut over, mut is_above) = (false, false);
@@ -69,9 +69,9 @@
         let worker = self.fleet.get_mut(slot);
         worker.own_load.note_filling(is_working, now);
         worker.own_load.note_tails(is_above, now);
-        worker.over = over && worker.filling > 0;
+        worker.is_over_target = over && worker.best_effort_cpu > 0;
         worker.slack = None;
-        if worker.filling > 0 {
+        if worker.best_effort_cpu > 0 {
             self.choose_paces(slot);
         }
     }
@@ -80,9 +80,9 @@
     /// for one that has gone would else stay so, and nothing more would fill there.
     fn watch_fillers(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
-        worker.over = false;
+        worker.is_over_target = false;
         worker.own_load = OwnLoad::default();
-        if worker.filling > 0 {
+        if worker.best_effort_cpu > 0 {
             self.choose_paces(slot);
         }
     }
@@ -118,7 +118,7 @@
         self.note_spare();
         for slot in 0..self.fleet.workers.len() as u32 {
             self.fleet.workers[slot as usize].slack = None;
-            if self.fleet.get(slot).over {
+            if self.fleet.get(slot).is_over_target {
                 self.escalate(slot);
             }
         }
@@ -127,7 +127,7 @@
     /// Tells whether something that fills on a worker may be at work.
     fn fills_at_work(&self, slot: u32) -> bool {
         let worker = self.fleet.get(slot);
-        if worker.filling == 0 {
+        if worker.best_effort_cpu == 0 {
             return false;
         }
         let (_, fillers) = self.residents(slot);
--- a/crates/jobs/src/summary.rs
+++ b/crates/jobs/src/summary.rs
@@ -16,7 +16,7 @@
         let mut used = Capacity::default();
         let (mut filling, mut open, mut serving) = (0, 0, 0);
         for worker in &self.fleet.workers {
-            if !worker.is_open(self.now) {
+            if !worker.accepts_runs(self.now) {
                 continue;
             }
             open += 1;
@@ -24,7 +24,7 @@
             room.memory += worker.capacity().memory;
             used.cpu += worker.used.cpu;
             used.memory += worker.used.memory;
-            filling += worker.filling;
+            filling += worker.best_effort_cpu;
             serving += worker.serving_cpu;
         }
         let (mut waiting, mut running, mut slowed) = (0, 0_u32, 0);
--- a/crates/jobs/tests/all/common/judge.rs
+++ b/crates/jobs/tests/all/common/judge.rs
@@ -132,7 +132,7 @@
 
     /// An owner has read a worker's answer.
     pub fn read(&mut self, now: u64, epoch: u64, id: Arc<str>, look: &WorkerReport) {
-        let heard = self.heard.entry((id.clone(), look.born));
+        let heard = self.heard.entry((id.clone(), look.start_time));
         let heard = heard.or_insert((epoch, now));
         if heard.0 < epoch {
             *heard = (epoch, now);
@@ -140,7 +140,7 @@
         let Some(last) = look.finished.last() else {
             return;
         };
-        let highest = self.read.entry((id, look.born)).or_insert(0);
+        let highest = self.read.entry((id, look.start_time)).or_insert(0);
         *highest = last.number.max(*highest);
     }
 
--- a/crates/jobs/tests/all/common/lives.rs
+++ b/crates/jobs/tests/all/common/lives.rs
@@ -86,7 +86,7 @@
         let worker = &self.workers[at];
         WorkerInfo {
             id,
-            born: worker.born,
+            start_time: worker.born,
             addr: ([127, 0, 0, 1], worker.port).into(),
             service: "s".into(),
             zone: World::zone(at),
--- a/crates/jobs/tests/all/common/sim.rs
+++ b/crates/jobs/tests/all/common/sim.rs
@@ -292,7 +292,7 @@
             metric: Some(self.figure(now, r)),
         });
         Some(WorkerReport {
-            born: self.born,
+            start_time: self.born,
             clock: self.clock(now),
             running: running.collect(),
             finished: self.ends.iter().take(FULL_LIST).cloned().collect(),
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -58,7 +58,7 @@
         for at in 0..MEMBERS {
             let id: Arc<str> = format!("w{at}").into();
             owner.tell(Event::Worker(WorkerInfo {
-                born: None,
+                start_time: None,
                 id,
                 addr: ([127, 0, 0, 1], 1000 + at as u16).into(),
                 service: "s".into(),
@@ -112,7 +112,7 @@
                 let lists = self.workers.entry(worker).or_default();
                 lists.finished.retain(|e| e.number > observed);
                 let look = WorkerReport {
-                    born: None,
+                    start_time: None,
                     clock: sent,
                     running: lists.running.clone(),
                     finished: lists.finished.clone(),
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -21,7 +21,7 @@
 fn info(id: &str) -> WorkerInfo {
     WorkerInfo {
         id: id.into(),
-        born: None,
+        start_time: None,
         addr: "127.0.0.1:9".parse().expect("address"),
         service: "s".into(),
         zone: "z".into(),
@@ -121,7 +121,7 @@
             }
             Action::Poll { worker, .. } => {
                 let look = WorkerReport {
-                    born: None,
+                    start_time: None,
                     clock: sent,
                     running: self.running.clone(),
                     finished: self.finished.clone(),
--- a/crates/jobs/tests/all/records/life.rs
+++ b/crates/jobs/tests/all/records/life.rs
@@ -41,7 +41,7 @@
 
     pub fn info(&self, at: usize) -> WorkerInfo {
         WorkerInfo {
-            born: None,
+            start_time: None,
             id: self.id.clone(),
             addr: format!("127.0.0.1:{}", 1000 + at).parse().expect("address"),
             service: "s".into(),
@@ -126,7 +126,7 @@
             metric: None,
         });
         Answer::Report(WorkerReport {
-            born: None,
+            start_time: None,
             clock,
             running: rows.collect(),
             finished: self.ends.clone(),
--- a/crates/jobs/tests/all/waits.rs
+++ b/crates/jobs/tests/all/waits.rs
@@ -138,7 +138,7 @@
     for at in WORKERS / 2..WORKERS {
         let worker = &world.workers[at];
         let info = WorkerInfo {
-            born: None,
+            start_time: None,
             id: worker.id.clone(),
             addr: format!("127.0.0.1:{}", 1000 + at).parse().expect("address"),
             service: "other".into(),
--- a/crates/node/src/fakes_tests.rs
+++ b/crates/node/src/fakes_tests.rs
@@ -97,7 +97,7 @@
         }
         match result {
             Ok(_) => Answer::Report(WorkerReport {
-                born: None,
+                start_time: None,
                 clock: 1,
                 running: Vec::new(),
                 finished: Vec::new(),
