--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -81,10 +81,10 @@
         if state.outcome.is_final() {
             return false;
         }
-        let before = state.times.len();
-        state.release(self.wall);
-        self.moved |= state.times.len() > before;
-        (state.times.len() as u32) < state.job.spec.repetitions()
+        let before = state.repetitions.len();
+        state.add_due_repetitions(self.wall);
+        self.moved |= state.repetitions.len() > before;
+        (state.repetitions.len() as u32) < state.job.spec.repetitions()
     }
 
     /// Stops on leaving workers what would die with them.
@@ -143,18 +143,18 @@
         let job = state.job.clone();
         let step = &job.spec.steps[id.step as usize];
         let run = state.task_mut(id)?.run.as_mut()?;
-        let Stage::There(at) = run.stage else {
+        let Stage::Confirmed(at) = run.stage else {
             return None;
         };
         // A look a second shows progress: what takes longer a percent is not judged.
         let limit = stall.max(step.estimate / 20) * if step.best_effort { 3 } else { 1 };
-        let slowed = run.pace < 100 || run.wanted < 100;
+        let slowed = run.pace < 100 || run.wanted_pace < 100;
         let over = !slowed && now > at + step.estimate + limit;
         if step.long_running || step.gang || !over {
             return None;
         }
         // Only what the worker's own answers show counts: they may be read late.
-        let still = run.still(clock);
+        let still = run.stalled_for(clock);
         if still <= limit {
             return Some(limit + 1 - still);
         }
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -13,8 +13,8 @@
         record::{Outcome, Record, RecordError},
         spec::Job,
     },
-    order::times::Guesses,
-    place::{aging::Aging, hold::Hold, window::Window},
+    order::times::EstimateModel,
+    place::{aging::Aging, hold::Reservation, window::StartWindow},
     runs::{fleet::Fleet, log::Log},
     settings::Settings,
     share::{pairs::Pairs, sample::Image, season::Season},
@@ -49,11 +49,11 @@
     /// Workers of which ends were counted that are not durable yet.
     pub(crate) counted: Vec<u32>,
     /// How many starts may be under way.
-    pub(crate) window: Window,
+    pub(crate) window: StartWindow,
     /// How many of the open jobs, the last ones, can't be in time.
     pub(crate) late: usize,
     /// Workers that are kept free for tasks that have waited for long.
-    pub(crate) holds: Vec<Hold>,
+    pub(crate) reservations: Vec<Reservation>,
     /// When a worker was last looked for that a job that stands still may hold.
     pub(crate) sought: u64,
     /// Jobs that stand still.
@@ -66,7 +66,7 @@
     /// What the loads of serving steps have in common.
     pub(crate) season: Season,
     /// What was learned of guessed times, by queue.
-    pub(crate) guesses: Sorted<Arc<str>, Guesses>,
+    pub(crate) estimates: Sorted<Arc<str>, EstimateModel>,
     /// Numbers of images.
     pub(crate) images: Sorted<Arc<str>, Image>,
     /// What waits for the batch in flight, if there is one.
@@ -104,9 +104,9 @@
             stopping: Vec::new(),
             pacing: Vec::new(),
             counted: Vec::new(),
-            window: Window::default(),
+            window: StartWindow::default(),
             late: 0,
-            holds: Vec::new(),
+            reservations: Vec::new(),
             sought: 0,
             aging: Aging::default(),
             dirty: Vec::new(),
@@ -114,7 +114,7 @@
             queues: Vec::new(),
             pairs: Pairs::default(),
             season: Season::default(),
-            guesses: Sorted::default(),
+            estimates: Sorted::default(),
             images: Sorted::default(),
             flight: None,
             log: Log::default(),
@@ -160,7 +160,7 @@
             self.open.push(id);
             self.scheduled.push(id);
         }
-        (state.outcome, state.written) = (record.outcome, record.outcome);
+        (state.outcome, state.written_outcome) = (record.outcome, record.outcome);
         let mut suspects = Vec::new();
         for id in state.task_ids() {
             let Some(task) = state.task(id) else {
@@ -176,7 +176,7 @@
             let worker = self.fleet.get_mut(run.worker);
             worker.reserve(id, step);
             // After losses of power there may be others on each worker.
-            if task.crashes.is_likely() {
+            if task.crashes.is_likely_cause() {
                 worker.isolated_task = Some(id);
             }
         }
--- a/crates/jobs/src/model/checkpoint.rs
+++ b/crates/jobs/src/model/checkpoint.rs
@@ -24,12 +24,12 @@
     /// The run's worker, by slot.
     pub(crate) worker: u32,
     /// When the worker first listed it.
-    pub(crate) listed: u64,
+    pub(crate) reported_at: u64,
 }
 
 impl Checkpoint {
     /// Returns a checkpoint that a record has; nothing for an empty text.
-    pub(crate) fn kept(text: &Arc<str>) -> Option<Box<Checkpoint>> {
+    pub(crate) fn from_record(text: &Arc<str>) -> Option<Box<Checkpoint>> {
         let checkpoint = Checkpoint {
             text: text.clone(),
             origin: None,
@@ -40,11 +40,11 @@
     /// Returns the number of the run that made it and when it was listed, by which checkpoints
     /// of one gang are ordered; those of records come first.
     pub(crate) fn recency(&self) -> Option<(u32, u64)> {
-        self.origin.map(|o| (o.run, o.listed))
+        self.origin.map(|o| (o.run, o.reported_at))
     }
 }
 
 /// Returns what log lines show of a checkpoint's text.
-pub(crate) fn shown(text: &str) -> &str {
+pub(crate) fn log_excerpt(text: &str) -> &str {
     &text[..text.floor_char_boundary(SHOWN)]
 }
--- a/crates/jobs/src/model/crash.rs
+++ b/crates/jobs/src/model/crash.rs
@@ -84,16 +84,16 @@
 
     /// Tells whether the task may be the cause, so that it has to run apart from others.
     pub(crate) fn is_suspect(&self) -> bool {
-        self.is_likely() || self.list.len() > 1
+        self.is_likely_cause() || self.list.len() > 1
     }
 
     /// Tells whether more than chance speaks for it.
-    pub(crate) fn is_likely(&self) -> bool {
+    pub(crate) fn is_likely_cause(&self) -> bool {
         self.count_from(Blame::Close) > 0 || self.count_from(Blame::Shared) >= CRASHES
     }
 
     /// Tells whether the task is the cause, as far as that can be known.
-    pub(crate) fn is_proven(&self) -> bool {
+    pub(crate) fn is_proven_cause(&self) -> bool {
         let own = self.count_from(Blame::Own);
         let close = self.count_from(Blame::Close);
         let most = self.list.len() >= MOST_CRASHES;
@@ -106,7 +106,7 @@
     }
 
     /// Returns for how long a run is kept apart after it was first listed, in milliseconds.
-    pub(crate) fn probation(&self) -> u64 {
+    pub(crate) fn isolation_ms(&self) -> u64 {
         let doublings = self.list.len().clamp(1, CRASHES * 2) - 1;
         PROBATION << doublings
     }
--- a/crates/jobs/src/model/crash_tests.rs
+++ b/crates/jobs/src/model/crash_tests.rs
@@ -20,51 +20,51 @@
     let mut some = crashes(&[Blame::Own, Blame::Own]);
     some.note(&"w0".into(), Blame::Own);
     assert_eq!(some.count(), 2);
-    assert!(!some.is_proven());
+    assert!(!some.is_proven_cause());
     some.note(&"w9".into(), Blame::Shared);
-    assert!(!some.is_proven());
+    assert!(!some.is_proven_cause());
     some.note(&"w8".into(), Blame::Close);
-    assert!(some.is_proven());
+    assert!(some.is_proven_cause());
 }
 
 #[test]
 fn what_others_may_have_caused_proves_nothing() {
-    assert!(!crashes(&[Blame::Shared; 9]).is_proven());
-    assert!(!crashes(&[Blame::Close; 9]).is_proven());
-    assert!(!crashes(&[Blame::Close, Blame::Close, Blame::Own]).is_proven());
+    assert!(!crashes(&[Blame::Shared; 9]).is_proven_cause());
+    assert!(!crashes(&[Blame::Close; 9]).is_proven_cause());
+    assert!(!crashes(&[Blame::Close, Blame::Close, Blame::Own]).is_proven_cause());
     let mut once = [Blame::Shared; 9];
     once[4] = Blame::Own;
-    assert!(!crashes(&once).is_proven());
+    assert!(!crashes(&once).is_proven_cause());
 }
 
 /// What was there twice when others crashed a worker may be unlucky twice more.
 #[test]
 fn more_is_needed_where_others_may_have_caused_the_first() {
     let mut blames = vec![Blame::Shared, Blame::Shared, Blame::Own, Blame::Own];
-    assert!(!crashes(&blames).is_proven());
+    assert!(!crashes(&blames).is_proven_cause());
     blames.push(Blame::Shared);
-    assert!(crashes(&blames).is_proven());
+    assert!(crashes(&blames).is_proven_cause());
 }
 
 /// A sixth start is not allowed, whatever became of what is known.
 #[test]
 fn five_crashes_need_less() {
     let mut blames = vec![Blame::Shared, Blame::Close, Blame::Shared, Blame::Own];
-    assert!(!crashes(&blames).is_proven());
+    assert!(!crashes(&blames).is_proven_cause());
     blames.push(Blame::Shared);
-    assert!(crashes(&blames).is_proven());
-    assert!(!crashes(&[Blame::Close; 5]).is_proven());
+    assert!(crashes(&blames).is_proven_cause());
+    assert!(!crashes(&[Blame::Close; 5]).is_proven_cause());
 }
 
 #[test]
 fn one_crash_makes_a_suspect_only_of_what_had_just_begun() {
     assert!(!crashes(&[Blame::Shared]).is_suspect());
     assert!(crashes(&[Blame::Shared, Blame::Shared]).is_suspect());
-    assert!(!crashes(&[Blame::Shared, Blame::Shared]).is_likely());
-    assert!(crashes(&[Blame::Shared; 3]).is_likely());
-    assert!(!crashes(&[Blame::Unseen; 9]).is_likely());
-    assert!(crashes(&[Blame::Close]).is_likely());
-    assert!(crashes(&[Blame::Own]).is_likely());
+    assert!(!crashes(&[Blame::Shared, Blame::Shared]).is_likely_cause());
+    assert!(crashes(&[Blame::Shared; 3]).is_likely_cause());
+    assert!(!crashes(&[Blame::Unseen; 9]).is_likely_cause());
+    assert!(crashes(&[Blame::Close]).is_likely_cause());
+    assert!(crashes(&[Blame::Own]).is_likely_cause());
 }
 
 fn record(crashes: Crashes) -> Record {
--- a/crates/jobs/src/model/job.rs
+++ b/crates/jobs/src/model/job.rs
@@ -12,24 +12,24 @@
         step::StepState,
         task::{Run, Stage, Task},
     },
-    order::times::Guesses,
+    order::times::EstimateModel,
     share::sample::Image,
 };
 
 /// The longest chain of a job's steps, in milliseconds.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Chain {
+pub(crate) struct CriticalPath {
     /// All of it.
-    pub(crate) whole: u64,
+    pub(crate) total: u64,
     /// What is not done yet.
-    pub(crate) left: u64,
+    pub(crate) remaining: u64,
 }
 
-impl Chain {
-    fn longer(self, other: Chain) -> Chain {
-        Chain {
-            whole: self.whole.max(other.whole),
-            left: self.left.max(other.left),
+impl CriticalPath {
+    fn longer(self, other: CriticalPath) -> CriticalPath {
+        CriticalPath {
+            total: self.total.max(other.total),
+            remaining: self.remaining.max(other.remaining),
         }
     }
 }
@@ -44,17 +44,17 @@
     /// What became of it.
     pub(crate) outcome: Outcome,
     /// The steps of each repetition that has fallen due.
-    pub(crate) times: Vec<Vec<StepState>>,
+    pub(crate) repetitions: Vec<Vec<StepState>>,
     /// When the machine learned of it.
-    pub(crate) seen: u64,
+    pub(crate) known_since: u64,
     /// The outcome that was last sent to be committed.
-    pub(crate) written: Outcome,
+    pub(crate) written_outcome: Outcome,
     /// Whether something of it changed since that was last sent to be committed.
     pub(crate) dirty: bool,
     /// The longest chain of its steps as it was last worked out, and when.
-    pub(crate) chain: Option<(Chain, u64)>,
+    pub(crate) critical_path: Option<(CriticalPath, u64)>,
     /// When no worker was found that it may hold; 0 if that did not happen.
-    pub(crate) sought: u64,
+    pub(crate) search_failed_at: u64,
 }
 
 impl JobState {
@@ -63,77 +63,78 @@
             job,
             images,
             outcome: Outcome::Pending,
-            times: Vec::new(),
-            seen: now,
-            written: Outcome::Pending,
+            repetitions: Vec::new(),
+            known_since: now,
+            written_outcome: Outcome::Pending,
             dirty: false,
-            chain: None,
-            sought: 0,
+            critical_path: None,
+            search_failed_at: 0,
         }
     }
 
     /// Tells whether a task has a run.
     pub(crate) fn has_runs(&self) -> bool {
-        let mut tasks = self.times.iter().flatten().flat_map(|s| &s.tasks);
+        let mut tasks = self.repetitions.iter().flatten().flat_map(|s| &s.tasks);
         tasks.any(|t| t.run.is_some())
     }
 
     /// Returns the number of tasks that are kept.
     pub(crate) fn size(&self) -> u64 {
-        let steps = self.times.iter().flatten();
+        let steps = self.repetitions.iter().flatten();
         steps.map(|s| s.tasks.len() as u64).sum()
     }
 
     /// Adds repetitions that are due at `wall`, in milliseconds since 1970.
-    pub(crate) fn release(&mut self, wall: u64) {
+    pub(crate) fn add_due_repetitions(&mut self, wall: u64) {
         let spec = &self.job.spec;
-        while (self.times.len() as u32) < spec.repetitions() {
+        while (self.repetitions.len() as u32) < spec.repetitions() {
             let schedule = spec.schedule;
-            let due = schedule.first + self.times.len() as u64 * schedule.interval;
+            let due = schedule.first + self.repetitions.len() as u64 * schedule.interval;
             if schedule.times > 0 && wall < due {
                 return;
             }
             let steps = spec.steps.iter().map(|s| StepState::new(s.count));
             let steps = steps.collect();
-            self.times.push(steps);
+            self.repetitions.push(steps);
         }
     }
 
     /// Tells whether the steps that `step` depends on are done.
     pub(crate) fn is_ready(&self, time: usize, step: usize) -> bool {
         let deps = &self.job.spec.steps[step].deps;
-        let steps = &self.times[time];
+        let steps = &self.repetitions[time];
         deps.iter().all(|&d| steps[d as usize].is_done())
     }
 
     /// Tells whether every task of every repetition is done.
     pub(crate) fn is_done(&self) -> bool {
-        let all = self.times.len() as u32 == self.job.spec.repetitions();
-        all && self.times.iter().flatten().all(StepState::is_done)
+        let all = self.repetitions.len() as u32 == self.job.spec.repetitions();
+        all && self.repetitions.iter().flatten().all(StepState::is_done)
     }
 
     /// Works out the longest chain of its steps' times.
-    pub(crate) fn work_out_chain(&self, guesses: &Guesses, now: u64) -> Chain {
+    pub(crate) fn compute_critical_path(&self, guesses: &EstimateModel, now: u64) -> CriticalPath {
         let spec = &self.job.spec;
-        let mut ends: Vec<Chain> = Vec::with_capacity(spec.steps.len());
+        let mut ends: Vec<CriticalPath> = Vec::with_capacity(spec.steps.len());
         for (at, step) in spec.steps.iter().enumerate() {
-            let mut end = Chain::default();
+            let mut end = CriticalPath::default();
             for &d in &step.deps {
                 end = end.longer(ends[d as usize]);
             }
-            if let Some(state) = self.times.first().map(|t| &t[at]) {
-                let whole = state.longest(guesses, step.estimate, now);
+            if let Some(state) = self.repetitions.first().map(|t| &t[at]) {
+                let whole = state.longest_task_ms(guesses, step.estimate, now);
                 let percent = if state.is_done() {
                     100
                 } else {
-                    state.least_percent()
+                    state.min_percent()
                 };
-                end.whole += whole;
-                end.left += whole * u64::from(100 - percent) / 100;
+                end.total += whole;
+                end.remaining += whole * u64::from(100 - percent) / 100;
             }
             ends.push(end);
         }
-        ends.into_iter().fold(Chain::default(), Chain::longer)
+        ends.into_iter()
+            .fold(CriticalPath::default(), CriticalPath::longer)
     }
 
     /// Returns a task.
@@ -150,20 +151,20 @@
 
     /// Returns a step in one repetition.
     pub(crate) fn step(&self, time: u32, step: u32) -> Option<&StepState> {
-        let steps = self.times.get(time as usize)?;
+        let steps = self.repetitions.get(time as usize)?;
         steps.get(step as usize)
     }
 
     /// Returns a step in one repetition, to be changed.
     pub(crate) fn step_mut(&mut self, time: u32, step: u32) -> Option<&mut StepState> {
-        let steps = self.times.get_mut(time as usize)?;
+        let steps = self.repetitions.get_mut(time as usize)?;
         steps.get_mut(step as usize)
     }
 
     /// Returns the names of all tasks that have fallen due.
     pub(crate) fn task_ids(&self) -> Vec<TaskId> {
         let mut out = Vec::new();
-        for (time, steps) in self.times.iter().enumerate() {
+        for (time, steps) in self.repetitions.iter().enumerate() {
             for (step, state) in steps.iter().enumerate() {
                 for index in 0..state.tasks.len() {
                     out.push(TaskId {
@@ -180,32 +181,32 @@
 
     /// Takes over what was kept; `slot` gives the slot of a worker's name.
     pub(crate) fn restore(&mut self, record: &Record, mut slot: impl FnMut(&Arc<str>) -> u32) {
-        (self.outcome, self.written) = (record.outcome, record.outcome);
+        (self.outcome, self.written_outcome) = (record.outcome, record.outcome);
         let times = record.steps.iter().map(|s| s.0);
         let times = times.chain(record.tasks.iter().map(|t| t.at.0)).max();
-        while times.is_some_and(|t| self.times.len() <= t as usize) {
+        while times.is_some_and(|t| self.repetitions.len() <= t as usize) {
             let steps = self.job.spec.steps.iter().map(|s| StepState::new(s.count));
-            self.times.push(steps.collect());
+            self.repetitions.push(steps.collect());
         }
         for &(time, step) in &record.steps {
-            let state = &mut self.times[time as usize][step as usize];
+            let state = &mut self.repetitions[time as usize][step as usize];
             for index in 0..state.tasks.len() {
-                state.finish(index);
+                state.mark_done(index);
             }
         }
         for kept in &record.tasks {
             let (time, step, index) = kept.at;
-            let state = &mut self.times[time as usize][step as usize];
+            let state = &mut self.repetitions[time as usize][step as usize];
             if kept.done {
-                state.finish(index as usize);
+                state.mark_done(index as usize);
             }
             let task = &mut state.tasks[index as usize];
-            task.last = kept.run;
+            task.last_run = kept.run;
             task.failed = kept.failed.clone();
-            task.checkpoint = Checkpoint::kept(&kept.saved);
+            task.checkpoint = Checkpoint::from_record(&kept.saved);
             task.crashes = kept.crashes.clone();
             let run = kept.worker.as_ref();
-            let run = run.map(|w| Run::new(slot(w), Stage::Inherited, self.seen));
+            let run = run.map(|w| Run::new(slot(w), Stage::Inherited, self.known_since));
             if let Some(run) = run {
                 state.set_run(index as usize, run);
             }
@@ -216,17 +217,26 @@
     pub(crate) fn note_logged(&mut self, replayed: Replayed) -> bool {
         for (&(time, step), &row) in replayed.steps.iter() {
             if let Some(state) = self.step_mut(time, step) {
-                state.logged = Some(row);
+                state.logged_row = Some(row);
             }
         }
         for (&(time, step, index), &(row, _)) in replayed.tasks.iter() {
-            let state = self.step_mut(time, step).filter(|s| s.logged.is_none());
+            let state = self.step_mut(time, step).filter(|s| s.logged_row.is_none());
             let task = state.and_then(|s| s.tasks.get_mut(index as usize));
             if let Some(task) = task {
                 task.note_logged(row);
             }
         }
-        let mut steps = self.times.iter().flatten().filter(|s| s.logged.is_none());
-        steps.all(|s| !s.is_done() && s.tasks.iter().all(|t| t.last == 0 || t.logged.is_some()))
+        let mut steps = self
+            .repetitions
+            .iter()
+            .flatten()
+            .filter(|s| s.logged_row.is_none());
+        steps.all(|s| {
+            !s.is_done()
+                && s.tasks
+                    .iter()
+                    .all(|t| t.last_run == 0 || t.logged.is_some())
+        })
     }
 }
--- a/crates/jobs/src/model/step.rs
+++ b/crates/jobs/src/model/step.rs
@@ -8,7 +8,7 @@
         checkpoint::Origin,
         task::{Run, Stage, Task},
     },
-    order::times::{Guesses, Seen},
+    order::times::{EstimateModel, ObservedTimes},
     share::{forecast::History, headroom::Headroom},
 };
 
@@ -20,15 +20,15 @@
     /// How many of them are done.
     pub(crate) done: u32,
     /// How many of them are not done and have no run.
-    pub(crate) idle: u32,
+    pub(crate) unassigned: u32,
     /// For tasks that serve: how far their tails are below the target.
     pub(crate) headroom: Headroom,
     /// For tasks that serve: what that was of late.
     pub(crate) history: History,
     /// Times of tasks that ran from their start at full pace.
-    pub(crate) seen: Seen,
+    pub(crate) seen: ObservedTimes,
     /// The row of the log that tells that it is done whole.
-    pub(crate) logged: Option<RowNumber>,
+    pub(crate) logged_row: Option<RowNumber>,
     /// The last checkpoint that a worker rejected: members of a gang that began with it on other
     /// workers still list it.
     pub(crate) rejected: Option<Arc<str>>,
@@ -39,11 +39,11 @@
         StepState {
             tasks: vec![Task::default(); count as usize],
             done: 0,
-            idle: count,
+            unassigned: count,
             headroom: Headroom::default(),
             history: History::default(),
-            seen: Seen::default(),
-            logged: None,
+            seen: ObservedTimes::default(),
+            logged_row: None,
             rejected: None,
         }
     }
@@ -61,11 +61,11 @@
     }
 
     /// Marks a task done.
-    pub(crate) fn finish(&mut self, index: usize) {
+    pub(crate) fn mark_done(&mut self, index: usize) {
         if !self.tasks[index].done {
             self.tasks[index].done = true;
             self.done += 1;
-            self.idle -= u32::from(self.tasks[index].run.is_none());
+            self.unassigned -= u32::from(self.tasks[index].run.is_none());
         }
     }
 
@@ -99,7 +99,7 @@
     /// Gives a task a run.
     pub(crate) fn set_run(&mut self, index: usize, run: Run) {
         let task = &mut self.tasks[index];
-        self.idle -= u32::from(task.run.is_none() && !task.done);
+        self.unassigned -= u32::from(task.run.is_none() && !task.done);
         task.run = Some(Box::new(run));
     }
 
@@ -107,22 +107,22 @@
     pub(crate) fn take_run(&mut self, index: usize) -> Option<Box<Run>> {
         let task = &mut self.tasks[index];
         let run = task.run.take();
-        self.idle += u32::from(run.is_some() && !task.done);
+        self.unassigned += u32::from(run.is_some() && !task.done);
         run
     }
 
     /// Returns the indices of the tasks that need a run now, beside others.
-    pub(crate) fn waiting(&self, now: u64) -> Vec<u32> {
-        if self.idle == 0 {
+    pub(crate) fn waiting_tasks(&self, now: u64) -> Vec<u32> {
+        if self.unassigned == 0 {
             return Vec::new();
         }
         let tasks = (0..).zip(&self.tasks);
-        let waiting = tasks.filter(|(_, t)| t.is_waiting(now) && !t.is_apart(now));
+        let waiting = tasks.filter(|(_, t)| t.is_waiting(now) && !t.needs_isolation(now));
         waiting.map(|(index, _)| index).collect()
     }
 
     /// Returns the least progress of its tasks that are not done, in percent.
-    pub(crate) fn least_percent(&self) -> u32 {
+    pub(crate) fn min_percent(&self) -> u32 {
         let open = self.tasks.iter().filter(|t| !t.done);
         let percents = open.map(|t| t.run.as_ref().map_or(0, |r| r.percent.min(100)));
         percents.min().unwrap_or(0)
@@ -130,19 +130,19 @@
 
     /// Returns the time that its longest task takes, in milliseconds, from the callers'
     /// guess and from what its tasks show.
-    pub(crate) fn longest(&self, guesses: &Guesses, guess: u64, now: u64) -> u64 {
+    pub(crate) fn longest_task_ms(&self, guesses: &EstimateModel, guess: u64, now: u64) -> u64 {
         let mut seen = self.seen;
         for task in &self.tasks {
             let Some(run) = task.run.as_ref().filter(|r| is_telling(r)) else {
                 continue;
             };
-            seen.note_run(run.percent, now - run.since);
+            seen.note_run(run.percent, now - run.placed_at);
         }
         seen.longest(guesses, guess, self.tasks.len())
     }
 
     /// Returns how many runs the step has on a worker.
-    pub(crate) fn on_worker(&self, worker: u32) -> u32 {
+    pub(crate) fn runs_on(&self, worker: u32) -> u32 {
         let runs = self.tasks.iter().filter_map(|t| t.run.as_ref());
         runs.filter(|r| r.worker == worker).count() as u32
     }
@@ -150,5 +150,5 @@
 
 /// Tells whether a run is at work and its time tells of the task.
 fn is_telling(run: &Run) -> bool {
-    matches!(run.stage, Stage::There(_)) && !run.partial
+    matches!(run.stage, Stage::Confirmed(_)) && !run.partial
 }
--- a/crates/jobs/src/model/task.rs
+++ b/crates/jobs/src/model/task.rs
@@ -27,15 +27,15 @@
     /// Its start was sent at this time and is unanswered.
     Sent(u64),
     /// Its worker said at this time that it is there.
-    There(u64),
+    Confirmed(u64),
     /// Its start got no answer by this time.
-    Unclear(u64),
+    Unanswered(u64),
     /// An earlier owner placed it; its worker was not heard yet.
     Inherited,
     /// A stop is wanted; the time of the last order, if one is under way.
     Stopping(Option<u64>),
     /// Its worker said at this time that it ends, or will never begin.
-    Halted(u64),
+    StopConfirmed(u64),
 }
 
 /// A run of a task.
@@ -46,9 +46,9 @@
     /// Where it stands.
     pub(crate) stage: Stage,
     /// When its place was chosen.
-    pub(crate) since: u64,
+    pub(crate) placed_at: u64,
     /// When its start was sent; nothing before, and of one that an earlier owner sent.
-    pub(crate) sent: Option<u64>,
+    pub(crate) sent_at: Option<u64>,
     /// Whether its start was answered, so that it can't be carried out any more.
     pub(crate) answered: bool,
     /// Whether an answer to its start tells which life of its worker's name has it, or that none
@@ -59,20 +59,20 @@
     /// When it was first listed, on the worker's clock.
     pub(crate) listed: Option<u64>,
     /// When the progress last changed, on the worker's clock; nothing before it was listed.
-    pub(crate) moved: Option<u64>,
+    pub(crate) progressed_at: Option<u64>,
     /// Share of its pace that its worker was told, in percent, or [`UNKNOWN_PACE`].
     pub(crate) pace: u32,
     /// Share of its pace that is wanted.
-    pub(crate) wanted: u32,
+    pub(crate) wanted_pace: u32,
     /// Whether its time tells nothing of the task: it was slowed, went on from saved
     /// progress, or began under an earlier owner.
     pub(crate) partial: bool,
     /// No order for its pace before this time; [`u64::MAX`] while one is under way.
     pub(crate) next_pace: u64,
     /// Since when it is slowed much.
-    pub(crate) slowed: Option<u64>,
+    pub(crate) slowed_since: Option<u64>,
     /// For a task that serves: since when its tail is over its target.
-    pub(crate) over: Option<u64>,
+    pub(crate) over_since: Option<u64>,
     /// Whether its last figure was not over its target.
     under: bool,
 }
@@ -87,27 +87,28 @@
         Run {
             worker,
             stage,
-            since: now,
-            sent: None,
+            placed_at: now,
+            sent_at: None,
             answered: false,
             attributed: false,
             percent: 0,
             listed: None,
-            moved: None,
+            progressed_at: None,
             pace,
-            wanted: 100,
+            wanted_pace: 100,
             partial: stage != Stage::Planned,
             next_pace: 0,
-            slowed: None,
-            over: None,
+            slowed_since: None,
+            over_since: None,
             under: false,
         }
     }
 
     /// Returns for how long its progress has stood still when its worker's clock showed
     /// `clock`, in milliseconds.
-    pub(crate) fn still(&self, clock: u64) -> u64 {
-        self.moved.map_or(0, |moved| clock.saturating_sub(moved))
+    pub(crate) fn stalled_for(&self, clock: u64) -> u64 {
+        self.progressed_at
+            .map_or(0, |moved| clock.saturating_sub(moved))
     }
 
     /// Takes a tail as a share of its target; `worst` is the headroom that the tasks of its
@@ -127,9 +128,9 @@
         let under = share < 1.0;
         let expected = share < CLEARLY_UNDER && worst > 1.0 / CLEARLY_UNDER;
         if !under {
-            self.over = self.over.or(Some(now));
+            self.over_since = self.over_since.or(Some(now));
         } else if self.under || share < FAR_UNDER || expected {
-            self.over = None;
+            self.over_since = None;
         }
         self.under = under;
     }
@@ -137,20 +138,20 @@
     /// Takes note that there is no tail, since nobody was served in the last half second.
     pub(crate) fn note_no_tail(&mut self) {
         if self.under {
-            self.over = None;
+            self.over_since = None;
         }
         self.under = true;
     }
 
     /// Returns when its start was sent, if its worker has not listed it: it may not have begun
     /// yet, or in another life than the one that was meant. An answer does not say which.
-    pub(crate) fn unlisted(&self) -> Option<u64> {
-        self.sent.filter(|_| self.listed.is_none())
+    pub(crate) fn unreported_since(&self) -> Option<u64> {
+        self.sent_at.filter(|_| self.listed.is_none())
     }
 
     /// Tells whether the run is wanted to go on.
     pub(crate) fn is_wanted(&self) -> bool {
-        !matches!(self.stage, Stage::Stopping(_) | Stage::Halted(_))
+        !matches!(self.stage, Stage::Stopping(_) | Stage::StopConfirmed(_))
     }
 }
 
@@ -160,7 +161,7 @@
     /// Whether it is done.
     pub(crate) done: bool,
     /// Number of the last run; 0 before the first.
-    pub(crate) last: u32,
+    pub(crate) last_run: u32,
     /// The run that may be there; apart, since most tasks of waiting jobs have none.
     pub(crate) run: Option<Box<Run>>,
     /// Numbers of the runs that failed.
@@ -170,15 +171,15 @@
     /// What its next run goes on from; apart, since most tasks have none.
     pub(crate) checkpoint: Option<Box<Checkpoint>>,
     /// No new run before this time, after a failure.
-    pub(crate) pause: u64,
+    pub(crate) retry_at: u64,
     /// Worker on which the last run failed.
-    pub(crate) avoid: Option<u32>,
+    pub(crate) failed_worker: Option<u32>,
     /// When it last lost its run; 0 if it had none.
-    pub(crate) cleared: u64,
+    pub(crate) idle_since: u64,
     /// What the log tells of it; apart, since most tasks of waiting jobs never ran.
     pub(crate) logged: Option<Box<Logged>>,
     /// The row of the log that does.
-    pub(crate) row: RowNumber,
+    pub(crate) logged_row: RowNumber,
 }
 
 /// What the log tells of a task, as far as it is needed to see that the task has changed since.
@@ -197,7 +198,7 @@
 impl Task {
     /// Tells whether the task needs a run now.
     pub(crate) fn is_waiting(&self, now: u64) -> bool {
-        !self.done && self.run.is_none() && self.pause <= now
+        !self.done && self.run.is_none() && self.retry_at <= now
     }
 
     /// Tells whether it has changed since it was logged.
@@ -205,7 +206,7 @@
         let unchanged = self.logged.as_ref().is_some_and(|l| {
             let crashes = l.crashes.as_deref();
             l.done == self.done
-                && l.run == self.last
+                && l.run == self.last_run
                 && l.worker == self.run.as_ref().map(|r| r.worker)
                 && l.failed as usize == self.failed.len()
                 && l.saved.as_ref() == self.checkpoint.as_ref().map(|c| &c.text)
@@ -217,10 +218,10 @@
     /// Takes note that a row of the log tells of it as it is now.
     pub(crate) fn note_logged(&mut self, row: RowNumber) {
         let crashes = Some(&self.crashes).filter(|c| !c.is_empty());
-        self.row = row;
+        self.logged_row = row;
         self.logged = Some(Box::new(Logged {
             done: self.done,
-            run: self.last,
+            run: self.last_run,
             worker: self.run.as_ref().map(|r| r.worker),
             failed: self.failed.len() as u32,
             saved: self.checkpoint.as_ref().map(|c| c.text.clone()),
@@ -233,7 +234,7 @@
         TaskRecord {
             at,
             done: self.done,
-            run: self.last,
+            run: self.last_run,
             worker: self.run.as_ref().map(|r| name(r.worker)),
             failed: self.failed.clone(),
             saved: self.saved_text(),
--- a/crates/jobs/src/model/task_tests.rs
+++ b/crates/jobs/src/model/task_tests.rs
@@ -15,7 +15,7 @@
     for (at, &percent) in (1..).zip(percents) {
         run.note_tail(f64::from(percent) / 100.0, worst, at * 1000);
     }
-    run.over.is_some()
+    run.over_since.is_some()
 }
 
 #[test_case(CALM, &[80, 92, 99] => false; "below the target")]
--- a/crates/jobs/src/order/standing.rs
+++ b/crates/jobs/src/order/standing.rs
@@ -4,11 +4,11 @@
     machine::Machine,
     model::{
         ids::JobId,
-        job::{Chain, JobState},
+        job::{CriticalPath, JobState},
         policy::QueuePolicy,
         record::Outcome,
     },
-    order::times::Guesses,
+    order::times::EstimateModel,
 };
 
 /// A lasting task that has waited for this long goes before all others, and a worker
@@ -48,7 +48,7 @@
     /// those that can't meet their objective any more come last, and of the others
     /// those that have begun come first; the rest wait in an order that does not
     /// depend on their age or size, so that some are in time and not all late.
-    pub(crate) fn sort_open(&mut self) {
+    pub(crate) fn sort_open_jobs(&mut self) {
         self.note_chains();
         let mut keys: Vec<(Standing, u32, u64, JobId)> = Vec::with_capacity(self.open.len());
         for &id in &self.open {
@@ -68,17 +68,17 @@
 
     /// Works out the chains of the open jobs that were worked out a while ago.
     fn note_chains(&mut self) {
-        let unknown = Guesses::default();
+        let unknown = EstimateModel::default();
         for id in &self.open {
             let Some(state) = self.jobs.get_mut(id) else {
                 continue;
             };
-            let known = state.chain.map(|(_, at)| at);
+            let known = state.critical_path.map(|(_, at)| at);
             if known.is_some_and(|at| self.now < at + CHAIN_PERIOD) {
                 continue;
             }
-            let guesses = self.guesses.get(&state.job.queue).unwrap_or(&unknown);
-            state.chain = Some((state.work_out_chain(guesses, self.now), self.now));
+            let guesses = self.estimates.get(&state.job.queue).unwrap_or(&unknown);
+            state.critical_path = Some((state.compute_critical_path(guesses, self.now), self.now));
         }
     }
 
@@ -94,10 +94,12 @@
                 false => Standing::Lasting,
             };
         }
-        let chain = state.chain.map_or(Chain::default(), |(chain, _)| chain);
-        let goal = (chain.whole as f64 * policy.stretch) as u64 + policy.latency;
-        let left = chain.left * USUAL_TIME / 100;
-        match (self.now + left > state.seen + goal, begun) {
+        let chain = state
+            .critical_path
+            .map_or(CriticalPath::default(), |(chain, _)| chain);
+        let goal = (chain.total as f64 * policy.stretch) as u64 + policy.latency;
+        let left = chain.remaining * USUAL_TIME / 100;
+        match (self.now + left > state.known_since + goal, begun) {
             (true, _) => Standing::Late,
             (false, true) => Standing::Begun,
             (false, false) => Standing::Fresh,
@@ -106,10 +108,14 @@
 
     /// Tells whether a task of a lasting job has waited for long.
     pub(crate) fn is_overdue(&self, state: &JobState) -> bool {
-        let steps = state.times.iter().flatten().filter(|s| s.idle > 0);
+        let steps = state
+            .repetitions
+            .iter()
+            .flatten()
+            .filter(|s| s.unassigned > 0);
         let mut tasks = steps.flat_map(|s| &s.tasks);
         tasks.any(|t| {
-            let since = state.seen.max(t.cleared).max(t.pause);
+            let since = state.known_since.max(t.idle_since).max(t.retry_at);
             t.is_waiting(self.now) && self.now > since + OVERDUE
         })
     }
--- a/crates/jobs/src/order/times.rs
+++ b/crates/jobs/src/order/times.rs
@@ -28,7 +28,7 @@
 
 /// What is learned of the guesses of one queue.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Guesses {
+pub(crate) struct EstimateModel {
     count: f64,
     guessed: f64,
     took: f64,
@@ -36,7 +36,7 @@
     products: f64,
 }
 
-impl Guesses {
+impl EstimateModel {
     /// Takes a guess and the time that the task took, both in milliseconds.
     pub(crate) fn note(&mut self, guess: u64, took: u64) {
         if self.count >= MOST {
@@ -75,12 +75,12 @@
 
 /// What is known of the times of a step's own tasks.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Seen {
+pub(crate) struct ObservedTimes {
     count: f64,
     sum: f64,
 }
 
-impl Seen {
+impl ObservedTimes {
     /// Takes the time that one of them took, in milliseconds.
     pub(crate) fn note(&mut self, took: u64) {
         self.count += 1.0;
@@ -96,7 +96,7 @@
 
     /// Returns the time that the longest of so many tasks of this guess takes, in
     /// milliseconds; 0 if there is neither a guess nor a time.
-    pub(crate) fn longest(&self, guesses: &Guesses, guess: u64, tasks: usize) -> u64 {
+    pub(crate) fn longest(&self, guesses: &EstimateModel, guess: u64, tasks: usize) -> u64 {
         let line = if guess > 0 { LINE } else { 0.0 };
         let known = line + self.count;
         if known == 0.0 {
--- a/crates/jobs/src/place/aging.rs
+++ b/crates/jobs/src/place/aging.rs
@@ -40,24 +40,24 @@
 
 impl JobState {
     /// Returns since when nothing of it has run, if nothing runs.
-    pub(crate) fn still_since(&self) -> Option<u64> {
+    pub(crate) fn idle_since(&self) -> Option<u64> {
         if self.has_runs() {
             return None;
         }
-        let tasks = self.times.iter().flatten().flat_map(|s| &s.tasks);
-        let ended = tasks.map(|t| t.cleared).max().unwrap_or(0);
-        Some(self.seen.max(ended))
+        let tasks = self.repetitions.iter().flatten().flat_map(|s| &s.tasks);
+        let ended = tasks.map(|t| t.idle_since).max().unwrap_or(0);
+        Some(self.known_since.max(ended))
     }
 
     /// Returns the first task that waits beside others, if it is no member of a gang.
     fn first_beside(&self, now: u64) -> Option<TaskId> {
-        for (time, steps) in (0..).zip(&self.times) {
+        for (time, steps) in (0..).zip(&self.repetitions) {
             for (step, state) in (0..).zip(steps) {
                 let kept = &self.job.spec.steps[step as usize];
                 if kept.gang || kept.long_running || !self.is_ready(time as usize, step as usize) {
                     continue;
                 }
-                let Some(&index) = state.waiting(now).first() else {
+                let Some(&index) = state.waiting_tasks(now).first() else {
                     continue;
                 };
                 return Some(TaskId {
@@ -74,7 +74,7 @@
 
 impl Machine {
     /// Places a task of each job that has stood still for long, as far as that may go.
-    pub(super) fn place_aged(&mut self, pass: &mut Pass) {
+    pub(super) fn place_aged_jobs(&mut self, pass: &mut Pass) {
         if self.now >= self.aging.noted + PERIOD {
             self.aging.noted = self.now;
             self.note_aged();
@@ -82,7 +82,7 @@
         let most = pass.open.len().div_ceil(SHARE);
         let jobs = std::mem::take(&mut self.aging.jobs);
         for &(_, id) in &jobs {
-            if self.aging.runs.len() >= most || pass.starts == 0 || pass.is_spent() {
+            if self.aging.runs.len() >= most || pass.starts == 0 || pass.is_over_budget() {
                 break;
             }
             self.place_one(id, pass);
@@ -95,12 +95,12 @@
         let mut runs = std::mem::take(&mut self.aging.runs);
         runs.retain(|&(id, run)| {
             let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
-            task.is_some_and(|t| t.last == run && t.run.is_some())
+            task.is_some_and(|t| t.last_run == run && t.run.is_some())
         });
         self.aging.runs = runs;
         let mut jobs = Vec::new();
         for &id in &self.open {
-            let since = self.jobs.get(&id).and_then(JobState::still_since);
+            let since = self.jobs.get(&id).and_then(JobState::idle_since);
             let since = since.filter(|&at| self.now > at + AGED);
             jobs.extend(since.map(|at| (at, id)));
         }
@@ -126,16 +126,16 @@
             step: &job.spec.steps[task.step as usize],
             image,
             service: &service,
-            avoid: self.avoided(task),
+            avoid: self.worker_to_avoid(task),
             starved: false,
         };
-        let Some(slot) = self.choose(&request, &mut None, pass) else {
+        let Some(slot) = self.choose_worker(&request, &mut None, pass) else {
             return;
         };
-        self.plan(task, slot, request.step);
+        self.place_on(task, slot, request.step);
         pass.starts -= 1;
-        pass.note_room(slot, &self.fleet);
+        pass.update_room(slot, &self.fleet);
         let planned = self.jobs.get(&id).and_then(|j| j.task(task));
-        self.aging.runs.extend(planned.map(|t| (task, t.last)));
+        self.aging.runs.extend(planned.map(|t| (task, t.last_run)));
     }
 }
--- a/crates/jobs/src/place/apart.rs
+++ b/crates/jobs/src/place/apart.rs
@@ -40,9 +40,9 @@
     ///
     /// What only chance speaks against waits no longer than [`PATIENCE`]: after a loss of
     /// power that struck twice there are many of them.
-    pub(crate) fn is_apart(&self, now: u64) -> bool {
-        let waits = now <= self.cleared + PATIENCE;
-        self.crashes.is_likely() || self.crashes.is_suspect() && waits
+    pub(crate) fn needs_isolation(&self, now: u64) -> bool {
+        let waits = now <= self.idle_since + PATIENCE;
+        self.crashes.is_likely_cause() || self.crashes.is_suspect() && waits
     }
 }
 
@@ -75,8 +75,8 @@
     }
 
     /// Places suspects on workers that nobody else has a use for, once all others have places.
-    pub(super) fn place_on_idle(&mut self, pass: &mut Pass) {
-        if pass.is_spent() || !pass.misfits.is_empty() {
+    pub(super) fn place_suspects_on_idle(&mut self, pass: &mut Pass) {
+        if pass.is_over_budget() || !pass.unplaceable.is_empty() {
             return;
         }
         pass.idle = true;
@@ -102,10 +102,10 @@
         let job = state.job.clone();
         let step = &job.spec.steps[id.step as usize];
         let task = state.task(id).filter(|t| t.is_waiting(self.now));
-        let Some(task) = task.filter(|t| t.is_apart(self.now)) else {
+        let Some(task) = task.filter(|t| t.needs_isolation(self.now)) else {
             return;
         };
-        let likely = task.crashes.is_likely();
+        let likely = task.crashes.is_likely_cause();
         let Some(service) = self.policy(&job.queue).map(|p| p.service.clone()) else {
             return;
         };
@@ -129,27 +129,32 @@
 
     /// Places a suspect; true if there is a worker for it.
     fn place_apart(&mut self, id: TaskId, request: &Request<'_>, pass: &mut Pass) -> bool {
-        let Some(slot) = self.find_apart(id, request, pass) else {
+        let Some(slot) = self.find_isolated_worker(id, request, pass) else {
             return false;
         };
-        self.plan(id, slot, request.step);
-        self.keep_apart(id, slot, pass);
+        self.place_on(id, slot, request.step);
+        self.isolate(id, slot, pass);
         pass.starts -= 1;
         true
     }
 
     /// Keeps others away from a worker while a suspect runs there.
-    pub(super) fn keep_apart(&mut self, id: TaskId, slot: u32, pass: &mut Pass) {
+    pub(super) fn isolate(&mut self, id: TaskId, slot: u32, pass: &mut Pass) {
         self.fleet.get_mut(slot).isolated_task = Some(id);
-        pass.note_room(slot, &self.fleet);
+        pass.update_room(slot, &self.fleet);
         pass.open.retain(|&s| s != slot);
     }
 
     /// Finds a worker for a suspect: an empty one, or after [`PATIENCE`] one with little to
     /// lose.
-    pub(super) fn find_apart(&self, id: TaskId, request: &Request<'_>, pass: &Pass) -> Option<u32> {
+    pub(super) fn find_isolated_worker(
+        &self,
+        id: TaskId,
+        request: &Request<'_>,
+        pass: &Pass,
+    ) -> Option<u32> {
         let task = self.jobs.get(&id.job)?.task(id)?;
-        let share = match task.crashes.is_likely() {
+        let share = match task.crashes.is_likely_cause() {
             true => LIKELY_SHARE,
             false => UNLIKELY_SHARE,
         };
@@ -157,7 +162,7 @@
             return None;
         }
         let empty = self.best_apart(request, pass, |w| w.runs.is_empty() && w.orphans.is_empty());
-        if empty.is_some() || pass.idle || self.now <= task.cleared + PATIENCE {
+        if empty.is_some() || pass.idle || self.now <= task.idle_since + PATIENCE {
             return empty;
         }
         // Whatever else had just begun there might be blamed as well.
@@ -181,9 +186,9 @@
     }
 
     /// Tells whether a member of a gang has waited in vain for a worker of its own.
-    pub(super) fn has_waited_apart(&self, id: TaskId) -> bool {
+    pub(super) fn has_waited_for_isolation(&self, id: TaskId) -> bool {
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
-        task.is_some_and(|t| self.now > t.cleared + GANG_PATIENCE)
+        task.is_some_and(|t| self.now > t.idle_since + GANG_PATIENCE)
     }
 
     /// Keeps new tasks from the worker that a suspect will soon run on beside others, so that
@@ -210,7 +215,7 @@
         let workers = pass.open.iter().map(|&slot| (slot, self.fleet.get(slot)));
         let fitting = workers.filter(|&(slot, w)| {
             let fits = self.fits(w, request.step, request.service, request.starved);
-            suits(w) && fits.is_ok() && !self.is_spread(slot, request)
+            suits(w) && fits.is_ok() && !self.is_at_step_limit(slot, request)
         });
         let best = fitting.min_by_key(|&(slot, w)| {
             let stake = (w.long_running_tasks, w.runs.len());
--- a/crates/jobs/src/place/hold.rs
+++ b/crates/jobs/src/place/hold.rs
@@ -34,7 +34,7 @@
 
 /// A worker that is kept free of others for a task of a step.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Hold {
+pub(crate) struct Reservation {
     /// The step's first task.
     first: TaskId,
     slot: u32,
@@ -45,7 +45,7 @@
     until: u64,
 }
 
-impl Hold {
+impl Reservation {
     /// Tells whether a worker that takes something of this size as well has too little memory or
     /// too few accelerators for the task.
     fn is_short(&self, worker: &Worker, more: Capacity) -> bool {
@@ -57,29 +57,30 @@
 
 impl Machine {
     /// Returns the workers that are held at the beginning of a pass.
-    pub(super) fn note_holds(&mut self) -> Vec<Hold> {
-        let mut holds = std::mem::take(&mut self.holds);
+    pub(super) fn current_reservations(&mut self) -> Vec<Reservation> {
+        let mut holds = std::mem::take(&mut self.reservations);
         holds.retain(|h| self.is_hold_needed(h));
-        self.holds = holds;
-        self.holds.clone()
+        self.reservations = holds;
+        self.reservations.clone()
     }
 
     /// Tells whether a task still waits for the worker that is held for it.
-    fn is_hold_needed(&self, hold: &Hold) -> bool {
+    fn is_hold_needed(&self, hold: &Reservation) -> bool {
         let first = hold.first;
         let state = self.jobs.get(&first.job);
         let Some(state) = state.filter(|s| !s.outcome.is_final()) else {
             return false;
         };
-        let waits = state.times[first.repetition as usize][first.step as usize].idle > 0;
+        let waits =
+            state.repetitions[first.repetition as usize][first.step as usize].unassigned > 0;
         let held_up = hold.lasting || !state.has_runs();
         let open = self.fleet.get(hold.slot).accepts_runs(self.now);
         waits && held_up && open && self.now < hold.until
     }
 
     /// Tells whether a worker is held for a task of another step.
-    pub(super) fn is_held(&self, slot: u32, request: &Request<'_>, pass: &Pass) -> bool {
-        let others = pass.held.iter().filter(|h| h.slot == slot);
+    pub(super) fn is_reserved(&self, slot: u32, request: &Request<'_>, pass: &Pass) -> bool {
+        let others = pass.reservations.iter().filter(|h| h.slot == slot);
         let mut others = others.filter(|h| h.first != request.first);
         let step = request.step;
         let worker = self.fleet.get(slot);
@@ -87,9 +88,9 @@
     }
 
     /// Holds a worker for a task that fits nowhere, if it has waited for long.
-    pub(super) fn hold_room(&mut self, request: &Request<'_>, pass: &mut Pass) {
+    pub(super) fn reserve_worker(&mut self, request: &Request<'_>, pass: &mut Pass) {
         let first = request.first;
-        if pass.held.iter().any(|h| h.first == first) {
+        if pass.reservations.iter().any(|h| h.first == first) {
             return;
         }
         let Some(state) = self.jobs.get(&first.job) else {
@@ -108,11 +109,11 @@
         }
         let Some(slot) = self.find_room(request, pass) else {
             if let Some(state) = self.jobs.get_mut(&first.job) {
-                state.sought = self.now;
+                state.search_failed_at = self.now;
             }
             return;
         };
-        let hold = Hold {
+        let hold = Reservation {
             first,
             slot,
             size: demand(request.step),
@@ -120,18 +121,19 @@
             until: self.now + LONGEST,
         };
         log::info!(task = first.to_string().as_str(), worker = &*self.fleet.get(slot).id, lasting; "worker: kept free");
-        self.holds.push(hold);
-        pass.held.push(hold);
+        self.reservations.push(hold);
+        pass.reservations.push(hold);
     }
 
     /// Tells whether a job stands still beside much room, and may hold a worker.
     fn is_held_up(&self, state: &JobState, request: &Request<'_>, pass: &Pass) -> bool {
-        let early = self.now < self.sought + SEEK_PERIOD || self.now < state.sought + SEEK_AGAIN;
-        let is_kept = pass.held.iter().any(|h| !h.lasting);
+        let early =
+            self.now < self.sought + SEEK_PERIOD || self.now < state.search_failed_at + SEEK_AGAIN;
+        let is_kept = pass.reservations.iter().any(|h| !h.lasting);
         if early || is_kept || pass.is_half_full(request.service) {
             return false;
         }
-        let since = state.still_since();
+        let since = state.idle_since();
         since.is_some_and(|at| self.now > at + HELD_UP)
     }
 
@@ -165,9 +167,9 @@
             if lacks == 0 && !step.long_running || !room.holds(worker.long_running_size, wanted) {
                 continue;
             }
-            let is_kept = pass.held.iter().any(|h| h.slot == slot);
+            let is_kept = pass.reservations.iter().any(|h| h.slot == slot);
             let may_take = self.may_take(worker, step, request.service).is_ok();
-            if is_kept || !may_take || self.is_spread(slot, request) {
+            if is_kept || !may_take || self.is_at_step_limit(slot, request) {
                 continue;
             }
             short.push((lacks, slot));
--- a/crates/jobs/src/place/misfit.rs
+++ b/crates/jobs/src/place/misfit.rs
@@ -6,7 +6,7 @@
 
 /// A task that no worker can take in this pass, nor any larger one of its kind.
 #[derive(Debug, PartialEq)]
-pub(crate) struct Misfit {
+pub(crate) struct Unplaceable {
     image: Image,
     fill: bool,
     /// Whether it might have gone beyond the share of what fills.
@@ -18,11 +18,11 @@
     asked: Capacity,
 }
 
-impl Misfit {
+impl Unplaceable {
     /// Returns what a request stands for.
-    pub(crate) fn new(request: &Request<'_>) -> Misfit {
+    pub(crate) fn new(request: &Request<'_>) -> Unplaceable {
         let step = request.step;
-        Misfit {
+        Unplaceable {
             image: request.image,
             fill: step.best_effort,
             starved: request.starved,
@@ -37,7 +37,7 @@
     }
 
     /// Tells whether `other` can't be placed either.
-    pub(crate) fn covers(&self, other: &Misfit) -> bool {
+    pub(crate) fn implies(&self, other: &Unplaceable) -> bool {
         self.image == other.image
             && self.fill == other.fill
             && (self.starved || !other.starved)
--- a/crates/jobs/src/place/pass.rs
+++ b/crates/jobs/src/place/pass.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::{
-    place::{hold::Hold, misfit::Misfit, room::Room},
+    place::{hold::Reservation, misfit::Unplaceable, room::Room},
     runs::{fleet::Fleet, worker::Capacity},
 };
 
@@ -72,9 +72,9 @@
     /// tells so without a look at the worker.
     rooms: Vec<Room>,
     /// Tasks that no worker can take.
-    pub(crate) misfits: Vec<Misfit>,
+    pub(crate) unplaceable: Vec<Unplaceable>,
     /// Workers that are kept free for tasks that have waited for long.
-    pub(crate) held: Vec<Hold>,
+    pub(crate) reservations: Vec<Reservation>,
     /// Whether all others have their places, so that suspects may take what is empty.
     pub(crate) idle: bool,
     /// Whether a worker is kept free for a suspect that found none.
@@ -91,7 +91,7 @@
 
 impl Pass {
     /// Begins a pass at `now`.
-    pub(crate) fn begin(fleet: &Fleet, now: u64) -> Pass {
+    pub(crate) fn new(fleet: &Fleet, now: u64) -> Pass {
         let mut pass = Pass::default();
         for (slot, worker) in (0..).zip(&fleet.workers) {
             let room = Room::of(worker);
@@ -140,7 +140,7 @@
     }
 
     /// Takes note of what a worker has left now.
-    pub(crate) fn note_room(&mut self, slot: u32, fleet: &Fleet) {
+    pub(crate) fn update_room(&mut self, slot: u32, fleet: &Fleet) {
         self.rooms[slot as usize] = Room::of(fleet.get(slot));
     }
 
@@ -152,12 +152,12 @@
     }
 
     /// Takes note that all workers are rated for a step.
-    pub(crate) fn note_ranking(&mut self) {
+    pub(crate) fn count_ratings(&mut self) {
         self.ratings += self.open.len();
     }
 
     /// Tells whether as many workers were rated as one pass may.
-    pub(crate) fn is_spent(&self) -> bool {
+    pub(crate) fn is_over_budget(&self) -> bool {
         self.ratings >= self.budget
     }
 }
--- a/crates/jobs/src/place/rank.rs
+++ b/crates/jobs/src/place/rank.rs
@@ -37,7 +37,7 @@
     rated: BinaryHeap<(i64, Reverse<u32>)>,
     /// Headroom that the step's image takes from each serving one; none if it does not
     /// fill.
-    takes: Vec<f64>,
+    headroom_costs: Vec<f64>,
 }
 
 impl Machine {
@@ -45,13 +45,15 @@
     pub(crate) fn rank(&mut self, request: &Request<'_>, pass: &Pass) -> Ranking {
         let mut ranking = Ranking {
             rated: BinaryHeap::new(),
-            takes: self.takes(request),
+            headroom_costs: self.takes(request),
         };
         for &slot in &pass.open {
             if !pass.room(slot).fits(request.step, request.starved) {
                 continue;
             }
-            let rating = self.rate(slot, request, pass, &ranking.takes).ok();
+            let rating = self
+                .rate_worker(slot, request, pass, &ranking.headroom_costs)
+                .ok();
             ranking.rated.extend(rating.map(|r| (r, Reverse(slot))));
         }
         ranking
@@ -61,7 +63,9 @@
     /// fill.
     pub(super) fn takes(&self, request: &Request<'_>) -> Vec<f64> {
         match request.step.best_effort {
-            true => self.pairs.takes(request.image, self.images.len() + 1),
+            true => self
+                .pairs
+                .headroom_costs(request.image, self.images.len() + 1),
             false => Vec::new(),
         }
     }
@@ -76,7 +80,9 @@
         pass: &Pass,
     ) -> Option<u32> {
         while let Some(&(old, Reverse(slot))) = ranking.rated.peek() {
-            let new = self.rate(slot, request, pass, &ranking.takes).ok();
+            let new = self
+                .rate_worker(slot, request, pass, &ranking.headroom_costs)
+                .ok();
             if new == Some(old) {
                 return Some(slot);
             }
@@ -87,7 +93,7 @@
     }
 
     /// Returns how well a worker suits a request, more is better, or why it can't take it.
-    pub(super) fn rate(
+    pub(super) fn rate_worker(
         &mut self,
         slot: u32,
         request: &Request<'_>,
@@ -100,10 +106,10 @@
         if request.avoid == Some(slot) || request.avoid.is_some() && worker.failures > 0 {
             return Err(Refusal::Avoided);
         }
-        if self.is_held(slot, request, pass) {
-            return Err(Refusal::Held);
+        if self.is_reserved(slot, request, pass) {
+            return Err(Refusal::Reserved);
         }
-        if self.is_spread(slot, request) {
+        if self.is_at_step_limit(slot, request) {
             return Err(Refusal::Spread);
         }
         let mut points = rating(worker, step);
@@ -119,7 +125,7 @@
                 return Err(Refusal::Tail);
             }
             if excess > 0.0 && !request.starved {
-                return Err(Refusal::Excess);
+                return Err(Refusal::Interference);
             }
             points -= (excess * DISTURBED) as i64;
         }
@@ -133,14 +139,14 @@
     }
 
     /// Tells whether a worker has as many tasks of a step as it may have.
-    pub(super) fn is_spread(&self, slot: u32, request: &Request<'_>) -> bool {
+    pub(super) fn is_at_step_limit(&self, slot: u32, request: &Request<'_>) -> bool {
         let (first, spread) = (request.first, request.step.max_per_worker);
         if spread == 0 {
             return false;
         }
         let state = self.jobs.get(&first.job);
-        let runs = state.map(|j| &j.times[first.repetition as usize][first.step as usize]);
-        runs.is_some_and(|r| r.on_worker(slot) >= spread)
+        let runs = state.map(|j| &j.repetitions[first.repetition as usize][first.step as usize]);
+        runs.is_some_and(|r| r.runs_on(slot) >= spread)
     }
 
     /// Returns how well a serving task suits those that a worker has.
--- a/crates/jobs/src/place/refusal.rs
+++ b/crates/jobs/src/place/refusal.rs
@@ -6,9 +6,9 @@
     /// It takes nothing new now: it leaves, is silent, failed too often, or is evacuated.
     Closed,
     /// A suspect runs there apart.
-    Guest,
+    Isolating,
     /// Its last runs failed, and enough others are to show why.
-    Trial,
+    OnProbation,
     /// It is of another service, or lacks a label.
     Label,
     /// Processors, memory or accelerators are short.
@@ -18,16 +18,16 @@
     /// The task failed there of late, or another one did.
     Avoided,
     /// It is kept free for a lasting task.
-    Held,
+    Reserved,
     /// It has as many tasks of the step as it may have.
     Spread,
     /// A tail there is over its target.
     Tail,
     /// The task would disturb what serves there.
-    Excess,
+    Interference,
 }
 
 impl Refusal {
     /// How many reasons there are.
-    pub(crate) const COUNT: usize = Refusal::Excess as usize + 1;
+    pub(crate) const COUNT: usize = Refusal::Interference as usize + 1;
 }
--- a/crates/jobs/src/place/room.rs
+++ b/crates/jobs/src/place/room.rs
@@ -77,9 +77,9 @@
         let info = info.ok_or(Refusal::Closed)?;
         let label = step.label.as_ref();
         match () {
-            () if worker.isolated_task.is_some() => Err(Refusal::Guest),
+            () if worker.isolated_task.is_some() => Err(Refusal::Isolating),
             () if !Arc::ptr_eq(&info.service, service) => Err(Refusal::Label),
-            () if worker.is_on_probation(self.now) => Err(Refusal::Trial),
+            () if worker.is_on_probation(self.now) => Err(Refusal::OnProbation),
             () if label.is_some_and(|l| !info.labels.contains(l)) => Err(Refusal::Label),
             () => Ok(()),
         }
--- a/crates/jobs/src/place/starving.rs
+++ b/crates/jobs/src/place/starving.rs
@@ -30,7 +30,7 @@
 impl JobState {
     /// Returns the first task of the first step that has tasks waiting.
     fn first_waiting(&self, now: u64) -> Option<TaskId> {
-        for (time, steps) in (0..).zip(&self.times) {
+        for (time, steps) in (0..).zip(&self.repetitions) {
             for (step, state) in (0..).zip(steps) {
                 if !self.is_ready(time as usize, step as usize) {
                     continue;
@@ -53,19 +53,19 @@
 
 impl Machine {
     /// Logs the jobs that have stood still for longest, and counts all.
-    pub(crate) fn tell_starving(&mut self) {
+    pub(crate) fn log_starved_jobs(&mut self) {
         let mut still: Vec<(u64, JobId)> = Vec::new();
         for &id in &self.open {
             let Some(state) = self.jobs.get(&id) else {
                 continue;
             };
-            let since = state.still_since().filter(|&at| self.now > at + STILL);
+            let since = state.idle_since().filter(|&at| self.now > at + STILL);
             let waits = state.first_waiting(self.now).is_some();
             still.extend(since.filter(|_| waits).map(|at| (at, id)));
         }
         self.stats.starved_jobs = still.len() as u64;
         still.sort_unstable();
-        let pass = Pass::begin(&self.fleet, self.now);
+        let pass = Pass::new(&self.fleet, self.now);
         for (since, id) in still.into_iter().take(MOST_LINES) {
             self.tell_refusals(id, since, &pass);
         }
@@ -79,7 +79,9 @@
             return;
         };
         let (job, image) = (state.job.clone(), state.images[task.step as usize]);
-        let apart = state.task(task).is_some_and(|t| t.is_apart(self.now));
+        let apart = state
+            .task(task)
+            .is_some_and(|t| t.needs_isolation(self.now));
         let Some(service) = self.policy(&job.queue).map(|p| p.service.clone()) else {
             return;
         };
@@ -99,11 +101,11 @@
         log::info!(
             task = task.to_string().as_str(), still_ms = self.now - since,
             order:? = at, jobs = self.open.len(), crowded, apart,
-            closed = count(Refusal::Closed), guest = count(Refusal::Guest),
-            trial = count(Refusal::Trial), label = count(Refusal::Label),
+            closed = count(Refusal::Closed), guest = count(Refusal::Isolating),
+            trial = count(Refusal::OnProbation), label = count(Refusal::Label),
             room = count(Refusal::Room), share = count(Refusal::Share),
             spread = count(Refusal::Spread), tail = count(Refusal::Tail),
-            excess = count(Refusal::Excess),
+            excess = count(Refusal::Interference),
             open = pass.open.len();
             "job: stands still"
         );
@@ -122,7 +124,7 @@
                 refusals.0[Refusal::Closed as usize] += 1;
                 continue;
             }
-            if let Err(refusal) = self.rate(slot, request, pass, &takes) {
+            if let Err(refusal) = self.rate_worker(slot, request, pass, &takes) {
                 refusals.0[refusal as usize] += 1;
             }
         }
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -8,7 +8,7 @@
         task::{Run, Stage},
     },
     place::{
-        misfit::Misfit,
+        misfit::Unplaceable,
         pass::{Coverage, Pass},
         rank::Ranking,
         request::Request,
@@ -64,32 +64,32 @@
             self.stats.skipped_passes += 1;
             return Coverage::Whole;
         }
-        self.sort_open();
-        let mut pass = Pass::begin(&self.fleet, self.now);
-        pass.held = self.note_holds();
-        if let Some(bound) = self.window.bound() {
+        self.sort_open_jobs();
+        let mut pass = Pass::new(&self.fleet, self.now);
+        pass.reservations = self.current_reservations();
+        if let Some(bound) = self.window.limit() {
             pass.starts = bound.saturating_sub(self.starting());
         }
         self.place_suspects(&mut pass);
         let timely = self.open.len() - self.late;
         for at in 0..self.open.len() {
             if at == timely {
-                self.place_aged(&mut pass);
+                self.place_aged_jobs(&mut pass);
             }
             if pass.starts == 0 {
                 self.stats.throttled_passes += 1;
                 break;
             }
-            if pass.is_spent() {
+            if pass.is_over_budget() {
                 self.stats.truncated_passes += 1;
                 break;
             }
             let id = self.open[at];
             self.place_job(id, &mut pass);
         }
-        self.place_on_idle(&mut pass);
+        self.place_suspects_on_idle(&mut pass);
         self.stats.ratings += pass.ratings as u64;
-        match pass.is_spent() {
+        match pass.is_over_budget() {
             true => Coverage::Partial,
             false => Coverage::Whole,
         }
@@ -111,9 +111,9 @@
             return;
         };
         let job = state.job.clone();
-        let long = self.now > state.seen + STARVED;
+        let long = self.now > state.known_since + STARVED;
         let is_still = long && !state.has_runs();
-        let times = state.times.len();
+        let times = state.repetitions.len();
         let Some(service) = self.policy(&job.queue).map(|p| p.service.clone()) else {
             return;
         };
@@ -124,7 +124,7 @@
                 let Some(state) = self.jobs.get(&id) else {
                     return;
                 };
-                let nothing_waits = state.times[time][at].idle == 0;
+                let nothing_waits = state.repetitions[time][at].unassigned == 0;
                 if nothing_waits || !state.is_ready(time, at) {
                     continue;
                 }
@@ -159,30 +159,30 @@
         let (step, first) = (request.step, request.first);
         let mut ranking: Option<Ranking> = None;
         let state = self.jobs.get(&first.job);
-        let runs = state.map(|j| &j.times[first.repetition as usize][first.step as usize]);
-        let waiting = runs.map_or(Vec::new(), |r| r.waiting(self.now));
+        let runs = state.map(|j| &j.repetitions[first.repetition as usize][first.step as usize]);
+        let waiting = runs.map_or(Vec::new(), |r| r.waiting_tasks(self.now));
         for index in waiting {
             if pass.starts == 0 {
                 return;
             }
             let id = TaskId { index, ..first };
-            request.avoid = self.avoided(id);
-            let Some(slot) = self.choose(&request, &mut ranking, pass) else {
-                self.hold_room(&request, pass);
+            request.avoid = self.worker_to_avoid(id);
+            let Some(slot) = self.choose_worker(&request, &mut ranking, pass) else {
+                self.reserve_worker(&request, pass);
                 return;
             };
             request.starved = false;
-            self.plan(id, slot, step);
+            self.place_on(id, slot, step);
             pass.starts -= 1;
-            pass.note_room(slot, &self.fleet);
+            pass.update_room(slot, &self.fleet);
         }
     }
 
     /// Returns the worker on which a task failed of late.
-    pub(super) fn avoided(&self, id: TaskId) -> Option<u32> {
+    pub(super) fn worker_to_avoid(&self, id: TaskId) -> Option<u32> {
         let task = self.jobs.get(&id.job)?.task(id)?;
-        let recent = self.now < task.pause + AVOID;
-        task.avoid.filter(|_| recent)
+        let recent = self.now < task.retry_at + AVOID;
+        task.failed_worker.filter(|_| recent)
     }
 
     /// Places all tasks of a gang, or none.
@@ -191,21 +191,21 @@
         let Some(state) = self.jobs.get(&first.job) else {
             return Placed::All;
         };
-        let tasks = &state.times[first.repetition as usize][first.step as usize].tasks;
+        let tasks = &state.repetitions[first.repetition as usize][first.step as usize].tasks;
         if tasks.iter().any(|t| !t.is_waiting(self.now)) {
             return Placed::All;
         }
-        let run = tasks.iter().map(|t| t.last).max().unwrap_or(0) + 1;
+        let run = tasks.iter().map(|t| t.last_run).max().unwrap_or(0) + 1;
         // Suspects come first, while there are empty workers.
         let mut members: Vec<Member> = (0..)
             .zip(tasks)
             .map(|(index, task)| Member {
-                beside: !task.is_apart(self.now),
+                beside: !task.needs_isolation(self.now),
                 index,
             })
             .collect();
         members.sort_unstable();
-        let (starts, misfits) = (pass.starts, pass.misfits.len());
+        let (starts, misfits) = (pass.starts, pass.unplaceable.len());
         pass.starts = starts.saturating_sub(step.count as usize);
         let placed = self.assign_members(&request, &members, run, pass);
         if placed.len() == step.count as usize {
@@ -218,12 +218,12 @@
         pass.starts = starts;
         if !placed.is_empty() {
             // What did not fit beside its members may fit without them.
-            pass.misfits.truncate(misfits);
+            pass.unplaceable.truncate(misfits);
         }
         for member in placed {
             pass.reopen(member.slot);
             self.unassign(&member);
-            pass.note_room(member.slot, &self.fleet);
+            pass.update_room(member.slot, &self.fleet);
         }
         Placed::Short
     }
@@ -245,11 +245,11 @@
             };
             let apart = match beside {
                 true => None,
-                false => self.find_apart(id, request, pass),
+                false => self.find_isolated_worker(id, request, pass),
             };
             let slot = match apart {
-                None if beside || self.has_waited_apart(id) => {
-                    self.choose(request, &mut ranking, pass)
+                None if beside || self.has_waited_for_isolation(id) => {
+                    self.choose_worker(request, &mut ranking, pass)
                 }
                 slot => slot,
             };
@@ -258,15 +258,15 @@
             };
             placed.extend(self.assign(id, slot, request.step, Some(run)));
             if apart.is_some() {
-                self.keep_apart(id, slot, pass);
+                self.isolate(id, slot, pass);
             }
-            pass.note_room(slot, &self.fleet);
+            pass.update_room(slot, &self.fleet);
         }
         placed
     }
 
     /// Places a task on a worker, as one of those that it is tried with.
-    pub(super) fn plan(&mut self, id: TaskId, slot: u32, step: &Step) {
+    pub(super) fn place_on(&mut self, id: TaskId, slot: u32, step: &Step) {
         if self.assign(id, slot, step, None).is_some() {
             self.fleet.get_mut(slot).note_probe(self.now);
         }
@@ -288,10 +288,10 @@
         let assigned = Assigned {
             id,
             slot,
-            last: task.last,
-            cleared: task.cleared,
+            last: task.last_run,
+            cleared: task.idle_since,
         };
-        task.last = number.unwrap_or(task.last + 1);
+        task.last_run = number.unwrap_or(task.last_run + 1);
         runs.set_run(id.index as usize, Run::new(slot, Stage::Planned, now));
         let worker = self.fleet.get_mut(slot);
         worker.reserve(id, step);
@@ -309,38 +309,38 @@
         self.clear(id);
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         if let Some(task) = task {
-            task.last = assigned.last;
-            task.cleared = assigned.cleared;
+            task.last_run = assigned.last;
+            task.idle_since = assigned.cleared;
         }
     }
 
     /// Returns the best worker for a task of a step, if any can take it; `ranking` serves
     /// the tasks of the step that are alike.
-    pub(super) fn choose(
+    pub(super) fn choose_worker(
         &mut self,
         request: &Request<'_>,
         ranking: &mut Option<Ranking>,
         pass: &mut Pass,
     ) -> Option<u32> {
         if request.avoid.is_some() {
-            pass.note_ranking();
+            pass.count_ratings();
             let mut own = self.rank(request, pass);
             return self.best(&mut own, request, pass);
         }
-        let misfit = Misfit::new(request);
-        if pass.misfits.iter().any(|m| m.covers(&misfit)) {
+        let misfit = Unplaceable::new(request);
+        if pass.unplaceable.iter().any(|m| m.implies(&misfit)) {
             return None;
         }
         let mut own = None;
         let ranking = if request.starved { &mut own } else { ranking };
         if ranking.is_none() {
-            pass.note_ranking();
+            pass.count_ratings();
             *ranking = Some(self.rank(request, pass));
         }
         let best = self.best(ranking.as_mut()?, request, pass);
         // A worker that has as many tasks of one step as it may have takes those of another one.
         if best.is_none() && request.step.max_per_worker == 0 {
-            pass.misfits.push(misfit);
+            pass.unplaceable.push(misfit);
         }
         best
     }
--- a/crates/jobs/src/place/window.rs
+++ b/crates/jobs/src/place/window.rs
@@ -28,15 +28,15 @@
 
 /// How many starts may be under way at once.
 #[derive(Debug)]
-pub(crate) struct Window {
+pub(crate) struct StartWindow {
     size: usize,
     answers: u32,
     late: u32,
 }
 
-impl Default for Window {
-    fn default() -> Window {
-        Window {
+impl Default for StartWindow {
+    fn default() -> StartWindow {
+        StartWindow {
             size: MOST,
             answers: 0,
             late: 0,
@@ -44,14 +44,14 @@
     }
 }
 
-impl Window {
+impl StartWindow {
     /// Returns how many starts may be under way; nothing if there is no bound.
-    pub(crate) fn bound(&self) -> Option<usize> {
+    pub(crate) fn limit(&self) -> Option<usize> {
         Some(self.size).filter(|&s| s < MOST)
     }
 
     /// Takes note that a start was answered, or given up, after so many milliseconds.
-    pub(crate) fn answered(&mut self, ms: u64) {
+    pub(crate) fn note_answer(&mut self, ms: u64) {
         self.answers += 1;
         self.late += u32::from(ms > LATE);
         if self.answers < ROUND {
--- a/crates/jobs/src/place/window_tests.rs
+++ b/crates/jobs/src/place/window_tests.rs
@@ -1,40 +1,40 @@
 //! When starts are held back.
 
-use super::window::Window;
+use super::window::StartWindow;
 
-fn answered(window: &mut Window, count: u32, ms: u64) {
+fn answered(window: &mut StartWindow, count: u32, ms: u64) {
     for _ in 0..count {
-        window.answered(ms);
+        window.note_answer(ms);
     }
 }
 
 #[test]
 fn quick_answers_bound_nothing() {
-    let mut window = Window::default();
+    let mut window = StartWindow::default();
     answered(&mut window, 1000, 20);
-    assert_eq!(window.bound(), None);
+    assert_eq!(window.limit(), None);
 }
 
 /// A zone of five is cut off, and one worker in ten answers late.
 #[test]
 fn some_late_answers_bound_nothing() {
-    let mut window = Window::default();
+    let mut window = StartWindow::default();
     for _ in 0..200 {
         answered(&mut window, 3, 700);
         answered(&mut window, 7, 10);
     }
-    assert_eq!(window.bound(), None);
+    assert_eq!(window.limit(), None);
 }
 
 #[test]
 fn late_answers_bound_it_and_quick_ones_free_it() {
-    let mut window = Window::default();
+    let mut window = StartWindow::default();
     answered(&mut window, 320, 600);
-    assert_eq!(window.bound(), Some(16));
+    assert_eq!(window.limit(), Some(16));
     answered(&mut window, 32, 600);
-    assert_eq!(window.bound(), Some(16));
+    assert_eq!(window.limit(), Some(16));
     answered(&mut window, 32, 20);
-    assert_eq!(window.bound(), Some(18));
+    assert_eq!(window.limit(), Some(18));
     answered(&mut window, 50 * 32, 20);
-    assert_eq!(window.bound(), None);
+    assert_eq!(window.limit(), None);
 }
--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -23,7 +23,7 @@
     /// Returns a task's run if it is on this worker under this number.
     pub(crate) fn run_on(&mut self, slot: u32, id: TaskId, run: u32) -> Option<&mut Run> {
         let task = self.jobs.get_mut(&id.job)?.task_mut(id)?;
-        if task.last != run {
+        if task.last_run != run {
             return None;
         }
         task.run.as_deref_mut().filter(|r| r.worker == slot)
@@ -43,7 +43,7 @@
         }
         let stage = self.run_on(slot, id, number).map(|r| r.stage);
         if let Some(Stage::Sent(at)) = stage {
-            self.window.answered(now - at);
+            self.window.note_answer(now - at);
         }
         let attributed = self.is_attributed(slot, id, started);
         let Some(run) = self.run_on(slot, id, number) else {
@@ -53,14 +53,14 @@
         run.answered |= started != Started::Unknown;
         match started {
             Started::Done | Started::DoneAt(_) => {
-                if matches!(run.stage, Stage::Sent(_) | Stage::Unclear(_)) {
-                    run.stage = Stage::There(now);
+                if matches!(run.stage, Stage::Sent(_) | Stage::Unanswered(_)) {
+                    run.stage = Stage::Confirmed(now);
                 }
                 return self.begun(id);
             }
             Started::Unknown | Started::Old => {
                 if matches!(run.stage, Stage::Sent(_)) {
-                    run.stage = Stage::Unclear(now);
+                    run.stage = Stage::Unanswered(now);
                 }
                 self.stats.unanswered_starts += 1;
                 log::warn!(task = id.to_string().as_str(), run = number, worker = &*self.fleet.get(slot).id, started:?; "start: unclear");
@@ -96,7 +96,7 @@
         if let Some(run) = self.run_on(slot, id, number) {
             if matches!(run.stage, Stage::Stopping(_)) {
                 run.stage = match done {
-                    true => Stage::Halted(now),
+                    true => Stage::StopConfirmed(now),
                     false => Stage::Stopping(Some(now + STOP_RETRY)),
                 };
             }
@@ -106,10 +106,10 @@
         let Some(stray) = strays.iter_mut().find(|s| s.task == id && s.run == number) else {
             return;
         };
-        stray.sent = None;
+        stray.sent_at = None;
         match done {
-            true => stray.halted = Some(now),
-            false => stray.pause = now + STOP_RETRY,
+            true => stray.stopped_at = Some(now),
+            false => stray.retry_at = now + STOP_RETRY,
         }
     }
 
@@ -150,10 +150,10 @@
             return;
         }
         for stray in &mut self.fleet.get_mut(slot).orphans {
-            if stray.sent.is_some() || stray.halted.is_some() || stray.pause > now {
+            if stray.sent_at.is_some() || stray.stopped_at.is_some() || stray.retry_at > now {
                 continue;
             }
-            stray.sent = Some(now);
+            stray.sent_at = Some(now);
             let (task, run) = (stray.task, stray.run);
             self.out.push(Action::Stop {
                 worker: slot,
@@ -170,7 +170,7 @@
         let Some(task) = task else {
             return false;
         };
-        let number = task.last;
+        let number = task.last_run;
         let Some(run) = task.run.as_mut() else {
             return false;
         };
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -9,7 +9,7 @@
 use crate::{
     machine::Machine,
     model::{
-        checkpoint::{Checkpoint, shown},
+        checkpoint::{Checkpoint, log_excerpt},
         ids::TaskId,
     },
 };
@@ -40,9 +40,9 @@
             return;
         };
         let task = &mut step.tasks[id.index as usize];
-        let run = task.last;
+        let run = task.last_run;
         if task.run.as_ref().is_none_or(|r| !r.partial) {
-            task.pause = now + REJECTED_PAUSE;
+            task.retry_at = now + REJECTED_PAUSE;
             return self.note_worker_failure(slot);
         }
         self.stats.rejected += 1;
@@ -54,7 +54,7 @@
             step.reject(&rejected.text);
         }
         let (saved_run, saved_on) = self.source(&rejected);
-        log::warn!(task = id.to_string().as_str(), run, worker = &*self.fleet.get(slot).id, saved = shown(&rejected.text), saved_run, saved_on; "start: checkpoint rejected");
+        log::warn!(task = id.to_string().as_str(), run, worker = &*self.fleet.get(slot).id, saved = log_excerpt(&rejected.text), saved_run, saved_on; "start: checkpoint rejected");
         self.mark(id.job);
     }
 
--- a/crates/jobs/src/runs/close.rs
+++ b/crates/jobs/src/runs/close.rs
@@ -16,7 +16,7 @@
         let Some(state) = self.jobs.get_mut(&id) else {
             return;
         };
-        log::info!(job = id.to_string().as_str(), outcome:? = outcome, after = now - state.seen; "jobs: ended");
+        log::info!(job = id.to_string().as_str(), outcome:? = outcome, after = now - state.known_since; "jobs: ended");
         state.outcome = outcome;
         let tasks = state.task_ids();
         self.open.retain(|&j| j != id);
@@ -52,8 +52,8 @@
         let Some(task) = state.task_mut(id) else {
             return;
         };
-        task.cleared = now;
-        let number = task.last;
+        task.idle_since = now;
+        let number = task.last_run;
         let step = state.step_mut(id.repetition, id.step);
         let Some(run) = step.and_then(|s| s.take_run(id.index as usize)) else {
             return;
@@ -77,7 +77,7 @@
             return;
         };
         if state.outcome.is_final() && !state.has_runs() {
-            state.times = Vec::new();
+            state.repetitions = Vec::new();
         }
     }
 
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -4,7 +4,7 @@
     action::{Action, Batch, StartOrder},
     machine::{Flight, Machine},
     model::{
-        checkpoint::shown,
+        checkpoint::log_excerpt,
         ids::{JobId, TaskId},
         record::Record,
         task::Stage,
@@ -86,8 +86,8 @@
         let Some(state) = self.jobs.get_mut(&id) else {
             return true;
         };
-        if state.written != state.outcome {
-            state.written = state.outcome;
+        if state.written_outcome != state.outcome {
+            state.written_outcome = state.outcome;
             let record = Record::new(state.outcome);
             writer.records.push((id, record.encode()));
         }
@@ -101,16 +101,16 @@
         let Some(state) = jobs.get_mut(&id) else {
             return true;
         };
-        for (time, steps) in (0..).zip(&mut state.times) {
+        for (time, steps) in (0..).zip(&mut state.repetitions) {
             for (step, state) in (0..).zip(steps) {
                 if state.is_done() {
                     state.forget_logged();
-                    let row = state.logged;
-                    state.logged = row.or_else(|| Some(writer.rows.step(id, (time, step))));
+                    let row = state.logged_row;
+                    state.logged_row = row.or_else(|| Some(writer.rows.step(id, (time, step))));
                     continue;
                 }
                 for (index, task) in (0..).zip(&mut state.tasks) {
-                    if task.last == 0 {
+                    if task.last_run == 0 {
                         continue;
                     }
                     if task.has_changed() {
@@ -129,7 +129,7 @@
                             step,
                             index,
                         };
-                        writer.flight.starts.push((id, task.last));
+                        writer.flight.starts.push((id, task.last_run));
                     }
                 }
             }
@@ -166,7 +166,7 @@
     /// Returns how many bytes of the log still hold, about.
     fn live_bytes(&self) -> usize {
         let jobs = self.open.iter().filter_map(|id| self.jobs.get(id));
-        let steps = jobs.flat_map(|j| j.times.iter().flatten());
+        let steps = jobs.flat_map(|j| j.repetitions.iter().flatten());
         let tasks = steps.flat_map(|s| &s.tasks).filter(|t| t.logged.is_some());
         tasks.count() * TASK_BYTES
     }
@@ -179,15 +179,15 @@
         };
         if state.outcome.is_final() {
             // Its record says so, once that is written.
-            return state.written == state.outcome;
+            return state.written_outcome == state.outcome;
         }
-        for (time, steps) in (0..).zip(&mut state.times) {
+        for (time, steps) in (0..).zip(&mut state.repetitions) {
             for (step, state) in (0..).zip(steps) {
-                if state.logged == Some(number) {
-                    state.logged = Some(rows.step(id, (time, step)));
+                if state.logged_row == Some(number) {
+                    state.logged_row = Some(rows.step(id, (time, step)));
                 }
                 for (index, task) in (0..).zip(&mut state.tasks) {
-                    if task.logged.is_none() || task.row != number {
+                    if task.logged.is_none() || task.logged_row != number {
                         continue;
                     }
                     if rows.is_full() {
@@ -240,7 +240,7 @@
             return;
         };
         let spec = state.job.spec.clone();
-        let Some(task) = state.task_mut(id).filter(|t| t.last == number) else {
+        let Some(task) = state.task_mut(id).filter(|t| t.last_run == number) else {
             return;
         };
         let saved = task.saved_text();
@@ -259,11 +259,11 @@
             return self.clear(id);
         };
         run.stage = Stage::Sent(now);
-        run.sent = Some(now);
+        run.sent_at = Some(now);
         run.partial = !saved.is_empty();
         worker.granted_until = worker.granted_until.max(deadline);
         worker.note_lease_order(now, &settings);
-        let (slot, waited) = (run.worker, now - run.since);
+        let (slot, waited) = (run.worker, now - run.placed_at);
         self.stats.starts += 1;
         let order = StartOrder {
             task: id,
@@ -288,7 +288,7 @@
             return;
         };
         let (saved_run, saved_on) = self.source(checkpoint);
-        let saved_ms = checkpoint.origin.map_or(0, |o| self.now - o.listed);
-        log::info!(task = id.to_string().as_str(), run, worker = &*worker.id, waited_ms = waited, apart, saved = shown(&checkpoint.text), saved_run, saved_on, saved_ms; "start: sent");
+        let saved_ms = checkpoint.origin.map_or(0, |o| self.now - o.reported_at);
+        log::info!(task = id.to_string().as_str(), run, worker = &*worker.id, waited_ms = waited, apart, saved = log_excerpt(&checkpoint.text), saved_run, saved_on, saved_ms; "start: sent");
     }
 }
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -38,7 +38,8 @@
 impl Run {
     /// Tells whether it had just begun at `now`.
     fn is_young(&self, now: u64) -> bool {
-        self.sent.is_some_and(|at| now.saturating_sub(at) <= YOUNG)
+        self.sent_at
+            .is_some_and(|at| now.saturating_sub(at) <= YOUNG)
     }
 }
 
@@ -122,7 +123,7 @@
             return;
         }
         task.crashes.note(life, blame);
-        let (run, crashes) = (task.last, task.crashes.count());
+        let (run, crashes) = (task.last_run, task.crashes.count());
         log::info!(task = id.to_string().as_str(), run, worker = &**life, blame:?, crashes; "task: a worker crashed under it");
         if task.crashes.is_suspect() {
             self.suspect(id);
@@ -162,7 +163,7 @@
         let Some(state) = self.jobs.get(&id.job) else {
             return;
         };
-        let task = state.task(id).filter(|t| t.crashes.is_proven());
+        let task = state.task(id).filter(|t| t.crashes.is_proven_cause());
         let Some(task) = task.filter(|_| !state.outcome.is_final()) else {
             return;
         };
@@ -180,7 +181,7 @@
         };
         let listed = task.run.as_ref().and_then(|r| r.listed);
         let ms = listed.map_or(0, |at| clock.saturating_sub(at));
-        if ms > task.crashes.probation() && self.fleet.get(slot).isolated_task == Some(id) {
+        if ms > task.crashes.isolation_ms() && self.fleet.get(slot).isolated_task == Some(id) {
             log::info!(task = id.to_string().as_str(), worker = &*self.fleet.get(slot).id, after_ms = ms; "run: no longer apart");
             self.fleet.get_mut(slot).isolated_task = None;
             self.moved = true;
--- a/crates/jobs/src/runs/ends.rs
+++ b/crates/jobs/src/runs/ends.rs
@@ -4,7 +4,7 @@
     event::{Ending, RunEnd, WorkerReport},
     machine::Machine,
     model::{
-        checkpoint::{Origin, shown},
+        checkpoint::{Origin, log_excerpt},
         ids::TaskId,
         record::Outcome,
     },
@@ -76,18 +76,18 @@
             return;
         };
         let run = task.run.as_ref();
-        let current = run.is_some_and(|r| r.worker == slot) && task.last == end.run;
-        let ran = run.map_or(0, |r| self.now.saturating_sub(r.since));
+        let current = run.is_some_and(|r| r.worker == slot) && task.last_run == end.run;
+        let ran = run.map_or(0, |r| self.now.saturating_sub(r.placed_at));
         let partial = run.is_none_or(|r| r.partial);
         if current && let Some(step) = state.step_mut(id.repetition, id.step) {
             let origin = Origin {
                 run: end.run,
                 worker: slot,
-                listed: self.now,
+                reported_at: self.now,
             };
             step.save(id.index as usize, &end.checkpoint, origin);
         }
-        log::info!(task = id.to_string().as_str(), run = end.run, worker = &*self.fleet.get(slot).id, how:? = end.ending, current, ran_ms = ran, saved = shown(&end.checkpoint); "run: ended");
+        log::info!(task = id.to_string().as_str(), run = end.run, worker = &*self.fleet.get(slot).id, how:? = end.ending, current, ran_ms = ran, saved = log_excerpt(&end.checkpoint); "run: ended");
         if current {
             self.clear(id);
         }
@@ -124,7 +124,8 @@
         for index in members {
             let member = TaskId { index, ..id };
             if let Some(state) = self.jobs.get_mut(&id.job) {
-                state.times[id.repetition as usize][id.step as usize].finish(index as usize);
+                state.repetitions[id.repetition as usize][id.step as usize]
+                    .mark_done(index as usize);
             }
             self.abandon(member);
         }
@@ -147,7 +148,9 @@
         if step.long_running || step.estimate == 0 {
             return;
         }
-        self.guesses.or_default(&job.queue).note(step.estimate, ran);
+        self.estimates
+            .or_default(&job.queue)
+            .note(step.estimate, ran);
     }
 
     fn failed(&mut self, slot: u32, id: TaskId, run: u32, is_final: bool) {
@@ -175,8 +178,8 @@
         }
         task.failed.push(run);
         let doublings = (task.failed.len() - 1).min(RETRY_DOUBLINGS);
-        task.pause = now + (RETRY_PAUSE << doublings);
-        task.avoid = Some(slot);
+        task.retry_at = now + (RETRY_PAUSE << doublings);
+        task.failed_worker = Some(slot);
         let count = task.failed.len() as u32;
         if !lasting && !is_final && attempts.is_some_and(|a| count >= a) {
             log::warn!(task = id.to_string().as_str(), failures = count; "job: failed too often");
--- a/crates/jobs/src/runs/listed.rs
+++ b/crates/jobs/src/runs/listed.rs
@@ -33,19 +33,22 @@
         };
         let task = &mut step.tasks[id.index as usize];
         let here = task.run.as_ref().is_some_and(|r| r.worker == slot);
-        if task.last != row.run || (task.run.is_some() && !here) || task.done && !here {
+        if task.last_run != row.run || (task.run.is_some() && !here) || task.done && !here {
             return self.stray(slot, row);
         }
         let origin = Origin {
             run: row.run,
             worker: slot,
-            listed: now,
+            reported_at: now,
         };
         let crashed = !task.crashes.is_empty();
         let idle = task.run.is_none();
         step.save(id.index as usize, &row.checkpoint, origin);
         if idle {
-            step.set_run(id.index as usize, Run::new(slot, Stage::There(now), now));
+            step.set_run(
+                id.index as usize,
+                Run::new(slot, Stage::Confirmed(now), now),
+            );
             self.adopt(slot, id, row.run);
         }
         self.progress(slot, row, clock);
@@ -65,16 +68,16 @@
         };
         if matches!(
             run.stage,
-            Stage::Sent(_) | Stage::Unclear(_) | Stage::Inherited
+            Stage::Sent(_) | Stage::Unanswered(_) | Stage::Inherited
         ) {
-            run.stage = Stage::There(now);
+            run.stage = Stage::Confirmed(now);
         }
-        if run.percent != row.percent || run.moved.is_none() {
+        if run.percent != row.percent || run.progressed_at.is_none() {
             run.percent = row.percent;
-            run.moved = Some(clock);
+            run.progressed_at = Some(clock);
         }
-        let settled = now > run.since + SETTLED && row.percent == 100;
-        let since = run.since;
+        let settled = now > run.placed_at + SETTLED && row.percent == 100;
+        let since = run.placed_at;
         run.listed.get_or_insert(clock);
         let worker = self.fleet.get(slot);
         if settled && worker.failures > 0 && since > worker.failed_at {
@@ -119,9 +122,9 @@
             task: row.task,
             run: row.run,
             size,
-            sent: None,
-            halted: None,
-            pause: 0,
+            sent_at: None,
+            stopped_at: None,
+            retry_at: 0,
         });
     }
 
@@ -132,14 +135,16 @@
             rows.iter().any(|r| r.task == id && r.run == run)
         };
         let worker = self.fleet.get_mut(slot);
-        worker.drop_orphans(|s| s.halted.is_some_and(|at| sent > at) && !is_listed(s.task, s.run));
+        worker.drop_orphans(|s| {
+            s.stopped_at.is_some_and(|at| sent > at) && !is_listed(s.task, s.run)
+        });
         let strays: Vec<TaskId> = worker.orphans.iter().map(|s| s.task).collect();
         for id in worker.runs.clone() {
             let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
             let Some(task) = task else {
                 continue;
             };
-            let last = task.last;
+            let last = task.last_run;
             let Some(run) = task.run.as_mut() else {
                 continue;
             };
@@ -149,11 +154,13 @@
             // Another run of the task may be there, or begin.
             let free = !strays.contains(&id);
             match run.stage {
-                Stage::Unclear(at) if sent > at => {
+                Stage::Unanswered(at) if sent > at => {
                     run.stage = Stage::Stopping(None);
                     self.stopping.push(id);
                 }
-                Stage::There(at) | Stage::Halted(at) if sent > at && free => self.gone(id),
+                Stage::Confirmed(at) | Stage::StopConfirmed(at) if sent > at && free => {
+                    self.gone(id)
+                }
                 Stage::Inherited if free => self.gone(id),
                 _ => {}
             }
--- a/crates/jobs/src/runs/loose.rs
+++ b/crates/jobs/src/runs/loose.rs
@@ -26,23 +26,30 @@
     pub(crate) task: TaskId,
     pub(crate) run: u32,
     /// When it was sent.
-    pub(crate) sent: u64,
+    pub(crate) sent_at: u64,
 }
 
 impl Worker {
     /// Takes note of a run that is given up, if its start may still be carried out.
     pub(super) fn note_late_start(&mut self, task: TaskId, run: u32, given_up: &Run, now: u64) {
-        let sent = given_up.unlisted().filter(|_| !given_up.answered);
+        let sent = given_up.unreported_since().filter(|_| !given_up.answered);
         let Some(sent) = sent.filter(|_| given_up.stage != Stage::Planned) else {
             return;
         };
-        self.keep_late_start(LateStart { task, run, sent }, now);
+        self.keep_late_start(
+            LateStart {
+                task,
+                run,
+                sent_at: sent,
+            },
+            now,
+        );
     }
 
     /// Keeps such a start, and of those that are kept only what may still be carried out.
     pub(super) fn keep_late_start(&mut self, start: LateStart, now: u64) {
         self.late_starts
-            .retain(|l| now <= l.sent + KEPT && *l != start);
+            .retain(|l| now <= l.sent_at + KEPT && *l != start);
         if self.late_starts.len() >= MOST {
             self.late_starts.remove(0);
         }
@@ -52,7 +59,7 @@
     /// Takes the starts that may still be carried out by its next life.
     pub(super) fn take_late_starts(&mut self, now: u64) -> Vec<LateStart> {
         let mut out = std::mem::take(&mut self.late_starts);
-        out.retain(|l| now <= l.sent + KEPT);
+        out.retain(|l| now <= l.sent_at + KEPT);
         out
     }
 }
--- a/crates/jobs/src/runs/lost.rs
+++ b/crates/jobs/src/runs/lost.rs
@@ -91,9 +91,9 @@
             let Some(task) = self.jobs.get(&id.job).and_then(|j| j.task(id)) else {
                 continue;
             };
-            let sent = task.run.as_ref().and_then(|r| r.sent);
+            let sent = task.run.as_ref().and_then(|r| r.sent_at);
             let age = sent.map_or(0, |at| end.saturating_sub(at));
-            log::info!(task = id.to_string().as_str(), run = task.last, worker = &*worker.id, age_ms = age, crashes = task.crashes.count(); "run: lost with its worker");
+            log::info!(task = id.to_string().as_str(), run = task.last_run, worker = &*worker.id, age_ms = age, crashes = task.crashes.count(); "run: lost with its worker");
         }
     }
 }
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -100,7 +100,7 @@
         let unlisted = runs.filter(|&id| {
             let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
             let run = task.and_then(|t| t.run.as_ref());
-            run.is_some_and(|r| r.unlisted().is_some())
+            run.is_some_and(|r| r.unreported_since().is_some())
         });
         unlisted.collect()
     }
@@ -140,7 +140,7 @@
         let Some(task) = task.filter(|t| !t.done) else {
             return self.add_stray(new, start);
         };
-        let last = task.last;
+        let last = task.last_run;
         match &task.run {
             None => self.detain(new, id),
             Some(run) if run.worker == old => self.move_run(id, new, |_| Stage::Stopping(None)),
@@ -161,9 +161,9 @@
             task: id,
             run: start.run,
             size,
-            sent: None,
-            halted: None,
-            pause: 0,
+            sent_at: None,
+            stopped_at: None,
+            retry_at: 0,
         });
     }
 
@@ -190,7 +190,7 @@
 /// tells, and else a stop.
 fn unclear(stage: Stage) -> Stage {
     match stage {
-        Stage::Stopping(_) | Stage::Halted(_) => Stage::Stopping(None),
-        _ => Stage::Unclear(0),
+        Stage::Stopping(_) | Stage::StopConfirmed(_) => Stage::Stopping(None),
+        _ => Stage::Unanswered(0),
     }
 }
--- a/crates/jobs/src/runs/stray.rs
+++ b/crates/jobs/src/runs/stray.rs
@@ -10,9 +10,9 @@
     /// What it takes up.
     pub(crate) size: Capacity,
     /// When its stop was sent, if that is unanswered.
-    pub(crate) sent: Option<u64>,
+    pub(crate) sent_at: Option<u64>,
     /// When its stop was confirmed.
-    pub(crate) halted: Option<u64>,
+    pub(crate) stopped_at: Option<u64>,
     /// No new stop before this time.
-    pub(crate) pause: u64,
+    pub(crate) retry_at: u64,
 }
--- a/crates/jobs/src/runs/unlisted.rs
+++ b/crates/jobs/src/runs/unlisted.rs
@@ -28,7 +28,7 @@
     /// Tells whether its start was sent and it is not known which life of the worker's name, if
     /// any, has carried it out.
     fn is_unattributed(&self) -> bool {
-        self.unlisted().is_some() && !self.attributed
+        self.unreported_since().is_some() && !self.attributed
     }
 }
 
@@ -58,7 +58,7 @@
     /// worker's life was promised.
     pub(super) fn is_attributed(&self, slot: u32, id: TaskId, started: Started) -> bool {
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
-        let sent = task.and_then(|t| t.run.as_ref()).and_then(|r| r.sent);
+        let sent = task.and_then(|t| t.run.as_ref()).and_then(|r| r.sent_at);
         match (started, sent) {
             (Started::DoneAt(reading), Some(at)) => self.fleet.get(slot).has_reached(reading, at),
             _ => false,
--- a/crates/jobs/src/share/foresee.rs
+++ b/crates/jobs/src/share/foresee.rs
@@ -28,7 +28,7 @@
         self.season.fade(now);
         if self.season.is_due(now) {
             let jobs = self.open.iter().filter_map(|id| self.jobs.get(id));
-            let steps = jobs.flat_map(|j| j.times.iter().flatten());
+            let steps = jobs.flat_map(|j| j.repetitions.iter().flatten());
             let histories: Vec<&History> = steps.map(|s| &s.history).collect();
             self.season.choose(&histories, now);
         }
@@ -44,7 +44,7 @@
 /// Foresees the headrooms of a job's steps; if curves are not `known` to do so, they are only
 /// judged.
 fn foresee_job(season: &mut Season, job: JobId, state: &mut JobState, known: bool, now: u64) {
-    for (time, steps) in (0..).zip(&mut state.times) {
+    for (time, steps) in (0..).zip(&mut state.repetitions) {
         for (at, step) in (0..).zip(steps) {
             if step.history.is_empty() {
                 continue;
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     machine::Machine,
-    order::times::Guesses,
+    order::times::EstimateModel,
     share::{forecast::Usual, sample::Image},
 };
 
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct QueueGuesses {
     queue: Arc<str>,
-    guesses: Guesses,
+    guesses: EstimateModel,
 }
 
 /// What an owner has learned.
@@ -58,7 +58,7 @@
         let mut pairs = self.pairs.known();
         pairs.sort_by(|a, b| b.seen.total_cmp(&a.seen));
         pairs.truncate(MOST_PAIRS);
-        let queues = self.guesses.iter().map(|(queue, guesses)| QueueGuesses {
+        let queues = self.estimates.iter().map(|(queue, guesses)| QueueGuesses {
             queue: queue.clone(),
             guesses: guesses.clone(),
         });
@@ -91,7 +91,7 @@
             self.season.recall(usual);
         }
         for kept in &learned.queues {
-            self.guesses
+            self.estimates
                 .insert(kept.queue.clone(), kept.guesses.clone());
         }
     }
--- a/crates/jobs/src/share/pace.rs
+++ b/crates/jobs/src/share/pace.rs
@@ -142,8 +142,8 @@
             return;
         };
         let pace = steady(filler.pace, pace);
-        if pace != run.wanted || run.pace == UNKNOWN_PACE {
-            run.wanted = pace;
+        if pace != run.wanted_pace || run.pace == UNKNOWN_PACE {
+            run.wanted_pace = pace;
             self.pacing.push(id);
         }
         let worker = self.fleet.get_mut(run.worker);
@@ -152,11 +152,11 @@
         }
         // A halt for a proof is short.
         if pace >= MOVE_BELOW || worker.own_load.is_proven(now) {
-            run.slowed = None;
+            run.slowed_since = None;
             return;
         }
-        let since = *run.slowed.get_or_insert(now);
-        if saves && now > since + MOVE_AFTER && matches!(run.stage, Stage::There(_)) {
+        let since = *run.slowed_since.get_or_insert(now);
+        if saves && now > since + MOVE_AFTER && matches!(run.stage, Stage::Confirmed(_)) {
             log::info!(task = id.to_string().as_str(), pace; "run: moves, it disturbs");
             run.stage = Stage::Stopping(None);
             self.stopping.push(id);
@@ -179,26 +179,26 @@
         let Some(task) = task else {
             return false;
         };
-        let number = task.last;
-        let Some(run) = task.run.as_mut().filter(|r| r.wanted != r.pace) else {
+        let number = task.last_run;
+        let Some(run) = task.run.as_mut().filter(|r| r.wanted_pace != r.pace) else {
             return false;
         };
         let slot = run.worker;
         let worker = self.fleet.get(slot);
-        if now < run.next_pace || !worker.is_live() || !matches!(run.stage, Stage::There(_)) {
+        if now < run.next_pace || !worker.is_live() || !matches!(run.stage, Stage::Confirmed(_)) {
             return run.is_wanted();
         }
         // The answer sets the next time; this one only guards against its loss.
         run.next_pace = u64::MAX;
         run.partial = true;
-        log::info!(task = id.to_string().as_str(), worker = &*worker.id, from = run.pace, to = run.wanted; "pace: changed");
+        log::info!(task = id.to_string().as_str(), worker = &*worker.id, from = run.pace, to = run.wanted_pace; "pace: changed");
         self.out.push(Action::Pace {
             worker: slot,
             task: id,
             run: number,
-            percent: run.wanted,
+            percent: run.wanted_pace,
         });
-        run.pace = run.wanted;
+        run.pace = run.wanted_pace;
         // It may turn out not to be done.
         true
     }
@@ -207,7 +207,7 @@
     pub(crate) fn paced(&mut self, slot: u32, id: TaskId, number: u32, done: bool) {
         let now = self.now;
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
-        let Some(task) = task.filter(|t| t.last == number) else {
+        let Some(task) = task.filter(|t| t.last_run == number) else {
             return;
         };
         let Some(run) = task.run.as_mut().filter(|r| r.worker == slot) else {
--- a/crates/jobs/src/share/pairs.rs
+++ b/crates/jobs/src/share/pairs.rs
@@ -67,7 +67,7 @@
 
     /// Returns the headroom that a whole worker of a filling image takes from each of so
     /// many serving ones.
-    pub(crate) fn takes(&self, fill: Image, images: usize) -> Vec<f64> {
+    pub(crate) fn headroom_costs(&self, fill: Image, images: usize) -> Vec<f64> {
         let mut takes = vec![FIRST_WEIGHT; images];
         for (&serve, fit) in self.fits.iter() {
             if let Some(weight) = takes.get_mut(serve as usize) {
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -88,19 +88,19 @@
             };
             let image = state.images[task.step as usize];
             if step.latency_target > 0 {
-                let runs = &state.times[task.repetition as usize][task.step as usize];
+                let runs = &state.repetitions[task.repetition as usize][task.step as usize];
                 served.push(Served {
                     image,
                     headroom: runs.headroom,
-                    over: run.over.map_or(0, |since| (self.now - since).max(1)),
-                    is_own: run.over.is_some() && worker.own_load.may_fill(self.now),
+                    over: run.over_since.map_or(0, |since| (self.now - since).max(1)),
+                    is_own: run.over_since.is_some() && worker.own_load.may_fill(self.now),
                 });
             } else if step.best_effort {
                 fillers.push(Filler {
                     task,
                     image,
                     share: worker.share(step.cpu),
-                    pace: run.wanted,
+                    pace: run.wanted_pace,
                 });
             }
         }
--- a/crates/jobs/src/share/spare.rs
+++ b/crates/jobs/src/share/spare.rs
@@ -56,7 +56,7 @@
             if step.latency_target == 0 {
                 continue;
             }
-            let runs = &state.times[task.repetition as usize][task.step as usize];
+            let runs = &state.repetitions[task.repetition as usize][task.step as usize];
             asked.cpu += step.cpu as f64;
             asked.weighed += step.cpu as f64 * runs.headroom.average().max(0.0);
         }
--- a/crates/jobs/src/share/watch.rs
+++ b/crates/jobs/src/share/watch.rs
@@ -51,7 +51,7 @@
             };
             let Some(ms) = row.metric.filter(|f| *f > 0) else {
                 run.note_no_tail();
-                over |= run.over.is_some();
+                over |= run.over_since.is_some();
                 continue;
             };
             let group = Group {
@@ -64,7 +64,7 @@
             self.pairs.note(group, image, 1.0 / share, &press);
             let worst = lowest - self.pairs.taken(image, &press);
             run.note_tail(share, worst, now);
-            over |= run.over.is_some();
+            over |= run.over_since.is_some();
         }
         let worker = self.fleet.get_mut(slot);
         worker.own_load.note_filling(is_working, now);
@@ -135,7 +135,7 @@
             let task = self.jobs.get(&f.task.job)?.task(f.task)?;
             task.run.as_ref()
         });
-        let mut working = runs.filter(|r| r.pace > 0 || r.wanted > 0);
+        let mut working = runs.filter(|r| r.pace > 0 || r.wanted_pace > 0);
         working.next().is_some()
     }
 
--- a/crates/jobs/src/summary.rs
+++ b/crates/jobs/src/summary.rs
@@ -32,13 +32,13 @@
             let Some(state) = self.jobs.get(id) else {
                 continue;
             };
-            for task in state.times.iter().flatten().flat_map(|s| &s.tasks) {
+            for task in state.repetitions.iter().flatten().flat_map(|s| &s.tasks) {
                 let Some(run) = &task.run else {
                     waiting += u32::from(!task.done);
                     continue;
                 };
                 running += 1;
-                slowed += u32::from(run.wanted < 100);
+                slowed += u32::from(run.wanted_pace < 100);
             }
         }
         self.stats.running = u64::from(running);
@@ -48,6 +48,6 @@
             jobs = self.open.len(), waiting, running, slowed;
             "owner: load"
         );
-        self.tell_starving();
+        self.log_starved_jobs();
     }
 }
