--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -32,27 +32,27 @@
     /// Leases are renewed by looks and stops end harm: neither waits for a pass of
     /// placement.
     pub(crate) fn drive(&mut self) {
-        if self.now >= self.checked + CHECK_PERIOD {
-            self.checked = self.now;
+        if self.now >= self.checked_at + CHECK_PERIOD {
+            self.checked_at = self.now;
             self.check_runs();
         }
         self.send_looks();
-        self.fit();
+        self.update_model();
         if self.place_due() {
-            self.placed = self.now;
+            self.placed_at = self.now;
             self.stats.passes += 1;
             // What a cut pass has left is placed by the next one.
-            self.moved = self.place() == Coverage::Partial;
+            self.placement_due = self.place() == Coverage::Partial;
         }
         self.commit();
         self.send_looks();
-        self.summarise();
+        self.log_load();
     }
 
     /// Does what is asked of every run in turn.
     fn check_runs(&mut self) {
         self.note_crashes();
-        self.lapse();
+        self.expire_leases();
         self.check_leaving();
         self.release_times();
         self.send_stops();
@@ -61,9 +61,9 @@
 
     /// Tells whether it is time to place tasks.
     fn place_due(&self) -> bool {
-        let pause = (self.open.len() as u64 / OPEN_JOBS).min(LONGEST_PAUSE);
-        let since = self.now.saturating_sub(self.placed);
-        since >= PLACE_PERIOD || self.moved && since >= pause
+        let pause = (self.open_jobs.len() as u64 / OPEN_JOBS).min(LONGEST_PAUSE);
+        let since = self.now.saturating_sub(self.placed_at);
+        since >= PLACE_PERIOD || self.placement_due && since >= pause
     }
 
     /// Adds the repetitions that are due.
@@ -83,7 +83,7 @@
         }
         let before = state.repetitions.len();
         state.add_due_repetitions(self.wall);
-        self.moved |= state.repetitions.len() > before;
+        self.placement_due |= state.repetitions.len() > before;
         (state.repetitions.len() as u32) < state.job.spec.repetitions()
     }
 
@@ -100,7 +100,7 @@
             }
             for id in worker.runs.clone() {
                 if !self.ends_before(id, end) {
-                    self.abandon(id);
+                    self.stop_run(id);
                 }
             }
         }
@@ -184,7 +184,7 @@
         }
         // A later life would take it for a lease of the longest length, at each try anew.
         let renews = worker.start_time.is_none() || worker.silent_since.is_none();
-        let deadline = worker.deadline(&settings, self.contact);
+        let deadline = worker.deadline(&settings, self.store_contact);
         let deadline = deadline.filter(|_| renews);
         let at = worker.poll_due(deadline, &settings);
         if now < at {
@@ -203,7 +203,7 @@
         worker.poll_in_flight = true;
         worker.polled_at = now;
         self.stats.polls += 1;
-        self.out.push(Action::Poll {
+        self.actions.push(Action::Poll {
             worker: slot,
             observed,
             deadline,
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -17,14 +17,14 @@
     place::{aging::Aging, hold::Reservation, window::StartWindow},
     runs::{fleet::Fleet, log::Log},
     settings::Settings,
-    share::{pairs::Pairs, sample::Image, season::Season},
+    share::{pairs::Interference, sample::Image, season::Seasonality},
     sorted::Sorted,
     takeover::Takeover,
 };
 
 /// What waits for a batch that is on its way to the store.
 #[derive(Debug, Default)]
-pub(crate) struct Flight {
+pub(crate) struct InFlight {
     /// Runs whose place it makes durable.
     pub(crate) starts: Vec<(TaskId, u32)>,
     /// Ends of workers that it makes durable.
@@ -37,7 +37,7 @@
     pub(crate) settings: Settings,
     pub(crate) jobs: Sorted<JobId, JobState>,
     /// Jobs that are not finished, in the order in which they are to be placed.
-    pub(crate) open: Vec<JobId>,
+    pub(crate) open_jobs: Vec<JobId>,
     /// Jobs of which repetitions are still to fall due.
     pub(crate) scheduled: Vec<JobId>,
     /// Tasks that may crash their workers, sorted.
@@ -47,47 +47,47 @@
     /// Tasks whose run may have another pace than is wanted.
     pub(crate) pacing: Vec<TaskId>,
     /// Workers of which ends were counted that are not durable yet.
-    pub(crate) counted: Vec<u32>,
+    pub(crate) workers_with_ends: Vec<u32>,
     /// How many starts may be under way.
     pub(crate) window: StartWindow,
     /// How many of the open jobs, the last ones, can't be in time.
-    pub(crate) late: usize,
+    pub(crate) late_jobs: usize,
     /// Workers that are kept free for tasks that have waited for long.
     pub(crate) reservations: Vec<Reservation>,
     /// When a worker was last looked for that a job that stands still may hold.
-    pub(crate) sought: u64,
+    pub(crate) last_search: u64,
     /// Jobs that stand still.
     pub(crate) aging: Aging,
     /// Jobs whose records changed.
-    pub(crate) dirty: Vec<JobId>,
+    pub(crate) dirty_jobs: Vec<JobId>,
     pub(crate) fleet: Fleet,
     pub(crate) queues: Vec<QueuePolicy>,
-    pub(crate) pairs: Pairs,
+    pub(crate) interference: Interference,
     /// What the loads of serving steps have in common.
-    pub(crate) season: Season,
+    pub(crate) seasonality: Seasonality,
     /// What was learned of guessed times, by queue.
     pub(crate) estimates: Sorted<Arc<str>, EstimateModel>,
     /// Numbers of images.
-    pub(crate) images: Sorted<Arc<str>, Image>,
+    pub(crate) image_numbers: Sorted<Arc<str>, Image>,
     /// What waits for the batch in flight, if there is one.
-    pub(crate) flight: Option<Flight>,
+    pub(crate) in_flight: Option<InFlight>,
     /// Rows that tell of jobs' tasks.
     pub(crate) log: Log,
     /// When the store was last asked for a confirmation of the lease that it gave.
-    pub(crate) contact: u64,
+    pub(crate) store_contact: u64,
     /// Whether something changed that may let tasks be placed.
-    pub(crate) moved: bool,
+    pub(crate) placement_due: bool,
     /// When placement last ran.
-    pub(crate) placed: u64,
+    pub(crate) placed_at: u64,
     /// When all runs were last gone through.
-    pub(crate) checked: u64,
+    pub(crate) checked_at: u64,
     /// When the disturbances were last fitted.
-    pub(crate) fitted: u64,
+    pub(crate) fitted_at: u64,
     /// When the load was last logged.
-    pub(crate) summarised: u64,
+    pub(crate) summarised_at: u64,
     pub(crate) now: u64,
     pub(crate) wall: u64,
-    pub(crate) out: Vec<Action>,
+    pub(crate) actions: Vec<Action>,
     pub(crate) stats: Stats,
 }
 
@@ -98,41 +98,41 @@
         Machine {
             settings,
             jobs: Sorted::default(),
-            open: Vec::new(),
+            open_jobs: Vec::new(),
             scheduled: Vec::new(),
             suspects: Vec::new(),
             stopping: Vec::new(),
             pacing: Vec::new(),
-            counted: Vec::new(),
+            workers_with_ends: Vec::new(),
             window: StartWindow::default(),
-            late: 0,
+            late_jobs: 0,
             reservations: Vec::new(),
-            sought: 0,
+            last_search: 0,
             aging: Aging::default(),
-            dirty: Vec::new(),
+            dirty_jobs: Vec::new(),
             fleet,
             queues: Vec::new(),
-            pairs: Pairs::default(),
-            season: Season::default(),
+            interference: Interference::default(),
+            seasonality: Seasonality::default(),
             estimates: Sorted::default(),
-            images: Sorted::default(),
-            flight: None,
+            image_numbers: Sorted::default(),
+            in_flight: None,
             log: Log::default(),
-            contact: takeover.asked_at,
-            moved: true,
-            placed: 0,
-            checked: 0,
-            fitted: 0,
-            summarised: 0,
+            store_contact: takeover.asked_at,
+            placement_due: true,
+            placed_at: 0,
+            checked_at: 0,
+            fitted_at: 0,
+            summarised_at: 0,
             now,
             wall: 0,
-            out: Vec::new(),
+            actions: Vec::new(),
             stats: Stats::default(),
         }
     }
 
     /// Takes the next row of the log that earlier owners wrote, the oldest one first. All rows
-    /// come before [`Machine::recorded`] and [`Machine::restore`].
+    /// come before [`Machine::current_record`] and [`Machine::restore`].
     ///
     /// Errors: the row can't be read; what it told is lost.
     pub fn replay(&mut self, row: &[u8]) -> Result<(), RecordError> {
@@ -141,12 +141,12 @@
 
     /// Returns the record of a job, brought up to date by the log; nothing if earlier owners wrote
     /// nothing of it.
-    pub fn recorded(&self, id: JobId, record: Option<Record>) -> Option<Record> {
+    pub fn current_record(&self, id: JobId, record: Option<Record>) -> Option<Record> {
         self.log.recorded(id, record)
     }
 
     /// Takes over a job that earlier owners wrote of, with its record as
-    /// [`Machine::recorded`] returns it.
+    /// [`Machine::current_record`] returns it.
     pub fn restore(&mut self, job: Arc<Job>, record: &Record) {
         let id = job.id;
         let images = self.number_images(&job);
@@ -157,7 +157,7 @@
             let fleet = &mut self.fleet;
             state.restore(record, |name| fleet.slot(name));
             is_logged = state.note_logged(replayed);
-            self.open.push(id);
+            self.open_jobs.push(id);
             self.scheduled.push(id);
         }
         (state.outcome, state.written_outcome) = (record.outcome, record.outcome);
@@ -186,7 +186,7 @@
         }
         // A record of an earlier version tells of tasks: the log has to, before it is replaced.
         if !is_logged {
-            self.mark(id);
+            self.mark_dirty(id);
         }
     }
 
@@ -198,16 +198,16 @@
         match event {
             Event::Accepted(job) => self.accepted(job),
             Event::Cancelled(job) => self.cancelled(job),
-            Event::Worker(info) => self.moved |= self.fleet.register(info, self.now),
+            Event::Worker(info) => self.placement_due |= self.fleet.register(info, self.now),
             Event::Evacuated(zones) => {
                 self.fleet.evacuate(zones);
-                self.moved = true;
+                self.placement_due = true;
             }
             Event::WorkersSynced { asked } => self.fleet.note_synced(asked),
             Event::WorkerRemoved(id) => self.fleet.deregister(&id),
             Event::Queues(queues) => {
                 self.queues = queues;
-                self.moved = true;
+                self.placement_due = true;
             }
             Event::Answer {
                 worker,
@@ -216,7 +216,7 @@
             } => self.answered(worker, sent, answer),
             Event::Committed { asked } => {
                 self.renewed(asked);
-                self.committed();
+                self.handle_committed();
             }
             Event::Renewed { asked } => self.renewed(asked),
         }
@@ -227,13 +227,13 @@
         self.now = now.max(self.now);
         self.wall = wall;
         self.drive();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// Returns the figures.
     pub fn stats(&self) -> Stats {
         Stats {
-            open: self.open.len() as u64,
+            open: self.open_jobs.len() as u64,
             tasks: self.jobs.iter().map(|(_, j)| j.size()).sum(),
             workers_age: self.fleet.age(self.now),
             unverified_runs: self.unheard(),
@@ -244,7 +244,7 @@
     /// Returns the number of jobs of each queue none of whose tasks has begun.
     pub fn pending(&self) -> Vec<(Arc<str>, u64)> {
         let mut counts: Sorted<Arc<str>, u64> = Sorted::default();
-        for id in &self.open {
+        for id in &self.open_jobs {
             let Some(state) = self.jobs.get(id) else {
                 continue;
             };
@@ -271,7 +271,7 @@
     /// The lease on the jobs counts from when it was asked for: another instance takes it
     /// over by the store's clock, however late this one reads the answer.
     fn renewed(&mut self, asked: u64) {
-        self.contact = self.contact.max(asked);
+        self.store_contact = self.store_contact.max(asked);
     }
 
     fn accepted(&mut self, job: Arc<Job>) {
@@ -282,9 +282,9 @@
         log::info!(job = id.to_string().as_str(), queue = &*job.queue, chain = job.spec.critical_path(); "jobs: taken up");
         let images = self.number_images(&job);
         self.jobs.insert(id, JobState::new(job, images, self.now));
-        self.open.push(id);
+        self.open_jobs.push(id);
         self.scheduled.push(id);
-        self.moved = true;
+        self.placement_due = true;
     }
 
     /// Returns the number of each step's image.
@@ -302,8 +302,8 @@
         if name.is_empty() {
             return 0;
         }
-        let next = self.images.len() as Image + 1;
-        let number = self.images.or_default(name);
+        let next = self.image_numbers.len() as Image + 1;
+        let number = self.image_numbers.or_default(name);
         if *number == 0 {
             *number = next;
         }
@@ -312,23 +312,23 @@
 
     fn cancelled(&mut self, id: JobId) {
         if self.jobs.get(&id).is_some_and(|j| !j.outcome.is_final()) {
-            self.finish(id, Outcome::Cancelled);
+            self.end_job(id, Outcome::Cancelled);
         }
     }
 
     fn answered(&mut self, worker: u32, sent: u64, answer: Answer) {
         match answer {
-            Answer::Report(look) => self.looked(worker, sent, look),
-            Answer::NoReply => self.silent(worker, sent),
+            Answer::Report(look) => self.handle_report(worker, sent, look),
+            Answer::NoReply => self.handle_no_reply(worker, sent),
             Answer::ConnectionRefused => {
-                self.silent(worker, sent);
+                self.handle_no_reply(worker, sent);
                 self.fleet.get_mut(worker).process_ended = true;
             }
-            Answer::Fenced => self.out.push(Action::StepDown),
-            Answer::Dead => self.worker_dead(worker),
-            Answer::Started(task, run, started) => self.started(worker, task, run, started),
-            Answer::Stopped(task, run, stopped) => self.stopped(worker, task, run, stopped),
-            Answer::Paced(task, run, done) => self.paced(worker, task, run, done),
+            Answer::Fenced => self.actions.push(Action::StepDown),
+            Answer::Dead => self.worker_lost(worker),
+            Answer::Started(task, run, started) => self.handle_started(worker, task, run, started),
+            Answer::Stopped(task, run, stopped) => self.handle_stopped(worker, task, run, stopped),
+            Answer::Paced(task, run, done) => self.handle_paced(worker, task, run, done),
         }
     }
 
--- a/crates/jobs/src/order/standing.rs
+++ b/crates/jobs/src/order/standing.rs
@@ -50,8 +50,8 @@
     /// depend on their age or size, so that some are in time and not all late.
     pub(crate) fn sort_open_jobs(&mut self) {
         self.note_chains();
-        let mut keys: Vec<(Standing, u32, u64, JobId)> = Vec::with_capacity(self.open.len());
-        for &id in &self.open {
+        let mut keys: Vec<(Standing, u32, u64, JobId)> = Vec::with_capacity(self.open_jobs.len());
+        for &id in &self.open_jobs {
             let Some(state) = self.jobs.get(&id) else {
                 continue;
             };
@@ -62,14 +62,14 @@
             keys.push((standing, priority, order, id));
         }
         keys.sort_unstable();
-        self.late = keys.iter().filter(|k| k.0 == Standing::Late).count();
-        self.open = keys.into_iter().map(|k| k.3).collect();
+        self.late_jobs = keys.iter().filter(|k| k.0 == Standing::Late).count();
+        self.open_jobs = keys.into_iter().map(|k| k.3).collect();
     }
 
     /// Works out the chains of the open jobs that were worked out a while ago.
     fn note_chains(&mut self) {
         let unknown = EstimateModel::default();
-        for id in &self.open {
+        for id in &self.open_jobs {
             let Some(state) = self.jobs.get_mut(id) else {
                 continue;
             };
--- a/crates/jobs/src/place/aging.rs
+++ b/crates/jobs/src/place/aging.rs
@@ -82,7 +82,7 @@
         let most = pass.open.len().div_ceil(SHARE);
         let jobs = std::mem::take(&mut self.aging.jobs);
         for &(_, id) in &jobs {
-            if self.aging.runs.len() >= most || pass.starts == 0 || pass.is_over_budget() {
+            if self.aging.runs.len() >= most || pass.starts_left == 0 || pass.is_over_budget() {
                 break;
             }
             self.place_one(id, pass);
@@ -99,7 +99,7 @@
         });
         self.aging.runs = runs;
         let mut jobs = Vec::new();
-        for &id in &self.open {
+        for &id in &self.open_jobs {
             let since = self.jobs.get(&id).and_then(JobState::idle_since);
             let since = since.filter(|&at| self.now > at + AGED);
             jobs.extend(since.map(|at| (at, id)));
@@ -133,7 +133,7 @@
             return;
         };
         self.place_on(task, slot, request.step);
-        pass.starts -= 1;
+        pass.starts_left -= 1;
         pass.update_room(slot, &self.fleet);
         let planned = self.jobs.get(&id).and_then(|j| j.task(task));
         self.aging.runs.extend(planned.map(|t| (task, t.last_run)));
--- a/crates/jobs/src/place/apart.rs
+++ b/crates/jobs/src/place/apart.rs
@@ -15,7 +15,7 @@
     machine::Machine,
     model::{ids::TaskId, task::Task},
     place::{pass::Pass, rank::rating, request::Request, tasks::Placed},
-    runs::{crashes::YOUNG, worker::Worker},
+    runs::{crashes::JUST_STARTED_MS, worker::Worker},
 };
 
 /// A suspect waits for an empty worker for this long, in milliseconds: short tasks end within,
@@ -60,7 +60,7 @@
         left.retain(|&id| self.is_open_suspect(id));
         let mut tried = None;
         for &id in &left {
-            if pass.starts == 0 {
+            if pass.starts_left == 0 {
                 break;
             }
             // One try of a gang stands for all its members.
@@ -79,7 +79,7 @@
         if pass.is_over_budget() || !pass.unplaceable.is_empty() {
             return;
         }
-        pass.idle = true;
+        pass.others_placed = true;
         self.place_suspects(pass);
     }
 
@@ -134,7 +134,7 @@
         };
         self.place_on(id, slot, request.step);
         self.isolate(id, slot, pass);
-        pass.starts -= 1;
+        pass.starts_left -= 1;
         true
     }
 
@@ -162,11 +162,11 @@
             return None;
         }
         let empty = self.best_apart(request, pass, |w| w.runs.is_empty() && w.orphans.is_empty());
-        if empty.is_some() || pass.idle || self.now <= task.idle_since + PATIENCE {
+        if empty.is_some() || pass.others_placed || self.now <= task.idle_since + PATIENCE {
             return empty;
         }
         // Whatever else had just begun there might be blamed as well.
-        self.best_apart(request, pass, |w| self.now > w.probed_at + YOUNG)
+        self.best_apart(request, pass, |w| self.now > w.probed_at + JUST_STARTED_MS)
     }
 
     /// Tells whether one more worker may run a suspect, of those of which one in `share` may.
@@ -178,7 +178,7 @@
             .filter(|w| w.is_isolating())
             .count();
         let all = hosts + pass.open.len();
-        let most = match pass.idle {
+        let most = match pass.others_placed {
             true => all - all.div_ceil(SPARE_SHARE),
             false => (all / share).max(1),
         };
@@ -194,9 +194,9 @@
     /// Keeps new tasks from the worker that a suspect will soon run on beside others, so that
     /// fewer are there then; from one at a time, whatever number of suspects waits.
     fn clear_way(&self, request: &Request<'_>, pass: &mut Pass) {
-        if pass.idle
+        if pass.others_placed
             || !self.may_host(LIKELY_SHARE, pass)
-            || std::mem::replace(&mut pass.cleared, true)
+            || std::mem::replace(&mut pass.reserved_for_suspect, true)
         {
             return;
         }
--- a/crates/jobs/src/place/hold.rs
+++ b/crates/jobs/src/place/hold.rs
@@ -105,7 +105,7 @@
             return;
         }
         if !lasting {
-            self.sought = self.now;
+            self.last_search = self.now;
         }
         let Some(slot) = self.find_room(request, pass) else {
             if let Some(state) = self.jobs.get_mut(&first.job) {
@@ -127,8 +127,8 @@
 
     /// Tells whether a job stands still beside much room, and may hold a worker.
     fn is_held_up(&self, state: &JobState, request: &Request<'_>, pass: &Pass) -> bool {
-        let early =
-            self.now < self.sought + SEEK_PERIOD || self.now < state.search_failed_at + SEEK_AGAIN;
+        let early = self.now < self.last_search + SEEK_PERIOD
+            || self.now < state.search_failed_at + SEEK_AGAIN;
         let is_kept = pass.reservations.iter().any(|h| !h.lasting);
         if early || is_kept || pass.is_half_full(request.service) {
             return false;
--- a/crates/jobs/src/place/pass.rs
+++ b/crates/jobs/src/place/pass.rs
@@ -76,9 +76,9 @@
     /// Workers that are kept free for tasks that have waited for long.
     pub(crate) reservations: Vec<Reservation>,
     /// Whether all others have their places, so that suspects may take what is empty.
-    pub(crate) idle: bool,
+    pub(crate) others_placed: bool,
     /// Whether a worker is kept free for a suspect that found none.
-    pub(crate) cleared: bool,
+    pub(crate) reserved_for_suspect: bool,
     /// Workers that were rated.
     pub(crate) ratings: usize,
     /// Workers that it may rate.
@@ -86,7 +86,7 @@
     /// What the workers of each service have, sorted.
     loads: Vec<Load>,
     /// Starts that may still be placed.
-    pub(crate) starts: usize,
+    pub(crate) starts_left: usize,
 }
 
 impl Pass {
@@ -108,7 +108,7 @@
             load.used.add(worker.used);
         }
         pass.budget = RATINGS.max(STEPS * pass.open.len());
-        pass.starts = usize::MAX;
+        pass.starts_left = usize::MAX;
         pass
     }
 
--- a/crates/jobs/src/place/rank.rs
+++ b/crates/jobs/src/place/rank.rs
@@ -64,8 +64,8 @@
     pub(super) fn takes(&self, request: &Request<'_>) -> Vec<f64> {
         match request.step.best_effort {
             true => self
-                .pairs
-                .headroom_costs(request.image, self.images.len() + 1),
+                .interference
+                .headroom_costs(request.image, self.image_numbers.len() + 1),
             false => Vec::new(),
         }
     }
@@ -115,7 +115,7 @@
         let mut points = rating(worker, step);
         if step.latency_target > 0 {
             points += self.alike(worker, request.image);
-            points -= (self.pressure_on(slot, request.image) * DISTURBED) as i64;
+            points -= (self.headroom_taken_on(slot, request.image) * DISTURBED) as i64;
         }
         if step.best_effort {
             let share = worker.share(step.cpu);
@@ -135,7 +135,9 @@
     /// Tells whether a task may begin to fill beside a tail that is over its target.
     fn may_fill_beside(&self, slot: u32, request: &Request<'_>) -> bool {
         let worker = self.fleet.get(slot);
-        request.starved && worker.best_effort_cpu == 0 && worker.own_load.may_fill(self.now)
+        request.starved
+            && worker.best_effort_cpu == 0
+            && worker.own_load.may_run_best_effort(self.now)
     }
 
     /// Tells whether a worker has as many tasks of a step as it may have.
--- a/crates/jobs/src/place/starving.rs
+++ b/crates/jobs/src/place/starving.rs
@@ -55,7 +55,7 @@
     /// Logs the jobs that have stood still for longest, and counts all.
     pub(crate) fn log_starved_jobs(&mut self) {
         let mut still: Vec<(u64, JobId)> = Vec::new();
-        for &id in &self.open {
+        for &id in &self.open_jobs {
             let Some(state) = self.jobs.get(&id) else {
                 continue;
             };
@@ -96,11 +96,11 @@
         };
         let refusals = self.refusals(&request, pass);
         let crowded = pass.is_crowded(&service);
-        let at = self.open.iter().position(|&o| o == id);
+        let at = self.open_jobs.iter().position(|&o| o == id);
         let count = |r| refusals.get(r);
         log::info!(
             task = task.to_string().as_str(), still_ms = self.now - since,
-            order:? = at, jobs = self.open.len(), crowded, apart,
+            order:? = at, jobs = self.open_jobs.len(), crowded, apart,
             closed = count(Refusal::Closed), guest = count(Refusal::Isolating),
             trial = count(Refusal::OnProbation), label = count(Refusal::Label),
             room = count(Refusal::Room), share = count(Refusal::Share),
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -68,15 +68,15 @@
         let mut pass = Pass::new(&self.fleet, self.now);
         pass.reservations = self.current_reservations();
         if let Some(bound) = self.window.limit() {
-            pass.starts = bound.saturating_sub(self.starting());
+            pass.starts_left = bound.saturating_sub(self.starting());
         }
         self.place_suspects(&mut pass);
-        let timely = self.open.len() - self.late;
-        for at in 0..self.open.len() {
+        let timely = self.open_jobs.len() - self.late_jobs;
+        for at in 0..self.open_jobs.len() {
             if at == timely {
                 self.place_aged_jobs(&mut pass);
             }
-            if pass.starts == 0 {
+            if pass.starts_left == 0 {
                 self.stats.throttled_passes += 1;
                 break;
             }
@@ -84,7 +84,7 @@
                 self.stats.truncated_passes += 1;
                 break;
             }
-            let id = self.open[at];
+            let id = self.open_jobs[at];
             self.place_job(id, &mut pass);
         }
         self.place_suspects_on_idle(&mut pass);
@@ -162,7 +162,7 @@
         let runs = state.map(|j| &j.repetitions[first.repetition as usize][first.step as usize]);
         let waiting = runs.map_or(Vec::new(), |r| r.waiting_tasks(self.now));
         for index in waiting {
-            if pass.starts == 0 {
+            if pass.starts_left == 0 {
                 return;
             }
             let id = TaskId { index, ..first };
@@ -173,7 +173,7 @@
             };
             request.starved = false;
             self.place_on(id, slot, step);
-            pass.starts -= 1;
+            pass.starts_left -= 1;
             pass.update_room(slot, &self.fleet);
         }
     }
@@ -205,8 +205,8 @@
             })
             .collect();
         members.sort_unstable();
-        let (starts, misfits) = (pass.starts, pass.unplaceable.len());
-        pass.starts = starts.saturating_sub(step.count as usize);
+        let (starts, misfits) = (pass.starts_left, pass.unplaceable.len());
+        pass.starts_left = starts.saturating_sub(step.count as usize);
         let placed = self.assign_members(&request, &members, run, pass);
         if placed.len() == step.count as usize {
             for member in placed {
@@ -215,7 +215,7 @@
             self.share_checkpoint(first);
             return Placed::All;
         }
-        pass.starts = starts;
+        pass.starts_left = starts;
         if !placed.is_empty() {
             // What did not fit beside its members may fit without them.
             pass.unplaceable.truncate(misfits);
@@ -296,9 +296,9 @@
         let worker = self.fleet.get_mut(slot);
         worker.reserve(id, step);
         if step.best_effort {
-            worker.own_load.note_filling(true, now);
+            worker.own_load.note_best_effort(true, now);
         }
-        self.mark(id.job);
+        self.mark_dirty(id.job);
         Some(assigned)
     }
 
@@ -306,7 +306,7 @@
     /// nothing of it has to be made durable.
     fn unassign(&mut self, assigned: &Assigned) {
         let id = assigned.id;
-        self.clear(id);
+        self.clear_run(id);
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         if let Some(task) = task {
             task.last_run = assigned.last;
--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -29,16 +29,16 @@
         task.run.as_deref_mut().filter(|r| r.worker == slot)
     }
 
-    pub(crate) fn started(&mut self, slot: u32, id: TaskId, number: u32, started: Started) {
+    pub(crate) fn handle_started(&mut self, slot: u32, id: TaskId, number: u32, started: Started) {
         let now = self.now;
         match started {
             Started::Dead => {
                 if let Some(run) = self.run_on(slot, id, number) {
                     run.attributed = true;
                 }
-                return self.worker_dead(slot);
+                return self.worker_lost(slot);
             }
-            Started::Fenced => return self.out.push(Action::StepDown),
+            Started::Fenced => return self.actions.push(Action::StepDown),
             _ => {}
         }
         let stage = self.run_on(slot, id, number).map(|r| r.stage);
@@ -56,7 +56,7 @@
                 if matches!(run.stage, Stage::Sent(_) | Stage::Unanswered(_)) {
                     run.stage = Stage::Confirmed(now);
                 }
-                return self.begun(id);
+                return self.mark_begun(id);
             }
             Started::Unknown | Started::Old => {
                 if matches!(run.stage, Stage::Sent(_)) {
@@ -81,15 +81,15 @@
             _ => worker.closed_until = worker.closed_until.max(now + NO_ROOM_PAUSE),
         }
         if sent {
-            self.clear(id);
+            self.clear_run(id);
         }
     }
 
-    pub(crate) fn stopped(&mut self, slot: u32, id: TaskId, number: u32, stopped: Stopped) {
+    pub(crate) fn handle_stopped(&mut self, slot: u32, id: TaskId, number: u32, stopped: Stopped) {
         let now = self.now;
         match stopped {
-            Stopped::Dead => return self.worker_dead(slot),
-            Stopped::Fenced => return self.out.push(Action::StepDown),
+            Stopped::Dead => return self.worker_lost(slot),
+            Stopped::Fenced => return self.actions.push(Action::StepDown),
             _ => {}
         }
         let done = stopped == Stopped::Done;
@@ -114,7 +114,7 @@
     }
 
     /// A look that was sent at `sent` got no answer.
-    pub(crate) fn silent(&mut self, slot: u32, sent: u64) {
+    pub(crate) fn handle_no_reply(&mut self, slot: u32, sent: u64) {
         let now = self.now;
         let worker = self.fleet.get_mut(slot);
         if worker.dead {
@@ -155,7 +155,7 @@
             }
             stray.sent_at = Some(now);
             let (task, run) = (stray.task, stray.run);
-            self.out.push(Action::Stop {
+            self.actions.push(Action::Stop {
                 worker: slot,
                 task,
                 run,
@@ -187,7 +187,7 @@
         // The answer sets the next time; this one only guards against its loss.
         run.stage = Stage::Stopping(Some(u64::MAX));
         log::info!(task = id.to_string().as_str(), run = number, worker = &*worker.id; "stop: sent");
-        self.out.push(Action::Stop {
+        self.actions.push(Action::Stop {
             worker: slot,
             task: id,
             run: number,
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -55,7 +55,7 @@
         }
         let (saved_run, saved_on) = self.source(&rejected);
         log::warn!(task = id.to_string().as_str(), run, worker = &*self.fleet.get(slot).id, saved = log_excerpt(&rejected.text), saved_run, saved_on; "start: checkpoint rejected");
-        self.mark(id.job);
+        self.mark_dirty(id.job);
     }
 
     /// Returns what log lines tell of where a checkpoint was made: the run and its worker.
--- a/crates/jobs/src/runs/close.rs
+++ b/crates/jobs/src/runs/close.rs
@@ -11,7 +11,7 @@
 
 impl Machine {
     /// Ends a job; its runs are stopped.
-    pub(crate) fn finish(&mut self, id: JobId, outcome: Outcome) {
+    pub(crate) fn end_job(&mut self, id: JobId, outcome: Outcome) {
         let now = self.now;
         let Some(state) = self.jobs.get_mut(&id) else {
             return;
@@ -19,23 +19,23 @@
         log::info!(job = id.to_string().as_str(), outcome:? = outcome, after = now - state.known_since; "jobs: ended");
         state.outcome = outcome;
         let tasks = state.task_ids();
-        self.open.retain(|&j| j != id);
+        self.open_jobs.retain(|&j| j != id);
         for task in tasks {
-            self.abandon(task);
+            self.stop_run(task);
         }
         self.forget_tasks(id);
-        self.mark(id);
-        self.moved = true;
+        self.mark_dirty(id);
+        self.placement_due = true;
     }
 
     /// Has a task's run stopped, or forgets it if nothing was sent.
-    pub(crate) fn abandon(&mut self, id: TaskId) {
+    pub(crate) fn stop_run(&mut self, id: TaskId) {
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         let Some(run) = task.and_then(|t| t.run.as_mut()) else {
             return;
         };
         if run.stage == Stage::Planned {
-            self.clear(id);
+            self.clear_run(id);
         } else if run.is_wanted() {
             run.stage = Stage::Stopping(None);
             self.stopping.push(id);
@@ -43,7 +43,7 @@
     }
 
     /// Forgets a task's run and gives back its room.
-    pub(crate) fn clear(&mut self, id: TaskId) {
+    pub(crate) fn clear_run(&mut self, id: TaskId) {
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
         };
@@ -66,7 +66,7 @@
         if !worker.dead && !worker.process_ended {
             worker.isolated_task = worker.isolated_task.filter(|&g| g != id);
         }
-        self.moved = true;
+        self.placement_due = true;
         self.forget_tasks(id.job);
     }
 
@@ -82,13 +82,13 @@
     }
 
     /// Takes note that a job's record changed.
-    pub(crate) fn mark(&mut self, id: JobId) {
+    pub(crate) fn mark_dirty(&mut self, id: JobId) {
         let Some(state) = self.jobs.get_mut(&id) else {
             return;
         };
         if !state.dirty {
             state.dirty = true;
-            self.dirty.push(id);
+            self.dirty_jobs.push(id);
         }
     }
 }
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     action::{Action, Batch, StartOrder},
-    machine::{Flight, Machine},
+    machine::{InFlight, Machine},
     model::{
         checkpoint::log_excerpt,
         ids::{JobId, TaskId},
@@ -23,7 +23,7 @@
 struct Writer {
     records: Vec<(JobId, Vec<u8>)>,
     rows: Appender,
-    flight: Flight,
+    flight: InFlight,
 }
 
 impl Writer {
@@ -35,27 +35,28 @@
 impl Machine {
     /// Sends the next batch, if none is under way.
     pub(crate) fn commit(&mut self) {
-        if self.flight.is_some() {
+        if self.in_flight.is_some() {
             return;
         }
         let mut writer = Writer {
             records: Vec::new(),
             rows: Appender::new(&self.log),
-            flight: Flight::default(),
+            flight: InFlight::default(),
         };
         let mut written = 0;
-        while written < self.dirty.len() && writer.records.len() < self.settings.batch_records {
-            if !self.write_job(self.dirty[written], &mut writer) {
+        while written < self.dirty_jobs.len() && writer.records.len() < self.settings.batch_records
+        {
+            if !self.write_job(self.dirty_jobs[written], &mut writer) {
                 break;
             }
             written += 1;
         }
-        self.dirty.drain(..written);
+        self.dirty_jobs.drain(..written);
         // Shortening alone is worth no write.
         if !writer.is_empty() {
             self.shorten_log(&mut writer.rows);
         }
-        let whole = self.dirty.is_empty();
+        let whole = self.dirty_jobs.is_empty();
         let mut flight = writer.flight;
         if whole {
             self.collect_observed(&mut flight);
@@ -67,8 +68,8 @@
         };
         if !batch.is_empty() {
             self.stats.commits += 1;
-            self.flight = Some(flight);
-            self.out.push(Action::Commit(batch));
+            self.in_flight = Some(flight);
+            self.actions.push(Action::Commit(batch));
         } else if whole {
             // Nothing is left to be made durable: ends may be dropped at once.
             self.observe(&flight);
@@ -144,7 +145,7 @@
         } else {
             0
         };
-        while !rows.has_dropped() && !rows.is_full() {
+        while !rows.is_drop_limit_reached() && !rows.is_full() {
             let long = self.log.len() > self.settings.log_rows;
             let Some((number, jobs)) = self.log.oldest() else {
                 return;
@@ -165,7 +166,7 @@
 
     /// Returns how many bytes of the log still hold, about.
     fn live_bytes(&self) -> usize {
-        let jobs = self.open.iter().filter_map(|id| self.jobs.get(id));
+        let jobs = self.open_jobs.iter().filter_map(|id| self.jobs.get(id));
         let steps = jobs.flat_map(|j| j.repetitions.iter().flatten());
         let tasks = steps.flat_map(|s| &s.tasks).filter(|t| t.logged.is_some());
         tasks.count() * TASK_BYTES
@@ -203,8 +204,8 @@
         true
     }
 
-    fn collect_observed(&mut self, flight: &mut Flight) {
-        let mut left = std::mem::take(&mut self.counted);
+    fn collect_observed(&mut self, flight: &mut InFlight) {
+        let mut left = std::mem::take(&mut self.workers_with_ends);
         left.sort_unstable();
         left.dedup();
         left.retain(|&slot| self.fleet.get(slot).has_pending_ends());
@@ -212,10 +213,10 @@
             .iter()
             .map(|&slot| (slot, self.fleet.get(slot).counted_end));
         flight.observed.extend(rows);
-        self.counted = left;
+        self.workers_with_ends = left;
     }
 
-    fn observe(&mut self, flight: &Flight) {
+    fn observe(&mut self, flight: &InFlight) {
         for &(slot, number) in &flight.observed {
             let worker = self.fleet.get_mut(slot);
             worker.durable_end = worker.durable_end.max(number);
@@ -224,8 +225,8 @@
     }
 
     /// The batch in flight is durable: its starts may be sent, its ends dropped.
-    pub(crate) fn committed(&mut self) {
-        let Some(flight) = self.flight.take() else {
+    pub(crate) fn handle_committed(&mut self) {
+        let Some(flight) = self.in_flight.take() else {
             return;
         };
         self.observe(&flight);
@@ -250,13 +251,13 @@
         let current = self.fleet.is_fresh(now, &settings);
         let worker = self.fleet.get_mut(run.worker);
         let reading = worker.clock.map_or(0, |(reading, _)| reading);
-        let deadline = worker.deadline(&settings, self.contact);
+        let deadline = worker.deadline(&settings, self.store_contact);
         let lasts = |d: &u64| *d >= reading + LEAST_LEASE;
         // A place may become durable seconds after it was chosen: meanwhile the worker may
         // have said that it leaves or has less room, or this owner may not have heard.
         let fits = current && worker.accepts_runs(now) && !worker.is_overcommitted();
         let Some(deadline) = deadline.filter(lasts).filter(|_| fits) else {
-            return self.clear(id);
+            return self.clear_run(id);
         };
         run.stage = Stage::Sent(now);
         run.sent_at = Some(now);
@@ -273,7 +274,7 @@
             checkpoint: saved,
         };
         self.tell_start(slot, &order, waited);
-        self.out.push(Action::Start(slot, order));
+        self.actions.push(Action::Start(slot, order));
     }
 
     /// Logs a start that waited so many milliseconds for its place to become durable, and where
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -21,7 +21,7 @@
 
 /// A run that was started less than this before its worker was last heard had just begun, in
 /// milliseconds: longer than looks are apart, which tell when that was.
-pub(crate) const YOUNG: u64 = 800;
+pub(crate) const JUST_STARTED_MS: u64 = 800;
 
 /// Workers that are lost within this time of each other are lost at once, in milliseconds.
 const AT_ONCE: u64 = 1000;
@@ -39,7 +39,7 @@
     /// Tells whether it had just begun at `now`.
     fn is_young(&self, now: u64) -> bool {
         self.sent_at
-            .is_some_and(|at| now.saturating_sub(at) <= YOUNG)
+            .is_some_and(|at| now.saturating_sub(at) <= JUST_STARTED_MS)
     }
 }
 
@@ -70,11 +70,11 @@
             true => Blame::Shared,
             false => Blame::Own,
         };
-        self.charge(slot, most);
+        self.attribute_crash(slot, most);
     }
 
     /// A worker answers though its machine refused connections: it has not crashed.
-    pub(crate) fn note_present(&mut self, slot: u32) {
+    pub(crate) fn retract_crash(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
         worker.process_ended = false;
         worker.crash_recorded = false;
@@ -88,12 +88,12 @@
                 continue;
             };
             state.crashes.forget(&life);
-            self.mark(task.job);
+            self.mark_dirty(task.job);
         }
     }
 
     /// Takes note of what the crash of a worker tells of the tasks there, `most` at most.
-    pub(super) fn charge(&mut self, slot: u32, most: Blame) {
+    pub(super) fn attribute_crash(&mut self, slot: u32, most: Blame) {
         let worker = self.fleet.get(slot);
         let (life, runs) = (worker.name.clone(), worker.runs.clone());
         let end = worker.silent_since.unwrap_or(self.now);
@@ -128,7 +128,7 @@
         if task.crashes.is_suspect() {
             self.suspect(id);
         }
-        self.mark(id.job);
+        self.mark_dirty(id.job);
         self.give_up(id);
     }
 
@@ -169,7 +169,7 @@
         };
         log::warn!(task = id.to_string().as_str(), crashes = task.crashes.count(); "job: a task crashes its workers");
         self.stats.jobs_given_up += 1;
-        self.finish(id.job, Outcome::Failed);
+        self.end_job(id.job, Outcome::Failed);
     }
 
     /// Takes note of how long a run under whose task workers crashed has been at work when its
@@ -184,11 +184,11 @@
         if ms > task.crashes.isolation_ms() && self.fleet.get(slot).isolated_task == Some(id) {
             log::info!(task = id.to_string().as_str(), worker = &*self.fleet.get(slot).id, after_ms = ms; "run: no longer apart");
             self.fleet.get_mut(slot).isolated_task = None;
-            self.moved = true;
+            self.placement_due = true;
         }
         if ms > CLEARED {
             task.crashes.clear();
-            self.mark(id.job);
+            self.mark_dirty(id.job);
         }
     }
 }
--- a/crates/jobs/src/runs/ends.rs
+++ b/crates/jobs/src/runs/ends.rs
@@ -21,10 +21,10 @@
 
 impl Machine {
     /// Takes a worker's answer to a look that was sent at `sent`.
-    pub(crate) fn looked(&mut self, slot: u32, sent: u64, look: WorkerReport) {
+    pub(crate) fn handle_report(&mut self, slot: u32, sent: u64, look: WorkerReport) {
         let (now, settings) = (self.now, self.settings);
         self.fleet.get_mut(slot).poll_in_flight = false;
-        let Some(slot) = self.answering(slot, sent, look.start_time) else {
+        let Some(slot) = self.reporting_slot(slot, sent, look.start_time) else {
             return;
         };
         let worker = self.fleet.get_mut(slot);
@@ -36,22 +36,22 @@
         let was_absent = worker.process_ended;
         if let Some(since) = worker.silent_since.take() {
             log::info!(worker = &*worker.id, silent_ms = now - since; "worker: answers again");
-            self.moved = true;
+            self.placement_due = true;
         }
         let counted = worker.counted_end;
         if was_absent {
-            self.note_present(slot);
+            self.retract_crash(slot);
         }
         self.count_ends(slot, &look);
         for row in &look.running {
-            self.listed(slot, row, look.clock);
+            self.handle_reported_run(slot, row, look.clock);
         }
         if look.finished.len() < FULL_LIST {
-            self.check_absent(slot, sent, &look);
+            self.check_unreported(slot, sent, &look);
         }
         self.check_stalled(slot);
         let ended = look.finished.iter().filter(|e| e.number > counted);
-        self.watch(slot, &look, &ended.collect::<Vec<_>>());
+        self.observe_metrics(slot, &look, &ended.collect::<Vec<_>>());
     }
 
     fn count_ends(&mut self, slot: u32, look: &WorkerReport) {
@@ -61,7 +61,7 @@
                 continue;
             }
             worker.counted_end = end.number;
-            self.counted.push(slot);
+            self.workers_with_ends.push(slot);
             self.ended(slot, end);
         }
     }
@@ -89,9 +89,9 @@
         }
         log::info!(task = id.to_string().as_str(), run = end.run, worker = &*self.fleet.get(slot).id, how:? = end.ending, current, ran_ms = ran, saved = log_excerpt(&end.checkpoint); "run: ended");
         if current {
-            self.clear(id);
+            self.clear_run(id);
         }
-        self.mark(id.job);
+        self.mark_dirty(id.job);
         match end.ending {
             Ending::Done => self.done(slot, id, ran, current && !partial),
             Ending::Failed => self.failed(slot, id, end.run, is_final),
@@ -127,11 +127,11 @@
                 state.repetitions[id.repetition as usize][id.step as usize]
                     .mark_done(index as usize);
             }
-            self.abandon(member);
+            self.stop_run(member);
         }
-        self.moved = true;
+        self.placement_due = true;
         if self.jobs.get(&id.job).is_some_and(|j| j.is_done()) {
-            self.finish(id.job, Outcome::Complete);
+            self.end_job(id.job, Outcome::Complete);
         }
     }
 
@@ -183,7 +183,7 @@
         let count = task.failed.len() as u32;
         if !lasting && !is_final && attempts.is_some_and(|a| count >= a) {
             log::warn!(task = id.to_string().as_str(), failures = count; "job: failed too often");
-            self.finish(id.job, Outcome::Failed);
+            self.end_job(id.job, Outcome::Failed);
         }
     }
 }
--- a/crates/jobs/src/runs/fleet.rs
+++ b/crates/jobs/src/runs/fleet.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     runs::{
-        lives::Lives,
+        lives::Incarnations,
         worker::{Worker, WorkerInfo},
     },
     settings::Settings,
@@ -16,7 +16,7 @@
 pub(crate) struct Fleet {
     pub(crate) workers: Vec<Worker>,
     /// The lives of each name.
-    pub(super) names: Sorted<Arc<str>, Lives>,
+    pub(super) incarnations: Sorted<Arc<str>, Incarnations>,
     /// When leases of an earlier owner are over everywhere.
     pub(super) prior_leases_end: u64,
     /// Workers that changed since they were last asked for.
@@ -36,7 +36,7 @@
     pub(crate) fn new(inherited: u64) -> Fleet {
         Fleet {
             workers: Vec::new(),
-            names: Sorted::default(),
+            incarnations: Sorted::default(),
             prior_leases_end: inherited,
             touched: Vec::new(),
             timers: BinaryHeap::new(),
@@ -51,7 +51,7 @@
     /// Workers repeat themselves every other second, which is not worth a pass of placement.
     pub(crate) fn register(&mut self, mut info: WorkerInfo, now: u64) -> bool {
         info.service = self.service(&info.service);
-        let Some(slot) = self.announced(&info) else {
+        let Some(slot) = self.registering_slot(&info) else {
             return false;
         };
         let known = self.get(slot);
@@ -108,7 +108,7 @@
 
     /// Takes note that a worker's announcement is gone.
     pub(crate) fn deregister(&mut self, id: &Arc<str>) {
-        for slot in self.lives(id).to_vec() {
+        for slot in self.incarnations(id).to_vec() {
             self.get_mut(slot).registered = false;
         }
     }
--- a/crates/jobs/src/runs/listed.rs
+++ b/crates/jobs/src/runs/listed.rs
@@ -20,7 +20,7 @@
 
 impl Machine {
     /// Takes note of a run that a worker lists when its clock shows `clock`.
-    pub(super) fn listed(&mut self, slot: u32, row: &ReportedRun, clock: u64) {
+    pub(super) fn handle_reported_run(&mut self, slot: u32, row: &ReportedRun, clock: u64) {
         let now = self.now;
         let id = row.task;
         let Some(state) = self.jobs.get_mut(&id.job) else {
@@ -56,7 +56,7 @@
             self.note_survival(slot, id, clock);
         }
         if pending {
-            self.begun(id);
+            self.mark_begun(id);
         }
     }
 
@@ -93,18 +93,18 @@
         self.fleet.get_mut(slot).reserve(id, step);
         log::info!(task = id.to_string().as_str(), run, worker = &*self.fleet.get(slot).id; "run: adopted");
         if state.outcome.is_final() {
-            self.abandon(id);
+            self.stop_run(id);
         }
     }
 
     /// Takes note that a task of a job has begun.
-    pub(crate) fn begun(&mut self, id: TaskId) {
+    pub(crate) fn mark_begun(&mut self, id: TaskId) {
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
         };
         if state.outcome == Outcome::Pending {
             state.outcome = Outcome::Active;
-            self.mark(id.job);
+            self.mark_dirty(id.job);
         }
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// Draws conclusions from what a look that was sent at `sent` does not list.
-    pub(super) fn check_absent(&mut self, slot: u32, sent: u64, look: &WorkerReport) {
+    pub(super) fn check_unreported(&mut self, slot: u32, sent: u64, look: &WorkerReport) {
         let is_listed = |id: TaskId, run: u32| {
             let rows = &look.running;
             rows.iter().any(|r| r.task == id && r.run == run)
@@ -169,7 +169,7 @@
 
     fn gone(&mut self, id: TaskId) {
         log::info!(task = id.to_string().as_str(); "run: not there");
-        self.clear(id);
-        self.mark(id.job);
+        self.clear_run(id);
+        self.mark_dirty(id.job);
     }
 }
--- a/crates/jobs/src/runs/lives.rs
+++ b/crates/jobs/src/runs/lives.rs
@@ -29,7 +29,7 @@
 
 /// The lives of one name.
 #[derive(Debug, Default)]
-pub(super) struct Lives {
+pub(super) struct Incarnations {
     /// Slots of those that may be there.
     slots: Vec<u32>,
     /// When those began that were replaced, the last ones.
@@ -38,9 +38,9 @@
 
 /// What a list says of the lives of its worker's name.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Listed {
+pub(super) enum Attribution {
     /// The life that is there, and the earlier ones that are over.
-    Life(u32, Vec<u32>),
+    Known(u32, Vec<u32>),
     /// It is of a life that was replaced.
     Earlier,
     /// It may be older than the last one of another life.
@@ -49,7 +49,7 @@
 
 impl Worker {
     /// Tells whether it can't be known which life of its name this is.
-    pub(super) fn is_nameless(&self) -> bool {
+    pub(super) fn is_unidentified(&self) -> bool {
         self.start_time.is_none() && self.clock.is_none()
     }
 }
@@ -63,35 +63,35 @@
     }
 
     /// Returns the slots of the lives of a name that may be there.
-    pub(super) fn lives(&self, id: &str) -> &[u32] {
-        self.names.get(id).map_or(&[], |l| &l.slots)
+    pub(super) fn incarnations(&self, id: &str) -> &[u32] {
+        self.incarnations.get(id).map_or(&[], |l| &l.slots)
     }
 
     fn find(&self, id: &str, born: Option<u64>) -> Option<u32> {
-        let mut lives = self.lives(id).iter().copied();
+        let mut lives = self.incarnations(id).iter().copied();
         lives.find(|&slot| self.get(slot).start_time == born)
     }
 
     fn add(&mut self, life: Incarnation) -> u32 {
         let slot = self.workers.len() as u32;
-        self.names.or_default(&life.id).slots.push(slot);
+        self.incarnations.or_default(&life.id).slots.push(slot);
         self.workers.push(Worker::new(life, self.prior_leases_end));
         slot
     }
 
     fn is_replaced(&self, id: &str, born: u64) -> bool {
-        let lives = self.names.get(id);
+        let lives = self.incarnations.get(id);
         lives.is_some_and(|l| l.replaced.contains(&born))
     }
 
     /// Returns the slot of the life that an announcement is of; nothing if it was replaced.
-    pub(super) fn announced(&mut self, info: &WorkerInfo) -> Option<u32> {
+    pub(super) fn registering_slot(&mut self, info: &WorkerInfo) -> Option<u32> {
         if let Some(slot) = self.find(&info.id, info.start_time) {
             return Some(slot);
         }
         let Some(born) = info.start_time else {
             // One that tells its start in its lists alone.
-            let mut lives = self.lives(&info.id).iter().copied();
+            let mut lives = self.incarnations(&info.id).iter().copied();
             let heard = lives.find(|&slot| self.get(slot).clock.is_some());
             return Some(heard.unwrap_or_else(|| self.add(life(info))));
         };
@@ -100,7 +100,7 @@
             return None;
         }
         let slot = self.add(life(info));
-        if self.lives(&info.id).len() > 1 {
+        if self.incarnations(&info.id).len() > 1 {
             self.contest(&info.id);
         }
         Some(slot)
@@ -108,35 +108,35 @@
 
     /// Has nothing begin on any life of a name until a list says which one is there.
     fn contest(&mut self, id: &str) {
-        for slot in self.lives(id).to_vec() {
+        for slot in self.incarnations(id).to_vec() {
             self.get_mut(slot).contested = true;
         }
     }
 
     /// Returns what a list says that was read in the place of one life, asked for at `sent`.
-    pub(super) fn attribute(&mut self, slot: u32, sent: u64, born: Option<u64>) -> Listed {
+    pub(super) fn attribute(&mut self, slot: u32, sent: u64, born: Option<u64>) -> Attribution {
         let worker = self.get(slot);
         let born = born.or(worker.start_time);
         let same = worker.start_time == born && worker.clock.is_some();
         if same && !worker.contested && !worker.dead {
-            return Listed::Life(slot, Vec::new());
+            return Attribution::Known(slot, Vec::new());
         }
         let id = worker.id.clone();
         let target = match born {
             Some(born) if self.is_replaced(&id, born) => {
                 log::info!(worker = &*id, born; "worker: list of an earlier life");
-                return Listed::Earlier;
+                return Attribution::Earlier;
             }
             Some(_) => self.find(&id, born),
             // It is of the life in whose place it was read, unless that one is over.
-            None if !self.lives(&id).contains(&slot) => return Listed::Earlier,
+            None if !self.incarnations(&id).contains(&slot) => return Attribution::Earlier,
             None => Some(slot),
         };
         let heard = target.is_some_and(|t| self.get(t).clock.is_some());
         if !heard && self.heard_after(&id, sent) {
             self.contest(&id);
             log::info!(worker = &*id, born:?; "worker: list of an unknown life");
-            return Listed::Unclear;
+            return Attribution::Unclear;
         }
         let target = target.unwrap_or_else(|| {
             self.add(Incarnation {
@@ -147,12 +147,12 @@
         self.introduce(target, slot);
         let (over, left) = self.others(target, sent);
         self.get_mut(target).contested = !left.is_empty();
-        Listed::Life(target, over)
+        Attribution::Known(target, over)
     }
 
     /// Tells whether a list of a life of a name arrived after `sent`.
     fn heard_after(&self, id: &str, sent: u64) -> bool {
-        let lives = self.lives(id).iter().map(|&slot| self.get(slot));
+        let lives = self.incarnations(id).iter().map(|&slot| self.get(slot));
         let mut clocks = lives.filter(|w| !w.dead).filter_map(|w| w.clock);
         clocks.any(|(_, at)| at > sent)
     }
@@ -176,7 +176,7 @@
     /// Returns the other lives of a life's name: those that are over if it is there in a list
     /// that was asked for at `sent`, and those that may be later ones.
     fn others(&self, target: u32, sent: u64) -> (Vec<u32>, Vec<u32>) {
-        let lives = self.lives(&self.get(target).id).iter().copied();
+        let lives = self.incarnations(&self.get(target).id).iter().copied();
         let others = lives.filter(|&slot| slot != target);
         others.partition(|&slot| {
             let worker = self.get(slot);
@@ -191,7 +191,7 @@
         worker.registered = false;
         worker.poll_in_flight = false;
         let (id, born) = (worker.id.clone(), worker.start_time);
-        let lives = self.names.or_default(&id);
+        let lives = self.incarnations.or_default(&id);
         lives.slots.retain(|&s| s != slot);
         let Some(born) = born else {
             return;
--- a/crates/jobs/src/runs/lives_tests.rs
+++ b/crates/jobs/src/runs/lives_tests.rs
@@ -4,7 +4,7 @@
 
 use super::{
     fleet::Fleet,
-    lives::Listed,
+    lives::Attribution,
     worker::{Capacity, WorkerInfo},
 };
 use crate::settings::Settings;
@@ -42,9 +42,9 @@
     }
 
     /// Reads a list in the place of a life that was asked for at `sent`.
-    fn list(&mut self, slot: u32, sent: u64, born: Option<u64>) -> Listed {
+    fn list(&mut self, slot: u32, sent: u64, born: Option<u64>) -> Attribution {
         let listed = self.fleet.attribute(slot, sent, born);
-        if let Listed::Life(there, over) = &listed {
+        if let Attribution::Known(there, over) = &listed {
             let worker = self.fleet.get_mut(*there);
             worker.note_clock(5, self.now, &Settings::default());
             for &slot in over {
@@ -55,7 +55,7 @@
     }
 
     /// Asks in the place of a life, and reads the list.
-    fn ask(&mut self, slot: u32, born: Option<u64>) -> Listed {
+    fn ask(&mut self, slot: u32, born: Option<u64>) -> Attribution {
         let sent = self.now;
         self.now += 10;
         self.list(slot, sent, born)
@@ -77,9 +77,9 @@
     for born in [900, 100] {
         let mut lives = Lives::new();
         lives.row(Some(500));
-        assert_eq!(lives.ask(0, Some(500)), Listed::Life(0, vec![]));
+        assert_eq!(lives.ask(0, Some(500)), Attribution::Known(0, vec![]));
         assert!(lives.is_open(0));
-        assert_eq!(lives.ask(0, Some(born)), Listed::Life(1, vec![0]));
+        assert_eq!(lives.ask(0, Some(born)), Attribution::Known(1, vec![0]));
         assert!(lives.fleet.get(0).dead);
         assert_eq!(lives.fleet.get(1).info, {
             let mut info = lives.fleet.get(0).info.clone();
@@ -99,12 +99,12 @@
     lives.row(Some(1));
     lives.ask(0, Some(1));
     lives.row(Some(2));
-    assert_eq!(lives.ask(1, Some(2)), Listed::Life(1, vec![0]));
+    assert_eq!(lives.ask(1, Some(2)), Attribution::Known(1, vec![0]));
     for slot in [0, 1] {
-        assert_eq!(lives.ask(slot, Some(1)), Listed::Earlier);
+        assert_eq!(lives.ask(slot, Some(1)), Attribution::Earlier);
     }
     assert!(!lives.row(Some(1)));
-    assert_eq!(lives.ask(0, None), Listed::Earlier);
+    assert_eq!(lives.ask(0, None), Attribution::Earlier);
     assert!(lives.is_open(1));
     assert_eq!(lives.fleet.workers.len(), 2);
 }
@@ -119,10 +119,10 @@
     lives.row(Some(2));
     assert!(!lives.is_open(0) && !lives.is_open(1));
     // It was asked for before the row was read.
-    assert_eq!(lives.list(0, asked, Some(1)), Listed::Life(0, vec![]));
+    assert_eq!(lives.list(0, asked, Some(1)), Attribution::Known(0, vec![]));
     assert!(!lives.is_open(0));
     // The row was an old one.
-    assert_eq!(lives.ask(0, Some(1)), Listed::Life(0, vec![1]));
+    assert_eq!(lives.ask(0, Some(1)), Attribution::Known(0, vec![1]));
     assert!(lives.is_open(0) && !lives.is_open(1));
     assert!(!lives.row(Some(2)));
 }
@@ -134,11 +134,11 @@
     lives.row(Some(1));
     lives.row(Some(3));
     let asked = lives.now;
-    assert_eq!(lives.ask(1, Some(3)), Listed::Life(1, vec![0]));
+    assert_eq!(lives.ask(1, Some(3)), Attribution::Known(1, vec![0]));
     assert!(lives.is_open(1));
-    assert_eq!(lives.list(0, asked, Some(2)), Listed::Unclear);
+    assert_eq!(lives.list(0, asked, Some(2)), Attribution::Unclear);
     assert!(!lives.is_open(1));
-    assert_eq!(lives.ask(1, Some(3)), Listed::Life(1, vec![]));
+    assert_eq!(lives.ask(1, Some(3)), Attribution::Known(1, vec![]));
     assert!(lives.is_open(1));
 }
 
@@ -151,7 +151,7 @@
     lives.row(Some(1));
     assert!(!lives.is_open(0));
     lives.row(Some(2));
-    assert_eq!(lives.ask(1, Some(2)), Listed::Life(1, vec![0]));
+    assert_eq!(lives.ask(1, Some(2)), Attribution::Known(1, vec![0]));
     assert!(lives.is_open(1));
 }
 
@@ -160,7 +160,7 @@
     let mut lives = Lives::new();
     lives.row(None);
     for _ in 0..3 {
-        assert_eq!(lives.ask(0, None), Listed::Life(0, vec![]));
+        assert_eq!(lives.ask(0, None), Attribution::Known(0, vec![]));
         assert!(!lives.row(None));
         assert!(lives.is_open(0));
     }
@@ -171,10 +171,10 @@
 fn a_worker_that_tells_its_start_in_lists_alone_is_open() {
     let mut lives = Lives::new();
     lives.row(None);
-    assert_eq!(lives.ask(0, Some(1)), Listed::Life(1, vec![0]));
+    assert_eq!(lives.ask(0, Some(1)), Attribution::Known(1, vec![0]));
     assert!(lives.row(None));
     assert!(lives.is_open(1));
-    assert_eq!(lives.ask(1, Some(1)), Listed::Life(1, vec![]));
+    assert_eq!(lives.ask(1, Some(1)), Attribution::Known(1, vec![]));
     assert!(!lives.row(None));
 }
 
@@ -186,7 +186,7 @@
     assert_eq!(lives.slot("w@1"), old);
     lives.row(Some(2));
     assert!(!lives.is_open(1));
-    assert_eq!(lives.ask(1, Some(2)), Listed::Life(1, vec![old]));
+    assert_eq!(lives.ask(1, Some(2)), Attribution::Known(1, vec![old]));
     assert!(lives.is_open(1));
 }
 
@@ -195,7 +195,7 @@
     let mut lives = Lives::new();
     let old = lives.slot("w@1");
     lives.row(Some(2));
-    assert_eq!(lives.ask(1, Some(1)), Listed::Life(old, vec![1]));
+    assert_eq!(lives.ask(1, Some(1)), Attribution::Known(old, vec![1]));
     assert!(!lives.is_open(old));
     lives.row(Some(1));
     assert!(lives.is_open(old));
@@ -223,7 +223,10 @@
     for born in 2..100 {
         let slot = lives.fleet.workers.len() as u32 - 1;
         let next = slot + 1;
-        assert_eq!(lives.ask(slot, Some(born)), Listed::Life(next, vec![slot]));
+        assert_eq!(
+            lives.ask(slot, Some(born)),
+            Attribution::Known(next, vec![slot])
+        );
         assert!(!lives.row(Some(born - 1)));
     }
 }
--- a/crates/jobs/src/runs/log.rs
+++ b/crates/jobs/src/runs/log.rs
@@ -175,7 +175,7 @@
     }
 
     /// Tells whether the commit drops as many rows as it may.
-    pub(crate) fn has_dropped(&self) -> bool {
+    pub(crate) fn is_drop_limit_reached(&self) -> bool {
         self.dropped >= DROPPED
     }
 
--- a/crates/jobs/src/runs/lost.rs
+++ b/crates/jobs/src/runs/lost.rs
@@ -20,7 +20,7 @@
 
 impl Machine {
     /// A worker's life has ended, and with it all that ran there.
-    pub(crate) fn worker_dead(&mut self, slot: u32) {
+    pub(crate) fn worker_lost(&mut self, slot: u32) {
         let worker = self.fleet.get(slot);
         if worker.dead {
             return;
@@ -30,13 +30,13 @@
         let worker = self.fleet.get_mut(slot);
         worker.dead = true;
         worker.poll_in_flight = false;
-        self.account(slot, Loss::Ended);
+        self.record_loss(slot, Loss::Ended);
         let ended = self.ended_runs(slot);
         self.drop_runs(slot, &ended);
     }
 
     /// Gives up the runs of silent workers whose leases are over.
-    pub(crate) fn lapse(&mut self) {
+    pub(crate) fn expire_leases(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
             let idle = worker.runs.is_empty() && worker.orphans.is_empty();
@@ -51,14 +51,14 @@
             log::warn!(worker = &*worker.id, runs, held, absent = worker.process_ended; "worker: its leases are over");
             self.stats.lapsed += runs as u64;
             if !worker.dead {
-                self.account(slot, Loss::Lapsed);
+                self.record_loss(slot, Loss::Lapsed);
             }
             self.drop_runs(slot, &ended);
         }
     }
 
     /// Takes note of what the loss of a worker tells of the tasks there.
-    pub(super) fn account(&mut self, slot: u32, loss: Loss) {
+    pub(super) fn record_loss(&mut self, slot: u32, loss: Loss) {
         let worker = self.fleet.get(slot);
         // Without its row it can't be asked: it may have crashed. One that was silent until its
         // leases were over may be cut off.
@@ -66,7 +66,7 @@
         if worker.process_ended {
             self.note_crash(slot);
         } else if unclear && worker.leaving_since.is_none() {
-            self.charge(slot, Blame::Unseen);
+            self.attribute_crash(slot, Blame::Unseen);
         }
     }
 
@@ -76,8 +76,8 @@
         let worker = self.fleet.get_mut(slot);
         worker.drop_orphans(|_| true);
         for &id in runs {
-            self.clear(id);
-            self.mark(id.job);
+            self.clear_run(id);
+            self.mark_dirty(id.job);
         }
     }
 
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -11,11 +11,11 @@
         task::{Run, Stage, UNKNOWN_PACE},
     },
     runs::{
-        lives::Listed,
+        lives::Attribution,
         loose::LateStart,
         lost::Loss,
         stray::Orphan,
-        unlisted::HELD_UP,
+        unlisted::MAX_ORDER_DELAY_MS,
         worker::{Capacity, demand},
     },
     settings::lease_upper_bound,
@@ -24,8 +24,13 @@
 impl Machine {
     /// Returns the slot of the life that a list is of; nothing if it does not count. Earlier
     /// lives are over.
-    pub(super) fn answering(&mut self, slot: u32, sent: u64, born: Option<u64>) -> Option<u32> {
-        let Listed::Life(new, over) = self.fleet.attribute(slot, sent, born) else {
+    pub(super) fn reporting_slot(
+        &mut self,
+        slot: u32,
+        sent: u64,
+        born: Option<u64>,
+    ) -> Option<u32> {
+        let Attribution::Known(new, over) = self.fleet.attribute(slot, sent, born) else {
             return None;
         };
         for old in over {
@@ -37,12 +42,12 @@
     fn replace(&mut self, old: u32, new: u32) {
         let worker = self.fleet.get(old);
         let (runs, counted) = (worker.runs.len(), worker.counted_end);
-        let moved = match worker.is_nameless() {
+        let moved = match worker.is_unidentified() {
             true => self.rename(old, new),
             false => self.succeed(old, new),
         };
         self.fleet.retire(old);
-        self.moved = true;
+        self.placement_due = true;
         let (worker, old) = (self.fleet.get(new), self.fleet.get(old));
         if old.clock.is_none() && runs == 0 {
             log::info!(worker = &*worker.id, born:? = worker.start_time, old_born:? = old.start_time; "worker: row of an earlier life");
@@ -72,14 +77,18 @@
         let (now, settings) = (self.now, self.settings);
         let worker = self.fleet.get_mut(old);
         let dead = std::mem::replace(&mut worker.dead, true);
-        let late = if worker.granted_until > 0 { HELD_UP } else { 0 };
+        let late = if worker.granted_until > 0 {
+            MAX_ORDER_DELAY_MS
+        } else {
+            0
+        };
         if worker.clock.is_some() || !worker.runs.is_empty() {
             let end = now + late + lease_upper_bound(settings.max_lease);
             let worker = self.fleet.get_mut(new);
             worker.misdirected_lease_end = worker.misdirected_lease_end.max(end);
         }
         if !dead {
-            self.account(old, Loss::Ended);
+            self.record_loss(old, Loss::Ended);
         }
         let loose = self.fleet.get_mut(old).take_late_starts(now);
         let unlisted = self.unlisted(old);
@@ -128,7 +137,7 @@
         let worker = self.fleet.get_mut(new);
         worker.reserve(id, step);
         worker.isolated_task = worker.isolated_task.or(guest);
-        self.mark(id.job);
+        self.mark_dirty(id.job);
     }
 
     /// Has the next life stop what it may still start of a run that was given up. Where its
@@ -182,7 +191,7 @@
         let worker = self.fleet.get_mut(slot);
         worker.reserve(id, &job.spec.steps[id.step as usize]);
         self.stopping.push(id);
-        self.mark(id.job);
+        self.mark_dirty(id.job);
     }
 }
 
--- a/crates/jobs/src/runs/unlisted.rs
+++ b/crates/jobs/src/runs/unlisted.rs
@@ -10,7 +10,7 @@
 //! A run is held until a list says which life has it, or until no lease that a later life may
 //! have taken can still be valid. All other runs end with the leases that this life was given.
 //!
-//! Limits: orders that were held up for longer than [`HELD_UP`] are not foreseen. Workers that
+//! Limits: orders that were held up for longer than [`MAX_ORDER_DELAY_MS`] are not foreseen. Workers that
 //! do not say when they began have a new name in each life, which refuses such orders.
 
 use crate::{
@@ -22,7 +22,7 @@
 };
 
 /// An order is carried out within this time or not at all, in milliseconds.
-pub(super) const HELD_UP: u64 = 3000;
+pub(super) const MAX_ORDER_DELAY_MS: u64 = 3000;
 
 impl Run {
     /// Tells whether its start was sent and it is not known which life of the worker's name, if
@@ -36,7 +36,7 @@
     /// Takes note that an order which names the end of a lease is sent.
     pub(crate) fn note_lease_order(&mut self, now: u64, settings: &Settings) {
         if self.start_time.is_some() {
-            self.successor_lease = now + HELD_UP + lease_upper_bound(settings.max_lease);
+            self.successor_lease = now + MAX_ORDER_DELAY_MS + lease_upper_bound(settings.max_lease);
         }
     }
 
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -6,7 +6,7 @@
     model::{ids::TaskId, life::Incarnation, spec::Step},
     runs::{loose::LateStart, stray::Orphan},
     settings::{Settings, lease_upper_bound},
-    share::{own_load::OwnLoad, slack::Slack, spare::unused},
+    share::{own_load::OwnLoad, slack::Slack, spare::unused_cpu},
 };
 
 /// A look without an answer tells something for this long after it was sent, in
@@ -331,7 +331,7 @@
             self.long_running_size.add(demand(step));
         }
         self.serving_cpu += serving(step);
-        self.spare_cpu += unused(step);
+        self.spare_cpu += unused_cpu(step);
     }
 
     /// Gives back the room of a run of a step.
@@ -349,7 +349,7 @@
             self.long_running_size.free(demand(step));
         }
         self.serving_cpu -= serving(step).min(self.serving_cpu);
-        self.spare_cpu -= unused(step).min(self.spare_cpu);
+        self.spare_cpu -= unused_cpu(step).min(self.spare_cpu);
     }
 
     /// Takes up room for a run that is not wanted.
--- a/crates/jobs/src/share/fit.rs
+++ b/crates/jobs/src/share/fit.rs
@@ -1,8 +1,8 @@
 //! The least squares fit of what filling images take from one serving image.
 
 use crate::share::{
-    learned::Pair,
-    sample::{Image, Press, Sample},
+    learned::PairWeight,
+    sample::{Image, Pressure, Sample},
 };
 
 /// Weight of the first guess, in squared shares of a worker at a headroom of one: as
@@ -11,7 +11,7 @@
 
 /// Headroom that an image takes that was never seen beside the other, if it uses all
 /// processors: the mean over all pairs.
-pub(crate) const FIRST_WEIGHT: f64 = 3.5;
+pub(crate) const INITIAL_WEIGHT: f64 = 3.5;
 
 /// What older differences keep of their weight at each fit, one a half second:
 /// half is gone after some 15 seconds.
@@ -52,7 +52,7 @@
         if self.weights.len() >= images {
             return;
         }
-        self.weights.resize(images, FIRST_WEIGHT);
+        self.weights.resize(images, INITIAL_WEIGHT);
         self.products.resize(images, 0.0);
         self.squares.resize(images, Vec::new());
         for row in &mut self.squares {
@@ -63,18 +63,20 @@
     /// Returns the headroom that a whole worker of a filling image takes.
     pub(crate) fn weight(&self, image: Image) -> f64 {
         let weight = self.weights.get(image as usize);
-        weight.copied().unwrap_or(FIRST_WEIGHT)
+        weight.copied().unwrap_or(INITIAL_WEIGHT)
     }
 
     /// Returns the headroom that what fills takes.
-    pub(crate) fn pressure(&self, press: &[Press]) -> f64 {
+    pub(crate) fn pressure(&self, press: &[Pressure]) -> f64 {
         let each = press.iter().map(|p| self.weight(p.image) * p.share);
         each.sum()
     }
 
     /// Returns the middle of the headrooms without what fills.
     pub(crate) fn base(&self, samples: &[Sample]) -> f64 {
-        let bases = samples.iter().map(|s| s.headroom + self.pressure(&s.press));
+        let bases = samples
+            .iter()
+            .map(|s| s.headroom + self.pressure(&s.pressures));
         let mut bases: Vec<f64> = bases.collect();
         bases.sort_unstable_by(f64::total_cmp);
         bases[bases.len() / 2]
@@ -83,7 +85,7 @@
     /// Returns one over the square of the error of [`Fit::base`].
     pub(crate) fn trust(&self, samples: &[Sample]) -> f64 {
         let each = samples.iter().map(|s| {
-            let error = NOISE * s.headroom.max(1.0) + UNSURE * self.pressure(&s.press);
+            let error = NOISE * s.headroom.max(1.0) + UNSURE * self.pressure(&s.pressures);
             1.0 / (error * error)
         });
         each.sum()
@@ -91,7 +93,7 @@
 
     /// Returns a headroom as far as it can be believed.
     fn believed(&self, sample: &Sample, base: f64) -> f64 {
-        let expected = base - self.pressure(&sample.press);
+        let expected = base - self.pressure(&sample.pressures);
         if sample.headroom < OVERLOAD && expected < OVERLOAD {
             return expected;
         }
@@ -116,7 +118,7 @@
             let trust = sample.trust();
             total += trust;
             taken += self.note(sample, base) * trust;
-            for press in sample.press.iter() {
+            for press in sample.pressures.iter() {
                 shares[press.image as usize] += press.share * trust;
             }
         }
@@ -135,9 +137,9 @@
     fn note(&mut self, sample: &Sample, base: f64) -> f64 {
         let lost = base - self.believed(sample, base);
         let trust = sample.trust();
-        for a in sample.press.iter() {
+        for a in sample.pressures.iter() {
             self.products[a.image as usize] += a.share * lost * trust;
-            for b in sample.press.iter() {
+            for b in sample.pressures.iter() {
                 self.squares[a.image as usize][b.image as usize] += a.share * b.share * trust;
             }
         }
@@ -145,9 +147,9 @@
     }
 
     /// Returns what is known of each filling image.
-    pub(crate) fn known(&self, serve: Image) -> Vec<Pair> {
+    pub(crate) fn known(&self, serve: Image) -> Vec<PairWeight> {
         let all = (0..).zip(&self.weights);
-        let pairs = all.map(|(fill, weight)| Pair {
+        let pairs = all.map(|(fill, weight)| PairWeight {
             fill,
             serve,
             weight: *weight as f32,
@@ -157,13 +159,13 @@
     }
 
     /// Takes over what was known of a filling image, as if it had been seen alone.
-    pub(crate) fn recall(&mut self, pair: &Pair) {
+    pub(crate) fn recall(&mut self, pair: &PairWeight) {
         let at = pair.fill as usize;
         self.grow(at + 1);
         let (weight, seen) = (f64::from(pair.weight), f64::from(pair.seen));
         self.weights[at] = weight;
         self.squares[at][at] = seen;
-        self.products[at] = weight * (seen + PRIOR) - PRIOR * FIRST_WEIGHT;
+        self.products[at] = weight * (seen + PRIOR) - PRIOR * INITIAL_WEIGHT;
     }
 
     /// Solves for the weights, none of them negative.
@@ -173,7 +175,7 @@
                 let row = &self.squares[at];
                 let others: f64 = row.iter().zip(&self.weights).map(|(s, w)| s * w).sum();
                 let others = others - row[at] * self.weights[at];
-                let own = self.products[at] + PRIOR * FIRST_WEIGHT - others;
+                let own = self.products[at] + PRIOR * INITIAL_WEIGHT - others;
                 self.weights[at] = (own / (row[at] + PRIOR)).clamp(0.0, MAX_WEIGHT);
             }
         }
@@ -190,6 +192,6 @@
 
 /// Returns how many images these samples name, counted from the first.
 fn images(samples: &[Sample]) -> usize {
-    let all = samples.iter().flat_map(|s| s.press.iter());
+    let all = samples.iter().flat_map(|s| s.pressures.iter());
     all.map(|p| p.image as usize + 1).max().unwrap_or(0)
 }
--- a/crates/jobs/src/share/forecast.rs
+++ b/crates/jobs/src/share/forecast.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the curve through the points, given what is usual.
-    pub(crate) fn fit(&self, usual: &Usual, now: u64) -> Fitted {
+    pub(crate) fn fit(&self, usual: &Prior, now: u64) -> Fitted {
         let points = self.points.iter().map(|p| Weighed::new(p, usual, now));
         let points: Vec<Weighed> = points.collect();
         let mut sums = Normal::new(usual);
@@ -86,7 +86,10 @@
             missed += point.weight * off * off;
             curve.drift += DRIFT * (off - curve.drift);
         }
-        Fitted { curve, missed }
+        Fitted {
+            curve,
+            residual: missed,
+        }
     }
 }
 
@@ -96,7 +99,7 @@
     /// The curve.
     pub(crate) curve: Curve,
     /// By how much the points miss it: the sum of squares, each by its error.
-    pub(crate) missed: f64,
+    pub(crate) residual: f64,
 }
 
 /// A point as one fit uses it, twice: for the sums, and for what the curve misses.
@@ -108,7 +111,7 @@
 }
 
 impl Weighed {
-    fn new(point: &Point, usual: &Usual, now: u64) -> Weighed {
+    fn new(point: &Point, usual: &Prior, now: u64) -> Weighed {
         let age = now.saturating_sub(point.at) as f64;
         let error = 1.0 / point.trust + ROUGH * ROUGH;
         let (sin, cos) = angle(usual.period, now, point.at).sin_cos();
@@ -123,7 +126,7 @@
 
 /// What is usual for steps: what a curve is thought to be without any point.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Usual {
+pub(crate) struct Prior {
     /// Milliseconds from one peak of the load to the next.
     pub(crate) period: f64,
     /// Mean headroom.
@@ -141,7 +144,7 @@
 }
 
 impl Normal {
-    fn new(usual: &Usual) -> Normal {
+    fn new(usual: &Prior) -> Normal {
         let swing = 2.0 / usual.swing;
         let mean = 1.0 / usual.spread;
         Normal {
@@ -161,7 +164,7 @@
     }
 
     /// Solves by elimination; what is usual keeps the matrix regular.
-    fn solve(mut self, usual: &Usual, now: u64) -> Curve {
+    fn solve(mut self, usual: &Prior, now: u64) -> Curve {
         let (m, p) = (&mut self.squares, &mut self.products);
         for at in 0..3 {
             for row in at + 1..3 {
--- a/crates/jobs/src/share/foresee.rs
+++ b/crates/jobs/src/share/foresee.rs
@@ -8,7 +8,7 @@
 use crate::{
     machine::Machine,
     model::{ids::JobId, job::JobState},
-    share::{forecast::History, headroom::Foreseen, sample::Group, season::Season},
+    share::{forecast::History, headroom::HeadroomForecast, sample::StepKey, season::Seasonality},
 };
 
 /// Milliseconds until a pace that is chosen now is replaced and that takes effect.
@@ -23,19 +23,19 @@
 
 impl Machine {
     /// Foresees the headrooms of all steps, as far as curves do.
-    pub(crate) fn foresee(&mut self) {
+    pub(crate) fn forecast_headrooms(&mut self) {
         let now = self.now;
-        self.season.fade(now);
-        if self.season.is_due(now) {
-            let jobs = self.open.iter().filter_map(|id| self.jobs.get(id));
+        self.seasonality.fade(now);
+        if self.seasonality.is_due(now) {
+            let jobs = self.open_jobs.iter().filter_map(|id| self.jobs.get(id));
             let steps = jobs.flat_map(|j| j.repetitions.iter().flatten());
             let histories: Vec<&History> = steps.map(|s| &s.history).collect();
-            self.season.choose(&histories, now);
+            self.seasonality.choose(&histories, now);
         }
-        let known = self.season.is_known();
-        for &id in &self.open {
+        let known = self.seasonality.is_known();
+        for &id in &self.open_jobs {
             if let Some(state) = self.jobs.get_mut(&id) {
-                foresee_job(&mut self.season, id, state, known, now);
+                foresee_job(&mut self.seasonality, id, state, known, now);
             }
         }
     }
@@ -43,7 +43,7 @@
 
 /// Foresees the headrooms of a job's steps; if curves are not `known` to do so, they are only
 /// judged.
-fn foresee_job(season: &mut Season, job: JobId, state: &mut JobState, known: bool, now: u64) {
+fn foresee_job(season: &mut Seasonality, job: JobId, state: &mut JobState, known: bool, now: u64) {
     for (time, steps) in (0..).zip(&mut state.repetitions) {
         for (at, step) in (0..).zip(steps) {
             if step.history.is_empty() {
@@ -54,14 +54,14 @@
                 step.headroom.foresee(None);
                 continue;
             }
-            let group = Group {
+            let group = StepKey {
                 job,
                 time,
                 step: at,
             };
-            let curve = step.history.fit(&season.usual, now).curve;
+            let curve = step.history.fit(&season.prior, now).curve;
             season.expect(group, &curve, step.headroom.now(), now);
-            step.headroom.foresee(known.then(|| Foreseen {
+            step.headroom.foresee(known.then(|| HeadroomForecast {
                 now: curve.expected(now + NEXT),
                 soon: curve.least(now, SOON),
                 later: curve.least(now, LATER),
--- a/crates/jobs/src/share/headroom.rs
+++ b/crates/jobs/src/share/headroom.rs
@@ -7,10 +7,10 @@
 /// Target over tail is kept above this: figures are off by a tenth, and so are curves. With 1.2
 /// filling jobs earned 0.775 of their worth, with 1.3 0.785 (10 days with trouble on 350 full
 /// workers), and tails were over their targets for as long.
-pub(crate) const LEAST_HEADROOM: f64 = 1.3;
+pub(crate) const MIN_HEADROOM: f64 = 1.3;
 
 /// Headroom of a serving task before its first figure.
-pub(crate) const FIRST_HEADROOM: f64 = 2.5;
+pub(crate) const INITIAL_HEADROOM: f64 = 2.5;
 
 /// Share of the newest figures in a headroom that is tracked.
 const NEWEST: f64 = 0.8;
@@ -32,12 +32,12 @@
     lowest: f64,
     known: bool,
     /// What a curve foresees, if one does.
-    foreseen: Option<Foreseen>,
+    foreseen: Option<HeadroomForecast>,
 }
 
 /// What a curve foresees of a headroom.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Foreseen {
+pub(crate) struct HeadroomForecast {
     /// What it is in the half second that begins.
     pub(crate) now: f64,
     /// The least until a pace that is chosen now is replaced.
@@ -51,9 +51,9 @@
 impl Default for Headroom {
     fn default() -> Headroom {
         Headroom {
-            now: FIRST_HEADROOM,
+            now: INITIAL_HEADROOM,
             fall: 0.0,
-            lowest: FIRST_HEADROOM,
+            lowest: INITIAL_HEADROOM,
             known: false,
             foreseen: None,
         }
@@ -91,7 +91,7 @@
     }
 
     /// Takes what a curve foresees; nothing if curves don't.
-    pub(crate) fn foresee(&mut self, foreseen: Option<Foreseen>) {
+    pub(crate) fn foresee(&mut self, foreseen: Option<HeadroomForecast>) {
         self.foreseen = foreseen;
     }
 
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -11,7 +11,7 @@
 use crate::{
     machine::Machine,
     order::times::EstimateModel,
-    share::{forecast::Usual, sample::Image},
+    share::{forecast::Prior, sample::Image},
 };
 
 /// Pairs that are kept at most, the best known first: with 20 bytes each they fit a row.
@@ -19,7 +19,7 @@
 
 /// What one filling image takes from one serving image. Written as an array.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Pair {
+pub(crate) struct PairWeight {
     /// Index of the filling image's name.
     pub(crate) fill: u16,
     /// Index of the serving image's name.
@@ -41,21 +41,21 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Learned {
     images: Vec<Arc<str>>,
-    pairs: Vec<Pair>,
+    pairs: Vec<PairWeight>,
     queues: Vec<QueueGuesses>,
     /// What is usual of loads, if curves foresee them; an older program wrote nothing of it.
     #[serde(default)]
-    usual: Option<Usual>,
+    usual: Option<Prior>,
 }
 
 impl Machine {
     /// Returns what was learned so far.
     pub fn learned(&self) -> Learned {
-        let mut images: Vec<Arc<str>> = vec![Arc::default(); self.images.len() + 1];
-        for (name, &image) in self.images.iter() {
+        let mut images: Vec<Arc<str>> = vec![Arc::default(); self.image_numbers.len() + 1];
+        for (name, &image) in self.image_numbers.iter() {
             images[image as usize] = name.clone();
         }
-        let mut pairs = self.pairs.known();
+        let mut pairs = self.interference.known();
         pairs.sort_by(|a, b| b.seen.total_cmp(&a.seen));
         pairs.truncate(MOST_PAIRS);
         let queues = self.estimates.iter().map(|(queue, guesses)| QueueGuesses {
@@ -66,12 +66,12 @@
             images,
             pairs,
             queues: queues.collect(),
-            usual: self.season.known(),
+            usual: self.seasonality.known(),
         }
     }
 
     /// Takes over what an earlier owner learned.
-    pub fn recall(&mut self, learned: &Learned) {
+    pub fn import_learned(&mut self, learned: &Learned) {
         let names = learned.images.iter();
         let numbers: Vec<Image> = names.map(|name| self.number_image(name)).collect();
         for pair in &learned.pairs {
@@ -81,14 +81,14 @@
                 log::warn!(fill = pair.fill, serve = pair.serve; "learned: a pair without names");
                 continue;
             };
-            self.pairs.recall(&Pair {
+            self.interference.recall(&PairWeight {
                 fill,
                 serve,
                 ..*pair
             });
         }
         if let Some(usual) = learned.usual {
-            self.season.recall(usual);
+            self.seasonality.recall(usual);
         }
         for kept in &learned.queues {
             self.estimates
--- a/crates/jobs/src/share/own_load.rs
+++ b/crates/jobs/src/share/own_load.rs
@@ -43,7 +43,7 @@
 
 impl OwnLoad {
     /// Takes note of whether something that fills is at work.
-    pub(crate) fn note_filling(&mut self, is_working: bool, now: u64) {
+    pub(crate) fn note_best_effort(&mut self, is_working: bool, now: u64) {
         if is_working {
             self.quiet = None;
             self.exposed.get_or_insert(now);
@@ -53,7 +53,7 @@
     }
 
     /// Takes note of whether a tail is over its target.
-    pub(crate) fn note_tails(&mut self, is_over: bool, now: u64) {
+    pub(crate) fn note_over_target(&mut self, is_over: bool, now: u64) {
         if !is_over {
             self.over = None;
             return;
@@ -70,7 +70,7 @@
     }
 
     /// Tells whether something may fill all the same.
-    pub(crate) fn may_fill(&self, now: u64) -> bool {
+    pub(crate) fn may_run_best_effort(&self, now: u64) -> bool {
         let is_open = self.exposed.is_none_or(|at| now < at + WINDOW);
         self.is_proven(now) && is_open
     }
--- a/crates/jobs/src/share/pace.rs
+++ b/crates/jobs/src/share/pace.rs
@@ -15,8 +15,8 @@
         task::{Stage, UNKNOWN_PACE},
     },
     share::{
-        headroom::LEAST_HEADROOM,
-        slack::{Filler, Served},
+        headroom::MIN_HEADROOM,
+        slack::{BestEffortRun, ServingRun},
     },
 };
 
@@ -55,7 +55,7 @@
 /// Pause before an order for a pace that was not taken is sent again, in milliseconds.
 const PACE_RETRY: u64 = 200;
 
-impl Served {
+impl ServingRun {
     /// Returns the highest paces, in percent, of what disturbs it and of all else that
     /// fills, for the time that it is over its target.
     fn caps(&self) -> (u32, u32) {
@@ -74,7 +74,7 @@
 
 impl Machine {
     pub(crate) fn choose_paces(&mut self, slot: u32) {
-        let (served, fillers) = self.residents(slot);
+        let (served, fillers) = self.colocated_runs(slot);
         let mut paces = vec![100; fillers.len()];
         for s in served.iter().filter(|s| !s.is_own) {
             self.protect(s, &fillers, &mut paces);
@@ -87,11 +87,11 @@
 
     /// Lowers the paces of what disturbs a serving task, so that its tail stays under
     /// its target.
-    fn protect(&self, served: &Served, fillers: &[Filler], paces: &mut [u32]) {
-        let (mut room, mut full) = (served.headroom.soon() - LEAST_HEADROOM, 0.0);
+    fn protect(&self, served: &ServingRun, fillers: &[BestEffortRun], paces: &mut [u32]) {
+        let (mut room, mut full) = (served.headroom.soon() - MIN_HEADROOM, 0.0);
         for filler in fillers {
-            let taken = self.pairs.weight(filler.image, served.image) * filler.share;
-            match self.pairs.harms(filler.image, served.image) {
+            let taken = self.interference.weight(filler.image, served.image) * filler.share;
+            match self.interference.interferes(filler.image, served.image) {
                 true => full += taken,
                 false => room -= taken,
             }
@@ -102,7 +102,7 @@
         };
         let (harmful, others) = served.caps();
         for (filler, pace) in fillers.iter().zip(paces) {
-            let harms = self.pairs.harms(filler.image, served.image);
+            let harms = self.interference.interferes(filler.image, served.image);
             let most = if harms { fitting.min(harmful) } else { others };
             *pace = (*pace).min(most);
         }
@@ -110,11 +110,11 @@
 
     /// Lowers paces for the time alone that tails have been over their targets.
     pub(crate) fn escalate(&mut self, slot: u32) {
-        let (served, fillers) = self.residents(slot);
+        let (served, fillers) = self.colocated_runs(slot);
         for filler in &fillers {
             let bounding = served.iter().filter(|s| !s.is_own);
             let most = bounding.map(|s| {
-                let harms = self.pairs.harms(filler.image, s.image);
+                let harms = self.interference.interferes(filler.image, s.image);
                 let (harmful, others) = s.caps();
                 if harms { harmful } else { others }
             });
@@ -131,7 +131,7 @@
     /// held back its whole step. On 350 workers with tails that are over their targets at the
     /// peak of each load, filling jobs earned 0.53 of their worth without that, 0.60 with it
     /// (15 days with trouble).
-    fn want_pace(&mut self, filler: &Filler, pace: u32) {
+    fn want_pace(&mut self, filler: &BestEffortRun, pace: u32) {
         let now = self.now;
         let id = filler.task;
         let Some(state) = self.jobs.get_mut(&id.job) else {
@@ -148,7 +148,7 @@
         }
         let worker = self.fleet.get_mut(run.worker);
         if pace > 0 {
-            worker.own_load.note_filling(true, now);
+            worker.own_load.note_best_effort(true, now);
         }
         // A halt for a proof is short.
         if pace >= MOVE_BELOW || worker.own_load.is_proven(now) {
@@ -192,7 +192,7 @@
         run.next_pace = u64::MAX;
         run.partial = true;
         log::info!(task = id.to_string().as_str(), worker = &*worker.id, from = run.pace, to = run.wanted_pace; "pace: changed");
-        self.out.push(Action::Pace {
+        self.actions.push(Action::Pace {
             worker: slot,
             task: id,
             run: number,
@@ -204,7 +204,7 @@
     }
 
     /// Takes note of what came of an order for a pace.
-    pub(crate) fn paced(&mut self, slot: u32, id: TaskId, number: u32, done: bool) {
+    pub(crate) fn handle_paced(&mut self, slot: u32, id: TaskId, number: u32, done: bool) {
         let now = self.now;
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         let Some(task) = task.filter(|t| t.last_run == number) else {
--- a/crates/jobs/src/share/pairs.rs
+++ b/crates/jobs/src/share/pairs.rs
@@ -20,9 +20,9 @@
 
 use crate::{
     share::{
-        fit::{FIRST_WEIGHT, Fit},
-        learned::Pair,
-        sample::{Group, Image, Press, Sample},
+        fit::{Fit, INITIAL_WEIGHT},
+        learned::PairWeight,
+        sample::{Image, Pressure, Sample, StepKey},
     },
     sorted::Sorted,
 };
@@ -41,9 +41,9 @@
 
 /// Headroom of a step without what fills.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Base {
+pub(crate) struct BaseHeadroom {
     /// The step.
-    pub(crate) group: Group,
+    pub(crate) group: StepKey,
     /// The middle of its tasks' headrooms.
     pub(crate) headroom: f64,
     /// One over the square of its error.
@@ -52,23 +52,23 @@
 
 /// What filling images take from serving ones, by pair.
 #[derive(Debug, Default)]
-pub(crate) struct Pairs {
+pub(crate) struct Interference {
     fits: Sorted<Image, Fit>,
     /// What was not learned from yet.
     samples: Vec<Sample>,
 }
 
-impl Pairs {
+impl Interference {
     /// Returns the headroom that a whole worker of a filling image takes from a serving one.
     pub(crate) fn weight(&self, fill: Image, serve: Image) -> f64 {
         let weight = self.fits.get(&serve).map(|f| f.weight(fill));
-        weight.unwrap_or(FIRST_WEIGHT)
+        weight.unwrap_or(INITIAL_WEIGHT)
     }
 
     /// Returns the headroom that a whole worker of a filling image takes from each of so
     /// many serving ones.
     pub(crate) fn headroom_costs(&self, fill: Image, images: usize) -> Vec<f64> {
-        let mut takes = vec![FIRST_WEIGHT; images];
+        let mut takes = vec![INITIAL_WEIGHT; images];
         for (&serve, fit) in self.fits.iter() {
             if let Some(weight) = takes.get_mut(serve as usize) {
                 *weight = fit.weight(fill);
@@ -78,7 +78,7 @@
     }
 
     /// Returns what is known of all pairs.
-    pub(crate) fn known(&self) -> Vec<Pair> {
+    pub(crate) fn known(&self) -> Vec<PairWeight> {
         let mut known = Vec::new();
         for (&serve, fit) in self.fits.iter() {
             known.extend(fit.known(serve));
@@ -87,12 +87,12 @@
     }
 
     /// Takes over what an earlier owner knew of a pair.
-    pub(crate) fn recall(&mut self, pair: &Pair) {
+    pub(crate) fn recall(&mut self, pair: &PairWeight) {
         self.fits.or_default(&pair.serve).recall(pair);
     }
 
     /// Returns the headroom that what fills takes from a serving image.
-    pub(crate) fn taken(&self, serve: Image, press: &[Press]) -> f64 {
+    pub(crate) fn taken(&self, serve: Image, press: &[Pressure]) -> f64 {
         match self.fits.get(&serve) {
             Some(fit) => fit.pressure(press),
             None => Fit::default().pressure(press),
@@ -100,24 +100,30 @@
     }
 
     /// Tells whether a filling image disturbs a serving one.
-    pub(crate) fn harms(&self, fill: Image, serve: Image) -> bool {
-        is_harmful(self.weight(fill, serve))
+    pub(crate) fn interferes(&self, fill: Image, serve: Image) -> bool {
+        is_interfering(self.weight(fill, serve))
     }
 
     /// Takes a headroom, and what filled beside it.
-    pub(crate) fn note(&mut self, group: Group, serve: Image, headroom: f64, press: &Arc<[Press]>) {
+    pub(crate) fn note(
+        &mut self,
+        group: StepKey,
+        serve: Image,
+        headroom: f64,
+        press: &Arc<[Pressure]>,
+    ) {
         self.samples.push(Sample {
             group,
             serve,
             headroom,
-            press: press.clone(),
+            pressures: press.clone(),
             age: 0,
         });
     }
 
     /// Fits to what was noted, once each half second, and returns the newest headrooms
     /// of the steps; `foreseen` tells which one was foreseen of a step, if any was.
-    pub(crate) fn fit(&mut self, foreseen: impl Fn(Group) -> Option<f64>) -> Vec<Base> {
+    pub(crate) fn fit(&mut self, foreseen: impl Fn(StepKey) -> Option<f64>) -> Vec<BaseHeadroom> {
         let mut bases = Vec::new();
         let mut kept = Vec::new();
         self.samples.sort_by_key(|s| s.group);
@@ -125,7 +131,7 @@
             let serve = samples[0].serve;
             let fit = self.fits.or_default(&serve);
             let base = fit.base(samples);
-            bases.push(Base {
+            bases.push(BaseHeadroom {
                 group: samples[0].group,
                 headroom: base,
                 trust: fit.trust(samples),
@@ -153,6 +159,6 @@
 }
 
 /// Tells whether what takes so much headroom with all processors of a worker disturbs.
-pub(crate) fn is_harmful(weight: f64) -> bool {
+pub(crate) fn is_interfering(weight: f64) -> bool {
     weight > HARMLESS
 }
--- a/crates/jobs/src/share/sample.rs
+++ b/crates/jobs/src/share/sample.rs
@@ -9,7 +9,7 @@
 
 /// What filling tasks of one image use.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Press {
+pub(crate) struct Pressure {
     /// Their image.
     pub(crate) image: Image,
     /// What they use of the worker's processors, as a share of all.
@@ -18,7 +18,7 @@
 
 /// The tasks of one step in one repetition: they share their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Group {
+pub(crate) struct StepKey {
     pub(crate) job: JobId,
     pub(crate) time: u32,
     pub(crate) step: u32,
@@ -28,13 +28,13 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Sample {
     /// The step.
-    pub(crate) group: Group,
+    pub(crate) group: StepKey,
     /// The image of the serving task.
     pub(crate) serve: Image,
     /// Target over tail.
     pub(crate) headroom: f64,
     /// What filled.
-    pub(crate) press: Arc<[Press]>,
+    pub(crate) pressures: Arc<[Pressure]>,
     /// Fits that it has waited for.
     pub(crate) age: u8,
 }
--- a/crates/jobs/src/share/season.rs
+++ b/crates/jobs/src/share/season.rs
@@ -8,9 +8,9 @@
 use std::cmp::Reverse;
 
 use crate::share::{
-    forecast::{Curve, History, Usual},
-    headroom::FIRST_HEADROOM,
-    sample::Group,
+    forecast::{Curve, History, Prior},
+    headroom::INITIAL_HEADROOM,
+    sample::StepKey,
 };
 
 /// Shortest period that is tried, in milliseconds: eight points of a step.
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Forecast {
     due: u64,
-    group: Group,
+    group: StepKey,
     /// By the curve.
     curve: f64,
     /// As it was when the forecast was made.
@@ -77,9 +77,9 @@
 
 /// What is known of the loads of all steps.
 #[derive(Debug)]
-pub(crate) struct Season {
+pub(crate) struct Seasonality {
     /// What is usual for steps.
-    pub(crate) usual: Usual,
+    pub(crate) prior: Prior,
     chosen: u64,
     waiting: Vec<Forecast>,
     errors: Errors,
@@ -96,12 +96,12 @@
     still: f64,
 }
 
-impl Default for Season {
-    fn default() -> Season {
-        Season {
-            usual: Usual {
+impl Default for Seasonality {
+    fn default() -> Seasonality {
+        Seasonality {
+            prior: Prior {
                 period: FIRST_PERIOD,
-                mean: FIRST_HEADROOM,
+                mean: INITIAL_HEADROOM,
                 spread: 1.0,
                 swing: 2.0,
             },
@@ -113,20 +113,20 @@
     }
 }
 
-impl Season {
+impl Seasonality {
     /// Tells whether curves foresee headrooms.
     pub(crate) fn is_known(&self) -> bool {
         self.judged >= JUDGED && self.errors.curve < BETTER * self.errors.still
     }
 
     /// Returns what is usual, if curves foresee headrooms.
-    pub(crate) fn known(&self) -> Option<Usual> {
-        Some(self.usual).filter(|_| self.is_known())
+    pub(crate) fn known(&self) -> Option<Prior> {
+        Some(self.prior).filter(|_| self.is_known())
     }
 
     /// Takes over what an earlier owner found usual.
-    pub(crate) fn recall(&mut self, usual: Usual) {
-        self.usual = usual;
+    pub(crate) fn recall(&mut self, usual: Prior) {
+        self.prior = usual;
         self.judged = 2.0 * JUDGED;
         self.errors = Errors {
             curve: 0.0,
@@ -140,7 +140,7 @@
     }
 
     /// Takes note of what is expected of a step.
-    pub(crate) fn expect(&mut self, group: Group, curve: &Curve, still: f64, now: u64) {
+    pub(crate) fn expect(&mut self, group: StepKey, curve: &Curve, still: f64, now: u64) {
         if self.is_full() {
             return;
         }
@@ -154,7 +154,7 @@
     }
 
     /// Judges the forecasts for a step by what came.
-    pub(crate) fn judge(&mut self, group: Group, headroom: f64, now: u64) {
+    pub(crate) fn judge(&mut self, group: StepKey, headroom: f64, now: u64) {
         let mut waiting = self.waiting.iter();
         let due = waiting.position(|f| f.group == group && f.due <= now);
         let Some(at) = due else {
@@ -189,21 +189,21 @@
         if known.is_empty() {
             return;
         }
-        self.usual.period = self.best_period(&known, now);
+        self.prior.period = self.best_period(&known, now);
         self.note_usual(&known, now);
         self.log_choice(known.len());
     }
 
     /// Returns the period by which histories are missed least.
     fn best_period(&self, known: &[&History], now: u64) -> f64 {
-        let mut best = (f64::INFINITY, self.usual.period);
+        let mut best = (f64::INFINITY, self.prior.period);
         let mut period = SHORTEST;
         while period <= LONGEST {
-            let usual = Usual {
+            let usual = Prior {
                 period,
-                ..self.usual
+                ..self.prior
             };
-            let missed = known.iter().map(|h| h.fit(&usual, now).missed);
+            let missed = known.iter().map(|h| h.fit(&usual, now).residual);
             let missed: f64 = missed.sum();
             if missed < best.0 {
                 best = (missed, period);
@@ -217,24 +217,24 @@
         let count = self.judged.max(1.0);
         let curve = (self.errors.curve / count).sqrt();
         let still = (self.errors.still / count).sqrt();
-        let (period, used) = (self.usual.period as u64, self.is_known());
+        let (period, used) = (self.prior.period as u64, self.is_known());
         log::info!(period_ms = period, steps, curve_error = curve, still_error = still, used; "season: chosen");
     }
 
     /// Takes over means and swings of steps that were seen for most of a period.
     fn note_usual(&mut self, known: &[&History], now: u64) {
-        let most = self.usual.period * MOST_OF_IT;
+        let most = self.prior.period * MOST_OF_IT;
         let long = known.iter().filter(|h| h.span() as f64 >= most);
-        let curves: Vec<Curve> = long.map(|h| h.fit(&self.usual, now).curve).collect();
+        let curves: Vec<Curve> = long.map(|h| h.fit(&self.prior, now).curve).collect();
         if curves.len() < FEW {
             return;
         }
         let count = curves.len() as f64;
         let mean = curves.iter().map(|c| c.mean).sum::<f64>() / count;
         let squares = curves.iter().map(|c| (c.mean - mean).powi(2)).sum::<f64>();
-        self.usual.mean = mean;
-        self.usual.spread = (squares / count).max(LEAST_SPREAD);
-        self.usual.swing = (curves.iter().map(Curve::swing).sum::<f64>() / count).max(LEAST_SWING);
+        self.prior.mean = mean;
+        self.prior.spread = (squares / count).max(LEAST_SPREAD);
+        self.prior.swing = (curves.iter().map(Curve::swing).sum::<f64>() / count).max(LEAST_SWING);
     }
 }
 
--- a/crates/jobs/src/share/season_tests.rs
+++ b/crates/jobs/src/share/season_tests.rs
@@ -9,8 +9,8 @@
     model::ids::JobId,
     share::{
         forecast::{History, Point},
-        sample::Group,
-        season::Season,
+        sample::StepKey,
+        season::Seasonality,
     },
 };
 
@@ -26,8 +26,8 @@
 /// Plays loads by a law, with figures that are off by a tenth, and returns what is known of
 /// them at the end, and the root of the mean square by which curves missed headrooms 2 s later
 /// in the last 20 s.
-fn play(seconds: u64, law: Law) -> (Season, f64) {
-    let mut season = Season::default();
+fn play(seconds: u64, law: Law) -> (Seasonality, f64) {
+    let mut season = Seasonality::default();
     let mut histories = vec![History::default(); STEPS as usize];
     let mut rng = SmallRng::seed_from_u64(7);
     let (mut squares, mut count) = (0.0, 0.0);
@@ -40,13 +40,13 @@
                 headroom,
                 trust: 20.0,
             });
-            let group = Group {
+            let group = StepKey {
                 job: JobId(step),
                 time: 0,
                 step: 0,
             };
             season.judge(group, headroom, at);
-            let curve = history.fit(&season.usual, at).curve;
+            let curve = history.fit(&season.prior, at).curve;
             season.expect(group, &curve, headroom, at);
             if at + 20_000 > seconds * 1000 {
                 squares += (curve.expected(at + 2000) - law(step, at + 2000)).powi(2);
@@ -72,7 +72,7 @@
 fn the_period_of_loads_is_found(period: f64, law: Law) {
     let (season, missed) = play(60, law);
     assert!(season.is_known());
-    let found = season.usual.period;
+    let found = season.prior.period;
     assert!((found / period - 1.0).abs() < 0.05, "{found} ms");
     assert!(missed < 0.3, "missed by {missed}");
 }
@@ -119,7 +119,7 @@
             trust: 20.0,
         });
     }
-    let curve = history.fit(&season.usual, 65_000).curve;
+    let curve = history.fit(&season.prior, 65_000).curve;
     let missed = curve.expected(67_000) - swing(20_000.0, 3, 67_000);
     assert!(missed.abs() < 0.35, "missed by {missed}");
 }
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -4,9 +4,9 @@
     machine::Machine,
     model::ids::TaskId,
     share::{
-        fit::FIRST_WEIGHT,
-        headroom::{Headroom, LEAST_HEADROOM},
-        pairs::is_harmful,
+        fit::INITIAL_WEIGHT,
+        headroom::{Headroom, MIN_HEADROOM},
+        pairs::is_interfering,
         sample::Image,
     },
 };
@@ -23,7 +23,7 @@
 
 /// A serving run on a worker, as placement and pacing see it.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Served {
+pub(crate) struct ServingRun {
     pub(crate) image: Image,
     /// Target over tail without what fills.
     pub(crate) headroom: Headroom,
@@ -35,7 +35,7 @@
 
 /// A filling run on a worker.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Filler {
+pub(crate) struct BestEffortRun {
     pub(crate) task: TaskId,
     pub(crate) image: Image,
     /// Share of the worker's processors that it uses at full pace.
@@ -61,9 +61,9 @@
     pub(crate) fn excess(&self, takes: &[f64], share: f64) -> f64 {
         let mut most = f64::NEG_INFINITY;
         for &(serve, left) in &self.rows {
-            let weight = takes.get(serve as usize).copied().unwrap_or(FIRST_WEIGHT);
+            let weight = takes.get(serve as usize).copied().unwrap_or(INITIAL_WEIGHT);
             let excess = weight * share - left;
-            if is_harmful(weight) {
+            if is_interfering(weight) {
                 most = most.max(excess);
             } else if excess > LIGHT_MARGIN {
                 most = most.max(excess - LIGHT_MARGIN);
@@ -75,7 +75,7 @@
 
 impl Machine {
     /// Returns what serves and what fills on a worker.
-    pub(crate) fn residents(&self, slot: u32) -> (Vec<Served>, Vec<Filler>) {
+    pub(crate) fn colocated_runs(&self, slot: u32) -> (Vec<ServingRun>, Vec<BestEffortRun>) {
         let (mut served, mut fillers) = (Vec::new(), Vec::new());
         let worker = self.fleet.get(slot);
         for &task in &worker.runs {
@@ -89,14 +89,15 @@
             let image = state.images[task.step as usize];
             if step.latency_target > 0 {
                 let runs = &state.repetitions[task.repetition as usize][task.step as usize];
-                served.push(Served {
+                served.push(ServingRun {
                     image,
                     headroom: runs.headroom,
                     over: run.over_since.map_or(0, |since| (self.now - since).max(1)),
-                    is_own: run.over_since.is_some() && worker.own_load.may_fill(self.now),
+                    is_own: run.over_since.is_some()
+                        && worker.own_load.may_run_best_effort(self.now),
                 });
             } else if step.best_effort {
-                fillers.push(Filler {
+                fillers.push(BestEffortRun {
                     task,
                     image,
                     share: worker.share(step.cpu),
@@ -119,12 +120,12 @@
         if self.fleet.get(slot).serving_tasks == 0 {
             return Slack::default();
         }
-        let (served, fillers) = self.residents(slot);
+        let (served, fillers) = self.colocated_runs(slot);
         let mut slack = Slack::default();
         for s in &served {
             slack.over |= s.over > 0;
             // A load that was high a while ago comes back while the task runs.
-            let left = s.headroom.later() - LEAST_HEADROOM - self.taken(&fillers, s.image);
+            let left = s.headroom.later() - MIN_HEADROOM - self.taken(&fillers, s.image);
             match slack.rows.iter_mut().find(|r| r.0 == s.image) {
                 Some(row) => row.1 = row.1.min(left),
                 None => slack.rows.push((s.image, left)),
@@ -134,20 +135,20 @@
     }
 
     /// Returns the headroom that what fills on a worker would take from a serving task.
-    pub(crate) fn pressure_on(&self, slot: u32, serve: Image) -> f64 {
+    pub(crate) fn headroom_taken_on(&self, slot: u32, serve: Image) -> f64 {
         if self.fleet.get(slot).best_effort_cpu == 0 {
             return 0.0;
         }
-        let (_, fillers) = self.residents(slot);
+        let (_, fillers) = self.colocated_runs(slot);
         self.taken(&fillers, serve)
     }
 
     /// Returns the headroom that filling runs at their paces take from a serving task.
-    fn taken(&self, fillers: &[Filler], serve: Image) -> f64 {
+    fn taken(&self, fillers: &[BestEffortRun], serve: Image) -> f64 {
         let mut taken = 0.0;
         for filler in fillers {
             let pace = f64::from(filler.pace) / 100.0;
-            taken += self.pairs.weight(filler.image, serve) * filler.share * pace;
+            taken += self.interference.weight(filler.image, serve) * filler.share * pace;
         }
         taken
     }
--- a/crates/jobs/src/share/spare.rs
+++ b/crates/jobs/src/share/spare.rs
@@ -27,7 +27,7 @@
 
 impl Machine {
     /// Works out what the serving tasks of each worker leave.
-    pub(crate) fn note_spare(&mut self) {
+    pub(crate) fn update_spare_cpu(&mut self) {
         let mut all = Asked::default();
         let mut rows = Vec::with_capacity(self.fleet.workers.len());
         for slot in 0..self.fleet.workers.len() as u32 {
@@ -66,7 +66,7 @@
 
 /// Returns what a task of a step is thought to leave before its first figure, in
 /// thousandths of a core.
-pub(crate) fn unused(step: &Step) -> u64 {
+pub(crate) fn unused_cpu(step: &Step) -> u64 {
     match step.latency_target {
         0 => 0,
         _ => step.cpu * (100 - SERVING_USE) / 100,
--- a/crates/jobs/src/share/watch.rs
+++ b/crates/jobs/src/share/watch.rs
@@ -8,7 +8,7 @@
     share::{
         forecast::Point,
         own_load::OwnLoad,
-        sample::{Group, Press},
+        sample::{Pressure, StepKey},
     },
 };
 
@@ -21,7 +21,7 @@
 impl Machine {
     /// Takes note of the figures that a worker lists, and chooses paces; `ended` are the ends
     /// that it lists for the first time.
-    pub(crate) fn watch(&mut self, slot: u32, look: &WorkerReport, ended: &[&RunEnd]) {
+    pub(crate) fn observe_metrics(&mut self, slot: u32, look: &WorkerReport, ended: &[&RunEnd]) {
         let now = self.now;
         let worker = self.fleet.get_mut(slot);
         if worker.serving_tasks == 0 {
@@ -32,7 +32,7 @@
         }
         worker.metrics_at = now;
         let is_working = self.fills_at_work(slot);
-        let press: Arc<[Press]> = self.press(slot, look, ended).into();
+        let press: Arc<[Pressure]> = self.press(slot, look, ended).into();
         let (mut over, mut is_above) = (false, false);
         for row in &look.running {
             let Some(state) = self.jobs.get_mut(&row.task.job) else {
@@ -54,21 +54,21 @@
                 over |= run.over_since.is_some();
                 continue;
             };
-            let group = Group {
+            let group = StepKey {
                 job: row.task.job,
                 time: row.task.repetition,
                 step: row.task.step,
             };
             let share = ms as f64 / target as f64;
             is_above |= share >= 1.0;
-            self.pairs.note(group, image, 1.0 / share, &press);
-            let worst = lowest - self.pairs.taken(image, &press);
+            self.interference.note(group, image, 1.0 / share, &press);
+            let worst = lowest - self.interference.taken(image, &press);
             run.note_tail(share, worst, now);
             over |= run.over_since.is_some();
         }
         let worker = self.fleet.get_mut(slot);
-        worker.own_load.note_filling(is_working, now);
-        worker.own_load.note_tails(is_above, now);
+        worker.own_load.note_best_effort(is_working, now);
+        worker.own_load.note_over_target(is_above, now);
         worker.is_over_target = over && worker.best_effort_cpu > 0;
         worker.slack = None;
         if worker.best_effort_cpu > 0 {
@@ -89,17 +89,17 @@
 
     /// Fits the disturbances to the figures, each half second, and lowers paces where a
     /// tail has been over its target for long.
-    pub(crate) fn fit(&mut self) {
-        if self.now < self.fitted + FIT_PERIOD {
+    pub(crate) fn update_model(&mut self) {
+        if self.now < self.fitted_at + FIT_PERIOD {
             return;
         }
-        self.fitted = self.now;
+        self.fitted_at = self.now;
         let jobs = &self.jobs;
-        let foreseen = |group: Group| {
+        let foreseen = |group: StepKey| {
             let step = jobs.get(&group.job)?.step(group.time, group.step)?;
             step.headroom.foreseen_now()
         };
-        for base in self.pairs.fit(foreseen) {
+        for base in self.interference.fit(foreseen) {
             let group = base.group;
             let state = self.jobs.get_mut(&group.job);
             let step = state.and_then(|j| j.step_mut(group.time, group.step));
@@ -112,10 +112,10 @@
                 headroom: base.headroom,
                 trust: base.trust,
             });
-            self.season.judge(group, base.headroom, self.now);
+            self.seasonality.judge(group, base.headroom, self.now);
         }
-        self.foresee();
-        self.note_spare();
+        self.forecast_headrooms();
+        self.update_spare_cpu();
         for slot in 0..self.fleet.workers.len() as u32 {
             self.fleet.workers[slot as usize].slack = None;
             if self.fleet.get(slot).is_over_target {
@@ -130,7 +130,7 @@
         if worker.best_effort_cpu == 0 {
             return false;
         }
-        let (_, fillers) = self.residents(slot);
+        let (_, fillers) = self.colocated_runs(slot);
         let runs = fillers.iter().filter_map(|f| {
             let task = self.jobs.get(&f.task.job)?.task(f.task)?;
             task.run.as_ref()
@@ -144,10 +144,10 @@
     ///
     /// A look is answered as soon as a run ends, so that one that has just ended filled for
     /// all of that time.
-    fn press(&self, slot: u32, look: &WorkerReport, ended: &[&RunEnd]) -> Vec<Press> {
+    fn press(&self, slot: u32, look: &WorkerReport, ended: &[&RunEnd]) -> Vec<Pressure> {
         let running = look.running.iter().map(|r| (r.task, r.metric));
         let ended = ended.iter().map(|e| (e.task, None));
-        let mut out: Vec<Press> = Vec::new();
+        let mut out: Vec<Pressure> = Vec::new();
         for (task, figure) in running.chain(ended) {
             let Some(state) = self.jobs.get(&task.job) else {
                 continue;
@@ -162,7 +162,7 @@
             let share = self.fleet.get(slot).share(figure.unwrap_or(step.cpu));
             match out.iter_mut().find(|p| p.image == image) {
                 Some(p) => p.share += share,
-                None => out.push(Press { image, share }),
+                None => out.push(Pressure { image, share }),
             }
         }
         out
--- a/crates/jobs/src/summary.rs
+++ b/crates/jobs/src/summary.rs
@@ -7,11 +7,11 @@
 
 impl Machine {
     /// Logs how full the workers are, and what waits.
-    pub(crate) fn summarise(&mut self) {
-        if self.now < self.summarised + PERIOD {
+    pub(crate) fn log_load(&mut self) {
+        if self.now < self.summarised_at + PERIOD {
             return;
         }
-        self.summarised = self.now;
+        self.summarised_at = self.now;
         let mut room = Capacity::default();
         let mut used = Capacity::default();
         let (mut filling, mut open, mut serving) = (0, 0, 0);
@@ -28,7 +28,7 @@
             serving += worker.serving_cpu;
         }
         let (mut waiting, mut running, mut slowed) = (0, 0_u32, 0);
-        for id in &self.open {
+        for id in &self.open_jobs {
             let Some(state) = self.jobs.get(id) else {
                 continue;
             };
@@ -45,7 +45,7 @@
         log::info!(
             workers = open, cpu = room.cpu, cpu_used = used.cpu, serving, filling,
             age_ms = self.fleet.age(self.now), memory = room.memory, memory_used = used.memory,
-            jobs = self.open.len(), waiting, running, slowed;
+            jobs = self.open_jobs.len(), waiting, running, slowed;
             "owner: load"
         );
         self.log_starved_jobs();
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -197,7 +197,7 @@
         };
         let mut machine = Machine::new(settings(), self.now, takeover);
         if let Some(learned) = learned.filter(|_| self.remembers) {
-            machine.recall(&learned);
+            machine.import_learned(&learned);
         }
         self.ledger.restore(&mut machine, self.jobs.values());
         let mut owner = Owner {
--- a/crates/jobs/tests/all/ledger.rs
+++ b/crates/jobs/tests/all/ledger.rs
@@ -30,7 +30,7 @@
         for job in jobs {
             let record = self.records.get(&job.id);
             let record = record.map(|r| Record::decode(r).expect("own record"));
-            let Some(record) = machine.recorded(job.id, record) else {
+            let Some(record) = machine.current_record(job.id, record) else {
                 continue;
             };
             assert!(record.is_valid_for(&job.spec));
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -268,7 +268,7 @@
     for row in owner.ledger.log() {
         machine.replay(row).expect("own row");
     }
-    let record = machine.recorded(JobId(open), None).expect("logged");
+    let record = machine.current_record(JobId(open), None).expect("logged");
     assert!(record.is_valid_for(&job(open, 1).spec));
 }
 
@@ -305,8 +305,8 @@
     for row in owner.ledger.log() {
         machine.replay(row).expect("own row");
     }
-    let record = machine.recorded(JobId(1), None).expect("logged");
+    let record = machine.current_record(JobId(1), None).expect("logged");
     assert!(record.is_valid_for(&job(1, 3).spec));
     assert!(!record.is_valid_for(&job(1, 2).spec));
-    assert_eq!(machine.recorded(JobId(2), None), None::<Record>);
+    assert_eq!(machine.current_record(JobId(2), None), None::<Record>);
 }
--- a/crates/node/src/owner/load.rs
+++ b/crates/node/src/owner/load.rs
@@ -32,7 +32,7 @@
     let now = shared.clock.now();
     let mut machine = Machine::new(shared.settings.jobs, now, tenure.takeover);
     if let Some(learned) = learned(shared) {
-        machine.recall(&learned);
+        machine.import_learned(&learned);
     }
     let mut records: Sorted<String, Record> = Sorted::default();
     let mut unknown: Vec<String> = Vec::new();
@@ -60,7 +60,7 @@
         }
         let id = row.key.parse::<JobId>().ok();
         let record = records.get(&row.key).cloned();
-        let record = id.and_then(|id| machine.recorded(id, record));
+        let record = id.and_then(|id| machine.current_record(id, record));
         let Some(record) = record else {
             return true;
         };
