--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -277,7 +277,7 @@
             };
             match due {
                 Due::Committed => self.answers.push(Event::Committed {
-                    asked: self.now - WRITE,
+                    asked_at: self.now - WRITE,
                 }),
                 Due::End(worker, run) => self.end(worker, run, Ending::Done),
                 Due::Look(worker, look) => {
@@ -351,7 +351,7 @@
             self.machine.handle(now, now, event);
         }
         self.machine
-            .handle(now, now, Event::WorkersSynced { asked: now });
+            .handle(now, now, Event::WorkersSynced { asked_at: now });
         let actions = self.machine.decide(now, now);
         self.spent += start.elapsed();
         for action in actions {
--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -82,7 +82,7 @@
             return false;
         }
         let before = state.repetitions.len();
-        state.add_due_repetitions(self.wall);
+        state.add_due_repetitions(self.wall_clock);
         self.placement_due |= state.repetitions.len() > before;
         (state.repetitions.len() as u32) < state.job.spec.repetitions()
     }
--- a/crates/jobs/src/event.rs
+++ b/crates/jobs/src/event.rs
@@ -148,7 +148,7 @@
     /// All announcements that there were at a time have been told.
     WorkersSynced {
         /// When they were asked for, on the own steady clock in milliseconds.
-        asked: u64,
+        asked_at: u64,
     },
     /// The availability zones whose workers get nothing new, whole, sorted.
     Evacuated(Arc<[Arc<str>]>),
@@ -166,11 +166,11 @@
     /// The batch in flight is durable; with it the lease on the jobs is confirmed.
     Committed {
         /// When the write was asked for, on the own steady clock in milliseconds.
-        asked: u64,
+        asked_at: u64,
     },
     /// The store confirmed that the lease on the jobs is still held.
     Renewed {
         /// When the confirmation was asked for, on the own steady clock in milliseconds.
-        asked: u64,
+        asked_at: u64,
     },
 }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -54,5 +54,5 @@
 pub use runs::worker::{Capacity, WorkerInfo};
 pub use settings::{Settings, lease_upper_bound};
 pub use share::learned::Learned;
-pub use sorted::Sorted;
+pub use sorted::SortedMap;
 pub use takeover::Takeover;
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -18,7 +18,7 @@
     runs::{fleet::Fleet, log::Log},
     settings::Settings,
     share::{pairs::Interference, sample::Image, season::Seasonality},
-    sorted::Sorted,
+    sorted::SortedMap,
     takeover::Takeover,
 };
 
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub struct Machine {
     pub(crate) settings: Settings,
-    pub(crate) jobs: Sorted<JobId, JobState>,
+    pub(crate) jobs: SortedMap<JobId, JobState>,
     /// Jobs that are not finished, in the order in which they are to be placed.
     pub(crate) open_jobs: Vec<JobId>,
     /// Jobs of which repetitions are still to fall due.
@@ -66,9 +66,9 @@
     /// What the loads of serving steps have in common.
     pub(crate) seasonality: Seasonality,
     /// What was learned of guessed times, by queue.
-    pub(crate) estimates: Sorted<Arc<str>, EstimateModel>,
+    pub(crate) estimates: SortedMap<Arc<str>, EstimateModel>,
     /// Numbers of images.
-    pub(crate) image_numbers: Sorted<Arc<str>, Image>,
+    pub(crate) image_numbers: SortedMap<Arc<str>, Image>,
     /// What waits for the batch in flight, if there is one.
     pub(crate) in_flight: Option<InFlight>,
     /// Rows that tell of jobs' tasks.
@@ -86,7 +86,7 @@
     /// When the load was last logged.
     pub(crate) summarised_at: u64,
     pub(crate) now: u64,
-    pub(crate) wall: u64,
+    pub(crate) wall_clock: u64,
     pub(crate) actions: Vec<Action>,
     pub(crate) stats: Stats,
 }
@@ -97,7 +97,7 @@
         let fleet = Fleet::new(takeover.prior_leases_end);
         Machine {
             settings,
-            jobs: Sorted::default(),
+            jobs: SortedMap::default(),
             open_jobs: Vec::new(),
             scheduled: Vec::new(),
             suspects: Vec::new(),
@@ -114,8 +114,8 @@
             queues: Vec::new(),
             interference: Interference::default(),
             seasonality: Seasonality::default(),
-            estimates: Sorted::default(),
-            image_numbers: Sorted::default(),
+            estimates: SortedMap::default(),
+            image_numbers: SortedMap::default(),
             in_flight: None,
             log: Log::default(),
             store_contact: takeover.asked_at,
@@ -125,7 +125,7 @@
             fitted_at: 0,
             summarised_at: 0,
             now,
-            wall: 0,
+            wall_clock: 0,
             actions: Vec::new(),
             stats: Stats::default(),
         }
@@ -182,7 +182,7 @@
         }
         self.jobs.insert(id, state);
         for id in suspects {
-            self.suspect(id);
+            self.add_suspect(id);
         }
         // A record of an earlier version tells of tasks: the log has to, before it is replaced.
         if !is_logged {
@@ -194,7 +194,7 @@
     /// both in milliseconds. [`Machine::decide`] follows after one or several.
     pub fn handle(&mut self, now: u64, wall: u64, event: Event) {
         self.now = now.max(self.now);
-        self.wall = wall;
+        self.wall_clock = wall;
         match event {
             Event::Accepted(job) => self.accepted(job),
             Event::Cancelled(job) => self.cancelled(job),
@@ -203,7 +203,7 @@
                 self.fleet.evacuate(zones);
                 self.placement_due = true;
             }
-            Event::WorkersSynced { asked } => self.fleet.note_synced(asked),
+            Event::WorkersSynced { asked_at: asked } => self.fleet.note_synced(asked),
             Event::WorkerRemoved(id) => self.fleet.deregister(&id),
             Event::Queues(queues) => {
                 self.queues = queues;
@@ -214,18 +214,18 @@
                 sent,
                 answer,
             } => self.answered(worker, sent, answer),
-            Event::Committed { asked } => {
+            Event::Committed { asked_at: asked } => {
                 self.renewed(asked);
                 self.handle_committed();
             }
-            Event::Renewed { asked } => self.renewed(asked),
+            Event::Renewed { asked_at: asked } => self.renewed(asked),
         }
     }
 
     /// Decides, and returns what is to be done.
     pub fn decide(&mut self, now: u64, wall: u64) -> Vec<Action> {
         self.now = now.max(self.now);
-        self.wall = wall;
+        self.wall_clock = wall;
         self.drive();
         std::mem::take(&mut self.actions)
     }
@@ -234,16 +234,16 @@
     pub fn stats(&self) -> Stats {
         Stats {
             open: self.open_jobs.len() as u64,
-            tasks: self.jobs.iter().map(|(_, j)| j.size()).sum(),
+            tasks: self.jobs.iter().map(|(_, j)| j.task_count()).sum(),
             workers_age: self.fleet.age(self.now),
-            unverified_runs: self.unheard(),
+            unverified_runs: self.unverified_runs(),
             ..self.stats
         }
     }
 
     /// Returns the number of jobs of each queue none of whose tasks has begun.
     pub fn pending(&self) -> Vec<(Arc<str>, u64)> {
-        let mut counts: Sorted<Arc<str>, u64> = Sorted::default();
+        let mut counts: SortedMap<Arc<str>, u64> = SortedMap::default();
         for id in &self.open_jobs {
             let Some(state) = self.jobs.get(id) else {
                 continue;
--- a/crates/jobs/src/model/changes.rs
+++ b/crates/jobs/src/model/changes.rs
@@ -10,7 +10,7 @@
         ids::JobId,
         record::{DecodeSnafu, Record, RecordError, TaskRecord},
     },
-    sorted::Sorted,
+    sorted::SortedMap,
 };
 
 /// Number of a row of the log; it only grows while one owner writes.
@@ -49,8 +49,8 @@
 /// What the log tells of one job, and in which row each part of it is.
 #[derive(Debug, Default)]
 pub(crate) struct Replayed {
-    pub(crate) steps: Sorted<StepAt, RowNumber>,
-    pub(crate) tasks: Sorted<(u32, u32, u32), (RowNumber, TaskRecord)>,
+    pub(crate) steps: SortedMap<StepAt, RowNumber>,
+    pub(crate) tasks: SortedMap<(u32, u32, u32), (RowNumber, TaskRecord)>,
 }
 
 impl Replayed {
--- a/crates/jobs/src/model/job.rs
+++ b/crates/jobs/src/model/job.rs
@@ -79,7 +79,7 @@
     }
 
     /// Returns the number of tasks that are kept.
-    pub(crate) fn size(&self) -> u64 {
+    pub(crate) fn task_count(&self) -> u64 {
         let steps = self.repetitions.iter().flatten();
         steps.map(|s| s.tasks.len() as u64).sum()
     }
--- a/crates/jobs/src/model/spec.rs
+++ b/crates/jobs/src/model/spec.rs
@@ -107,7 +107,7 @@
 
 impl Spec {
     /// Checks what no later change can mend.
-    pub fn check(&self) -> Result<(), SpecError> {
+    pub fn validate(&self) -> Result<(), SpecError> {
         ensure!(!self.steps.is_empty(), EmptySnafu { step: 0_usize });
         for (step, s) in self.steps.iter().enumerate() {
             ensure!(s.count > 0, EmptySnafu { step });
--- a/crates/jobs/src/model/step.rs
+++ b/crates/jobs/src/model/step.rs
@@ -26,7 +26,7 @@
     /// For tasks that serve: what that was of late.
     pub(crate) history: History,
     /// Times of tasks that ran from their start at full pace.
-    pub(crate) seen: ObservedTimes,
+    pub(crate) observed_times: ObservedTimes,
     /// The row of the log that tells that it is done whole.
     pub(crate) logged_row: Option<RowNumber>,
     /// The last checkpoint that a worker rejected: members of a gang that began with it on other
@@ -42,7 +42,7 @@
             unassigned: count,
             headroom: Headroom::default(),
             history: History::default(),
-            seen: ObservedTimes::default(),
+            observed_times: ObservedTimes::default(),
             logged_row: None,
             rejected: None,
         }
@@ -131,12 +131,12 @@
     /// Returns the time that its longest task takes, in milliseconds, from the callers'
     /// guess and from what its tasks show.
     pub(crate) fn longest_task_ms(&self, guesses: &EstimateModel, guess: u64, now: u64) -> u64 {
-        let mut seen = self.seen;
+        let mut seen = self.observed_times;
         for task in &self.tasks {
             let Some(run) = task.run.as_ref().filter(|r| is_telling(r)) else {
                 continue;
             };
-            seen.note_run(run.percent, now - run.placed_at);
+            seen.observe_run(run.percent, now - run.placed_at);
         }
         seen.longest(guesses, guess, self.tasks.len())
     }
--- a/crates/jobs/src/model/task.rs
+++ b/crates/jobs/src/model/task.rs
@@ -124,7 +124,7 @@
     /// The other tasks of the step tell as well: where they were well below their targets all
     /// the while, one clearly lower figure is enough (filling jobs earn 0.75 of their worth so,
     /// 0.72 without, on 350 full workers, 15 days with trouble).
-    pub(crate) fn note_tail(&mut self, share: f64, worst: f64, now: u64) {
+    pub(crate) fn record_latency(&mut self, share: f64, worst: f64, now: u64) {
         let under = share < 1.0;
         let expected = share < CLEARLY_UNDER && worst > 1.0 / CLEARLY_UNDER;
         if !under {
@@ -136,7 +136,7 @@
     }
 
     /// Takes note that there is no tail, since nobody was served in the last half second.
-    pub(crate) fn note_no_tail(&mut self) {
+    pub(crate) fn record_no_latency(&mut self) {
         if self.under {
             self.over_since = None;
         }
@@ -237,13 +237,13 @@
             run: self.last_run,
             worker: self.run.as_ref().map(|r| name(r.worker)),
             failed: self.failed.clone(),
-            saved: self.saved_text(),
+            saved: self.checkpoint_text(),
             crashes: self.crashes.clone(),
         }
     }
 
     /// Returns the text that its next run goes on from; empty for none.
-    pub(crate) fn saved_text(&self) -> Arc<str> {
+    pub(crate) fn checkpoint_text(&self) -> Arc<str> {
         let text = self.checkpoint.as_ref().map(|c| c.text.clone());
         text.unwrap_or_default()
     }
--- a/crates/jobs/src/model/task_tests.rs
+++ b/crates/jobs/src/model/task_tests.rs
@@ -13,7 +13,7 @@
 fn over(worst: f64, percents: &[u32]) -> bool {
     let mut run = Run::new(0, Stage::Planned, 0);
     for (at, &percent) in (1..).zip(percents) {
-        run.note_tail(f64::from(percent) / 100.0, worst, at * 1000);
+        run.record_latency(f64::from(percent) / 100.0, worst, at * 1000);
     }
     run.over_since.is_some()
 }
--- a/crates/jobs/src/order/times.rs
+++ b/crates/jobs/src/order/times.rs
@@ -38,7 +38,7 @@
 
 impl EstimateModel {
     /// Takes a guess and the time that the task took, both in milliseconds.
-    pub(crate) fn note(&mut self, guess: u64, took: u64) {
+    pub(crate) fn observe(&mut self, guess: u64, took: u64) {
         if self.count >= MOST {
             for sum in [
                 &mut self.count,
@@ -82,15 +82,15 @@
 
 impl ObservedTimes {
     /// Takes the time that one of them took, in milliseconds.
-    pub(crate) fn note(&mut self, took: u64) {
+    pub(crate) fn observe(&mut self, took: u64) {
         self.count += 1.0;
         self.sum += log(took);
     }
 
     /// Takes what a run tells that has got so far, in percent, in so long.
-    pub(crate) fn note_run(&mut self, percent: u32, ran: u64) {
+    pub(crate) fn observe_run(&mut self, percent: u32, ran: u64) {
         if percent >= TELLING {
-            self.note(ran * 100 / u64::from(percent));
+            self.observe(ran * 100 / u64::from(percent));
         }
     }
 
--- a/crates/jobs/src/order/times_tests.rs
+++ b/crates/jobs/src/order/times_tests.rs
@@ -21,7 +21,7 @@
             guessed += (guess as f64 / took).ln().abs();
             expected += (longest as f64 / took).ln().abs();
         }
-        guesses.note(guess, took as u64);
+        guesses.observe(guess, took as u64);
     }
     (guessed / 1000.0, expected / 1000.0)
 }
@@ -48,7 +48,7 @@
 fn what_tasks_of_the_step_took_tells_more_than_the_guess() {
     let mut seen = ObservedTimes::default();
     for took in [3900, 4000, 4100] {
-        seen.note(took);
+        seen.observe(took);
     }
     let longest = seen.longest(&EstimateModel::default(), 500, 1);
     assert!((2900..4000).contains(&longest), "{longest}");
@@ -57,9 +57,9 @@
 #[test]
 fn a_run_tells_the_length_once_it_is_a_fifth_through() {
     let mut seen = ObservedTimes::default();
-    seen.note_run(10, 500);
+    seen.observe_run(10, 500);
     assert_eq!(seen.longest(&EstimateModel::default(), 0, 1), 0);
-    seen.note_run(50, 1000);
+    seen.observe_run(50, 1000);
     let longest = seen.longest(&EstimateModel::default(), 0, 1);
     assert!((1990..=2010).contains(&longest), "{longest}");
 }
--- a/crates/jobs/src/place/aging.rs
+++ b/crates/jobs/src/place/aging.rs
@@ -79,7 +79,7 @@
             self.aging.noted = self.now;
             self.note_aged();
         }
-        let most = pass.open.len().div_ceil(SHARE);
+        let most = pass.open_workers.len().div_ceil(SHARE);
         let jobs = std::mem::take(&mut self.aging.jobs);
         for &(_, id) in &jobs {
             if self.aging.runs.len() >= most || pass.starts_left == 0 || pass.is_over_budget() {
@@ -122,11 +122,11 @@
         };
         let service = self.fleet.service(&service);
         let request = Request {
-            first: TaskId { index: 0, ..task },
+            first_task: TaskId { index: 0, ..task },
             step: &job.spec.steps[task.step as usize],
             image,
             service: &service,
-            avoid: self.worker_to_avoid(task),
+            failed_worker: self.worker_to_avoid(task),
             starved: false,
         };
         let Some(slot) = self.choose_worker(&request, &mut None, pass) else {
@@ -134,7 +134,7 @@
         };
         self.place_on(task, slot, request.step);
         pass.starts_left -= 1;
-        pass.update_room(slot, &self.fleet);
+        pass.update_free_capacity(slot, &self.fleet);
         let planned = self.jobs.get(&id).and_then(|j| j.task(task));
         self.aging.runs.extend(planned.map(|t| (task, t.last_run)));
     }
--- a/crates/jobs/src/place/apart.rs
+++ b/crates/jobs/src/place/apart.rs
@@ -48,7 +48,7 @@
 
 impl Machine {
     /// Takes note that a task may crash its workers.
-    pub(crate) fn suspect(&mut self, id: TaskId) {
+    pub(crate) fn add_suspect(&mut self, id: TaskId) {
         if let Err(at) = self.suspects.binary_search(&id) {
             self.suspects.insert(at, id);
         }
@@ -111,11 +111,11 @@
         };
         let service = self.fleet.service(&service);
         let request = Request {
-            first: TaskId { index: 0, ..id },
+            first_task: TaskId { index: 0, ..id },
             step,
             image: state.images[id.step as usize],
             service: &service,
-            avoid: None,
+            failed_worker: None,
             starved: true,
         };
         let placed = match step.gang {
@@ -141,8 +141,8 @@
     /// Keeps others away from a worker while a suspect runs there.
     pub(super) fn isolate(&mut self, id: TaskId, slot: u32, pass: &mut Pass) {
         self.fleet.get_mut(slot).isolated_task = Some(id);
-        pass.update_room(slot, &self.fleet);
-        pass.open.retain(|&s| s != slot);
+        pass.update_free_capacity(slot, &self.fleet);
+        pass.open_workers.retain(|&s| s != slot);
     }
 
     /// Finds a worker for a suspect: an empty one, or after [`PATIENCE`] one with little to
@@ -177,7 +177,7 @@
             .iter()
             .filter(|w| w.is_isolating())
             .count();
-        let all = hosts + pass.open.len();
+        let all = hosts + pass.open_workers.len();
         let most = match pass.others_placed {
             true => all - all.div_ceil(SPARE_SHARE),
             false => (all / share).max(1),
@@ -201,7 +201,7 @@
             return;
         }
         if let Some(slot) = self.best_apart(request, pass, |_| true) {
-            pass.open.retain(|&s| s != slot);
+            pass.open_workers.retain(|&s| s != slot);
         }
     }
 
@@ -212,7 +212,10 @@
         pass: &Pass,
         suits: impl Fn(&Worker) -> bool,
     ) -> Option<u32> {
-        let workers = pass.open.iter().map(|&slot| (slot, self.fleet.get(slot)));
+        let workers = pass
+            .open_workers
+            .iter()
+            .map(|&slot| (slot, self.fleet.get(slot)));
         let fitting = workers.filter(|&(slot, w)| {
             let fits = self.fits(w, request.step, request.service, request.starved);
             suits(w) && fits.is_ok() && !self.is_at_step_limit(slot, request)
--- a/crates/jobs/src/place/hold.rs
+++ b/crates/jobs/src/place/hold.rs
@@ -81,7 +81,7 @@
     /// Tells whether a worker is held for a task of another step.
     pub(super) fn is_reserved(&self, slot: u32, request: &Request<'_>, pass: &Pass) -> bool {
         let others = pass.reservations.iter().filter(|h| h.slot == slot);
-        let mut others = others.filter(|h| h.first != request.first);
+        let mut others = others.filter(|h| h.first != request.first_task);
         let step = request.step;
         let worker = self.fleet.get(slot);
         others.any(|h| !step.best_effort || h.is_short(worker, demand(step)))
@@ -89,7 +89,7 @@
 
     /// Holds a worker for a task that fits nowhere, if it has waited for long.
     pub(super) fn reserve_worker(&mut self, request: &Request<'_>, pass: &mut Pass) {
-        let first = request.first;
+        let first = request.first_task;
         if pass.reservations.iter().any(|h| h.first == first) {
             return;
         }
@@ -164,7 +164,8 @@
             let room = worker.capacity();
             let lacks = shortage(worker, wanted);
             // One that lacks nothing is refused for another reason than room.
-            if lacks == 0 && !step.long_running || !room.holds(worker.long_running_size, wanted) {
+            if lacks == 0 && !step.long_running || !room.has_room(worker.long_running_size, wanted)
+            {
                 continue;
             }
             let is_kept = pass.reservations.iter().any(|h| h.slot == slot);
@@ -196,12 +197,12 @@
         }
         ends.sort_unstable_by_key(|(at, _)| *at);
         let mut used = worker.used;
-        if room.holds(used, wanted) {
+        if room.has_room(used, wanted) {
             return Some(0);
         }
         for (at, ended) in ends {
-            used.free(ended);
-            if room.holds(used, wanted) {
+            used.subtract(ended);
+            if room.has_room(used, wanted) {
                 return Some(at);
             }
         }
--- a/crates/jobs/src/place/pass.rs
+++ b/crates/jobs/src/place/pass.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::{
-    place::{hold::Reservation, misfit::Unplaceable, room::Room},
+    place::{hold::Reservation, misfit::Unplaceable, room::FreeCapacity},
     runs::{fleet::Fleet, worker::Capacity},
 };
 
@@ -67,10 +67,10 @@
 #[derive(Debug, Default)]
 pub(crate) struct Pass {
     /// Workers that take new runs.
-    pub(crate) open: Vec<u32>,
+    pub(crate) open_workers: Vec<u32>,
     /// What each worker has left, by slot: with work piled up most have no room, and this
     /// tells so without a look at the worker.
-    rooms: Vec<Room>,
+    rooms: Vec<FreeCapacity>,
     /// Tasks that no worker can take.
     pub(crate) unplaceable: Vec<Unplaceable>,
     /// Workers that are kept free for tasks that have waited for long.
@@ -94,20 +94,20 @@
     pub(crate) fn new(fleet: &Fleet, now: u64) -> Pass {
         let mut pass = Pass::default();
         for (slot, worker) in (0..).zip(&fleet.workers) {
-            let room = Room::of(worker);
+            let room = FreeCapacity::of(worker);
             pass.rooms.push(room);
             let info = worker.info.as_ref().filter(|_| worker.accepts_runs(now));
             let Some(info) = info.filter(|_| worker.isolated_task.is_none()) else {
                 continue;
             };
-            pass.open.push(slot);
+            pass.open_workers.push(slot);
             let load = pass.load_mut(&info.service);
             load.left += room.fill();
             load.filling += worker.best_effort_cpu;
             load.all.add(worker.capacity());
             load.used.add(worker.used);
         }
-        pass.budget = RATINGS.max(STEPS * pass.open.len());
+        pass.budget = RATINGS.max(STEPS * pass.open_workers.len());
         pass.starts_left = usize::MAX;
         pass
     }
@@ -135,25 +135,25 @@
     }
 
     /// Returns what a worker has left.
-    pub(crate) fn room(&self, slot: u32) -> Room {
+    pub(crate) fn free_capacity(&self, slot: u32) -> FreeCapacity {
         self.rooms[slot as usize]
     }
 
     /// Takes note of what a worker has left now.
-    pub(crate) fn update_room(&mut self, slot: u32, fleet: &Fleet) {
-        self.rooms[slot as usize] = Room::of(fleet.get(slot));
+    pub(crate) fn update_free_capacity(&mut self, slot: u32, fleet: &Fleet) {
+        self.rooms[slot as usize] = FreeCapacity::of(fleet.get(slot));
     }
 
     /// Has a worker take new runs again that was kept for one of this pass.
     pub(crate) fn reopen(&mut self, slot: u32) {
-        if let Err(at) = self.open.binary_search(&slot) {
-            self.open.insert(at, slot);
+        if let Err(at) = self.open_workers.binary_search(&slot) {
+            self.open_workers.insert(at, slot);
         }
     }
 
     /// Takes note that all workers are rated for a step.
     pub(crate) fn count_ratings(&mut self) {
-        self.ratings += self.open.len();
+        self.ratings += self.open_workers.len();
     }
 
     /// Tells whether as many workers were rated as one pass may.
--- a/crates/jobs/src/place/rank.rs
+++ b/crates/jobs/src/place/rank.rs
@@ -47,8 +47,8 @@
             rated: BinaryHeap::new(),
             headroom_costs: self.takes(request),
         };
-        for &slot in &pass.open {
-            if !pass.room(slot).fits(request.step, request.starved) {
+        for &slot in &pass.open_workers {
+            if !pass.free_capacity(slot).fits(request.step, request.starved) {
                 continue;
             }
             let rating = self
@@ -103,14 +103,16 @@
         let step = request.step;
         let worker = self.fleet.get(slot);
         self.fits(worker, step, request.service, request.starved)?;
-        if request.avoid == Some(slot) || request.avoid.is_some() && worker.failures > 0 {
-            return Err(Refusal::Avoided);
+        if request.failed_worker == Some(slot)
+            || request.failed_worker.is_some() && worker.failures > 0
+        {
+            return Err(Refusal::FailedBefore);
         }
         if self.is_reserved(slot, request, pass) {
             return Err(Refusal::Reserved);
         }
         if self.is_at_step_limit(slot, request) {
-            return Err(Refusal::Spread);
+            return Err(Refusal::StepLimit);
         }
         let mut points = rating(worker, step);
         if step.latency_target > 0 {
@@ -118,11 +120,11 @@
             points -= (self.headroom_taken_on(slot, request.image) * DISTURBED) as i64;
         }
         if step.best_effort {
-            let share = worker.share(step.cpu);
+            let share = worker.cpu_share(step.cpu);
             let slack = self.slack(slot);
             let excess = slack.excess(takes, share);
-            if slack.over && !self.may_fill_beside(slot, request) {
-                return Err(Refusal::Tail);
+            if slack.is_over_target && !self.may_fill_beside(slot, request) {
+                return Err(Refusal::OverTarget);
             }
             if excess > 0.0 && !request.starved {
                 return Err(Refusal::Interference);
@@ -142,7 +144,7 @@
 
     /// Tells whether a worker has as many tasks of a step as it may have.
     pub(super) fn is_at_step_limit(&self, slot: u32, request: &Request<'_>) -> bool {
-        let (first, spread) = (request.first, request.step.max_per_worker);
+        let (first, spread) = (request.first_task, request.step.max_per_worker);
         if spread == 0 {
             return false;
         }
--- a/crates/jobs/src/place/refusal.rs
+++ b/crates/jobs/src/place/refusal.rs
@@ -12,17 +12,17 @@
     /// It is of another service, or lacks a label.
     Label,
     /// Processors, memory or accelerators are short.
-    Room,
+    NoRoom,
     /// What fills there has its share of processors.
-    Share,
+    BestEffortShare,
     /// The task failed there of late, or another one did.
-    Avoided,
+    FailedBefore,
     /// It is kept free for a lasting task.
     Reserved,
     /// It has as many tasks of the step as it may have.
-    Spread,
+    StepLimit,
     /// A tail there is over its target.
-    Tail,
+    OverTarget,
     /// The task would disturb what serves there.
     Interference,
 }
--- a/crates/jobs/src/place/request.rs
+++ b/crates/jobs/src/place/request.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Request<'a> {
     /// Its step's first task.
-    pub(crate) first: TaskId,
+    pub(crate) first_task: TaskId,
     /// The step.
     pub(crate) step: &'a Step,
     /// What its tasks run.
@@ -19,7 +19,7 @@
     /// The service whose workers run it.
     pub(crate) service: &'a Arc<str>,
     /// The worker that it failed on of late.
-    pub(crate) avoid: Option<u32>,
+    pub(crate) failed_worker: Option<u32>,
     /// Whether its job has waited for long with nothing at work.
     pub(crate) starved: bool,
 }
--- a/crates/jobs/src/place/room.rs
+++ b/crates/jobs/src/place/room.rs
@@ -11,33 +11,33 @@
 
 /// What a worker has left.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Room {
+pub(crate) struct FreeCapacity {
     /// Whether more is taken than there is: then nothing fits, whatever it asks for.
     over: bool,
     free: Capacity,
     /// Thousandths of a core that more filling tasks may ask for.
-    fill: u64,
+    best_effort_cpu: u64,
 }
 
-impl Room {
+impl FreeCapacity {
     /// Returns what a worker has left.
-    pub(crate) fn of(worker: &Worker) -> Room {
+    pub(crate) fn of(worker: &Worker) -> FreeCapacity {
         let (room, used) = (worker.capacity(), worker.used);
         let cpu = room.cpu.saturating_sub(used.cpu);
-        Room {
+        FreeCapacity {
             over: worker.is_overcommitted(),
             free: Capacity {
                 cpu,
                 memory: room.memory.saturating_sub(used.memory),
                 gpu: room.gpu.saturating_sub(used.gpu),
             },
-            fill: (cpu + worker.spare_cpu).saturating_sub(worker.best_effort_cpu),
+            best_effort_cpu: (cpu + worker.spare_cpu).saturating_sub(worker.best_effort_cpu),
         }
     }
 
     /// Returns how many thousandths of a core more filling tasks may ask for.
     pub(crate) fn fill(&self) -> u64 {
-        self.fill
+        self.best_effort_cpu
     }
 
     /// Tells whether a task of a step fits; one that fills may go beyond the share of
@@ -53,11 +53,11 @@
             && size.memory <= self.free.memory
             && size.gpu <= self.free.gpu;
         if self.over || !enough {
-            return Err(Refusal::Room);
+            return Err(Refusal::NoRoom);
         }
-        match starved || !step.best_effort || step.cpu <= self.fill {
+        match starved || !step.best_effort || step.cpu <= self.best_effort_cpu {
             true => Ok(()),
-            false => Err(Refusal::Share),
+            false => Err(Refusal::BestEffortShare),
         }
     }
 }
@@ -93,7 +93,7 @@
         service: &Arc<str>,
         starved: bool,
     ) -> Result<(), Refusal> {
-        Room::of(worker).check(step, starved)?;
+        FreeCapacity::of(worker).check(step, starved)?;
         self.may_take(worker, step, service)
     }
 }
--- a/crates/jobs/src/place/starving.rs
+++ b/crates/jobs/src/place/starving.rs
@@ -87,11 +87,11 @@
         };
         let service = self.fleet.service(&service);
         let request = Request {
-            first: TaskId { index: 0, ..task },
+            first_task: TaskId { index: 0, ..task },
             step: &job.spec.steps[task.step as usize],
             image,
             service: &service,
-            avoid: None,
+            failed_worker: None,
             starved: false,
         };
         let refusals = self.refusals(&request, pass);
@@ -103,10 +103,10 @@
             order:? = at, jobs = self.open_jobs.len(), crowded, apart,
             closed = count(Refusal::Closed), guest = count(Refusal::Isolating),
             trial = count(Refusal::OnProbation), label = count(Refusal::Label),
-            room = count(Refusal::Room), share = count(Refusal::Share),
-            spread = count(Refusal::Spread), tail = count(Refusal::Tail),
+            room = count(Refusal::NoRoom), share = count(Refusal::BestEffortShare),
+            spread = count(Refusal::StepLimit), tail = count(Refusal::OverTarget),
             excess = count(Refusal::Interference),
-            open = pass.open.len();
+            open = pass.open_workers.len();
             "job: stands still"
         );
     }
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -129,7 +129,7 @@
                     continue;
                 }
                 let request = Request {
-                    first: TaskId {
+                    first_task: TaskId {
                         job: id,
                         repetition: time as u32,
                         step: at as u32,
@@ -138,7 +138,7 @@
                     step,
                     image: state.images[at],
                     service: &service,
-                    avoid: None,
+                    failed_worker: None,
                     starved: idle && step.best_effort,
                 };
                 // What waits of one step holds back no other one: that may ask for less.
@@ -156,7 +156,7 @@
     /// Places the tasks of a step that wait; the first one beyond the usual share if the
     /// job has starved.
     fn place_step(&mut self, mut request: Request<'_>, pass: &mut Pass) {
-        let (step, first) = (request.step, request.first);
+        let (step, first) = (request.step, request.first_task);
         let mut ranking: Option<Ranking> = None;
         let state = self.jobs.get(&first.job);
         let runs = state.map(|j| &j.repetitions[first.repetition as usize][first.step as usize]);
@@ -166,7 +166,7 @@
                 return;
             }
             let id = TaskId { index, ..first };
-            request.avoid = self.worker_to_avoid(id);
+            request.failed_worker = self.worker_to_avoid(id);
             let Some(slot) = self.choose_worker(&request, &mut ranking, pass) else {
                 self.reserve_worker(&request, pass);
                 return;
@@ -174,7 +174,7 @@
             request.starved = false;
             self.place_on(id, slot, step);
             pass.starts_left -= 1;
-            pass.update_room(slot, &self.fleet);
+            pass.update_free_capacity(slot, &self.fleet);
         }
     }
 
@@ -187,7 +187,7 @@
 
     /// Places all tasks of a gang, or none.
     pub(super) fn place_gang(&mut self, request: Request<'_>, pass: &mut Pass) -> Placed {
-        let (step, first) = (request.step, request.first);
+        let (step, first) = (request.step, request.first_task);
         let Some(state) = self.jobs.get(&first.job) else {
             return Placed::All;
         };
@@ -223,7 +223,7 @@
         for member in placed {
             pass.reopen(member.slot);
             self.unassign(&member);
-            pass.update_room(member.slot, &self.fleet);
+            pass.update_free_capacity(member.slot, &self.fleet);
         }
         Placed::Short
     }
@@ -241,7 +241,7 @@
         for &Member { beside, index } in members {
             let id = TaskId {
                 index,
-                ..request.first
+                ..request.first_task
             };
             let apart = match beside {
                 true => None,
@@ -260,7 +260,7 @@
             if apart.is_some() {
                 self.isolate(id, slot, pass);
             }
-            pass.update_room(slot, &self.fleet);
+            pass.update_free_capacity(slot, &self.fleet);
         }
         placed
     }
@@ -322,7 +322,7 @@
         ranking: &mut Option<Ranking>,
         pass: &mut Pass,
     ) -> Option<u32> {
-        if request.avoid.is_some() {
+        if request.failed_worker.is_some() {
             pass.count_ratings();
             let mut own = self.rank(request, pass);
             return self.best(&mut own, request, pass);
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -244,7 +244,7 @@
         let Some(task) = state.task_mut(id).filter(|t| t.last_run == number) else {
             return;
         };
-        let saved = task.saved_text();
+        let saved = task.checkpoint_text();
         let Some(run) = task.run.as_mut().filter(|r| r.stage == Stage::Planned) else {
             return;
         };
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -126,7 +126,7 @@
         let (run, crashes) = (task.last_run, task.crashes.count());
         log::info!(task = id.to_string().as_str(), run, worker = &**life, blame:?, crashes; "task: a worker crashed under it");
         if task.crashes.is_suspect() {
-            self.suspect(id);
+            self.add_suspect(id);
         }
         self.mark_dirty(id.job);
         self.give_up(id);
--- a/crates/jobs/src/runs/ends.rs
+++ b/crates/jobs/src/runs/ends.rs
@@ -143,14 +143,14 @@
         let job = state.job.clone();
         let step = &job.spec.steps[id.step as usize];
         if let Some(state) = state.step_mut(id.repetition, id.step) {
-            state.seen.note(ran);
+            state.observed_times.observe(ran);
         }
         if step.long_running || step.estimate == 0 {
             return;
         }
         self.estimates
             .or_default(&job.queue)
-            .note(step.estimate, ran);
+            .observe(step.estimate, ran);
     }
 
     fn failed(&mut self, slot: u32, id: TaskId, run: u32, is_final: bool) {
--- a/crates/jobs/src/runs/fleet.rs
+++ b/crates/jobs/src/runs/fleet.rs
@@ -8,7 +8,7 @@
         worker::{Worker, WorkerInfo},
     },
     settings::Settings,
-    sorted::Sorted,
+    sorted::SortedMap,
 };
 
 /// The workers by slot, one for each life; a slot is never used again.
@@ -16,7 +16,7 @@
 pub(crate) struct Fleet {
     pub(crate) workers: Vec<Worker>,
     /// The lives of each name.
-    pub(super) incarnations: Sorted<Arc<str>, Incarnations>,
+    pub(super) incarnations: SortedMap<Arc<str>, Incarnations>,
     /// When leases of an earlier owner are over everywhere.
     pub(super) prior_leases_end: u64,
     /// Workers that changed since they were last asked for.
@@ -36,7 +36,7 @@
     pub(crate) fn new(inherited: u64) -> Fleet {
         Fleet {
             workers: Vec::new(),
-            incarnations: Sorted::default(),
+            incarnations: SortedMap::default(),
             prior_leases_end: inherited,
             touched: Vec::new(),
             timers: BinaryHeap::new(),
--- a/crates/jobs/src/runs/log.rs
+++ b/crates/jobs/src/runs/log.rs
@@ -16,7 +16,7 @@
         ids::JobId,
         record::{Record, RecordError, TaskRecord},
     },
-    sorted::Sorted,
+    sorted::SortedMap,
 };
 
 /// Bytes of a row at most: the users' store takes 64 KB.
@@ -50,7 +50,7 @@
     first: RowNumber,
     bytes: usize,
     /// What earlier owners wrote of jobs that are not restored yet.
-    replayed: Sorted<JobId, Replayed>,
+    replayed: SortedMap<JobId, Replayed>,
 }
 
 impl Log {
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -94,11 +94,11 @@
         for _ in 0..50 {
             self.now += 5;
             let asked = self.now;
-            self.tell(Event::WorkersSynced { asked });
-            self.tell(Event::Renewed { asked });
+            self.tell(Event::WorkersSynced { asked_at: asked });
+            self.tell(Event::Renewed { asked_at: asked });
             for action in self.machine.decide(self.now, self.now) {
                 match action {
-                    Action::Commit(_) => self.tell(Event::Committed { asked }),
+                    Action::Commit(_) => self.tell(Event::Committed { asked_at: asked }),
                     Action::Poll { .. } => {}
                     action => self.sent.push(action),
                 }
--- a/crates/jobs/src/runs/unheard.rs
+++ b/crates/jobs/src/runs/unheard.rs
@@ -8,7 +8,7 @@
 
 impl Worker {
     /// Returns how many runs on it wait for its first word to this owner.
-    fn unheard(&self) -> usize {
+    fn unverified_runs(&self) -> usize {
         if self.clock.is_none() && !self.dead {
             self.runs.len()
         } else {
@@ -19,9 +19,9 @@
 
 impl Machine {
     /// Returns how many runs of earlier owners are on workers that were not heard yet.
-    pub(crate) fn unheard(&self) -> u64 {
+    pub(crate) fn unverified_runs(&self) -> u64 {
         let workers = self.fleet.workers.iter();
-        workers.map(|w| w.unheard() as u64).sum()
+        workers.map(|w| w.unverified_runs() as u64).sum()
     }
 
     /// Logs the workers that can't be asked after their runs, and for how long these wait.
@@ -30,7 +30,7 @@
             if worker.info.is_some() || worker.runs.is_empty() {
                 continue;
             }
-            let wait = worker.lapse().saturating_sub(self.now);
+            let wait = worker.leases_end().saturating_sub(self.now);
             log::warn!(worker = &*worker.name, runs = worker.runs.len(), wait_ms = wait; "worker: not listed, its runs wait");
         }
     }
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -34,14 +34,14 @@
     }
 
     /// Tells whether it has room for another one beside what is `used` of it.
-    pub(crate) fn holds(&self, used: Capacity, other: Capacity) -> bool {
+    pub(crate) fn has_room(&self, used: Capacity, other: Capacity) -> bool {
         self.cpu >= used.cpu + other.cpu
             && self.memory >= used.memory + other.memory
             && self.gpu >= used.gpu + other.gpu
     }
 
     /// Takes another one off; stops at zero.
-    pub(crate) fn free(&mut self, other: Capacity) {
+    pub(crate) fn subtract(&mut self, other: Capacity) {
         self.cpu -= other.cpu.min(self.cpu);
         self.memory -= other.memory.min(self.memory);
         self.gpu -= other.gpu.min(self.gpu);
@@ -244,7 +244,7 @@
     }
 
     /// Returns what share of its processors so many thousandths of a core are.
-    pub(crate) fn share(&self, cpu: u64) -> f64 {
+    pub(crate) fn cpu_share(&self, cpu: u64) -> f64 {
         cpu as f64 / self.capacity().cpu.max(1) as f64
     }
 
@@ -281,7 +281,7 @@
     }
 
     /// Returns when every lease that any owner granted here is over, on our clock.
-    pub(crate) fn lapse(&self) -> u64 {
+    pub(crate) fn leases_end(&self) -> u64 {
         let others = self.prior_leases_end.max(self.misdirected_lease_end);
         let Some((reading, at)) = self.clock else {
             return others;
@@ -314,7 +314,7 @@
         let missed = self.unanswered_poll.is_some_and(|at| now <= at + FRESH);
         let asked = self.silent_since.is_some() && missed;
         let unknown = self.info.is_none();
-        (asked || unknown) && now > self.lapse()
+        (asked || unknown) && now > self.leases_end()
     }
 
     /// Takes up room for a run of a step.
@@ -341,12 +341,12 @@
         };
         self.runs.remove(at);
         self.slack = None;
-        self.used.free(demand(step));
+        self.used.subtract(demand(step));
         self.best_effort_cpu -= filling(step).min(self.best_effort_cpu);
         self.serving_tasks -= u32::from(step.latency_target > 0).min(self.serving_tasks);
         if step.long_running {
             self.long_running_tasks -= self.long_running_tasks.min(1);
-            self.long_running_size.free(demand(step));
+            self.long_running_size.subtract(demand(step));
         }
         self.serving_cpu -= serving(step).min(self.serving_cpu);
         self.spare_cpu -= unused_cpu(step).min(self.spare_cpu);
@@ -367,7 +367,7 @@
                 continue;
             }
             let stray = self.orphans.remove(at);
-            self.used.free(stray.size);
+            self.used.subtract(stray.size);
         }
     }
 }
--- a/crates/jobs/src/share/fit.rs
+++ b/crates/jobs/src/share/fit.rs
@@ -102,7 +102,7 @@
     }
 
     /// Learns from how headrooms differ from the one that is foreseen of their step.
-    pub(crate) fn add_foreseen(&mut self, samples: &[Sample], base: f64) {
+    pub(crate) fn add_with_forecast(&mut self, samples: &[Sample], base: f64) {
         self.grow(images(samples));
         for sample in samples {
             self.note(sample, base);
@@ -159,7 +159,7 @@
     }
 
     /// Takes over what was known of a filling image, as if it had been seen alone.
-    pub(crate) fn recall(&mut self, pair: &PairWeight) {
+    pub(crate) fn restore(&mut self, pair: &PairWeight) {
         let at = pair.fill as usize;
         self.grow(at + 1);
         let (weight, seen) = (f64::from(pair.weight), f64::from(pair.seen));
--- a/crates/jobs/src/share/foresee.rs
+++ b/crates/jobs/src/share/foresee.rs
@@ -51,7 +51,7 @@
             }
             // Nobody would use its curve.
             if !known && season.is_full() {
-                step.headroom.foresee(None);
+                step.headroom.set_forecast(None);
                 continue;
             }
             let group = StepKey {
@@ -61,7 +61,7 @@
             };
             let curve = step.history.fit(&season.prior, now).curve;
             season.expect(group, &curve, step.headroom.now(), now);
-            step.headroom.foresee(known.then(|| HeadroomForecast {
+            step.headroom.set_forecast(known.then(|| HeadroomForecast {
                 now: curve.expected(now + NEXT),
                 soon: curve.least(now, SOON),
                 later: curve.least(now, LATER),
--- a/crates/jobs/src/share/headroom.rs
+++ b/crates/jobs/src/share/headroom.rs
@@ -91,12 +91,12 @@
     }
 
     /// Takes what a curve foresees; nothing if curves don't.
-    pub(crate) fn foresee(&mut self, foreseen: Option<HeadroomForecast>) {
+    pub(crate) fn set_forecast(&mut self, foreseen: Option<HeadroomForecast>) {
         self.foreseen = foreseen;
     }
 
     /// Returns what was foreseen of it for the last half second, if a curve did.
-    pub(crate) fn foreseen_now(&self) -> Option<f64> {
+    pub(crate) fn forecast_now(&self) -> Option<f64> {
         self.foreseen.map(|f| f.now)
     }
 
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -81,14 +81,14 @@
                 log::warn!(fill = pair.fill, serve = pair.serve; "learned: a pair without names");
                 continue;
             };
-            self.interference.recall(&PairWeight {
+            self.interference.restore(&PairWeight {
                 fill,
                 serve,
                 ..*pair
             });
         }
         if let Some(usual) = learned.usual {
-            self.seasonality.recall(usual);
+            self.seasonality.restore(usual);
         }
         for kept in &learned.queues {
             self.estimates
--- a/crates/jobs/src/share/pace.rs
+++ b/crates/jobs/src/share/pace.rs
@@ -76,7 +76,7 @@
     pub(crate) fn choose_paces(&mut self, slot: u32) {
         let (served, fillers) = self.colocated_runs(slot);
         let mut paces = vec![100; fillers.len()];
-        for s in served.iter().filter(|s| !s.is_own) {
+        for s in served.iter().filter(|s| !s.is_own_overload) {
             self.protect(s, &fillers, &mut paces);
         }
         for (filler, pace) in fillers.iter().zip(paces) {
@@ -112,7 +112,7 @@
     pub(crate) fn escalate(&mut self, slot: u32) {
         let (served, fillers) = self.colocated_runs(slot);
         for filler in &fillers {
-            let bounding = served.iter().filter(|s| !s.is_own);
+            let bounding = served.iter().filter(|s| !s.is_own_overload);
             let most = bounding.map(|s| {
                 let harms = self.interference.interferes(filler.image, s.image);
                 let (harmful, others) = s.caps();
--- a/crates/jobs/src/share/pairs.rs
+++ b/crates/jobs/src/share/pairs.rs
@@ -24,7 +24,7 @@
         learned::PairWeight,
         sample::{Image, Pressure, Sample, StepKey},
     },
-    sorted::Sorted,
+    sorted::SortedMap,
 };
 
 /// What takes less than this of headroom with all processors of a worker does not
@@ -53,7 +53,7 @@
 /// What filling images take from serving ones, by pair.
 #[derive(Debug, Default)]
 pub(crate) struct Interference {
-    fits: Sorted<Image, Fit>,
+    fits: SortedMap<Image, Fit>,
     /// What was not learned from yet.
     samples: Vec<Sample>,
 }
@@ -87,8 +87,8 @@
     }
 
     /// Takes over what an earlier owner knew of a pair.
-    pub(crate) fn recall(&mut self, pair: &PairWeight) {
-        self.fits.or_default(&pair.serve).recall(pair);
+    pub(crate) fn restore(&mut self, pair: &PairWeight) {
+        self.fits.or_default(&pair.serve).restore(pair);
     }
 
     /// Returns the headroom that what fills takes from a serving image.
@@ -137,7 +137,7 @@
                 trust: fit.trust(samples),
             });
             if let Some(expected) = foreseen(samples[0].group) {
-                fit.add_foreseen(samples, expected);
+                fit.add_with_forecast(samples, expected);
                 continue;
             }
             if samples.len() >= ENOUGH {
--- a/crates/jobs/src/share/season.rs
+++ b/crates/jobs/src/share/season.rs
@@ -125,7 +125,7 @@
     }
 
     /// Takes over what an earlier owner found usual.
-    pub(crate) fn recall(&mut self, usual: Prior) {
+    pub(crate) fn restore(&mut self, usual: Prior) {
         self.prior = usual;
         self.judged = 2.0 * JUDGED;
         self.errors = Errors {
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -30,7 +30,7 @@
     /// For how long it is over its target, in milliseconds.
     pub(crate) over: u64,
     /// Whether that is by its own load, and something may fill for now.
-    pub(crate) is_own: bool,
+    pub(crate) is_own_overload: bool,
 }
 
 /// A filling run on a worker.
@@ -50,7 +50,7 @@
     /// Image and the headroom that is left to it.
     rows: Vec<(Image, f64)>,
     /// Whether a tail is over its target; nothing may begin to fill then.
-    pub(crate) over: bool,
+    pub(crate) is_over_target: bool,
 }
 
 impl Slack {
@@ -93,14 +93,14 @@
                     image,
                     headroom: runs.headroom,
                     over: run.over_since.map_or(0, |since| (self.now - since).max(1)),
-                    is_own: run.over_since.is_some()
+                    is_own_overload: run.over_since.is_some()
                         && worker.own_load.may_run_best_effort(self.now),
                 });
             } else if step.best_effort {
                 fillers.push(BestEffortRun {
                     task,
                     image,
-                    share: worker.share(step.cpu),
+                    share: worker.cpu_share(step.cpu),
                     pace: run.wanted_pace,
                 });
             }
@@ -123,7 +123,7 @@
         let (served, fillers) = self.colocated_runs(slot);
         let mut slack = Slack::default();
         for s in &served {
-            slack.over |= s.over > 0;
+            slack.is_over_target |= s.over > 0;
             // A load that was high a while ago comes back while the task runs.
             let left = s.headroom.later() - MIN_HEADROOM - self.taken(&fillers, s.image);
             match slack.rows.iter_mut().find(|r| r.0 == s.image) {
--- a/crates/jobs/src/share/watch.rs
+++ b/crates/jobs/src/share/watch.rs
@@ -50,7 +50,7 @@
                 continue;
             };
             let Some(ms) = row.metric.filter(|f| *f > 0) else {
-                run.note_no_tail();
+                run.record_no_latency();
                 over |= run.over_since.is_some();
                 continue;
             };
@@ -63,7 +63,7 @@
             is_above |= share >= 1.0;
             self.interference.note(group, image, 1.0 / share, &press);
             let worst = lowest - self.interference.taken(image, &press);
-            run.note_tail(share, worst, now);
+            run.record_latency(share, worst, now);
             over |= run.over_since.is_some();
         }
         let worker = self.fleet.get_mut(slot);
@@ -97,7 +97,7 @@
         let jobs = &self.jobs;
         let foreseen = |group: StepKey| {
             let step = jobs.get(&group.job)?.step(group.time, group.step)?;
-            step.headroom.foreseen_now()
+            step.headroom.forecast_now()
         };
         for base in self.interference.fit(foreseen) {
             let group = base.group;
@@ -159,7 +159,7 @@
                 continue;
             }
             let image = state.images[task.step as usize];
-            let share = self.fleet.get(slot).share(figure.unwrap_or(step.cpu));
+            let share = self.fleet.get(slot).cpu_share(figure.unwrap_or(step.cpu));
             match out.iter_mut().find(|p| p.image == image) {
                 Some(p) => p.share += share,
                 None => out.push(Pressure { image, share }),
--- a/crates/jobs/src/sorted.rs
+++ b/crates/jobs/src/sorted.rs
@@ -5,21 +5,21 @@
 /// The keys lie side by side: a search among thousands of large entries touches a few
 /// lines of memory only.
 #[derive(Debug, Clone)]
-pub struct Sorted<K, V> {
+pub struct SortedMap<K, V> {
     keys: Vec<K>,
     values: Vec<V>,
 }
 
-impl<K: Ord, V> Default for Sorted<K, V> {
-    fn default() -> Sorted<K, V> {
-        Sorted {
+impl<K: Ord, V> Default for SortedMap<K, V> {
+    fn default() -> SortedMap<K, V> {
+        SortedMap {
             keys: Vec::new(),
             values: Vec::new(),
         }
     }
 }
 
-impl<K: Ord, V> Sorted<K, V> {
+impl<K: Ord, V> SortedMap<K, V> {
     /// Returns the entry of a key.
     pub fn get<Q: Ord + ?Sized>(&self, key: &Q) -> Option<&V>
     where
--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -151,7 +151,7 @@
     let over = world.lease_end();
     world.run(5000);
     // The answer to what was asked five seconds ago is read only now.
-    world.tell(Event::Renewed { asked });
+    world.tell(Event::Renewed { asked_at: asked });
     world.run(9000);
     assert!(world.workers[0].deadline <= world.workers[0].clock(over));
 }
@@ -183,8 +183,8 @@
     world.run(late);
     // Only the record is late: what the workers announce is known.
     let now = world.now;
-    world.tell(Event::WorkersSynced { asked: now });
-    world.tell(Event::Committed { asked });
+    world.tell(Event::WorkersSynced { asked_at: now });
+    world.tell(Event::Committed { asked_at: asked });
     world.run(300);
     assert_eq!(world.workers[0].runs.len(), 2, "nothing was started");
     assert!(world.workers[0].deadline <= world.workers[0].clock(over));
@@ -200,7 +200,7 @@
     let asked = world.now;
     world.submit(1, chain(vec![short(2, 60_000)]));
     world.run(late);
-    world.tell(Event::Committed { asked });
+    world.tell(Event::Committed { asked_at: asked });
     world.run(300);
     assert_eq!(world.figures().starts, 0);
 }
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -423,7 +423,7 @@
             let asked = due - self.write;
             owner
                 .machine
-                .handle(at_owner, now, Event::Committed { asked });
+                .handle(at_owner, now, Event::Committed { asked_at: asked });
         }
         if owner.epoch < epoch {
             // The journal's end has moved: its next write fails.
@@ -433,14 +433,14 @@
         if now.is_multiple_of(400) {
             owner
                 .machine
-                .handle(at_owner, now, Event::Renewed { asked: at_owner });
+                .handle(at_owner, now, Event::Renewed { asked_at: at_owner });
             self.renewed = now;
         }
         let owner = &mut self.owners[at];
         if !self.unheard {
             owner
                 .machine
-                .handle(at_owner, now, Event::WorkersSynced { asked: at_owner });
+                .handle(at_owner, now, Event::WorkersSynced { asked_at: at_owner });
         }
         let Some((due, batch)) = owner.commit.take_if(|(due, _)| *due <= now) else {
             return;
@@ -450,7 +450,7 @@
         let asked = due - self.write;
         owner
             .machine
-            .handle(at_owner, now, Event::Committed { asked });
+            .handle(at_owner, now, Event::Committed { asked_at: asked });
     }
 
     fn settle(&mut self, at: usize) {
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -93,8 +93,8 @@
         while self.now < end {
             self.now += 5;
             let asked = self.now;
-            self.tell(Event::WorkersSynced { asked });
-            self.tell(Event::Renewed { asked });
+            self.tell(Event::WorkersSynced { asked_at: asked });
+            self.tell(Event::Renewed { asked_at: asked });
             for action in self.machine.decide(self.now, self.now) {
                 self.act(action);
             }
@@ -104,7 +104,7 @@
     fn act(&mut self, action: Action) {
         let sent = self.now;
         let (worker, answer) = match action {
-            Action::Commit(_) => return self.tell(Event::Committed { asked: sent }),
+            Action::Commit(_) => return self.tell(Event::Committed { asked_at: sent }),
             Action::StepDown => panic!("there is no other owner"),
             Action::Poll {
                 worker, observed, ..
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -74,7 +74,7 @@
             latency: 250,
         }]));
         owner.tell(Event::Worker(info("w")));
-        owner.tell(Event::WorkersSynced { asked: NOW });
+        owner.tell(Event::WorkersSynced { asked_at: NOW });
         for job in jobs {
             owner.tell(Event::Accepted(job.clone()));
         }
@@ -90,8 +90,8 @@
         let end = self.now + ms;
         while self.now < end {
             self.now += 50;
-            self.tell(Event::WorkersSynced { asked: self.now });
-            self.tell(Event::Renewed { asked: self.now });
+            self.tell(Event::WorkersSynced { asked_at: self.now });
+            self.tell(Event::Renewed { asked_at: self.now });
             for action in self.machine.decide(self.now, self.now) {
                 self.act(action);
             }
@@ -106,7 +106,7 @@
                 self.commits -= 1;
                 self.logged += batch.log.iter().map(Vec::len).sum::<usize>();
                 self.ledger.apply(batch);
-                return self.tell(Event::Committed { asked: sent });
+                return self.tell(Event::Committed { asked_at: sent });
             }
             Action::Start(worker, order) => {
                 self.running.push(ReportedRun {
--- a/crates/jobs/tests/all/records/play.rs
+++ b/crates/jobs/tests/all/records/play.rs
@@ -114,8 +114,8 @@
             self.deliver(parcel);
         }
         let asked = self.now;
-        self.tell(Event::WorkersSynced { asked });
-        self.tell(Event::Renewed { asked });
+        self.tell(Event::WorkersSynced { asked_at: asked });
+        self.tell(Event::Renewed { asked_at: asked });
         for action in self.machine.decide(self.now, self.now) {
             self.act(action);
         }
@@ -185,7 +185,7 @@
                     return self.take_over();
                 }
                 let asked = self.now;
-                self.tell(Event::Committed { asked });
+                self.tell(Event::Committed { asked_at: asked });
             }
             Parcel::Answer(..) | Parcel::Batch(..) => {}
         }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -140,7 +140,7 @@
                 return Response::new(400, Vec::new());
             }
         };
-        if let Err(err) = spec.check() {
+        if let Err(err) = spec.validate() {
             log::info!(job = id.to_string().as_str(), err = err.to_string().as_str(); "front: job refused");
             return Response::new(400, Vec::new());
         }
--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -88,7 +88,7 @@
 /// somebody else's row may name any number of tasks.
 pub(crate) fn read_job(shared: &Shared, row: &Row) -> Option<Job> {
     let job = decode::<Job>("job", &row.value);
-    let job = job.filter(|j| j.spec.check().is_ok() && j.id.to_string() == row.key);
+    let job = job.filter(|j| j.spec.validate().is_ok() && j.id.to_string() == row.key);
     if job.is_none() {
         shared.metrics.count(Count::BadRows);
         log::error!(key = row.key.as_str(); "jobs: not a job's row");
@@ -132,7 +132,7 @@
                     take_workers(shared, &mut follow, &c.rows, &mut events);
                     follow.version = Some(c.version);
                     if c.whole {
-                        events.push(Event::WorkersSynced { asked });
+                        events.push(Event::WorkersSynced { asked_at: asked });
                     }
                     pause_after(&c)
                 })
@@ -179,7 +179,7 @@
     follow.keys.clear();
     take_workers(shared, follow, rows, events);
     events.push(Event::WorkersSynced {
-        asked: listing.asked,
+        asked_at: listing.asked,
     });
     follow.version = Some(listing.page.version);
 }
--- a/crates/node/src/owner/load.rs
+++ b/crates/node/src/owner/load.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use gorsespur_jobs::{Event, JobId, Learned, Machine, Record, Sorted};
+use gorsespur_jobs::{Event, JobId, Learned, Machine, Record, SortedMap};
 use gorsespur_runtime::clock::wall_ms;
 
 use super::{
@@ -34,7 +34,7 @@
     if let Some(learned) = learned(shared) {
         machine.import_learned(&learned);
     }
-    let mut records: Sorted<String, Record> = Sorted::default();
+    let mut records: SortedMap<String, Record> = SortedMap::default();
     let mut unknown: Vec<String> = Vec::new();
     // No other owner writes records or the log any more: they fit each other, whichever was read
     // first.
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -206,8 +206,8 @@
                 }
                 Told::Durable(Written { asked, batch }) => {
                     let event = match batch {
-                        true => Event::Committed { asked },
-                        false => Event::Renewed { asked },
+                        true => Event::Committed { asked_at: asked },
+                        false => Event::Renewed { asked_at: asked },
                     };
                     self.machine.handle(now, wall_ms(), event);
                 }
