--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -29,7 +29,6 @@
 mod action;
 mod drive;
 mod event;
-mod figures;
 mod machine;
 mod model;
 mod order;
@@ -37,13 +36,13 @@
 mod runs;
 mod settings;
 mod share;
-mod sorted;
+mod sorted_map;
+mod stats;
 mod summary;
 mod takeover;
 
 pub use action::{Action, Batch, StartOrder};
 pub use event::{Answer, Ending, Event, ReportedRun, RunEnd, Started, Stopped, WorkerReport};
-pub use figures::Stats;
 pub use machine::Machine;
 pub use model::{
     ids::{IdError, JobId, TaskId},
@@ -54,5 +53,6 @@
 pub use runs::worker::{Capacity, WorkerInfo};
 pub use settings::{Settings, lease_upper_bound};
 pub use share::learned::Learned;
-pub use sorted::SortedMap;
+pub use sorted_map::SortedMap;
+pub use stats::Stats;
 pub use takeover::Takeover;
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -5,7 +5,6 @@
 use crate::{
     action::Action,
     event::{Answer, Event},
-    figures::Stats,
     model::{
         ids::{JobId, TaskId},
         job::JobState,
@@ -13,12 +12,13 @@
         record::{Outcome, Record, RecordError},
         spec::Job,
     },
-    order::times::EstimateModel,
-    place::{aging::Aging, hold::Reservation, window::StartWindow},
+    order::estimates::EstimateModel,
+    place::{aging::Aging, reservation::Reservation, start_window::StartWindow},
     runs::{fleet::Fleet, log::Log},
     settings::Settings,
-    share::{pairs::Interference, sample::Image, season::Seasonality},
-    sorted::SortedMap,
+    share::{interference::Interference, sample::Image, seasonality::Seasonality},
+    sorted_map::SortedMap,
+    stats::Stats,
     takeover::Takeover,
 };
 
--- a/crates/jobs/src/model/changes.rs
+++ b/crates/jobs/src/model/changes.rs
@@ -10,7 +10,7 @@
         ids::JobId,
         record::{DecodeSnafu, Record, RecordError, TaskRecord},
     },
-    sorted::SortedMap,
+    sorted_map::SortedMap,
 };
 
 /// Number of a row of the log; it only grows while one owner writes.
--- a/crates/jobs/src/model/life_tests.rs
+++ b/crates/jobs/src/model/incarnation_tests.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::life::Incarnation;
+use super::incarnation::Incarnation;
 
 fn life(id: &str, born: Option<u64>) -> Incarnation {
     Incarnation {
--- a/crates/jobs/src/model/job.rs
+++ b/crates/jobs/src/model/job.rs
@@ -12,7 +12,7 @@
         step::StepState,
         task::{Run, Stage, Task},
     },
-    order::times::EstimateModel,
+    order::estimates::EstimateModel,
     share::sample::Image,
 };
 
--- a/crates/jobs/src/model/mod.rs
+++ b/crates/jobs/src/model/mod.rs
@@ -9,10 +9,10 @@
 #[cfg(test)]
 mod crash_tests;
 pub(crate) mod ids;
-pub(crate) mod job;
-pub(crate) mod life;
+pub(crate) mod incarnation;
 #[cfg(test)]
-mod life_tests;
+mod incarnation_tests;
+pub(crate) mod job;
 pub(crate) mod policy;
 pub(crate) mod record;
 pub(crate) mod spec;
--- a/crates/jobs/src/model/step.rs
+++ b/crates/jobs/src/model/step.rs
@@ -8,7 +8,7 @@
         checkpoint::Origin,
         task::{Run, Stage, Task},
     },
-    order::times::{EstimateModel, ObservedTimes},
+    order::estimates::{EstimateModel, ObservedTimes},
     share::{forecast::History, headroom::Headroom},
 };
 
--- a/crates/jobs/src/order/times_tests.rs
+++ b/crates/jobs/src/order/estimates_tests.rs
@@ -2,7 +2,7 @@
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use crate::order::times::{EstimateModel, ObservedTimes};
+use crate::order::estimates::{EstimateModel, ObservedTimes};
 
 /// Milliseconds that a task usually takes.
 const USUAL: f64 = 1700.0;
--- a/crates/jobs/src/order/mod.rs
+++ b/crates/jobs/src/order/mod.rs
@@ -9,7 +9,7 @@
 //! Limits: what is left of a job is worked out ten times a second, since placement goes
 //! through all open jobs up to fifty times a second and objectives are a second and more.
 
-pub(crate) mod standing;
-pub(crate) mod times;
+pub(crate) mod estimates;
 #[cfg(test)]
-mod times_tests;
+mod estimates_tests;
+pub(crate) mod standing;
--- a/crates/jobs/src/order/standing.rs
+++ b/crates/jobs/src/order/standing.rs
@@ -8,7 +8,7 @@
         policy::QueuePolicy,
         record::Outcome,
     },
-    order::times::EstimateModel,
+    order::estimates::EstimateModel,
 };
 
 /// A lasting task that has waited for this long goes before all others, and a worker
--- a/crates/jobs/src/place/mod.rs
+++ b/crates/jobs/src/place/mod.rs
@@ -10,16 +10,16 @@
 //! no pass holds up renewals; passes are paced by the number of open jobs.
 
 pub(crate) mod aging;
-mod apart;
-pub(crate) mod hold;
-pub(crate) mod misfit;
+pub(crate) mod free_capacity;
+mod isolation;
 pub(crate) mod pass;
 pub(crate) mod rank;
 pub(crate) mod refusal;
 pub(crate) mod request;
-pub(crate) mod room;
-mod starving;
-mod tasks;
-pub(crate) mod window;
+pub(crate) mod reservation;
+pub(crate) mod start_window;
 #[cfg(test)]
-mod window_tests;
+mod start_window_tests;
+mod starvation;
+mod tasks;
+pub(crate) mod unplaceable;
--- a/crates/jobs/src/place/pass.rs
+++ b/crates/jobs/src/place/pass.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::{
-    place::{hold::Reservation, misfit::Unplaceable, room::FreeCapacity},
+    place::{free_capacity::FreeCapacity, reservation::Reservation, unplaceable::Unplaceable},
     runs::{fleet::Fleet, worker::Capacity},
 };
 
--- a/crates/jobs/src/place/window_tests.rs
+++ b/crates/jobs/src/place/start_window_tests.rs
@@ -1,6 +1,6 @@
 //! When starts are held back.
 
-use super::window::StartWindow;
+use super::start_window::StartWindow;
 
 fn answered(window: &mut StartWindow, count: u32, ms: u64) {
     for _ in 0..count {
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -8,10 +8,10 @@
         task::{Run, Stage},
     },
     place::{
-        misfit::Unplaceable,
         pass::{Coverage, Pass},
         rank::Ranking,
         request::Request,
+        unplaceable::Unplaceable,
     },
 };
 
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -11,7 +11,7 @@
     },
     runs::{
         log::{Appender, TASK_BYTES},
-        look::IDLE_POLL_WAIT_MS,
+        poll::IDLE_POLL_WAIT_MS,
     },
 };
 
--- a/crates/jobs/src/runs/fleet.rs
+++ b/crates/jobs/src/runs/fleet.rs
@@ -4,11 +4,11 @@
 
 use crate::{
     runs::{
-        lives::Incarnations,
+        incarnations::Incarnations,
         worker::{Worker, WorkerInfo},
     },
     settings::Settings,
-    sorted::SortedMap,
+    sorted_map::SortedMap,
 };
 
 /// The workers by slot, one for each life; a slot is never used again.
--- a/crates/jobs/src/runs/lives.rs
+++ b/crates/jobs/src/runs/incarnations.rs
@@ -16,7 +16,7 @@
 use std::{collections::VecDeque, sync::Arc};
 
 use crate::{
-    model::life::Incarnation,
+    model::incarnation::Incarnation,
     runs::{
         fleet::Fleet,
         worker::{Worker, WorkerInfo},
--- a/crates/jobs/src/runs/lives_tests.rs
+++ b/crates/jobs/src/runs/incarnations_tests.rs
@@ -4,7 +4,7 @@
 
 use super::{
     fleet::Fleet,
-    lives::Attribution,
+    incarnations::Attribution,
     worker::{Capacity, WorkerInfo},
 };
 use crate::settings::Settings;
--- a/crates/jobs/src/runs/log.rs
+++ b/crates/jobs/src/runs/log.rs
@@ -16,7 +16,7 @@
         ids::JobId,
         record::{Record, RecordError, TaskRecord},
     },
-    sorted::SortedMap,
+    sorted_map::SortedMap,
 };
 
 /// Bytes of a row at most: the users' store takes 64 KB.
--- a/crates/jobs/src/runs/listed.rs
+++ b/crates/jobs/src/runs/reported.rs
@@ -10,7 +10,7 @@
         task::{Run, Stage},
     },
     runs::{
-        stray::Orphan,
+        orphan::Orphan,
         worker::{Capacity, demand},
     },
 };
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -3,10 +3,10 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use crate::{
-    model::{ids::TaskId, life::Incarnation, spec::Step},
-    runs::{loose::LateStart, stray::Orphan},
+    model::{ids::TaskId, incarnation::Incarnation, spec::Step},
+    runs::{late_start::LateStart, orphan::Orphan},
     settings::{Settings, lease_upper_bound},
-    share::{own_load::OwnLoad, slack::Slack, spare::unused_cpu},
+    share::{own_load::OwnLoad, slack::Slack, spare_cpu::unused_cpu},
 };
 
 /// A look without an answer tells something for this long after it was sent, in
--- a/crates/jobs/src/share/foresee.rs
+++ b/crates/jobs/src/share/foresee.rs
@@ -8,7 +8,9 @@
 use crate::{
     machine::Machine,
     model::{ids::JobId, job::JobState},
-    share::{forecast::History, headroom::HeadroomForecast, sample::StepKey, season::Seasonality},
+    share::{
+        forecast::History, headroom::HeadroomForecast, sample::StepKey, seasonality::Seasonality,
+    },
 };
 
 /// Milliseconds until a pace that is chosen now is replaced and that takes effect.
--- a/crates/jobs/src/share/pairs.rs
+++ b/crates/jobs/src/share/interference.rs
@@ -24,7 +24,7 @@
         learned::PairWeight,
         sample::{Image, Pressure, Sample, StepKey},
     },
-    sorted::SortedMap,
+    sorted_map::SortedMap,
 };
 
 /// What takes less than this of headroom with all processors of a worker does not
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     machine::Machine,
-    order::times::EstimateModel,
+    order::estimates::EstimateModel,
     share::{forecast::Prior, sample::Image},
 };
 
--- a/crates/jobs/src/share/season_tests.rs
+++ b/crates/jobs/src/share/seasonality_tests.rs
@@ -10,7 +10,7 @@
     share::{
         forecast::{History, Point},
         sample::StepKey,
-        season::Seasonality,
+        seasonality::Seasonality,
     },
 };
 
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -6,7 +6,7 @@
     share::{
         fit::INITIAL_WEIGHT,
         headroom::{Headroom, MIN_HEADROOM},
-        pairs::is_interfering,
+        interference::is_interfering,
         sample::Image,
     },
 };
