--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -156,10 +156,11 @@
                     gpu: 0,
                 },
                 ready: true,
-                remaining: 0,
+                remaining_ms: 0,
             };
             self.workers.push(Worker::default());
-            self.machine.handle(self.now, self.now, Event::Worker(info));
+            self.machine
+                .handle(self.now, self.now, Event::WorkerUpdated(info));
         }
     }
 
@@ -172,7 +173,7 @@
 
     /// Returns how many jobs of a queue have not begun.
     pub fn pending(&self, queue: &str) -> u64 {
-        let pending = self.machine.pending();
+        let pending = self.machine.pending_jobs();
         let found = pending.iter().find(|(q, _)| **q == *queue);
         found.map_or(0, |(_, count)| *count)
     }
@@ -194,9 +195,9 @@
 
     /// What waits.
     pub fn backlog(&self) -> String {
-        let pending = self.machine.pending();
+        let pending = self.machine.pending_jobs();
         let figures = self.machine.stats();
-        let (open, passes, cut) = (figures.open, figures.passes, figures.truncated_passes);
+        let (open, passes, cut) = (figures.open_jobs, figures.passes, figures.truncated_passes);
         format!("{open} open, waiting {pending:?}, {cut} of {passes} passes cut")
     }
 
@@ -259,7 +260,7 @@
             queue: queue.into(),
             accepted: 0,
             spec: Arc::new(Spec {
-                text: "work".into(),
+                payload: "work".into(),
                 steps,
                 ..Spec::default()
             }),
--- a/crates/jobs/src/action.rs
+++ b/crates/jobs/src/action.rs
@@ -28,15 +28,15 @@
     /// Records of jobs, in place of those that were written before.
     pub records: Vec<(JobId, Vec<u8>)>,
     /// Rows that are appended to the log.
-    pub log: Vec<Vec<u8>>,
+    pub appended_rows: Vec<Vec<u8>>,
     /// How many of the log's oldest rows are dropped.
-    pub dropped: usize,
+    pub dropped_rows: usize,
 }
 
 impl Batch {
     /// Tells whether there is nothing to be made durable.
     pub fn is_empty(&self) -> bool {
-        self.records.is_empty() && self.log.is_empty() && self.dropped == 0
+        self.records.is_empty() && self.appended_rows.is_empty() && self.dropped_rows == 0
     }
 }
 
--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -42,7 +42,7 @@
             self.placed_at = self.now;
             self.stats.passes += 1;
             // What a cut pass has left is placed by the next one.
-            self.placement_due = self.place() == Coverage::Partial;
+            self.placement_due = self.place_tasks() == Coverage::Partial;
         }
         self.commit();
         self.send_looks();
@@ -94,7 +94,7 @@
             let (Some(since), Some(info)) = (worker.leaving_since, worker.info.as_ref()) else {
                 continue;
             };
-            let end = since + info.remaining;
+            let end = since + info.remaining_ms;
             if worker.runs.is_empty() || worker.dead {
                 continue;
             }
--- a/crates/jobs/src/event.rs
+++ b/crates/jobs/src/event.rs
@@ -142,7 +142,7 @@
     /// A caller cancelled a job.
     Cancelled(JobId),
     /// A worker announced itself or changed.
-    Worker(WorkerInfo),
+    WorkerUpdated(WorkerInfo),
     /// A worker's announcement is gone, or can't be read.
     WorkerRemoved(Arc<str>),
     /// All announcements that there were at a time have been told.
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -142,7 +142,7 @@
     /// Returns the record of a job, brought up to date by the log; nothing if earlier owners wrote
     /// nothing of it.
     pub fn current_record(&self, id: JobId, record: Option<Record>) -> Option<Record> {
-        self.log.recorded(id, record)
+        self.log.current_record(id, record)
     }
 
     /// Takes over a job that earlier owners wrote of, with its record as
@@ -198,7 +198,7 @@
         match event {
             Event::Accepted(job) => self.accepted(job),
             Event::Cancelled(job) => self.cancelled(job),
-            Event::Worker(info) => self.placement_due |= self.fleet.register(info, self.now),
+            Event::WorkerUpdated(info) => self.placement_due |= self.fleet.register(info, self.now),
             Event::Evacuated(zones) => {
                 self.fleet.evacuate(zones);
                 self.placement_due = true;
@@ -233,16 +233,16 @@
     /// Returns the figures.
     pub fn stats(&self) -> Stats {
         Stats {
-            open: self.open_jobs.len() as u64,
+            open_jobs: self.open_jobs.len() as u64,
             tasks: self.jobs.iter().map(|(_, j)| j.task_count()).sum(),
-            workers_age: self.fleet.age(self.now),
+            workers_age_ms: self.fleet.age(self.now),
             unverified_runs: self.unverified_runs(),
             ..self.stats
         }
     }
 
     /// Returns the number of jobs of each queue none of whose tasks has begun.
-    pub fn pending(&self) -> Vec<(Arc<str>, u64)> {
+    pub fn pending_jobs(&self) -> Vec<(Arc<str>, u64)> {
         let mut counts: SortedMap<Arc<str>, u64> = SortedMap::default();
         for id in &self.open_jobs {
             let Some(state) = self.jobs.get(id) else {
@@ -258,7 +258,7 @@
     }
 
     /// Returns where a worker listens, and its name.
-    pub fn worker(&self, slot: u32) -> Option<(std::net::SocketAddr, Arc<str>)> {
+    pub fn worker_address(&self, slot: u32) -> Option<(std::net::SocketAddr, Arc<str>)> {
         let worker = self.fleet.workers.get(slot as usize)?;
         worker.info.as_ref().map(|i| (i.addr, worker.id.clone()))
     }
--- a/crates/jobs/src/model/changes.rs
+++ b/crates/jobs/src/model/changes.rs
@@ -55,7 +55,7 @@
 
 impl Replayed {
     /// Takes the next changes.
-    pub(crate) fn take(&mut self, number: RowNumber, changes: Changes) {
+    pub(crate) fn apply(&mut self, number: RowNumber, changes: Changes) {
         for step in changes.steps {
             self.steps.insert(step, number);
         }
@@ -65,7 +65,7 @@
     }
 
     /// Brings a record up to date.
-    pub(crate) fn update(&self, record: &mut Record) {
+    pub(crate) fn apply_to(&self, record: &mut Record) {
         for (&step, _) in self.steps.iter() {
             if let Err(at) = record.steps.binary_search(&step) {
                 record.steps.insert(at, step);
--- a/crates/jobs/src/model/crash.rs
+++ b/crates/jobs/src/model/crash.rs
@@ -64,7 +64,7 @@
     }
 
     /// Takes note of a crash; a worker's life counts once.
-    pub(crate) fn note(&mut self, worker: &Arc<str>, blame: Blame) {
+    pub(crate) fn add(&mut self, worker: &Arc<str>, blame: Blame) {
         let Err(at) = self.list.binary_search_by(|c| c.worker.cmp(worker)) else {
             return;
         };
@@ -73,7 +73,7 @@
     }
 
     /// Takes back that a worker crashed.
-    pub(crate) fn forget(&mut self, worker: &Arc<str>) {
+    pub(crate) fn remove(&mut self, worker: &Arc<str>) {
         self.list.retain(|c| c.worker != *worker);
     }
 
--- a/crates/jobs/src/model/crash_tests.rs
+++ b/crates/jobs/src/model/crash_tests.rs
@@ -10,7 +10,7 @@
 fn crashes(blames: &[Blame]) -> Crashes {
     let mut out = Crashes::default();
     for (at, &blame) in blames.iter().enumerate() {
-        out.note(&format!("w{at}").into(), blame);
+        out.add(&format!("w{at}").into(), blame);
     }
     out
 }
@@ -18,12 +18,12 @@
 #[test]
 fn a_life_of_a_worker_counts_once() {
     let mut some = crashes(&[Blame::Own, Blame::Own]);
-    some.note(&"w0".into(), Blame::Own);
+    some.add(&"w0".into(), Blame::Own);
     assert_eq!(some.count(), 2);
     assert!(!some.is_proven_cause());
-    some.note(&"w9".into(), Blame::Shared);
+    some.add(&"w9".into(), Blame::Shared);
     assert!(!some.is_proven_cause());
-    some.note(&"w8".into(), Blame::Close);
+    some.add(&"w8".into(), Blame::Close);
     assert!(some.is_proven_cause());
 }
 
--- a/crates/jobs/src/model/job.rs
+++ b/crates/jobs/src/model/job.rs
@@ -90,7 +90,7 @@
         while (self.repetitions.len() as u32) < spec.repetitions() {
             let schedule = spec.schedule;
             let due = schedule.first + self.repetitions.len() as u64 * schedule.interval;
-            if schedule.times > 0 && wall < due {
+            if schedule.repetitions > 0 && wall < due {
                 return;
             }
             let steps = spec.steps.iter().map(|s| StepState::new(s.count));
@@ -202,7 +202,7 @@
             }
             let task = &mut state.tasks[index as usize];
             task.last_run = kept.run;
-            task.failed = kept.failed.clone();
+            task.failed_runs = kept.failed.clone();
             task.checkpoint = Checkpoint::from_record(&kept.saved);
             task.crashes = kept.crashes.clone();
             let run = kept.worker.as_ref();
--- a/crates/jobs/src/model/spec.rs
+++ b/crates/jobs/src/model/spec.rs
@@ -87,7 +87,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
     /// Number of repetitions; 0 for a job that runs once, at once.
-    pub times: u32,
+    #[serde(rename = "times")]
+    pub repetitions: u32,
     /// When the first is due, in milliseconds since 1970.
     pub first: u64,
     /// Milliseconds from one to the next.
@@ -98,7 +99,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spec {
     /// Text that is passed to the workers as it is.
-    pub text: Arc<str>,
+    #[serde(rename = "text")]
+    pub payload: Arc<str>,
     /// The steps.
     pub steps: Vec<Step>,
     /// When they run.
@@ -123,7 +125,7 @@
 
     /// Returns how many times the steps run, at least once.
     pub fn repetitions(&self) -> u32 {
-        self.schedule.times.max(1)
+        self.schedule.repetitions.max(1)
     }
 
     /// Returns the longest chain of estimated times, in milliseconds.
--- a/crates/jobs/src/model/step.rs
+++ b/crates/jobs/src/model/step.rs
@@ -82,14 +82,14 @@
     }
 
     /// Takes over a checkpoint that a run of a task listed, unless it was rejected.
-    pub(crate) fn save(&mut self, index: usize, text: &Arc<str>, origin: Origin) {
+    pub(crate) fn save_checkpoint(&mut self, index: usize, text: &Arc<str>, origin: Origin) {
         if self.rejected.as_ref() != Some(text) {
-            self.tasks[index].save(text, origin);
+            self.tasks[index].save_checkpoint(text, origin);
         }
     }
 
     /// Has no task go on from this checkpoint any more.
-    pub(crate) fn reject(&mut self, text: &Arc<str>) {
+    pub(crate) fn reject_checkpoint(&mut self, text: &Arc<str>) {
         for task in &mut self.tasks {
             task.checkpoint = task.checkpoint.take().filter(|c| c.text != *text);
         }
--- a/crates/jobs/src/model/task.rs
+++ b/crates/jobs/src/model/task.rs
@@ -165,7 +165,7 @@
     /// The run that may be there; apart, since most tasks of waiting jobs have none.
     pub(crate) run: Option<Box<Run>>,
     /// Numbers of the runs that failed.
-    pub(crate) failed: Vec<u32>,
+    pub(crate) failed_runs: Vec<u32>,
     /// Workers that crashed under its runs.
     pub(crate) crashes: Crashes,
     /// What its next run goes on from; apart, since most tasks have none.
@@ -208,7 +208,7 @@
             l.done == self.done
                 && l.run == self.last_run
                 && l.worker == self.run.as_ref().map(|r| r.worker)
-                && l.failed as usize == self.failed.len()
+                && l.failed as usize == self.failed_runs.len()
                 && l.saved.as_ref() == self.checkpoint.as_ref().map(|c| &c.text)
                 && crashes.map_or(self.crashes.is_empty(), |c| *c == self.crashes)
         });
@@ -223,7 +223,7 @@
             done: self.done,
             run: self.last_run,
             worker: self.run.as_ref().map(|r| r.worker),
-            failed: self.failed.len() as u32,
+            failed: self.failed_runs.len() as u32,
             saved: self.checkpoint.as_ref().map(|c| c.text.clone()),
             crashes: crashes.map(|c| Box::new(c.clone())),
         }));
@@ -236,7 +236,7 @@
             done: self.done,
             run: self.last_run,
             worker: self.run.as_ref().map(|r| name(r.worker)),
-            failed: self.failed.clone(),
+            failed: self.failed_runs.clone(),
             saved: self.checkpoint_text(),
             crashes: self.crashes.clone(),
         }
@@ -249,7 +249,7 @@
     }
 
     /// Takes over a checkpoint that a run of it listed; an empty text is none.
-    pub(crate) fn save(&mut self, text: &Arc<str>, origin: Origin) {
+    pub(crate) fn save_checkpoint(&mut self, text: &Arc<str>, origin: Origin) {
         let known = self.checkpoint.as_ref().is_some_and(|c| c.text == *text);
         if text.is_empty() || known {
             return;
--- a/crates/jobs/src/order/standing.rs
+++ b/crates/jobs/src/order/standing.rs
@@ -85,7 +85,7 @@
     fn standing(&self, state: &JobState, policy: Option<&QueuePolicy>) -> Standing {
         let spec = &state.job.spec;
         let begun = state.outcome == Outcome::Active;
-        let Some(policy) = policy.filter(|_| spec.schedule.times == 0) else {
+        let Some(policy) = policy.filter(|_| spec.schedule.repetitions == 0) else {
             return Standing::Begun;
         };
         if spec.steps.iter().any(|s| s.long_running) {
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -52,14 +52,14 @@
     /// All that waited are placed.
     All,
     /// None is.
-    Short,
+    Unplaced,
 }
 
 impl Machine {
     /// Places tasks that wait, the most urgent jobs first, as far as one pass goes.
     ///
     /// Nothing is placed while it is not known which workers are about to leave.
-    pub(crate) fn place(&mut self) -> Coverage {
+    pub(crate) fn place_tasks(&mut self) -> Coverage {
         if !self.fleet.is_fresh(self.now, &self.settings) {
             self.stats.skipped_passes += 1;
             return Coverage::Whole;
@@ -225,7 +225,7 @@
             self.unassign(&member);
             pass.update_free_capacity(member.slot, &self.fleet);
         }
-        Placed::Short
+        Placed::Unplaced
     }
 
     /// Places members of a gang as its next run, until one finds no worker.
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -51,7 +51,7 @@
             return;
         };
         if gang {
-            step.reject(&rejected.text);
+            step.reject_checkpoint(&rejected.text);
         }
         let (saved_run, saved_on) = self.source(&rejected);
         log::warn!(task = id.to_string().as_str(), run, worker = &*self.fleet.get(slot).id, saved = log_excerpt(&rejected.text), saved_run, saved_on; "start: checkpoint rejected");
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -63,8 +63,8 @@
         }
         let batch = Batch {
             records: writer.records,
-            dropped: writer.rows.dropped(),
-            log: writer.rows.finish(&mut self.log),
+            dropped_rows: writer.rows.dropped(),
+            appended_rows: writer.rows.finish(&mut self.log),
         };
         if !batch.is_empty() {
             self.stats.commits += 1;
@@ -118,7 +118,7 @@
                         if writer.rows.is_full() {
                             return false;
                         }
-                        let name = |slot| fleet.get(slot).name.clone();
+                        let name = |slot| fleet.get(slot).incarnation_name.clone();
                         let record = task.record((time, step, index), name);
                         task.note_logged(writer.rows.task(id, record));
                     }
@@ -195,7 +195,7 @@
                         return false;
                     }
                     // As it is now: what waits for that to be durable waits for its own batch.
-                    let name = |slot| fleet.get(slot).name.clone();
+                    let name = |slot| fleet.get(slot).incarnation_name.clone();
                     let record = task.record((time, step, index), name);
                     task.note_logged(rows.task(id, record));
                 }
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -78,7 +78,7 @@
         let worker = self.fleet.get_mut(slot);
         worker.process_ended = false;
         worker.crash_recorded = false;
-        let (life, runs) = (worker.name.clone(), worker.runs.clone());
+        let (life, runs) = (worker.incarnation_name.clone(), worker.runs.clone());
         worker.isolated_task = worker
             .isolated_task
             .filter(|g| runs.binary_search(g).is_ok());
@@ -87,7 +87,7 @@
             let Some(state) = state.and_then(|j| j.task_mut(task)) else {
                 continue;
             };
-            state.crashes.forget(&life);
+            state.crashes.remove(&life);
             self.mark_dirty(task.job);
         }
     }
@@ -95,7 +95,7 @@
     /// Takes note of what the crash of a worker tells of the tasks there, `most` at most.
     pub(super) fn attribute_crash(&mut self, slot: u32, most: Blame) {
         let worker = self.fleet.get(slot);
-        let (life, runs) = (worker.name.clone(), worker.runs.clone());
+        let (life, runs) = (worker.incarnation_name.clone(), worker.runs.clone());
         let end = worker.silent_since.unwrap_or(self.now);
         let young: Vec<TaskId> = runs
             .iter()
@@ -122,7 +122,7 @@
         if task.run.as_ref().is_none_or(|r| r.stage == Stage::Planned) {
             return;
         }
-        task.crashes.note(life, blame);
+        task.crashes.add(life, blame);
         let (run, crashes) = (task.last_run, task.crashes.count());
         log::info!(task = id.to_string().as_str(), run, worker = &**life, blame:?, crashes; "task: a worker crashed under it");
         if task.crashes.is_suspect() {
--- a/crates/jobs/src/runs/fleet.rs
+++ b/crates/jobs/src/runs/fleet.rs
@@ -66,7 +66,7 @@
         }
         let old = worker.info.as_ref().filter(|_| worker.registered);
         if old.is_none_or(|o| o.ready != info.ready || o.start_time != info.start_time) {
-            log::info!(worker = &*info.id, addr = info.addr.to_string().as_str(), ready = info.ready, remaining_ms = info.remaining, born:? = info.start_time; "worker: listed");
+            log::info!(worker = &*info.id, addr = info.addr.to_string().as_str(), ready = info.ready, remaining_ms = info.remaining_ms, born:? = info.start_time; "worker: listed");
         }
         worker.registered = true;
         if worker.registered_at == 0 {
@@ -120,8 +120,8 @@
     /// Returns a worker to be changed, which [`Fleet::take_due`] then tells of.
     pub(crate) fn get_mut(&mut self, slot: u32) -> &mut Worker {
         let worker = &mut self.workers[slot as usize];
-        if !worker.touched {
-            worker.touched = true;
+        if !worker.changed {
+            worker.changed = true;
             self.touched.push(slot);
         }
         worker
@@ -145,7 +145,7 @@
         }
         let due = std::mem::take(&mut self.touched);
         for &slot in &due {
-            self.workers[slot as usize].touched = false;
+            self.workers[slot as usize].changed = false;
         }
         due
     }
--- a/crates/jobs/src/runs/incarnations_tests.rs
+++ b/crates/jobs/src/runs/incarnations_tests.rs
@@ -36,7 +36,7 @@
             rack: "r".into(),
             capacity: Capacity::default(),
             ready: true,
-            remaining: 0,
+            remaining_ms: 0,
         };
         self.fleet.register(info, self.now)
     }
--- a/crates/jobs/src/runs/log.rs
+++ b/crates/jobs/src/runs/log.rs
@@ -62,19 +62,21 @@
         let jobs = changes.iter().flatten().map(|c| c.job).collect();
         self.push(row.len(), jobs);
         for changes in changes? {
-            self.replayed.or_default(&changes.job).take(number, changes);
+            self.replayed
+                .or_default(&changes.job)
+                .apply(number, changes);
         }
         Ok(())
     }
 
     /// Returns the record of a job as the log brings it up to date; nothing if neither tells of
     /// the job.
-    pub(crate) fn recorded(&self, id: JobId, record: Option<Record>) -> Option<Record> {
+    pub(crate) fn current_record(&self, id: JobId, record: Option<Record>) -> Option<Record> {
         let Some(replayed) = self.replayed.get(&id) else {
             return record;
         };
         let mut record = record.unwrap_or_else(Record::pending);
-        replayed.update(&mut record);
+        replayed.apply_to(&mut record);
         Some(record)
     }
 
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -108,7 +108,7 @@
 
     /// The row of a life is read.
     fn row(&mut self, born: u64) {
-        self.tell(Event::Worker(WorkerInfo {
+        self.tell(Event::WorkerUpdated(WorkerInfo {
             id: "w".into(),
             start_time: Some(born),
             addr: ([127, 0, 0, 1], 1000).into(),
@@ -122,7 +122,7 @@
                 gpu: 0,
             },
             ready: true,
-            remaining: 0,
+            remaining_ms: 0,
         }));
         self.run();
     }
--- a/crates/jobs/src/runs/report.rs
+++ b/crates/jobs/src/runs/report.rs
@@ -85,7 +85,7 @@
                 worker: slot,
                 reported_at: self.now,
             };
-            step.save(id.index as usize, &end.checkpoint, origin);
+            step.save_checkpoint(id.index as usize, &end.checkpoint, origin);
         }
         log::info!(task = id.to_string().as_str(), run = end.run, worker = &*self.fleet.get(slot).id, how:? = end.ending, current, ran_ms = ran, saved = log_excerpt(&end.checkpoint); "run: ended");
         if current {
@@ -173,14 +173,14 @@
         let Some(task) = task else {
             return;
         };
-        if task.failed.contains(&run) {
+        if task.failed_runs.contains(&run) {
             return;
         }
-        task.failed.push(run);
-        let doublings = (task.failed.len() - 1).min(RETRY_DOUBLINGS);
+        task.failed_runs.push(run);
+        let doublings = (task.failed_runs.len() - 1).min(RETRY_DOUBLINGS);
         task.retry_at = now + (RETRY_PAUSE << doublings);
         task.failed_worker = Some(slot);
-        let count = task.failed.len() as u32;
+        let count = task.failed_runs.len() as u32;
         if !lasting && !is_final && attempts.is_some_and(|a| count >= a) {
             log::warn!(task = id.to_string().as_str(), failures = count; "job: failed too often");
             self.end_job(id.job, Outcome::Failed);
--- a/crates/jobs/src/runs/reported.rs
+++ b/crates/jobs/src/runs/reported.rs
@@ -43,7 +43,7 @@
         };
         let crashed = !task.crashes.is_empty();
         let idle = task.run.is_none();
-        step.save(id.index as usize, &row.checkpoint, origin);
+        step.save_checkpoint(id.index as usize, &row.checkpoint, origin);
         if idle {
             step.set_run(
                 id.index as usize,
--- a/crates/jobs/src/runs/unreported.rs
+++ b/crates/jobs/src/runs/unreported.rs
@@ -36,7 +36,8 @@
     /// Takes note that an order which names the end of a lease is sent.
     pub(crate) fn note_lease_order(&mut self, now: u64, settings: &Settings) {
         if self.start_time.is_some() {
-            self.successor_lease = now + MAX_ORDER_DELAY_MS + lease_upper_bound(settings.max_lease);
+            self.successor_lease_end =
+                now + MAX_ORDER_DELAY_MS + lease_upper_bound(settings.max_lease);
         }
     }
 
@@ -45,7 +46,7 @@
     ///
     /// Then no lease that was taken with the order outlasts what this life was promised,
     /// whichever life answered.
-    pub(super) fn has_reached(&self, reading: u64, sent: u64) -> bool {
+    pub(super) fn is_clock_consistent(&self, reading: u64, sent: u64) -> bool {
         self.clock.is_some_and(|(last, at)| {
             let elapsed = sent.saturating_sub(at);
             reading >= last + min_clock_advance(elapsed)
@@ -60,7 +61,9 @@
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let sent = task.and_then(|t| t.run.as_ref()).and_then(|r| r.sent_at);
         match (started, sent) {
-            (Started::DoneAt(reading), Some(at)) => self.fleet.get(slot).has_reached(reading, at),
+            (Started::DoneAt(reading), Some(at)) => {
+                self.fleet.get(slot).is_clock_consistent(reading, at)
+            }
             _ => false,
         }
     }
@@ -70,7 +73,7 @@
         let worker = self.fleet.get(slot);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let run = task.and_then(|t| t.run.as_ref());
-        self.now <= worker.successor_lease && run.is_some_and(|r| r.is_unattributed())
+        self.now <= worker.successor_lease_end && run.is_some_and(|r| r.is_unattributed())
     }
 
     /// Returns the runs on a worker that are over when its life is, or its leases are.
--- a/crates/jobs/src/runs/unverified.rs
+++ b/crates/jobs/src/runs/unverified.rs
@@ -31,7 +31,7 @@
                 continue;
             }
             let wait = worker.leases_end().saturating_sub(self.now);
-            log::warn!(worker = &*worker.name, runs = worker.runs.len(), wait_ms = wait; "worker: not listed, its runs wait");
+            log::warn!(worker = &*worker.incarnation_name, runs = worker.runs.len(), wait_ms = wait; "worker: not listed, its runs wait");
         }
     }
 }
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -70,7 +70,7 @@
     /// Whether it takes new work; else it is about to leave.
     pub ready: bool,
     /// While it leaves: milliseconds until everything on it dies, at least.
-    pub remaining: u64,
+    pub remaining_ms: u64,
 }
 
 /// A worker in one of its lives.
@@ -81,7 +81,7 @@
     /// When this life began, if it says so.
     pub(crate) start_time: Option<u64>,
     /// This life's own name.
-    pub(crate) name: Arc<str>,
+    pub(crate) incarnation_name: Arc<str>,
     /// When this life was first announced; 0 if it was not.
     pub(crate) registered_at: u64,
     /// Whether another life of its name may be there instead: nothing new begins meanwhile.
@@ -95,7 +95,7 @@
     /// Whether its life has ended.
     pub(crate) dead: bool,
     /// Whether it is among those that changed.
-    pub(crate) touched: bool,
+    pub(crate) changed: bool,
     /// Its clock's last reading and when that arrived.
     pub(crate) clock: Option<(u64, u64)>,
     /// The latest end of a lease that was sent, on its clock.
@@ -106,7 +106,7 @@
     pub(crate) misdirected_lease_end: u64,
     /// When leases are over that a later life of its name may have taken from orders for this
     /// one.
-    pub(crate) successor_lease: u64,
+    pub(crate) successor_lease_end: u64,
     /// Highest end that was counted.
     pub(crate) counted_end: u64,
     /// Highest end whose count is durable.
@@ -180,7 +180,7 @@
 impl Worker {
     pub(crate) fn new(life: Incarnation, inherited: u64) -> Worker {
         Worker {
-            name: life.name(),
+            incarnation_name: life.name(),
             id: life.id,
             start_time: life.start_time,
             registered_at: 0,
@@ -189,12 +189,12 @@
             registered: false,
             evacuated: false,
             dead: false,
-            touched: false,
+            changed: false,
             clock: None,
             granted_until: 0,
             prior_leases_end: inherited,
             misdirected_lease_end: 0,
-            successor_lease: 0,
+            successor_lease_end: 0,
             counted_end: 0,
             durable_end: 0,
             first_end: None,
--- a/crates/jobs/src/share/fit.rs
+++ b/crates/jobs/src/share/fit.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns the headroom that what fills takes.
-    pub(crate) fn pressure(&self, press: &[Pressure]) -> f64 {
+    pub(crate) fn headroom_taken(&self, press: &[Pressure]) -> f64 {
         let each = press.iter().map(|p| self.weight(p.image) * p.share);
         each.sum()
     }
@@ -76,16 +76,16 @@
     pub(crate) fn base(&self, samples: &[Sample]) -> f64 {
         let bases = samples
             .iter()
-            .map(|s| s.headroom + self.pressure(&s.pressures));
+            .map(|s| s.headroom + self.headroom_taken(&s.pressures));
         let mut bases: Vec<f64> = bases.collect();
         bases.sort_unstable_by(f64::total_cmp);
         bases[bases.len() / 2]
     }
 
     /// Returns one over the square of the error of [`Fit::base`].
-    pub(crate) fn trust(&self, samples: &[Sample]) -> f64 {
+    pub(crate) fn precision(&self, samples: &[Sample]) -> f64 {
         let each = samples.iter().map(|s| {
-            let error = NOISE * s.headroom.max(1.0) + UNSURE * self.pressure(&s.pressures);
+            let error = NOISE * s.headroom.max(1.0) + UNSURE * self.headroom_taken(&s.pressures);
             1.0 / (error * error)
         });
         each.sum()
@@ -93,7 +93,7 @@
 
     /// Returns a headroom as far as it can be believed.
     fn believed(&self, sample: &Sample, base: f64) -> f64 {
-        let expected = base - self.pressure(&sample.pressures);
+        let expected = base - self.headroom_taken(&sample.pressures);
         if sample.headroom < OVERLOAD && expected < OVERLOAD {
             return expected;
         }
@@ -115,7 +115,7 @@
         self.grow(most);
         let (mut shares, mut taken, mut total) = (vec![0.0; most], 0.0, 0.0);
         for sample in samples {
-            let trust = sample.trust();
+            let trust = sample.precision();
             total += trust;
             taken += self.note(sample, base) * trust;
             for press in sample.pressures.iter() {
@@ -136,7 +136,7 @@
     /// Adds a sample to the sums, and returns the headroom that it has lost.
     fn note(&mut self, sample: &Sample, base: f64) -> f64 {
         let lost = base - self.believed(sample, base);
-        let trust = sample.trust();
+        let trust = sample.precision();
         for a in sample.pressures.iter() {
             self.products[a.image as usize] += a.share * lost * trust;
             for b in sample.pressures.iter() {
@@ -147,11 +147,11 @@
     }
 
     /// Returns what is known of each filling image.
-    pub(crate) fn known(&self, serve: Image) -> Vec<PairWeight> {
+    pub(crate) fn known_weights(&self, serve: Image) -> Vec<PairWeight> {
         let all = (0..).zip(&self.weights);
         let pairs = all.map(|(fill, weight)| PairWeight {
-            fill,
-            serve,
+            best_effort_image: fill,
+            serving_image: serve,
             weight: *weight as f32,
             seen: self.squares[fill as usize][fill as usize] as f32,
         });
@@ -160,7 +160,7 @@
 
     /// Takes over what was known of a filling image, as if it had been seen alone.
     pub(crate) fn restore(&mut self, pair: &PairWeight) {
-        let at = pair.fill as usize;
+        let at = pair.best_effort_image as usize;
         self.grow(at + 1);
         let (weight, seen) = (f64::from(pair.weight), f64::from(pair.seen));
         self.weights[at] = weight;
--- a/crates/jobs/src/share/forecast.rs
+++ b/crates/jobs/src/share/forecast.rs
@@ -35,7 +35,7 @@
     /// Headroom without what fills.
     pub(crate) headroom: f64,
     /// Weight of the figures that it comes from, one over the square of their error.
-    pub(crate) trust: f64,
+    pub(crate) precision: f64,
 }
 
 /// What the headroom of a step was of late.
@@ -113,7 +113,7 @@
 impl Weighed {
     fn new(point: &Point, usual: &Prior, now: u64) -> Weighed {
         let age = now.saturating_sub(point.at) as f64;
-        let error = 1.0 / point.trust + ROUGH * ROUGH;
+        let error = 1.0 / point.precision + ROUGH * ROUGH;
         let (sin, cos) = angle(usual.period, now, point.at).sin_cos();
         Weighed {
             headroom: point.headroom,
--- a/crates/jobs/src/share/foresee.rs
+++ b/crates/jobs/src/share/foresee.rs
@@ -32,7 +32,7 @@
             let jobs = self.open_jobs.iter().filter_map(|id| self.jobs.get(id));
             let steps = jobs.flat_map(|j| j.repetitions.iter().flatten());
             let histories: Vec<&History> = steps.map(|s| &s.history).collect();
-            self.seasonality.choose(&histories, now);
+            self.seasonality.choose_period(&histories, now);
         }
         let known = self.seasonality.is_known();
         for &id in &self.open_jobs {
@@ -58,11 +58,11 @@
             }
             let group = StepKey {
                 job,
-                time,
+                repetition: time,
                 step: at,
             };
             let curve = step.history.fit(&season.prior, now).curve;
-            season.expect(group, &curve, step.headroom.now(), now);
+            season.add_forecast(group, &curve, step.headroom.now(), now);
             step.headroom.set_forecast(known.then(|| HeadroomForecast {
                 now: curve.expected(now + NEXT),
                 soon: curve.least(now, SOON),
--- a/crates/jobs/src/share/interference.rs
+++ b/crates/jobs/src/share/interference.rs
@@ -43,11 +43,11 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BaseHeadroom {
     /// The step.
-    pub(crate) group: StepKey,
+    pub(crate) step_key: StepKey,
     /// The middle of its tasks' headrooms.
     pub(crate) headroom: f64,
     /// One over the square of its error.
-    pub(crate) trust: f64,
+    pub(crate) precision: f64,
 }
 
 /// What filling images take from serving ones, by pair.
@@ -78,24 +78,24 @@
     }
 
     /// Returns what is known of all pairs.
-    pub(crate) fn known(&self) -> Vec<PairWeight> {
+    pub(crate) fn known_weights(&self) -> Vec<PairWeight> {
         let mut known = Vec::new();
         for (&serve, fit) in self.fits.iter() {
-            known.extend(fit.known(serve));
+            known.extend(fit.known_weights(serve));
         }
         known
     }
 
     /// Takes over what an earlier owner knew of a pair.
     pub(crate) fn restore(&mut self, pair: &PairWeight) {
-        self.fits.or_default(&pair.serve).restore(pair);
+        self.fits.or_default(&pair.serving_image).restore(pair);
     }
 
     /// Returns the headroom that what fills takes from a serving image.
-    pub(crate) fn taken(&self, serve: Image, press: &[Pressure]) -> f64 {
+    pub(crate) fn headroom_taken(&self, serve: Image, press: &[Pressure]) -> f64 {
         match self.fits.get(&serve) {
-            Some(fit) => fit.pressure(press),
-            None => Fit::default().pressure(press),
+            Some(fit) => fit.headroom_taken(press),
+            None => Fit::default().headroom_taken(press),
         }
     }
 
@@ -113,8 +113,8 @@
         press: &Arc<[Pressure]>,
     ) {
         self.samples.push(Sample {
-            group,
-            serve,
+            step_key: group,
+            serving_image: serve,
             headroom,
             pressures: press.clone(),
             age: 0,
@@ -126,17 +126,17 @@
     pub(crate) fn fit(&mut self, foreseen: impl Fn(StepKey) -> Option<f64>) -> Vec<BaseHeadroom> {
         let mut bases = Vec::new();
         let mut kept = Vec::new();
-        self.samples.sort_by_key(|s| s.group);
-        for samples in self.samples.chunk_by(|a, b| a.group == b.group) {
-            let serve = samples[0].serve;
+        self.samples.sort_by_key(|s| s.step_key);
+        for samples in self.samples.chunk_by(|a, b| a.step_key == b.step_key) {
+            let serve = samples[0].serving_image;
             let fit = self.fits.or_default(&serve);
             let base = fit.base(samples);
             bases.push(BaseHeadroom {
-                group: samples[0].group,
+                step_key: samples[0].step_key,
                 headroom: base,
-                trust: fit.trust(samples),
+                precision: fit.precision(samples),
             });
-            if let Some(expected) = foreseen(samples[0].group) {
+            if let Some(expected) = foreseen(samples[0].step_key) {
                 fit.add_with_forecast(samples, expected);
                 continue;
             }
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -21,9 +21,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PairWeight {
     /// Index of the filling image's name.
-    pub(crate) fill: u16,
+    #[serde(rename = "fill")]
+    pub(crate) best_effort_image: u16,
     /// Index of the serving image's name.
-    pub(crate) serve: u16,
+    #[serde(rename = "serve")]
+    pub(crate) serving_image: u16,
     /// Headroom that a whole worker of the one takes from the other.
     pub(crate) weight: f32,
     /// How much was seen of it, as the fit weighs it.
@@ -55,7 +57,7 @@
         for (name, &image) in self.image_numbers.iter() {
             images[image as usize] = name.clone();
         }
-        let mut pairs = self.interference.known();
+        let mut pairs = self.interference.known_weights();
         pairs.sort_by(|a, b| b.seen.total_cmp(&a.seen));
         pairs.truncate(MOST_PAIRS);
         let queues = self.estimates.iter().map(|(queue, guesses)| QueueGuesses {
@@ -75,15 +77,15 @@
         let names = learned.images.iter();
         let numbers: Vec<Image> = names.map(|name| self.number_image(name)).collect();
         for pair in &learned.pairs {
-            let fill = numbers.get(pair.fill as usize);
-            let serve = numbers.get(pair.serve as usize);
+            let fill = numbers.get(pair.best_effort_image as usize);
+            let serve = numbers.get(pair.serving_image as usize);
             let (Some(&fill), Some(&serve)) = (fill, serve) else {
-                log::warn!(fill = pair.fill, serve = pair.serve; "learned: a pair without names");
+                log::warn!(fill = pair.best_effort_image, serve = pair.serving_image; "learned: a pair without names");
                 continue;
             };
             self.interference.restore(&PairWeight {
-                fill,
-                serve,
+                best_effort_image: fill,
+                serving_image: serve,
                 ..*pair
             });
         }
--- a/crates/jobs/src/share/metrics.rs
+++ b/crates/jobs/src/share/metrics.rs
@@ -56,13 +56,13 @@
             };
             let group = StepKey {
                 job: row.task.job,
-                time: row.task.repetition,
+                repetition: row.task.repetition,
                 step: row.task.step,
             };
             let share = ms as f64 / target as f64;
             is_above |= share >= 1.0;
             self.interference.note(group, image, 1.0 / share, &press);
-            let worst = lowest - self.interference.taken(image, &press);
+            let worst = lowest - self.interference.headroom_taken(image, &press);
             run.record_latency(share, worst, now);
             over |= run.over_since.is_some();
         }
@@ -96,13 +96,13 @@
         self.fitted_at = self.now;
         let jobs = &self.jobs;
         let foreseen = |group: StepKey| {
-            let step = jobs.get(&group.job)?.step(group.time, group.step)?;
+            let step = jobs.get(&group.job)?.step(group.repetition, group.step)?;
             step.headroom.forecast_now()
         };
         for base in self.interference.fit(foreseen) {
-            let group = base.group;
+            let group = base.step_key;
             let state = self.jobs.get_mut(&group.job);
-            let step = state.and_then(|j| j.step_mut(group.time, group.step));
+            let step = state.and_then(|j| j.step_mut(group.repetition, group.step));
             let Some(step) = step else {
                 continue;
             };
@@ -110,9 +110,9 @@
             step.history.note(Point {
                 at: self.now,
                 headroom: base.headroom,
-                trust: base.trust,
+                precision: base.precision,
             });
-            self.seasonality.judge(group, base.headroom, self.now);
+            self.seasonality.score(group, base.headroom, self.now);
         }
         self.forecast_headrooms();
         self.update_spare_cpu();
--- a/crates/jobs/src/share/pace.rs
+++ b/crates/jobs/src/share/pace.rs
@@ -59,12 +59,12 @@
     /// Returns the highest paces, in percent, of what disturbs it and of all else that
     /// fills, for the time that it is over its target.
     fn caps(&self) -> (u32, u32) {
-        let harmful = match self.over {
+        let harmful = match self.over_ms {
             t if t > STOP_AFTER => 0,
             t if t > SLOW_AFTER => SLOW_PACE,
             _ => 100,
         };
-        let others = match self.over {
+        let others = match self.over_ms {
             t if t > STOP_ALL => 0,
             _ => 100,
         };
@@ -90,7 +90,7 @@
     fn protect(&self, served: &ServingRun, fillers: &[BestEffortRun], paces: &mut [u32]) {
         let (mut room, mut full) = (served.headroom.soon() - MIN_HEADROOM, 0.0);
         for filler in fillers {
-            let taken = self.interference.weight(filler.image, served.image) * filler.share;
+            let taken = self.interference.weight(filler.image, served.image) * filler.cpu_share;
             match self.interference.interferes(filler.image, served.image) {
                 true => full += taken,
                 false => room -= taken,
--- a/crates/jobs/src/share/sample.rs
+++ b/crates/jobs/src/share/sample.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct StepKey {
     pub(crate) job: JobId,
-    pub(crate) time: u32,
+    pub(crate) repetition: u32,
     pub(crate) step: u32,
 }
 
@@ -28,9 +28,9 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Sample {
     /// The step.
-    pub(crate) group: StepKey,
+    pub(crate) step_key: StepKey,
     /// The image of the serving task.
-    pub(crate) serve: Image,
+    pub(crate) serving_image: Image,
     /// Target over tail.
     pub(crate) headroom: f64,
     /// What filled.
@@ -41,7 +41,7 @@
 
 impl Sample {
     /// Returns its weight: errors are in proportion to the headroom.
-    pub(crate) fn trust(&self) -> f64 {
+    pub(crate) fn precision(&self) -> f64 {
         self.headroom.max(1.0).powi(-2)
     }
 }
--- a/crates/jobs/src/share/seasonality.rs
+++ b/crates/jobs/src/share/seasonality.rs
@@ -140,7 +140,7 @@
     }
 
     /// Takes note of what is expected of a step.
-    pub(crate) fn expect(&mut self, group: StepKey, curve: &Curve, still: f64, now: u64) {
+    pub(crate) fn add_forecast(&mut self, group: StepKey, curve: &Curve, still: f64, now: u64) {
         if self.is_full() {
             return;
         }
@@ -154,7 +154,7 @@
     }
 
     /// Judges the forecasts for a step by what came.
-    pub(crate) fn judge(&mut self, group: StepKey, headroom: f64, now: u64) {
+    pub(crate) fn score(&mut self, group: StepKey, headroom: f64, now: u64) {
         let mut waiting = self.waiting.iter();
         let due = waiting.position(|f| f.group == group && f.due <= now);
         let Some(at) = due else {
@@ -180,7 +180,7 @@
     }
 
     /// Chooses the period, and what is usual, by the longest of these histories.
-    pub(crate) fn choose(&mut self, histories: &[&History], now: u64) {
+    pub(crate) fn choose_period(&mut self, histories: &[&History], now: u64) {
         self.chosen = now;
         let mut known = histories.to_vec();
         known.retain(|h| h.len() >= ENOUGH);
--- a/crates/jobs/src/share/seasonality_tests.rs
+++ b/crates/jobs/src/share/seasonality_tests.rs
@@ -38,16 +38,16 @@
             history.note(Point {
                 at,
                 headroom,
-                trust: 20.0,
+                precision: 20.0,
             });
             let group = StepKey {
                 job: JobId(step),
-                time: 0,
+                repetition: 0,
                 step: 0,
             };
-            season.judge(group, headroom, at);
+            season.score(group, headroom, at);
             let curve = history.fit(&season.prior, at).curve;
-            season.expect(group, &curve, headroom, at);
+            season.add_forecast(group, &curve, headroom, at);
             if at + 20_000 > seconds * 1000 {
                 squares += (curve.expected(at + 2000) - law(step, at + 2000)).powi(2);
                 count += 1.0;
@@ -55,7 +55,7 @@
         }
         if season.is_due(at) {
             let all: Vec<&History> = histories.iter().collect();
-            season.choose(&all, at);
+            season.choose_period(&all, at);
         }
     }
     (season, f64::sqrt(squares / count))
@@ -116,7 +116,7 @@
         history.note(Point {
             at,
             headroom: swing(20_000.0, 3, at),
-            trust: 20.0,
+            precision: 20.0,
         });
     }
     let curve = history.fit(&season.prior, 65_000).curve;
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -28,7 +28,7 @@
     /// Target over tail without what fills.
     pub(crate) headroom: Headroom,
     /// For how long it is over its target, in milliseconds.
-    pub(crate) over: u64,
+    pub(crate) over_ms: u64,
     /// Whether that is by its own load, and something may fill for now.
     pub(crate) is_own_overload: bool,
 }
@@ -39,7 +39,7 @@
     pub(crate) task: TaskId,
     pub(crate) image: Image,
     /// Share of the worker's processors that it uses at full pace.
-    pub(crate) share: f64,
+    pub(crate) cpu_share: f64,
     /// Its pace in percent.
     pub(crate) pace: u32,
 }
@@ -92,7 +92,7 @@
                 served.push(ServingRun {
                     image,
                     headroom: runs.headroom,
-                    over: run.over_since.map_or(0, |since| (self.now - since).max(1)),
+                    over_ms: run.over_since.map_or(0, |since| (self.now - since).max(1)),
                     is_own_overload: run.over_since.is_some()
                         && worker.own_load.may_run_best_effort(self.now),
                 });
@@ -100,7 +100,7 @@
                 fillers.push(BestEffortRun {
                     task,
                     image,
-                    share: worker.cpu_share(step.cpu),
+                    cpu_share: worker.cpu_share(step.cpu),
                     pace: run.wanted_pace,
                 });
             }
@@ -123,7 +123,7 @@
         let (served, fillers) = self.colocated_runs(slot);
         let mut slack = Slack::default();
         for s in &served {
-            slack.is_over_target |= s.over > 0;
+            slack.is_over_target |= s.over_ms > 0;
             // A load that was high a while ago comes back while the task runs.
             let left = s.headroom.later() - MIN_HEADROOM - self.taken(&fillers, s.image);
             match slack.rows.iter_mut().find(|r| r.0 == s.image) {
@@ -148,7 +148,7 @@
         let mut taken = 0.0;
         for filler in fillers {
             let pace = f64::from(filler.pace) / 100.0;
-            taken += self.interference.weight(filler.image, serve) * filler.share * pace;
+            taken += self.interference.weight(filler.image, serve) * filler.cpu_share * pace;
         }
         taken
     }
--- a/crates/jobs/src/stats.rs
+++ b/crates/jobs/src/stats.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Jobs that are not finished.
-    pub open: u64,
+    pub open_jobs: u64,
     /// Tasks that are kept in memory, of finished jobs as well.
     pub tasks: u64,
     /// Starts that were sent.
@@ -47,7 +47,7 @@
     /// Passes that placed nothing, since too little was known of the workers.
     pub skipped_passes: u64,
     /// How old what is known of the workers' announcements is, in milliseconds.
-    pub workers_age: u64,
+    pub workers_age_ms: u64,
     /// Batches that were sent to be committed.
     pub commits: u64,
 }
--- a/crates/jobs/tests/all/checkpoints.rs
+++ b/crates/jobs/tests/all/checkpoints.rs
@@ -192,7 +192,7 @@
     let mut world = World::new(WorldSettings::default());
     world.run(100);
     let mut spec = chain(vec![short(1, 300)]);
-    spec.text = "malformed".into();
+    spec.payload = "malformed".into();
     world.submit(1, spec);
     world.run(1000);
     let began = world.now;
@@ -240,7 +240,7 @@
     let mut spec = chain(vec![short(1, 300), saving(step)]);
     if rng.random_bool(0.2) {
         spec.schedule = Schedule {
-            times: 3,
+            repetitions: 3,
             first: world.now + 200,
             interval: rng.random_range(100..1500),
         };
--- a/crates/jobs/tests/all/common/lives.rs
+++ b/crates/jobs/tests/all/common/lives.rs
@@ -53,14 +53,14 @@
         }
         let row = self.row(at, id, ready);
         self.rows[at] = Some(row.clone());
-        self.tell(Event::Worker(row));
+        self.tell(Event::WorkerUpdated(row));
     }
 
     /// Tells a new owner of the workers that have rows.
     pub(super) fn announce_all(&mut self) {
         if self.settings.lives {
             for row in self.rows.clone().into_iter().flatten() {
-                self.tell(Event::Worker(row));
+                self.tell(Event::WorkerUpdated(row));
             }
             return;
         }
@@ -68,7 +68,7 @@
             let at = self.workers.iter().position(|w| w.id == id);
             let at = at.unwrap_or_else(|| self.lives[&id]);
             let row = self.row(at, id, true);
-            self.tell(Event::Worker(row));
+            self.tell(Event::WorkerUpdated(row));
         }
         for at in 0..self.workers.len() {
             self.announce(at, true);
@@ -98,7 +98,7 @@
                 gpu: 0,
             },
             ready,
-            remaining: if ready { 0 } else { 2000 },
+            remaining_ms: if ready { 0 } else { 2000 },
         }
     }
 
@@ -146,7 +146,7 @@
     /// Tells the newest owner again of all lives that have ended.
     pub fn tell_past(&mut self) {
         for (_, row) in self.past.clone() {
-            self.tell(Event::Worker(row));
+            self.tell(Event::WorkerUpdated(row));
         }
     }
 
--- a/crates/jobs/tests/all/common/mod.rs
+++ b/crates/jobs/tests/all/common/mod.rs
@@ -74,7 +74,7 @@
         step.deps = vec![at as u32 - 1];
     }
     Spec {
-        text: "work".into(),
+        payload: "work".into(),
         steps,
         ..Spec::default()
     }
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -55,7 +55,7 @@
             Action::Start(worker, _) => *worker,
         };
         let owner = &mut self.owners[at];
-        let (addr, id) = owner.machine.worker(worker).expect("announced");
+        let (addr, id) = owner.machine.worker_address(worker).expect("announced");
         let index = match owner.slots.get(&worker) {
             Some(&index) => index,
             None => {
@@ -113,7 +113,7 @@
                     let owner = &mut self.owners[at];
                     if !owner.deposed {
                         if let Answer::Report(look) = &answer {
-                            let (_, id) = owner.machine.worker(worker).expect("announced");
+                            let (_, id) = owner.machine.worker_address(worker).expect("announced");
                             self.judge.read(now, owner.epoch, id, look);
                         }
                         let event = Event::Answer {
@@ -185,7 +185,7 @@
             }
             Action::Start(_, order) => {
                 let mut started = Started::Unknown;
-                let malformed = &*order.spec.text == "malformed";
+                let malformed = &*order.spec.payload == "malformed";
                 if reached && (malformed || worker.mode == Mode::Rejects) {
                     started = Started::Rejected;
                     worker.rejected.push((order.task, order.checkpoint.clone()));
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -57,7 +57,7 @@
         }]));
         for at in 0..MEMBERS {
             let id: Arc<str> = format!("w{at}").into();
-            owner.tell(Event::Worker(WorkerInfo {
+            owner.tell(Event::WorkerUpdated(WorkerInfo {
                 start_time: None,
                 id,
                 addr: ([127, 0, 0, 1], 1000 + at as u16).into(),
@@ -71,7 +71,7 @@
                     gpu: 0,
                 },
                 ready: true,
-                remaining: 0,
+                remaining_ms: 0,
             }));
         }
         owner.tell(Event::Accepted(Arc::new(Job {
--- a/crates/jobs/tests/all/ledger.rs
+++ b/crates/jobs/tests/all/ledger.rs
@@ -18,8 +18,8 @@
     /// Makes a batch durable.
     pub fn apply(&mut self, batch: Batch) {
         self.records.extend(batch.records);
-        self.log.drain(..batch.dropped);
-        self.log.extend(batch.log);
+        self.log.drain(..batch.dropped_rows);
+        self.log.extend(batch.appended_rows);
     }
 
     /// What a new owner reads.
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -33,7 +33,7 @@
             gpu: 0,
         },
         ready: true,
-        remaining: 0,
+        remaining_ms: 0,
     }
 }
 
@@ -73,7 +73,7 @@
             stretch: 1.5,
             latency: 250,
         }]));
-        owner.tell(Event::Worker(info("w")));
+        owner.tell(Event::WorkerUpdated(info("w")));
         owner.tell(Event::WorkersSynced { asked_at: NOW });
         for job in jobs {
             owner.tell(Event::Accepted(job.clone()));
@@ -104,7 +104,7 @@
             Action::Commit(_) if self.commits == 0 => return,
             Action::Commit(batch) => {
                 self.commits -= 1;
-                self.logged += batch.log.iter().map(Vec::len).sum::<usize>();
+                self.logged += batch.appended_rows.iter().map(Vec::len).sum::<usize>();
                 self.ledger.apply(batch);
                 return self.tell(Event::Committed { asked_at: sent });
             }
--- a/crates/jobs/tests/all/records/life.rs
+++ b/crates/jobs/tests/all/records/life.rs
@@ -54,7 +54,7 @@
                 gpu: 0,
             },
             ready: true,
-            remaining: 0,
+            remaining_ms: 0,
         }
     }
 
--- a/crates/jobs/tests/all/records/mod.rs
+++ b/crates/jobs/tests/all/records/mod.rs
@@ -34,7 +34,7 @@
         queue: "q".into(),
         accepted: 0,
         spec: Arc::new(Spec {
-            text: format!("text of {id}").into(),
+            payload: format!("text of {id}").into(),
             steps,
             schedule,
         }),
@@ -48,7 +48,7 @@
 fn a_start_brings_what_its_own_task_listed(times: u32) {
     for seed in 0..10 {
         let schedule = Schedule {
-            times,
+            repetitions: times,
             first: 1_000_000,
             interval: 700,
         };
@@ -72,7 +72,7 @@
     let mut play = Play::new(1, vec![first.clone()]);
     play.calm = true;
     let mut other = (*first.spec).clone();
-    other.text = "another text".into();
+    other.payload = "another text".into();
     other.steps[0].count = 9;
     let other = Arc::new(Job {
         spec: Arc::new(other),
--- a/crates/jobs/tests/all/records/play.rs
+++ b/crates/jobs/tests/all/records/play.rs
@@ -91,7 +91,7 @@
             latency: 250,
         }]));
         for at in 0..self.lives.len() {
-            self.tell(Event::Worker(self.lives[at].info(at)));
+            self.tell(Event::WorkerUpdated(self.lives[at].info(at)));
         }
     }
 
@@ -149,7 +149,7 @@
             let at = self.rng.random_range(0..WORKERS);
             self.made += 1;
             self.lives[at] = Life::new(format!("w{at}.{}", self.made));
-            self.tell(Event::Worker(self.lives[at].info(at)));
+            self.tell(Event::WorkerUpdated(self.lives[at].info(at)));
         }
         if self.rng.random_range(0..60) == 0 {
             self.take_over();
@@ -224,14 +224,14 @@
 
     /// Returns the life that the owner means by a worker, if that has not ended.
     fn life(&mut self, worker: u32) -> Option<&mut Life> {
-        let (_, id) = self.machine.worker(worker).expect("announced");
+        let (_, id) = self.machine.worker_address(worker).expect("announced");
         self.lives.iter_mut().find(|l| l.id == id)
     }
 
     fn start(&mut self, worker: u32, order: StartOrder) -> Answer {
         let task = order.task;
         self.starts.push(order.clone());
-        assert_eq!(&*order.spec.text, format!("text of {}", task.job));
+        assert_eq!(&*order.spec.payload, format!("text of {}", task.job));
         if !order.checkpoint.is_empty() {
             self.brought += 1;
             let step = &order.spec.steps[task.step as usize];
@@ -247,7 +247,7 @@
         let fence = self.epoch;
         if !self.calm && self.rng.random_range(0..20) == 0 {
             // It gets no answer, and is carried out later.
-            let (_, id) = self.machine.worker(worker).expect("announced");
+            let (_, id) = self.machine.worker_address(worker).expect("announced");
             let due = self.now + 10 * TICK;
             let answer = Answer::Started(task, order.run, Started::Unknown);
             self.parcels.push((due, Parcel::Start(id, fence, order)));
--- a/crates/jobs/tests/all/waits.rs
+++ b/crates/jobs/tests/all/waits.rs
@@ -151,9 +151,9 @@
                 gpu: 0,
             },
             ready: true,
-            remaining: 0,
+            remaining_ms: 0,
         };
-        world.tell(Event::Worker(info));
+        world.tell(Event::WorkerUpdated(info));
     }
     let serve = Step {
         cpu: 1200,
@@ -190,7 +190,7 @@
 fn a_step_that_can_not_run_holds_back_no_other_one(first: Step) {
     let mut world = world(WORKERS);
     let spec = Spec {
-        text: "work".into(),
+        payload: "work".into(),
         steps: vec![first, short(3, 1000)],
         ..Spec::default()
     };
@@ -302,7 +302,7 @@
         };
         let spec = Spec {
             schedule: Schedule {
-                times,
+                repetitions: times,
                 ..Schedule::default()
             },
             ..chain(vec![step])
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -153,7 +153,7 @@
         drop(accept);
         let decided = *self.decided.lock().unwrap_or_else(PoisonError::into_inner);
         let rows = [
-            ("open_jobs", decided.open),
+            ("open_jobs", decided.open_jobs),
             ("starts", decided.starts),
             ("starts_refused", decided.refused),
             ("starts_rejected", decided.rejected),
@@ -174,7 +174,7 @@
             ("cut", decided.truncated_passes),
             ("held", decided.throttled_passes),
             ("stale", decided.skipped_passes),
-            ("workers_age_ms", decided.workers_age),
+            ("workers_age_ms", decided.workers_age_ms),
             ("commits", decided.commits),
         ];
         for (name, count) in rows {
--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -197,7 +197,7 @@
         }
         match shared.protocol.worker(row) {
             Ok(info) => {
-                events.push(Event::Worker(info));
+                events.push(Event::WorkerUpdated(info));
             }
             Err(err) => {
                 shared.metrics.count(Count::BadRows);
--- a/crates/node/src/owner/journal.rs
+++ b/crates/node/src/owner/journal.rs
@@ -252,9 +252,9 @@
             value,
         });
         writes.extend(records);
-        let dropped = self.log.drain(..batch.dropped.min(self.log.len()));
+        let dropped = self.log.drain(..batch.dropped_rows.min(self.log.len()));
         let removes = dropped.map(|key| (LOG, key)).collect();
-        for (index, value) in batch.log.into_iter().enumerate() {
+        for (index, value) in batch.appended_rows.into_iter().enumerate() {
             let key = log_key(self.lease.epoch, self.number, index);
             self.log.push_back(key.clone());
             writes.push(Write {
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -102,7 +102,7 @@
     let start = shared.clock.now();
     match load::load(shared, tenure) {
         Ok(loaded) => {
-            let open = loaded.machine.stats().open;
+            let open = loaded.machine.stats().open_jobs;
             log::info!(epoch = tenure.epoch, open, took_ms = shared.clock.now() - start; "owner: begins");
             Some(loaded)
         }
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -179,7 +179,7 @@
         self.keep_learned(now, journal);
         if now >= self.tell_at {
             self.tell_at = now + TELL_PERIOD;
-            send(journal, Entry::Pending(self.machine.pending()));
+            send(journal, Entry::Pending(self.machine.pending_jobs()));
             self.shared.metrics.decided(self.machine.stats());
             for worker in self.machine.closable_workers() {
                 self.lines.drop_worker(self.inbox.poll.registry(), worker);
@@ -272,7 +272,7 @@
                 return;
             }
         };
-        if let Some(target) = self.machine.worker(worker) {
+        if let Some(target) = self.machine.worker_address(worker) {
             let registry = self.inbox.poll.registry();
             self.lines.send(registry, worker, target, order);
         }
