--- a/crates/jobs/src/place/free_capacity.rs
+++ b/crates/jobs/src/place/free_capacity.rs
@@ -46,7 +46,7 @@
         self.check(step, starved).is_ok()
     }
 
-    /// Says why a task of a step does not fit, as [`Room::fits`] asks.
+    /// Says why a task of a step does not fit, as [`FreeCapacity::fits`] asks.
     fn check(&self, step: &Step, starved: bool) -> Result<(), Refusal> {
         let size = demand(step);
         let enough = size.cpu <= self.free.cpu
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Says why a worker can't take a task of a step now, as [`Room::fits`] asks.
+    /// Says why a worker can't take a task of a step now, as [`FreeCapacity::fits`] asks.
     pub(crate) fn fits(
         &self,
         worker: &Worker,
