--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -32,14 +32,14 @@
     /// Leases are renewed by looks and stops end harm: neither waits for a pass of
     /// placement.
     pub(crate) fn drive(&mut self) {
-        if self.now >= self.checked_at + CHECK_PERIOD {
-            self.checked_at = self.now;
+        if self.now >= self.last_check + CHECK_PERIOD {
+            self.last_check = self.now;
             self.check_runs();
         }
         self.send_looks();
         self.update_model();
         if self.place_due() {
-            self.placed_at = self.now;
+            self.last_placement = self.now;
             self.stats.passes += 1;
             // What a cut pass has left is placed by the next one.
             self.placement_due = self.place_tasks() == Coverage::Partial;
@@ -62,7 +62,7 @@
     /// Tells whether it is time to place tasks.
     fn place_due(&self) -> bool {
         let pause = (self.open_jobs.len() as u64 / OPEN_JOBS).min(LONGEST_PAUSE);
-        let since = self.now.saturating_sub(self.placed_at);
+        let since = self.now.saturating_sub(self.last_placement);
         since >= PLACE_PERIOD || self.placement_due && since >= pause
     }
 
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -78,13 +78,13 @@
     /// Whether something changed that may let tasks be placed.
     pub(crate) placement_due: bool,
     /// When placement last ran.
-    pub(crate) placed_at: u64,
+    pub(crate) last_placement: u64,
     /// When all runs were last gone through.
-    pub(crate) checked_at: u64,
+    pub(crate) last_check: u64,
     /// When the disturbances were last fitted.
-    pub(crate) fitted_at: u64,
+    pub(crate) last_fit: u64,
     /// When the load was last logged.
-    pub(crate) summarised_at: u64,
+    pub(crate) last_load_log: u64,
     pub(crate) now: u64,
     pub(crate) wall_clock: u64,
     pub(crate) actions: Vec<Action>,
@@ -120,10 +120,10 @@
             log: Log::default(),
             store_contact: takeover.asked_at,
             placement_due: true,
-            placed_at: 0,
-            checked_at: 0,
-            fitted_at: 0,
-            summarised_at: 0,
+            last_placement: 0,
+            last_check: 0,
+            last_fit: 0,
+            last_load_log: 0,
             now,
             wall_clock: 0,
             actions: Vec::new(),
--- a/crates/jobs/src/place/free_capacity.rs
+++ b/crates/jobs/src/place/free_capacity.rs
@@ -16,7 +16,7 @@
     over: bool,
     free: Capacity,
     /// Thousandths of a core that more filling tasks may ask for.
-    best_effort_cpu: u64,
+    free_best_effort_cpu: u64,
 }
 
 impl FreeCapacity {
@@ -31,13 +31,13 @@
                 memory: room.memory.saturating_sub(used.memory),
                 gpu: room.gpu.saturating_sub(used.gpu),
             },
-            best_effort_cpu: (cpu + worker.spare_cpu).saturating_sub(worker.best_effort_cpu),
+            free_best_effort_cpu: (cpu + worker.spare_cpu).saturating_sub(worker.best_effort_cpu),
         }
     }
 
     /// Returns how many thousandths of a core more filling tasks may ask for.
     pub(crate) fn fill(&self) -> u64 {
-        self.best_effort_cpu
+        self.free_best_effort_cpu
     }
 
     /// Tells whether a task of a step fits; one that fills may go beyond the share of
@@ -55,7 +55,7 @@
         if self.over || !enough {
             return Err(Refusal::NoRoom);
         }
-        match starved || !step.best_effort || step.cpu <= self.best_effort_cpu {
+        match starved || !step.best_effort || step.cpu <= self.free_best_effort_cpu {
             true => Ok(()),
             false => Err(Refusal::BestEffortShare),
         }
--- a/crates/jobs/src/share/metrics.rs
+++ b/crates/jobs/src/share/metrics.rs
@@ -90,10 +90,10 @@
     /// Fits the disturbances to the figures, each half second, and lowers paces where a
     /// tail has been over its target for long.
     pub(crate) fn update_model(&mut self) {
-        if self.now < self.fitted_at + FIT_PERIOD {
+        if self.now < self.last_fit + FIT_PERIOD {
             return;
         }
-        self.fitted_at = self.now;
+        self.last_fit = self.now;
         let jobs = &self.jobs;
         let foreseen = |group: StepKey| {
             let step = jobs.get(&group.job)?.step(group.repetition, group.step)?;
--- a/crates/jobs/src/summary.rs
+++ b/crates/jobs/src/summary.rs
@@ -8,10 +8,10 @@
 impl Machine {
     /// Logs how full the workers are, and what waits.
     pub(crate) fn log_load(&mut self) {
-        if self.now < self.summarised_at + PERIOD {
+        if self.now < self.last_load_log + PERIOD {
             return;
         }
-        self.summarised_at = self.now;
+        self.last_load_log = self.now;
         let mut room = Capacity::default();
         let mut used = Capacity::default();
         let (mut filling, mut open, mut serving) = (0, 0, 0);
