--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -8,8 +8,9 @@
 };
 
 use gorsespur_jobs::{
-    Action, Answer, Capacity, End, Ending, Event, Figures, Job, JobId, Look, Machine, QueuePolicy,
-    Running, Settings, Spec, StartOrder, Started, Step, Stopped, Takeover, TaskId, WorkerInfo,
+    Action, Answer, Capacity, Ending, Event, Job, JobId, Machine, QueuePolicy, ReportedRun, RunEnd,
+    Settings, Spec, StartOrder, Started, Stats, Step, Stopped, Takeover, TaskId, WorkerInfo,
+    WorkerReport,
 };
 
 use crate::ledger::Ledger;
@@ -54,7 +55,7 @@
 #[derive(Debug, Default)]
 struct Worker {
     runs: Vec<TaskIndex>,
-    ends: Vec<End>,
+    ends: Vec<RunEnd>,
     next: u64,
     /// A look that waits: its number and when it was sent.
     look: Option<(u64, u64)>,
@@ -90,8 +91,8 @@
             Settings::default(),
             now,
             Takeover {
-                asked: now,
-                inherited: 0,
+                asked_at: now,
+                prior_leases_end: 0,
             },
         );
         let policy = |queue: &str, priority| QueuePolicy {
@@ -127,8 +128,8 @@
                 count: 24,
                 cpu: 6400,
                 memory: 13_000,
-                lasting: true,
-                target: 150,
+                long_running: true,
+                latency_target: 150,
                 image: Some(format!("serve{image}").into()),
                 ..Step::default()
             };
@@ -142,7 +143,7 @@
         for _ in 0..count {
             let at = self.workers.len();
             let info = WorkerInfo {
-                born: None,
+                start_time: None,
                 id: format!("w{at:04}").into(),
                 addr: format!("127.0.0.1:{}", 1000 + at).parse().expect("address"),
                 service: "s".into(),
@@ -155,10 +156,11 @@
                     gpu: 0,
                 },
                 ready: true,
-                remaining: 0,
+                remaining_ms: 0,
             };
             self.workers.push(Worker::default());
-            self.machine.handle(self.now, self.now, Event::Worker(info));
+            self.machine
+                .handle(self.now, self.now, Event::WorkerUpdated(info));
         }
     }
 
@@ -171,7 +173,7 @@
 
     /// Returns how many jobs of a queue have not begun.
     pub fn pending(&self, queue: &str) -> u64 {
-        let pending = self.machine.pending();
+        let pending = self.machine.pending_jobs();
         let found = pending.iter().find(|(q, _)| **q == *queue);
         found.map_or(0, |(_, count)| *count)
     }
@@ -187,15 +189,15 @@
     }
 
     /// What the machine counted.
-    pub fn figures(&self) -> Figures {
-        self.machine.figures()
+    pub fn figures(&self) -> Stats {
+        self.machine.stats()
     }
 
     /// What waits.
     pub fn backlog(&self) -> String {
-        let pending = self.machine.pending();
-        let figures = self.machine.figures();
-        let (open, passes, cut) = (figures.open, figures.passes, figures.cut);
+        let pending = self.machine.pending_jobs();
+        let figures = self.machine.stats();
+        let (open, passes, cut) = (figures.open_jobs, figures.passes, figures.truncated_passes);
         format!("{open} open, waiting {pending:?}, {cut} of {passes} passes cut")
     }
 
@@ -226,7 +228,7 @@
                     cpu: 3500,
                     memory: 6400,
                     estimate: 1700,
-                    fill: true,
+                    best_effort: true,
                     checkpoints: true,
                     image: Some(format!("fill{image}").into()),
                     ..Step::default()
@@ -258,7 +260,7 @@
             queue: queue.into(),
             accepted: 0,
             spec: Arc::new(Spec {
-                text: "work".into(),
+                payload: "work".into(),
                 steps,
                 ..Spec::default()
             }),
@@ -276,7 +278,7 @@
             };
             match due {
                 Due::Committed => self.answers.push(Event::Committed {
-                    asked: self.now - WRITE,
+                    asked_at: self.now - WRITE,
                 }),
                 Due::End(worker, run) => self.end(worker, run, Ending::Done),
                 Due::Look(worker, look) => {
@@ -298,12 +300,12 @@
         let at = &mut self.workers[worker as usize];
         at.runs.retain(|&r| r != run);
         at.next += 1;
-        at.ends.push(End {
+        at.ends.push(RunEnd {
             number: at.next,
             task: self.runs[run].task,
             run: self.runs[run].number,
             ending,
-            saved: "".into(),
+            checkpoint: "".into(),
         });
         if at.look.is_some() {
             self.looked(worker);
@@ -316,21 +318,21 @@
         let Some((_, sent)) = at.look.take() else {
             return;
         };
-        let row = |r: &Run| Running {
+        let row = |r: &Run| ReportedRun {
             task: r.task,
             run: r.number,
-            saved: "".into(),
+            checkpoint: "".into(),
             percent: match r.lasting {
                 true => 100,
                 false => ((now - r.begun) * 100 / r.work).min(99) as u32,
             },
-            figure: Some(match r.target {
+            metric: Some(match r.target {
                 0 => r.cpu,
                 target => target * (30 + (now / 500 + r.task.job.0) % 20) / 100,
             }),
         };
-        let look = Look {
-            born: None,
+        let look = WorkerReport {
+            start_time: None,
             clock: CLOCK + now,
             running: at.runs.iter().map(|&r| row(&self.runs[r])).collect(),
             finished: at.ends.clone(),
@@ -338,7 +340,7 @@
         self.answers.push(Event::Answer {
             worker,
             sent,
-            answer: Answer::Looked(look),
+            answer: Answer::Report(look),
         });
     }
 
@@ -349,8 +351,9 @@
         for event in answers {
             self.machine.handle(now, now, event);
         }
-        self.machine.handle(now, now, Event::Current { asked: now });
-        let actions = self.machine.settle(now, now);
+        self.machine
+            .handle(now, now, Event::WorkersSynced { asked_at: now });
+        let actions = self.machine.decide(now, now);
         self.spent += start.elapsed();
         for action in actions {
             self.act(action);
@@ -360,7 +363,7 @@
     fn act(&mut self, action: Action) {
         let sent = self.now;
         let answer = match action {
-            Action::Look {
+            Action::Poll {
                 worker,
                 observed,
                 wait,
@@ -399,7 +402,7 @@
             Action::Pace {
                 worker, task, run, ..
             } => (worker, Answer::Paced(task, run, true)),
-            Action::Depose => return,
+            Action::StepDown => return,
         };
         let (worker, answer) = answer;
         self.answers.push(Event::Answer {
@@ -417,13 +420,13 @@
             number: order.run,
             begun: self.now,
             work: step.estimate.max(1),
-            lasting: step.lasting,
-            target: step.target,
+            lasting: step.long_running,
+            target: step.latency_target,
             cpu: step.cpu,
             over: false,
         });
         self.workers[worker as usize].runs.push(index);
-        if !step.lasting {
+        if !step.long_running {
             let due = Due::End(worker, index);
             self.due.push(Reverse((self.now + step.estimate, due)));
         }
--- a/crates/jobs/src/action.rs
+++ b/crates/jobs/src/action.rs
@@ -19,7 +19,7 @@
     /// End of the lease on the worker's clock, in milliseconds.
     pub deadline: u64,
     /// Progress to go on from; empty for none.
-    pub saved: Arc<str>,
+    pub checkpoint: Arc<str>,
 }
 
 /// What is made durable together.
@@ -28,15 +28,15 @@
     /// Records of jobs, in place of those that were written before.
     pub records: Vec<(JobId, Vec<u8>)>,
     /// Rows that are appended to the log.
-    pub log: Vec<Vec<u8>>,
+    pub appended_rows: Vec<Vec<u8>>,
     /// How many of the log's oldest rows are dropped.
-    pub dropped: usize,
+    pub dropped_rows: usize,
 }
 
 impl Batch {
     /// Tells whether there is nothing to be made durable.
     pub fn is_empty(&self) -> bool {
-        self.records.is_empty() && self.log.is_empty() && self.dropped == 0
+        self.records.is_empty() && self.appended_rows.is_empty() && self.dropped_rows == 0
     }
 }
 
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Ask a worker what runs and what ended, and renew its lease.
-    Look {
+    Poll {
         /// The worker.
         worker: u32,
         /// Ends up to this number may be dropped.
@@ -79,5 +79,5 @@
     /// Make a batch durable, all of it or none; one at a time.
     Commit(Batch),
     /// Another owner has taken over: stop at once.
-    Depose,
+    StepDown,
 }
--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -32,27 +32,27 @@
     /// Leases are renewed by looks and stops end harm: neither waits for a pass of
     /// placement.
     pub(crate) fn drive(&mut self) {
-        if self.now >= self.checked + CHECK_PERIOD {
-            self.checked = self.now;
+        if self.now >= self.last_check + CHECK_PERIOD {
+            self.last_check = self.now;
             self.check_runs();
         }
         self.send_looks();
-        self.fit();
+        self.update_model();
         if self.place_due() {
-            self.placed = self.now;
-            self.figures.passes += 1;
+            self.last_placement = self.now;
+            self.stats.passes += 1;
             // What a cut pass has left is placed by the next one.
-            self.moved = self.place() == Coverage::Partial;
+            self.placement_due = self.place_tasks() == Coverage::Partial;
         }
         self.commit();
         self.send_looks();
-        self.summarise();
+        self.log_load();
     }
 
     /// Does what is asked of every run in turn.
     fn check_runs(&mut self) {
         self.note_crashes();
-        self.lapse();
+        self.expire_leases();
         self.check_leaving();
         self.release_times();
         self.send_stops();
@@ -61,9 +61,9 @@
 
     /// Tells whether it is time to place tasks.
     fn place_due(&self) -> bool {
-        let pause = (self.open.len() as u64 / OPEN_JOBS).min(LONGEST_PAUSE);
-        let since = self.now.saturating_sub(self.placed);
-        since >= PLACE_PERIOD || self.moved && since >= pause
+        let pause = (self.open_jobs.len() as u64 / OPEN_JOBS).min(LONGEST_PAUSE);
+        let since = self.now.saturating_sub(self.last_placement);
+        since >= PLACE_PERIOD || self.placement_due && since >= pause
     }
 
     /// Adds the repetitions that are due.
@@ -81,26 +81,26 @@
         if state.outcome.is_final() {
             return false;
         }
-        let before = state.times.len();
-        state.release(self.wall);
-        self.moved |= state.times.len() > before;
-        (state.times.len() as u32) < state.job.spec.repetitions()
+        let before = state.repetitions.len();
+        state.add_due_repetitions(self.wall_clock);
+        self.placement_due |= state.repetitions.len() > before;
+        (state.repetitions.len() as u32) < state.job.spec.repetitions()
     }
 
     /// Stops on leaving workers what would die with them.
     fn check_leaving(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
-            let (Some(since), Some(info)) = (worker.leaving, worker.info.as_ref()) else {
+            let (Some(since), Some(info)) = (worker.leaving_since, worker.info.as_ref()) else {
                 continue;
             };
-            let end = since + info.remaining;
+            let end = since + info.remaining_ms;
             if worker.runs.is_empty() || worker.dead {
                 continue;
             }
             for id in worker.runs.clone() {
                 if !self.ends_before(id, end) {
-                    self.abandon(id);
+                    self.stop_run(id);
                 }
             }
         }
@@ -115,7 +115,7 @@
         let Some(run) = state.task(id).and_then(|t| t.run.as_ref()) else {
             return true;
         };
-        if step.lasting {
+        if step.long_running {
             return false;
         }
         let left = step.estimate * u64::from(100 - run.percent.min(100)) / 100;
@@ -131,37 +131,37 @@
         let runs = worker.runs.clone();
         let left = runs.iter().filter_map(|&id| self.check_stall(slot, id));
         let least = left.min();
-        self.fleet.get_mut(slot).suspect = least;
+        self.fleet.get_mut(slot).stall_due = least;
     }
 
     /// Stops a run that stands still; returns in how many milliseconds it will have stood
     /// still for too long if it takes longer than was thought.
     fn check_stall(&mut self, slot: u32, id: TaskId) -> Option<u64> {
-        let (now, stall) = (self.now, self.settings.stall);
+        let (now, stall) = (self.now, self.settings.stall_limit);
         let (clock, _) = self.fleet.get(slot).clock?;
         let state = self.jobs.get_mut(&id.job)?;
         let job = state.job.clone();
         let step = &job.spec.steps[id.step as usize];
         let run = state.task_mut(id)?.run.as_mut()?;
-        let Stage::There(at) = run.stage else {
+        let Stage::Confirmed(at) = run.stage else {
             return None;
         };
         // A look a second shows progress: what takes longer a percent is not judged.
-        let limit = stall.max(step.estimate / 20) * if step.fill { 3 } else { 1 };
-        let slowed = run.pace < 100 || run.wanted < 100;
+        let limit = stall.max(step.estimate / 20) * if step.best_effort { 3 } else { 1 };
+        let slowed = run.pace < 100 || run.wanted_pace < 100;
         let over = !slowed && now > at + step.estimate + limit;
-        if step.lasting || step.gang || !over {
+        if step.long_running || step.gang || !over {
             return None;
         }
         // Only what the worker's own answers show counts: they may be read late.
-        let still = run.still(clock);
+        let still = run.stalled_for(clock);
         if still <= limit {
             return Some(limit + 1 - still);
         }
         log::warn!(task = id.to_string().as_str(), percent = run.percent, still_ms = still, worker = &*self.fleet.get(slot).id; "run: stands still");
         run.stage = Stage::Stopping(None);
         self.stopping.push(id);
-        self.blame(slot);
+        self.note_worker_failure(slot);
         None
     }
 
@@ -178,32 +178,32 @@
     fn send_look(&mut self, slot: u32) {
         let (now, settings) = (self.now, self.settings);
         let worker = &mut self.fleet.workers[slot as usize];
-        let wanted = worker.listed || !worker.runs.is_empty() || !worker.strays.is_empty();
-        if worker.dead || worker.looking || worker.info.is_none() || !wanted {
+        let wanted = worker.registered || !worker.runs.is_empty() || !worker.orphans.is_empty();
+        if worker.dead || worker.poll_in_flight || worker.info.is_none() || !wanted {
             return;
         }
         // A later life would take it for a lease of the longest length, at each try anew.
-        let renews = worker.born.is_none() || worker.silent.is_none();
-        let deadline = worker.deadline(&settings, self.contact);
+        let renews = worker.start_time.is_none() || worker.silent_since.is_none();
+        let deadline = worker.deadline(&settings, self.store_contact);
         let deadline = deadline.filter(|_| renews);
-        let at = worker.look_due(deadline, &settings);
+        let at = worker.poll_due(deadline, &settings);
         if now < at {
-            if worker.reminded != at {
-                worker.reminded = at;
-                self.fleet.remind(slot, at);
+            if worker.timer_at != at {
+                worker.timer_at = at;
+                self.fleet.set_timer(slot, at);
             }
             return;
         }
-        let wait = worker.look_wait(&settings);
-        let observed = worker.droppable();
+        let wait = worker.poll_wait(&settings);
+        let observed = worker.droppable_end();
         if let Some(end) = deadline {
-            worker.promised = worker.promised.max(end);
+            worker.granted_until = worker.granted_until.max(end);
             worker.note_lease_order(now, &settings);
         }
-        worker.looking = true;
-        worker.looked = now;
-        self.figures.looks += 1;
-        self.out.push(Action::Look {
+        worker.poll_in_flight = true;
+        worker.polled_at = now;
+        self.stats.polls += 1;
+        self.actions.push(Action::Poll {
             worker: slot,
             observed,
             deadline,
@@ -212,11 +212,11 @@
     }
 
     /// Returns the names of the workers whose connections may be closed.
-    pub fn closable(&self) -> Vec<u32> {
+    pub fn closable_workers(&self) -> Vec<u32> {
         let mut out = Vec::new();
         for (slot, worker) in self.fleet.workers.iter().enumerate() {
-            let idle = worker.runs.is_empty() && worker.strays.is_empty();
-            if worker.dead || !worker.listed && idle {
+            let idle = worker.runs.is_empty() && worker.orphans.is_empty();
+            if worker.dead || !worker.registered && idle {
                 out.push(slot as u32);
             }
         }
--- a/crates/jobs/src/event.rs
+++ b/crates/jobs/src/event.rs
@@ -30,7 +30,7 @@
 
 /// An end that a worker lists.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct End {
+pub struct RunEnd {
     /// Number of the end in the worker's life, rising from 1.
     pub number: u64,
     /// The task.
@@ -40,36 +40,36 @@
     /// How it ended.
     pub ending: Ending,
     /// Progress it saved; empty for none.
-    pub saved: Arc<str>,
+    pub checkpoint: Arc<str>,
 }
 
 /// A run that a worker lists.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Running {
+pub struct ReportedRun {
     /// The task.
     pub task: TaskId,
     /// Number of the run.
     pub run: u32,
     /// Progress it saved; empty for none.
-    pub saved: Arc<str>,
+    pub checkpoint: Arc<str>,
     /// Progress in percent.
     pub percent: u32,
     /// For a task that serves, the tail of its latency in milliseconds; for
     /// another, the thousandths of a core in use. Rough, of the last half second.
-    pub figure: Option<u64>,
+    pub metric: Option<u64>,
 }
 
 /// A worker's answer to a look.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Look {
+pub struct WorkerReport {
     /// When the life that answers began, in milliseconds since 1970, if it says so.
-    pub born: Option<u64>,
+    pub start_time: Option<u64>,
     /// The worker's steady clock in milliseconds.
     pub clock: u64,
     /// What runs.
-    pub running: Vec<Running>,
+    pub running: Vec<ReportedRun>,
     /// What ended and was not dropped yet, in order.
-    pub finished: Vec<End>,
+    pub finished: Vec<RunEnd>,
 }
 
 /// What came of a start.
@@ -116,12 +116,12 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     /// To a look.
-    Looked(Look),
+    Report(WorkerReport),
     /// No answer to a look.
-    Silent,
+    NoReply,
     /// No answer to a look: the worker's machine refused the connection, since no process
     /// listens there.
-    Absent,
+    ConnectionRefused,
     /// The worker has seen a higher epoch.
     Fenced,
     /// The worker's life has ended.
@@ -142,13 +142,13 @@
     /// A caller cancelled a job.
     Cancelled(JobId),
     /// A worker announced itself or changed.
-    Worker(WorkerInfo),
+    WorkerUpdated(WorkerInfo),
     /// A worker's announcement is gone, or can't be read.
-    Unlisted(Arc<str>),
+    WorkerRemoved(Arc<str>),
     /// All announcements that there were at a time have been told.
-    Current {
+    WorkersSynced {
         /// When they were asked for, on the own steady clock in milliseconds.
-        asked: u64,
+        asked_at: u64,
     },
     /// The availability zones whose workers get nothing new, whole, sorted.
     Evacuated(Arc<[Arc<str>]>),
@@ -166,11 +166,11 @@
     /// The batch in flight is durable; with it the lease on the jobs is confirmed.
     Committed {
         /// When the write was asked for, on the own steady clock in milliseconds.
-        asked: u64,
+        asked_at: u64,
     },
     /// The store confirmed that the lease on the jobs is still held.
     Renewed {
         /// When the confirmation was asked for, on the own steady clock in milliseconds.
-        asked: u64,
+        asked_at: u64,
     },
 }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -29,7 +29,6 @@
 mod action;
 mod drive;
 mod event;
-mod figures;
 mod machine;
 mod model;
 mod order;
@@ -37,13 +36,13 @@
 mod runs;
 mod settings;
 mod share;
-mod sorted;
+mod sorted_map;
+mod stats;
 mod summary;
 mod takeover;
 
 pub use action::{Action, Batch, StartOrder};
-pub use event::{Answer, End, Ending, Event, Look, Running, Started, Stopped};
-pub use figures::Figures;
+pub use event::{Answer, Ending, Event, ReportedRun, RunEnd, Started, Stopped, WorkerReport};
 pub use machine::Machine;
 pub use model::{
     ids::{IdError, JobId, TaskId},
@@ -52,7 +51,8 @@
     spec::{Job, Schedule, Spec, SpecError, Step},
 };
 pub use runs::worker::{Capacity, WorkerInfo};
-pub use settings::{Settings, longest_lease};
+pub use settings::{Settings, lease_upper_bound};
 pub use share::learned::Learned;
-pub use sorted::Sorted;
+pub use sorted_map::SortedMap;
+pub use stats::Stats;
 pub use takeover::Takeover;
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -5,7 +5,6 @@
 use crate::{
     action::Action,
     event::{Answer, Event},
-    figures::Figures,
     model::{
         ids::{JobId, TaskId},
         job::JobState,
@@ -13,18 +12,19 @@
         record::{Outcome, Record, RecordError},
         spec::Job,
     },
-    order::times::Guesses,
-    place::{aging::Aging, hold::Hold, window::Window},
+    order::estimates::EstimateModel,
+    place::{aging::Aging, reservation::Reservation, start_window::StartWindow},
     runs::{fleet::Fleet, log::Log},
     settings::Settings,
-    share::{pairs::Pairs, sample::Image, season::Season},
-    sorted::Sorted,
+    share::{interference::Interference, sample::Image, seasonality::Seasonality},
+    sorted_map::SortedMap,
+    stats::Stats,
     takeover::Takeover,
 };
 
 /// What waits for a batch that is on its way to the store.
 #[derive(Debug, Default)]
-pub(crate) struct Flight {
+pub(crate) struct InFlight {
     /// Runs whose place it makes durable.
     pub(crate) starts: Vec<(TaskId, u32)>,
     /// Ends of workers that it makes durable.
@@ -35,9 +35,9 @@
 #[derive(Debug)]
 pub struct Machine {
     pub(crate) settings: Settings,
-    pub(crate) jobs: Sorted<JobId, JobState>,
+    pub(crate) jobs: SortedMap<JobId, JobState>,
     /// Jobs that are not finished, in the order in which they are to be placed.
-    pub(crate) open: Vec<JobId>,
+    pub(crate) open_jobs: Vec<JobId>,
     /// Jobs of which repetitions are still to fall due.
     pub(crate) scheduled: Vec<JobId>,
     /// Tasks that may crash their workers, sorted.
@@ -47,92 +47,92 @@
     /// Tasks whose run may have another pace than is wanted.
     pub(crate) pacing: Vec<TaskId>,
     /// Workers of which ends were counted that are not durable yet.
-    pub(crate) counted: Vec<u32>,
+    pub(crate) workers_with_ends: Vec<u32>,
     /// How many starts may be under way.
-    pub(crate) window: Window,
+    pub(crate) window: StartWindow,
     /// How many of the open jobs, the last ones, can't be in time.
-    pub(crate) late: usize,
+    pub(crate) late_jobs: usize,
     /// Workers that are kept free for tasks that have waited for long.
-    pub(crate) holds: Vec<Hold>,
+    pub(crate) reservations: Vec<Reservation>,
     /// When a worker was last looked for that a job that stands still may hold.
-    pub(crate) sought: u64,
+    pub(crate) last_search: u64,
     /// Jobs that stand still.
     pub(crate) aging: Aging,
     /// Jobs whose records changed.
-    pub(crate) dirty: Vec<JobId>,
+    pub(crate) dirty_jobs: Vec<JobId>,
     pub(crate) fleet: Fleet,
     pub(crate) queues: Vec<QueuePolicy>,
-    pub(crate) pairs: Pairs,
+    pub(crate) interference: Interference,
     /// What the loads of serving steps have in common.
-    pub(crate) season: Season,
+    pub(crate) seasonality: Seasonality,
     /// What was learned of guessed times, by queue.
-    pub(crate) guesses: Sorted<Arc<str>, Guesses>,
+    pub(crate) estimates: SortedMap<Arc<str>, EstimateModel>,
     /// Numbers of images.
-    pub(crate) images: Sorted<Arc<str>, Image>,
+    pub(crate) image_numbers: SortedMap<Arc<str>, Image>,
     /// What waits for the batch in flight, if there is one.
-    pub(crate) flight: Option<Flight>,
+    pub(crate) in_flight: Option<InFlight>,
     /// Rows that tell of jobs' tasks.
     pub(crate) log: Log,
     /// When the store was last asked for a confirmation of the lease that it gave.
-    pub(crate) contact: u64,
+    pub(crate) store_contact: u64,
     /// Whether something changed that may let tasks be placed.
-    pub(crate) moved: bool,
+    pub(crate) placement_due: bool,
     /// When placement last ran.
-    pub(crate) placed: u64,
+    pub(crate) last_placement: u64,
     /// When all runs were last gone through.
-    pub(crate) checked: u64,
+    pub(crate) last_check: u64,
     /// When the disturbances were last fitted.
-    pub(crate) fitted: u64,
+    pub(crate) last_fit: u64,
     /// When the load was last logged.
-    pub(crate) summarised: u64,
+    pub(crate) last_load_log: u64,
     pub(crate) now: u64,
-    pub(crate) wall: u64,
-    pub(crate) out: Vec<Action>,
-    pub(crate) figures: Figures,
+    pub(crate) wall_clock: u64,
+    pub(crate) actions: Vec<Action>,
+    pub(crate) stats: Stats,
 }
 
 impl Machine {
     /// Makes a machine at `now` on the own steady clock, in milliseconds.
     pub fn new(settings: Settings, now: u64, takeover: Takeover) -> Machine {
-        let fleet = Fleet::new(takeover.inherited);
+        let fleet = Fleet::new(takeover.prior_leases_end);
         Machine {
             settings,
-            jobs: Sorted::default(),
-            open: Vec::new(),
+            jobs: SortedMap::default(),
+            open_jobs: Vec::new(),
             scheduled: Vec::new(),
             suspects: Vec::new(),
             stopping: Vec::new(),
             pacing: Vec::new(),
-            counted: Vec::new(),
-            window: Window::default(),
-            late: 0,
-            holds: Vec::new(),
-            sought: 0,
+            workers_with_ends: Vec::new(),
+            window: StartWindow::default(),
+            late_jobs: 0,
+            reservations: Vec::new(),
+            last_search: 0,
             aging: Aging::default(),
-            dirty: Vec::new(),
+            dirty_jobs: Vec::new(),
             fleet,
             queues: Vec::new(),
-            pairs: Pairs::default(),
-            season: Season::default(),
-            guesses: Sorted::default(),
-            images: Sorted::default(),
-            flight: None,
+            interference: Interference::default(),
+            seasonality: Seasonality::default(),
+            estimates: SortedMap::default(),
+            image_numbers: SortedMap::default(),
+            in_flight: None,
             log: Log::default(),
-            contact: takeover.asked,
-            moved: true,
-            placed: 0,
-            checked: 0,
-            fitted: 0,
-            summarised: 0,
+            store_contact: takeover.asked_at,
+            placement_due: true,
+            last_placement: 0,
+            last_check: 0,
+            last_fit: 0,
+            last_load_log: 0,
             now,
-            wall: 0,
-            out: Vec::new(),
-            figures: Figures::default(),
+            wall_clock: 0,
+            actions: Vec::new(),
+            stats: Stats::default(),
         }
     }
 
     /// Takes the next row of the log that earlier owners wrote, the oldest one first. All rows
-    /// come before [`Machine::recorded`] and [`Machine::restore`].
+    /// come before [`Machine::current_record`] and [`Machine::restore`].
     ///
     /// Errors: the row can't be read; what it told is lost.
     pub fn replay(&mut self, row: &[u8]) -> Result<(), RecordError> {
@@ -141,12 +141,12 @@
 
     /// Returns the record of a job, brought up to date by the log; nothing if earlier owners wrote
     /// nothing of it.
-    pub fn recorded(&self, id: JobId, record: Option<Record>) -> Option<Record> {
-        self.log.recorded(id, record)
+    pub fn current_record(&self, id: JobId, record: Option<Record>) -> Option<Record> {
+        self.log.current_record(id, record)
     }
 
     /// Takes over a job that earlier owners wrote of, with its record as
-    /// [`Machine::recorded`] returns it.
+    /// [`Machine::current_record`] returns it.
     pub fn restore(&mut self, job: Arc<Job>, record: &Record) {
         let id = job.id;
         let images = self.number_images(&job);
@@ -157,10 +157,10 @@
             let fleet = &mut self.fleet;
             state.restore(record, |name| fleet.slot(name));
             is_logged = state.note_logged(replayed);
-            self.open.push(id);
+            self.open_jobs.push(id);
             self.scheduled.push(id);
         }
-        (state.outcome, state.written) = (record.outcome, record.outcome);
+        (state.outcome, state.written_outcome) = (record.outcome, record.outcome);
         let mut suspects = Vec::new();
         for id in state.task_ids() {
             let Some(task) = state.task(id) else {
@@ -176,75 +176,75 @@
             let worker = self.fleet.get_mut(run.worker);
             worker.reserve(id, step);
             // After losses of power there may be others on each worker.
-            if task.crashes.is_likely() {
-                worker.guest = Some(id);
+            if task.crashes.is_likely_cause() {
+                worker.isolated_task = Some(id);
             }
         }
         self.jobs.insert(id, state);
         for id in suspects {
-            self.suspect(id);
+            self.add_suspect(id);
         }
         // A record of an earlier version tells of tasks: the log has to, before it is replaced.
         if !is_logged {
-            self.mark(id);
+            self.mark_dirty(id);
         }
     }
 
     /// Takes an event at `now` on the own steady clock, and `wall` since 1970,
-    /// both in milliseconds. [`Machine::settle`] follows after one or several.
+    /// both in milliseconds. [`Machine::decide`] follows after one or several.
     pub fn handle(&mut self, now: u64, wall: u64, event: Event) {
         self.now = now.max(self.now);
-        self.wall = wall;
+        self.wall_clock = wall;
         match event {
             Event::Accepted(job) => self.accepted(job),
             Event::Cancelled(job) => self.cancelled(job),
-            Event::Worker(info) => self.moved |= self.fleet.announce(info, self.now),
+            Event::WorkerUpdated(info) => self.placement_due |= self.fleet.register(info, self.now),
             Event::Evacuated(zones) => {
                 self.fleet.evacuate(zones);
-                self.moved = true;
+                self.placement_due = true;
             }
-            Event::Current { asked } => self.fleet.note_current(asked),
-            Event::Unlisted(id) => self.fleet.unlist(&id),
+            Event::WorkersSynced { asked_at: asked } => self.fleet.note_synced(asked),
+            Event::WorkerRemoved(id) => self.fleet.deregister(&id),
             Event::Queues(queues) => {
                 self.queues = queues;
-                self.moved = true;
+                self.placement_due = true;
             }
             Event::Answer {
                 worker,
                 sent,
                 answer,
             } => self.answered(worker, sent, answer),
-            Event::Committed { asked } => {
+            Event::Committed { asked_at: asked } => {
                 self.renewed(asked);
-                self.committed();
+                self.handle_committed();
             }
-            Event::Renewed { asked } => self.renewed(asked),
+            Event::Renewed { asked_at: asked } => self.renewed(asked),
         }
     }
 
     /// Decides, and returns what is to be done.
-    pub fn settle(&mut self, now: u64, wall: u64) -> Vec<Action> {
+    pub fn decide(&mut self, now: u64, wall: u64) -> Vec<Action> {
         self.now = now.max(self.now);
-        self.wall = wall;
+        self.wall_clock = wall;
         self.drive();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// Returns the figures.
-    pub fn figures(&self) -> Figures {
-        Figures {
-            open: self.open.len() as u64,
-            tasks: self.jobs.iter().map(|(_, j)| j.size()).sum(),
-            age: self.fleet.age(self.now),
-            unheard: self.unheard(),
-            ..self.figures
+    pub fn stats(&self) -> Stats {
+        Stats {
+            open_jobs: self.open_jobs.len() as u64,
+            tasks: self.jobs.iter().map(|(_, j)| j.task_count()).sum(),
+            workers_age_ms: self.fleet.age(self.now),
+            unverified_runs: self.unverified_runs(),
+            ..self.stats
         }
     }
 
     /// Returns the number of jobs of each queue none of whose tasks has begun.
-    pub fn pending(&self) -> Vec<(Arc<str>, u64)> {
-        let mut counts: Sorted<Arc<str>, u64> = Sorted::default();
-        for id in &self.open {
+    pub fn pending_jobs(&self) -> Vec<(Arc<str>, u64)> {
+        let mut counts: SortedMap<Arc<str>, u64> = SortedMap::default();
+        for id in &self.open_jobs {
             let Some(state) = self.jobs.get(id) else {
                 continue;
             };
@@ -258,33 +258,33 @@
     }
 
     /// Returns where a worker listens, and its name.
-    pub fn worker(&self, slot: u32) -> Option<(std::net::SocketAddr, Arc<str>)> {
+    pub fn worker_address(&self, slot: u32) -> Option<(std::net::SocketAddr, Arc<str>)> {
         let worker = self.fleet.workers.get(slot as usize)?;
         worker.info.as_ref().map(|i| (i.addr, worker.id.clone()))
     }
 
     /// Tells whether the job is known already.
-    pub fn knows(&self, id: JobId) -> bool {
+    pub fn has_job(&self, id: JobId) -> bool {
         self.jobs.get(&id).is_some()
     }
 
     /// The lease on the jobs counts from when it was asked for: another instance takes it
     /// over by the store's clock, however late this one reads the answer.
     fn renewed(&mut self, asked: u64) {
-        self.contact = self.contact.max(asked);
+        self.store_contact = self.store_contact.max(asked);
     }
 
     fn accepted(&mut self, job: Arc<Job>) {
         let id = job.id;
-        if self.knows(id) {
+        if self.has_job(id) {
             return;
         }
-        log::info!(job = id.to_string().as_str(), queue = &*job.queue, chain = job.spec.chain(); "jobs: taken up");
+        log::info!(job = id.to_string().as_str(), queue = &*job.queue, chain = job.spec.critical_path(); "jobs: taken up");
         let images = self.number_images(&job);
         self.jobs.insert(id, JobState::new(job, images, self.now));
-        self.open.push(id);
+        self.open_jobs.push(id);
         self.scheduled.push(id);
-        self.moved = true;
+        self.placement_due = true;
     }
 
     /// Returns the number of each step's image.
@@ -302,8 +302,8 @@
         if name.is_empty() {
             return 0;
         }
-        let next = self.images.len() as Image + 1;
-        let number = self.images.or_default(name);
+        let next = self.image_numbers.len() as Image + 1;
+        let number = self.image_numbers.or_default(name);
         if *number == 0 {
             *number = next;
         }
@@ -312,23 +312,23 @@
 
     fn cancelled(&mut self, id: JobId) {
         if self.jobs.get(&id).is_some_and(|j| !j.outcome.is_final()) {
-            self.finish(id, Outcome::Cancelled);
+            self.end_job(id, Outcome::Cancelled);
         }
     }
 
     fn answered(&mut self, worker: u32, sent: u64, answer: Answer) {
         match answer {
-            Answer::Looked(look) => self.looked(worker, sent, look),
-            Answer::Silent => self.silent(worker, sent),
-            Answer::Absent => {
-                self.silent(worker, sent);
-                self.fleet.get_mut(worker).absent = true;
+            Answer::Report(look) => self.handle_report(worker, sent, look),
+            Answer::NoReply => self.handle_no_reply(worker, sent),
+            Answer::ConnectionRefused => {
+                self.handle_no_reply(worker, sent);
+                self.fleet.get_mut(worker).process_ended = true;
             }
-            Answer::Fenced => self.out.push(Action::Depose),
-            Answer::Dead => self.worker_dead(worker),
-            Answer::Started(task, run, started) => self.started(worker, task, run, started),
-            Answer::Stopped(task, run, stopped) => self.stopped(worker, task, run, stopped),
-            Answer::Paced(task, run, done) => self.paced(worker, task, run, done),
+            Answer::Fenced => self.actions.push(Action::StepDown),
+            Answer::Dead => self.worker_lost(worker),
+            Answer::Started(task, run, started) => self.handle_started(worker, task, run, started),
+            Answer::Stopped(task, run, stopped) => self.handle_stopped(worker, task, run, stopped),
+            Answer::Paced(task, run, done) => self.handle_paced(worker, task, run, done),
         }
     }
 
--- a/crates/jobs/src/model/changes.rs
+++ b/crates/jobs/src/model/changes.rs
@@ -10,7 +10,7 @@
         ids::JobId,
         record::{DecodeSnafu, Record, RecordError, TaskRecord},
     },
-    sorted::Sorted,
+    sorted_map::SortedMap,
 };
 
 /// Number of a row of the log; it only grows while one owner writes.
@@ -49,13 +49,13 @@
 /// What the log tells of one job, and in which row each part of it is.
 #[derive(Debug, Default)]
 pub(crate) struct Replayed {
-    pub(crate) steps: Sorted<StepAt, RowNumber>,
-    pub(crate) tasks: Sorted<(u32, u32, u32), (RowNumber, TaskRecord)>,
+    pub(crate) steps: SortedMap<StepAt, RowNumber>,
+    pub(crate) tasks: SortedMap<(u32, u32, u32), (RowNumber, TaskRecord)>,
 }
 
 impl Replayed {
     /// Takes the next changes.
-    pub(crate) fn take(&mut self, number: RowNumber, changes: Changes) {
+    pub(crate) fn apply(&mut self, number: RowNumber, changes: Changes) {
         for step in changes.steps {
             self.steps.insert(step, number);
         }
@@ -65,7 +65,7 @@
     }
 
     /// Brings a record up to date.
-    pub(crate) fn update(&self, record: &mut Record) {
+    pub(crate) fn apply_to(&self, record: &mut Record) {
         for (&step, _) in self.steps.iter() {
             if let Err(at) = record.steps.binary_search(&step) {
                 record.steps.insert(at, step);
--- a/crates/jobs/src/model/spec.rs
+++ b/crates/jobs/src/model/spec.rs
@@ -60,28 +60,35 @@
     /// Label that its workers must have.
     pub label: Option<Arc<str>>,
     /// Rack in which its data lies.
-    pub rack: Option<Arc<str>>,
+    #[serde(rename = "rack")]
+    pub data_rack: Option<Arc<str>>,
     /// Tasks of the step that one worker may run at most; 0 for any number.
-    pub spread: u32,
+    #[serde(rename = "spread")]
+    pub max_per_worker: u32,
     /// Whether copies of a task may run beside each other.
     pub copies: bool,
     /// Whether its tasks run until the job is cancelled.
-    pub lasting: bool,
+    #[serde(rename = "lasting")]
+    pub long_running: bool,
     /// What its tasks run.
     pub image: Option<Arc<str>>,
     /// Latency in milliseconds that the tail of its answers stays under; 0 for none.
-    pub target: u64,
+    #[serde(rename = "target")]
+    pub latency_target: u64,
     /// Whether its tasks take the processor time that others leave.
-    pub fill: bool,
+    #[serde(rename = "fill")]
+    pub best_effort: bool,
     /// Tasks that may be away at once by the scheduler's doing; none without a budget.
-    pub away: Option<u32>,
+    #[serde(rename = "away")]
+    pub disruption_budget: Option<u32>,
 }
 
 /// When a repeated job falls due.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
     /// Number of repetitions; 0 for a job that runs once, at once.
-    pub times: u32,
+    #[serde(rename = "times")]
+    pub repetitions: u32,
     /// When the first is due, in milliseconds since 1970.
     pub first: u64,
     /// Milliseconds from one to the next.
@@ -92,7 +99,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spec {
     /// Text that is passed to the workers as it is.
-    pub text: Arc<str>,
+    #[serde(rename = "text")]
+    pub payload: Arc<str>,
     /// The steps.
     pub steps: Vec<Step>,
     /// When they run.
@@ -101,7 +109,7 @@
 
 impl Spec {
     /// Checks what no later change can mend.
-    pub fn check(&self) -> Result<(), SpecError> {
+    pub fn validate(&self) -> Result<(), SpecError> {
         ensure!(!self.steps.is_empty(), EmptySnafu { step: 0_usize });
         for (step, s) in self.steps.iter().enumerate() {
             ensure!(s.count > 0, EmptySnafu { step });
@@ -117,11 +125,11 @@
 
     /// Returns how many times the steps run, at least once.
     pub fn repetitions(&self) -> u32 {
-        self.schedule.times.max(1)
+        self.schedule.repetitions.max(1)
     }
 
     /// Returns the longest chain of estimated times, in milliseconds.
-    pub fn chain(&self) -> u64 {
+    pub fn critical_path(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let before = step.deps.iter().map(|&d| ends[d as usize]).max();
--- a/crates/jobs/src/order/times.rs
+++ b/crates/jobs/src/order/estimates.rs
@@ -28,7 +28,7 @@
 
 /// What is learned of the guesses of one queue.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Guesses {
+pub(crate) struct EstimateModel {
     count: f64,
     guessed: f64,
     took: f64,
@@ -36,9 +36,9 @@
     products: f64,
 }
 
-impl Guesses {
+impl EstimateModel {
     /// Takes a guess and the time that the task took, both in milliseconds.
-    pub(crate) fn note(&mut self, guess: u64, took: u64) {
+    pub(crate) fn observe(&mut self, guess: u64, took: u64) {
         if self.count >= MOST {
             for sum in [
                 &mut self.count,
@@ -75,28 +75,28 @@
 
 /// What is known of the times of a step's own tasks.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Seen {
+pub(crate) struct ObservedTimes {
     count: f64,
     sum: f64,
 }
 
-impl Seen {
+impl ObservedTimes {
     /// Takes the time that one of them took, in milliseconds.
-    pub(crate) fn note(&mut self, took: u64) {
+    pub(crate) fn observe(&mut self, took: u64) {
         self.count += 1.0;
         self.sum += log(took);
     }
 
     /// Takes what a run tells that has got so far, in percent, in so long.
-    pub(crate) fn note_run(&mut self, percent: u32, ran: u64) {
+    pub(crate) fn observe_run(&mut self, percent: u32, ran: u64) {
         if percent >= TELLING {
-            self.note(ran * 100 / u64::from(percent));
+            self.observe(ran * 100 / u64::from(percent));
         }
     }
 
     /// Returns the time that the longest of so many tasks of this guess takes, in
     /// milliseconds; 0 if there is neither a guess nor a time.
-    pub(crate) fn longest(&self, guesses: &Guesses, guess: u64, tasks: usize) -> u64 {
+    pub(crate) fn longest(&self, guesses: &EstimateModel, guess: u64, tasks: usize) -> u64 {
         let line = if guess > 0 { LINE } else { 0.0 };
         let known = line + self.count;
         if known == 0.0 {
--- a/crates/jobs/src/place/room.rs
+++ b/crates/jobs/src/place/free_capacity.rs
@@ -6,38 +6,38 @@
     machine::Machine,
     model::spec::Step,
     place::refusal::Refusal,
-    runs::worker::{Capacity, Worker, size},
+    runs::worker::{Capacity, Worker, demand},
 };
 
 /// What a worker has left.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Room {
+pub(crate) struct FreeCapacity {
     /// Whether more is taken than there is: then nothing fits, whatever it asks for.
     over: bool,
     free: Capacity,
     /// Thousandths of a core that more filling tasks may ask for.
-    fill: u64,
+    free_best_effort_cpu: u64,
 }
 
-impl Room {
+impl FreeCapacity {
     /// Returns what a worker has left.
-    pub(crate) fn of(worker: &Worker) -> Room {
+    pub(crate) fn of(worker: &Worker) -> FreeCapacity {
         let (room, used) = (worker.capacity(), worker.used);
         let cpu = room.cpu.saturating_sub(used.cpu);
-        Room {
-            over: worker.is_over(),
+        FreeCapacity {
+            over: worker.is_overcommitted(),
             free: Capacity {
                 cpu,
                 memory: room.memory.saturating_sub(used.memory),
                 gpu: room.gpu.saturating_sub(used.gpu),
             },
-            fill: (cpu + worker.spare).saturating_sub(worker.filling),
+            free_best_effort_cpu: (cpu + worker.spare_cpu).saturating_sub(worker.best_effort_cpu),
         }
     }
 
     /// Returns how many thousandths of a core more filling tasks may ask for.
     pub(crate) fn fill(&self) -> u64 {
-        self.fill
+        self.free_best_effort_cpu
     }
 
     /// Tells whether a task of a step fits; one that fills may go beyond the share of
@@ -46,18 +46,18 @@
         self.check(step, starved).is_ok()
     }
 
-    /// Says why a task of a step does not fit, as [`Room::fits`] asks.
+    /// Says why a task of a step does not fit, as [`FreeCapacity::fits`] asks.
     fn check(&self, step: &Step, starved: bool) -> Result<(), Refusal> {
-        let size = size(step);
+        let size = demand(step);
         let enough = size.cpu <= self.free.cpu
             && size.memory <= self.free.memory
             && size.gpu <= self.free.gpu;
         if self.over || !enough {
-            return Err(Refusal::Room);
+            return Err(Refusal::NoRoom);
         }
-        match starved || !step.fill || step.cpu <= self.fill {
+        match starved || !step.best_effort || step.cpu <= self.free_best_effort_cpu {
             true => Ok(()),
-            false => Err(Refusal::Share),
+            false => Err(Refusal::BestEffortShare),
         }
     }
 }
@@ -70,19 +70,22 @@
         step: &Step,
         service: &Arc<str>,
     ) -> Result<(), Refusal> {
-        let info = worker.info.as_ref().filter(|_| worker.is_open(self.now));
+        let info = worker
+            .info
+            .as_ref()
+            .filter(|_| worker.accepts_runs(self.now));
         let info = info.ok_or(Refusal::Closed)?;
         let label = step.label.as_ref();
         match () {
-            () if worker.guest.is_some() => Err(Refusal::Guest),
+            () if worker.isolated_task.is_some() => Err(Refusal::Isolating),
             () if !Arc::ptr_eq(&info.service, service) => Err(Refusal::Label),
-            () if worker.is_on_trial(self.now) => Err(Refusal::Trial),
+            () if worker.is_on_probation(self.now) => Err(Refusal::OnProbation),
             () if label.is_some_and(|l| !info.labels.contains(l)) => Err(Refusal::Label),
             () => Ok(()),
         }
     }
 
-    /// Says why a worker can't take a task of a step now, as [`Room::fits`] asks.
+    /// Says why a worker can't take a task of a step now, as [`FreeCapacity::fits`] asks.
     pub(crate) fn fits(
         &self,
         worker: &Worker,
@@ -90,7 +93,7 @@
         service: &Arc<str>,
         starved: bool,
     ) -> Result<(), Refusal> {
-        Room::of(worker).check(step, starved)?;
+        FreeCapacity::of(worker).check(step, starved)?;
         self.may_take(worker, step, service)
     }
 }
--- a/crates/jobs/src/place/apart.rs
+++ b/crates/jobs/src/place/isolation.rs
@@ -15,7 +15,7 @@
     machine::Machine,
     model::{ids::TaskId, task::Task},
     place::{pass::Pass, rank::rating, request::Request, tasks::Placed},
-    runs::{crashes::YOUNG, worker::Worker},
+    runs::{crashes::JUST_STARTED_MS, worker::Worker},
 };
 
 /// A suspect waits for an empty worker for this long, in milliseconds: short tasks end within,
@@ -40,15 +40,15 @@
     ///
     /// What only chance speaks against waits no longer than [`PATIENCE`]: after a loss of
     /// power that struck twice there are many of them.
-    pub(crate) fn is_apart(&self, now: u64) -> bool {
-        let waits = now <= self.cleared + PATIENCE;
-        self.crashes.is_likely() || self.crashes.is_suspect() && waits
+    pub(crate) fn needs_isolation(&self, now: u64) -> bool {
+        let waits = now <= self.idle_since + PATIENCE;
+        self.crashes.is_likely_cause() || self.crashes.is_suspect() && waits
     }
 }
 
 impl Machine {
     /// Takes note that a task may crash its workers.
-    pub(crate) fn suspect(&mut self, id: TaskId) {
+    pub(crate) fn add_suspect(&mut self, id: TaskId) {
         if let Err(at) = self.suspects.binary_search(&id) {
             self.suspects.insert(at, id);
         }
@@ -60,7 +60,7 @@
         left.retain(|&id| self.is_open_suspect(id));
         let mut tried = None;
         for &id in &left {
-            if pass.starts == 0 {
+            if pass.starts_left == 0 {
                 break;
             }
             // One try of a gang stands for all its members.
@@ -75,11 +75,11 @@
     }
 
     /// Places suspects on workers that nobody else has a use for, once all others have places.
-    pub(super) fn place_on_idle(&mut self, pass: &mut Pass) {
-        if pass.is_spent() || !pass.misfits.is_empty() {
+    pub(super) fn place_suspects_on_idle(&mut self, pass: &mut Pass) {
+        if pass.is_over_budget() || !pass.unplaceable.is_empty() {
             return;
         }
-        pass.idle = true;
+        pass.others_placed = true;
         self.place_suspects(pass);
     }
 
@@ -102,20 +102,20 @@
         let job = state.job.clone();
         let step = &job.spec.steps[id.step as usize];
         let task = state.task(id).filter(|t| t.is_waiting(self.now));
-        let Some(task) = task.filter(|t| t.is_apart(self.now)) else {
+        let Some(task) = task.filter(|t| t.needs_isolation(self.now)) else {
             return;
         };
-        let likely = task.crashes.is_likely();
+        let likely = task.crashes.is_likely_cause();
         let Some(service) = self.policy(&job.queue).map(|p| p.service.clone()) else {
             return;
         };
         let service = self.fleet.service(&service);
         let request = Request {
-            first: TaskId { index: 0, ..id },
+            first_task: TaskId { index: 0, ..id },
             step,
             image: state.images[id.step as usize],
             service: &service,
-            avoid: None,
+            failed_worker: None,
             starved: true,
         };
         let placed = match step.gang {
@@ -129,46 +129,56 @@
 
     /// Places a suspect; true if there is a worker for it.
     fn place_apart(&mut self, id: TaskId, request: &Request<'_>, pass: &mut Pass) -> bool {
-        let Some(slot) = self.find_apart(id, request, pass) else {
+        let Some(slot) = self.find_isolated_worker(id, request, pass) else {
             return false;
         };
-        self.plan(id, slot, request.step);
-        self.keep_apart(id, slot, pass);
-        pass.starts -= 1;
+        self.place_on(id, slot, request.step);
+        self.isolate(id, slot, pass);
+        pass.starts_left -= 1;
         true
     }
 
     /// Keeps others away from a worker while a suspect runs there.
-    pub(super) fn keep_apart(&mut self, id: TaskId, slot: u32, pass: &mut Pass) {
-        self.fleet.get_mut(slot).guest = Some(id);
-        pass.note_room(slot, &self.fleet);
-        pass.open.retain(|&s| s != slot);
+    pub(super) fn isolate(&mut self, id: TaskId, slot: u32, pass: &mut Pass) {
+        self.fleet.get_mut(slot).isolated_task = Some(id);
+        pass.update_free_capacity(slot, &self.fleet);
+        pass.open_workers.retain(|&s| s != slot);
     }
 
     /// Finds a worker for a suspect: an empty one, or after [`PATIENCE`] one with little to
     /// lose.
-    pub(super) fn find_apart(&self, id: TaskId, request: &Request<'_>, pass: &Pass) -> Option<u32> {
+    pub(super) fn find_isolated_worker(
+        &self,
+        id: TaskId,
+        request: &Request<'_>,
+        pass: &Pass,
+    ) -> Option<u32> {
         let task = self.jobs.get(&id.job)?.task(id)?;
-        let share = match task.crashes.is_likely() {
+        let share = match task.crashes.is_likely_cause() {
             true => LIKELY_SHARE,
             false => UNLIKELY_SHARE,
         };
         if !self.may_host(share, pass) {
             return None;
         }
-        let empty = self.best_apart(request, pass, |w| w.runs.is_empty() && w.strays.is_empty());
-        if empty.is_some() || pass.idle || self.now <= task.cleared + PATIENCE {
+        let empty = self.best_apart(request, pass, |w| w.runs.is_empty() && w.orphans.is_empty());
+        if empty.is_some() || pass.others_placed || self.now <= task.idle_since + PATIENCE {
             return empty;
         }
         // Whatever else had just begun there might be blamed as well.
-        self.best_apart(request, pass, |w| self.now > w.probed + YOUNG)
+        self.best_apart(request, pass, |w| self.now > w.probed_at + JUST_STARTED_MS)
     }
 
     /// Tells whether one more worker may run a suspect, of those of which one in `share` may.
     fn may_host(&self, share: usize, pass: &Pass) -> bool {
-        let hosts = self.fleet.workers.iter().filter(|w| w.is_hosting()).count();
-        let all = hosts + pass.open.len();
-        let most = match pass.idle {
+        let hosts = self
+            .fleet
+            .workers
+            .iter()
+            .filter(|w| w.is_isolating())
+            .count();
+        let all = hosts + pass.open_workers.len();
+        let most = match pass.others_placed {
             true => all - all.div_ceil(SPARE_SHARE),
             false => (all / share).max(1),
         };
@@ -176,22 +186,22 @@
     }
 
     /// Tells whether a member of a gang has waited in vain for a worker of its own.
-    pub(super) fn has_waited_apart(&self, id: TaskId) -> bool {
+    pub(super) fn has_waited_for_isolation(&self, id: TaskId) -> bool {
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
-        task.is_some_and(|t| self.now > t.cleared + GANG_PATIENCE)
+        task.is_some_and(|t| self.now > t.idle_since + GANG_PATIENCE)
     }
 
     /// Keeps new tasks from the worker that a suspect will soon run on beside others, so that
     /// fewer are there then; from one at a time, whatever number of suspects waits.
     fn clear_way(&self, request: &Request<'_>, pass: &mut Pass) {
-        if pass.idle
+        if pass.others_placed
             || !self.may_host(LIKELY_SHARE, pass)
-            || std::mem::replace(&mut pass.cleared, true)
+            || std::mem::replace(&mut pass.reserved_for_suspect, true)
         {
             return;
         }
         if let Some(slot) = self.best_apart(request, pass, |_| true) {
-            pass.open.retain(|&s| s != slot);
+            pass.open_workers.retain(|&s| s != slot);
         }
     }
 
@@ -202,13 +212,16 @@
         pass: &Pass,
         suits: impl Fn(&Worker) -> bool,
     ) -> Option<u32> {
-        let workers = pass.open.iter().map(|&slot| (slot, self.fleet.get(slot)));
+        let workers = pass
+            .open_workers
+            .iter()
+            .map(|&slot| (slot, self.fleet.get(slot)));
         let fitting = workers.filter(|&(slot, w)| {
             let fits = self.fits(w, request.step, request.service, request.starved);
-            suits(w) && fits.is_ok() && !self.is_spread(slot, request)
+            suits(w) && fits.is_ok() && !self.is_at_step_limit(slot, request)
         });
         let best = fitting.min_by_key(|&(slot, w)| {
-            let stake = (w.lasting, w.runs.len());
+            let stake = (w.long_running_tasks, w.runs.len());
             (stake, Reverse(rating(w, request.step)), slot)
         });
         best.map(|(slot, _)| slot)
--- a/crates/jobs/src/place/rank.rs
+++ b/crates/jobs/src/place/rank.rs
@@ -37,7 +37,7 @@
     rated: BinaryHeap<(i64, Reverse<u32>)>,
     /// Headroom that the step's image takes from each serving one; none if it does not
     /// fill.
-    takes: Vec<f64>,
+    headroom_costs: Vec<f64>,
 }
 
 impl Machine {
@@ -45,13 +45,15 @@
     pub(crate) fn rank(&mut self, request: &Request<'_>, pass: &Pass) -> Ranking {
         let mut ranking = Ranking {
             rated: BinaryHeap::new(),
-            takes: self.takes(request),
+            headroom_costs: self.takes(request),
         };
-        for &slot in &pass.open {
-            if !pass.room(slot).fits(request.step, request.starved) {
+        for &slot in &pass.open_workers {
+            if !pass.free_capacity(slot).fits(request.step, request.starved) {
                 continue;
             }
-            let rating = self.rate(slot, request, pass, &ranking.takes).ok();
+            let rating = self
+                .rate_worker(slot, request, pass, &ranking.headroom_costs)
+                .ok();
             ranking.rated.extend(rating.map(|r| (r, Reverse(slot))));
         }
         ranking
@@ -60,8 +62,10 @@
     /// Returns the headroom that a request takes from each serving image; none if it does not
     /// fill.
     pub(super) fn takes(&self, request: &Request<'_>) -> Vec<f64> {
-        match request.step.fill {
-            true => self.pairs.takes(request.image, self.images.len() + 1),
+        match request.step.best_effort {
+            true => self
+                .interference
+                .headroom_costs(request.image, self.image_numbers.len() + 1),
             false => Vec::new(),
         }
     }
@@ -76,7 +80,9 @@
         pass: &Pass,
     ) -> Option<u32> {
         while let Some(&(old, Reverse(slot))) = ranking.rated.peek() {
-            let new = self.rate(slot, request, pass, &ranking.takes).ok();
+            let new = self
+                .rate_worker(slot, request, pass, &ranking.headroom_costs)
+                .ok();
             if new == Some(old) {
                 return Some(slot);
             }
@@ -87,7 +93,7 @@
     }
 
     /// Returns how well a worker suits a request, more is better, or why it can't take it.
-    pub(super) fn rate(
+    pub(super) fn rate_worker(
         &mut self,
         slot: u32,
         request: &Request<'_>,
@@ -97,29 +103,31 @@
         let step = request.step;
         let worker = self.fleet.get(slot);
         self.fits(worker, step, request.service, request.starved)?;
-        if request.avoid == Some(slot) || request.avoid.is_some() && worker.failures > 0 {
-            return Err(Refusal::Avoided);
+        if request.failed_worker == Some(slot)
+            || request.failed_worker.is_some() && worker.failures > 0
+        {
+            return Err(Refusal::FailedBefore);
         }
-        if self.is_held(slot, request, pass) {
-            return Err(Refusal::Held);
+        if self.is_reserved(slot, request, pass) {
+            return Err(Refusal::Reserved);
         }
-        if self.is_spread(slot, request) {
-            return Err(Refusal::Spread);
+        if self.is_at_step_limit(slot, request) {
+            return Err(Refusal::StepLimit);
         }
         let mut points = rating(worker, step);
-        if step.target > 0 {
+        if step.latency_target > 0 {
             points += self.alike(worker, request.image);
-            points -= (self.pressure_on(slot, request.image) * DISTURBED) as i64;
+            points -= (self.headroom_taken_on(slot, request.image) * DISTURBED) as i64;
         }
-        if step.fill {
-            let share = worker.share(step.cpu);
+        if step.best_effort {
+            let share = worker.cpu_share(step.cpu);
             let slack = self.slack(slot);
             let excess = slack.excess(takes, share);
-            if slack.over && !self.may_fill_beside(slot, request) {
-                return Err(Refusal::Tail);
+            if slack.is_over_target && !self.may_fill_beside(slot, request) {
+                return Err(Refusal::OverTarget);
             }
             if excess > 0.0 && !request.starved {
-                return Err(Refusal::Excess);
+                return Err(Refusal::Interference);
             }
             points -= (excess * DISTURBED) as i64;
         }
@@ -129,18 +137,20 @@
     /// Tells whether a task may begin to fill beside a tail that is over its target.
     fn may_fill_beside(&self, slot: u32, request: &Request<'_>) -> bool {
         let worker = self.fleet.get(slot);
-        request.starved && worker.filling == 0 && worker.own_load.may_fill(self.now)
+        request.starved
+            && worker.best_effort_cpu == 0
+            && worker.own_load.may_run_best_effort(self.now)
     }
 
     /// Tells whether a worker has as many tasks of a step as it may have.
-    pub(super) fn is_spread(&self, slot: u32, request: &Request<'_>) -> bool {
-        let (first, spread) = (request.first, request.step.spread);
+    pub(super) fn is_at_step_limit(&self, slot: u32, request: &Request<'_>) -> bool {
+        let (first, spread) = (request.first_task, request.step.max_per_worker);
         if spread == 0 {
             return false;
         }
         let state = self.jobs.get(&first.job);
-        let runs = state.map(|j| &j.times[first.time as usize][first.step as usize]);
-        runs.is_some_and(|r| r.on_worker(slot) >= spread)
+        let runs = state.map(|j| &j.repetitions[first.repetition as usize][first.step as usize]);
+        runs.is_some_and(|r| r.runs_on(slot) >= spread)
     }
 
     /// Returns how well a serving task suits those that a worker has.
@@ -153,7 +163,7 @@
             let Some(state) = self.jobs.get(&id.job) else {
                 continue;
             };
-            if state.job.spec.steps[id.step as usize].target == 0 {
+            if state.job.spec.steps[id.step as usize].latency_target == 0 {
                 continue;
             }
             points += match state.images[id.step as usize] == image {
@@ -168,9 +178,10 @@
 /// Returns how well a worker suits a task of a step by its room, place and speed.
 pub(super) fn rating(worker: &Worker, step: &Step) -> i64 {
     let room = worker.capacity();
-    let free = (room.cpu + worker.spare) as i64 - (worker.used.cpu + worker.filling) as i64;
+    let free =
+        (room.cpu + worker.spare_cpu) as i64 - (worker.used.cpu + worker.best_effort_cpu) as i64;
     let mut points = free * 1000 / (room.cpu as i64).max(1);
-    if let (Some(rack), Some(info)) = (&step.rack, &worker.info)
+    if let (Some(rack), Some(info)) = (&step.data_rack, &worker.info)
         && info.labels.contains(rack)
     {
         points += NEAR;
--- a/crates/jobs/src/place/refusal.rs
+++ b/crates/jobs/src/place/refusal.rs
@@ -6,28 +6,28 @@
     /// It takes nothing new now: it leaves, is silent, failed too often, or is evacuated.
     Closed,
     /// A suspect runs there apart.
-    Guest,
+    Isolating,
     /// Its last runs failed, and enough others are to show why.
-    Trial,
+    OnProbation,
     /// It is of another service, or lacks a label.
     Label,
     /// Processors, memory or accelerators are short.
-    Room,
+    NoRoom,
     /// What fills there has its share of processors.
-    Share,
+    BestEffortShare,
     /// The task failed there of late, or another one did.
-    Avoided,
+    FailedBefore,
     /// It is kept free for a lasting task.
-    Held,
+    Reserved,
     /// It has as many tasks of the step as it may have.
-    Spread,
+    StepLimit,
     /// A tail there is over its target.
-    Tail,
+    OverTarget,
     /// The task would disturb what serves there.
-    Excess,
+    Interference,
 }
 
 impl Refusal {
     /// How many reasons there are.
-    pub(crate) const COUNT: usize = Refusal::Excess as usize + 1;
+    pub(crate) const COUNT: usize = Refusal::Interference as usize + 1;
 }
--- a/crates/jobs/src/place/hold.rs
+++ b/crates/jobs/src/place/reservation.rs
@@ -12,7 +12,7 @@
     machine::Machine,
     model::{ids::TaskId, job::JobState, task::Run},
     place::{pass::Pass, request::Request},
-    runs::worker::{Capacity, Worker, size},
+    runs::worker::{Capacity, Worker, demand},
 };
 
 /// A job of which nothing has run for this long may hold a worker, in milliseconds: users count
@@ -34,7 +34,7 @@
 
 /// A worker that is kept free of others for a task of a step.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Hold {
+pub(crate) struct Reservation {
     /// The step's first task.
     first: TaskId,
     slot: u32,
@@ -45,7 +45,7 @@
     until: u64,
 }
 
-impl Hold {
+impl Reservation {
     /// Tells whether a worker that takes something of this size as well has too little memory or
     /// too few accelerators for the task.
     fn is_short(&self, worker: &Worker, more: Capacity) -> bool {
@@ -57,45 +57,46 @@
 
 impl Machine {
     /// Returns the workers that are held at the beginning of a pass.
-    pub(super) fn note_holds(&mut self) -> Vec<Hold> {
-        let mut holds = std::mem::take(&mut self.holds);
+    pub(super) fn current_reservations(&mut self) -> Vec<Reservation> {
+        let mut holds = std::mem::take(&mut self.reservations);
         holds.retain(|h| self.is_hold_needed(h));
-        self.holds = holds;
-        self.holds.clone()
+        self.reservations = holds;
+        self.reservations.clone()
     }
 
     /// Tells whether a task still waits for the worker that is held for it.
-    fn is_hold_needed(&self, hold: &Hold) -> bool {
+    fn is_hold_needed(&self, hold: &Reservation) -> bool {
         let first = hold.first;
         let state = self.jobs.get(&first.job);
         let Some(state) = state.filter(|s| !s.outcome.is_final()) else {
             return false;
         };
-        let waits = state.times[first.time as usize][first.step as usize].idle > 0;
+        let waits =
+            state.repetitions[first.repetition as usize][first.step as usize].unassigned > 0;
         let held_up = hold.lasting || !state.has_runs();
-        let open = self.fleet.get(hold.slot).is_open(self.now);
+        let open = self.fleet.get(hold.slot).accepts_runs(self.now);
         waits && held_up && open && self.now < hold.until
     }
 
     /// Tells whether a worker is held for a task of another step.
-    pub(super) fn is_held(&self, slot: u32, request: &Request<'_>, pass: &Pass) -> bool {
-        let others = pass.held.iter().filter(|h| h.slot == slot);
-        let mut others = others.filter(|h| h.first != request.first);
+    pub(super) fn is_reserved(&self, slot: u32, request: &Request<'_>, pass: &Pass) -> bool {
+        let others = pass.reservations.iter().filter(|h| h.slot == slot);
+        let mut others = others.filter(|h| h.first != request.first_task);
         let step = request.step;
         let worker = self.fleet.get(slot);
-        others.any(|h| !step.fill || h.is_short(worker, size(step)))
+        others.any(|h| !step.best_effort || h.is_short(worker, demand(step)))
     }
 
     /// Holds a worker for a task that fits nowhere, if it has waited for long.
-    pub(super) fn hold_room(&mut self, request: &Request<'_>, pass: &mut Pass) {
-        let first = request.first;
-        if pass.held.iter().any(|h| h.first == first) {
+    pub(super) fn reserve_worker(&mut self, request: &Request<'_>, pass: &mut Pass) {
+        let first = request.first_task;
+        if pass.reservations.iter().any(|h| h.first == first) {
             return;
         }
         let Some(state) = self.jobs.get(&first.job) else {
             return;
         };
-        let lasting = request.step.lasting;
+        let lasting = request.step.long_running;
         let due = match lasting {
             true => self.is_overdue(state),
             false => self.is_held_up(state, request, pass),
@@ -104,34 +105,35 @@
             return;
         }
         if !lasting {
-            self.sought = self.now;
+            self.last_search = self.now;
         }
         let Some(slot) = self.find_room(request, pass) else {
             if let Some(state) = self.jobs.get_mut(&first.job) {
-                state.sought = self.now;
+                state.search_failed_at = self.now;
             }
             return;
         };
-        let hold = Hold {
+        let hold = Reservation {
             first,
             slot,
-            size: size(request.step),
+            size: demand(request.step),
             lasting,
             until: self.now + LONGEST,
         };
         log::info!(task = first.to_string().as_str(), worker = &*self.fleet.get(slot).id, lasting; "worker: kept free");
-        self.holds.push(hold);
-        pass.held.push(hold);
+        self.reservations.push(hold);
+        pass.reservations.push(hold);
     }
 
     /// Tells whether a job stands still beside much room, and may hold a worker.
     fn is_held_up(&self, state: &JobState, request: &Request<'_>, pass: &Pass) -> bool {
-        let early = self.now < self.sought + SEEK_PERIOD || self.now < state.sought + SEEK_AGAIN;
-        let is_kept = pass.held.iter().any(|h| !h.lasting);
+        let early = self.now < self.last_search + SEEK_PERIOD
+            || self.now < state.search_failed_at + SEEK_AGAIN;
+        let is_kept = pass.reservations.iter().any(|h| !h.lasting);
         if early || is_kept || pass.is_half_full(request.service) {
             return false;
         }
-        let since = state.still_since();
+        let since = state.idle_since();
         since.is_some_and(|at| self.now > at + HELD_UP)
     }
 
@@ -146,9 +148,9 @@
         }
         let waits = short[..most].iter().filter_map(|&(_, slot)| {
             let worker = self.fleet.get(slot);
-            let wait = self.time_to_room(worker, size(step))?;
+            let wait = self.time_to_room(worker, demand(step))?;
             // Else it would wait for too long.
-            (step.lasting || wait < LONGEST).then_some((wait, worker.used.cpu, slot))
+            (step.long_running || wait < LONGEST).then_some((wait, worker.used.cpu, slot))
         });
         waits.min().map(|(_, _, slot)| slot)
     }
@@ -156,18 +158,19 @@
     /// Returns the workers that may have room for a task of a step once others have ended, with
     /// how much is short, in thousandths of what they can hold.
     fn short_workers(&self, request: &Request<'_>, pass: &Pass) -> Vec<(u64, u32)> {
-        let (step, wanted) = (request.step, size(request.step));
+        let (step, wanted) = (request.step, demand(request.step));
         let mut short = Vec::new();
         for (slot, worker) in (0..).zip(&self.fleet.workers) {
             let room = worker.capacity();
             let lacks = shortage(worker, wanted);
             // One that lacks nothing is refused for another reason than room.
-            if lacks == 0 && !step.lasting || !room.holds(worker.lasting_size, wanted) {
+            if lacks == 0 && !step.long_running || !room.has_room(worker.long_running_size, wanted)
+            {
                 continue;
             }
-            let is_kept = pass.held.iter().any(|h| h.slot == slot);
+            let is_kept = pass.reservations.iter().any(|h| h.slot == slot);
             let may_take = self.may_take(worker, step, request.service).is_ok();
-            if is_kept || !may_take || self.is_spread(slot, request) {
+            if is_kept || !may_take || self.is_at_step_limit(slot, request) {
                 continue;
             }
             short.push((lacks, slot));
@@ -188,18 +191,18 @@
             let Some(run) = state.task(id).and_then(|t| t.run.as_ref()) else {
                 continue;
             };
-            if !step.lasting || !run.is_wanted() {
-                ends.push((time_left(run, step.estimate), size(step)));
+            if !step.long_running || !run.is_wanted() {
+                ends.push((time_left(run, step.estimate), demand(step)));
             }
         }
         ends.sort_unstable_by_key(|(at, _)| *at);
         let mut used = worker.used;
-        if room.holds(used, wanted) {
+        if room.has_room(used, wanted) {
             return Some(0);
         }
         for (at, ended) in ends {
-            used.free(ended);
-            if room.holds(used, wanted) {
+            used.subtract(ended);
+            if room.has_room(used, wanted) {
                 return Some(at);
             }
         }
--- a/crates/jobs/src/place/starving.rs
+++ b/crates/jobs/src/place/starvation.rs
@@ -30,7 +30,7 @@
 impl JobState {
     /// Returns the first task of the first step that has tasks waiting.
     fn first_waiting(&self, now: u64) -> Option<TaskId> {
-        for (time, steps) in (0..).zip(&self.times) {
+        for (time, steps) in (0..).zip(&self.repetitions) {
             for (step, state) in (0..).zip(steps) {
                 if !self.is_ready(time as usize, step as usize) {
                     continue;
@@ -41,7 +41,7 @@
                 };
                 return Some(TaskId {
                     job: self.job.id,
-                    time,
+                    repetition: time,
                     step,
                     index: index as u32,
                 });
@@ -53,19 +53,19 @@
 
 impl Machine {
     /// Logs the jobs that have stood still for longest, and counts all.
-    pub(crate) fn tell_starving(&mut self) {
+    pub(crate) fn log_starved_jobs(&mut self) {
         let mut still: Vec<(u64, JobId)> = Vec::new();
-        for &id in &self.open {
+        for &id in &self.open_jobs {
             let Some(state) = self.jobs.get(&id) else {
                 continue;
             };
-            let since = state.still_since().filter(|&at| self.now > at + STILL);
+            let since = state.idle_since().filter(|&at| self.now > at + STILL);
             let waits = state.first_waiting(self.now).is_some();
             still.extend(since.filter(|_| waits).map(|at| (at, id)));
         }
-        self.figures.still = still.len() as u64;
+        self.stats.starved_jobs = still.len() as u64;
         still.sort_unstable();
-        let pass = Pass::begin(&self.fleet, self.now);
+        let pass = Pass::new(&self.fleet, self.now);
         for (since, id) in still.into_iter().take(MOST_LINES) {
             self.tell_refusals(id, since, &pass);
         }
@@ -79,32 +79,34 @@
             return;
         };
         let (job, image) = (state.job.clone(), state.images[task.step as usize]);
-        let apart = state.task(task).is_some_and(|t| t.is_apart(self.now));
+        let apart = state
+            .task(task)
+            .is_some_and(|t| t.needs_isolation(self.now));
         let Some(service) = self.policy(&job.queue).map(|p| p.service.clone()) else {
             return;
         };
         let service = self.fleet.service(&service);
         let request = Request {
-            first: TaskId { index: 0, ..task },
+            first_task: TaskId { index: 0, ..task },
             step: &job.spec.steps[task.step as usize],
             image,
             service: &service,
-            avoid: None,
+            failed_worker: None,
             starved: false,
         };
         let refusals = self.refusals(&request, pass);
         let crowded = pass.is_crowded(&service);
-        let at = self.open.iter().position(|&o| o == id);
+        let at = self.open_jobs.iter().position(|&o| o == id);
         let count = |r| refusals.get(r);
         log::info!(
             task = task.to_string().as_str(), still_ms = self.now - since,
-            order:? = at, jobs = self.open.len(), crowded, apart,
-            closed = count(Refusal::Closed), guest = count(Refusal::Guest),
-            trial = count(Refusal::Trial), label = count(Refusal::Label),
-            room = count(Refusal::Room), share = count(Refusal::Share),
-            spread = count(Refusal::Spread), tail = count(Refusal::Tail),
-            excess = count(Refusal::Excess),
-            open = pass.open.len();
+            order:? = at, jobs = self.open_jobs.len(), crowded, apart,
+            closed = count(Refusal::Closed), guest = count(Refusal::Isolating),
+            trial = count(Refusal::OnProbation), label = count(Refusal::Label),
+            room = count(Refusal::NoRoom), share = count(Refusal::BestEffortShare),
+            spread = count(Refusal::StepLimit), tail = count(Refusal::OverTarget),
+            excess = count(Refusal::Interference),
+            open = pass.open_workers.len();
             "job: stands still"
         );
     }
@@ -115,14 +117,14 @@
         let mut refusals = Refusals::default();
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
-            if !worker.listed {
+            if !worker.registered {
                 continue;
             }
-            if !worker.is_open(self.now) {
+            if !worker.accepts_runs(self.now) {
                 refusals.0[Refusal::Closed as usize] += 1;
                 continue;
             }
-            if let Err(refusal) = self.rate(slot, request, pass, &takes) {
+            if let Err(refusal) = self.rate_worker(slot, request, pass, &takes) {
                 refusals.0[refusal as usize] += 1;
             }
         }
--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -23,27 +23,27 @@
     /// Returns a task's run if it is on this worker under this number.
     pub(crate) fn run_on(&mut self, slot: u32, id: TaskId, run: u32) -> Option<&mut Run> {
         let task = self.jobs.get_mut(&id.job)?.task_mut(id)?;
-        if task.last != run {
+        if task.last_run != run {
             return None;
         }
         task.run.as_deref_mut().filter(|r| r.worker == slot)
     }
 
-    pub(crate) fn started(&mut self, slot: u32, id: TaskId, number: u32, started: Started) {
+    pub(crate) fn handle_started(&mut self, slot: u32, id: TaskId, number: u32, started: Started) {
         let now = self.now;
         match started {
             Started::Dead => {
                 if let Some(run) = self.run_on(slot, id, number) {
                     run.attributed = true;
                 }
-                return self.worker_dead(slot);
+                return self.worker_lost(slot);
             }
-            Started::Fenced => return self.out.push(Action::Depose),
+            Started::Fenced => return self.actions.push(Action::StepDown),
             _ => {}
         }
         let stage = self.run_on(slot, id, number).map(|r| r.stage);
         if let Some(Stage::Sent(at)) = stage {
-            self.window.answered(now - at);
+            self.window.note_answer(now - at);
         }
         let attributed = self.is_attributed(slot, id, started);
         let Some(run) = self.run_on(slot, id, number) else {
@@ -53,78 +53,78 @@
         run.answered |= started != Started::Unknown;
         match started {
             Started::Done | Started::DoneAt(_) => {
-                if matches!(run.stage, Stage::Sent(_) | Stage::Unclear(_)) {
-                    run.stage = Stage::There(now);
+                if matches!(run.stage, Stage::Sent(_) | Stage::Unanswered(_)) {
+                    run.stage = Stage::Confirmed(now);
                 }
-                return self.begun(id);
+                return self.mark_begun(id);
             }
             Started::Unknown | Started::Old => {
                 if matches!(run.stage, Stage::Sent(_)) {
-                    run.stage = Stage::Unclear(now);
+                    run.stage = Stage::Unanswered(now);
                 }
-                self.figures.unclear += 1;
+                self.stats.unanswered_starts += 1;
                 log::warn!(task = id.to_string().as_str(), run = number, worker = &*self.fleet.get(slot).id, started:?; "start: unclear");
                 return;
             }
             _ => {}
         }
         let sent = matches!(run.stage, Stage::Sent(_));
-        self.figures.refused += 1;
+        self.stats.refused += 1;
         let worker = self.fleet.get_mut(slot);
         log::info!(task = id.to_string().as_str(), run = number, worker = &*worker.id, started:?; "start: refused");
         match started {
-            Started::Refused => self.blame(slot),
+            Started::Refused => self.note_worker_failure(slot),
             Started::Rejected => self.reject_start(slot, id),
             Started::NotSent => {
-                worker.silent.get_or_insert(now);
+                worker.silent_since.get_or_insert(now);
             }
-            _ => worker.closed = worker.closed.max(now + NO_ROOM_PAUSE),
+            _ => worker.closed_until = worker.closed_until.max(now + NO_ROOM_PAUSE),
         }
         if sent {
-            self.clear(id);
+            self.clear_run(id);
         }
     }
 
-    pub(crate) fn stopped(&mut self, slot: u32, id: TaskId, number: u32, stopped: Stopped) {
+    pub(crate) fn handle_stopped(&mut self, slot: u32, id: TaskId, number: u32, stopped: Stopped) {
         let now = self.now;
         match stopped {
-            Stopped::Dead => return self.worker_dead(slot),
-            Stopped::Fenced => return self.out.push(Action::Depose),
+            Stopped::Dead => return self.worker_lost(slot),
+            Stopped::Fenced => return self.actions.push(Action::StepDown),
             _ => {}
         }
         let done = stopped == Stopped::Done;
         if let Some(run) = self.run_on(slot, id, number) {
             if matches!(run.stage, Stage::Stopping(_)) {
                 run.stage = match done {
-                    true => Stage::Halted(now),
+                    true => Stage::StopConfirmed(now),
                     false => Stage::Stopping(Some(now + STOP_RETRY)),
                 };
             }
             return;
         }
-        let strays = &mut self.fleet.get_mut(slot).strays;
+        let strays = &mut self.fleet.get_mut(slot).orphans;
         let Some(stray) = strays.iter_mut().find(|s| s.task == id && s.run == number) else {
             return;
         };
-        stray.sent = None;
+        stray.sent_at = None;
         match done {
-            true => stray.halted = Some(now),
-            false => stray.pause = now + STOP_RETRY,
+            true => stray.stopped_at = Some(now),
+            false => stray.retry_at = now + STOP_RETRY,
         }
     }
 
     /// A look that was sent at `sent` got no answer.
-    pub(crate) fn silent(&mut self, slot: u32, sent: u64) {
+    pub(crate) fn handle_no_reply(&mut self, slot: u32, sent: u64) {
         let now = self.now;
         let worker = self.fleet.get_mut(slot);
         if worker.dead {
             return;
         }
-        worker.looking = false;
-        worker.next_look = now + SILENT_RETRY;
-        worker.missed = Some(sent);
-        if worker.silent.is_none() {
-            worker.silent = Some(now);
+        worker.poll_in_flight = false;
+        worker.next_poll_at = now + SILENT_RETRY;
+        worker.unanswered_poll = Some(sent);
+        if worker.silent_since.is_none() {
+            worker.silent_since = Some(now);
             log::warn!(worker = &*worker.id, runs = worker.runs.len(); "worker: silent");
         }
     }
@@ -132,7 +132,7 @@
     /// Sends the stops that are wanted.
     pub(crate) fn send_stops(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
-            if !self.fleet.get(slot).strays.is_empty() {
+            if !self.fleet.get(slot).orphans.is_empty() {
                 self.stop_strays(slot);
             }
         }
@@ -146,16 +146,16 @@
     /// Sends stops of the runs on a worker that nobody wants.
     fn stop_strays(&mut self, slot: u32) {
         let now = self.now;
-        if !self.fleet.get(slot).takes_orders() {
+        if !self.fleet.get(slot).can_take_orders() {
             return;
         }
-        for stray in &mut self.fleet.get_mut(slot).strays {
-            if stray.sent.is_some() || stray.halted.is_some() || stray.pause > now {
+        for stray in &mut self.fleet.get_mut(slot).orphans {
+            if stray.sent_at.is_some() || stray.stopped_at.is_some() || stray.retry_at > now {
                 continue;
             }
-            stray.sent = Some(now);
+            stray.sent_at = Some(now);
             let (task, run) = (stray.task, stray.run);
-            self.out.push(Action::Stop {
+            self.actions.push(Action::Stop {
                 worker: slot,
                 task,
                 run,
@@ -170,7 +170,7 @@
         let Some(task) = task else {
             return false;
         };
-        let number = task.last;
+        let number = task.last_run;
         let Some(run) = task.run.as_mut() else {
             return false;
         };
@@ -181,13 +181,13 @@
         };
         let slot = run.worker;
         let worker = self.fleet.get(slot);
-        if !due || !worker.takes_orders() {
+        if !due || !worker.can_take_orders() {
             return true;
         }
         // The answer sets the next time; this one only guards against its loss.
         run.stage = Stage::Stopping(Some(u64::MAX));
         log::info!(task = id.to_string().as_str(), run = number, worker = &*worker.id; "stop: sent");
-        self.out.push(Action::Stop {
+        self.actions.push(Action::Stop {
             worker: slot,
             task: id,
             run: number,
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -9,7 +9,7 @@
 use crate::{
     machine::Machine,
     model::{
-        checkpoint::{Checkpoint, shown},
+        checkpoint::{Checkpoint, log_excerpt},
         ids::TaskId,
     },
 };
@@ -22,7 +22,7 @@
     /// Has all members of a gang go on from the newest checkpoint of any of them.
     pub(crate) fn share_checkpoint(&mut self, member: TaskId) {
         let state = self.jobs.get_mut(&member.job);
-        if let Some(step) = state.and_then(|j| j.step_mut(member.time, member.step)) {
+        if let Some(step) = state.and_then(|j| j.step_mut(member.repetition, member.step)) {
             step.share_checkpoint();
         }
     }
@@ -36,26 +36,26 @@
             return;
         };
         let gang = state.job.spec.steps[id.step as usize].gang;
-        let Some(step) = state.step_mut(id.time, id.step) else {
+        let Some(step) = state.step_mut(id.repetition, id.step) else {
             return;
         };
         let task = &mut step.tasks[id.index as usize];
-        let run = task.last;
+        let run = task.last_run;
         if task.run.as_ref().is_none_or(|r| !r.partial) {
-            task.pause = now + REJECTED_PAUSE;
-            return self.blame(slot);
+            task.retry_at = now + REJECTED_PAUSE;
+            return self.note_worker_failure(slot);
         }
-        self.figures.rejected += 1;
+        self.stats.rejected += 1;
         // The answer to another member's start may have taken it away already.
-        let Some(rejected) = task.saved.take() else {
+        let Some(rejected) = task.checkpoint.take() else {
             return;
         };
         if gang {
-            step.reject(&rejected.text);
+            step.reject_checkpoint(&rejected.text);
         }
         let (saved_run, saved_on) = self.source(&rejected);
-        log::warn!(task = id.to_string().as_str(), run, worker = &*self.fleet.get(slot).id, saved = shown(&rejected.text), saved_run, saved_on; "start: checkpoint rejected");
-        self.mark(id.job);
+        log::warn!(task = id.to_string().as_str(), run, worker = &*self.fleet.get(slot).id, saved = log_excerpt(&rejected.text), saved_run, saved_on; "start: checkpoint rejected");
+        self.mark_dirty(id.job);
     }
 
     /// Returns what log lines tell of where a checkpoint was made: the run and its worker.
--- a/crates/jobs/src/runs/close.rs
+++ b/crates/jobs/src/runs/close.rs
@@ -11,31 +11,31 @@
 
 impl Machine {
     /// Ends a job; its runs are stopped.
-    pub(crate) fn finish(&mut self, id: JobId, outcome: Outcome) {
+    pub(crate) fn end_job(&mut self, id: JobId, outcome: Outcome) {
         let now = self.now;
         let Some(state) = self.jobs.get_mut(&id) else {
             return;
         };
-        log::info!(job = id.to_string().as_str(), outcome:? = outcome, after = now - state.seen; "jobs: ended");
+        log::info!(job = id.to_string().as_str(), outcome:? = outcome, after = now - state.known_since; "jobs: ended");
         state.outcome = outcome;
         let tasks = state.task_ids();
-        self.open.retain(|&j| j != id);
+        self.open_jobs.retain(|&j| j != id);
         for task in tasks {
-            self.abandon(task);
+            self.stop_run(task);
         }
         self.forget_tasks(id);
-        self.mark(id);
-        self.moved = true;
+        self.mark_dirty(id);
+        self.placement_due = true;
     }
 
     /// Has a task's run stopped, or forgets it if nothing was sent.
-    pub(crate) fn abandon(&mut self, id: TaskId) {
+    pub(crate) fn stop_run(&mut self, id: TaskId) {
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         let Some(run) = task.and_then(|t| t.run.as_mut()) else {
             return;
         };
         if run.stage == Stage::Planned {
-            self.clear(id);
+            self.clear_run(id);
         } else if run.is_wanted() {
             run.stage = Stage::Stopping(None);
             self.stopping.push(id);
@@ -43,7 +43,7 @@
     }
 
     /// Forgets a task's run and gives back its room.
-    pub(crate) fn clear(&mut self, id: TaskId) {
+    pub(crate) fn clear_run(&mut self, id: TaskId) {
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
         };
@@ -52,21 +52,21 @@
         let Some(task) = state.task_mut(id) else {
             return;
         };
-        task.cleared = now;
-        let number = task.last;
-        let step = state.step_mut(id.time, id.step);
+        task.idle_since = now;
+        let number = task.last_run;
+        let step = state.step_mut(id.repetition, id.step);
         let Some(run) = step.and_then(|s| s.take_run(id.index as usize)) else {
             return;
         };
         let step = &job.spec.steps[id.step as usize];
         let worker = self.fleet.get_mut(run.worker);
         worker.release(id, step);
-        worker.note_loose(id, number, &run, now);
+        worker.note_late_start(id, number, &run, now);
         // One that is lost keeps it: what was lost there is explained by it.
-        if !worker.dead && !worker.absent {
-            worker.guest = worker.guest.filter(|&g| g != id);
+        if !worker.dead && !worker.process_ended {
+            worker.isolated_task = worker.isolated_task.filter(|&g| g != id);
         }
-        self.moved = true;
+        self.placement_due = true;
         self.forget_tasks(id.job);
     }
 
@@ -77,18 +77,18 @@
             return;
         };
         if state.outcome.is_final() && !state.has_runs() {
-            state.times = Vec::new();
+            state.repetitions = Vec::new();
         }
     }
 
     /// Takes note that a job's record changed.
-    pub(crate) fn mark(&mut self, id: JobId) {
+    pub(crate) fn mark_dirty(&mut self, id: JobId) {
         let Some(state) = self.jobs.get_mut(&id) else {
             return;
         };
         if !state.dirty {
             state.dirty = true;
-            self.dirty.push(id);
+            self.dirty_jobs.push(id);
         }
     }
 }
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -2,28 +2,28 @@
 
 use crate::{
     action::{Action, Batch, StartOrder},
-    machine::{Flight, Machine},
+    machine::{InFlight, Machine},
     model::{
-        checkpoint::shown,
+        checkpoint::log_excerpt,
         ids::{JobId, TaskId},
         record::Record,
         task::Stage,
     },
     runs::{
         log::{Appender, TASK_BYTES},
-        look::IDLE_WAIT,
+        poll::IDLE_POLL_WAIT_MS,
     },
 };
 
 /// A start with a shorter lease is not sent, in milliseconds: the look at an idle worker goes
 /// on waiting, and the run would lapse before its lease is renewed.
-const LEAST_LEASE: u64 = IDLE_WAIT + 1000;
+const LEAST_LEASE: u64 = IDLE_POLL_WAIT_MS + 1000;
 
 /// A batch as it is made.
 struct Writer {
     records: Vec<(JobId, Vec<u8>)>,
     rows: Appender,
-    flight: Flight,
+    flight: InFlight,
 }
 
 impl Writer {
@@ -35,40 +35,41 @@
 impl Machine {
     /// Sends the next batch, if none is under way.
     pub(crate) fn commit(&mut self) {
-        if self.flight.is_some() {
+        if self.in_flight.is_some() {
             return;
         }
         let mut writer = Writer {
             records: Vec::new(),
             rows: Appender::new(&self.log),
-            flight: Flight::default(),
+            flight: InFlight::default(),
         };
         let mut written = 0;
-        while written < self.dirty.len() && writer.records.len() < self.settings.batch {
-            if !self.write_job(self.dirty[written], &mut writer) {
+        while written < self.dirty_jobs.len() && writer.records.len() < self.settings.batch_records
+        {
+            if !self.write_job(self.dirty_jobs[written], &mut writer) {
                 break;
             }
             written += 1;
         }
-        self.dirty.drain(..written);
+        self.dirty_jobs.drain(..written);
         // Shortening alone is worth no write.
         if !writer.is_empty() {
             self.shorten_log(&mut writer.rows);
         }
-        let whole = self.dirty.is_empty();
+        let whole = self.dirty_jobs.is_empty();
         let mut flight = writer.flight;
         if whole {
             self.collect_observed(&mut flight);
         }
         let batch = Batch {
             records: writer.records,
-            dropped: writer.rows.dropped(),
-            log: writer.rows.finish(&mut self.log),
+            dropped_rows: writer.rows.dropped(),
+            appended_rows: writer.rows.finish(&mut self.log),
         };
         if !batch.is_empty() {
-            self.figures.commits += 1;
-            self.flight = Some(flight);
-            self.out.push(Action::Commit(batch));
+            self.stats.commits += 1;
+            self.in_flight = Some(flight);
+            self.actions.push(Action::Commit(batch));
         } else if whole {
             // Nothing is left to be made durable: ends may be dropped at once.
             self.observe(&flight);
@@ -86,8 +87,8 @@
         let Some(state) = self.jobs.get_mut(&id) else {
             return true;
         };
-        if state.written != state.outcome {
-            state.written = state.outcome;
+        if state.written_outcome != state.outcome {
+            state.written_outcome = state.outcome;
             let record = Record::new(state.outcome);
             writer.records.push((id, record.encode()));
         }
@@ -101,23 +102,23 @@
         let Some(state) = jobs.get_mut(&id) else {
             return true;
         };
-        for (time, steps) in (0..).zip(&mut state.times) {
+        for (time, steps) in (0..).zip(&mut state.repetitions) {
             for (step, state) in (0..).zip(steps) {
                 if state.is_done() {
                     state.forget_logged();
-                    let row = state.logged;
-                    state.logged = row.or_else(|| Some(writer.rows.step(id, (time, step))));
+                    let row = state.logged_row;
+                    state.logged_row = row.or_else(|| Some(writer.rows.step(id, (time, step))));
                     continue;
                 }
                 for (index, task) in (0..).zip(&mut state.tasks) {
-                    if task.last == 0 {
+                    if task.last_run == 0 {
                         continue;
                     }
                     if task.has_changed() {
                         if writer.rows.is_full() {
                             return false;
                         }
-                        let name = |slot| fleet.get(slot).name.clone();
+                        let name = |slot| fleet.get(slot).incarnation_name.clone();
                         let record = task.record((time, step, index), name);
                         task.note_logged(writer.rows.task(id, record));
                     }
@@ -125,11 +126,11 @@
                     if run.is_some_and(|r| r.stage == Stage::Planned) {
                         let id = TaskId {
                             job: id,
-                            time,
+                            repetition: time,
                             step,
                             index,
                         };
-                        writer.flight.starts.push((id, task.last));
+                        writer.flight.starts.push((id, task.last_run));
                     }
                 }
             }
@@ -144,7 +145,7 @@
         } else {
             0
         };
-        while !rows.has_dropped() && !rows.is_full() {
+        while !rows.is_drop_limit_reached() && !rows.is_full() {
             let long = self.log.len() > self.settings.log_rows;
             let Some((number, jobs)) = self.log.oldest() else {
                 return;
@@ -165,8 +166,8 @@
 
     /// Returns how many bytes of the log still hold, about.
     fn live_bytes(&self) -> usize {
-        let jobs = self.open.iter().filter_map(|id| self.jobs.get(id));
-        let steps = jobs.flat_map(|j| j.times.iter().flatten());
+        let jobs = self.open_jobs.iter().filter_map(|id| self.jobs.get(id));
+        let steps = jobs.flat_map(|j| j.repetitions.iter().flatten());
         let tasks = steps.flat_map(|s| &s.tasks).filter(|t| t.logged.is_some());
         tasks.count() * TASK_BYTES
     }
@@ -179,22 +180,22 @@
         };
         if state.outcome.is_final() {
             // Its record says so, once that is written.
-            return state.written == state.outcome;
+            return state.written_outcome == state.outcome;
         }
-        for (time, steps) in (0..).zip(&mut state.times) {
+        for (time, steps) in (0..).zip(&mut state.repetitions) {
             for (step, state) in (0..).zip(steps) {
-                if state.logged == Some(number) {
-                    state.logged = Some(rows.step(id, (time, step)));
+                if state.logged_row == Some(number) {
+                    state.logged_row = Some(rows.step(id, (time, step)));
                 }
                 for (index, task) in (0..).zip(&mut state.tasks) {
-                    if task.logged.is_none() || task.row != number {
+                    if task.logged.is_none() || task.logged_row != number {
                         continue;
                     }
                     if rows.is_full() {
                         return false;
                     }
                     // As it is now: what waits for that to be durable waits for its own batch.
-                    let name = |slot| fleet.get(slot).name.clone();
+                    let name = |slot| fleet.get(slot).incarnation_name.clone();
                     let record = task.record((time, step, index), name);
                     task.note_logged(rows.task(id, record));
                 }
@@ -203,29 +204,29 @@
         true
     }
 
-    fn collect_observed(&mut self, flight: &mut Flight) {
-        let mut left = std::mem::take(&mut self.counted);
+    fn collect_observed(&mut self, flight: &mut InFlight) {
+        let mut left = std::mem::take(&mut self.workers_with_ends);
         left.sort_unstable();
         left.dedup();
-        left.retain(|&slot| self.fleet.get(slot).is_behind());
+        left.retain(|&slot| self.fleet.get(slot).has_pending_ends());
         let rows = left
             .iter()
-            .map(|&slot| (slot, self.fleet.get(slot).counted));
+            .map(|&slot| (slot, self.fleet.get(slot).counted_end));
         flight.observed.extend(rows);
-        self.counted = left;
+        self.workers_with_ends = left;
     }
 
-    fn observe(&mut self, flight: &Flight) {
+    fn observe(&mut self, flight: &InFlight) {
         for &(slot, number) in &flight.observed {
             let worker = self.fleet.get_mut(slot);
-            worker.observed = worker.observed.max(number);
-            worker.next_look = worker.next_look.min(self.now);
+            worker.durable_end = worker.durable_end.max(number);
+            worker.next_poll_at = worker.next_poll_at.min(self.now);
         }
     }
 
     /// The batch in flight is durable: its starts may be sent, its ends dropped.
-    pub(crate) fn committed(&mut self) {
-        let Some(flight) = self.flight.take() else {
+    pub(crate) fn handle_committed(&mut self) {
+        let Some(flight) = self.in_flight.take() else {
             return;
         };
         self.observe(&flight);
@@ -240,40 +241,40 @@
             return;
         };
         let spec = state.job.spec.clone();
-        let Some(task) = state.task_mut(id).filter(|t| t.last == number) else {
+        let Some(task) = state.task_mut(id).filter(|t| t.last_run == number) else {
             return;
         };
-        let saved = task.saved_text();
+        let saved = task.checkpoint_text();
         let Some(run) = task.run.as_mut().filter(|r| r.stage == Stage::Planned) else {
             return;
         };
-        let current = self.fleet.is_current(now, &settings);
+        let current = self.fleet.is_fresh(now, &settings);
         let worker = self.fleet.get_mut(run.worker);
         let reading = worker.clock.map_or(0, |(reading, _)| reading);
-        let deadline = worker.deadline(&settings, self.contact);
+        let deadline = worker.deadline(&settings, self.store_contact);
         let lasts = |d: &u64| *d >= reading + LEAST_LEASE;
         // A place may become durable seconds after it was chosen: meanwhile the worker may
         // have said that it leaves or has less room, or this owner may not have heard.
-        let fits = current && worker.is_open(now) && !worker.is_over();
+        let fits = current && worker.accepts_runs(now) && !worker.is_overcommitted();
         let Some(deadline) = deadline.filter(lasts).filter(|_| fits) else {
-            return self.clear(id);
+            return self.clear_run(id);
         };
         run.stage = Stage::Sent(now);
-        run.sent = Some(now);
+        run.sent_at = Some(now);
         run.partial = !saved.is_empty();
-        worker.promised = worker.promised.max(deadline);
+        worker.granted_until = worker.granted_until.max(deadline);
         worker.note_lease_order(now, &settings);
-        let (slot, waited) = (run.worker, now - run.since);
-        self.figures.starts += 1;
+        let (slot, waited) = (run.worker, now - run.placed_at);
+        self.stats.starts += 1;
         let order = StartOrder {
             task: id,
             run: number,
             spec,
             deadline,
-            saved,
+            checkpoint: saved,
         };
         self.tell_start(slot, &order, waited);
-        self.out.push(Action::Start(slot, order));
+        self.actions.push(Action::Start(slot, order));
     }
 
     /// Logs a start that waited so many milliseconds for its place to become durable, and where
@@ -281,14 +282,14 @@
     fn tell_start(&self, slot: u32, order: &StartOrder, waited: u64) {
         let (id, run) = (order.task, order.run);
         let worker = self.fleet.get(slot);
-        let apart = worker.guest == Some(id);
+        let apart = worker.isolated_task == Some(id);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
-        let Some(checkpoint) = task.and_then(|t| t.saved.as_deref()) else {
+        let Some(checkpoint) = task.and_then(|t| t.checkpoint.as_deref()) else {
             log::info!(task = id.to_string().as_str(), run, worker = &*worker.id, waited_ms = waited, apart; "start: sent");
             return;
         };
         let (saved_run, saved_on) = self.source(checkpoint);
-        let saved_ms = checkpoint.origin.map_or(0, |o| self.now - o.listed);
-        log::info!(task = id.to_string().as_str(), run, worker = &*worker.id, waited_ms = waited, apart, saved = shown(&checkpoint.text), saved_run, saved_on, saved_ms; "start: sent");
+        let saved_ms = checkpoint.origin.map_or(0, |o| self.now - o.reported_at);
+        log::info!(task = id.to_string().as_str(), run, worker = &*worker.id, waited_ms = waited, apart, saved = log_excerpt(&checkpoint.text), saved_run, saved_on, saved_ms; "start: sent");
     }
 }
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -21,7 +21,7 @@
 
 /// A run that was started less than this before its worker was last heard had just begun, in
 /// milliseconds: longer than looks are apart, which tell when that was.
-pub(crate) const YOUNG: u64 = 800;
+pub(crate) const JUST_STARTED_MS: u64 = 800;
 
 /// Workers that are lost within this time of each other are lost at once, in milliseconds.
 const AT_ONCE: u64 = 1000;
@@ -38,7 +38,8 @@
 impl Run {
     /// Tells whether it had just begun at `now`.
     fn is_young(&self, now: u64) -> bool {
-        self.sent.is_some_and(|at| now.saturating_sub(at) <= YOUNG)
+        self.sent_at
+            .is_some_and(|at| now.saturating_sub(at) <= JUST_STARTED_MS)
     }
 }
 
@@ -50,8 +51,10 @@
     pub(crate) fn note_crashes(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
-            let due = worker.silent.is_some_and(|at| self.now > at + AT_ONCE);
-            if due && worker.absent && !worker.charged {
+            let due = worker
+                .silent_since
+                .is_some_and(|at| self.now > at + AT_ONCE);
+            if due && worker.process_ended && !worker.crash_recorded {
                 self.note_crash(slot);
             }
         }
@@ -60,38 +63,40 @@
     /// Takes note of what the crash of a worker tells, once.
     pub(super) fn note_crash(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
-        if std::mem::replace(&mut worker.charged, true) || worker.leaving.is_some() {
+        if std::mem::replace(&mut worker.crash_recorded, true) || worker.leaving_since.is_some() {
             return;
         }
         let most = match self.many_lost(slot) {
             true => Blame::Shared,
             false => Blame::Own,
         };
-        self.charge(slot, most);
+        self.attribute_crash(slot, most);
     }
 
     /// A worker answers though its machine refused connections: it has not crashed.
-    pub(crate) fn note_present(&mut self, slot: u32) {
+    pub(crate) fn retract_crash(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
-        worker.absent = false;
-        worker.charged = false;
-        let (life, runs) = (worker.name.clone(), worker.runs.clone());
-        worker.guest = worker.guest.filter(|g| runs.binary_search(g).is_ok());
+        worker.process_ended = false;
+        worker.crash_recorded = false;
+        let (life, runs) = (worker.incarnation_name.clone(), worker.runs.clone());
+        worker.isolated_task = worker
+            .isolated_task
+            .filter(|g| runs.binary_search(g).is_ok());
         for task in runs {
             let state = self.jobs.get_mut(&task.job);
             let Some(state) = state.and_then(|j| j.task_mut(task)) else {
                 continue;
             };
-            state.crashes.forget(&life);
-            self.mark(task.job);
+            state.crashes.remove(&life);
+            self.mark_dirty(task.job);
         }
     }
 
     /// Takes note of what the crash of a worker tells of the tasks there, `most` at most.
-    pub(super) fn charge(&mut self, slot: u32, most: Blame) {
+    pub(super) fn attribute_crash(&mut self, slot: u32, most: Blame) {
         let worker = self.fleet.get(slot);
-        let (life, runs) = (worker.name.clone(), worker.runs.clone());
-        let end = worker.silent.unwrap_or(self.now);
+        let (life, runs) = (worker.incarnation_name.clone(), worker.runs.clone());
+        let end = worker.silent_since.unwrap_or(self.now);
         let young: Vec<TaskId> = runs
             .iter()
             .copied()
@@ -117,28 +122,29 @@
         if task.run.as_ref().is_none_or(|r| r.stage == Stage::Planned) {
             return;
         }
-        task.crashes.note(life, blame);
-        let (run, crashes) = (task.last, task.crashes.count());
+        task.crashes.add(life, blame);
+        let (run, crashes) = (task.last_run, task.crashes.count());
         log::info!(task = id.to_string().as_str(), run, worker = &**life, blame:?, crashes; "task: a worker crashed under it");
         if task.crashes.is_suspect() {
-            self.suspect(id);
+            self.add_suspect(id);
         }
-        self.mark(id.job);
+        self.mark_dirty(id.job);
         self.give_up(id);
     }
 
     /// Tells whether so many other workers crashed at the same time that the cause is none
     /// of their tasks. Those that ran a suspect apart don't count: it may be the cause there.
     fn many_lost(&self, slot: u32) -> bool {
-        let at = self.fleet.get(slot).silent;
+        let at = self.fleet.get(slot).silent_since;
         let Some(at) = at else {
             return false;
         };
         let workers = (0..).zip(&self.fleet.workers);
-        let others = workers.filter(|&(other, w)| other != slot && w.guest.is_none());
-        let others = others.filter(|(_, w)| w.absent && w.leaving.is_none());
-        let lost = others.filter(|(_, w)| w.silent.is_some_and(|s| s.abs_diff(at) <= AT_ONCE));
-        let listed = self.fleet.workers.iter().filter(|w| w.listed).count();
+        let others = workers.filter(|&(other, w)| other != slot && w.isolated_task.is_none());
+        let others = others.filter(|(_, w)| w.process_ended && w.leaving_since.is_none());
+        let lost =
+            others.filter(|(_, w)| w.silent_since.is_some_and(|s| s.abs_diff(at) <= AT_ONCE));
+        let listed = self.fleet.workers.iter().filter(|w| w.registered).count();
         lost.count() >= MANY.max(listed / MANY_SHARE)
     }
 
@@ -149,7 +155,7 @@
         let Some(run) = task.and_then(|t| t.run.as_ref()) else {
             return false;
         };
-        run.is_young(end) || self.fleet.get(run.worker).guest == Some(id)
+        run.is_young(end) || self.fleet.get(run.worker).isolated_task == Some(id)
     }
 
     /// Ends a job one task of which crashes the workers that start it.
@@ -157,13 +163,13 @@
         let Some(state) = self.jobs.get(&id.job) else {
             return;
         };
-        let task = state.task(id).filter(|t| t.crashes.is_proven());
+        let task = state.task(id).filter(|t| t.crashes.is_proven_cause());
         let Some(task) = task.filter(|_| !state.outcome.is_final()) else {
             return;
         };
         log::warn!(task = id.to_string().as_str(), crashes = task.crashes.count(); "job: a task crashes its workers");
-        self.figures.given_up += 1;
-        self.finish(id.job, Outcome::Failed);
+        self.stats.jobs_given_up += 1;
+        self.end_job(id.job, Outcome::Failed);
     }
 
     /// Takes note of how long a run under whose task workers crashed has been at work when its
@@ -175,14 +181,14 @@
         };
         let listed = task.run.as_ref().and_then(|r| r.listed);
         let ms = listed.map_or(0, |at| clock.saturating_sub(at));
-        if ms > task.crashes.probation() && self.fleet.get(slot).guest == Some(id) {
+        if ms > task.crashes.isolation_ms() && self.fleet.get(slot).isolated_task == Some(id) {
             log::info!(task = id.to_string().as_str(), worker = &*self.fleet.get(slot).id, after_ms = ms; "run: no longer apart");
-            self.fleet.get_mut(slot).guest = None;
-            self.moved = true;
+            self.fleet.get_mut(slot).isolated_task = None;
+            self.placement_due = true;
         }
         if ms > CLEARED {
             task.crashes.clear();
-            self.mark(id.job);
+            self.mark_dirty(id.job);
         }
     }
 }
--- a/crates/jobs/src/runs/log.rs
+++ b/crates/jobs/src/runs/log.rs
@@ -16,7 +16,7 @@
         ids::JobId,
         record::{Record, RecordError, TaskRecord},
     },
-    sorted::Sorted,
+    sorted_map::SortedMap,
 };
 
 /// Bytes of a row at most: the users' store takes 64 KB.
@@ -50,7 +50,7 @@
     first: RowNumber,
     bytes: usize,
     /// What earlier owners wrote of jobs that are not restored yet.
-    replayed: Sorted<JobId, Replayed>,
+    replayed: SortedMap<JobId, Replayed>,
 }
 
 impl Log {
@@ -62,19 +62,21 @@
         let jobs = changes.iter().flatten().map(|c| c.job).collect();
         self.push(row.len(), jobs);
         for changes in changes? {
-            self.replayed.or_default(&changes.job).take(number, changes);
+            self.replayed
+                .or_default(&changes.job)
+                .apply(number, changes);
         }
         Ok(())
     }
 
     /// Returns the record of a job as the log brings it up to date; nothing if neither tells of
     /// the job.
-    pub(crate) fn recorded(&self, id: JobId, record: Option<Record>) -> Option<Record> {
+    pub(crate) fn current_record(&self, id: JobId, record: Option<Record>) -> Option<Record> {
         let Some(replayed) = self.replayed.get(&id) else {
             return record;
         };
         let mut record = record.unwrap_or_else(Record::pending);
-        replayed.update(&mut record);
+        replayed.apply_to(&mut record);
         Some(record)
     }
 
@@ -175,7 +177,7 @@
     }
 
     /// Tells whether the commit drops as many rows as it may.
-    pub(crate) fn has_dropped(&self) -> bool {
+    pub(crate) fn is_drop_limit_reached(&self) -> bool {
         self.dropped >= DROPPED
     }
 
--- a/crates/jobs/src/runs/lost.rs
+++ b/crates/jobs/src/runs/lost.rs
@@ -20,53 +20,53 @@
 
 impl Machine {
     /// A worker's life has ended, and with it all that ran there.
-    pub(crate) fn worker_dead(&mut self, slot: u32) {
+    pub(crate) fn worker_lost(&mut self, slot: u32) {
         let worker = self.fleet.get(slot);
         if worker.dead {
             return;
         }
-        let silent = worker.silent.map_or(0, |at| self.now - at);
-        log::warn!(worker = &*worker.id, born:? = worker.born, runs = worker.runs.len(), silent_ms = silent, absent = worker.absent; "worker: its life has ended");
+        let silent = worker.silent_since.map_or(0, |at| self.now - at);
+        log::warn!(worker = &*worker.id, born:? = worker.start_time, runs = worker.runs.len(), silent_ms = silent, absent = worker.process_ended; "worker: its life has ended");
         let worker = self.fleet.get_mut(slot);
         worker.dead = true;
-        worker.looking = false;
-        self.account(slot, Loss::Ended);
+        worker.poll_in_flight = false;
+        self.record_loss(slot, Loss::Ended);
         let ended = self.ended_runs(slot);
         self.drop_runs(slot, &ended);
     }
 
     /// Gives up the runs of silent workers whose leases are over.
-    pub(crate) fn lapse(&mut self) {
+    pub(crate) fn expire_leases(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
-            let idle = worker.runs.is_empty() && worker.strays.is_empty();
-            if idle || !worker.dead && !worker.is_given_up(self.now) {
+            let idle = worker.runs.is_empty() && worker.orphans.is_empty();
+            if idle || !worker.dead && !worker.is_lost(self.now) {
                 continue;
             }
             let ended = self.ended_runs(slot);
-            if ended.is_empty() && worker.strays.is_empty() {
+            if ended.is_empty() && worker.orphans.is_empty() {
                 continue;
             }
             let (runs, held) = (ended.len(), worker.runs.len() - ended.len());
-            log::warn!(worker = &*worker.id, runs, held, absent = worker.absent; "worker: its leases are over");
-            self.figures.lapsed += runs as u64;
+            log::warn!(worker = &*worker.id, runs, held, absent = worker.process_ended; "worker: its leases are over");
+            self.stats.lapsed += runs as u64;
             if !worker.dead {
-                self.account(slot, Loss::Lapsed);
+                self.record_loss(slot, Loss::Lapsed);
             }
             self.drop_runs(slot, &ended);
         }
     }
 
     /// Takes note of what the loss of a worker tells of the tasks there.
-    pub(super) fn account(&mut self, slot: u32, loss: Loss) {
+    pub(super) fn record_loss(&mut self, slot: u32, loss: Loss) {
         let worker = self.fleet.get(slot);
         // Without its row it can't be asked: it may have crashed. One that was silent until its
         // leases were over may be cut off.
         let unclear = loss == Loss::Ended || worker.info.is_none();
-        if worker.absent {
+        if worker.process_ended {
             self.note_crash(slot);
-        } else if unclear && worker.leaving.is_none() {
-            self.charge(slot, Blame::Unseen);
+        } else if unclear && worker.leaving_since.is_none() {
+            self.attribute_crash(slot, Blame::Unseen);
         }
     }
 
@@ -74,10 +74,10 @@
     pub(super) fn drop_runs(&mut self, slot: u32, runs: &[TaskId]) {
         self.tell_lost(slot, runs);
         let worker = self.fleet.get_mut(slot);
-        worker.drop_strays(|_| true);
+        worker.drop_orphans(|_| true);
         for &id in runs {
-            self.clear(id);
-            self.mark(id.job);
+            self.clear_run(id);
+            self.mark_dirty(id.job);
         }
     }
 
@@ -85,15 +85,15 @@
     /// worker was last heard.
     fn tell_lost(&mut self, slot: u32, runs: &[TaskId]) {
         let worker = self.fleet.get(slot);
-        self.figures.lost += runs.len() as u64;
-        let end = worker.silent.unwrap_or(self.now);
+        self.stats.lost += runs.len() as u64;
+        let end = worker.silent_since.unwrap_or(self.now);
         for &id in runs {
             let Some(task) = self.jobs.get(&id.job).and_then(|j| j.task(id)) else {
                 continue;
             };
-            let sent = task.run.as_ref().and_then(|r| r.sent);
+            let sent = task.run.as_ref().and_then(|r| r.sent_at);
             let age = sent.map_or(0, |at| end.saturating_sub(at));
-            log::info!(task = id.to_string().as_str(), run = task.last, worker = &*worker.id, age_ms = age, crashes = task.crashes.count(); "run: lost with its worker");
+            log::info!(task = id.to_string().as_str(), run = task.last_run, worker = &*worker.id, age_ms = age, crashes = task.crashes.count(); "run: lost with its worker");
         }
     }
 }
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -11,21 +11,26 @@
         task::{Run, Stage, UNKNOWN_PACE},
     },
     runs::{
-        lives::Listed,
-        loose::Loose,
+        incarnations::Attribution,
+        late_start::LateStart,
         lost::Loss,
-        stray::Stray,
-        unlisted::HELD_UP,
-        worker::{Capacity, size},
+        orphan::Orphan,
+        unreported::MAX_ORDER_DELAY_MS,
+        worker::{Capacity, demand},
     },
-    settings::longest_lease,
+    settings::lease_upper_bound,
 };
 
 impl Machine {
     /// Returns the slot of the life that a list is of; nothing if it does not count. Earlier
     /// lives are over.
-    pub(super) fn answering(&mut self, slot: u32, sent: u64, born: Option<u64>) -> Option<u32> {
-        let Listed::Life(new, over) = self.fleet.attribute(slot, sent, born) else {
+    pub(super) fn reporting_slot(
+        &mut self,
+        slot: u32,
+        sent: u64,
+        born: Option<u64>,
+    ) -> Option<u32> {
+        let Attribution::Known(new, over) = self.fleet.attribute(slot, sent, born) else {
             return None;
         };
         for old in over {
@@ -36,33 +41,33 @@
 
     fn replace(&mut self, old: u32, new: u32) {
         let worker = self.fleet.get(old);
-        let (runs, counted) = (worker.runs.len(), worker.counted);
-        let moved = match worker.is_nameless() {
+        let (runs, counted) = (worker.runs.len(), worker.counted_end);
+        let moved = match worker.is_unidentified() {
             true => self.rename(old, new),
             false => self.succeed(old, new),
         };
         self.fleet.retire(old);
-        self.moved = true;
+        self.placement_due = true;
         let (worker, old) = (self.fleet.get(new), self.fleet.get(old));
         if old.clock.is_none() && runs == 0 {
-            log::info!(worker = &*worker.id, born:? = worker.born, old_born:? = old.born; "worker: row of an earlier life");
+            log::info!(worker = &*worker.id, born:? = worker.start_time, old_born:? = old.start_time; "worker: row of an earlier life");
             return;
         }
-        log::warn!(worker = &*worker.id, born:? = worker.born, old_born:? = old.born, counted, runs, unconfirmed = moved; "worker: another life");
+        log::warn!(worker = &*worker.id, born:? = worker.start_time, old_born:? = old.start_time, counted, runs, unconfirmed = moved; "worker: another life");
     }
 
     /// Hands what is known of a life over to the same one, now that its name is known; returns
     /// how many runs that were.
     fn rename(&mut self, old: u32, new: u32) -> usize {
         let worker = self.fleet.get(old);
-        let (runs, guest) = (worker.runs.clone(), worker.guest);
-        let listed = worker.listed;
+        let (runs, guest) = (worker.runs.clone(), worker.isolated_task);
+        let listed = worker.registered;
         for &id in &runs {
             self.move_run(id, new, |stage| stage);
         }
         let worker = self.fleet.get_mut(new);
-        worker.guest = worker.guest.or(guest);
-        worker.listed |= listed;
+        worker.isolated_task = worker.isolated_task.or(guest);
+        worker.registered |= listed;
         runs.len()
     }
 
@@ -72,16 +77,20 @@
         let (now, settings) = (self.now, self.settings);
         let worker = self.fleet.get_mut(old);
         let dead = std::mem::replace(&mut worker.dead, true);
-        let late = if worker.promised > 0 { HELD_UP } else { 0 };
+        let late = if worker.granted_until > 0 {
+            MAX_ORDER_DELAY_MS
+        } else {
+            0
+        };
         if worker.clock.is_some() || !worker.runs.is_empty() {
-            let end = now + late + longest_lease(settings.longest);
+            let end = now + late + lease_upper_bound(settings.max_lease);
             let worker = self.fleet.get_mut(new);
-            worker.foreign = worker.foreign.max(end);
+            worker.misdirected_lease_end = worker.misdirected_lease_end.max(end);
         }
         if !dead {
-            self.account(old, Loss::Ended);
+            self.record_loss(old, Loss::Ended);
         }
-        let loose = self.fleet.get_mut(old).take_loose(now);
+        let loose = self.fleet.get_mut(old).take_late_starts(now);
         let unlisted = self.unlisted(old);
         for &id in &unlisted {
             self.move_run(id, new, unclear);
@@ -100,7 +109,7 @@
         let unlisted = runs.filter(|&id| {
             let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
             let run = task.and_then(|t| t.run.as_ref());
-            run.is_some_and(|r| r.unlisted().is_some())
+            run.is_some_and(|r| r.unreported_since().is_some())
         });
         unlisted.collect()
     }
@@ -124,23 +133,23 @@
         }
         let worker = self.fleet.get_mut(old);
         worker.release(id, step);
-        let guest = worker.guest.filter(|&g| g == id);
+        let guest = worker.isolated_task.filter(|&g| g == id);
         let worker = self.fleet.get_mut(new);
         worker.reserve(id, step);
-        worker.guest = worker.guest.or(guest);
-        self.mark(id.job);
+        worker.isolated_task = worker.isolated_task.or(guest);
+        self.mark_dirty(id.job);
     }
 
     /// Has the next life stop what it may still start of a run that was given up. Where its
     /// task would need a run now it waits until that is barred.
-    fn bar(&mut self, old: u32, new: u32, start: Loose) {
+    fn bar(&mut self, old: u32, new: u32, start: LateStart) {
         let id = start.task;
-        self.fleet.get_mut(new).keep_loose(start, self.now);
+        self.fleet.get_mut(new).keep_late_start(start, self.now);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let Some(task) = task.filter(|t| !t.done) else {
             return self.add_stray(new, start);
         };
-        let last = task.last;
+        let last = task.last_run;
         match &task.run {
             None => self.detain(new, id),
             Some(run) if run.worker == old => self.move_run(id, new, |_| Stage::Stopping(None)),
@@ -152,18 +161,18 @@
     }
 
     /// Has a worker stop a run that it may still start and that nobody wants.
-    fn add_stray(&mut self, slot: u32, start: Loose) {
+    fn add_stray(&mut self, slot: u32, start: LateStart) {
         let id = start.task;
         let state = self.jobs.get(&id.job);
         let step = state.and_then(|j| j.job.spec.steps.get(id.step as usize));
-        let size = step.map_or(Capacity::default(), size);
-        self.fleet.get_mut(slot).add_stray(Stray {
+        let size = step.map_or(Capacity::default(), demand);
+        self.fleet.get_mut(slot).add_orphan(Orphan {
             task: id,
             run: start.run,
             size,
-            sent: None,
-            halted: None,
-            pause: 0,
+            sent_at: None,
+            stopped_at: None,
+            retry_at: 0,
         });
     }
 
@@ -174,7 +183,7 @@
             return;
         };
         let job = state.job.clone();
-        let Some(step) = state.step_mut(id.time, id.step) else {
+        let Some(step) = state.step_mut(id.repetition, id.step) else {
             return;
         };
         let run = Run::new(slot, Stage::Stopping(None), now);
@@ -182,7 +191,7 @@
         let worker = self.fleet.get_mut(slot);
         worker.reserve(id, &job.spec.steps[id.step as usize]);
         self.stopping.push(id);
-        self.mark(id.job);
+        self.mark_dirty(id.job);
     }
 }
 
@@ -190,7 +199,7 @@
 /// tells, and else a stop.
 fn unclear(stage: Stage) -> Stage {
     match stage {
-        Stage::Stopping(_) | Stage::Halted(_) => Stage::Stopping(None),
-        _ => Stage::Unclear(0),
+        Stage::Stopping(_) | Stage::StopConfirmed(_) => Stage::Stopping(None),
+        _ => Stage::Unanswered(0),
     }
 }
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -5,7 +5,7 @@
 use super::worker::{Capacity, WorkerInfo};
 use crate::{
     action::Action,
-    event::{Answer, Event, Look, Running, Started, Stopped},
+    event::{Answer, Event, ReportedRun, Started, Stopped, WorkerReport},
     machine::Machine,
     model::{
         ids::{JobId, TaskId},
@@ -19,7 +19,7 @@
 /// The only task.
 const TASK: TaskId = TaskId {
     job: JobId(1),
-    time: 0,
+    repetition: 0,
     step: 0,
     index: 0,
 };
@@ -37,8 +37,8 @@
     fn new() -> Owner {
         let now = 100_000;
         let takeover = Takeover {
-            asked: now,
-            inherited: 0,
+            asked_at: now,
+            prior_leases_end: 0,
         };
         let mut owner = Owner {
             machine: Machine::new(Settings::default(), now, takeover),
@@ -94,12 +94,12 @@
         for _ in 0..50 {
             self.now += 5;
             let asked = self.now;
-            self.tell(Event::Current { asked });
-            self.tell(Event::Renewed { asked });
-            for action in self.machine.settle(self.now, self.now) {
+            self.tell(Event::WorkersSynced { asked_at: asked });
+            self.tell(Event::Renewed { asked_at: asked });
+            for action in self.machine.decide(self.now, self.now) {
                 match action {
-                    Action::Commit(_) => self.tell(Event::Committed { asked }),
-                    Action::Look { .. } => {}
+                    Action::Commit(_) => self.tell(Event::Committed { asked_at: asked }),
+                    Action::Poll { .. } => {}
                     action => self.sent.push(action),
                 }
             }
@@ -108,9 +108,9 @@
 
     /// The row of a life is read.
     fn row(&mut self, born: u64) {
-        self.tell(Event::Worker(WorkerInfo {
+        self.tell(Event::WorkerUpdated(WorkerInfo {
             id: "w".into(),
-            born: Some(born),
+            start_time: Some(born),
             addr: ([127, 0, 0, 1], 1000).into(),
             service: "s".into(),
             zone: "z".into(),
@@ -122,29 +122,29 @@
                 gpu: 0,
             },
             ready: true,
-            remaining: 0,
+            remaining_ms: 0,
         }));
         self.run();
     }
 
     /// A list of a life is read with these runs of the task, which was asked for just before.
     fn list(&mut self, worker: u32, born: u64, runs: &[u32]) {
-        let running = runs.iter().map(|&run| Running {
+        let running = runs.iter().map(|&run| ReportedRun {
             task: TASK,
             run,
-            saved: "".into(),
+            checkpoint: "".into(),
             percent: 1,
-            figure: None,
+            metric: None,
         });
-        let look = Look {
-            born: Some(born),
+        let look = WorkerReport {
+            start_time: Some(born),
             clock: self.now - born,
             running: running.collect(),
             finished: Vec::new(),
         };
         let sent = self.now;
         self.now += 5;
-        self.answer(worker, sent, Answer::Looked(look));
+        self.answer(worker, sent, Answer::Report(look));
     }
 
     fn started(&mut self, worker: u32, run: u32, started: Started) {
@@ -261,10 +261,10 @@
     owner.list(0, 2, &[]);
     assert_eq!(owner.starts(), [(1, 2)]);
     owner.list(1, 2, &[2]);
-    let end = owner.now + Settings::default().longest;
+    let end = owner.now + Settings::default().max_lease;
     while owner.now < end {
         let sent = owner.now;
-        owner.answer(1, sent, Answer::Silent);
+        owner.answer(1, sent, Answer::NoReply);
         assert!(
             owner
                 .machine
@@ -275,7 +275,7 @@
     }
     while owner.now < end + 4000 {
         let sent = owner.now;
-        owner.answer(1, sent, Answer::Silent);
+        owner.answer(1, sent, Answer::NoReply);
     }
     assert!(
         owner
@@ -296,7 +296,7 @@
         .is_some_and(|j| j.has_runs())
     {
         let sent = owner.now;
-        owner.answer(0, sent, Answer::Silent);
+        owner.answer(0, sent, Answer::NoReply);
         assert!(owner.now < since + 60_000, "held for good");
     }
     owner.now - since
@@ -306,7 +306,7 @@
 /// that get no answer follow; one that its own life has taken does not.
 #[test]
 fn a_start_without_a_list_is_waited_for_as_long_as_a_later_life_may_run_it() {
-    let longest = Settings::default().longest;
+    let longest = Settings::default().max_lease;
     let mut own = Owner::new();
     own.started(0, 1, Started::DoneAt(own.now - 1));
     let own = hold(own);
@@ -326,7 +326,7 @@
 fn a_look_tells_of_ends_only_where_they_are_kept_and_its_reader_is_known() {
     let mut owner = Owner::new();
     let worker = owner.machine.fleet.get_mut(0);
-    worker.observed = 5;
+    worker.durable_end = 5;
     for (first, silent, contested, expected) in [
         (Some(5), None, false, 5),
         (None, None, false, 0),
@@ -335,8 +335,8 @@
         (Some(5), None, true, 0),
     ] {
         worker.first_end = first;
-        worker.silent = silent;
+        worker.silent_since = silent;
         worker.contested = contested;
-        assert_eq!(worker.droppable(), expected);
+        assert_eq!(worker.droppable_end(), expected);
     }
 }
--- a/crates/jobs/src/runs/ends.rs
+++ b/crates/jobs/src/runs/report.rs
@@ -1,10 +1,10 @@
 //! What the workers' lists say.
 
 use crate::{
-    event::{End, Ending, Look},
+    event::{Ending, RunEnd, WorkerReport},
     machine::Machine,
     model::{
-        checkpoint::{Origin, shown},
+        checkpoint::{Origin, log_excerpt},
         ids::TaskId,
         record::Outcome,
     },
@@ -21,52 +21,52 @@
 
 impl Machine {
     /// Takes a worker's answer to a look that was sent at `sent`.
-    pub(crate) fn looked(&mut self, slot: u32, sent: u64, look: Look) {
+    pub(crate) fn handle_report(&mut self, slot: u32, sent: u64, look: WorkerReport) {
         let (now, settings) = (self.now, self.settings);
-        self.fleet.get_mut(slot).looking = false;
-        let Some(slot) = self.answering(slot, sent, look.born) else {
+        self.fleet.get_mut(slot).poll_in_flight = false;
+        let Some(slot) = self.reporting_slot(slot, sent, look.start_time) else {
             return;
         };
         let worker = self.fleet.get_mut(slot);
         if worker.dead {
             return;
         }
-        worker.heard(look.clock, now, &settings);
+        worker.note_clock(look.clock, now, &settings);
         worker.first_end = look.finished.first().map(|e| e.number);
-        let was_absent = worker.absent;
-        if let Some(since) = worker.silent.take() {
+        let was_absent = worker.process_ended;
+        if let Some(since) = worker.silent_since.take() {
             log::info!(worker = &*worker.id, silent_ms = now - since; "worker: answers again");
-            self.moved = true;
+            self.placement_due = true;
         }
-        let counted = worker.counted;
+        let counted = worker.counted_end;
         if was_absent {
-            self.note_present(slot);
+            self.retract_crash(slot);
         }
         self.count_ends(slot, &look);
         for row in &look.running {
-            self.listed(slot, row, look.clock);
+            self.handle_reported_run(slot, row, look.clock);
         }
         if look.finished.len() < FULL_LIST {
-            self.check_absent(slot, sent, &look);
+            self.check_unreported(slot, sent, &look);
         }
         self.check_stalled(slot);
         let ended = look.finished.iter().filter(|e| e.number > counted);
-        self.watch(slot, &look, &ended.collect::<Vec<_>>());
+        self.observe_metrics(slot, &look, &ended.collect::<Vec<_>>());
     }
 
-    fn count_ends(&mut self, slot: u32, look: &Look) {
+    fn count_ends(&mut self, slot: u32, look: &WorkerReport) {
         for end in &look.finished {
             let worker = self.fleet.get_mut(slot);
-            if end.number <= worker.counted {
+            if end.number <= worker.counted_end {
                 continue;
             }
-            worker.counted = end.number;
-            self.counted.push(slot);
+            worker.counted_end = end.number;
+            self.workers_with_ends.push(slot);
             self.ended(slot, end);
         }
     }
 
-    fn ended(&mut self, slot: u32, end: &End) {
+    fn ended(&mut self, slot: u32, end: &RunEnd) {
         let id = end.task;
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
@@ -76,32 +76,32 @@
             return;
         };
         let run = task.run.as_ref();
-        let current = run.is_some_and(|r| r.worker == slot) && task.last == end.run;
-        let ran = run.map_or(0, |r| self.now.saturating_sub(r.since));
+        let current = run.is_some_and(|r| r.worker == slot) && task.last_run == end.run;
+        let ran = run.map_or(0, |r| self.now.saturating_sub(r.placed_at));
         let partial = run.is_none_or(|r| r.partial);
-        if current && let Some(step) = state.step_mut(id.time, id.step) {
+        if current && let Some(step) = state.step_mut(id.repetition, id.step) {
             let origin = Origin {
                 run: end.run,
                 worker: slot,
-                listed: self.now,
+                reported_at: self.now,
             };
-            step.save(id.index as usize, &end.saved, origin);
+            step.save_checkpoint(id.index as usize, &end.checkpoint, origin);
         }
-        log::info!(task = id.to_string().as_str(), run = end.run, worker = &*self.fleet.get(slot).id, how:? = end.ending, current, ran_ms = ran, saved = shown(&end.saved); "run: ended");
+        log::info!(task = id.to_string().as_str(), run = end.run, worker = &*self.fleet.get(slot).id, how:? = end.ending, current, ran_ms = ran, saved = log_excerpt(&end.checkpoint); "run: ended");
         if current {
-            self.clear(id);
+            self.clear_run(id);
         }
-        self.mark(id.job);
+        self.mark_dirty(id.job);
         match end.ending {
             Ending::Done => self.done(slot, id, ran, current && !partial),
             Ending::Failed => self.failed(slot, id, end.run, is_final),
-            _ => self.figures.stopped += 1,
+            _ => self.stats.stopped += 1,
         }
     }
 
     fn done(&mut self, slot: u32, id: TaskId, ran: u64, telling: bool) {
-        self.figures.done += 1;
-        self.fleet.get_mut(slot).did_well();
+        self.stats.done += 1;
+        self.fleet.get_mut(slot).note_success();
         if telling {
             self.note_time(id, ran);
         }
@@ -109,11 +109,13 @@
             return;
         };
         let step = &state.job.spec.steps[id.step as usize];
-        if step.lasting || state.outcome.is_final() {
+        if step.long_running || state.outcome.is_final() {
             return;
         }
-        if !step.fill && step.estimate > 0 && ran > 0 {
-            self.fleet.get_mut(slot).took(ran * 100 / step.estimate);
+        if !step.best_effort && step.estimate > 0 && ran > 0 {
+            self.fleet
+                .get_mut(slot)
+                .note_duration(ran * 100 / step.estimate);
         }
         let members = match step.gang {
             true => 0..step.count,
@@ -122,13 +124,14 @@
         for index in members {
             let member = TaskId { index, ..id };
             if let Some(state) = self.jobs.get_mut(&id.job) {
-                state.times[id.time as usize][id.step as usize].finish(index as usize);
+                state.repetitions[id.repetition as usize][id.step as usize]
+                    .mark_done(index as usize);
             }
-            self.abandon(member);
+            self.stop_run(member);
         }
-        self.moved = true;
+        self.placement_due = true;
         if self.jobs.get(&id.job).is_some_and(|j| j.is_done()) {
-            self.finish(id.job, Outcome::Complete);
+            self.end_job(id.job, Outcome::Complete);
         }
     }
 
@@ -139,24 +142,26 @@
         };
         let job = state.job.clone();
         let step = &job.spec.steps[id.step as usize];
-        if let Some(state) = state.step_mut(id.time, id.step) {
-            state.seen.note(ran);
+        if let Some(state) = state.step_mut(id.repetition, id.step) {
+            state.observed_times.observe(ran);
         }
-        if step.lasting || step.estimate == 0 {
+        if step.long_running || step.estimate == 0 {
             return;
         }
-        self.guesses.or_default(&job.queue).note(step.estimate, ran);
+        self.estimates
+            .or_default(&job.queue)
+            .observe(step.estimate, ran);
     }
 
     fn failed(&mut self, slot: u32, id: TaskId, run: u32, is_final: bool) {
-        self.figures.failed += 1;
+        self.stats.failed += 1;
         let now = self.now;
-        self.blame(slot);
+        self.note_worker_failure(slot);
         let Some(state) = self.jobs.get(&id.job) else {
             return;
         };
         let step = &state.job.spec.steps[id.step as usize];
-        let (gang, lasting) = (step.gang, step.lasting);
+        let (gang, lasting) = (step.gang, step.long_running);
         let queue = state.job.queue.clone();
         let attempts = self.policy(&queue).map(|q| q.attempts);
         // A gang fails as one: its runs are counted at its first member.
@@ -168,17 +173,17 @@
         let Some(task) = task else {
             return;
         };
-        if task.failed.contains(&run) {
+        if task.failed_runs.contains(&run) {
             return;
         }
-        task.failed.push(run);
-        let doublings = (task.failed.len() - 1).min(RETRY_DOUBLINGS);
-        task.pause = now + (RETRY_PAUSE << doublings);
-        task.avoid = Some(slot);
-        let count = task.failed.len() as u32;
+        task.failed_runs.push(run);
+        let doublings = (task.failed_runs.len() - 1).min(RETRY_DOUBLINGS);
+        task.retry_at = now + (RETRY_PAUSE << doublings);
+        task.failed_worker = Some(slot);
+        let count = task.failed_runs.len() as u32;
         if !lasting && !is_final && attempts.is_some_and(|a| count >= a) {
             log::warn!(task = id.to_string().as_str(), failures = count; "job: failed too often");
-            self.finish(id.job, Outcome::Failed);
+            self.end_job(id.job, Outcome::Failed);
         }
     }
 }
--- a/crates/jobs/src/runs/unlisted.rs
+++ b/crates/jobs/src/runs/unreported.rs
@@ -10,7 +10,7 @@
 //! A run is held until a list says which life has it, or until no lease that a later life may
 //! have taken can still be valid. All other runs end with the leases that this life was given.
 //!
-//! Limits: orders that were held up for longer than [`HELD_UP`] are not foreseen. Workers that
+//! Limits: orders that were held up for longer than [`MAX_ORDER_DELAY_MS`] are not foreseen. Workers that
 //! do not say when they began have a new name in each life, which refuses such orders.
 
 use crate::{
@@ -18,25 +18,26 @@
     machine::Machine,
     model::{ids::TaskId, task::Run},
     runs::worker::Worker,
-    settings::{Settings, longest_lease, slowest_clock},
+    settings::{Settings, lease_upper_bound, min_clock_advance},
 };
 
 /// An order is carried out within this time or not at all, in milliseconds.
-pub(super) const HELD_UP: u64 = 3000;
+pub(super) const MAX_ORDER_DELAY_MS: u64 = 3000;
 
 impl Run {
     /// Tells whether its start was sent and it is not known which life of the worker's name, if
     /// any, has carried it out.
     fn is_unattributed(&self) -> bool {
-        self.unlisted().is_some() && !self.attributed
+        self.unreported_since().is_some() && !self.attributed
     }
 }
 
 impl Worker {
     /// Takes note that an order which names the end of a lease is sent.
     pub(crate) fn note_lease_order(&mut self, now: u64, settings: &Settings) {
-        if self.born.is_some() {
-            self.successor_lease = now + HELD_UP + longest_lease(settings.longest);
+        if self.start_time.is_some() {
+            self.successor_lease_end =
+                now + MAX_ORDER_DELAY_MS + lease_upper_bound(settings.max_lease);
         }
     }
 
@@ -45,10 +46,10 @@
     ///
     /// Then no lease that was taken with the order outlasts what this life was promised,
     /// whichever life answered.
-    pub(super) fn has_reached(&self, reading: u64, sent: u64) -> bool {
+    pub(super) fn is_clock_consistent(&self, reading: u64, sent: u64) -> bool {
         self.clock.is_some_and(|(last, at)| {
             let elapsed = sent.saturating_sub(at);
-            reading >= last + slowest_clock(elapsed)
+            reading >= last + min_clock_advance(elapsed)
         })
     }
 }
@@ -58,9 +59,11 @@
     /// worker's life was promised.
     pub(super) fn is_attributed(&self, slot: u32, id: TaskId, started: Started) -> bool {
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
-        let sent = task.and_then(|t| t.run.as_ref()).and_then(|r| r.sent);
+        let sent = task.and_then(|t| t.run.as_ref()).and_then(|r| r.sent_at);
         match (started, sent) {
-            (Started::DoneAt(reading), Some(at)) => self.fleet.get(slot).has_reached(reading, at),
+            (Started::DoneAt(reading), Some(at)) => {
+                self.fleet.get(slot).is_clock_consistent(reading, at)
+            }
             _ => false,
         }
     }
@@ -70,7 +73,7 @@
         let worker = self.fleet.get(slot);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let run = task.and_then(|t| t.run.as_ref());
-        self.now <= worker.successor_lease && run.is_some_and(|r| r.is_unattributed())
+        self.now <= worker.successor_lease_end && run.is_some_and(|r| r.is_unattributed())
     }
 
     /// Returns the runs on a worker that are over when its life is, or its leases are.
--- a/crates/jobs/src/share/pairs.rs
+++ b/crates/jobs/src/share/interference.rs
@@ -20,11 +20,11 @@
 
 use crate::{
     share::{
-        fit::{FIRST_WEIGHT, Fit},
-        learned::Pair,
-        sample::{Group, Image, Press, Sample},
+        fit::{Fit, INITIAL_WEIGHT},
+        learned::PairWeight,
+        sample::{Image, Pressure, Sample, StepKey},
     },
-    sorted::Sorted,
+    sorted_map::SortedMap,
 };
 
 /// What takes less than this of headroom with all processors of a worker does not
@@ -41,34 +41,34 @@
 
 /// Headroom of a step without what fills.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Base {
+pub(crate) struct BaseHeadroom {
     /// The step.
-    pub(crate) group: Group,
+    pub(crate) step_key: StepKey,
     /// The middle of its tasks' headrooms.
     pub(crate) headroom: f64,
     /// One over the square of its error.
-    pub(crate) trust: f64,
+    pub(crate) precision: f64,
 }
 
 /// What filling images take from serving ones, by pair.
 #[derive(Debug, Default)]
-pub(crate) struct Pairs {
-    fits: Sorted<Image, Fit>,
+pub(crate) struct Interference {
+    fits: SortedMap<Image, Fit>,
     /// What was not learned from yet.
     samples: Vec<Sample>,
 }
 
-impl Pairs {
+impl Interference {
     /// Returns the headroom that a whole worker of a filling image takes from a serving one.
     pub(crate) fn weight(&self, fill: Image, serve: Image) -> f64 {
         let weight = self.fits.get(&serve).map(|f| f.weight(fill));
-        weight.unwrap_or(FIRST_WEIGHT)
+        weight.unwrap_or(INITIAL_WEIGHT)
     }
 
     /// Returns the headroom that a whole worker of a filling image takes from each of so
     /// many serving ones.
-    pub(crate) fn takes(&self, fill: Image, images: usize) -> Vec<f64> {
-        let mut takes = vec![FIRST_WEIGHT; images];
+    pub(crate) fn headroom_costs(&self, fill: Image, images: usize) -> Vec<f64> {
+        let mut takes = vec![INITIAL_WEIGHT; images];
         for (&serve, fit) in self.fits.iter() {
             if let Some(weight) = takes.get_mut(serve as usize) {
                 *weight = fit.weight(fill);
@@ -78,60 +78,66 @@
     }
 
     /// Returns what is known of all pairs.
-    pub(crate) fn known(&self) -> Vec<Pair> {
+    pub(crate) fn known_weights(&self) -> Vec<PairWeight> {
         let mut known = Vec::new();
         for (&serve, fit) in self.fits.iter() {
-            known.extend(fit.known(serve));
+            known.extend(fit.known_weights(serve));
         }
         known
     }
 
     /// Takes over what an earlier owner knew of a pair.
-    pub(crate) fn recall(&mut self, pair: &Pair) {
-        self.fits.or_default(&pair.serve).recall(pair);
+    pub(crate) fn restore(&mut self, pair: &PairWeight) {
+        self.fits.or_default(&pair.serving_image).restore(pair);
     }
 
     /// Returns the headroom that what fills takes from a serving image.
-    pub(crate) fn taken(&self, serve: Image, press: &[Press]) -> f64 {
+    pub(crate) fn headroom_taken(&self, serve: Image, press: &[Pressure]) -> f64 {
         match self.fits.get(&serve) {
-            Some(fit) => fit.pressure(press),
-            None => Fit::default().pressure(press),
+            Some(fit) => fit.headroom_taken(press),
+            None => Fit::default().headroom_taken(press),
         }
     }
 
     /// Tells whether a filling image disturbs a serving one.
-    pub(crate) fn harms(&self, fill: Image, serve: Image) -> bool {
-        is_harmful(self.weight(fill, serve))
+    pub(crate) fn interferes(&self, fill: Image, serve: Image) -> bool {
+        is_interfering(self.weight(fill, serve))
     }
 
     /// Takes a headroom, and what filled beside it.
-    pub(crate) fn note(&mut self, group: Group, serve: Image, headroom: f64, press: &Arc<[Press]>) {
+    pub(crate) fn note(
+        &mut self,
+        group: StepKey,
+        serve: Image,
+        headroom: f64,
+        press: &Arc<[Pressure]>,
+    ) {
         self.samples.push(Sample {
-            group,
-            serve,
+            step_key: group,
+            serving_image: serve,
             headroom,
-            press: press.clone(),
+            pressures: press.clone(),
             age: 0,
         });
     }
 
     /// Fits to what was noted, once each half second, and returns the newest headrooms
     /// of the steps; `foreseen` tells which one was foreseen of a step, if any was.
-    pub(crate) fn fit(&mut self, foreseen: impl Fn(Group) -> Option<f64>) -> Vec<Base> {
+    pub(crate) fn fit(&mut self, foreseen: impl Fn(StepKey) -> Option<f64>) -> Vec<BaseHeadroom> {
         let mut bases = Vec::new();
         let mut kept = Vec::new();
-        self.samples.sort_by_key(|s| s.group);
-        for samples in self.samples.chunk_by(|a, b| a.group == b.group) {
-            let serve = samples[0].serve;
+        self.samples.sort_by_key(|s| s.step_key);
+        for samples in self.samples.chunk_by(|a, b| a.step_key == b.step_key) {
+            let serve = samples[0].serving_image;
             let fit = self.fits.or_default(&serve);
             let base = fit.base(samples);
-            bases.push(Base {
-                group: samples[0].group,
+            bases.push(BaseHeadroom {
+                step_key: samples[0].step_key,
                 headroom: base,
-                trust: fit.trust(samples),
+                precision: fit.precision(samples),
             });
-            if let Some(expected) = foreseen(samples[0].group) {
-                fit.add_foreseen(samples, expected);
+            if let Some(expected) = foreseen(samples[0].step_key) {
+                fit.add_with_forecast(samples, expected);
                 continue;
             }
             if samples.len() >= ENOUGH {
@@ -153,6 +159,6 @@
 }
 
 /// Tells whether what takes so much headroom with all processors of a worker disturbs.
-pub(crate) fn is_harmful(weight: f64) -> bool {
+pub(crate) fn is_interfering(weight: f64) -> bool {
     weight > HARMLESS
 }
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     machine::Machine,
-    order::times::Guesses,
-    share::{forecast::Usual, sample::Image},
+    order::estimates::EstimateModel,
+    share::{forecast::Prior, sample::Image},
 };
 
 /// Pairs that are kept at most, the best known first: with 20 bytes each they fit a row.
@@ -19,11 +19,13 @@
 
 /// What one filling image takes from one serving image. Written as an array.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Pair {
+pub(crate) struct PairWeight {
     /// Index of the filling image's name.
-    pub(crate) fill: u16,
+    #[serde(rename = "fill")]
+    pub(crate) best_effort_image: u16,
     /// Index of the serving image's name.
-    pub(crate) serve: u16,
+    #[serde(rename = "serve")]
+    pub(crate) serving_image: u16,
     /// Headroom that a whole worker of the one takes from the other.
     pub(crate) weight: f32,
     /// How much was seen of it, as the fit weighs it.
@@ -34,31 +36,31 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct QueueGuesses {
     queue: Arc<str>,
-    guesses: Guesses,
+    guesses: EstimateModel,
 }
 
 /// What an owner has learned.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Learned {
     images: Vec<Arc<str>>,
-    pairs: Vec<Pair>,
+    pairs: Vec<PairWeight>,
     queues: Vec<QueueGuesses>,
     /// What is usual of loads, if curves foresee them; an older program wrote nothing of it.
     #[serde(default)]
-    usual: Option<Usual>,
+    usual: Option<Prior>,
 }
 
 impl Machine {
     /// Returns what was learned so far.
     pub fn learned(&self) -> Learned {
-        let mut images: Vec<Arc<str>> = vec![Arc::default(); self.images.len() + 1];
-        for (name, &image) in self.images.iter() {
+        let mut images: Vec<Arc<str>> = vec![Arc::default(); self.image_numbers.len() + 1];
+        for (name, &image) in self.image_numbers.iter() {
             images[image as usize] = name.clone();
         }
-        let mut pairs = self.pairs.known();
+        let mut pairs = self.interference.known_weights();
         pairs.sort_by(|a, b| b.seen.total_cmp(&a.seen));
         pairs.truncate(MOST_PAIRS);
-        let queues = self.guesses.iter().map(|(queue, guesses)| QueueGuesses {
+        let queues = self.estimates.iter().map(|(queue, guesses)| QueueGuesses {
             queue: queue.clone(),
             guesses: guesses.clone(),
         });
@@ -66,32 +68,32 @@
             images,
             pairs,
             queues: queues.collect(),
-            usual: self.season.known(),
+            usual: self.seasonality.known(),
         }
     }
 
     /// Takes over what an earlier owner learned.
-    pub fn recall(&mut self, learned: &Learned) {
+    pub fn import_learned(&mut self, learned: &Learned) {
         let names = learned.images.iter();
         let numbers: Vec<Image> = names.map(|name| self.number_image(name)).collect();
         for pair in &learned.pairs {
-            let fill = numbers.get(pair.fill as usize);
-            let serve = numbers.get(pair.serve as usize);
+            let fill = numbers.get(pair.best_effort_image as usize);
+            let serve = numbers.get(pair.serving_image as usize);
             let (Some(&fill), Some(&serve)) = (fill, serve) else {
-                log::warn!(fill = pair.fill, serve = pair.serve; "learned: a pair without names");
+                log::warn!(fill = pair.best_effort_image, serve = pair.serving_image; "learned: a pair without names");
                 continue;
             };
-            self.pairs.recall(&Pair {
-                fill,
-                serve,
+            self.interference.restore(&PairWeight {
+                best_effort_image: fill,
+                serving_image: serve,
                 ..*pair
             });
         }
         if let Some(usual) = learned.usual {
-            self.season.recall(usual);
+            self.seasonality.restore(usual);
         }
         for kept in &learned.queues {
-            self.guesses
+            self.estimates
                 .insert(kept.queue.clone(), kept.guesses.clone());
         }
     }
--- a/crates/jobs/src/share/watch.rs
+++ b/crates/jobs/src/share/metrics.rs
@@ -3,12 +3,12 @@
 use std::sync::Arc;
 
 use crate::{
-    event::{End, Look},
+    event::{RunEnd, WorkerReport},
     machine::Machine,
     share::{
         forecast::Point,
         own_load::OwnLoad,
-        sample::{Group, Press},
+        sample::{Pressure, StepKey},
     },
 };
 
@@ -21,26 +21,26 @@
 impl Machine {
     /// Takes note of the figures that a worker lists, and chooses paces; `ended` are the ends
     /// that it lists for the first time.
-    pub(crate) fn watch(&mut self, slot: u32, look: &Look, ended: &[&End]) {
+    pub(crate) fn observe_metrics(&mut self, slot: u32, look: &WorkerReport, ended: &[&RunEnd]) {
         let now = self.now;
         let worker = self.fleet.get_mut(slot);
-        if worker.serving == 0 {
+        if worker.serving_tasks == 0 {
             return self.watch_fillers(slot);
         }
-        if now < worker.figured + PERIOD {
+        if now < worker.metrics_at + PERIOD {
             return;
         }
-        worker.figured = now;
+        worker.metrics_at = now;
         let is_working = self.fills_at_work(slot);
-        let press: Arc<[Press]> = self.press(slot, look, ended).into();
+        let press: Arc<[Pressure]> = self.press(slot, look, ended).into();
         let (mut over, mut is_above) = (false, false);
         for row in &look.running {
             let Some(state) = self.jobs.get_mut(&row.task.job) else {
                 continue;
             };
             let image = state.images[row.task.step as usize];
-            let target = state.job.spec.steps[row.task.step as usize].target;
-            let step = state.step_mut(row.task.time, row.task.step);
+            let target = state.job.spec.steps[row.task.step as usize].latency_target;
+            let step = state.step_mut(row.task.repetition, row.task.step);
             let Some(step) = step.filter(|_| target > 0) else {
                 continue;
             };
@@ -49,29 +49,29 @@
             let Some(run) = task.and_then(|t| t.run.as_mut()) else {
                 continue;
             };
-            let Some(ms) = row.figure.filter(|f| *f > 0) else {
-                run.note_no_tail();
-                over |= run.over.is_some();
+            let Some(ms) = row.metric.filter(|f| *f > 0) else {
+                run.record_no_latency();
+                over |= run.over_since.is_some();
                 continue;
             };
-            let group = Group {
+            let group = StepKey {
                 job: row.task.job,
-                time: row.task.time,
+                repetition: row.task.repetition,
                 step: row.task.step,
             };
             let share = ms as f64 / target as f64;
             is_above |= share >= 1.0;
-            self.pairs.note(group, image, 1.0 / share, &press);
-            let worst = lowest - self.pairs.taken(image, &press);
-            run.note_tail(share, worst, now);
-            over |= run.over.is_some();
+            self.interference.note(group, image, 1.0 / share, &press);
+            let worst = lowest - self.interference.headroom_taken(image, &press);
+            run.record_latency(share, worst, now);
+            over |= run.over_since.is_some();
         }
         let worker = self.fleet.get_mut(slot);
-        worker.own_load.note_filling(is_working, now);
-        worker.own_load.note_tails(is_above, now);
-        worker.over = over && worker.filling > 0;
+        worker.own_load.note_best_effort(is_working, now);
+        worker.own_load.note_over_target(is_above, now);
+        worker.is_over_target = over && worker.best_effort_cpu > 0;
         worker.slack = None;
-        if worker.filling > 0 {
+        if worker.best_effort_cpu > 0 {
             self.choose_paces(slot);
         }
     }
@@ -80,29 +80,29 @@
     /// for one that has gone would else stay so, and nothing more would fill there.
     fn watch_fillers(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
-        worker.over = false;
+        worker.is_over_target = false;
         worker.own_load = OwnLoad::default();
-        if worker.filling > 0 {
+        if worker.best_effort_cpu > 0 {
             self.choose_paces(slot);
         }
     }
 
     /// Fits the disturbances to the figures, each half second, and lowers paces where a
     /// tail has been over its target for long.
-    pub(crate) fn fit(&mut self) {
-        if self.now < self.fitted + FIT_PERIOD {
+    pub(crate) fn update_model(&mut self) {
+        if self.now < self.last_fit + FIT_PERIOD {
             return;
         }
-        self.fitted = self.now;
+        self.last_fit = self.now;
         let jobs = &self.jobs;
-        let foreseen = |group: Group| {
-            let step = jobs.get(&group.job)?.step(group.time, group.step)?;
-            step.headroom.foreseen_now()
+        let foreseen = |group: StepKey| {
+            let step = jobs.get(&group.job)?.step(group.repetition, group.step)?;
+            step.headroom.forecast_now()
         };
-        for base in self.pairs.fit(foreseen) {
-            let group = base.group;
+        for base in self.interference.fit(foreseen) {
+            let group = base.step_key;
             let state = self.jobs.get_mut(&group.job);
-            let step = state.and_then(|j| j.step_mut(group.time, group.step));
+            let step = state.and_then(|j| j.step_mut(group.repetition, group.step));
             let Some(step) = step else {
                 continue;
             };
@@ -110,15 +110,15 @@
             step.history.note(Point {
                 at: self.now,
                 headroom: base.headroom,
-                trust: base.trust,
+                precision: base.precision,
             });
-            self.season.judge(group, base.headroom, self.now);
+            self.seasonality.score(group, base.headroom, self.now);
         }
-        self.foresee();
-        self.note_spare();
+        self.forecast_headrooms();
+        self.update_spare_cpu();
         for slot in 0..self.fleet.workers.len() as u32 {
             self.fleet.workers[slot as usize].slack = None;
-            if self.fleet.get(slot).over {
+            if self.fleet.get(slot).is_over_target {
                 self.escalate(slot);
             }
         }
@@ -127,15 +127,15 @@
     /// Tells whether something that fills on a worker may be at work.
     fn fills_at_work(&self, slot: u32) -> bool {
         let worker = self.fleet.get(slot);
-        if worker.filling == 0 {
+        if worker.best_effort_cpu == 0 {
             return false;
         }
-        let (_, fillers) = self.residents(slot);
+        let (_, fillers) = self.colocated_runs(slot);
         let runs = fillers.iter().filter_map(|f| {
             let task = self.jobs.get(&f.task.job)?.task(f.task)?;
             task.run.as_ref()
         });
-        let mut working = runs.filter(|r| r.pace > 0 || r.wanted > 0);
+        let mut working = runs.filter(|r| r.pace > 0 || r.wanted_pace > 0);
         working.next().is_some()
     }
 
@@ -144,10 +144,10 @@
     ///
     /// A look is answered as soon as a run ends, so that one that has just ended filled for
     /// all of that time.
-    fn press(&self, slot: u32, look: &Look, ended: &[&End]) -> Vec<Press> {
-        let running = look.running.iter().map(|r| (r.task, r.figure));
+    fn press(&self, slot: u32, look: &WorkerReport, ended: &[&RunEnd]) -> Vec<Pressure> {
+        let running = look.running.iter().map(|r| (r.task, r.metric));
         let ended = ended.iter().map(|e| (e.task, None));
-        let mut out: Vec<Press> = Vec::new();
+        let mut out: Vec<Pressure> = Vec::new();
         for (task, figure) in running.chain(ended) {
             let Some(state) = self.jobs.get(&task.job) else {
                 continue;
@@ -155,14 +155,14 @@
             let Some(step) = state.job.spec.steps.get(task.step as usize) else {
                 continue;
             };
-            if !step.fill {
+            if !step.best_effort {
                 continue;
             }
             let image = state.images[task.step as usize];
-            let share = self.fleet.get(slot).share(figure.unwrap_or(step.cpu));
+            let share = self.fleet.get(slot).cpu_share(figure.unwrap_or(step.cpu));
             match out.iter_mut().find(|p| p.image == image) {
                 Some(p) => p.share += share,
-                None => out.push(Press { image, share }),
+                None => out.push(Pressure { image, share }),
             }
         }
         out
--- a/crates/jobs/src/share/sample.rs
+++ b/crates/jobs/src/share/sample.rs
@@ -9,7 +9,7 @@
 
 /// What filling tasks of one image use.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Press {
+pub(crate) struct Pressure {
     /// Their image.
     pub(crate) image: Image,
     /// What they use of the worker's processors, as a share of all.
@@ -18,9 +18,9 @@
 
 /// The tasks of one step in one repetition: they share their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Group {
+pub(crate) struct StepKey {
     pub(crate) job: JobId,
-    pub(crate) time: u32,
+    pub(crate) repetition: u32,
     pub(crate) step: u32,
 }
 
@@ -28,20 +28,20 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Sample {
     /// The step.
-    pub(crate) group: Group,
+    pub(crate) step_key: StepKey,
     /// The image of the serving task.
-    pub(crate) serve: Image,
+    pub(crate) serving_image: Image,
     /// Target over tail.
     pub(crate) headroom: f64,
     /// What filled.
-    pub(crate) press: Arc<[Press]>,
+    pub(crate) pressures: Arc<[Pressure]>,
     /// Fits that it has waited for.
     pub(crate) age: u8,
 }
 
 impl Sample {
     /// Returns its weight: errors are in proportion to the headroom.
-    pub(crate) fn trust(&self) -> f64 {
+    pub(crate) fn precision(&self) -> f64 {
         self.headroom.max(1.0).powi(-2)
     }
 }
--- a/crates/jobs/src/share/spare.rs
+++ b/crates/jobs/src/share/spare_cpu.rs
@@ -27,7 +27,7 @@
 
 impl Machine {
     /// Works out what the serving tasks of each worker leave.
-    pub(crate) fn note_spare(&mut self) {
+    pub(crate) fn update_spare_cpu(&mut self) {
         let mut all = Asked::default();
         let mut rows = Vec::with_capacity(self.fleet.workers.len());
         for slot in 0..self.fleet.workers.len() as u32 {
@@ -42,7 +42,7 @@
         let share = (100 - SERVING_USE) as f64 / 100.0 * all.cpu / all.weighed;
         for (slot, asked) in rows.into_iter().enumerate() {
             let most = asked.cpu * MOST_UNUSED;
-            self.fleet.get_mut(slot as u32).spare = (asked.weighed * share).min(most) as u64;
+            self.fleet.get_mut(slot as u32).spare_cpu = (asked.weighed * share).min(most) as u64;
         }
     }
 
@@ -53,10 +53,10 @@
                 continue;
             };
             let step = &state.job.spec.steps[task.step as usize];
-            if step.target == 0 {
+            if step.latency_target == 0 {
                 continue;
             }
-            let runs = &state.times[task.time as usize][task.step as usize];
+            let runs = &state.repetitions[task.repetition as usize][task.step as usize];
             asked.cpu += step.cpu as f64;
             asked.weighed += step.cpu as f64 * runs.headroom.average().max(0.0);
         }
@@ -66,8 +66,8 @@
 
 /// Returns what a task of a step is thought to leave before its first figure, in
 /// thousandths of a core.
-pub(crate) fn unused(step: &Step) -> u64 {
-    match step.target {
+pub(crate) fn unused_cpu(step: &Step) -> u64 {
+    match step.latency_target {
         0 => 0,
         _ => step.cpu * (100 - SERVING_USE) / 100,
     }
--- a/crates/jobs/src/summary.rs
+++ b/crates/jobs/src/summary.rs
@@ -7,16 +7,16 @@
 
 impl Machine {
     /// Logs how full the workers are, and what waits.
-    pub(crate) fn summarise(&mut self) {
-        if self.now < self.summarised + PERIOD {
+    pub(crate) fn log_load(&mut self) {
+        if self.now < self.last_load_log + PERIOD {
             return;
         }
-        self.summarised = self.now;
+        self.last_load_log = self.now;
         let mut room = Capacity::default();
         let mut used = Capacity::default();
         let (mut filling, mut open, mut serving) = (0, 0, 0);
         for worker in &self.fleet.workers {
-            if !worker.is_open(self.now) {
+            if !worker.accepts_runs(self.now) {
                 continue;
             }
             open += 1;
@@ -24,30 +24,30 @@
             room.memory += worker.capacity().memory;
             used.cpu += worker.used.cpu;
             used.memory += worker.used.memory;
-            filling += worker.filling;
+            filling += worker.best_effort_cpu;
             serving += worker.serving_cpu;
         }
         let (mut waiting, mut running, mut slowed) = (0, 0_u32, 0);
-        for id in &self.open {
+        for id in &self.open_jobs {
             let Some(state) = self.jobs.get(id) else {
                 continue;
             };
-            for task in state.times.iter().flatten().flat_map(|s| &s.tasks) {
+            for task in state.repetitions.iter().flatten().flat_map(|s| &s.tasks) {
                 let Some(run) = &task.run else {
                     waiting += u32::from(!task.done);
                     continue;
                 };
                 running += 1;
-                slowed += u32::from(run.wanted < 100);
+                slowed += u32::from(run.wanted_pace < 100);
             }
         }
-        self.figures.running = u64::from(running);
+        self.stats.running = u64::from(running);
         log::info!(
             workers = open, cpu = room.cpu, cpu_used = used.cpu, serving, filling,
             age_ms = self.fleet.age(self.now), memory = room.memory, memory_used = used.memory,
-            jobs = self.open.len(), waiting, running, slowed;
+            jobs = self.open_jobs.len(), waiting, running, slowed;
             "owner: load"
         );
-        self.tell_starving();
+        self.log_starved_jobs();
     }
 }
--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -151,7 +151,7 @@
     let over = world.lease_end();
     world.run(5000);
     // The answer to what was asked five seconds ago is read only now.
-    world.tell(Event::Renewed { asked });
+    world.tell(Event::Renewed { asked_at: asked });
     world.run(9000);
     assert!(world.workers[0].deadline <= world.workers[0].clock(over));
 }
@@ -183,8 +183,8 @@
     world.run(late);
     // Only the record is late: what the workers announce is known.
     let now = world.now;
-    world.tell(Event::Current { asked: now });
-    world.tell(Event::Committed { asked });
+    world.tell(Event::WorkersSynced { asked_at: now });
+    world.tell(Event::Committed { asked_at: asked });
     world.run(300);
     assert_eq!(world.workers[0].runs.len(), 2, "nothing was started");
     assert!(world.workers[0].deadline <= world.workers[0].clock(over));
@@ -200,7 +200,7 @@
     let asked = world.now;
     world.submit(1, chain(vec![short(2, 60_000)]));
     world.run(late);
-    world.tell(Event::Committed { asked });
+    world.tell(Event::Committed { asked_at: asked });
     world.run(300);
     assert_eq!(world.figures().starts, 0);
 }
@@ -223,7 +223,7 @@
     world.run(50);
     let worker = &world.workers[0];
     let left = worker.deadline - worker.clock(world.now);
-    let reach = contact + Settings::default().reach - world.now;
+    let reach = contact + Settings::default().store_grace - world.now;
     assert!(left + 500 > reach, "{left} of {reach} ms left");
 }
 
@@ -246,11 +246,14 @@
     let before = site.figures();
     site.play(200);
     let after = site.figures();
-    let (passes, cut) = (after.passes - before.passes, after.cut - before.cut);
+    let (passes, cut) = (
+        after.passes - before.passes,
+        after.truncated_passes - before.truncated_passes,
+    );
     let ratings = after.ratings - before.ratings;
     assert!(passes > 0 && cut == passes, "{cut} of {passes} passes cut");
     assert!(ratings <= passes * 301_000, "{ratings} in {passes} passes");
-    assert!(after.looks > before.looks + 100, "leases are not renewed");
+    assert!(after.polls > before.polls + 100, "leases are not renewed");
 }
 
 /// Jobs that have ended are asked after for minutes; their tasks take memory no more.
@@ -286,7 +289,10 @@
     world.run(4000);
     let after = world.figures();
     assert_eq!(world.outcome(id), Outcome::Active);
-    assert_eq!(after.unclear, before.unclear, "starts are given up");
+    assert_eq!(
+        after.unanswered_starts, before.unanswered_starts,
+        "starts are given up"
+    );
     assert_eq!(after.lapsed, 0);
     check_seed(&world, 1);
 }
@@ -302,7 +308,7 @@
     let id = world.submit(1, chain(vec![short(4, 500)]));
     world.run(3_000);
     assert_eq!(world.outcome(id), Outcome::Pending);
-    assert!(world.figures().stale > 0);
+    assert!(world.figures().skipped_passes > 0);
     world.unheard = false;
     assert!(world.run_until_done(3_000));
 }
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use gorsespur_jobs::{
-    Batch, Event, Figures, Job, JobId, Machine, Outcome, QueuePolicy, Settings, Spec, Takeover,
+    Batch, Event, Job, JobId, Machine, Outcome, QueuePolicy, Settings, Spec, Stats, Takeover,
     TaskId, WorkerInfo,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -191,10 +191,13 @@
         self.epoch += 1;
         let learned = self.owners.last().map(|o| o.machine.learned());
         let asked = self.now - self.claim;
-        let takeover = Takeover { asked, inherited };
+        let takeover = Takeover {
+            asked_at: asked,
+            prior_leases_end: inherited,
+        };
         let mut machine = Machine::new(settings(), self.now, takeover);
         if let Some(learned) = learned.filter(|_| self.remembers) {
-            machine.recall(&learned);
+            machine.import_learned(&learned);
         }
         self.ledger.restore(&mut machine, self.jobs.values());
         let mut owner = Owner {
@@ -263,7 +266,7 @@
     /// contact may be newer by half a second than the renewal that this one saw.
     pub fn lease_end(&self) -> u64 {
         let settings = Settings::default();
-        self.renewed.max(self.now) + 500 + settings.reach * 100 / 98 + 100
+        self.renewed.max(self.now) + 500 + settings.store_grace * 100 / 98 + 100
     }
 
     /// The newest owner's machine is suspended for so many milliseconds.
@@ -335,7 +338,7 @@
 
     pub fn all_done(&self) -> bool {
         self.jobs.keys().all(|&id| {
-            let lasting = self.jobs[&id].spec.steps.iter().any(|s| s.lasting);
+            let lasting = self.jobs[&id].spec.steps.iter().any(|s| s.long_running);
             lasting || self.outcome(id).is_final()
         })
     }
@@ -349,9 +352,9 @@
     }
 
     /// What the newest owner counted.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> Stats {
         let owner = self.owners.last();
-        owner.map(|o| o.machine.figures()).unwrap_or_default()
+        owner.map(|o| o.machine.stats()).unwrap_or_default()
     }
 
     pub fn run(&mut self, ms: u64) {
@@ -382,7 +385,7 @@
     /// Members of a gang work only while all of them are there, and end jointly.
     fn hold_gangs(&mut self) {
         let mut there: BTreeMap<(JobId, u32, u32, u32), u32> = BTreeMap::new();
-        let key = |r: &SimRun| (r.task.job, r.task.time, r.task.step, r.run);
+        let key = |r: &SimRun| (r.task.job, r.task.repetition, r.task.step, r.run);
         for worker in self.workers.iter().filter(|w| w.alive) {
             for run in worker.runs.iter().filter(|r| r.gang.is_some()) {
                 *there.entry(key(run)).or_insert(0) += 1;
@@ -420,7 +423,7 @@
             let asked = due - self.write;
             owner
                 .machine
-                .handle(at_owner, now, Event::Committed { asked });
+                .handle(at_owner, now, Event::Committed { asked_at: asked });
         }
         if owner.epoch < epoch {
             // The journal's end has moved: its next write fails.
@@ -430,14 +433,14 @@
         if now.is_multiple_of(400) {
             owner
                 .machine
-                .handle(at_owner, now, Event::Renewed { asked: at_owner });
+                .handle(at_owner, now, Event::Renewed { asked_at: at_owner });
             self.renewed = now;
         }
         let owner = &mut self.owners[at];
         if !self.unheard {
             owner
                 .machine
-                .handle(at_owner, now, Event::Current { asked: at_owner });
+                .handle(at_owner, now, Event::WorkersSynced { asked_at: at_owner });
         }
         let Some((due, batch)) = owner.commit.take_if(|(due, _)| *due <= now) else {
             return;
@@ -447,7 +450,7 @@
         let asked = due - self.write;
         owner
             .machine
-            .handle(at_owner, now, Event::Committed { asked });
+            .handle(at_owner, now, Event::Committed { asked_at: asked });
     }
 
     fn settle(&mut self, at: usize) {
@@ -459,7 +462,7 @@
         if self.turns > 0 {
             owner.busy = now + self.rng.random_range(0..self.turns);
         }
-        let actions = owner.machine.settle(owner.clock.read(now), now);
+        let actions = owner.machine.decide(owner.clock.read(now), now);
         for action in actions {
             self.act(at, action);
         }
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -7,8 +7,8 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use gorsespur_jobs::{
-    Action, Answer, Capacity, End, Ending, Event, Job, JobId, Look, Machine, QueuePolicy, Running,
-    Settings, StartOrder, Started, Step, Stopped, Takeover, TaskId, WorkerInfo,
+    Action, Answer, Capacity, Ending, Event, Job, JobId, Machine, QueuePolicy, ReportedRun, RunEnd,
+    Settings, StartOrder, Started, Step, Stopped, Takeover, TaskId, WorkerInfo, WorkerReport,
 };
 use test_case::test_case;
 
@@ -20,8 +20,8 @@
 /// Runs on a worker and ends that it lists.
 #[derive(Debug, Default)]
 struct Lists {
-    running: Vec<Running>,
-    finished: Vec<End>,
+    running: Vec<ReportedRun>,
+    finished: Vec<RunEnd>,
     /// Ends so far.
     ends: u64,
 }
@@ -38,8 +38,8 @@
     fn new(step: Step) -> Owner {
         let now = 100_000;
         let takeover = Takeover {
-            asked: now,
-            inherited: 0,
+            asked_at: now,
+            prior_leases_end: 0,
         };
         let mut owner = Owner {
             machine: Machine::new(Settings::default(), now, takeover),
@@ -57,8 +57,8 @@
         }]));
         for at in 0..MEMBERS {
             let id: Arc<str> = format!("w{at}").into();
-            owner.tell(Event::Worker(WorkerInfo {
-                born: None,
+            owner.tell(Event::WorkerUpdated(WorkerInfo {
+                start_time: None,
                 id,
                 addr: ([127, 0, 0, 1], 1000 + at as u16).into(),
                 service: "s".into(),
@@ -71,7 +71,7 @@
                     gpu: 0,
                 },
                 ready: true,
-                remaining: 0,
+                remaining_ms: 0,
             }));
         }
         owner.tell(Event::Accepted(Arc::new(Job {
@@ -93,9 +93,9 @@
         while self.now < end {
             self.now += 5;
             let asked = self.now;
-            self.tell(Event::Current { asked });
-            self.tell(Event::Renewed { asked });
-            for action in self.machine.settle(self.now, self.now) {
+            self.tell(Event::WorkersSynced { asked_at: asked });
+            self.tell(Event::Renewed { asked_at: asked });
+            for action in self.machine.decide(self.now, self.now) {
                 self.act(action);
             }
         }
@@ -104,32 +104,32 @@
     fn act(&mut self, action: Action) {
         let sent = self.now;
         let (worker, answer) = match action {
-            Action::Commit(_) => return self.tell(Event::Committed { asked: sent }),
-            Action::Depose => panic!("there is no other owner"),
-            Action::Look {
+            Action::Commit(_) => return self.tell(Event::Committed { asked_at: sent }),
+            Action::StepDown => panic!("there is no other owner"),
+            Action::Poll {
                 worker, observed, ..
             } => {
                 let lists = self.workers.entry(worker).or_default();
                 lists.finished.retain(|e| e.number > observed);
-                let look = Look {
-                    born: None,
+                let look = WorkerReport {
+                    start_time: None,
                     clock: sent,
                     running: lists.running.clone(),
                     finished: lists.finished.clone(),
                 };
-                (worker, Answer::Looked(look))
+                (worker, Answer::Report(look))
             }
             Action::Start(worker, order) => {
                 self.workers
                     .entry(worker)
                     .or_default()
                     .running
-                    .push(Running {
+                    .push(ReportedRun {
                         task: order.task,
                         run: order.run,
-                        saved: order.saved.clone(),
+                        checkpoint: order.checkpoint.clone(),
                         percent: 10,
-                        figure: None,
+                        metric: None,
                     });
                 let answer = Answer::Started(order.task, order.run, Started::Done);
                 self.starts.push(order);
@@ -153,7 +153,7 @@
     fn save(&mut self, index: u32, saved: &str) {
         let runs = self.workers.values_mut().flat_map(|w| &mut w.running);
         for run in runs.filter(|r| r.task.index == index) {
-            run.saved = saved.into();
+            run.checkpoint = saved.into();
         }
     }
 
@@ -162,7 +162,7 @@
         for lists in self.workers.values_mut() {
             for run in std::mem::take(&mut lists.running) {
                 lists.ends += 1;
-                lists.finished.push(End {
+                lists.finished.push(RunEnd {
                     number: lists.ends,
                     task: run.task,
                     run: run.run,
@@ -170,7 +170,7 @@
                         0 => first,
                         _ => Ending::Broken,
                     },
-                    saved: run.saved,
+                    checkpoint: run.checkpoint,
                 });
             }
         }
@@ -184,7 +184,7 @@
         let expected: Vec<TaskId> = (0..MEMBERS)
             .map(|index| TaskId {
                 job: JobId(1),
-                time: 0,
+                repetition: 0,
                 step: 0,
                 index,
             })
@@ -210,7 +210,7 @@
     });
     owner.run(500);
     let starts = owner.take_starts();
-    assert!(starts.iter().all(|s| s.saved.is_empty()));
+    assert!(starts.iter().all(|s| s.checkpoint.is_empty()));
     for (index, saved) in (0..).zip(saved) {
         owner.save(index, saved);
     }
@@ -218,7 +218,7 @@
     owner.end(first);
     owner.run(2000);
     let starts = owner.take_starts();
-    let brought: Vec<&str> = starts.iter().map(|s| &*s.saved).collect();
+    let brought: Vec<&str> = starts.iter().map(|s| &*s.checkpoint).collect();
     assert!(brought.iter().all(|&s| s == brought[0]), "{brought:?}");
     assert!(!brought[0].is_empty() && saved.contains(&brought[0]));
 }
--- a/crates/jobs/tests/all/ledger.rs
+++ b/crates/jobs/tests/all/ledger.rs
@@ -18,8 +18,8 @@
     /// Makes a batch durable.
     pub fn apply(&mut self, batch: Batch) {
         self.records.extend(batch.records);
-        self.log.drain(..batch.dropped);
-        self.log.extend(batch.log);
+        self.log.drain(..batch.dropped_rows);
+        self.log.extend(batch.appended_rows);
     }
 
     /// What a new owner reads.
@@ -30,10 +30,10 @@
         for job in jobs {
             let record = self.records.get(&job.id);
             let record = record.map(|r| Record::decode(r).expect("own record"));
-            let Some(record) = machine.recorded(job.id, record) else {
+            let Some(record) = machine.current_record(job.id, record) else {
                 continue;
             };
-            assert!(record.fits(&job.spec));
+            assert!(record.is_valid_for(&job.spec));
             machine.restore(job.clone(), &record);
         }
     }
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -7,8 +7,8 @@
     ledger::Ledger,
 };
 use gorsespur_jobs::{
-    Action, Answer, Batch, Capacity, End, Ending, Event, Job, JobId, Look, Machine, Outcome,
-    QueuePolicy, Record, Running, Settings, Spec, Started, Step, Takeover, WorkerInfo,
+    Action, Answer, Batch, Capacity, Ending, Event, Job, JobId, Machine, Outcome, QueuePolicy,
+    Record, ReportedRun, RunEnd, Settings, Spec, Started, Step, Takeover, WorkerInfo, WorkerReport,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
@@ -21,7 +21,7 @@
 fn info(id: &str) -> WorkerInfo {
     WorkerInfo {
         id: id.into(),
-        born: None,
+        start_time: None,
         addr: "127.0.0.1:9".parse().expect("address"),
         service: "s".into(),
         zone: "z".into(),
@@ -33,7 +33,7 @@
             gpu: 0,
         },
         ready: true,
-        remaining: 0,
+        remaining_ms: 0,
     }
 }
 
@@ -45,9 +45,9 @@
     /// Bytes that commits have appended to the log.
     logged: usize,
     /// What the worker runs.
-    running: Vec<Running>,
+    running: Vec<ReportedRun>,
     /// What ended there.
-    finished: Vec<End>,
+    finished: Vec<RunEnd>,
     /// Commits that are still done.
     commits: usize,
 }
@@ -73,8 +73,8 @@
             stretch: 1.5,
             latency: 250,
         }]));
-        owner.tell(Event::Worker(info("w")));
-        owner.tell(Event::Current { asked: NOW });
+        owner.tell(Event::WorkerUpdated(info("w")));
+        owner.tell(Event::WorkersSynced { asked_at: NOW });
         for job in jobs {
             owner.tell(Event::Accepted(job.clone()));
         }
@@ -90,9 +90,9 @@
         let end = self.now + ms;
         while self.now < end {
             self.now += 50;
-            self.tell(Event::Current { asked: self.now });
-            self.tell(Event::Renewed { asked: self.now });
-            for action in self.machine.settle(self.now, self.now) {
+            self.tell(Event::WorkersSynced { asked_at: self.now });
+            self.tell(Event::Renewed { asked_at: self.now });
+            for action in self.machine.decide(self.now, self.now) {
                 self.act(action);
             }
         }
@@ -104,31 +104,31 @@
             Action::Commit(_) if self.commits == 0 => return,
             Action::Commit(batch) => {
                 self.commits -= 1;
-                self.logged += batch.log.iter().map(Vec::len).sum::<usize>();
+                self.logged += batch.appended_rows.iter().map(Vec::len).sum::<usize>();
                 self.ledger.apply(batch);
-                return self.tell(Event::Committed { asked: sent });
+                return self.tell(Event::Committed { asked_at: sent });
             }
             Action::Start(worker, order) => {
-                self.running.push(Running {
+                self.running.push(ReportedRun {
                     task: order.task,
                     run: order.run,
-                    saved: "".into(),
+                    checkpoint: "".into(),
                     percent: 100,
-                    figure: None,
+                    metric: None,
                 });
                 let started = Answer::Started(order.task, order.run, Started::Done);
                 (worker, started)
             }
-            Action::Look { worker, .. } => {
-                let look = Look {
-                    born: None,
+            Action::Poll { worker, .. } => {
+                let look = WorkerReport {
+                    start_time: None,
                     clock: sent,
                     running: self.running.clone(),
                     finished: self.finished.clone(),
                 };
-                (worker, Answer::Looked(look))
+                (worker, Answer::Report(look))
             }
-            Action::Stop { .. } | Action::Pace { .. } | Action::Depose => return,
+            Action::Stop { .. } | Action::Pace { .. } | Action::StepDown => return,
         };
         self.tell(Event::Answer {
             worker,
@@ -140,8 +140,8 @@
 
 fn takeover() -> Takeover {
     Takeover {
-        asked: NOW,
-        inherited: NOW,
+        asked_at: NOW,
+        prior_leases_end: NOW,
     }
 }
 
@@ -199,11 +199,11 @@
 fn a_change_of_one_task_costs_the_same_in_a_wide_job() {
     let mut owner = Owner::new(Ledger::default(), &[job(1, 1000)], Settings::default());
     owner.run(500);
-    assert_eq!(owner.machine.figures().starts, 1000);
+    assert_eq!(owner.machine.stats().starts, 1000);
     let before = owner.logged;
     owner.running.remove(17);
     owner.run(2500);
-    assert_eq!(owner.machine.figures().starts, 1001);
+    assert_eq!(owner.machine.stats().starts, 1001);
     assert!(owner.logged - before < 500, "{}", owner.logged - before);
 }
 
@@ -240,7 +240,7 @@
 #[test]
 fn what_the_log_tells_of_a_job_outlasts_its_end() {
     let short = Settings {
-        batch: 1,
+        batch_records: 1,
         log_rows: 0,
         ..Settings::default()
     };
@@ -248,12 +248,12 @@
     let mut owner = Owner::new(Ledger::default(), &jobs, short);
     owner.run(500);
     for running in std::mem::take(&mut owner.running) {
-        owner.finished.push(End {
+        owner.finished.push(RunEnd {
             number: owner.finished.len() as u64 + 1,
             task: running.task,
             run: running.run,
             ending: Ending::Failed,
-            saved: "".into(),
+            checkpoint: "".into(),
         });
     }
     for id in [1, 2] {
@@ -268,8 +268,8 @@
     for row in owner.ledger.log() {
         machine.replay(row).expect("own row");
     }
-    let record = machine.recorded(JobId(open), None).expect("logged");
-    assert!(record.fits(&job(open, 1).spec));
+    let record = machine.current_record(JobId(open), None).expect("logged");
+    assert!(record.is_valid_for(&job(open, 1).spec));
 }
 
 /// A record of an earlier version tells of the job's tasks itself. Its owner's successor reads
@@ -305,8 +305,8 @@
     for row in owner.ledger.log() {
         machine.replay(row).expect("own row");
     }
-    let record = machine.recorded(JobId(1), None).expect("logged");
-    assert!(record.fits(&job(1, 3).spec));
-    assert!(!record.fits(&job(1, 2).spec));
-    assert_eq!(machine.recorded(JobId(2), None), None::<Record>);
+    let record = machine.current_record(JobId(1), None).expect("logged");
+    assert!(record.is_valid_for(&job(1, 3).spec));
+    assert!(!record.is_valid_for(&job(1, 2).spec));
+    assert_eq!(machine.current_record(JobId(2), None), None::<Record>);
 }
--- a/crates/jobs/tests/all/promises.rs
+++ b/crates/jobs/tests/all/promises.rs
@@ -212,7 +212,7 @@
     world.run(100);
     let step = Step {
         label: Some("r1".into()),
-        spread: 2,
+        max_per_worker: 2,
         ..short(4, 60_000)
     };
     world.submit(1, chain(vec![step]));
@@ -225,7 +225,7 @@
 fn an_unlisted_worker_gets_nothing_new() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
-    world.tell(Event::Unlisted("w0".into()));
+    world.tell(Event::WorkerRemoved("w0".into()));
     world.submit(1, chain(vec![short(8, 500)]));
     world.run(300);
     assert!(world.workers[0].runs.is_empty());
@@ -242,7 +242,7 @@
     world.submit(1, chain(vec![serving(1)]));
     world.run(1500);
     let fill = Step {
-        fill: true,
+        best_effort: true,
         image: Some("fill".into()),
         ..short(5, 20_000)
     };
--- a/crates/jobs/tests/all/records/play.rs
+++ b/crates/jobs/tests/all/records/play.rs
@@ -91,7 +91,7 @@
             latency: 250,
         }]));
         for at in 0..self.lives.len() {
-            self.tell(Event::Worker(self.lives[at].info(at)));
+            self.tell(Event::WorkerUpdated(self.lives[at].info(at)));
         }
     }
 
@@ -114,9 +114,9 @@
             self.deliver(parcel);
         }
         let asked = self.now;
-        self.tell(Event::Current { asked });
-        self.tell(Event::Renewed { asked });
-        for action in self.machine.settle(self.now, self.now) {
+        self.tell(Event::WorkersSynced { asked_at: asked });
+        self.tell(Event::Renewed { asked_at: asked });
+        for action in self.machine.decide(self.now, self.now) {
             self.act(action);
         }
     }
@@ -149,7 +149,7 @@
             let at = self.rng.random_range(0..WORKERS);
             self.made += 1;
             self.lives[at] = Life::new(format!("w{at}.{}", self.made));
-            self.tell(Event::Worker(self.lives[at].info(at)));
+            self.tell(Event::WorkerUpdated(self.lives[at].info(at)));
         }
         if self.rng.random_range(0..60) == 0 {
             self.take_over();
@@ -159,9 +159,9 @@
     fn deliver(&mut self, parcel: Parcel) {
         match parcel {
             Parcel::Answer(epoch, worker, sent, answer) if epoch == self.epoch => {
-                if let Answer::Looked(look) = &answer {
-                    let running = look.running.iter().map(|r| (r.task, &r.saved));
-                    let ended = look.finished.iter().map(|e| (e.task, &e.saved));
+                if let Answer::Report(look) = &answer {
+                    let running = look.running.iter().map(|r| (r.task, &r.checkpoint));
+                    let ended = look.finished.iter().map(|e| (e.task, &e.checkpoint));
                     for (task, saved) in running.chain(ended) {
                         self.listed.entry(task).or_default().push(saved.clone());
                     }
@@ -185,7 +185,7 @@
                     return self.take_over();
                 }
                 let asked = self.now;
-                self.tell(Event::Committed { asked });
+                self.tell(Event::Committed { asked_at: asked });
             }
             Parcel::Answer(..) | Parcel::Batch(..) => {}
         }
@@ -193,7 +193,7 @@
 
     fn act(&mut self, action: Action) {
         let (worker, answer) = match action {
-            Action::Look {
+            Action::Poll {
                 worker, observed, ..
             } => {
                 let (clock, fence) = (self.now, self.epoch);
@@ -215,7 +215,7 @@
                 self.parcels.push((due, Parcel::Batch(self.epoch, batch)));
                 return;
             }
-            Action::Pace { .. } | Action::Depose => panic!("not expected"),
+            Action::Pace { .. } | Action::StepDown => panic!("not expected"),
         };
         let due = self.now + self.delay();
         let parcel = Parcel::Answer(self.epoch, worker, self.now, answer);
@@ -224,15 +224,15 @@
 
     /// Returns the life that the owner means by a worker, if that has not ended.
     fn life(&mut self, worker: u32) -> Option<&mut Life> {
-        let (_, id) = self.machine.worker(worker).expect("announced");
+        let (_, id) = self.machine.worker_address(worker).expect("announced");
         self.lives.iter_mut().find(|l| l.id == id)
     }
 
     fn start(&mut self, worker: u32, order: StartOrder) -> Answer {
         let task = order.task;
         self.starts.push(order.clone());
-        assert_eq!(&*order.spec.text, format!("text of {}", task.job));
-        if !order.saved.is_empty() {
+        assert_eq!(&*order.spec.payload, format!("text of {}", task.job));
+        if !order.checkpoint.is_empty() {
             self.brought += 1;
             let step = &order.spec.steps[task.step as usize];
             // That of any member of a gang is good for all.
@@ -241,13 +241,13 @@
                 false => task.index..task.index + 1,
             };
             let mut listed = members.filter_map(|index| self.listed.get(&TaskId { index, ..task }));
-            let own = listed.any(|l| l.contains(&order.saved));
-            assert!(own, "{task} brings {}", order.saved);
+            let own = listed.any(|l| l.contains(&order.checkpoint));
+            assert!(own, "{task} brings {}", order.checkpoint);
         }
         let fence = self.epoch;
         if !self.calm && self.rng.random_range(0..20) == 0 {
             // It gets no answer, and is carried out later.
-            let (_, id) = self.machine.worker(worker).expect("announced");
+            let (_, id) = self.machine.worker_address(worker).expect("announced");
             let due = self.now + 10 * TICK;
             let answer = Answer::Started(task, order.run, Started::Unknown);
             self.parcels.push((due, Parcel::Start(id, fence, order)));
@@ -263,8 +263,8 @@
 /// A machine of a new owner.
 fn machine(now: u64) -> Machine {
     let takeover = Takeover {
-        asked: now,
-        inherited: now + 1000,
+        asked_at: now,
+        prior_leases_end: now + 1000,
     };
     Machine::new(Settings::default(), now, takeover)
 }
--- a/crates/node/src/fakes_tests.rs
+++ b/crates/node/src/fakes_tests.rs
@@ -9,7 +9,7 @@
 };
 
 use gorsespur_http::{HttpError, Method, Request, Response, Traffic};
-use gorsespur_jobs::{Answer, Look, Outcome, Settings, Spec, Started, WorkerInfo};
+use gorsespur_jobs::{Answer, Outcome, Settings, Spec, Started, WorkerInfo, WorkerReport};
 
 use crate::{
     config::Config,
@@ -96,13 +96,13 @@
             return Answer::Started(start.task, start.run, started);
         }
         match result {
-            Ok(_) => Answer::Looked(Look {
-                born: None,
+            Ok(_) => Answer::Report(WorkerReport {
+                start_time: None,
                 clock: 1,
                 running: Vec::new(),
                 finished: Vec::new(),
             }),
-            Err(_) => Answer::Silent,
+            Err(_) => Answer::NoReply,
         }
     }
 
