--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -88,7 +88,7 @@
 /// somebody else's row may name any number of tasks.
 pub(crate) fn read_job(shared: &Shared, row: &Row) -> Option<Job> {
     let job = decode::<Job>("job", &row.value);
-    let job = job.filter(|j| j.spec.check().is_ok() && j.id.to_string() == row.key);
+    let job = job.filter(|j| j.spec.validate().is_ok() && j.id.to_string() == row.key);
     if job.is_none() {
         shared.metrics.count(Count::BadRows);
         log::error!(key = row.key.as_str(); "jobs: not a job's row");
@@ -137,7 +137,7 @@
                     take_workers(shared, &mut follow, &c.rows, &mut events);
                     follow.version = Some(c.version);
                     if c.whole {
-                        events.push(Event::Current { asked });
+                        events.push(Event::WorkersSynced { asked_at: asked });
                     }
                     pause_after(&c)
                 })
@@ -178,13 +178,13 @@
     let rows = &listing.page.rows;
     for key in &follow.keys {
         if !rows.iter().any(|r| r.key == *key) {
-            events.push(Event::Unlisted(key.as_str().into()));
+            events.push(Event::WorkerRemoved(key.as_str().into()));
         }
     }
     follow.keys.clear();
     take_workers(shared, follow, rows, events);
-    events.push(Event::Current {
-        asked: listing.asked,
+    events.push(Event::WorkersSynced {
+        asked_at: listing.asked,
     });
     follow.version = Some(listing.page.version);
 }
@@ -194,7 +194,7 @@
         let at = follow.keys.binary_search(&row.key);
         if row.removed {
             log::info!(worker = row.key.as_str(); "worker: no longer listed");
-            events.push(Event::Unlisted(row.key.as_str().into()));
+            events.push(Event::WorkerRemoved(row.key.as_str().into()));
             if let Ok(at) = at {
                 follow.keys.remove(at);
             }
@@ -202,13 +202,13 @@
         }
         match shared.protocol.worker(row) {
             Ok(info) => {
-                events.push(Event::Worker(info));
+                events.push(Event::WorkerUpdated(info));
             }
             Err(err) => {
                 shared.metrics.count(Count::BadRows);
                 log::warn!(worker = row.key.as_str(), err = err.to_string().as_str(); "worker: can't be read");
                 // Nothing begins there any more; what runs there is asked after as before.
-                events.push(Event::Unlisted(row.key.as_str().into()));
+                events.push(Event::WorkerRemoved(row.key.as_str().into()));
             }
         }
         if let Err(at) = at {
--- a/crates/node/src/owner/journal.rs
+++ b/crates/node/src/owner/journal.rs
@@ -92,10 +92,10 @@
             earlier: 0,
             census: tenure.census,
         },
-        inherited: tenure.takeover.inherited,
+        inherited: tenure.takeover.prior_leases_end,
         head: tenure.head,
         number: 0,
-        renewed: tenure.takeover.asked,
+        renewed: tenure.takeover.asked_at,
         pulse: Pulse::default(),
         learned: None,
         log: VecDeque::new(),
@@ -252,9 +252,9 @@
             value,
         });
         writes.extend(records);
-        let dropped = self.log.drain(..batch.dropped.min(self.log.len()));
+        let dropped = self.log.drain(..batch.dropped_rows.min(self.log.len()));
         let removes = dropped.map(|key| (LOG, key)).collect();
-        for (index, value) in batch.log.into_iter().enumerate() {
+        for (index, value) in batch.appended_rows.into_iter().enumerate() {
             let key = log_key(self.lease.epoch, self.number, index);
             self.log.push_back(key.clone());
             writes.push(Write {
--- a/crates/node/src/owner/load.rs
+++ b/crates/node/src/owner/load.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use gorsespur_jobs::{Event, JobId, Learned, Machine, Record, Sorted};
+use gorsespur_jobs::{Event, JobId, Learned, Machine, Record, SortedMap};
 use gorsespur_runtime::clock::wall_ms;
 
 use super::{
@@ -32,9 +32,9 @@
     let now = shared.clock.now();
     let mut machine = Machine::new(shared.settings.jobs, now, tenure.takeover);
     if let Some(learned) = learned(shared) {
-        machine.recall(&learned);
+        machine.import_learned(&learned);
     }
-    let mut records: Sorted<String, Record> = Sorted::default();
+    let mut records: SortedMap<String, Record> = SortedMap::default();
     let mut unknown: Vec<String> = Vec::new();
     // No other owner writes records or the log any more: they fit each other, whichever was read
     // first.
@@ -60,14 +60,14 @@
         }
         let id = row.key.parse::<JobId>().ok();
         let record = records.get(&row.key).cloned();
-        let record = id.and_then(|id| machine.recorded(id, record));
+        let record = id.and_then(|id| machine.current_record(id, record));
         let Some(record) = record else {
             return true;
         };
         let Some(job) = feed::read_job(shared, row) else {
             return false;
         };
-        if !record.fits(&job.spec) {
+        if !record.is_valid_for(&job.spec) {
             shared.metrics.count(Count::BadRows);
             log::error!(key = row.key.as_str(); "owner: record of another job, the job is left alone");
             return false;
@@ -90,7 +90,7 @@
     for event in events {
         machine.handle(shared.clock.now(), wall_ms(), event);
     }
-    machine.tell_unheard();
+    machine.log_unverified_runs();
     Ok(Loaded {
         machine,
         log,
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -168,7 +168,7 @@
                 };
                 self.machine.handle(now, wall_ms(), event);
             }
-            let actions = self.machine.settle(now, wall_ms());
+            let actions = self.machine.decide(now, wall_ms());
             if actions.is_empty() {
                 break;
             }
@@ -179,9 +179,9 @@
         self.keep_learned(now, journal);
         if now >= self.tell_at {
             self.tell_at = now + TELL_PERIOD;
-            send(journal, Entry::Pending(self.machine.pending()));
-            self.shared.metrics.decided(self.machine.figures());
-            for worker in self.machine.closable() {
+            send(journal, Entry::Pending(self.machine.pending_jobs()));
+            self.shared.metrics.decided(self.machine.stats());
+            for worker in self.machine.closable_workers() {
                 self.lines.drop_worker(self.inbox.poll.registry(), worker);
             }
         }
@@ -206,8 +206,8 @@
                 }
                 Told::Durable(Written { asked, batch }) => {
                     let event = match batch {
-                        true => Event::Committed { asked },
-                        false => Event::Renewed { asked },
+                        true => Event::Committed { asked_at: asked },
+                        false => Event::Renewed { asked_at: asked },
                     };
                     self.machine.handle(now, wall_ms(), event);
                 }
@@ -244,7 +244,7 @@
             return;
         }
         let (worker, order) = match action {
-            Action::Look {
+            Action::Poll {
                 worker,
                 observed,
                 deadline,
@@ -266,13 +266,13 @@
                 percent,
             } => (worker, Order::Pace(task, run, percent)),
             Action::Commit(batch) => return send(journal, Entry::Batch(batch)),
-            Action::Depose => {
+            Action::StepDown => {
                 log::warn!("owner: a worker has seen a higher epoch");
                 self.over = true;
                 return;
             }
         };
-        if let Some(target) = self.machine.worker(worker) {
+        if let Some(target) = self.machine.worker_address(worker) {
             let registry = self.inbox.poll.registry();
             self.lines.send(registry, worker, target, order);
         }
