--- a/crates/peer/tests/config.rs
+++ b/crates/peer/tests/config.rs
@@ -133,9 +133,9 @@
     document.template = Arc::new(gorsespur_core::template::check(&document.raw).expect("good"));
     Change {
         document,
-        edited,
-        who: "test".to_owned(),
-        why: String::new(),
+        base_version: edited,
+        author: "test".to_owned(),
+        reason: String::new(),
     }
 }
 
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -130,7 +130,7 @@
 fn a_changed_decision_is_detected() {
     let path = record("changed");
     let mut trace = Trace::read(&path).expect("well-formed");
-    trace.header.settings.batch = 1;
+    trace.header.settings.max_placements = 1;
     let result = replay(&trace);
     assert!(
         matches!(result, Err(TraceError::ActionsDiffer { .. })),
--- a/crates/sched/tests/journal.rs
+++ b/crates/sched/tests/journal.rs
@@ -159,7 +159,7 @@
     assert_eq!(beaten.err(), Some(JournalError::Fenced));
     let mut new = take(&platform, "b");
     assert_eq!(new.row().next_record, 1);
-    new.append(&batch(1, &["next"]), 1_000, &Cancel::new())
+    new.append(&batch(1, &["next"]), 1_000, &CancelToken::new())
         .expect("appended");
     assert_eq!(recovered(&platform).jobs().len(), 2);
 }
