--- a/crates/jobs/src/place/free_capacity.rs
+++ b/crates/jobs/src/place/free_capacity.rs
@@ -36,7 +36,7 @@
     }
 
     /// Returns how many thousandths of a core more filling tasks may ask for.
-    pub(crate) fn fill(&self) -> u64 {
+    pub(crate) fn free_best_effort_cpu(&self) -> u64 {
         self.free_best_effort_cpu
     }
 
--- a/crates/jobs/src/place/pass.rs
+++ b/crates/jobs/src/place/pass.rs
@@ -102,7 +102,7 @@
             };
             pass.open_workers.push(slot);
             let load = pass.load_mut(&info.service);
-            load.left += room.fill();
+            load.left += room.free_best_effort_cpu();
             load.filling += worker.best_effort_cpu;
             load.all.add(worker.capacity());
             load.used.add(worker.used);
