--- a/crates/core/src/placement/history.rs
+++ b/crates/core/src/placement/history.rs
@@ -3,7 +3,7 @@
 use crate::{Millis, shard::AttemptId};
 
 /// How long an interval is kept after its end.
-const KEEP: Millis = 60_000;
+const RETENTION_MS: Millis = 60_000;
 
 /// An attempt that ran at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -16,7 +16,7 @@
 
 #[derive(Debug, Clone)]
 struct Interval {
-    who: CoRunner,
+    co_runner: CoRunner,
     from: Millis,
     to: Option<Millis>,
 }
@@ -29,11 +29,14 @@
 
 impl History {
     /// Notes that an attempt runs from `at` on; a repeated note changes nothing.
-    pub fn begin(&mut self, who: CoRunner, at: Millis) {
-        let known = self.intervals.iter().any(|i| i.who.attempt == who.attempt);
+    pub fn begin(&mut self, co_runner: CoRunner, at: Millis) {
+        let known = self
+            .intervals
+            .iter()
+            .any(|i| i.co_runner.attempt == co_runner.attempt);
         if !known {
             self.intervals.push(Interval {
-                who,
+                co_runner,
                 from: at,
                 to: None,
             });
@@ -43,11 +46,11 @@
     /// Notes that an attempt no longer runs, and forgets old intervals.
     pub fn end(&mut self, attempt: AttemptId, at: Millis) {
         for i in &mut self.intervals {
-            if i.who.attempt == attempt && i.to.is_none() {
+            if i.co_runner.attempt == attempt && i.to.is_none() {
                 i.to = Some(at);
             }
         }
-        let start = at.saturating_sub(KEEP);
+        let start = at.saturating_sub(RETENTION_MS);
         self.intervals.retain(|i| i.to.is_none_or(|t| t >= start));
     }
 
@@ -61,7 +64,7 @@
         let mut out = Vec::new();
         for i in &self.intervals {
             if i.from <= at && i.to.is_none_or(|t| at < t) {
-                out.push(i.who);
+                out.push(i.co_runner);
             }
         }
         out
--- a/crates/core/src/placement/interference.rs
+++ b/crates/core/src/placement/interference.rs
@@ -11,19 +11,19 @@
 use crate::Millis;
 
 /// Half-life of evidence.
-const HALF_LIFE: f64 = 30_000.0;
+const HALF_LIFE_MS: f64 = 30_000.0;
 
 /// Smallest learning rate, so that shifts are followed.
-const MIN_RATE: f32 = 0.08;
+const MIN_LEARNING_RATE: f32 = 0.08;
 
 /// Most that one neighbour is taken to add.
-const MAX_TERM: f32 = 4.0;
+const MAX_ADDED_SLOWDOWN: f32 = 4.0;
 
 /// Evidence below which a term counts as unknown.
-const KNOWN: f32 = 0.5;
+const MIN_EVIDENCE: f32 = 0.5;
 
 /// What an unknown neighbour is taken to add.
-const PRIOR: f32 = 0.08;
+const PRIOR_ADDED_SLOWDOWN: f32 = 0.08;
 
 /// What a neighbour adds to a slowdown.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -36,15 +36,15 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Cell {
-    adds: f32,
-    weight: f32,
-    at: Millis,
+    added_slowdown: f32,
+    evidence: f32,
+    updated_at: Millis,
 }
 
 impl Cell {
-    fn weight_at(&self, now: Millis) -> f32 {
-        let age = now.saturating_sub(self.at) as f64;
-        self.weight * (-age / HALF_LIFE * std::f64::consts::LN_2).exp() as f32
+    fn evidence_at(&self, now: Millis) -> f32 {
+        let age = now.saturating_sub(self.updated_at) as f64;
+        self.evidence * (-age / HALF_LIFE_MS * std::f64::consts::LN_2).exp() as f32
     }
 }
 
@@ -84,61 +84,61 @@
     pub fn estimate(&self, victim: u16, other: u16, band: Band) -> Estimate {
         let base = self.index(victim, other, Band(0));
         let cells = &self.cells[base..base + BAND_COUNT];
-        if cells[band.0].weight >= KNOWN {
+        if cells[band.0].evidence >= MIN_EVIDENCE {
             return Estimate {
-                added_slowdown: cells[band.0].adds,
+                added_slowdown: cells[band.0].added_slowdown,
                 known: true,
             };
         }
         for cell in cells {
-            if cell.weight >= KNOWN {
+            if cell.evidence >= MIN_EVIDENCE {
                 return Estimate {
-                    added_slowdown: cell.adds,
+                    added_slowdown: cell.added_slowdown,
                     known: true,
                 };
             }
         }
         Estimate {
-            added_slowdown: PRIOR,
+            added_slowdown: PRIOR_ADDED_SLOWDOWN,
             known: false,
         }
     }
 
     /// Sets a term as if it were known for certain.
-    pub fn set(&mut self, victim: u16, other: u16, band: Band, adds: f32) {
+    pub fn set(&mut self, victim: u16, other: u16, band: Band, added_slowdown: f32) {
         let i = self.index(victim, other, band);
         self.cells[i] = Cell {
-            adds,
-            weight: f32::MAX,
-            at: Millis::MAX,
+            added_slowdown,
+            evidence: f32::MAX,
+            updated_at: Millis::MAX,
         };
     }
 
     /// Learns from one sample: `slow` is 1 for a task as fast as alone.
-    pub fn learn(&mut self, victim: u16, others: &[u16], band: Band, slow: f32, now: Millis) {
-        if others.is_empty() || !slow.is_finite() {
+    pub fn learn(&mut self, victim: u16, others: &[u16], band: Band, slowdown: f32, now: Millis) {
+        if others.is_empty() || !slowdown.is_finite() {
             return;
         }
         let mut expected = 0.0;
         for &other in others {
             expected += self.estimate(victim, other, band).added_slowdown;
         }
-        let error = (slow - 1.0).clamp(0.0, MAX_TERM * 4.0) - expected;
+        let error = (slowdown - 1.0).clamp(0.0, MAX_ADDED_SLOWDOWN * 4.0) - expected;
         let share = error / others.len() as f32;
         for &other in others {
-            let start = self.estimate(victim, other, band).added_slowdown;
+            let initial = self.estimate(victim, other, band).added_slowdown;
             let i = self.index(victim, other, band);
             let cell = &mut self.cells[i];
-            let weight = cell.weight_at(now);
-            let rate = (1.0 / (1.0 + weight)).max(MIN_RATE);
-            let before = if cell.weight >= KNOWN {
-                cell.adds
+            let evidence = cell.evidence_at(now);
+            let rate = (1.0 / (1.0 + evidence)).max(MIN_LEARNING_RATE);
+            let previous = if cell.evidence >= MIN_EVIDENCE {
+                cell.added_slowdown
             } else {
-                start
+                initial
             };
-            cell.adds = (before + rate * share).clamp(0.0, MAX_TERM);
-            cell.weight = weight + 1.0;
-            cell.at = now;
+            cell.added_slowdown = (previous + rate * share).clamp(0.0, MAX_ADDED_SLOWDOWN);
+            cell.evidence = evidence + 1.0;
+            cell.updated_at = now;
         }
     }
 }
--- a/crates/core/src/shard/answer.rs
+++ b/crates/core/src/shard/answer.rs
@@ -7,33 +7,35 @@
 
 impl ShardScheduler {
     /// Takes a worker's answer.
-    pub(super) fn answer(&mut self, now: Millis, worker: &Name, a: &WorkerAnswer) {
+    pub(super) fn handle_answer(&mut self, now: Millis, worker: &Name, answer: &WorkerAnswer) {
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
             return;
         };
         let w = &mut self.workers[i];
-        if a.seq == w.seq {
+        if answer.seq == w.seq {
             w.awaiting_answer = false;
         }
-        if let Some(reason) = a.refused {
-            if reason == ExchangeRefusal::OldEpoch && a.epoch > self.epoch {
-                self.actions.push(Action::Fenced { epoch: a.epoch });
+        if let Some(reason) = answer.refused {
+            if reason == ExchangeRefusal::OldEpoch && answer.epoch > self.epoch {
+                self.actions.push(Action::Fenced {
+                    epoch: answer.epoch,
+                });
             }
             return;
         }
-        if w.boot == a.boot && a.clock < w.last_clock {
+        if w.boot == answer.boot && answer.clock < w.last_clock {
             return;
         }
-        self.note_contact(now, i, a);
-        self.take_ends(now, i, a);
-        self.take_running(now, i, a);
-        self.take_missing(now, i, a);
+        self.record_contact(now, i, answer);
+        self.record_ends(now, i, answer);
+        self.record_running(now, i, answer);
+        self.end_missing(now, i, answer);
         self.end_unsent(now, i);
-        self.learn(now, i, a);
+        self.learn_from_samples(now, i, answer);
     }
 
     /// Takes note that an exchange has no answer.
-    pub(super) fn no_answer(&mut self, worker: &Name, seq: u64) {
+    pub(super) fn handle_no_answer(&mut self, worker: &Name, seq: u64) {
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
             return;
         };
@@ -43,17 +45,17 @@
         }
     }
 
-    fn note_contact(&mut self, now: Millis, i: usize, a: &WorkerAnswer) {
+    fn record_contact(&mut self, now: Millis, i: usize, answer: &WorkerAnswer) {
         let w = &mut self.workers[i];
-        if w.boot != a.boot {
+        if w.boot != answer.boot {
             w.history.clear();
         }
-        w.boot = a.boot;
-        w.last_clock = a.clock;
+        w.boot = answer.boot;
+        w.last_clock = answer.clock;
         w.last_clock_at = now;
         w.answered_at = now;
-        if w.capacity != a.size {
-            w.capacity = a.size;
+        if w.capacity != answer.size {
+            w.capacity = answer.size;
             self.placement_due = true;
         }
         if w.health != Health::Good {
@@ -61,24 +63,24 @@
             w.lease_start = now;
             w.dirty = true;
             self.placement_due = true;
-            self.targets += 1;
+            self.targets_version += 1;
         }
-        if a.leaving && !w.leaving {
+        if answer.leaving && !w.leaving {
             w.leaving = true;
-            self.targets += 1;
+            self.targets_version += 1;
             self.drain_worker(i);
         }
     }
 
-    fn take_ends(&mut self, now: Millis, i: usize, a: &WorkerAnswer) {
+    fn record_ends(&mut self, now: Millis, i: usize, answer: &WorkerAnswer) {
         let w = &mut self.workers[i];
         w.acks
-            .retain(|(_, id)| a.ended.iter().any(|e| e.attempt == *id));
-        for report in &a.ended {
+            .retain(|(_, id)| answer.ended.iter().any(|e| e.attempt == *id));
+        for report in &answer.ended {
             let id = report.attempt;
             let w = &self.workers[i];
             if let Some(r) = w.allocation(id) {
-                let end = end_of(report.end, r.stop);
+                let end = end_from_report(report.end, r.stop);
                 let number = self.end_attempt(now, i, id, end);
                 self.workers[i].acks.push((number, id));
             } else if !w.acks.iter().any(|(_, k)| *k == id) {
@@ -88,11 +90,11 @@
         }
     }
 
-    fn take_running(&mut self, now: Millis, i: usize, a: &WorkerAnswer) {
+    fn record_running(&mut self, now: Millis, i: usize, answer: &WorkerAnswer) {
         let w = &mut self.workers[i];
-        let had = !w.unknown_attempts.is_empty();
+        let had_unknown = !w.unknown_attempts.is_empty();
         w.unknown_attempts.clear();
-        for &id in &a.running {
+        for &id in &answer.running {
             let clock = w.last_clock;
             let Some(r) = w.allocation_mut(id) else {
                 w.unknown_attempts.push(id);
@@ -105,20 +107,20 @@
             let class = r.class;
             r.since = now;
             let service = r.service;
-            let who = CoRunner { attempt: id, class };
-            w.history.begin(who, clock);
-            self.targets += u64::from(service);
+            let co_runner = CoRunner { attempt: id, class };
+            w.history.begin(co_runner, clock);
+            self.targets_version += u64::from(service);
         }
         w.dirty |= !w.unknown_attempts.is_empty();
-        self.placement_due |= had && w.unknown_attempts.is_empty();
+        self.placement_due |= had_unknown && w.unknown_attempts.is_empty();
     }
 
     /// Ends the attempts that the worker should have and does not have.
-    fn take_missing(&mut self, now: Millis, i: usize, a: &WorkerAnswer) {
+    fn end_missing(&mut self, now: Millis, i: usize, answer: &WorkerAnswer) {
         let mut missing = Vec::new();
         for r in &self.workers[i].allocations {
-            let sent = r.sent_seq.is_some_and(|s| s <= a.seq);
-            if sent && !a.running.contains(&r.attempt) {
+            let sent = r.sent_seq.is_some_and(|s| s <= answer.seq);
+            if sent && !answer.running.contains(&r.attempt) {
                 missing.push(r.attempt);
             }
         }
@@ -131,13 +133,13 @@
     pub(super) fn end_unsent(&mut self, now: Millis, i: usize) {
         let mut unsent = Vec::new();
         for r in &self.workers[i].allocations {
-            let Some(why) = r.stop else { continue };
+            let Some(reason) = r.stop else { continue };
             if r.sent_seq.is_none() {
-                unsent.push((r.attempt, why));
+                unsent.push((r.attempt, reason));
             }
         }
-        for (id, why) in unsent {
-            let end = match why {
+        for (id, reason) in unsent {
+            let end = match reason {
                 StopReason::Cancelled => End::Stopped,
                 StopReason::Preempted | StopReason::Noisy | StopReason::Leaving => End::Refused,
             };
@@ -146,7 +148,7 @@
     }
 }
 
-fn end_of(end: WorkerEnd, stop: Option<StopReason>) -> End {
+fn end_from_report(end: WorkerEnd, stop: Option<StopReason>) -> End {
     match (end, stop) {
         (WorkerEnd::Done, _) => End::Done,
         (WorkerEnd::Failed, _) => End::Failed,
--- a/crates/core/src/shard/attempt_end.rs
+++ b/crates/core/src/shard/attempt_end.rs
@@ -4,21 +4,21 @@
 use crate::Millis;
 
 /// Delay before a failed task runs again; doubles with each failure.
-const RETRY: Millis = 500;
+const RETRY_DELAY_MS: Millis = 500;
 
 /// Longest delay before a failed task runs again.
-const MAX_RETRY: Millis = 60_000;
+const MAX_RETRY_DELAY_MS: Millis = 60_000;
 
 /// Delay before a refused start is tried elsewhere.
-const REFUSED: Millis = 100;
+const REFUSED_DELAY_MS: Millis = 100;
 
 /// Longest delay of a replica of a service.
-const MAX_REPLICA: Millis = 5_000;
+const MAX_REPLICA_DELAY_MS: Millis = 5_000;
 
 impl ShardScheduler {
     /// Records the end of an attempt on worker `i` and returns the record's number.
     pub(super) fn end_attempt(&mut self, now: Millis, i: usize, id: AttemptId, end: End) -> u64 {
-        self.judge(now, i, id, end);
+        self.record_outcome(now, i, id, end);
         let delay = self.retry_delay(id, end);
         self.append_record(now, Record::Ended { attempt: id, end }, delay)
     }
@@ -27,15 +27,15 @@
         let Some((job, task, _)) = self.state.active_task(id) else {
             return 0;
         };
-        let most = if job.spec.service {
-            MAX_REPLICA
+        let max_delay = if job.spec.service {
+            MAX_REPLICA_DELAY_MS
         } else {
-            MAX_RETRY
+            MAX_RETRY_DELAY_MS
         };
         match end {
-            End::Failed => (RETRY << task.failures.min(10)).min(most),
-            End::Refused => REFUSED,
-            End::Done if job.spec.service => RETRY,
+            End::Failed => (RETRY_DELAY_MS << task.failures.min(10)).min(max_delay),
+            End::Refused => REFUSED_DELAY_MS,
+            End::Done if job.spec.service => RETRY_DELAY_MS,
             End::Done | End::Lost | End::Evicted { .. } | End::Stopped => 0,
         }
     }
@@ -44,7 +44,7 @@
     ///
     /// A failure counts against the worker only if tasks of the class do
     /// mostly well elsewhere; otherwise it is the task's fault.
-    fn judge(&mut self, now: Millis, i: usize, id: AttemptId, end: End) {
+    fn record_outcome(&mut self, now: Millis, i: usize, id: AttemptId, end: End) {
         let w = &self.workers[i];
         let Some(r) = w.allocation(id) else { return };
         let class = r.class;
@@ -53,10 +53,10 @@
             End::Failed => false,
             End::Lost | End::Refused | End::Evicted { .. } | End::Stopped => return,
         };
-        let here = w.stats_of(class);
+        let on_worker = w.stats_of(class);
         let c = &mut self.classes[usize::from(class)];
-        let done_elsewhere = c.done.saturating_sub(here.done.into());
-        let failed_elsewhere = c.failed.saturating_sub(here.failed.into());
+        let done_elsewhere = c.done.saturating_sub(on_worker.done.into());
+        let failed_elsewhere = c.failed.saturating_sub(on_worker.failed.into());
         if done {
             c.done += 1;
         } else {
@@ -81,8 +81,8 @@
             return;
         }
         w.failure_streak.push(task);
-        let probing = w.quarantines > 0;
-        if w.failure_streak.len() < self.settings.quarantine_threshold && !probing {
+        let on_probation = w.quarantines > 0;
+        if w.failure_streak.len() < self.settings.quarantine_threshold && !on_probation {
             return;
         }
         let length =
--- a/crates/core/src/shard/effects.rs
+++ b/crates/core/src/shard/effects.rs
@@ -15,9 +15,9 @@
                 worker,
                 size,
             } => self.reserve(now, attempt, &worker, &size, number),
-            Effect::Freed { attempt, worker } => self.free(attempt, &worker),
-            Effect::StopRequested { attempt, worker } => self.unwant(attempt, &worker),
-            Effect::Finished { job } => self.finish(now, job),
+            Effect::Freed { attempt, worker } => self.free_attempt(attempt, &worker),
+            Effect::StopRequested { attempt, worker } => self.request_stop(attempt, &worker),
+            Effect::Finished { job } => self.finish_job(now, job),
         }
     }
 
@@ -83,33 +83,33 @@
             throttle_changed_at: 0,
         });
         if service {
-            self.targets += 1;
+            self.targets_version += 1;
         }
     }
 
-    fn free(&mut self, attempt: AttemptId, worker: &Name) {
+    fn free_attempt(&mut self, attempt: AttemptId, worker: &Name) {
         self.placement_due = true;
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
             return;
         };
-        let Some(resident) = self.workers[i].remove(attempt) else {
+        let Some(allocation) = self.workers[i].remove(attempt) else {
             return;
         };
         let clock = self.workers[i].last_clock;
         self.workers[i].history.end(attempt, clock);
-        if resident.service {
-            self.targets += 1;
+        if allocation.service {
+            self.targets_version += 1;
         }
         let Some(job) = self.state.job(attempt.job) else {
             return;
         };
         let (org, team) = (job.spec.key.org.clone(), job.spec.team.clone());
-        let team = self.team_index(&org, &team, resident.service);
+        let team = self.team_index(&org, &team, allocation.service);
         let team = &mut self.teams[usize::from(team)];
-        team.used = team.used.saturating_sub(&resident.size);
+        team.used = team.used.saturating_sub(&allocation.size);
     }
 
-    fn unwant(&mut self, attempt: AttemptId, worker: &Name) {
+    fn request_stop(&mut self, attempt: AttemptId, worker: &Name) {
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
             return;
         };
@@ -117,11 +117,11 @@
         w.dirty = true;
         if let Some(r) = w.allocation_mut(attempt) {
             r.stop = Some(StopReason::Cancelled);
-            self.targets += u64::from(r.service);
+            self.targets_version += u64::from(r.service);
         }
     }
 
-    fn finish(&mut self, now: Millis, job: u32) {
+    fn finish_job(&mut self, now: Millis, job: u32) {
         let Some(found) = self.state.job(job) else {
             return;
         };
@@ -138,7 +138,8 @@
             number: job,
             attempts,
         });
-        self.closing.push_back((now + self.settings.retention, job));
+        self.close_queue
+            .push_back((now + self.settings.retention, job));
     }
 
     /// Marks every task on a leaving worker to be moved.
--- a/crates/core/src/shard/exchanges.rs
+++ b/crates/core/src/shard/exchanges.rs
@@ -7,7 +7,7 @@
 use crate::{Millis, name::Name};
 
 /// Least time between two exchanges with a worker.
-const GAP: Millis = 10;
+const MIN_EXCHANGE_GAP_MS: Millis = 10;
 
 /// Returns the key of the checkpoint that an attempt writes.
 pub fn checkpoint_key(shard: &str, job: u32, task: u32, attempt: u32) -> Name {
@@ -22,12 +22,12 @@
         for i in 0..self.workers.len() {
             let w = &self.workers[i];
             let wait = if w.dirty {
-                GAP
+                MIN_EXCHANGE_GAP_MS
             } else {
                 self.settings.exchange_interval
             };
-            let busy = w.awaiting_answer && now < w.sent_at + self.settings.silent_after;
-            if busy || now < w.sent_at + wait || w.addr.port() == 0 {
+            let in_flight = w.awaiting_answer && now < w.sent_at + self.settings.silent_after;
+            if in_flight || now < w.sent_at + wait || w.addr.port() == 0 {
                 continue;
             }
             self.send_exchange(now, i);
@@ -38,11 +38,11 @@
         let renew = self.workers[i].health == Health::Good;
         let seq = self.workers[i].seq + 1;
         let starts = if renew {
-            self.starts(now, i, seq)
+            self.start_orders(now, i, seq)
         } else {
             Vec::new()
         };
-        let lapse = self.lapsing(now, &self.workers[i]);
+        let lapse = self.lapsed_attempts(now, &self.workers[i]);
         let committed = self.committed;
         let w = &mut self.workers[i];
         w.seq = seq;
@@ -68,8 +68,8 @@
             renew,
             lapse,
             starts,
-            stops: stops(w, &self.state),
-            throttles: throttles(w),
+            stops: stop_orders(w, &self.state),
+            throttles: throttle_orders(w),
             acks,
         };
         let (worker, addr) = (w.name.clone(), w.addr);
@@ -81,11 +81,11 @@
     }
 
     /// Returns the attempts whose organisation's hold is over.
-    fn lapsing(&self, now: Millis, w: &Worker) -> Vec<super::AttemptId> {
-        let away = now.saturating_sub(self.store_seen_at);
+    fn lapsed_attempts(&self, now: Millis, w: &Worker) -> Vec<super::AttemptId> {
+        let store_age = now.saturating_sub(self.store_seen_at);
         let mut out = Vec::new();
         for r in &w.allocations {
-            if !r.service && away > r.hold.min(self.hold_cap) {
+            if !r.service && store_age > r.hold.min(self.hold_cap) {
                 out.push(r.attempt);
             }
         }
@@ -93,14 +93,14 @@
     }
 
     /// Returns the starts that are in the journal and not reported as running.
-    fn starts(&mut self, now: Millis, i: usize, seq: u64) -> Vec<StartOrder> {
+    fn start_orders(&mut self, now: Millis, i: usize, seq: u64) -> Vec<StartOrder> {
         let (committed, cap) = (self.committed, self.hold_cap);
-        let away = now.saturating_sub(self.store_seen_at);
+        let store_age = now.saturating_sub(self.store_seen_at);
         let mut out = Vec::new();
         let w = &mut self.workers[i];
         for r in &mut w.allocations {
             let due = r.start_record < committed && !r.is_running && r.stop.is_none();
-            if !due || (!r.service && away > r.hold.min(cap)) {
+            if !due || (!r.service && store_age > r.hold.min(cap)) {
                 continue;
             }
             let Some((job, task, _)) = self.state.active_task(r.attempt) else {
@@ -133,17 +133,17 @@
     }
 }
 
-fn stops(w: &Worker, book: &super::ShardState) -> Vec<StopOrder> {
+fn stop_orders(w: &Worker, state: &super::ShardState) -> Vec<StopOrder> {
     let mut out = Vec::new();
     for r in &w.allocations {
-        let Some(why) = r.stop else { continue };
+        let Some(reason) = r.stop else { continue };
         if r.sent_seq.is_none() {
             continue;
         }
-        let can = book.job(r.attempt.job).is_some_and(|j| j.spec.checkpoint);
+        let can_save = state.job(r.attempt.job).is_some_and(|j| j.spec.checkpoint);
         out.push(StopOrder {
             attempt: r.attempt,
-            save: can && why != StopReason::Cancelled,
+            save: can_save && reason != StopReason::Cancelled,
         });
     }
     for &attempt in &w.unknown_attempts {
@@ -155,7 +155,7 @@
     out
 }
 
-fn throttles(w: &Worker) -> Vec<Throttle> {
+fn throttle_orders(w: &Worker) -> Vec<Throttle> {
     let mut out = Vec::new();
     for r in &w.allocations {
         if r.cpu_percent < 100 || r.throttle_changed_at > 0 {
--- a/crates/core/src/shard/job.rs
+++ b/crates/core/src/shard/job.rs
@@ -77,10 +77,10 @@
 
 impl Job {
     /// Returns a job whose tasks are all queued.
-    pub fn new(no: u32, spec: JobSpec) -> Job {
+    pub fn new(number: u32, spec: JobSpec) -> Job {
         let tasks = vec![Task::default(); spec.tasks as usize];
         Job {
-            number: no,
+            number,
             open_tasks: spec.tasks,
             tasks,
             spec,
--- a/crates/core/src/shard/lease_expiry.rs
+++ b/crates/core/src/shard/lease_expiry.rs
@@ -4,19 +4,19 @@
 use crate::Millis;
 
 /// Share of a lease added for the difference of clock rates: one in this many.
-const DRIFT: Millis = 100;
+const CLOCK_DRIFT_DIVISOR: Millis = 100;
 
 impl ShardScheduler {
     /// Marks silent workers and ends the attempts whose leases have lapsed.
     pub(super) fn check_workers(&mut self, now: Millis) {
         for i in 0..self.workers.len() {
             let w = &mut self.workers[i];
-            let quiet = now.saturating_sub(w.answered_at) > self.settings.silent_after;
-            if w.health == Health::Good && quiet {
+            let is_silent = now.saturating_sub(w.answered_at) > self.settings.silent_after;
+            if w.health == Health::Good && is_silent {
                 w.health = Health::Silent;
-                self.targets += 1;
+                self.targets_version += 1;
             }
-            if w.health != Health::Good && quiet {
+            if w.health != Health::Good && is_silent {
                 self.end_replicas(now, i);
                 self.end_lapsed(now, i);
             }
@@ -26,7 +26,7 @@
 
     /// Ends the replicas on a silent worker, which may run twice.
     fn end_replicas(&mut self, now: Millis, i: usize) {
-        let ids = self.ids(i, true);
+        let ids = self.attempts_on(i, true);
         for id in ids {
             self.end_attempt(now, i, id, End::Lost);
         }
@@ -35,17 +35,20 @@
     /// Ends the other attempts once no owner's renewal can still hold.
     fn end_lapsed(&mut self, now: Millis, i: usize) {
         let lease = self.settings.lease;
-        let end = self.workers[i].lease_start + lease + lease / DRIFT + self.settings.lease_margin;
-        if now <= end {
+        let lease_end = self.workers[i].lease_start
+            + lease
+            + lease / CLOCK_DRIFT_DIVISOR
+            + self.settings.lease_margin;
+        if now <= lease_end {
             return;
         }
-        let ids = self.ids(i, false);
+        let ids = self.attempts_on(i, false);
         for id in ids {
             self.end_attempt(now, i, id, End::Lost);
         }
     }
 
-    fn ids(&self, i: usize, service: bool) -> Vec<AttemptId> {
+    fn attempts_on(&self, i: usize, service: bool) -> Vec<AttemptId> {
         let mut ids = Vec::new();
         for r in &self.workers[i].allocations {
             if r.service == service {
--- a/crates/core/src/shard/mitigation.rs
+++ b/crates/core/src/shard/mitigation.rs
@@ -7,45 +7,45 @@
 use crate::{Millis, placement::Band};
 
 /// Time between two looks at a worker.
-const LOOK: Millis = 500;
+const CHECK_INTERVAL_MS: Millis = 500;
 
 /// Slowdown of a service from which its neighbours are looked at.
-const SLOW: f32 = 1.25;
+const HIGH_SLOWDOWN: f32 = 1.25;
 
 /// Slowdown of a service below which throttles are lifted.
-const CALM: f32 = 1.08;
+const LOW_SLOWDOWN: f32 = 1.08;
 
 /// Weighted gain from which a neighbour is throttled.
-const THROTTLE_AT: f32 = 0.08;
+const MIN_THROTTLE_GAIN: f32 = 0.08;
 
 /// Weighted gain, above the weighted cost, from which a neighbour is evicted.
-const EVICT_AT: f32 = 0.36;
+const MIN_EVICTION_GAIN: f32 = 0.36;
 
 /// Share of its processors that a throttled task keeps, in hundredths.
-const THROTTLED: u32 = 50;
+const THROTTLED_CPU_PERCENT: u32 = 50;
 
 /// Time for which a throttle is watched before an eviction.
-const PATIENCE: Millis = 3_000;
+const THROTTLE_TRIAL_MS: Millis = 3_000;
 
 /// Time after which a throttle may be lifted.
-const RELEASE: Millis = 5_000;
+const MIN_THROTTLE_MS: Millis = 5_000;
 
 /// Least run time of a task before it may be evicted.
-const YOUNG: Millis = 1_000;
+const MIN_RUN_MS: Millis = 1_000;
 
-const MINUTE: Millis = 60_000;
+const MINUTE_MS: Millis = 60_000;
 
 impl ShardScheduler {
     /// Looks for tasks that slow services and acts on the worst of each worker.
     pub(super) fn limit_interference(&mut self, now: Millis) {
-        if now < self.interference_checked_at + LOOK {
+        if now < self.interference_checked_at + CHECK_INTERVAL_MS {
             return;
         }
         self.interference_checked_at = now;
         while self
             .recent_evictions
             .front()
-            .is_some_and(|t| t + MINUTE <= now)
+            .is_some_and(|t| t + MINUTE_MS <= now)
         {
             self.recent_evictions.pop_front();
         }
@@ -53,21 +53,21 @@
             return;
         }
         for i in 0..self.workers.len() {
-            self.tune_worker(now, i);
+            self.mitigate_worker(now, i);
         }
     }
 
-    fn tune_worker(&mut self, now: Millis, i: usize) {
+    fn mitigate_worker(&mut self, now: Millis, i: usize) {
         let mut worst = 1.0f32;
         for r in &self.workers[i].allocations {
             if r.service && r.is_running {
                 worst = worst.max(r.slowdown);
             }
         }
-        if worst < CALM {
-            self.release(now, i);
+        if worst < LOW_SLOWDOWN {
+            self.lift_throttles(now, i);
         }
-        if worst < SLOW {
+        if worst < HIGH_SLOWDOWN {
             return;
         }
         let Some((id, gain)) = self.noisiest(i) else {
@@ -76,16 +76,19 @@
         let Some(r) = self.workers[i].allocation(id) else {
             return;
         };
-        let (class, percent, turned, since) =
+        let (class, cpu_percent, changed_at, since) =
             (r.class, r.cpu_percent, r.throttle_changed_at, r.since);
-        if percent == 100 {
-            if gain >= THROTTLE_AT {
-                self.throttle(now, i, id, THROTTLED);
+        if cpu_percent == 100 {
+            if gain >= MIN_THROTTLE_GAIN {
+                self.throttle(now, i, id, THROTTLED_CPU_PERCENT);
             }
             return;
         }
-        let settled = now >= turned + PATIENCE && now >= since + YOUNG;
-        if settled && gain >= EVICT_AT + self.eviction_cost(class) && self.may_evict(id, class) {
+        let has_settled = now >= changed_at + THROTTLE_TRIAL_MS && now >= since + MIN_RUN_MS;
+        if has_settled
+            && gain >= MIN_EVICTION_GAIN + self.eviction_cost(class)
+            && self.may_evict(id, class)
+        {
             self.recent_evictions.push_back(now);
             let w = &mut self.workers[i];
             w.dirty = true;
@@ -106,13 +109,13 @@
                 continue;
             }
             let mut gain = 0.0;
-            for v in &w.allocations {
-                if !v.service {
+            for victim in &w.allocations {
+                if !victim.service {
                     continue;
                 }
-                let e = self.interference.estimate(v.class, r.class, band);
-                if e.known {
-                    gain += self.slowdown_weight(v.class) * e.added_slowdown;
+                let estimate = self.interference.estimate(victim.class, r.class, band);
+                if estimate.known {
+                    gain += self.slowdown_weight(victim.class) * estimate.added_slowdown;
                 }
             }
             if best.is_none_or(|b| gain > b.1) {
@@ -129,26 +132,26 @@
 
     fn may_evict(&self, id: AttemptId, class: u16) -> bool {
         let limit = self.classes[usize::from(class)].max_evictions;
-        let few = self
+        let below_limit = self
             .state
             .active_task(id)
             .is_some_and(|(_, t, _)| t.evictions < limit);
-        few && self.recent_evictions.len() < self.settings.evictions_per_minute as usize
+        below_limit && self.recent_evictions.len() < self.settings.evictions_per_minute as usize
     }
 
-    fn throttle(&mut self, now: Millis, i: usize, id: AttemptId, percent: u32) {
+    fn throttle(&mut self, now: Millis, i: usize, id: AttemptId, cpu_percent: u32) {
         let w = &mut self.workers[i];
         w.dirty = true;
         if let Some(r) = w.allocation_mut(id) {
-            r.cpu_percent = percent;
+            r.cpu_percent = cpu_percent;
             r.throttle_changed_at = now;
         }
     }
 
-    fn release(&mut self, now: Millis, i: usize) {
+    fn lift_throttles(&mut self, now: Millis, i: usize) {
         let mut ids = Vec::new();
         for r in &self.workers[i].allocations {
-            if r.cpu_percent < 100 && now >= r.throttle_changed_at + RELEASE {
+            if r.cpu_percent < 100 && now >= r.throttle_changed_at + MIN_THROTTLE_MS {
                 ids.push(r.attempt);
             }
         }
--- a/crates/core/src/shard/place_tasks.rs
+++ b/crates/core/src/shard/place_tasks.rs
@@ -14,42 +14,42 @@
 };
 
 /// Workers that are compared for one task.
-const PROBES: usize = 32;
+const PROBED_WORKERS: usize = 32;
 
 /// Shards up to this many workers compare all of them.
-const FULL: usize = 48;
+const MAX_FULL_SCAN_WORKERS: usize = 48;
 
 /// Tasks of a lane that may be passed over in one round, of those that stand for themselves
 /// alone: others of their shape may find room where they don't.
-const LOOKAHEAD: usize = 8;
+const LOOKAHEAD_TASKS: usize = 8;
 
 /// Tasks of a shape for which room is made at a time.
-const PREEMPTING: usize = 8;
+const MAX_PREEMPTING_TASKS: usize = 8;
 
 /// Time after which placement is tried although nothing changed.
-const RETRY: Millis = 200;
+const RETRY_INTERVAL_MS: Millis = 200;
 
 /// Added for each replica of the same service in the rack.
-const RACK: f32 = 0.2;
+const SAME_RACK_PENALTY: f32 = 0.2;
 
 /// Share of the load in the score of the learning policy.
-const LOAD: f32 = 0.25;
+const LOAD_WEIGHT: f32 = 0.25;
 
 /// Factor on slowdowns of services: one replica answers for many callers.
-const TAIL: f64 = 5.0;
+const SERVICE_SLOWDOWN_FACTOR: f64 = 5.0;
 
 /// Weight of a team's use of its quota in the choice between lanes.
-const FAIRNESS: f64 = 0.5;
+const FAIRNESS_WEIGHT: f64 = 0.5;
 
 /// What a second of waiting lowers the cost of a place by.
-const AGING: f64 = 0.01;
+const AGING_PER_SECOND: f64 = 0.01;
 
 /// Most that the observed size may exceed the declared one.
-const CORRECTION: u64 = 4;
+const MAX_SIZE_CORRECTION: u64 = 4;
 
 /// What a placement needs to know of a task.
 #[derive(Debug)]
-pub(super) struct Wanted {
+pub(super) struct PlacementRequest {
     pub task: TaskRef,
     pub size: Size,
     pub class: u16,
@@ -60,12 +60,12 @@
     pub avoid: Vec<crate::name::Name>,
 }
 
-impl Wanted {
+impl PlacementRequest {
     /// Returns what it has in common with the tasks that find room where it does; nothing if it
     /// stands for itself alone.
     fn shape(&self) -> Option<TaskShape> {
-        let alone = self.service || !self.avoid.is_empty();
-        (!alone).then_some(TaskShape {
+        let is_unique = self.service || !self.avoid.is_empty();
+        (!is_unique).then_some(TaskShape {
             class: self.class,
             size: self.size,
         })
@@ -73,51 +73,51 @@
 }
 
 /// The first task of a lane that has a place.
-struct Head {
+struct Candidate {
     team: u16,
     since: Millis,
-    wanted: Wanted,
+    request: PlacementRequest,
     worker: usize,
     score: f32,
 }
 
 /// A shape of a team's tasks.
 #[derive(PartialEq)]
-struct Passed {
+struct SkippedShape {
     team: u16,
     shape: TaskShape,
 }
 
 /// What is left over while a priority is placed.
 #[derive(Default)]
-struct Leftover {
+struct Unplaced {
     tasks: Vec<(u16, ReadyTask)>,
     /// Shapes that found no room in this round.
-    passed: Vec<Passed>,
+    skipped: Vec<SkippedShape>,
     /// Sizes that fit nowhere.
-    stuck: Vec<Size>,
+    sizes: Vec<Size>,
 }
 
-impl Leftover {
-    fn is_passed(&self, team: u16, shape: &TaskShape) -> bool {
-        let mut passed = self.passed.iter();
-        passed.any(|p| p.team == team && p.shape == *shape)
+impl Unplaced {
+    fn is_skipped(&self, team: u16, shape: &TaskShape) -> bool {
+        let mut skipped = self.skipped.iter();
+        skipped.any(|s| s.team == team && s.shape == *shape)
     }
 }
 
 impl ShardScheduler {
     /// Gives queued tasks to workers: urgent first.
     pub(super) fn place_tasks(&mut self, now: Millis) {
-        if !self.placement_due && now < self.placed_at + RETRY {
+        if !self.placement_due && now < self.placed_at + RETRY_INTERVAL_MS {
             return;
         }
         self.placement_due = false;
         self.placed_at = now;
-        let mut left = self.settings.max_placements;
+        let mut remaining = self.settings.max_placements;
         for priority in Priority::ALL {
-            self.place_priority(now, priority, &mut left);
+            self.place_priority(now, priority, &mut remaining);
         }
-        self.placement_due |= left == 0;
+        self.placement_due |= remaining == 0;
     }
 
     /// Places the tasks of a priority.
@@ -125,106 +125,119 @@
     /// The first task of each lane looks for its best place; then the best of
     /// these pairs is taken, so that scarce room goes to the task that suits
     /// it. Only lanes whose place was taken look again.
-    fn place_priority(&mut self, now: Millis, priority: Priority, left: &mut usize) {
-        let mut over = Leftover::default();
-        let mut heads = Vec::new();
+    fn place_priority(&mut self, now: Millis, priority: Priority, remaining: &mut usize) {
+        let mut unplaced = Unplaced::default();
+        let mut candidates = Vec::new();
         for team in self.queue.teams(priority) {
-            heads.extend(self.next_head(now, priority, team, &mut over));
+            candidates.extend(self.next_candidate(now, priority, team, &mut unplaced));
         }
-        while *left > 0 && !heads.is_empty() {
-            *left -= 1;
-            let best = self.best_head(now, &heads);
-            let head = heads.swap_remove(best);
-            let taken = head.worker;
-            self.start_task(now, &head);
-            let next = self.next_head(now, priority, head.team, &mut over);
-            let mut again = Vec::new();
-            for i in (0..heads.len()).rev() {
-                if heads[i].worker == taken {
-                    again.push(heads.swap_remove(i));
+        while *remaining > 0 && !candidates.is_empty() {
+            *remaining -= 1;
+            let best = self.best_candidate(now, &candidates);
+            let candidate = candidates.swap_remove(best);
+            let taken = candidate.worker;
+            self.start_task(now, &candidate);
+            let next = self.next_candidate(now, priority, candidate.team, &mut unplaced);
+            let mut displaced = Vec::new();
+            for i in (0..candidates.len()).rev() {
+                if candidates[i].worker == taken {
+                    displaced.push(candidates.swap_remove(i));
                 }
             }
-            heads.extend(next);
-            for head in again {
+            candidates.extend(next);
+            for candidate in displaced {
                 let ready = ReadyTask {
-                    task: head.wanted.task,
-                    since: head.since,
+                    task: candidate.request.task,
+                    since: candidate.since,
                 };
-                self.queue.push_front(priority, head.team, ready);
-                heads.extend(self.next_head(now, priority, head.team, &mut over));
+                self.queue.push_front(priority, candidate.team, ready);
+                candidates.extend(self.next_candidate(
+                    now,
+                    priority,
+                    candidate.team,
+                    &mut unplaced,
+                ));
             }
         }
-        for head in heads {
+        for candidate in candidates {
             let ready = ReadyTask {
-                task: head.wanted.task,
-                since: head.since,
+                task: candidate.request.task,
+                since: candidate.since,
             };
-            self.queue.push_front(priority, head.team, ready);
+            self.queue.push_front(priority, candidate.team, ready);
         }
-        for (team, ready) in over.tasks.into_iter().rev() {
+        for (team, ready) in unplaced.tasks.into_iter().rev() {
             self.queue.push_front(priority, team, ready);
         }
     }
 
     /// Takes the first task of a lane that is still queued and has a place.
-    fn next_head(
+    fn next_candidate(
         &mut self,
         now: Millis,
         priority: Priority,
         team: u16,
-        over: &mut Leftover,
-    ) -> Option<Head> {
-        while over.tasks.iter().filter(|t| t.0 == team).count() < LOOKAHEAD {
-            let is_passed = |shape: &TaskShape| over.is_passed(team, shape);
-            let ready = self.queue.pop_oldest(priority, team, is_passed)?;
-            let Some(wanted) = self.wanted(ready.task) else {
+        unplaced: &mut Unplaced,
+    ) -> Option<Candidate> {
+        while unplaced.tasks.iter().filter(|t| t.0 == team).count() < LOOKAHEAD_TASKS {
+            let is_skipped = |shape: &TaskShape| unplaced.is_skipped(team, shape);
+            let ready = self.queue.pop_oldest(priority, team, is_skipped)?;
+            let Some(request) = self.placement_request(ready.task) else {
                 continue;
             };
-            if !self.teams[usize::from(team)].fits_quota(&wanted.size) {
-                over.tasks.push((team, ready));
+            if !self.teams[usize::from(team)].fits_quota(&request.size) {
+                unplaced.tasks.push((team, ready));
                 return None;
             }
-            let stuck = over.stuck.iter().any(|s| s.fits_in(&wanted.size));
-            let found = if stuck {
+            let unplaceable = unplaced.sizes.iter().any(|s| s.fits_in(&request.size));
+            let found = if unplaceable {
                 None
             } else {
-                self.choose(now, &wanted)
+                self.choose_worker(now, &request)
             };
             if let Some((worker, score)) = found {
-                return Some(Head {
+                return Some(Candidate {
                     team,
                     since: ready.since,
-                    wanted,
+                    request,
                     worker,
                     score,
                 });
             }
-            self.consider_preempting(now, &wanted, ready.since);
-            let Some(shape) = wanted.shape() else {
-                over.tasks.push((team, ready));
+            self.consider_preempting(now, &request, ready.since);
+            let Some(shape) = request.shape() else {
+                unplaced.tasks.push((team, ready));
                 continue;
             };
-            if !stuck {
-                over.stuck.push(wanted.size);
+            if !unplaceable {
+                unplaced.sizes.push(request.size);
             }
             self.queue.push_blocked(priority, team, ready, shape);
-            if !over.is_passed(team, &shape) {
-                over.passed.push(Passed { team, shape });
-                self.preempt_line(now, team, priority, &shape);
+            if !unplaced.is_skipped(team, &shape) {
+                unplaced.skipped.push(SkippedShape { team, shape });
+                self.preempt_for_blocked(now, team, priority, &shape);
             }
         }
         None
     }
 
     /// Makes room for urgent tasks that are held up behind the first of their shape.
-    fn preempt_line(&mut self, now: Millis, team: u16, priority: Priority, shape: &TaskShape) {
+    fn preempt_for_blocked(
+        &mut self,
+        now: Millis,
+        team: u16,
+        priority: Priority,
+        shape: &TaskShape,
+    ) {
         if priority != Priority::Urgent {
             return;
         }
-        let held = self.queue.first_blocked(priority, team, shape, PREEMPTING);
-        for ready in held.into_iter().skip(1) {
-            if let Some(wanted) = self.wanted(ready.task) {
-                self.consider_preempting(now, &wanted, ready.since);
+        let blocked = self
+            .queue
+            .first_blocked(priority, team, shape, MAX_PREEMPTING_TASKS);
+        for ready in blocked.into_iter().skip(1) {
+            if let Some(request) = self.placement_request(ready.task) {
+                self.consider_preempting(now, &request, ready.since);
             }
         }
     }
@@ -234,32 +247,32 @@
     /// The baselines go by the teams' use and then by age. The learning policy
     /// takes the pair with the lowest cost; age lowers it, so that no task
     /// waits for ever for the place that suits it.
-    fn best_head(&self, now: Millis, heads: &[Head]) -> usize {
-        let learns = self.settings.policy == PlacementPolicy::Interference;
-        let value = |h: &Head| {
-            let use_ = self.teams[usize::from(h.team)].load();
-            if !learns {
-                return (use_, h.since as f64);
+    fn best_candidate(&self, now: Millis, candidates: &[Candidate]) -> usize {
+        let is_learning = self.settings.policy == PlacementPolicy::Interference;
+        let value = |c: &Candidate| {
+            let quota_load = self.teams[usize::from(c.team)].load();
+            if !is_learning {
+                return (quota_load, c.since as f64);
             }
-            let age = now.saturating_sub(h.since) as f64 / 1_000.0;
-            let value = f64::from(h.score) + FAIRNESS * use_ - AGING * age;
-            (value, h.since as f64)
+            let age = now.saturating_sub(c.since) as f64 / 1_000.0;
+            let value = f64::from(c.score) + FAIRNESS_WEIGHT * quota_load - AGING_PER_SECOND * age;
+            (value, c.since as f64)
         };
         let mut best = 0;
-        for i in 1..heads.len() {
-            if value(&heads[i]) < value(&heads[best]) {
+        for i in 1..candidates.len() {
+            if value(&candidates[i]) < value(&candidates[best]) {
                 best = i;
             }
         }
         best
     }
 
-    fn start_task(&mut self, now: Millis, head: &Head) {
-        let Some(attempt) = self.next_attempt(head.wanted.task) else {
+    fn start_task(&mut self, now: Millis, candidate: &Candidate) {
+        let Some(attempt) = self.next_attempt(candidate.request.task) else {
             return;
         };
-        let worker = self.workers[head.worker].name.clone();
-        let size = head.wanted.size;
+        let worker = self.workers[candidate.worker].name.clone();
+        let size = candidate.request.size;
         let record = Record::Started {
             attempt,
             worker,
@@ -269,15 +282,15 @@
     }
 
     /// Makes room for an urgent task that has waited in vain for some.
-    fn consider_preempting(&mut self, now: Millis, wanted: &Wanted, since: Millis) {
-        let urgent = wanted.priority == Priority::Urgent && !wanted.service;
+    fn consider_preempting(&mut self, now: Millis, request: &PlacementRequest, since: Millis) {
+        let urgent = request.priority == Priority::Urgent && !request.service;
         if urgent && now >= since + self.settings.preempt_after {
-            self.preempt(now, wanted);
+            self.preempt(now, request);
         }
     }
 
     /// Returns what placing `task` needs, or nothing if it is no longer queued.
-    fn wanted(&mut self, task: TaskRef) -> Option<Wanted> {
+    fn placement_request(&mut self, task: TaskRef) -> Option<PlacementRequest> {
         let job = self.state.job(task.job)?;
         let t = job.tasks.get(task.task as usize)?;
         if t.state != TaskState::Queued {
@@ -287,9 +300,9 @@
         let (service, priority, declared) = (job.spec.service, job.spec.priority, job.spec.size);
         let avoid = t.failed_on.clone();
         let class = self.class_index(&org, &kind, service);
-        Some(Wanted {
+        Some(PlacementRequest {
             task,
-            size: self.corrected(class, &declared),
+            size: self.corrected_size(class, &declared),
             class,
             service,
             priority,
@@ -298,14 +311,14 @@
     }
 
     /// Returns the declared size, raised to what tasks of the class were seen to use.
-    fn corrected(&self, class: u16, declared: &Size) -> Size {
-        let seen = &self.classes[usize::from(class)].peak_usage;
+    fn corrected_size(&self, class: u16, declared: &Size) -> Size {
+        let observed = &self.classes[usize::from(class)].peak_usage;
         let cap = Size {
-            cpu: declared.cpu * CORRECTION,
-            memory: declared.memory * CORRECTION,
+            cpu: declared.cpu * MAX_SIZE_CORRECTION,
+            memory: declared.memory * MAX_SIZE_CORRECTION,
             accels: declared.accels,
         };
-        declared.max(&seen.min(&cap))
+        declared.max(&observed.min(&cap))
     }
 
     fn next_attempt(&self, task: TaskRef) -> Option<AttemptId> {
@@ -319,57 +332,58 @@
     }
 
     /// Returns the best worker with room and its score; lower is better.
-    fn choose(&mut self, now: Millis, wanted: &Wanted) -> Option<(usize, f32)> {
+    fn choose_worker(&mut self, now: Millis, request: &PlacementRequest) -> Option<(usize, f32)> {
         let n = self.workers.len();
-        if n <= FULL {
-            return self.best(now, wanted, 0..n);
+        if n <= MAX_FULL_SCAN_WORKERS {
+            return self.best_worker(now, request, 0..n);
         }
-        let mut probes = [0; PROBES];
+        let mut probes = [0; PROBED_WORKERS];
         for p in &mut probes {
             *p = self.rng.random_range(0..n);
         }
-        let found = self.best(now, wanted, probes.into_iter());
-        found.or_else(|| self.best(now, wanted, 0..n))
+        let found = self.best_worker(now, request, probes.into_iter());
+        found.or_else(|| self.best_worker(now, request, 0..n))
     }
 
-    fn best(
+    fn best_worker(
         &mut self,
         now: Millis,
-        wanted: &Wanted,
-        candidates: impl Iterator<Item = usize>,
+        request: &PlacementRequest,
+        indices: impl Iterator<Item = usize>,
     ) -> Option<(usize, f32)> {
         let mut best = None;
-        let mut least = f32::INFINITY;
-        let spread = self.workers.len() > wanted.avoid.len();
-        for i in candidates {
+        let mut lowest = f32::INFINITY;
+        let can_avoid = self.workers.len() > request.avoid.len();
+        for i in indices {
             let w = &self.workers[i];
-            if !w.accepts_tasks(now) || !wanted.size.fits_in(&w.available_for(wanted.task, now)) {
+            if !w.accepts_tasks(now) || !request.size.fits_in(&w.available_for(request.task, now)) {
                 continue;
             }
-            if spread && wanted.avoid.contains(&w.name) {
+            if can_avoid && request.avoid.contains(&w.name) {
                 continue;
             }
-            let twin = |r: &super::Allocation| r.attempt.job == wanted.task.job;
-            if wanted.service && w.allocations.iter().any(twin) {
+            let has_same_job = |r: &super::Allocation| r.attempt.job == request.task.job;
+            if request.service && w.allocations.iter().any(has_same_job) {
                 continue;
             }
             let mut score = match self.settings.policy {
                 PlacementPolicy::Random => self.rng.random::<f32>(),
-                PlacementPolicy::LeastLoaded => load_after(w, &wanted.size),
-                PlacementPolicy::Interference => self.expected_cost(w, wanted),
+                PlacementPolicy::LeastLoaded => load_after(w, &request.size),
+                PlacementPolicy::Interference => self.expected_cost(w, request),
             };
-            if wanted.service {
-                score += RACK * self.in_rack(&w.rack, wanted.task.job) as f32;
+            if request.service {
+                score +=
+                    SAME_RACK_PENALTY * self.job_workers_in_rack(&w.rack, request.task.job) as f32;
             }
-            if score < least {
-                least = score;
+            if score < lowest {
+                lowest = score;
                 best = Some((i, score));
             }
         }
         best
     }
 
-    fn in_rack(&self, rack: &str, job: u32) -> usize {
+    fn job_workers_in_rack(&self, rack: &str, job: u32) -> usize {
         let mut count = 0;
         for w in &self.workers {
             if *w.rack != *rack {
@@ -382,16 +396,16 @@
 
     /// Returns the expected slowdown that the placement adds, by the weights of
     /// those who bear it, and a share of the load.
-    fn expected_cost(&self, w: &Worker, wanted: &Wanted) -> f32 {
-        let load = load_after(w, &wanted.size);
+    fn expected_cost(&self, w: &Worker, request: &PlacementRequest) -> f32 {
+        let load = load_after(w, &request.size);
         let band = Band::of(f64::from(load));
-        let mut cost = LOAD * load;
-        let mine = self.slowdown_weight(wanted.class);
+        let mut cost = LOAD_WEIGHT * load;
+        let own_weight = self.slowdown_weight(request.class);
         for r in &w.allocations {
-            let to_them = self.interference.estimate(r.class, wanted.class, band);
-            let to_me = self.interference.estimate(wanted.class, r.class, band);
-            cost += self.slowdown_weight(r.class) * to_them.added_slowdown
-                + mine * to_me.added_slowdown;
+            let on_neighbour = self.interference.estimate(r.class, request.class, band);
+            let on_task = self.interference.estimate(request.class, r.class, band);
+            cost += self.slowdown_weight(r.class) * on_neighbour.added_slowdown
+                + own_weight * on_task.added_slowdown;
         }
         cost
     }
@@ -400,7 +414,7 @@
     pub(super) fn slowdown_weight(&self, class: u16) -> f32 {
         let c = &self.classes[usize::from(class)];
         let weight = if c.service {
-            c.weights.tail_latency * TAIL
+            c.weights.tail_latency * SERVICE_SLOWDOWN_FACTOR
         } else {
             c.weights.throughput
         };
@@ -408,23 +422,23 @@
     }
 
     /// Makes room for an urgent task by evicting others.
-    fn preempt(&mut self, now: Millis, wanted: &Wanted) {
-        let task = wanted.task;
-        let kept = |w: &Worker| {
+    fn preempt(&mut self, now: Millis, request: &PlacementRequest) {
+        let task = request.task;
+        let has_reservation = |w: &Worker| {
             w.reservation
                 .is_some_and(|r| r.task == task && r.until > now)
         };
-        if self.workers.iter().any(kept) {
+        if self.workers.iter().any(has_reservation) {
             return;
         }
         let mut best: Option<(usize, Vec<AttemptId>)> = None;
         for i in 0..self.workers.len() {
             let w = &self.workers[i];
-            let taken = w.reservation.is_some_and(|r| r.until > now);
-            if !w.accepts_tasks(now) || taken || !wanted.size.fits_in(&w.capacity) {
+            let is_reserved = w.reservation.is_some_and(|r| r.until > now);
+            if !w.accepts_tasks(now) || is_reserved || !request.size.fits_in(&w.capacity) {
                 continue;
             }
-            let Some(victims) = self.victims(w, &wanted.size) else {
+            let Some(victims) = self.victims(w, &request.size) else {
                 continue;
             };
             if best.as_ref().is_none_or(|b| victims.len() < b.1.len()) {
@@ -435,7 +449,7 @@
         let w = &mut self.workers[i];
         w.reservation = Some(Reservation {
             task,
-            size: wanted.size,
+            size: request.size,
             until: now + self.settings.reservation,
         });
         w.dirty = true;
@@ -449,7 +463,7 @@
     /// Returns the fewest residents whose end makes room: bulk first, then the
     /// ones that started last.
     fn victims(&self, w: &Worker, size: &Size) -> Option<Vec<AttemptId>> {
-        let mut order = Vec::new();
+        let mut evictable = Vec::new();
         let mut room = w.available();
         for r in &w.allocations {
             if r.stop.is_some() {
@@ -461,15 +475,15 @@
             if r.service || r.priority == Priority::Urgent || task.evictions >= limit {
                 continue;
             }
-            order.push((r.priority, r.since, r.attempt, r.size));
+            evictable.push((r.priority, r.since, r.attempt, r.size));
         }
-        order.sort_by_key(|o| std::cmp::Reverse((o.0, o.1, o.2)));
+        evictable.sort_by_key(|o| std::cmp::Reverse((o.0, o.1, o.2)));
         let mut out = Vec::new();
-        for (_, _, id, held) in order {
+        for (_, _, id, freed) in evictable {
             if size.fits_in(&room) {
                 break;
             }
-            room = room.saturating_add(&held);
+            room = room.saturating_add(&freed);
             out.push(id);
         }
         size.fits_in(&room).then_some(out)
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -48,54 +48,57 @@
 
 /// Tasks of one shape that found no room when they were last tried, the oldest first.
 #[derive(Debug, Clone)]
-struct Line {
+struct BlockedGroup {
     shape: TaskShape,
     tasks: VecDeque<ReadyTask>,
 }
 
 /// Tasks of one team and priority.
 #[derive(Debug, Clone)]
-struct Lane {
+struct TeamQueue {
     priority: Priority,
     team: u16,
     /// Those that were not held up.
     tasks: VecDeque<ReadyTask>,
-    held: Vec<Line>,
+    blocked: Vec<BlockedGroup>,
 }
 
-impl Lane {
-    fn new(priority: Priority, team: u16) -> Lane {
-        Lane {
+impl TeamQueue {
+    fn new(priority: Priority, team: u16) -> TeamQueue {
+        TeamQueue {
             priority,
             team,
             tasks: VecDeque::new(),
-            held: Vec::new(),
+            blocked: Vec::new(),
         }
     }
 
     fn len(&self) -> usize {
-        let held: usize = self.held.iter().map(|l| l.tasks.len()).sum();
-        self.tasks.len() + held
+        let blocked: usize = self.blocked.iter().map(|l| l.tasks.len()).sum();
+        self.tasks.len() + blocked
     }
 
-    fn line(&self, shape: &TaskShape) -> Option<usize> {
-        self.held.iter().position(|l| l.shape == *shape)
+    fn group_index(&self, shape: &TaskShape) -> Option<usize> {
+        self.blocked.iter().position(|l| l.shape == *shape)
     }
 
     /// Returns the line with the oldest first task, of those that are not passed over.
-    fn oldest_line(&self, is_passed: impl Fn(&TaskShape) -> bool) -> Option<(usize, ReadyTask)> {
-        let lines = self.held.iter().enumerate();
-        let firsts = lines
-            .filter(|(_, l)| !is_passed(&l.shape))
-            .filter_map(|(at, l)| l.tasks.front().map(|f| (at, *f)));
+    fn oldest_blocked(
+        &self,
+        is_skipped: impl Fn(&TaskShape) -> bool,
+    ) -> Option<(usize, ReadyTask)> {
+        let groups = self.blocked.iter().enumerate();
+        let firsts = groups
+            .filter(|(_, l)| !is_skipped(&l.shape))
+            .filter_map(|(index, l)| l.tasks.front().map(|f| (index, *f)));
         firsts.min_by_key(|(_, first)| first.age())
     }
 
     /// Takes the first task of a line.
-    fn pop_line(&mut self, at: usize) -> Option<ReadyTask> {
-        let first = self.held[at].tasks.pop_front();
-        if self.held[at].tasks.is_empty() {
-            self.held.swap_remove(at);
+    fn pop_blocked(&mut self, index: usize) -> Option<ReadyTask> {
+        let first = self.blocked[index].tasks.pop_front();
+        if self.blocked[index].tasks.is_empty() {
+            self.blocked.swap_remove(index);
         }
         first
     }
@@ -103,7 +106,7 @@
 
 /// Tasks that wait until a time.
 #[derive(Debug, Clone)]
-struct Delayed {
+struct DelayedTask {
     until: u64,
     priority: Priority,
     team: u16,
@@ -116,21 +119,21 @@
 /// turns, so that a wave from one team does not hold up the others.
 #[derive(Debug, Clone, Default)]
 pub struct Queue {
-    lanes: Vec<Lane>,
-    delayed: Vec<Delayed>,
+    team_queues: Vec<TeamQueue>,
+    delayed: Vec<DelayedTask>,
 }
 
 impl Queue {
     /// Adds a task at the end of its lane.
     pub fn push(&mut self, priority: Priority, team: u16, task: TaskRef, since: u64) {
-        self.lane(priority, team)
+        self.queue_mut(priority, team)
             .tasks
             .push_back(ReadyTask { task, since });
     }
 
     /// Puts a task back at the front of its lane.
     pub fn push_front(&mut self, priority: Priority, team: u16, ready: ReadyTask) {
-        self.lane(priority, team).tasks.push_front(ready);
+        self.queue_mut(priority, team).tasks.push_front(ready);
     }
 
     /// Adds a task that becomes ready at `until`.
@@ -138,7 +141,7 @@
         let i = self.delayed.partition_point(|d| d.until >= until);
         self.delayed.insert(
             i,
-            Delayed {
+            DelayedTask {
                 until,
                 priority,
                 team,
@@ -157,7 +160,7 @@
 
     /// Returns the number of entries, stale ones included.
     pub fn len(&self) -> usize {
-        let ready: usize = self.lanes.iter().map(Lane::len).sum();
+        let ready: usize = self.team_queues.iter().map(TeamQueue::len).sum();
         ready + self.delayed.len()
     }
 
@@ -169,9 +172,9 @@
     /// Returns the teams that have ready tasks of a priority.
     pub fn teams(&self, priority: Priority) -> Vec<u16> {
         let mut teams = Vec::new();
-        for lane in &self.lanes {
-            if lane.priority == priority && lane.len() > 0 {
-                teams.push(lane.team);
+        for queue in &self.team_queues {
+            if queue.priority == priority && queue.len() > 0 {
+                teams.push(queue.team);
             }
         }
         teams
@@ -179,7 +182,7 @@
 
     /// Takes the first ready task of a lane, of those that are not held up.
     pub fn pop(&mut self, priority: Priority, team: u16) -> Option<ReadyTask> {
-        self.lane(priority, team).tasks.pop_front()
+        self.queue_mut(priority, team).tasks.pop_front()
     }
 
     /// Takes the oldest ready task of a lane, held up or not, but for those that are held up and
@@ -188,14 +191,16 @@
         &mut self,
         priority: Priority,
         team: u16,
-        is_passed: impl Fn(&TaskShape) -> bool,
+        is_skipped: impl Fn(&TaskShape) -> bool,
     ) -> Option<ReadyTask> {
-        let lane = self.lane(priority, team);
-        let line = lane.oldest_line(is_passed);
-        match (lane.tasks.front(), line) {
-            (Some(first), Some((at, held))) if held.age() < first.age() => lane.pop_line(at),
-            (None, Some((at, _))) => lane.pop_line(at),
-            _ => lane.tasks.pop_front(),
+        let queue = self.queue_mut(priority, team);
+        let oldest_blocked = queue.oldest_blocked(is_skipped);
+        match (queue.tasks.front(), oldest_blocked) {
+            (Some(first), Some((index, blocked))) if blocked.age() < first.age() => {
+                queue.pop_blocked(index)
+            }
+            (None, Some((index, _))) => queue.pop_blocked(index),
+            _ => queue.tasks.pop_front(),
         }
     }
 
@@ -207,13 +212,13 @@
         ready: ReadyTask,
         shape: TaskShape,
     ) {
-        let lane = self.lane(priority, team);
-        let Some(at) = lane.line(&shape) else {
+        let queue = self.queue_mut(priority, team);
+        let Some(index) = queue.group_index(&shape) else {
             let tasks = VecDeque::from([ready]);
-            lane.held.push(Line { shape, tasks });
+            queue.blocked.push(BlockedGroup { shape, tasks });
             return;
         };
-        let tasks = &mut lane.held[at].tasks;
+        let tasks = &mut queue.blocked[index].tasks;
         match tasks.front().is_some_and(|f| ready.age() < f.age()) {
             true => tasks.push_front(ready),
             false => tasks.push_back(ready),
@@ -226,24 +231,26 @@
         priority: Priority,
         team: u16,
         shape: &TaskShape,
-        most: usize,
+        limit: usize,
     ) -> Vec<ReadyTask> {
-        let lane = self.lane(priority, team);
-        let tasks = lane.line(shape).map(|at| &lane.held[at].tasks);
-        tasks.map_or(Vec::new(), |t| t.iter().take(most).copied().collect())
+        let queue = self.queue_mut(priority, team);
+        let tasks = queue
+            .group_index(shape)
+            .map(|index| &queue.blocked[index].tasks);
+        tasks.map_or(Vec::new(), |t| t.iter().take(limit).copied().collect())
     }
 
-    fn lane(&mut self, priority: Priority, team: u16) -> &mut Lane {
+    fn queue_mut(&mut self, priority: Priority, team: u16) -> &mut TeamQueue {
         let found = self
-            .lanes
+            .team_queues
             .binary_search_by_key(&(priority, team), |l| (l.priority, l.team));
         let i = match found {
             Ok(i) => i,
             Err(i) => {
-                self.lanes.insert(i, Lane::new(priority, team));
+                self.team_queues.insert(i, TeamQueue::new(priority, team));
                 i
             }
         };
-        &mut self.lanes[i]
+        &mut self.team_queues[i]
     }
 }
--- a/crates/core/src/shard/samples.rs
+++ b/crates/core/src/shard/samples.rs
@@ -4,16 +4,16 @@
 use crate::{Millis, name::Name, placement::Band};
 
 /// Share of a new sample in the running mean of a slowdown.
-const SHARE: f32 = 0.3;
+const SMOOTHING_FACTOR: f32 = 0.3;
 
 /// What a slowdown of 1 is in samples.
-const UNIT: f32 = 1000.0;
+const PERMILLE: f32 = 1000.0;
 
 impl ShardScheduler {
     /// Learns from the samples in an answer.
-    pub(super) fn learn(&mut self, now: Millis, i: usize, a: &WorkerAnswer) {
-        for sample in &a.samples {
-            self.learn_one(now, i, sample);
+    pub(super) fn learn_from_samples(&mut self, now: Millis, i: usize, answer: &WorkerAnswer) {
+        for sample in &answer.samples {
+            self.learn_from_sample(now, i, sample);
         }
     }
 
@@ -24,7 +24,7 @@
         victim: (&Name, &Name),
         other: (&Name, &Name),
         band: usize,
-        adds: f32,
+        added_slowdown: f32,
     ) {
         let find = |m: &ShardScheduler, (org, kind): (&Name, &Name)| {
             m.classes
@@ -34,19 +34,20 @@
         let (Some(v), Some(o)) = (find(self, victim), find(self, other)) else {
             return;
         };
-        self.interference.set(v as u16, o as u16, Band(band), adds);
+        self.interference
+            .set(v as u16, o as u16, Band(band), added_slowdown);
     }
 
     /// Matches a sample with what ran when it was measured.
-    fn learn_one(&mut self, now: Millis, i: usize, sample: &Sample) {
-        let slow = sample.slowdown_permille as f32 / UNIT;
+    fn learn_from_sample(&mut self, now: Millis, i: usize, sample: &Sample) {
+        let slowdown = sample.slowdown_permille as f32 / PERMILLE;
         let w = &mut self.workers[i];
         let band = Band::of(w.reserved.load(&w.capacity));
         let ran = w.history.running_at(sample.at);
         if let Some(r) = w.allocation_mut(sample.attempt) {
-            r.slowdown += SHARE * (slow - r.slowdown);
+            r.slowdown += SMOOTHING_FACTOR * (slowdown - r.slowdown);
         }
-        let Some(me) = ran.iter().find(|c| c.attempt == sample.attempt) else {
+        let Some(measured) = ran.iter().find(|c| c.attempt == sample.attempt) else {
             return;
         };
         let mut others = Vec::with_capacity(ran.len());
@@ -55,8 +56,9 @@
                 others.push(c.class);
             }
         }
-        let class = &mut self.classes[usize::from(me.class)];
+        let class = &mut self.classes[usize::from(measured.class)];
         class.peak_usage = class.peak_usage.max(&sample.used);
-        self.interference.learn(me.class, &others, band, slow, now);
+        self.interference
+            .learn(measured.class, &others, band, slowdown, now);
     }
 }
--- a/crates/core/src/shard/scheduler.rs
+++ b/crates/core/src/shard/scheduler.rs
@@ -59,17 +59,17 @@
     pub(super) queue: Queue,
     pub(super) classes: Vec<TaskClass>,
     /// Positions of the classes, sorted by organisation and kind.
-    class_order: Vec<u16>,
+    classes_by_name: Vec<u16>,
     pub(super) teams: Vec<TeamUsage>,
     /// Positions of the teams, sorted by organisation and name.
-    team_order: Vec<u16>,
+    teams_by_name: Vec<u16>,
     pub(super) interference: InterferenceModel,
     /// Number of workers that stay, by index of the shard.
     pub(super) worker_counts: Vec<u32>,
-    pub(super) pending: Vec<Record>,
+    pub(super) pending_records: Vec<Record>,
     pub(super) finished: Vec<FinishedJob>,
     /// Number of the next record.
-    pub(super) next: u64,
+    pub(super) next_record: u64,
     /// Records below this number are in the journal.
     pub(super) committed: u64,
     /// Last contact with the table service.
@@ -81,24 +81,24 @@
     /// Whether no earlier owner can still renew leases.
     pub(super) settled: bool,
     /// When this owner took over.
-    pub(super) start: Millis,
+    pub(super) started_at: Millis,
     /// Finished jobs by the time at which they leave the book.
-    pub(super) closing: VecDeque<(Millis, u32)>,
+    pub(super) close_queue: VecDeque<(Millis, u32)>,
     pub(super) recent_evictions: VecDeque<Millis>,
     /// Whether something changed that may let a task be placed.
     pub(super) placement_due: bool,
     /// Whether workers that the list lacks were looked for since it came.
-    pub(super) adopted: bool,
+    pub(super) unlisted_checked: bool,
     pub(super) placed_at: Millis,
     pub(super) interference_checked_at: Millis,
     pub(super) actions: Vec<Action>,
-    pub(super) targets: u64,
+    pub(super) targets_version: u64,
 }
 
 impl ShardScheduler {
     /// Takes over a shard.
     pub fn new(
-        place: ShardId,
+        shard: ShardId,
         settings: ShardSettings,
         seed: u64,
         takeover: Takeover,
@@ -106,46 +106,46 @@
     ) -> ShardScheduler {
         let Takeover {
             epoch,
-            state: book,
-            next_record: next,
-            inherited_hold: inherited,
+            state,
+            next_record,
+            inherited_hold,
             settled,
         } = takeover;
-        let mut machine = ShardScheduler {
-            shard: place,
+        let mut scheduler = ShardScheduler {
+            shard,
             settings,
             epoch,
             rng: SmallRng::seed_from_u64(seed),
             orgs: Vec::new(),
-            state: book,
+            state,
             workers: Vec::new(),
             queue: Queue::default(),
             classes: Vec::new(),
-            class_order: Vec::new(),
+            classes_by_name: Vec::new(),
             teams: Vec::new(),
-            team_order: Vec::new(),
+            teams_by_name: Vec::new(),
             interference: InterferenceModel::default(),
             worker_counts: Vec::new(),
-            pending: Vec::new(),
+            pending_records: Vec::new(),
             finished: Vec::new(),
-            next,
-            committed: next,
+            next_record,
+            committed: next_record,
             store_seen_at: now,
-            hold_cap: inherited,
-            inherited_hold: inherited,
+            hold_cap: inherited_hold,
+            inherited_hold,
             settled,
-            start: now,
-            closing: VecDeque::new(),
+            started_at: now,
+            close_queue: VecDeque::new(),
             recent_evictions: VecDeque::new(),
             placement_due: true,
-            adopted: false,
+            unlisted_checked: false,
             placed_at: 0,
             interference_checked_at: 0,
             actions: Vec::new(),
-            targets: 1,
+            targets_version: 1,
         };
-        machine.recover(now);
-        machine
+        scheduler.recover(now);
+        scheduler
     }
 
     /// Returns the epoch of this ownership.
@@ -165,7 +165,7 @@
 
     /// Returns the number of the next record.
     pub fn next_record(&self) -> u64 {
-        self.next
+        self.next_record
     }
 
     /// Handles one event and returns what is to be done.
@@ -179,8 +179,8 @@
             }
             Event::Submit(specs) => self.submit(now, specs),
             Event::Cancel(keys) => self.cancel(now, keys),
-            Event::Answer { worker, answer } => self.answer(now, worker, answer),
-            Event::NoAnswer { worker, seq } => self.no_answer(worker, *seq),
+            Event::Answer { worker, answer } => self.handle_answer(now, worker, answer),
+            Event::NoAnswer { worker, seq } => self.handle_no_answer(worker, *seq),
             Event::Committed(upto) => self.commit(now, *upto),
             Event::StoreSeen(hold) => {
                 self.store_seen_at = now;
@@ -195,7 +195,7 @@
 
     fn tick(&mut self, now: Millis) {
         self.queue.promote_delayed(now);
-        self.adopt_unlisted(now);
+        self.add_unlisted_workers(now);
         self.check_workers(now);
         self.close_jobs(now);
         self.limit_interference(now);
@@ -204,11 +204,11 @@
     }
 
     fn flush(&mut self) {
-        if self.pending.is_empty() {
+        if self.pending_records.is_empty() {
             return;
         }
-        let records = std::mem::take(&mut self.pending);
-        let first = self.next - records.len() as u64;
+        let records = std::mem::take(&mut self.pending_records);
+        let first = self.next_record - records.len() as u64;
         let finished = std::mem::take(&mut self.finished);
         self.actions.push(Action::Append {
             first,
@@ -237,10 +237,10 @@
     ///
     /// Returns the record's number.
     pub(super) fn append_record(&mut self, now: Millis, record: Record, delay: Millis) -> u64 {
-        let number = self.next;
+        let number = self.next_record;
         let effects = self.state.apply(&record);
-        self.next += 1;
-        self.pending.push(record);
+        self.next_record += 1;
+        self.pending_records.push(record);
         for effect in effects {
             self.apply_effect(now, effect, number, delay);
         }
@@ -267,7 +267,8 @@
             self.enqueue(now, task, 0);
         }
         for job in finished {
-            self.closing.push_back((now + self.settings.retention, job));
+            self.close_queue
+                .push_back((now + self.settings.retention, job));
         }
     }
 
@@ -322,9 +323,9 @@
         self.workers
             .retain(|w| w.listed || !w.allocations.is_empty());
         if self.workers.len() != before {
-            self.targets += 1;
+            self.targets_version += 1;
         }
-        self.adopted = false;
+        self.unlisted_checked = false;
     }
 
     /// Takes note that no earlier owner renews leases any more.
@@ -344,37 +345,37 @@
         if w.addr != info.addr || w.service_addr != info.target {
             w.addr = info.addr;
             w.service_addr = info.target;
-            self.targets += 1;
+            self.targets_version += 1;
         }
         if info.leaving && !w.leaving {
             w.leaving = true;
-            self.targets += 1;
+            self.targets_version += 1;
             self.drain_worker(i);
         } else if !info.leaving && w.leaving {
             w.leaving = false;
-            self.targets += 1;
+            self.targets_version += 1;
             self.placement_due = true;
         }
     }
 
     fn add_worker(&mut self, now: Millis, i: usize, info: &WorkerInfo) {
         let hold = if self.settled { 0 } else { self.longest_hold() };
-        let basis = now + hold;
-        self.workers.insert(i, Worker::new(info, now, basis));
-        self.targets += 1;
-        self.place_residents(now, i);
+        let lease_start = now + hold;
+        self.workers.insert(i, Worker::new(info, now, lease_start));
+        self.targets_version += 1;
+        self.restore_allocations(now, i);
     }
 
     /// Puts the attempts that the book has on a worker into its view.
-    fn place_residents(&mut self, now: Millis, i: usize) {
+    fn restore_allocations(&mut self, now: Millis, i: usize) {
         let name = self.workers[i].name.clone();
         let mut found = Vec::new();
         for job in self.state.jobs() {
             for (t, task) in job.tasks.iter().enumerate() {
-                let TaskState::Active(on) = &task.state else {
+                let TaskState::Active(worker) = &task.state else {
                     continue;
                 };
-                if *on != name {
+                if *worker != name {
                     continue;
                 }
                 let attempt = AttemptId {
@@ -382,17 +383,17 @@
                     task: t as u32,
                     attempt: task.attempt,
                 };
-                let unwanted = job.cancelled || t as u32 >= job.spec.tasks;
-                found.push((attempt, job.spec.size, unwanted));
+                let is_unwanted = job.cancelled || t as u32 >= job.spec.tasks;
+                found.push((attempt, job.spec.size, is_unwanted));
             }
         }
-        for (attempt, size, unwanted) in found {
+        for (attempt, size, is_unwanted) in found {
             self.reserve(now, attempt, &name, &size, 0);
             let Some(r) = self.workers[i].allocation_mut(attempt) else {
                 continue;
             };
             r.sent_seq = Some(0);
-            if unwanted {
+            if is_unwanted {
                 r.stop = Some(super::StopReason::Cancelled);
             }
         }
@@ -401,33 +402,36 @@
     /// Adds workers that the book has attempts on and the list no longer has.
     ///
     /// Not at once, since the first list may come before it is complete.
-    pub(super) fn adopt_unlisted(&mut self, now: Millis) {
+    pub(super) fn add_unlisted_workers(&mut self, now: Millis) {
         let known = !self.worker_counts.is_empty();
-        if self.adopted || !known || now < self.start + self.settings.silent_after {
+        if self.unlisted_checked || !known || now < self.started_at + self.settings.silent_after {
             return;
         }
-        self.adopted = true;
+        self.unlisted_checked = true;
         let mut names: Vec<Name> = Vec::new();
         for job in self.state.jobs() {
             for task in &job.tasks {
-                let TaskState::Active(on) = &task.state else {
+                let TaskState::Active(worker) = &task.state else {
                     continue;
                 };
-                let known = self.workers.binary_search_by(|w| w.name.cmp(on)).is_ok();
-                if known || names.contains(on) {
+                let known = self
+                    .workers
+                    .binary_search_by(|w| w.name.cmp(worker))
+                    .is_ok();
+                if known || names.contains(worker) {
                     continue;
                 }
-                names.push(on.clone());
+                names.push(worker.clone());
             }
         }
-        let nowhere = ([0, 0, 0, 0], 0).into();
+        let no_addr = ([0, 0, 0, 0], 0).into();
         for name in names {
             let info = WorkerInfo {
                 name: name.clone(),
                 zone: name.clone(),
                 rack: name.clone(),
-                addr: nowhere,
-                target: nowhere,
+                addr: no_addr,
+                target: no_addr,
                 size: Size::default(),
                 leaving: true,
             };
@@ -446,7 +450,7 @@
                 continue;
             }
             let job = self.state.next_job();
-            let reason = self.refusal(spec, &mut open);
+            let reason = self.rejection_reason(spec, &mut open);
             self.append_record(now, Record::Submitted(spec.clone()), 0);
             if let Some(reason) = reason {
                 self.append_record(now, Record::Rejected { job, reason }, 0);
@@ -475,7 +479,7 @@
     /// Returns why a job can never run, as far as that is known.
     ///
     /// Without the organisation's template nothing is known of its limits.
-    fn refusal(&self, spec: &JobSpec, open: &mut [u32]) -> Option<Name> {
+    fn rejection_reason(&self, spec: &JobSpec, open: &mut [u32]) -> Option<Name> {
         let org = self
             .orgs
             .binary_search_by(|o| o.name.cmp(&spec.key.org))
@@ -516,8 +520,8 @@
     }
 
     fn close_jobs(&mut self, now: Millis) {
-        while self.closing.front().is_some_and(|c| c.0 <= now) {
-            let Some((_, job)) = self.closing.pop_front() else {
+        while self.close_queue.front().is_some_and(|c| c.0 <= now) {
+            let Some((_, job)) = self.close_queue.pop_front() else {
                 return;
             };
             self.append_record(now, Record::Closed { job }, 0);
@@ -526,12 +530,12 @@
 
     /// Returns the index of a class, which is made if it is new.
     pub(super) fn class_index(&mut self, org: &Name, kind: &Name, service: bool) -> u16 {
-        let found = self.class_order.binary_search_by(|i| {
+        let found = self.classes_by_name.binary_search_by(|i| {
             let c = &self.classes[usize::from(*i)];
             (&c.org, &c.kind).cmp(&(org, kind))
         });
         let at = match found {
-            Ok(at) => return self.class_order[at],
+            Ok(at) => return self.classes_by_name[at],
             Err(at) => at,
         };
         let known = self.orgs.iter().find(|o| o.name == *org);
@@ -552,18 +556,18 @@
         });
         self.interference.grow(self.classes.len());
         let new = (self.classes.len() - 1) as u16;
-        self.class_order.insert(at, new);
+        self.classes_by_name.insert(at, new);
         new
     }
 
     /// Returns the index of a team, which is made if it is new.
     pub(super) fn team_index(&mut self, org: &Name, team: &Name, service: bool) -> u16 {
-        let found = self.team_order.binary_search_by(|i| {
+        let found = self.teams_by_name.binary_search_by(|i| {
             let t = &self.teams[usize::from(*i)];
             (&t.org, &t.team).cmp(&(org, team))
         });
         let at = match found {
-            Ok(at) => return self.team_order[at],
+            Ok(at) => return self.teams_by_name[at],
             Err(at) => at,
         };
         let count = u64::from(self.shard.count);
@@ -584,7 +588,7 @@
             },
         });
         let new = (self.teams.len() - 1) as u16;
-        self.team_order.insert(at, new);
+        self.teams_by_name.insert(at, new);
         new
     }
 }
--- a/crates/core/src/shard/services.rs
+++ b/crates/core/src/shard/services.rs
@@ -8,10 +8,10 @@
 };
 
 /// Starts the ids of jobs that are services; callers' ids can't contain it.
-const MARK: char = '@';
+const SERVICE_ID_PREFIX: char = '@';
 
 /// Failures are not counted for replicas.
-const UNLIMITED: u32 = u32::MAX / 8;
+const UNLIMITED_ATTEMPTS: u32 = u32::MAX / 8;
 
 impl ShardScheduler {
     /// Brings the replicas of every service to the number that the templates want.
@@ -24,17 +24,17 @@
         let orgs = self.orgs.clone();
         for org in &orgs {
             for service in &org.services {
-                self.set_service(now, org, service);
+                self.sync_service(now, org, service);
             }
         }
-        self.drop_services(now);
+        self.remove_services(now);
     }
 
-    fn set_service(&mut self, now: Millis, org: &Organisation, service: &Service) {
-        let tasks = share(service.replicas, self.shard.index, &self.worker_counts);
+    fn sync_service(&mut self, now: Millis, org: &Organisation, service: &Service) {
+        let tasks = replica_share(service.replicas, self.shard.index, &self.worker_counts);
         let key = service_key(&org.name, &service.name);
         let Some(job) = self.state.find(&key) else {
-            let spec = spec(key, service, tasks);
+            let spec = service_spec(key, service, tasks);
             self.append_record(now, Record::Submitted(spec), 0);
             return;
         };
@@ -45,8 +45,8 @@
     }
 
     /// Shrinks the services that no template has any more.
-    fn drop_services(&mut self, now: Millis) {
-        let mut gone = Vec::new();
+    fn remove_services(&mut self, now: Millis) {
+        let mut removed = Vec::new();
         for job in self.state.jobs() {
             if !job.spec.service || job.spec.tasks == 0 {
                 continue;
@@ -54,10 +54,10 @@
             let org = self.orgs.iter().find(|o| o.name == job.spec.key.org);
             let Some(org) = org else { continue };
             if org.service(&job.spec.kind).is_none() {
-                gone.push(job.number);
+                removed.push(job.number);
             }
         }
-        for job in gone {
+        for job in removed {
             self.append_record(now, Record::Resized { job, tasks: 0 }, 0);
         }
     }
@@ -67,24 +67,24 @@
 fn service_key(org: &Name, service: &Name) -> JobKey {
     JobKey {
         org: org.clone(),
-        id: format!("{MARK}{service}").into(),
+        id: format!("{SERVICE_ID_PREFIX}{service}").into(),
     }
 }
 
 /// Returns how many of `total` replicas fall to shard `index`, in proportion to
 /// the workers of the shards; all shares sum to `total`.
-fn share(total: u32, index: u32, counts: &[u32]) -> u32 {
-    let upto = |n: usize| counts.iter().take(n).map(|c| u64::from(*c)).sum::<u64>();
-    let all = upto(counts.len());
-    if all == 0 {
+fn replica_share(total: u32, index: u32, counts: &[u32]) -> u32 {
+    let workers_before = |n: usize| counts.iter().take(n).map(|c| u64::from(*c)).sum::<u64>();
+    let total_workers = workers_before(counts.len());
+    if total_workers == 0 {
         return 0;
     }
-    let cut = |n: usize| u64::from(total) * upto(n) / all;
+    let replicas_before = |n: usize| u64::from(total) * workers_before(n) / total_workers;
     let i = index as usize;
-    (cut(i + 1) - cut(i)) as u32
+    (replicas_before(i + 1) - replicas_before(i)) as u32
 }
 
-fn spec(key: JobKey, service: &Service, tasks: u32) -> JobSpec {
+fn service_spec(key: JobKey, service: &Service, tasks: u32) -> JobSpec {
     JobSpec {
         key,
         kind: service.name.clone(),
@@ -94,7 +94,7 @@
         run_time: 0,
         priority: Priority::Urgent,
         checkpoint: false,
-        attempts: UNLIMITED,
+        attempts: UNLIMITED_ATTEMPTS,
         service: true,
     }
 }
--- a/crates/core/src/shard/state.rs
+++ b/crates/core/src/shard/state.rs
@@ -6,11 +6,11 @@
 use crate::{name::Name, size::Size};
 
 /// Attempts lost with their workers after which a task has failed for good.
-const MAX_LOST: u32 = 20;
+const MAX_LOST_ATTEMPTS: u32 = 20;
 
 /// Failures for each allowed worker after which a task has failed for good,
 /// where the shard has too few workers to try.
-const FAILS_PER_WORKER: usize = 4;
+const MAX_FAILURES_PER_WORKER: usize = 4;
 
 /// What applying a record changed, for the soft state to follow.
 #[derive(Debug, Clone, PartialEq)]
@@ -49,9 +49,10 @@
 
 /// Position of a job by its caller's id.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Entry {
+struct JobIndexEntry {
     key: JobKey,
-    no: u32,
+    #[serde(rename = "no")]
+    number: u32,
 }
 
 /// Every job of a shard that has not left it.
@@ -60,7 +61,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardState {
     jobs: Vec<Job>,
-    keys: Vec<Entry>,
+    keys: Vec<JobIndexEntry>,
     next: u32,
 }
 
@@ -71,15 +72,15 @@
     }
 
     /// Returns the job with this number.
-    pub fn job(&self, no: u32) -> Option<&Job> {
-        let i = self.jobs.binary_search_by_key(&no, |j| j.number).ok()?;
+    pub fn job(&self, number: u32) -> Option<&Job> {
+        let i = self.jobs.binary_search_by_key(&number, |j| j.number).ok()?;
         Some(&self.jobs[i])
     }
 
     /// Returns the job with this key.
     pub fn find(&self, key: &JobKey) -> Option<&Job> {
         let i = self.keys.binary_search_by(|e| e.key.cmp(key)).ok()?;
-        self.job(self.keys[i].no)
+        self.job(self.keys[i].number)
     }
 
     /// Returns the number that the next submitted job gets.
@@ -99,47 +100,49 @@
 
     /// Applies a record and returns what it changed; unknown subjects change nothing.
     pub fn apply(&mut self, record: &Record) -> Vec<Effect> {
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         match record {
-            Record::Submitted(spec) => self.submit(spec, &mut out),
-            Record::Rejected { job, reason } => self.reject(*job, reason, &mut out),
+            Record::Submitted(spec) => self.submit(spec, &mut effects),
+            Record::Rejected { job, reason } => self.reject(*job, reason, &mut effects),
             Record::Started {
                 attempt,
                 worker,
                 size,
-            } => self.start(*attempt, worker, size, &mut out),
-            Record::Ended { attempt, end } => self.end(*attempt, *end, &mut out),
-            Record::Cancelled { job } => self.cancel(*job, &mut out),
-            Record::Resized { job, tasks } => self.resize(*job, *tasks, &mut out),
+            } => self.start(*attempt, worker, size, &mut effects),
+            Record::Ended { attempt, end } => self.end(*attempt, *end, &mut effects),
+            Record::Cancelled { job } => self.cancel(*job, &mut effects),
+            Record::Resized { job, tasks } => self.resize(*job, *tasks, &mut effects),
             Record::Closed { job } => self.close(*job),
         }
-        out
+        effects
     }
 
-    fn job_mut(&mut self, no: u32) -> Option<&mut Job> {
-        let i = self.jobs.binary_search_by_key(&no, |j| j.number).ok()?;
+    fn job_mut(&mut self, number: u32) -> Option<&mut Job> {
+        let i = self.jobs.binary_search_by_key(&number, |j| j.number).ok()?;
         Some(&mut self.jobs[i])
     }
 
-    fn submit(&mut self, spec: &JobSpec, out: &mut Vec<Effect>) {
+    fn submit(&mut self, spec: &JobSpec, effects: &mut Vec<Effect>) {
         let Err(i) = self.keys.binary_search_by(|e| e.key.cmp(&spec.key)) else {
             return;
         };
-        let no = self.next;
+        let number = self.next;
         self.next += 1;
         let key = spec.key.clone();
-        self.keys.insert(i, Entry { key, no });
-        self.jobs.push(Job::new(no, spec.clone()));
+        self.keys.insert(i, JobIndexEntry { key, number });
+        self.jobs.push(Job::new(number, spec.clone()));
         for task in 0..spec.tasks {
-            out.push(Effect::Queued(TaskRef { job: no, task }));
+            effects.push(Effect::Queued(TaskRef { job: number, task }));
         }
         if spec.tasks == 0 && !spec.service {
-            out.push(Effect::Finished { job: no });
+            effects.push(Effect::Finished { job: number });
         }
     }
 
-    fn reject(&mut self, no: u32, reason: &Name, out: &mut Vec<Effect>) {
-        let Some(job) = self.job_mut(no) else { return };
+    fn reject(&mut self, number: u32, reason: &Name, effects: &mut Vec<Effect>) {
+        let Some(job) = self.job_mut(number) else {
+            return;
+        };
         for task in &mut job.tasks {
             if task.state != TaskState::Queued {
                 continue;
@@ -149,11 +152,11 @@
         }
         job.reason = Some(reason.clone());
         if job.open_tasks == 0 {
-            out.push(Effect::Finished { job: no });
+            effects.push(Effect::Finished { job: number });
         }
     }
 
-    fn start(&mut self, id: AttemptId, worker: &Name, size: &Size, out: &mut Vec<Effect>) {
+    fn start(&mut self, id: AttemptId, worker: &Name, size: &Size, effects: &mut Vec<Effect>) {
         let Some(job) = self.job_mut(id.job) else {
             return;
         };
@@ -162,19 +165,19 @@
         };
         task.state = TaskState::Active(worker.clone());
         task.attempt = id.attempt;
-        out.push(Effect::Reserved {
+        effects.push(Effect::Reserved {
             attempt: id,
             worker: worker.clone(),
             size: *size,
         });
     }
 
-    fn end(&mut self, id: AttemptId, end: End, out: &mut Vec<Effect>) {
+    fn end(&mut self, id: AttemptId, end: End, effects: &mut Vec<Effect>) {
         let Some((_, _, worker)) = self.active_task(id) else {
             return;
         };
         let worker = worker.clone();
-        out.push(Effect::Freed {
+        effects.push(Effect::Freed {
             attempt: id,
             worker: worker.clone(),
         });
@@ -183,8 +186,8 @@
         };
         let service = job.spec.service;
         let attempts = job.spec.attempts as usize;
-        let dropped = service && id.task >= job.spec.tasks;
-        let cancelled = job.cancelled || dropped;
+        let is_removed = service && id.task >= job.spec.tasks;
+        let cancelled = job.cancelled || is_removed;
         let task = &mut job.tasks[id.task as usize];
         task.state = match end {
             End::Done if !service => TaskState::Done,
@@ -194,10 +197,10 @@
                     task.failed_on.insert(i, worker);
                 }
                 task.failures += 1;
-                let spread = task.failed_on.len() >= attempts;
-                let tired = task.failures as usize >= attempts * FAILS_PER_WORKER;
-                let last = !service && (spread || tired);
-                if last {
+                let tried_all_workers = task.failed_on.len() >= attempts;
+                let failed_too_often = task.failures as usize >= attempts * MAX_FAILURES_PER_WORKER;
+                let is_final = !service && (tried_all_workers || failed_too_often);
+                if is_final {
                     TaskState::Failed
                 } else {
                     TaskState::Queued
@@ -205,8 +208,8 @@
             }
             End::Lost => {
                 task.lost_attempts += 1;
-                let last = !service && task.lost_attempts >= MAX_LOST;
-                if last {
+                let is_final = !service && task.lost_attempts >= MAX_LOST_ATTEMPTS;
+                if is_final {
                     TaskState::Failed
                 } else {
                     TaskState::Queued
@@ -227,7 +230,7 @@
             task.state = TaskState::Cancelled;
         }
         if task.state == TaskState::Queued {
-            out.push(Effect::Queued(TaskRef {
+            effects.push(Effect::Queued(TaskRef {
                 job: id.job,
                 task: id.task,
             }));
@@ -235,26 +238,30 @@
         }
         job.open_tasks -= 1;
         if job.open_tasks == 0 {
-            out.push(Effect::Finished { job: id.job });
+            effects.push(Effect::Finished { job: id.job });
         }
     }
 
-    fn cancel(&mut self, no: u32, out: &mut Vec<Effect>) {
-        let Some(job) = self.job_mut(no) else { return };
+    fn cancel(&mut self, number: u32, effects: &mut Vec<Effect>) {
+        let Some(job) = self.job_mut(number) else {
+            return;
+        };
         if job.cancelled || job.open_tasks == 0 {
             return;
         }
         job.cancelled = true;
-        drop_tasks(job, 0, out);
+        cancel_tasks(job, 0, effects);
         if job.open_tasks == 0 {
-            out.push(Effect::Finished { job: no });
+            effects.push(Effect::Finished { job: number });
         }
     }
 
-    fn resize(&mut self, no: u32, tasks: u32, out: &mut Vec<Effect>) {
-        let Some(job) = self.job_mut(no) else { return };
+    fn resize(&mut self, number: u32, tasks: u32, effects: &mut Vec<Effect>) {
+        let Some(job) = self.job_mut(number) else {
+            return;
+        };
         job.spec.tasks = tasks;
-        drop_tasks(job, tasks, out);
+        cancel_tasks(job, tasks, effects);
         for i in 0..tasks {
             let known = (i as usize) < job.tasks.len();
             if !known {
@@ -265,12 +272,15 @@
                 continue;
             }
             job.open_tasks += 1;
-            out.push(Effect::Queued(TaskRef { job: no, task: i }));
+            effects.push(Effect::Queued(TaskRef {
+                job: number,
+                task: i,
+            }));
         }
     }
 
-    fn close(&mut self, no: u32) {
-        let Ok(i) = self.jobs.binary_search_by_key(&no, |j| j.number) else {
+    fn close(&mut self, number: u32) {
+        let Ok(i) = self.jobs.binary_search_by_key(&number, |j| j.number) else {
             return;
         };
         let job = self.jobs.remove(i);
@@ -281,14 +291,14 @@
 }
 
 /// Cancels the queued tasks from index `from` on and marks active ones unwanted.
-fn drop_tasks(job: &mut Job, from: u32, out: &mut Vec<Effect>) {
+fn cancel_tasks(job: &mut Job, from: u32, effects: &mut Vec<Effect>) {
     for (i, task) in job.tasks.iter_mut().enumerate().skip(from as usize) {
         match &task.state {
             TaskState::Queued => {
                 task.state = TaskState::Cancelled;
                 job.open_tasks -= 1;
             }
-            TaskState::Active(worker) => out.push(Effect::StopRequested {
+            TaskState::Active(worker) => effects.push(Effect::StopRequested {
                 attempt: AttemptId {
                     job: job.number,
                     task: i as u32,
--- a/crates/core/src/shard/status.rs
+++ b/crates/core/src/shard/status.rs
@@ -124,7 +124,7 @@
 impl ShardScheduler {
     /// Returns a number that grows with each change of [`ShardScheduler::targets`].
     pub fn targets_version(&self) -> u64 {
-        self.targets
+        self.targets_version
     }
 
     /// Returns the replicas that may be sent requests.
--- a/crates/core/src/shard/worker.rs
+++ b/crates/core/src/shard/worker.rs
@@ -103,7 +103,7 @@
     /// Returns a worker that was never heard of.
     ///
     /// `basis` is the latest time at which an earlier owner may have renewed.
-    pub fn new(info: &WorkerInfo, now: Millis, basis: Millis) -> Worker {
+    pub fn new(info: &WorkerInfo, now: Millis, lease_start: Millis) -> Worker {
         Worker {
             name: info.name.clone(),
             rack: info.rack.clone(),
@@ -122,7 +122,7 @@
             boot: 0,
             last_clock: 0,
             last_clock_at: 0,
-            lease_start: basis,
+            lease_start,
             dirty: true,
             acks: Vec::new(),
             unknown_attempts: Vec::new(),
@@ -152,10 +152,10 @@
     ///
     /// After a quarantine it gets one task at a time until one is done.
     pub fn accepts_tasks(&self, now: Millis) -> bool {
-        let well = self.health == Health::Good && self.listed && !self.leaving;
-        let probing = self.allocations.iter().any(|r| !r.service);
-        let trusted = self.quarantines == 0 || (now >= self.quarantined_until && !probing);
-        well && trusted && self.unknown_attempts.is_empty()
+        let is_healthy = self.health == Health::Good && self.listed && !self.leaving;
+        let has_task = self.allocations.iter().any(|r| !r.service);
+        let is_trusted = self.quarantines == 0 || (now >= self.quarantined_until && !has_task);
+        is_healthy && is_trusted && self.unknown_attempts.is_empty()
     }
 
     /// Counts the end of a task of `class`.
@@ -172,11 +172,11 @@
                 i
             }
         };
-        let tally = &mut self.class_stats[i];
+        let stats = &mut self.class_stats[i];
         if done {
-            tally.done += 1;
+            stats.done += 1;
         } else {
-            tally.failed += 1;
+            stats.failed += 1;
         }
     }
 
@@ -210,15 +210,15 @@
     }
 
     /// Adds a resident and reserves its room.
-    pub fn add(&mut self, resident: Allocation) {
+    pub fn add(&mut self, allocation: Allocation) {
         let Err(i) = self
             .allocations
-            .binary_search_by_key(&resident.attempt, |r| r.attempt)
+            .binary_search_by_key(&allocation.attempt, |r| r.attempt)
         else {
             return;
         };
-        self.reserved = self.reserved.saturating_add(&resident.size);
-        self.allocations.insert(i, resident);
+        self.reserved = self.reserved.saturating_add(&allocation.size);
+        self.allocations.insert(i, allocation);
         self.dirty = true;
     }
 
@@ -228,8 +228,8 @@
             .allocations
             .binary_search_by_key(&id, |r| r.attempt)
             .ok()?;
-        let resident = self.allocations.remove(i);
-        self.reserved = self.reserved.saturating_sub(&resident.size);
-        Some(resident)
+        let allocation = self.allocations.remove(i);
+        self.reserved = self.reserved.saturating_sub(&allocation.size);
+        Some(allocation)
     }
 }
