--- a/crates/core/src/placement/band.rs
+++ b/crates/core/src/placement/band.rs
@@ -1,14 +1,14 @@
-//! Load bands.
+//! Bands of a worker's load.
 
 /// Number of bands.
 pub const BAND_COUNT: usize = 3;
 
-/// A band of a worker's load; interference differs between them.
+/// A band of a worker's load; interference is learned separately for each band.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Band(pub usize);
 
 impl Band {
-    /// Returns the band of a load from 0 to 1.
+    /// Returns the band of a load, where 0 is idle and 1 is fully reserved.
     pub fn of(load: f64) -> Band {
         if load < 0.5 {
             Band(0)
--- a/crates/core/src/placement/history.rs
+++ b/crates/core/src/placement/history.rs
@@ -1,16 +1,16 @@
-//! What ran on a worker and when, by the worker's clock.
+//! History of the attempts on a worker, by the worker's clock.
 
 use crate::{Millis, shard::AttemptId};
 
-/// How long an interval is kept after its end.
+/// How long an interval is kept after its end, since samples arrive late.
 const RETENTION_MS: Millis = 60_000;
 
-/// An attempt that ran at a time.
+/// An attempt that ran on the worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoRunner {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Class of its job.
+    /// Index of the class of its job.
     pub class: u16,
 }
 
@@ -21,14 +21,14 @@
     to: Option<Millis>,
 }
 
-/// Intervals in which attempts ran; late samples are matched against them.
+/// Intervals in which attempts ran, to match late samples with the attempts of that time.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     intervals: Vec<Interval>,
 }
 
 impl History {
-    /// Notes that an attempt runs from `at` on; a repeated note changes nothing.
+    /// Records that an attempt runs from `at` on; has no effect if the attempt is already recorded.
     pub fn begin(&mut self, co_runner: CoRunner, at: Millis) {
         let known = self
             .intervals
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Notes that an attempt no longer runs, and forgets old intervals.
+    /// Records that an attempt ended at `at`, and removes old intervals.
     pub fn end(&mut self, attempt: AttemptId, at: Millis) {
         for i in &mut self.intervals {
             if i.co_runner.attempt == attempt && i.to.is_none() {
@@ -54,7 +54,7 @@
         self.intervals.retain(|i| i.to.is_none_or(|t| t >= start));
     }
 
-    /// Forgets everything, since the worker's clock started anew.
+    /// Removes all intervals; needed when the worker's clock restarts.
     pub fn clear(&mut self) {
         self.intervals.clear();
     }
--- a/crates/core/src/placement/interference.rs
+++ b/crates/core/src/placement/interference.rs
@@ -1,10 +1,9 @@
 //! Interference between ordered pairs of classes, learned from samples.
 //!
-//! The slowdown of a task is modelled as the sum of what each of its
-//! neighbours adds. Each sample moves the terms of the neighbours that ran
-//! when it was measured by a share of the error (normalised least mean
-//! squares). Evidence decays, so that a shift is learned within a few
-//! half-lives; a term without evidence falls back to other bands and then to a
+//! The slowdown of a task is modelled as the sum of the slowdowns that its neighbours add. Each
+//! sample moves the terms of the neighbours that ran when it was measured by a share of the error
+//! (normalised least mean squares). Evidence decays exponentially, so that a change of behaviour is
+//! learned within a few half-lives. A term without evidence falls back to other bands and then to a
 //! prior.
 
 use super::{BAND_COUNT, Band};
@@ -13,24 +12,24 @@
 /// Half-life of evidence.
 const HALF_LIFE_MS: f64 = 30_000.0;
 
-/// Smallest learning rate, so that shifts are followed.
+/// Minimum learning rate, so that changes of behaviour are followed.
 const MIN_LEARNING_RATE: f32 = 0.08;
 
-/// Most that one neighbour is taken to add.
+/// Maximum slowdown that one neighbour adds.
 const MAX_ADDED_SLOWDOWN: f32 = 4.0;
 
-/// Evidence below which a term counts as unknown.
+/// Evidence below which a term is unknown.
 const MIN_EVIDENCE: f32 = 0.5;
 
-/// What an unknown neighbour is taken to add.
+/// Slowdown that an unknown neighbour is assumed to add.
 const PRIOR_ADDED_SLOWDOWN: f32 = 0.08;
 
-/// What a neighbour adds to a slowdown.
+/// Estimate of the slowdown that a neighbour adds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
-    /// Added slowdown; 0.5 means half as slow again.
+    /// Added slowdown; 0.5 means that the task takes 50% longer.
     pub added_slowdown: f32,
-    /// Whether there is evidence.
+    /// Whether the estimate is based on samples instead of the prior.
     pub known: bool,
 }
 
@@ -48,7 +47,7 @@
     }
 }
 
-/// The learned table; grows with the number of classes squared.
+/// Learned table of added slowdowns; its size is quadratic in the number of classes.
 #[derive(Debug, Clone, Default)]
 pub struct InterferenceModel {
     classes: usize,
@@ -56,7 +55,7 @@
 }
 
 impl InterferenceModel {
-    /// Makes room for `classes` classes and keeps what was learned.
+    /// Grows the table to `classes` classes and keeps learned terms.
     pub fn grow(&mut self, classes: usize) {
         if classes <= self.classes {
             return;
@@ -78,9 +77,9 @@
         (usize::from(victim) * self.classes + usize::from(other)) * BAND_COUNT + band.0
     }
 
-    /// Returns what `other` adds to the slowdown of `victim`.
+    /// Returns the estimated slowdown that `other` adds to `victim`.
     ///
-    /// The age of evidence does not count here, only when it is replaced.
+    /// Evidence decays only when a sample updates its term, so old evidence still counts here.
     pub fn estimate(&self, victim: u16, other: u16, band: Band) -> Estimate {
         let base = self.index(victim, other, Band(0));
         let cells = &self.cells[base..base + BAND_COUNT];
@@ -104,7 +103,7 @@
         }
     }
 
-    /// Sets a term as if it were known for certain.
+    /// Sets a term with maximum evidence.
     pub fn set(&mut self, victim: u16, other: u16, band: Band, added_slowdown: f32) {
         let i = self.index(victim, other, band);
         self.cells[i] = Cell {
@@ -114,7 +113,8 @@
         };
     }
 
-    /// Learns from one sample: `slow` is 1 for a task as fast as alone.
+    /// Learns from one sample; a `slowdown` of 1 means that the task is as fast as when it runs
+    /// alone.
     pub fn learn(&mut self, victim: u16, others: &[u16], band: Band, slowdown: f32, now: Millis) {
         if others.is_empty() || !slowdown.is_finite() {
             return;
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Choosing places: policies, and what was learned of interference.
+//! Placement policies and the learned interference model.
 
 mod band;
 mod history;
--- a/crates/core/src/placement/policy.rs
+++ b/crates/core/src/placement/policy.rs
@@ -1,16 +1,16 @@
-//! Policies for choosing a worker.
+//! Placement policies.
 
 use serde::{Deserialize, Serialize};
 
-/// How a worker is chosen among those with room.
+/// Policy for the choice among the workers with room for a task.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacementPolicy {
-    /// Any worker with room; a baseline.
+    /// A random worker; a baseline.
     Random,
     /// The worker with the lowest load; a baseline.
     LeastLoaded,
-    /// The worker with the lowest expected interference and load.
+    /// The worker with the lowest weighted sum of expected interference and load.
     #[default]
     Interference,
 }
--- a/crates/core/src/shard/action.rs
+++ b/crates/core/src/shard/action.rs
@@ -1,4 +1,4 @@
-//! What a shard's machine wants done.
+//! Actions that a shard's scheduler requests from its owner.
 
 use std::net::SocketAddr;
 
@@ -7,24 +7,24 @@
 use super::{JobSpec, JobStatus, Record, WorkerRequest};
 use crate::name::Name;
 
-/// A job without open tasks.
+/// A job without open tasks, as it is reported to the owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FinishedJob {
-    /// The job.
+    /// Specification of the job.
     pub spec: JobSpec,
-    /// Its last state.
+    /// Final status.
     pub status: JobStatus,
-    /// Number in its shard.
+    /// Number of the job in its shard.
     #[serde(rename = "no")]
     pub number: u32,
-    /// Attempts of each task, if they may have written checkpoints.
+    /// Latest attempt of each task if the tasks can write checkpoints, else empty.
     pub attempts: Vec<u32>,
 }
 
-/// An action of a shard's machine.
+/// An action that the owner carries out for a shard's scheduler.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Append these records to the journal, in order.
+    /// Append records to the journal, in order.
     Append {
         /// Number of the first record.
         first: u64,
@@ -33,7 +33,7 @@
         /// Jobs that these records finish.
         finished: Vec<FinishedJob>,
     },
-    /// Send this request to a worker.
+    /// Send a request to a worker.
     Exchange {
         /// The worker.
         worker: Name,
@@ -42,7 +42,7 @@
         /// The request.
         request: WorkerRequest,
     },
-    /// A worker knows a newer epoch: check the ownership.
+    /// A worker reported a newer epoch; the owner has to check its ownership.
     Fenced {
         /// The newer epoch.
         epoch: u64,
--- a/crates/core/src/shard/allocation.rs
+++ b/crates/core/src/shard/allocation.rs
@@ -1,18 +1,18 @@
-//! Attempts that hold room on a worker.
+//! Attempts that reserve resources on a worker.
 
 use super::AttemptId;
 use crate::{Millis, size::Size, template::Priority};
 
-/// Why an attempt is to stop.
+/// Why an attempt has to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
     /// Its job was cancelled or its service shrank.
     Cancelled,
-    /// It makes room for an urgent task.
+    /// It was preempted for an urgent task.
     Preempted,
-    /// It slows others too much.
+    /// It slows services on its worker too much.
     Noisy,
-    /// Its worker leaves.
+    /// Its worker is leaving.
     Leaving,
 }
 
@@ -21,30 +21,30 @@
 pub struct Allocation {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Room that is reserved.
+    /// Resources that are reserved.
     pub size: Size,
-    /// Class of its job.
+    /// Index of the class of its job.
     pub class: u16,
     /// Priority.
     pub priority: Priority,
     /// Whether it is a replica of a service.
     pub service: bool,
-    /// How long it goes on without the table service.
+    /// Grace time for which its lease is renewed without the table service.
     pub hold: Millis,
-    /// Number of the record that started it; sent when that is committed.
+    /// Number of the record that started it; the start is sent once that record is committed.
     pub start_record: u64,
-    /// First exchange that carried the start.
+    /// Number of the first exchange that carried the start.
     pub sent_seq: Option<u64>,
     /// Whether the worker reported it as running.
     pub is_running: bool,
-    /// When its start was recorded, by the owner's clock.
+    /// When it was reported as running, or else when its start was recorded, by the owner's clock.
     pub since: Millis,
-    /// Why it is to stop, if it is.
+    /// Why it has to stop; `None` if it may continue.
     pub stop: Option<StopReason>,
-    /// Share of its processors in hundredths.
+    /// Percentage of its CPU that it may use; 100 is not throttled.
     pub cpu_percent: u32,
-    /// How much slower than alone it was at the last sample; 1 is not slowed.
+    /// Running mean of its slowdown relative to running alone; 1 is not slowed.
     pub slowdown: f32,
-    /// When it was last throttled or released, by the owner's clock.
+    /// When its throttle last changed, by the owner's clock; 0 if it never did.
     pub throttle_changed_at: Millis,
 }
--- a/crates/core/src/shard/answer.rs
+++ b/crates/core/src/shard/answer.rs
@@ -1,4 +1,4 @@
-//! What workers answer.
+//! Handling of workers' answers to exchanges.
 
 use super::{
     Action, End, ExchangeRefusal, Health, ShardScheduler, StopReason, WorkerAnswer, WorkerEnd,
@@ -6,7 +6,9 @@
 use crate::{Millis, name::Name, placement::CoRunner};
 
 impl ShardScheduler {
-    /// Takes a worker's answer.
+    /// Handles a worker's answer to an exchange.
+    ///
+    /// Answers that were overtaken by a newer one of the same boot are ignored.
     pub(super) fn handle_answer(&mut self, now: Millis, worker: &Name, answer: &WorkerAnswer) {
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
             return;
@@ -34,7 +36,7 @@
         self.learn_from_samples(now, i, answer);
     }
 
-    /// Takes note that an exchange has no answer.
+    /// Handles an exchange that got no answer.
     pub(super) fn handle_no_answer(&mut self, worker: &Name, seq: u64) {
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
             return;
@@ -115,7 +117,8 @@
         self.placement_due |= had_unknown && w.unknown_attempts.is_empty();
     }
 
-    /// Ends the attempts that the worker should have and does not have.
+    /// Ends the attempts that were sent to the worker but neither run there nor were reported as
+    /// ended.
     fn end_missing(&mut self, now: Millis, i: usize, answer: &WorkerAnswer) {
         let mut missing = Vec::new();
         for r in &self.workers[i].allocations {
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Ends the attempts that are to stop and were never sent.
+    /// Ends the attempts that have to stop and whose start was never sent.
     pub(super) fn end_unsent(&mut self, now: Millis, i: usize) {
         let mut unsent = Vec::new();
         for r in &self.workers[i].allocations {
--- a/crates/core/src/shard/attempt.rs
+++ b/crates/core/src/shard/attempt.rs
@@ -1,4 +1,4 @@
-//! Identity of one attempt to run a task.
+//! Identifier of one attempt to run a task.
 
 use std::fmt;
 
@@ -8,13 +8,13 @@
     ser::SerializeTuple,
 };
 
-/// Number of parts.
+/// Number of fields of an [`AttemptId`].
 const PARTS: usize = 3;
 
-/// One attempt of one task; unique in its shard for all time.
+/// Identifier of one attempt of one task; never reused in its shard.
 ///
-/// Written as a tuple of its fields, since it stands in every record, exchange
-/// and sample.
+/// Serialized as a tuple of its fields to keep records, exchanges and samples small, since each of
+/// them contains it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// Number of the job in its shard.
--- a/crates/core/src/shard/attempt_end.rs
+++ b/crates/core/src/shard/attempt_end.rs
@@ -1,18 +1,18 @@
-//! Ends of attempts, and whose fault a failure is.
+//! Ends of attempts: retry delays, and attribution of failures to workers or tasks.
 
 use super::{AttemptId, End, Record, ShardScheduler, TaskRef};
 use crate::Millis;
 
-/// Delay before a failed task runs again; doubles with each failure.
+/// Delay before a failed task is retried; doubles with each failure.
 const RETRY_DELAY_MS: Millis = 500;
 
-/// Longest delay before a failed task runs again.
+/// Longest delay before a failed task is retried.
 const MAX_RETRY_DELAY_MS: Millis = 60_000;
 
-/// Delay before a refused start is tried elsewhere.
+/// Delay before a task whose start was refused is queued again.
 const REFUSED_DELAY_MS: Millis = 100;
 
-/// Longest delay of a replica of a service.
+/// Longest delay before a failed replica of a service is retried.
 const MAX_REPLICA_DELAY_MS: Millis = 5_000;
 
 impl ShardScheduler {
@@ -40,10 +40,10 @@
         }
     }
 
-    /// Counts an end for or against the worker.
+    /// Counts the end of an attempt in the statistics and quarantines the worker if needed.
     ///
-    /// A failure counts against the worker only if tasks of the class do
-    /// mostly well elsewhere; otherwise it is the task's fault.
+    /// A failure counts against the worker only if tasks of the class mostly succeed on other
+    /// workers; otherwise it is attributed to the task.
     fn record_outcome(&mut self, now: Millis, i: usize, id: AttemptId, end: End) {
         let w = &self.workers[i];
         let Some(r) = w.allocation(id) else { return };
--- a/crates/core/src/shard/class.rs
+++ b/crates/core/src/shard/class.rs
@@ -1,8 +1,8 @@
-//! Classes of tasks: a kind of job or a service of an organisation.
+//! Classes of tasks: each kind of job and each service of an organisation is a class.
 
 use crate::{Millis, name::Name, size::Size, template::Weights};
 
-/// What a machine knows of a class.
+/// A class with its organisation's settings and its statistics.
 #[derive(Debug, Clone)]
 pub(super) struct TaskClass {
     pub org: Name,
@@ -11,7 +11,7 @@
     pub weights: Weights,
     pub hold: Millis,
     pub max_evictions: u32,
-    /// Most processors and memory that a task was seen to use.
+    /// Highest CPU and memory use in the samples of its tasks.
     pub peak_usage: Size,
     pub done: u64,
     pub failed: u64,
--- a/crates/core/src/shard/effects.rs
+++ b/crates/core/src/shard/effects.rs
@@ -1,4 +1,4 @@
-//! The soft state follows the book.
+//! Updates of the soft state after records change the shard state.
 
 use super::{
     Allocation, AttemptId, Effect, FinishedJob, JobStatus, ShardScheduler, StopReason, TaskRef,
@@ -6,7 +6,9 @@
 use crate::{Millis, name::Name, size::Size};
 
 impl ShardScheduler {
-    /// Brings the soft state in line with one effect of record `number`.
+    /// Updates the soft state for one effect of record `number`.
+    ///
+    /// A task that the effect queues becomes ready after `delay`.
     pub(super) fn apply_effect(&mut self, now: Millis, effect: Effect, number: u64, delay: Millis) {
         match effect {
             Effect::Queued(task) => self.enqueue(now, task, delay),
@@ -21,7 +23,7 @@
         }
     }
 
-    /// Puts a queued task into its lane.
+    /// Adds a queued task to the queue of its team, ready after `delay`.
     pub(super) fn enqueue(&mut self, now: Millis, task: TaskRef, delay: Millis) {
         let Some(job) = self.state.job(task.job) else {
             return;
@@ -37,7 +39,7 @@
         self.placement_due = true;
     }
 
-    /// Reserves room on a worker for an attempt.
+    /// Reserves resources on a worker for an attempt that record number `record` started.
     pub(super) fn reserve(
         &mut self,
         now: Millis,
@@ -142,7 +144,7 @@
             .push_back((now + self.settings.retention, job));
     }
 
-    /// Marks every task on a leaving worker to be moved.
+    /// Requests a stop of every attempt on a leaving worker, so that its tasks are moved.
     pub(super) fn drain_worker(&mut self, i: usize) {
         let w = &mut self.workers[i];
         for r in &mut w.allocations {
--- a/crates/core/src/shard/event.rs
+++ b/crates/core/src/shard/event.rs
@@ -1,4 +1,4 @@
-//! What a shard's machine is told.
+//! Events that a shard's scheduler handles.
 
 use std::sync::Arc;
 
@@ -7,21 +7,21 @@
 use super::{JobKey, JobSpec, WorkerAnswer, WorkerInfo};
 use crate::{Millis, name::Name, template::Organisation};
 
-/// An event for a shard's machine.
+/// An event for a shard's scheduler.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// The templates in force.
+    /// The current templates of all organisations.
     Organisations(Vec<Arc<Organisation>>),
-    /// The workers, by the membership list.
+    /// The workers in the membership list.
     Workers {
         /// The workers of the shard.
         list: Vec<WorkerInfo>,
-        /// Number of workers that stay, by index of the shard.
+        /// Number of workers that are not leaving, by index of the shard.
         counts: Vec<u32>,
     },
-    /// Jobs found in the inbox.
+    /// Jobs from the inbox of the shard.
     Submit(Vec<JobSpec>),
-    /// Jobs that their callers cancelled.
+    /// Keys of jobs that their callers cancelled.
     Cancel(Vec<JobKey>),
     /// A worker answered an exchange.
     Answer {
@@ -30,19 +30,18 @@
         /// Its answer.
         answer: WorkerAnswer,
     },
-    /// An exchange has no answer.
+    /// An exchange got no answer.
     NoAnswer {
         /// The worker.
         worker: Name,
         /// Number of the exchange.
         seq: u64,
     },
-    /// Records up to this number are in the journal.
+    /// Records below this number are in the journal.
     Committed(u64),
-    /// The table service answered, and the shard's row now states this hold in
-    /// milliseconds.
+    /// The table service answered; the shard's row now contains this hold in milliseconds.
     StoreSeen(Millis),
-    /// No earlier owner renews leases any more.
+    /// No earlier owner can renew leases any more.
     Settled,
     /// Time passed.
     Tick,
--- a/crates/core/src/shard/exchange.rs
+++ b/crates/core/src/shard/exchange.rs
@@ -1,13 +1,12 @@
 //! The exchange between a shard's owner and a worker.
 //!
-//! The owner states all it wants of a worker; the worker answers with all it
-//! has. Repeating an exchange changes nothing. One exchange renews every lease
-//! on the worker, except those listed in `lapse`.
+//! The owner sends the complete desired state of a worker, and the worker answers with its complete
+//! actual state, so exchanges are idempotent. One exchange renews every lease on the worker, except
+//! those listed in `lapse`.
 //!
-//! A lease ends at `echo + lease` on the worker's own clock, where `echo` is
-//! the clock reading in an earlier answer. A request that was delayed, in the
-//! network or while a process was paused, therefore can't extend a lease
-//! beyond what its sender counted on.
+//! A lease ends at `echo + lease` on the worker's own clock, where `echo` is the clock reading in
+//! an earlier answer. A request that was delayed in the network or by a paused process therefore
+//! can't extend a lease beyond the end that its sender assumes.
 
 use std::net::SocketAddr;
 
@@ -16,10 +15,10 @@
 use super::AttemptId;
 use crate::{Millis, name::Name, size::Size};
 
-/// A worker as the membership list and its own answers describe it.
+/// Description of a worker in the membership list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerInfo {
-    /// Name, unique in the fleet.
+    /// Name, unique among all workers.
     pub name: Name,
     /// Availability zone.
     pub zone: Name,
@@ -27,69 +26,69 @@
     pub rack: Name,
     /// Address for exchanges.
     pub addr: SocketAddr,
-    /// Address of the services on it.
+    /// Address at which the services on the worker receive requests.
     pub target: SocketAddr,
-    /// What it can hold.
+    /// Total resources.
     pub size: Size,
-    /// Whether it is about to leave.
+    /// Whether the worker is about to leave.
     pub leaving: bool,
 }
 
-/// A start that is wanted.
+/// Order to start an attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StartOrder {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Organisation, job and task, as callers know them.
+    /// Organisation, caller's job id and task index, separated by `/`.
     pub name: Name,
     /// Kind of job or service.
     pub kind: Name,
-    /// Room that is reserved for it.
+    /// Resources that are reserved for the attempt.
     pub size: Size,
-    /// Declared run time; 0 runs until stopped.
+    /// Declared run time; 0 if the attempt runs until it is stopped.
     #[serde(rename = "run")]
     pub run_time: Millis,
-    /// Key of the checkpoint to resume from, in the object store.
+    /// Object store key of the checkpoint to resume from.
     pub resume: Option<Name>,
-    /// Key to write checkpoints to; none if it can't write any.
+    /// Object store key for checkpoints; `None` if the task can't write any.
     pub checkpoint: Option<Name>,
     /// Whether it is a replica of a service.
     pub service: bool,
 }
 
-/// A stop that is wanted.
+/// Order to stop an attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StopOrder {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Whether to write a checkpoint first.
+    /// Whether to write a checkpoint before the stop.
     pub save: bool,
 }
 
-/// A limit on the processors of a task.
+/// Limit on the CPU use of an attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Throttle {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Share of its processors in hundredths; 100 lifts the limit.
+    /// Percentage of its CPU that the attempt may use; 100 removes the limit.
     #[serde(rename = "percent")]
     pub cpu_percent: u32,
 }
 
-/// What the owner wants of a worker.
+/// Request of a shard's owner: the desired state of a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerRequest {
     /// Shard.
     pub shard: Name,
-    /// Epoch of the shard's owner; older ones are refused.
+    /// Epoch of the shard's owner; requests of older epochs are refused.
     pub epoch: u64,
-    /// Number of the exchange within the epoch; older ones are refused.
+    /// Number of the exchange within the epoch; older exchanges are refused.
     pub seq: u64,
-    /// Boot of the worker that the owner knows; 0 before the first answer.
+    /// Worker's boot in the last answer; 0 before the first answer.
     pub boot: u64,
     /// Worker's clock in the last answer; 0 before the first answer.
     pub echo: Millis,
-    /// Lease from `echo` on.
+    /// Length of the lease, which starts at `echo`.
     pub lease: Millis,
     /// Whether to renew leases.
     pub renew: bool,
@@ -105,12 +104,12 @@
     pub acks: Vec<AttemptId>,
 }
 
-/// Why a worker did not take a request.
+/// Why a worker refused a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExchangeRefusal {
-    /// A newer epoch is known.
+    /// The worker has seen a newer epoch.
     OldEpoch,
-    /// A newer exchange was handled.
+    /// The worker has handled a newer exchange.
     OldSeq,
     /// The worker belongs to another shard.
     OtherShard,
@@ -121,18 +120,18 @@
 pub enum WorkerEnd {
     /// Finished.
     Done,
-    /// Failed by itself.
+    /// The task failed.
     Failed,
-    /// Stopped by order or because its lease lapsed.
+    /// Stopped by an order or because its lease lapsed.
     Stopped {
-        /// Whether it wrote a checkpoint.
+        /// Whether the attempt wrote a checkpoint.
         saved: bool,
     },
-    /// The start was refused: no room, or a lease that would have lapsed.
+    /// The start was refused for lack of resources or because its lease would already have lapsed.
     Refused,
 }
 
-/// An attempt that ended and was not acknowledged yet.
+/// Report of an ended attempt; repeated until the owner acknowledges it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndReport {
     /// The attempt.
@@ -141,41 +140,41 @@
     pub end: WorkerEnd,
 }
 
-/// A late measurement of one attempt.
+/// Measurement of one attempt, reported with a delay.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
     /// The attempt.
     pub attempt: AttemptId,
     /// When it was measured, by the worker's clock.
     pub at: Millis,
-    /// How much slower than alone, in thousandths; 1000 is not slowed.
+    /// Slowdown relative to running alone, in thousandths; 1000 is not slowed.
     #[serde(rename = "slow")]
     pub slowdown_permille: u32,
-    /// Processors and memory in use.
+    /// CPU and memory in use.
     pub used: Size,
 }
 
-/// What a worker has.
+/// Answer of a worker: its actual state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerAnswer {
-    /// Newest epoch that the worker knows.
+    /// Newest epoch that the worker has seen.
     pub epoch: u64,
-    /// Number of the exchange that this answers.
+    /// Number of the exchange that the answer belongs to.
     pub seq: u64,
-    /// Why the request was not taken, if it was not.
+    /// Why the request was refused; `None` if it was carried out.
     pub refused: Option<ExchangeRefusal>,
-    /// Changes whenever the worker starts anew.
+    /// Identifier of the worker process; changes with each restart.
     pub boot: u64,
-    /// Its clock in milliseconds.
+    /// Worker's clock in milliseconds.
     pub clock: Millis,
-    /// What it can hold.
+    /// Total resources.
     pub size: Size,
-    /// Whether it is about to leave.
+    /// Whether the worker is about to leave.
     pub leaving: bool,
-    /// Attempts that run.
+    /// Running attempts.
     pub running: Vec<AttemptId>,
-    /// Attempts that ended and were not acknowledged.
+    /// Ended attempts that are not acknowledged yet.
     pub ended: Vec<EndReport>,
-    /// Late measurements.
+    /// Measurements since the last answer, reported with a delay.
     pub samples: Vec<Sample>,
 }
--- a/crates/core/src/shard/exchanges.rs
+++ b/crates/core/src/shard/exchanges.rs
@@ -1,4 +1,4 @@
-//! What is sent to workers, and when.
+//! Creation and timing of the exchanges with the shard's workers.
 
 use super::{
     Action, Allocation, Health, JobSpec, ShardScheduler, StartOrder, StopOrder, StopReason, Task,
@@ -6,18 +6,18 @@
 };
 use crate::{Millis, name::Name};
 
-/// Least time between two exchanges with a worker.
+/// Minimum time between two exchanges with a worker.
 const MIN_EXCHANGE_GAP_MS: Millis = 10;
 
-/// Returns the key of the checkpoint that an attempt writes.
+/// Returns the object store key of the checkpoint that an attempt writes.
 pub fn checkpoint_key(shard: &str, job: u32, task: u32, attempt: u32) -> Name {
     format!("checkpoint/{shard}/{job}.{task}.{attempt}").into()
 }
 
 impl ShardScheduler {
-    /// Sends an exchange to each worker that is due.
+    /// Sends an exchange to each worker whose next one is due.
     ///
-    /// An exchange of which nothing is heard for long does not hold up the next.
+    /// An exchange that is unanswered for `silent_after` no longer delays the next one.
     pub(super) fn send_exchanges(&mut self, now: Millis) {
         for i in 0..self.workers.len() {
             let w = &self.workers[i];
@@ -80,7 +80,7 @@
         });
     }
 
-    /// Returns the attempts whose organisation's hold is over.
+    /// Returns the attempts whose hold is over; their leases are not renewed.
     fn lapsed_attempts(&self, now: Millis, w: &Worker) -> Vec<super::AttemptId> {
         let store_age = now.saturating_sub(self.store_seen_at);
         let mut out = Vec::new();
@@ -92,7 +92,9 @@
         out
     }
 
-    /// Returns the starts that are in the journal and not reported as running.
+    /// Returns the orders for attempts whose start is committed and not reported as running.
+    ///
+    /// An order is repeated until the worker reports the attempt.
     fn start_orders(&mut self, now: Millis, i: usize, seq: u64) -> Vec<StartOrder> {
         let (committed, cap) = (self.committed, self.hold_cap);
         let store_age = now.saturating_sub(self.store_seen_at);
--- a/crates/core/src/shard/job.rs
+++ b/crates/core/src/shard/job.rs
@@ -5,7 +5,7 @@
 use super::{Task, TaskState};
 use crate::{Millis, name::Name, size::Size, template::Priority};
 
-/// A job's organisation and its caller's id for it.
+/// Key of a job: its organisation and the caller's id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobKey {
     /// Organisation.
@@ -14,7 +14,7 @@
     pub id: Name,
 }
 
-/// A job as it was accepted; later changes of the template don't touch it.
+/// A job as it was accepted; later changes of the template don't affect it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// Organisation and id.
@@ -27,20 +27,20 @@
     pub tasks: u32,
     /// Declared size of a task.
     pub size: Size,
-    /// Declared run time of a task; 0 runs until it is cancelled.
+    /// Declared run time of a task; 0 if it runs until it is cancelled.
     #[serde(rename = "run")]
     pub run_time: Millis,
     /// Priority.
     pub priority: Priority,
     /// Whether tasks can write checkpoints.
     pub checkpoint: bool,
-    /// Failures after which a task has failed for good.
+    /// Number of distinct workers on which a task fails before it fails permanently.
     pub attempts: u32,
-    /// Whether the tasks are replicas of a service, which may run twice.
+    /// Whether the tasks are replicas of a service; a replica may run twice at a time.
     pub service: bool,
 }
 
-/// State of a job as its caller sees it.
+/// State of a job as reported to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
@@ -50,7 +50,7 @@
     Running,
     /// Every task is done.
     Done,
-    /// At least one task has failed for good and none is open.
+    /// At least one task failed permanently and none is open.
     Failed,
     /// Cancelled before every task was done.
     Cancelled,
@@ -59,19 +59,19 @@
 /// A job with its tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Number in its shard.
+    /// Number of the job in its shard.
     #[serde(rename = "no")]
     pub number: u32,
-    /// What was accepted.
+    /// Specification.
     pub spec: JobSpec,
     /// Tasks by index.
     pub tasks: Vec<Task>,
-    /// Tasks that are neither done, failed nor cancelled.
+    /// Number of tasks that are neither done, failed nor cancelled.
     #[serde(rename = "open")]
     pub open_tasks: u32,
     /// Whether its caller cancelled it.
     pub cancelled: bool,
-    /// Why it failed, if it did.
+    /// Why the job was rejected, if it was.
     pub reason: Option<Name>,
 }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns the state that its caller sees.
+    /// Returns the state that is reported to the caller.
     pub fn state(&self) -> JobState {
         if self.open_tasks == 0 {
             return self.final_state();
--- a/crates/core/src/shard/lease_expiry.rs
+++ b/crates/core/src/shard/lease_expiry.rs
@@ -1,13 +1,13 @@
-//! Workers that stop answering, and the ends of their leases.
+//! Detection of silent workers and expiry of their leases.
 
 use super::{AttemptId, End, Health, ShardScheduler};
 use crate::Millis;
 
-/// Share of a lease added for the difference of clock rates: one in this many.
+/// A lease is presumed longer by one part in this many, since clock rates differ.
 const CLOCK_DRIFT_DIVISOR: Millis = 100;
 
 impl ShardScheduler {
-    /// Marks silent workers and ends the attempts whose leases have lapsed.
+    /// Marks silent workers and ends the attempts on them whose leases have lapsed.
     pub(super) fn check_workers(&mut self, now: Millis) {
         for i in 0..self.workers.len() {
             let w = &mut self.workers[i];
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Ends the replicas on a silent worker, which may run twice.
+    /// Ends the replicas on a silent worker without waiting for their leases, since a replica may
+    /// run twice.
     fn end_replicas(&mut self, now: Millis, i: usize) {
         let ids = self.attempts_on(i, true);
         for id in ids {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Ends the other attempts once no owner's renewal can still hold.
+    /// Ends the other attempts once every lease that any owner may have renewed has lapsed.
     fn end_lapsed(&mut self, now: Millis, i: usize) {
         let lease = self.settings.lease;
         let lease_end = self.workers[i].lease_start
--- a/crates/core/src/shard/mitigation.rs
+++ b/crates/core/src/shard/mitigation.rs
@@ -1,42 +1,42 @@
-//! Noisy tasks: throttled, then evicted, then left alone.
+//! Mitigation of interference: noisy tasks are throttled, then evicted.
 //!
-//! Each step waits for the one before to show its effect. An eviction needs an
-//! expected gain above its cost, and is bounded for each task and each minute.
+//! An eviction follows only after the throttle had time to take effect. It needs an expected gain
+//! above its cost, and evictions are limited per task and per minute.
 
 use super::{AttemptId, ShardScheduler, StopReason};
 use crate::{Millis, placement::Band};
 
-/// Time between two looks at a worker.
+/// Time between two checks of the workers.
 const CHECK_INTERVAL_MS: Millis = 500;
 
-/// Slowdown of a service from which its neighbours are looked at.
+/// Slowdown of a service from which a neighbour is throttled or evicted.
 const HIGH_SLOWDOWN: f32 = 1.25;
 
-/// Slowdown of a service below which throttles are lifted.
+/// Slowdown of all services of a worker below which throttles are lifted.
 const LOW_SLOWDOWN: f32 = 1.08;
 
-/// Weighted gain from which a neighbour is throttled.
+/// Minimum weighted gain for a throttle.
 const MIN_THROTTLE_GAIN: f32 = 0.08;
 
-/// Weighted gain, above the weighted cost, from which a neighbour is evicted.
+/// Minimum excess of the weighted gain over the weighted cost for an eviction.
 const MIN_EVICTION_GAIN: f32 = 0.36;
 
-/// Share of its processors that a throttled task keeps, in hundredths.
+/// Percentage of its CPU that a throttled task keeps.
 const THROTTLED_CPU_PERCENT: u32 = 50;
 
-/// Time for which a throttle is watched before an eviction.
+/// Time that a throttle has to take effect before an eviction.
 const THROTTLE_TRIAL_MS: Millis = 3_000;
 
-/// Time after which a throttle may be lifted.
+/// Minimum duration of a throttle.
 const MIN_THROTTLE_MS: Millis = 5_000;
 
-/// Least run time of a task before it may be evicted.
+/// Minimum run time of a task before an eviction.
 const MIN_RUN_MS: Millis = 1_000;
 
 const MINUTE_MS: Millis = 60_000;
 
 impl ShardScheduler {
-    /// Looks for tasks that slow services and acts on the worst of each worker.
+    /// Throttles or evicts the noisiest task of each worker whose services are slowed.
     pub(super) fn limit_interference(&mut self, now: Millis) {
         if now < self.interference_checked_at + CHECK_INTERVAL_MS {
             return;
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Returns the task that slows the services on a worker most, and by how
-    /// much, weighted by those who bear it.
+    /// Returns the task that slows the services on a worker most, and the sum of the slowdowns that
+    /// it adds, weighted by the classes of the services.
     fn noisiest(&self, i: usize) -> Option<(AttemptId, f32)> {
         let w = &self.workers[i];
         let band = Band::of(w.reserved.load(&w.capacity));
--- a/crates/core/src/shard/mod.rs
+++ b/crates/core/src/shard/mod.rs
@@ -1,13 +1,13 @@
 //! A shard: a set of workers with the tasks that run there or wait for them.
 //!
-//! One owner at a time runs the [`ShardScheduler`] of a shard. What must last is the
-//! [`ShardState`], changed only by [`Record`]s that the owner appends to the shard's
-//! journal; everything else is soft state that is rebuilt from the book and
-//! from what the workers report. A start is sent only after its record was
-//! committed, so that a new owner knows of every attempt that may run.
+//! One owner at a time runs the [`ShardScheduler`] of a shard. The durable state is the
+//! [`ShardState`], which changes only by [`Record`]s that the owner appends to the shard's journal.
+//! All other state is soft: it is rebuilt from the shard state and the workers' reports. A start is
+//! sent only after its record was committed, so that a new owner finds every attempt that may be
+//! running.
 //!
-//! Limits: one owner thread handles all workers of a shard, so the number of
-//! shards, not the code, sets how many workers a zone can have.
+//! Limits: one owner thread handles all workers of a shard, so a zone with more workers needs more
+//! shards.
 
 mod action;
 mod allocation;
--- a/crates/core/src/shard/place_tasks.rs
+++ b/crates/core/src/shard/place_tasks.rs
@@ -13,41 +13,42 @@
     template::Priority,
 };
 
-/// Workers that are compared for one task.
+/// Number of random workers that are compared for one task.
 const PROBED_WORKERS: usize = 32;
 
-/// Shards up to this many workers compare all of them.
+/// Largest number of workers in a shard for which all are compared.
 const MAX_FULL_SCAN_WORKERS: usize = 48;
 
-/// Tasks of a lane that may be passed over in one round, of those that stand for themselves
-/// alone: others of their shape may find room where they don't.
+/// Maximum number of tasks of a team and priority that are skipped in one pass without blocking
+/// their shape. Services and tasks that failed on some worker are such tasks: others of equal class
+/// and size may fit where they don't.
 const LOOKAHEAD_TASKS: usize = 8;
 
-/// Tasks of a shape for which room is made at a time.
+/// Maximum number of blocked tasks of a shape for which others are preempted in one pass.
 const MAX_PREEMPTING_TASKS: usize = 8;
 
-/// Time after which placement is tried although nothing changed.
+/// Time after which placement is retried although nothing changed.
 const RETRY_INTERVAL_MS: Millis = 200;
 
-/// Added for each replica of the same service in the rack.
+/// Score that is added for each worker of the rack that has a replica of the same service.
 const SAME_RACK_PENALTY: f32 = 0.2;
 
-/// Share of the load in the score of the learning policy.
+/// Weight of the load in the score of [`PlacementPolicy::Interference`].
 const LOAD_WEIGHT: f32 = 0.25;
 
-/// Factor on slowdowns of services: one replica answers for many callers.
+/// Factor on the slowdown of a service, since one replica serves many callers.
 const SERVICE_SLOWDOWN_FACTOR: f64 = 5.0;
 
-/// Weight of a team's use of its quota in the choice between lanes.
+/// Weight of a team's quota use in the choice between candidates.
 const FAIRNESS_WEIGHT: f64 = 0.5;
 
-/// What a second of waiting lowers the cost of a place by.
+/// Reduction of the cost of a placement for each second that the task has waited.
 const AGING_PER_SECOND: f64 = 0.01;
 
-/// Most that the observed size may exceed the declared one.
+/// Maximum ratio of the observed size to the declared one.
 const MAX_SIZE_CORRECTION: u64 = 4;
 
-/// What a placement needs to know of a task.
+/// A queued task with the properties that its placement depends on.
 #[derive(Debug)]
 pub(super) struct PlacementRequest {
     pub task: TaskRef,
@@ -55,14 +56,14 @@
     pub class: u16,
     pub service: bool,
     pub priority: Priority,
-    /// Workers that it failed on; they are not tried again while there are
-    /// others.
+    /// Workers that the task failed on; they are not tried again while there are others.
     pub avoid: Vec<crate::name::Name>,
 }
 
 impl PlacementRequest {
-    /// Returns what it has in common with the tasks that find room where it does; nothing if it
-    /// stands for itself alone.
+    /// Returns the shape of the task; tasks of one shape fit on the same workers.
+    ///
+    /// Returns `None` for replicas of services and for tasks that avoid workers.
     fn shape(&self) -> Option<TaskShape> {
         let is_unique = self.service || !self.avoid.is_empty();
         (!is_unique).then_some(TaskShape {
@@ -72,7 +73,7 @@
     }
 }
 
-/// The first task of a lane that has a place.
+/// The first placeable task of a team, with the best worker for it.
 struct Candidate {
     team: u16,
     since: Millis,
@@ -81,20 +82,19 @@
     score: f32,
 }
 
-/// A shape of a team's tasks.
+/// A shape of a team's tasks that no worker has room for in this pass.
 #[derive(PartialEq)]
 struct SkippedShape {
     team: u16,
     shape: TaskShape,
 }
 
-/// What is left over while a priority is placed.
+/// Tasks, shapes and sizes that could not be placed in a pass over one priority.
 #[derive(Default)]
 struct Unplaced {
     tasks: Vec<(u16, ReadyTask)>,
-    /// Shapes that found no room in this round.
     skipped: Vec<SkippedShape>,
-    /// Sizes that fit nowhere.
+    /// Sizes that fit on no worker; larger ones are not tried in this pass.
     sizes: Vec<Size>,
 }
 
@@ -106,7 +106,7 @@
 }
 
 impl ShardScheduler {
-    /// Gives queued tasks to workers: urgent first.
+    /// Places queued tasks on workers, in the order of their priorities.
     pub(super) fn place_tasks(&mut self, now: Millis) {
         if !self.placement_due && now < self.placed_at + RETRY_INTERVAL_MS {
             return;
@@ -120,11 +120,11 @@
         self.placement_due |= remaining == 0;
     }
 
-    /// Places the tasks of a priority.
+    /// Places the tasks of a priority, at most `remaining` of them.
     ///
-    /// The first task of each lane looks for its best place; then the best of
-    /// these pairs is taken, so that scarce room goes to the task that suits
-    /// it. Only lanes whose place was taken look again.
+    /// Finds the best worker for the first task of each team and places the best of these
+    /// candidates, so that scarce room goes to the task that fits it best. Then only the team of
+    /// the placed task and teams whose candidate chose the same worker get a new candidate.
     fn place_priority(&mut self, now: Millis, priority: Priority, remaining: &mut usize) {
         let mut unplaced = Unplaced::default();
         let mut candidates = Vec::new();
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Takes the first task of a lane that is still queued and has a place.
+    /// Takes the first task of a team that is still queued and that a worker has room for.
     fn next_candidate(
         &mut self,
         now: Millis,
@@ -221,7 +221,7 @@
         None
     }
 
-    /// Makes room for urgent tasks that are held up behind the first of their shape.
+    /// Preempts others for urgent tasks that are blocked behind the first of their shape.
     fn preempt_for_blocked(
         &mut self,
         now: Millis,
@@ -242,11 +242,11 @@
         }
     }
 
-    /// Returns the head to be placed next.
+    /// Returns the index of the candidate to be placed next.
     ///
-    /// The baselines go by the teams' use and then by age. The learning policy
-    /// takes the pair with the lowest cost; age lowers it, so that no task
-    /// waits for ever for the place that suits it.
+    /// The baseline policies order candidates by their team's quota use and then by age.
+    /// [`PlacementPolicy::Interference`] takes the candidate with the lowest cost; age lowers the
+    /// cost, so that no task starves.
     fn best_candidate(&self, now: Millis, candidates: &[Candidate]) -> usize {
         let is_learning = self.settings.policy == PlacementPolicy::Interference;
         let value = |c: &Candidate| {
@@ -281,7 +281,7 @@
         self.append_record(now, record, 0);
     }
 
-    /// Makes room for an urgent task that has waited in vain for some.
+    /// Preempts others for an urgent task that has waited for room for `preempt_after`.
     fn consider_preempting(&mut self, now: Millis, request: &PlacementRequest, since: Millis) {
         let urgent = request.priority == Priority::Urgent && !request.service;
         if urgent && now >= since + self.settings.preempt_after {
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Returns what placing `task` needs, or nothing if it is no longer queued.
+    /// Returns the placement request of `task`, or `None` if the task is no longer queued.
     fn placement_request(&mut self, task: TaskRef) -> Option<PlacementRequest> {
         let job = self.state.job(task.job)?;
         let t = job.tasks.get(task.task as usize)?;
@@ -310,7 +310,7 @@
         })
     }
 
-    /// Returns the declared size, raised to what tasks of the class were seen to use.
+    /// Returns the declared size, raised to the peak usage of the class within limits.
     fn corrected_size(&self, class: u16, declared: &Size) -> Size {
         let observed = &self.classes[usize::from(class)].peak_usage;
         let cap = Size {
@@ -331,7 +331,9 @@
         })
     }
 
-    /// Returns the best worker with room and its score; lower is better.
+    /// Returns the index of the best worker with room and its score; lower is better.
+    ///
+    /// In a large shard random workers are compared first, and all only if none of these has room.
     fn choose_worker(&mut self, now: Millis, request: &PlacementRequest) -> Option<(usize, f32)> {
         let n = self.workers.len();
         if n <= MAX_FULL_SCAN_WORKERS {
@@ -394,8 +396,8 @@
         count
     }
 
-    /// Returns the expected slowdown that the placement adds, by the weights of
-    /// those who bear it, and a share of the load.
+    /// Returns the expected cost of a placement: the slowdowns that it adds to the task and its
+    /// neighbours, weighted by their classes, and the weighted load of the worker.
     fn expected_cost(&self, w: &Worker, request: &PlacementRequest) -> f32 {
         let load = load_after(w, &request.size);
         let band = Band::of(f64::from(load));
@@ -410,7 +412,7 @@
         cost
     }
 
-    /// Returns the weight of a slowdown of a class.
+    /// Returns the weight of a slowdown of tasks of `class`.
     pub(super) fn slowdown_weight(&self, class: u16) -> f32 {
         let c = &self.classes[usize::from(class)];
         let weight = if c.service {
@@ -421,7 +423,8 @@
         weight as f32
     }
 
-    /// Makes room for an urgent task by evicting others.
+    /// Evicts attempts from the worker that needs the fewest evictions, and reserves room for the
+    /// task there.
     fn preempt(&mut self, now: Millis, request: &PlacementRequest) {
         let task = request.task;
         let has_reservation = |w: &Worker| {
@@ -460,8 +463,10 @@
         }
     }
 
-    /// Returns the fewest residents whose end makes room: bulk first, then the
-    /// ones that started last.
+    /// Returns attempts whose eviction frees enough resources for `size`, or `None` if there are
+    /// not enough.
+    ///
+    /// Bulk attempts are chosen first, and the latest started ones among equal priorities.
     fn victims(&self, w: &Worker, size: &Size) -> Option<Vec<AttemptId>> {
         let mut evictable = Vec::new();
         let mut room = w.available();
--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -1,10 +1,10 @@
-//! Queued tasks, by priority and fair between teams.
+//! Queue of tasks by priority and team.
 //!
-//! The load pattern that this answers: thousands of tasks that fit nowhere, before others that
-//! do. Tasks of one shape find room alike, so that those that were held up stand in a line for
-//! each shape, and the first of a line speaks for all of it.
+//! Thousands of tasks that fit on no worker must not delay the tasks queued behind them. Tasks of
+//! one shape fit on the same workers, so blocked tasks are grouped by shape, and placement tries
+//! only the first task of each group.
 //!
-//! Limits: there is a line for each shape that waits, and each is tried in each round.
+//! Limits: there is a group for each blocked shape, and each group is tried in each pass.
 
 use std::collections::VecDeque;
 
@@ -21,44 +21,44 @@
     pub task: u32,
 }
 
-/// A queued task and since when it is ready.
+/// A queued task that is ready to be placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadyTask {
     /// The task.
     pub task: TaskRef,
-    /// When it became ready.
+    /// When the task became ready, in milliseconds by the owner's clock.
     pub since: u64,
 }
 
 impl ReadyTask {
-    /// Returns what ready tasks are ordered by: the oldest comes first.
+    /// Returns the sort key of ready tasks; the oldest task comes first.
     fn age(&self) -> (u64, TaskRef) {
         (self.since, self.task)
     }
 }
 
-/// What tasks have in common that find room alike.
+/// Properties that decide on which workers a task fits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskShape {
-    /// Number of their class.
+    /// Index of the class.
     pub class: u16,
-    /// What each of them asks for.
+    /// Size of each task.
     pub size: Size,
 }
 
-/// Tasks of one shape that found no room when they were last tried, the oldest first.
+/// Tasks of one shape that fitted on no worker when they were last tried, the oldest first.
 #[derive(Debug, Clone)]
 struct BlockedGroup {
     shape: TaskShape,
     tasks: VecDeque<ReadyTask>,
 }
 
-/// Tasks of one team and priority.
+/// Ready tasks of one team and priority.
 #[derive(Debug, Clone)]
 struct TeamQueue {
     priority: Priority,
     team: u16,
-    /// Those that were not held up.
+    /// Tasks that are not blocked.
     tasks: VecDeque<ReadyTask>,
     blocked: Vec<BlockedGroup>,
 }
@@ -82,7 +82,8 @@
         self.blocked.iter().position(|l| l.shape == *shape)
     }
 
-    /// Returns the line with the oldest first task, of those that are not passed over.
+    /// Returns the index and first task of the group whose first task is the oldest, without
+    /// skipped shapes.
     fn oldest_blocked(
         &self,
         is_skipped: impl Fn(&TaskShape) -> bool,
@@ -94,7 +95,7 @@
         firsts.min_by_key(|(_, first)| first.age())
     }
 
-    /// Takes the first task of a line.
+    /// Takes the first task of a group.
     fn pop_blocked(&mut self, index: usize) -> Option<ReadyTask> {
         let first = self.blocked[index].tasks.pop_front();
         if self.blocked[index].tasks.is_empty() {
@@ -104,7 +105,7 @@
     }
 }
 
-/// Tasks that wait until a time.
+/// A task that becomes ready at a later time.
 #[derive(Debug, Clone)]
 struct DelayedTask {
     until: u64,
@@ -113,10 +114,10 @@
     task: TaskRef,
 }
 
-/// Queued tasks; an entry whose task is no longer queued is skipped when met.
+/// Queue of tasks with a separate queue for each priority and team, so that a burst from one team
+/// does not delay the others.
 ///
-/// Lanes are sorted by priority and team. Within a priority the lanes take
-/// turns, so that a wave from one team does not hold up the others.
+/// Entries whose task is no longer queued stay until they are taken; the caller skips them.
 #[derive(Debug, Clone, Default)]
 pub struct Queue {
     team_queues: Vec<TeamQueue>,
@@ -124,14 +125,14 @@
 }
 
 impl Queue {
-    /// Adds a task at the end of its lane.
+    /// Adds a task at the end of the queue of its team.
     pub fn push(&mut self, priority: Priority, team: u16, task: TaskRef, since: u64) {
         self.queue_mut(priority, team)
             .tasks
             .push_back(ReadyTask { task, since });
     }
 
-    /// Puts a task back at the front of its lane.
+    /// Puts a task back at the front of the queue of its team.
     pub fn push_front(&mut self, priority: Priority, team: u16, ready: ReadyTask) {
         self.queue_mut(priority, team).tasks.push_front(ready);
     }
@@ -150,7 +151,7 @@
         );
     }
 
-    /// Moves the tasks whose delay is over into their lanes.
+    /// Moves the tasks whose delay is over into the queues of their teams.
     pub fn promote_delayed(&mut self, now: u64) {
         while self.delayed.last().is_some_and(|d| d.until <= now) {
             let Some(d) = self.delayed.pop() else { return };
@@ -164,7 +165,7 @@
         ready + self.delayed.len()
     }
 
-    /// Tells whether there is no entry.
+    /// Returns whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -180,13 +181,12 @@
         teams
     }
 
-    /// Takes the first ready task of a lane, of those that are not held up.
+    /// Takes the first ready task of a team that is not blocked.
     pub fn pop(&mut self, priority: Priority, team: u16) -> Option<ReadyTask> {
         self.queue_mut(priority, team).tasks.pop_front()
     }
 
-    /// Takes the oldest ready task of a lane, held up or not, but for those that are held up and
-    /// whose shape is passed over.
+    /// Takes the oldest ready task of a team, without blocked tasks whose shape is skipped.
     pub fn pop_oldest(
         &mut self,
         priority: Priority,
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Has a task that found no room wait behind older ones of its shape.
+    /// Adds a task that fitted on no worker to the blocked tasks of its shape.
     pub fn push_blocked(
         &mut self,
         priority: Priority,
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Returns the first tasks of a shape that are held up, `most` at most.
+    /// Returns up to `limit` blocked tasks of a shape, the oldest first.
     pub fn first_blocked(
         &mut self,
         priority: Priority,
--- a/crates/core/src/shard/record.rs
+++ b/crates/core/src/shard/record.rs
@@ -10,13 +10,13 @@
 pub enum End {
     /// The task is done.
     Done,
-    /// The task failed by itself.
+    /// The task failed.
     Failed,
-    /// The worker lost it, or its lease lapsed.
+    /// The worker no longer has the attempt, or its lease lapsed.
     Lost,
-    /// The worker refused the start; it never ran.
+    /// The start was refused or never sent; the attempt never ran.
     Refused,
-    /// It was stopped and is to resume elsewhere, from a checkpoint if `saved`.
+    /// It was stopped and its task is queued again, to resume from a checkpoint if `saved`.
     Evicted {
         /// Whether this attempt wrote a checkpoint.
         saved: bool,
@@ -25,19 +25,19 @@
     Stopped,
 }
 
-/// A transition of the book.
+/// A transition of the shard state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A job was taken over from the inbox.
+    /// A job was accepted from the inbox or created for a service.
     Submitted(JobSpec),
-    /// A job can't run; all its tasks fail.
+    /// A job can't run; all its queued tasks fail.
     Rejected {
         /// Number of the job.
         job: u32,
         /// Why it can't run.
         reason: Name,
     },
-    /// A task was given to a worker.
+    /// A task was placed on a worker.
     Started {
         /// The new attempt.
         attempt: AttemptId,
@@ -46,7 +46,7 @@
         /// Size that is reserved for it.
         size: Size,
     },
-    /// An attempt ended; its task may be queued again by the same record.
+    /// An attempt ended; the same record may queue its task again.
     Ended {
         /// The attempt.
         attempt: AttemptId,
@@ -65,7 +65,7 @@
         /// New number of tasks.
         tasks: u32,
     },
-    /// A finished job leaves the book.
+    /// A finished job is removed from the shard state.
     Closed {
         /// Number of the job.
         job: u32,
--- a/crates/core/src/shard/samples.rs
+++ b/crates/core/src/shard/samples.rs
@@ -1,12 +1,12 @@
-//! Late samples.
+//! Learning of interference and peak usage from workers' samples, which arrive late.
 
 use super::{Sample, ShardScheduler, WorkerAnswer};
 use crate::{Millis, name::Name, placement::Band};
 
-/// Share of a new sample in the running mean of a slowdown.
+/// Weight of a new sample in the running mean of a slowdown.
 const SMOOTHING_FACTOR: f32 = 0.3;
 
-/// What a slowdown of 1 is in samples.
+/// Slowdown of 1 in the unit of samples.
 const PERMILLE: f32 = 1000.0;
 
 impl ShardScheduler {
@@ -17,8 +17,10 @@
         }
     }
 
-    /// Tells the machine what a neighbour adds; for measurements that compare
-    /// what was learned with what is there to learn.
+    /// Sets the slowdown that class `other` adds to class `victim`, each given by organisation and
+    /// kind.
+    ///
+    /// Measurements use it to compare the learned interference with the real one.
     pub fn set_interference(
         &mut self,
         victim: (&Name, &Name),
@@ -38,7 +40,7 @@
             .set(v as u16, o as u16, Band(band), added_slowdown);
     }
 
-    /// Matches a sample with what ran when it was measured.
+    /// Learns from a sample and the attempts that ran when it was measured.
     fn learn_from_sample(&mut self, now: Millis, i: usize, sample: &Sample) {
         let slowdown = sample.slowdown_permille as f32 / PERMILLE;
         let w = &mut self.workers[i];
--- a/crates/core/src/shard/scheduler.rs
+++ b/crates/core/src/shard/scheduler.rs
@@ -1,4 +1,4 @@
-//! The state machine of a shard's owner.
+//! Scheduler of a shard: a state machine that its owner drives by events.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -17,36 +17,36 @@
     template::{OrgLimits, Organisation, Weights},
 };
 
-/// Place of a shard among all shards of the system.
+/// Name and index of a shard among all shards of the system.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardId {
     /// Name of the shard.
     pub name: Name,
-    /// Its index among all shards.
+    /// Index of the shard among all shards.
     pub index: u32,
     /// Number of all shards.
     pub count: u32,
 }
 
-/// What an owner starts from.
+/// State that a new owner starts from.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Takeover {
     /// Epoch of the new ownership.
     pub epoch: u64,
-    /// Book that was recovered from the journal.
+    /// Shard state that was recovered from the journal.
     #[serde(rename = "book")]
     pub state: ShardState,
     /// Number of the first record that is not in the journal.
     #[serde(rename = "next")]
     pub next_record: u64,
-    /// Hold that the shard's row states.
+    /// Hold in the shard's row when the owner took over.
     #[serde(rename = "inherited")]
     pub inherited_hold: Millis,
     /// Whether no earlier owner can still renew leases.
     pub settled: bool,
 }
 
-/// Owns a shard: decides starts, stops and ends.
+/// Scheduler of a shard: decides which attempts start, stop and have ended.
 #[derive(Debug)]
 pub struct ShardScheduler {
     pub(super) shard: ShardId,
@@ -58,13 +58,13 @@
     pub(super) workers: Vec<Worker>,
     pub(super) queue: Queue,
     pub(super) classes: Vec<TaskClass>,
-    /// Positions of the classes, sorted by organisation and kind.
+    /// Indices of the classes, sorted by organisation and kind.
     classes_by_name: Vec<u16>,
     pub(super) teams: Vec<TeamUsage>,
-    /// Positions of the teams, sorted by organisation and name.
+    /// Indices of the teams, sorted by organisation and name.
     teams_by_name: Vec<u16>,
     pub(super) interference: InterferenceModel,
-    /// Number of workers that stay, by index of the shard.
+    /// Number of workers that are not leaving, by index of the shard.
     pub(super) worker_counts: Vec<u32>,
     pub(super) pending_records: Vec<Record>,
     pub(super) finished: Vec<FinishedJob>,
@@ -72,22 +72,22 @@
     pub(super) next_record: u64,
     /// Records below this number are in the journal.
     pub(super) committed: u64,
-    /// Last contact with the table service.
+    /// Time of the last contact with the table service.
     pub(super) store_seen_at: Millis,
-    /// Hold that the shard's row states; an owner does not go beyond it.
+    /// Hold in the shard's row, which limits the hold of each attempt.
     pub(super) hold_cap: Millis,
-    /// Hold that an earlier owner stated.
+    /// Hold in the shard's row at takeover, written by an earlier owner.
     pub(super) inherited_hold: Millis,
     /// Whether no earlier owner can still renew leases.
     pub(super) settled: bool,
-    /// When this owner took over.
+    /// Time of the takeover.
     pub(super) started_at: Millis,
-    /// Finished jobs by the time at which they leave the book.
+    /// Finished jobs with the time at which they are removed from the shard state.
     pub(super) close_queue: VecDeque<(Millis, u32)>,
     pub(super) recent_evictions: VecDeque<Millis>,
-    /// Whether something changed that may let a task be placed.
+    /// Whether a change may allow a task to be placed.
     pub(super) placement_due: bool,
-    /// Whether workers that the list lacks were looked for since it came.
+    /// Whether workers missing from the membership list were added since the list arrived.
     pub(super) unlisted_checked: bool,
     pub(super) placed_at: Millis,
     pub(super) interference_checked_at: Millis,
@@ -96,7 +96,7 @@
 }
 
 impl ShardScheduler {
-    /// Takes over a shard.
+    /// Returns a scheduler that takes over a shard.
     pub fn new(
         shard: ShardId,
         settings: ShardSettings,
@@ -153,7 +153,7 @@
         self.epoch
     }
 
-    /// Returns the book.
+    /// Returns the shard state.
     pub fn state(&self) -> &ShardState {
         &self.state
     }
@@ -168,7 +168,7 @@
         self.next_record
     }
 
-    /// Handles one event and returns what is to be done.
+    /// Handles one event and returns the actions for the owner.
     pub fn step(&mut self, now: Millis, event: &Event) -> Vec<Action> {
         match event {
             Event::Organisations(orgs) => self.set_orgs(now, orgs),
@@ -233,9 +233,9 @@
         }
     }
 
-    /// Applies a record to the book and queues it for the journal.
+    /// Applies a record to the shard state and queues it for the journal.
     ///
-    /// Returns the record's number.
+    /// A task that the record queues becomes ready after `delay`. Returns the record's number.
     pub(super) fn append_record(&mut self, now: Millis, record: Record, delay: Millis) -> u64 {
         let number = self.next_record;
         let effects = self.state.apply(&record);
@@ -302,8 +302,7 @@
         self.sync_services(now);
     }
 
-    /// Returns the longest time for which any owner may go on without the
-    /// table service.
+    /// Returns the longest time for which any owner may renew leases without the table service.
     pub fn longest_hold(&self) -> Millis {
         let wanted = self.orgs.iter().map(|o| o.limits.hold).max();
         wanted.unwrap_or(0).max(self.inherited_hold)
@@ -328,7 +327,7 @@
         self.unlisted_checked = false;
     }
 
-    /// Takes note that no earlier owner renews leases any more.
+    /// Shortens the presumed leases on new workers once no earlier owner can renew them.
     fn settle(&mut self, now: Millis) {
         self.settled = true;
         for w in &mut self.workers {
@@ -366,7 +365,7 @@
         self.restore_allocations(now, i);
     }
 
-    /// Puts the attempts that the book has on a worker into its view.
+    /// Adds an allocation for each attempt that the shard state has on worker `i`.
     fn restore_allocations(&mut self, now: Millis, i: usize) {
         let name = self.workers[i].name.clone();
         let mut found = Vec::new();
@@ -399,9 +398,9 @@
         }
     }
 
-    /// Adds workers that the book has attempts on and the list no longer has.
+    /// Adds workers that have attempts in the shard state but are missing from the membership list.
     ///
-    /// Not at once, since the first list may come before it is complete.
+    /// Waits for `silent_after` from the takeover, since the first list may be incomplete.
     pub(super) fn add_unlisted_workers(&mut self, now: Millis) {
         let known = !self.worker_counts.is_empty();
         if self.unlisted_checked || !known || now < self.started_at + self.settings.silent_after {
@@ -459,7 +458,7 @@
         self.placement_due = true;
     }
 
-    /// Returns the number of open jobs of each organisation, in their order.
+    /// Returns the number of open jobs of each organisation, in the order of `orgs`.
     fn open_jobs(&self) -> Vec<u32> {
         let mut open = vec![0; self.orgs.len()];
         for job in self.state.jobs() {
@@ -476,9 +475,9 @@
         open
     }
 
-    /// Returns why a job can never run, as far as that is known.
+    /// Returns why a job has to be rejected, or `None` if it is accepted.
     ///
-    /// Without the organisation's template nothing is known of its limits.
+    /// A job of an organisation without a template is accepted, since its limits are unknown.
     fn rejection_reason(&self, spec: &JobSpec, open: &mut [u32]) -> Option<Name> {
         let org = self
             .orgs
@@ -528,7 +527,7 @@
         }
     }
 
-    /// Returns the index of a class, which is made if it is new.
+    /// Returns the index of a class, which is added if it is new.
     pub(super) fn class_index(&mut self, org: &Name, kind: &Name, service: bool) -> u16 {
         let found = self.classes_by_name.binary_search_by(|i| {
             let c = &self.classes[usize::from(*i)];
@@ -560,7 +559,7 @@
         new
     }
 
-    /// Returns the index of a team, which is made if it is new.
+    /// Returns the index of a team, which is added if it is new.
     pub(super) fn team_index(&mut self, org: &Name, team: &Name, service: bool) -> u16 {
         let found = self.teams_by_name.binary_search_by(|i| {
             let t = &self.teams[usize::from(*i)];
--- a/crates/core/src/shard/services.rs
+++ b/crates/core/src/shard/services.rs
@@ -1,4 +1,4 @@
-//! Replicas of services as jobs of the shard.
+//! Services of the templates as jobs of the shard, with a task for each replica.
 
 use super::{JobKey, JobSpec, Record, ShardScheduler};
 use crate::{
@@ -7,16 +7,17 @@
     template::{Organisation, Priority, Service},
 };
 
-/// Starts the ids of jobs that are services; callers' ids can't contain it.
+/// Prefix of the job ids of services; callers' ids can't contain it.
 const SERVICE_ID_PREFIX: char = '@';
 
-/// Failures are not counted for replicas.
+/// Limit on failed attempts of replicas, which are always retried.
 const UNLIMITED_ATTEMPTS: u32 = u32::MAX / 8;
 
 impl ShardScheduler {
-    /// Brings the replicas of every service to the number that the templates want.
+    /// Creates and resizes the jobs of all services to this shard's share of the replicas in the
+    /// templates.
     ///
-    /// Nothing changes before the workers are known.
+    /// Does nothing until the numbers of workers are known.
     pub(super) fn sync_services(&mut self, now: Millis) {
         if self.worker_counts.is_empty() {
             return;
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Shrinks the services that no template has any more.
+    /// Resizes services that are no longer in a template to no replicas.
     fn remove_services(&mut self, now: Millis) {
         let mut removed = Vec::new();
         for job in self.state.jobs() {
@@ -63,7 +64,7 @@
     }
 }
 
-/// Returns the key of the job that holds a service's replicas.
+/// Returns the key of the job of a service.
 fn service_key(org: &Name, service: &Name) -> JobKey {
     JobKey {
         org: org.clone(),
@@ -71,8 +72,8 @@
     }
 }
 
-/// Returns how many of `total` replicas fall to shard `index`, in proportion to
-/// the workers of the shards; all shares sum to `total`.
+/// Returns how many of `total` replicas belong to shard `index`, in proportion to the workers of
+/// the shards. The shares of all shards sum to `total`.
 fn replica_share(total: u32, index: u32, counts: &[u32]) -> u32 {
     let workers_before = |n: usize| counts.iter().take(n).map(|c| u64::from(*c)).sum::<u64>();
     let total_workers = workers_before(counts.len());
--- a/crates/core/src/shard/settings.rs
+++ b/crates/core/src/shard/settings.rs
@@ -1,48 +1,48 @@
-//! Settings of a shard's machine.
+//! Settings of a shard's scheduler.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Millis, placement::PlacementPolicy};
 
-/// Settings of a shard's machine; times in milliseconds.
+/// Settings of a shard's scheduler; times in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ShardSettings {
-    /// How places are chosen.
+    /// Policy for the choice of workers.
     pub policy: PlacementPolicy,
-    /// Time between exchanges with a worker that has nothing new.
+    /// Time between exchanges with a worker when there is nothing new to send.
     #[serde(rename = "exchange")]
     pub exchange_interval: Millis,
     /// Length of a task's lease.
     pub lease: Millis,
-    /// Added to a lease before its end is presumed: clock rates and pauses.
+    /// Time added to a lease before it is presumed to have lapsed, for clock drift and pauses.
     #[serde(rename = "margin")]
     pub lease_margin: Millis,
-    /// Time without an answer after which a worker counts as silent.
+    /// Time without an answer after which a worker is silent.
     #[serde(rename = "silent")]
     pub silent_after: Millis,
-    /// How long a finished job stays in the book.
+    /// How long a finished job stays in the shard state.
     #[serde(rename = "retain")]
     pub retention: Millis,
-    /// Distinct failing tasks in a row after which a worker is quarantined.
+    /// Number of distinct tasks that fail in a row after which a worker is quarantined.
     #[serde(rename = "strikes")]
     pub quarantine_threshold: usize,
-    /// Length of the first quarantine; doubles each time.
+    /// Length of the first quarantine; doubles with each further one in a row.
     #[serde(rename = "ban")]
     pub quarantine: Millis,
     /// Longest quarantine.
     #[serde(rename = "max_ban")]
     pub max_quarantine: Millis,
-    /// Most placements in one tick.
+    /// Maximum number of placements in one pass.
     #[serde(rename = "batch")]
     pub max_placements: usize,
-    /// Most evictions in a minute.
+    /// Maximum number of evictions of noisy tasks in a minute.
     #[serde(rename = "evictions")]
     pub evictions_per_minute: u32,
-    /// How long an urgent task waits for room before others are evicted for it.
+    /// How long an urgent task waits for room before others are preempted.
     #[serde(rename = "patience")]
     pub preempt_after: Millis,
-    /// How long room is kept for a task that others were evicted for.
+    /// How long resources stay reserved for a task after others were preempted for it.
     #[serde(rename = "reserve")]
     pub reservation: Millis,
 }
--- a/crates/core/src/shard/state.rs
+++ b/crates/core/src/shard/state.rs
@@ -1,53 +1,53 @@
-//! The journalled state of a shard.
+//! State of a shard that is rebuilt from its journal.
 
 use serde::{Deserialize, Serialize};
 
 use super::{AttemptId, End, Job, JobKey, JobSpec, Record, Task, TaskRef, TaskState};
 use crate::{name::Name, size::Size};
 
-/// Attempts lost with their workers after which a task has failed for good.
+/// Number of lost attempts after which a task fails permanently.
 const MAX_LOST_ATTEMPTS: u32 = 20;
 
-/// Failures for each allowed worker after which a task has failed for good,
-/// where the shard has too few workers to try.
+/// Factor on a job's `attempts` that gives the number of failures after which a task fails
+/// permanently although it failed on fewer distinct workers, as in a shard with few workers.
 const MAX_FAILURES_PER_WORKER: usize = 4;
 
-/// What applying a record changed, for the soft state to follow.
+/// A change by a record that the soft state has to follow.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// A task waits for a worker.
+    /// A task was queued.
     Queued(TaskRef),
-    /// An attempt reserves room on a worker.
+    /// An attempt reserves resources on a worker.
     Reserved {
         /// The attempt.
         attempt: AttemptId,
         /// The worker.
         worker: Name,
-        /// The room.
+        /// The resources.
         size: Size,
     },
-    /// An attempt no longer reserves room on a worker.
+    /// An attempt no longer reserves resources on a worker.
     Freed {
         /// The attempt.
         attempt: AttemptId,
         /// The worker.
         worker: Name,
     },
-    /// An attempt is to be stopped since its job was cancelled.
+    /// An attempt has to stop since its job was cancelled or its service shrank.
     StopRequested {
         /// The attempt.
         attempt: AttemptId,
         /// The worker.
         worker: Name,
     },
-    /// No task of the job is open.
+    /// No task of a job is open any more.
     Finished {
         /// Number of the job.
         job: u32,
     },
 }
 
-/// Position of a job by its caller's id.
+/// Entry of the index from a job's key to its number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct JobIndexEntry {
     key: JobKey,
@@ -55,9 +55,9 @@
     number: u32,
 }
 
-/// Every job of a shard that has not left it.
+/// All jobs of a shard that are not closed.
 ///
-/// The same records applied in the same order give the same book.
+/// The state is deterministic: the same records in the same order result in the same state.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardState {
     jobs: Vec<Job>,
@@ -66,7 +66,7 @@
 }
 
 impl ShardState {
-    /// Returns the jobs by number.
+    /// Returns the jobs, sorted by number.
     pub fn jobs(&self) -> &[Job] {
         &self.jobs
     }
@@ -83,12 +83,12 @@
         self.job(self.keys[i].number)
     }
 
-    /// Returns the number that the next submitted job gets.
+    /// Returns the number of the next submitted job.
     pub fn next_job(&self) -> u32 {
         self.next
     }
 
-    /// Returns the task of an attempt if the attempt is its current one.
+    /// Returns the job, task and worker of an attempt if the attempt is active.
     pub fn active_task(&self, id: AttemptId) -> Option<(&Job, &Task, &Name)> {
         let job = self.job(id.job)?;
         let task = job.tasks.get(id.task as usize)?;
@@ -98,7 +98,9 @@
         }
     }
 
-    /// Applies a record and returns what it changed; unknown subjects change nothing.
+    /// Applies a record and returns its effects.
+    ///
+    /// A record about an unknown job, task or attempt has no effect.
     pub fn apply(&mut self, record: &Record) -> Vec<Effect> {
         let mut effects = Vec::new();
         match record {
@@ -290,7 +292,7 @@
     }
 }
 
-/// Cancels the queued tasks from index `from` on and marks active ones unwanted.
+/// Cancels the queued tasks from index `from` on and requests a stop of the active ones.
 fn cancel_tasks(job: &mut Job, from: u32, effects: &mut Vec<Effect>) {
     for (i, task) in job.tasks.iter_mut().enumerate().skip(from as usize) {
         match &task.state {
--- a/crates/core/src/shard/status.rs
+++ b/crates/core/src/shard/status.rs
@@ -1,4 +1,4 @@
-//! What a shard tells of itself.
+//! Status of a shard, its jobs and workers, and its targets.
 
 use std::net::SocketAddr;
 
@@ -7,31 +7,31 @@
 use super::{Health, Job, JobState, ShardScheduler, TaskState};
 use crate::{Millis, name::Name, size::Size};
 
-/// A job as its caller sees it.
+/// Status of a job as reported to its caller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// State.
     pub state: JobState,
     /// Number of tasks.
     pub tasks: u32,
-    /// Tasks that wait for a worker.
+    /// Tasks that are queued.
     pub queued: u32,
     /// Tasks that may be running.
     pub active: u32,
     /// Tasks that are done.
     pub done: u32,
-    /// Tasks that failed for good.
+    /// Tasks that failed permanently.
     pub failed: u32,
     /// Tasks that were cancelled.
     pub cancelled: u32,
     /// Evictions so far.
     pub evictions: u32,
-    /// Why it failed or waits, if known.
+    /// Why the job failed, if known.
     pub reason: Option<Name>,
 }
 
 impl JobStatus {
-    /// Counts the tasks of a job.
+    /// Returns the status of a job.
     pub fn of(job: &Job) -> JobStatus {
         let mut s = JobStatus {
             state: job.state(),
@@ -61,7 +61,7 @@
     }
 }
 
-/// A replica of a service that may be sent requests.
+/// A replica of a service that can receive requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetInfo {
     /// Organisation.
@@ -70,64 +70,64 @@
     pub service: Name,
     /// Worker.
     pub worker: Name,
-    /// Address.
+    /// Address for requests.
     pub addr: SocketAddr,
-    /// Requests that it runs at one time.
+    /// Number of requests that the replica handles concurrently.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Number of connections that the replica accepts.
     pub connections: u32,
-    /// Whether it is about to leave.
+    /// Whether the replica is about to stop.
     pub leaving: bool,
 }
 
-/// A worker as operators see it.
+/// Status of a worker as reported to operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerStatus {
     /// Name.
     pub name: Name,
     /// Health.
     pub health: Health,
-    /// Whether it is quarantined now.
+    /// Whether the worker is quarantined.
     pub quarantined: bool,
-    /// Whether it is about to leave.
+    /// Whether the worker is about to leave.
     pub leaving: bool,
-    /// What it can hold.
+    /// Total resources.
     pub total: Size,
-    /// What is reserved.
+    /// Reserved resources.
     pub used: Size,
-    /// Attempts on it.
+    /// Number of attempts that reserve resources on the worker.
     #[serde(rename = "residents")]
     pub allocations: u32,
 }
 
-/// A shard as operators see it.
+/// Status of a shard as reported to operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ShardStatus {
     /// Name.
     pub shard: Name,
     /// Epoch of its owner.
     pub epoch: u64,
-    /// Open jobs.
+    /// Number of open jobs without services.
     pub jobs: u32,
-    /// Queued tasks, at most.
+    /// Upper bound on the number of queued tasks.
     pub queued: u32,
-    /// Attempts that may be running.
+    /// Number of attempts that may be running.
     pub active: u32,
     /// Milliseconds since the last contact with the table service.
     pub store_age: Millis,
     /// Workers.
     pub workers: Vec<WorkerStatus>,
-    /// Jobs that wait although no worker is large enough.
+    /// Ids of open jobs whose tasks are too large for every worker.
     pub blocked: Vec<Name>,
 }
 
 impl ShardScheduler {
-    /// Returns a number that grows with each change of [`ShardScheduler::targets`].
+    /// Returns a version that increases with each change of [`ShardScheduler::targets`].
     pub fn targets_version(&self) -> u64 {
         self.targets_version
     }
 
-    /// Returns the replicas that may be sent requests.
+    /// Returns the replicas that can receive requests.
     pub fn targets(&self) -> Vec<TargetInfo> {
         let mut out = Vec::new();
         for w in &self.workers {
@@ -155,7 +155,7 @@
         out
     }
 
-    /// Returns the largest worker.
+    /// Returns the maximum of each resource over all workers.
     pub fn largest_worker(&self) -> Size {
         let mut size = Size::default();
         for w in &self.workers {
@@ -164,7 +164,7 @@
         size
     }
 
-    /// Returns what operators see.
+    /// Returns the status of the shard.
     pub fn status(&self, now: Millis) -> ShardStatus {
         let largest = self.largest_worker();
         let mut status = ShardStatus {
--- a/crates/core/src/shard/task.rs
+++ b/crates/core/src/shard/task.rs
@@ -1,4 +1,4 @@
-//! Tasks.
+//! Tasks and their state.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,14 +7,14 @@
 /// State of a task.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waiting for a worker.
+    /// Queued for placement on a worker.
     #[default]
     Queued,
-    /// Its current attempt may be running on this worker.
+    /// The current attempt may be running on this worker.
     Active(Name),
-    /// Finished.
+    /// Finished successfully.
     Done,
-    /// Failed for good.
+    /// Failed permanently.
     Failed,
     /// Cancelled.
     Cancelled,
@@ -27,17 +27,17 @@
     pub state: TaskState,
     /// Number of the latest attempt; 0 before the first.
     pub attempt: u32,
-    /// Attempt that wrote the checkpoint to resume from; 0 for none.
+    /// Number of the attempt that wrote the checkpoint to resume from; 0 if there is none.
     #[serde(rename = "checkpoint")]
     pub checkpoint_attempt: u32,
-    /// Evictions so far.
+    /// Number of evictions.
     pub evictions: u32,
-    /// Attempts that were lost with their workers.
+    /// Number of attempts that were lost.
     #[serde(rename = "lost")]
     pub lost_attempts: u32,
-    /// Attempts that failed.
+    /// Number of attempts that failed.
     #[serde(rename = "fails")]
     pub failures: u32,
-    /// Distinct workers that it failed on.
+    /// Distinct workers that the task failed on, sorted by name.
     pub failed_on: Vec<Name>,
 }
--- a/crates/core/src/shard/worker.rs
+++ b/crates/core/src/shard/worker.rs
@@ -1,4 +1,4 @@
-//! The owner's view of a worker.
+//! Soft state of a worker as seen by the shard's owner.
 
 use std::net::SocketAddr;
 
@@ -7,10 +7,10 @@
 use super::{Allocation, AttemptId, TaskRef, WorkerInfo};
 use crate::{Millis, name::Name, placement::History, size::Size};
 
-/// What the owner thinks of a worker.
+/// Health of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Health {
-    /// No answer under this epoch yet.
+    /// It has not answered in this epoch yet.
     New,
     /// It answers.
     Good,
@@ -18,23 +18,23 @@
     Silent,
 }
 
-/// Room that is kept for a task that others are evicted for.
+/// Resources that are reserved for one task after others were preempted for it.
 #[derive(Debug, Clone, Copy)]
 pub struct Reservation {
     /// The task.
     pub task: TaskRef,
-    /// Its size.
+    /// Reserved size.
     pub size: Size,
     /// End of the reservation.
     pub until: Millis,
 }
 
-/// How the tasks of a class ended on a worker.
+/// Number of ended tasks of a class on a worker.
 #[derive(Debug, Clone, Copy)]
 pub struct ClassStats {
     /// Class of the tasks.
     pub class: u16,
-    /// Tasks that were done.
+    /// Tasks that succeeded.
     pub done: u32,
     /// Tasks that failed.
     pub failed: u32,
@@ -49,60 +49,61 @@
     pub rack: Name,
     /// Address for exchanges.
     pub addr: SocketAddr,
-    /// Address of its services.
+    /// Address at which services on the worker receive requests.
     pub service_addr: SocketAddr,
-    /// What it can hold.
+    /// Total resources.
     pub capacity: Size,
-    /// What its allocations reserve.
+    /// Resources that its allocations reserve.
     pub reserved: Size,
-    /// Attempts on it, sorted by id.
+    /// Allocations of attempts, sorted by attempt.
     pub allocations: Vec<Allocation>,
     /// Health.
     pub health: Health,
-    /// Whether it is about to leave.
+    /// Whether the worker is about to leave.
     pub leaving: bool,
-    /// Whether the membership list has it.
+    /// Whether the worker is in the membership list.
     pub listed: bool,
-    /// Number of its last exchange.
+    /// Number of the last exchange.
     pub seq: u64,
-    /// Whether an exchange is under way.
+    /// Whether the last exchange is unanswered.
     pub awaiting_answer: bool,
     /// When the last exchange was sent.
     pub sent_at: Millis,
-    /// When the last answer came.
+    /// When the last answer arrived.
     pub answered_at: Millis,
-    /// Its boot; 0 before the first answer.
+    /// Worker's boot in the last answer; 0 before the first answer.
     pub boot: u64,
-    /// Its clock in the last answer.
+    /// Worker's clock in the last answer.
     pub last_clock: Millis,
-    /// When that answer came.
+    /// When the answer with `last_clock` arrived, by the owner's clock.
     pub last_clock_at: Millis,
-    /// Latest `last_clock_at` that a renewal was based on, by any owner.
+    /// Latest possible start of a lease that any owner has renewed, by this owner's clock.
     pub lease_start: Millis,
-    /// Whether something new waits to be sent.
+    /// Whether there is a change to send.
     pub dirty: bool,
-    /// Ended attempts that it may forget after the record given.
+    /// Ended attempts to acknowledge, each with the number of the record that has to be committed
+    /// first.
     pub acks: Vec<(u64, AttemptId)>,
-    /// Attempts that it runs and the book does not know.
+    /// Running attempts that are not in the shard state; they are stopped.
     pub unknown_attempts: Vec<AttemptId>,
     /// Distinct tasks that failed in a row.
     pub failure_streak: Vec<TaskRef>,
-    /// How tasks ended here, sorted by class.
+    /// Numbers of ended tasks, sorted by class.
     pub class_stats: Vec<ClassStats>,
-    /// Quarantines in a row.
+    /// Number of quarantines in a row.
     pub quarantines: u32,
     /// End of the last quarantine.
     pub quarantined_until: Millis,
-    /// Room that is kept for a task.
+    /// Resources that are reserved for a task.
     pub reservation: Option<Reservation>,
-    /// What ran when, to match late samples.
+    /// Attempts by time, to match late samples.
     pub history: History,
 }
 
 impl Worker {
-    /// Returns a worker that was never heard of.
+    /// Returns a worker that has not answered yet.
     ///
-    /// `basis` is the latest time at which an earlier owner may have renewed.
+    /// `lease_start` is the latest time at which an earlier owner may have renewed leases.
     pub fn new(info: &WorkerInfo, now: Millis, lease_start: Millis) -> Worker {
         Worker {
             name: info.name.clone(),
@@ -135,12 +136,12 @@
         }
     }
 
-    /// Returns the room that is not reserved.
+    /// Returns the resources that are not reserved.
     pub fn available(&self) -> Size {
         self.capacity.saturating_sub(&self.reserved)
     }
 
-    /// Returns the room that `task` may use.
+    /// Returns the resources that `task` may use: another task's reservation is left out.
     pub fn available_for(&self, task: TaskRef, now: Millis) -> Size {
         match &self.reservation {
             Some(r) if r.task != task && r.until > now => self.available().saturating_sub(&r.size),
@@ -148,9 +149,9 @@
         }
     }
 
-    /// Tells whether it may be given tasks.
+    /// Returns whether tasks may be placed on the worker.
     ///
-    /// After a quarantine it gets one task at a time until one is done.
+    /// After a quarantine it is on probation: it gets one task at a time until one succeeds.
     pub fn accepts_tasks(&self, now: Millis) -> bool {
         let is_healthy = self.health == Health::Good && self.listed && !self.leaving;
         let has_task = self.allocations.iter().any(|r| !r.service);
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Returns how tasks of `class` ended here.
+    /// Returns the numbers of ended tasks of `class`.
     pub fn stats_of(&self, class: u16) -> ClassStats {
         let none = ClassStats {
             class,
@@ -191,7 +192,7 @@
         found.map_or(none, |i| self.class_stats[i])
     }
 
-    /// Returns the resident with this id.
+    /// Returns the allocation of an attempt.
     pub fn allocation(&self, id: AttemptId) -> Option<&Allocation> {
         let i = self
             .allocations
@@ -200,7 +201,7 @@
         Some(&self.allocations[i])
     }
 
-    /// Returns the resident with this id.
+    /// Returns the allocation of an attempt.
     pub fn allocation_mut(&mut self, id: AttemptId) -> Option<&mut Allocation> {
         let i = self
             .allocations
@@ -209,7 +210,7 @@
         Some(&mut self.allocations[i])
     }
 
-    /// Adds a resident and reserves its room.
+    /// Adds an allocation and reserves its resources.
     pub fn add(&mut self, allocation: Allocation) {
         let Err(i) = self
             .allocations
@@ -222,7 +223,7 @@
         self.dirty = true;
     }
 
-    /// Removes a resident and frees its room.
+    /// Removes the allocation of an attempt and frees its resources.
     pub fn remove(&mut self, id: AttemptId) -> Option<Allocation> {
         let i = self
             .allocations
