--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -120,6 +120,7 @@
 /// Entries whose task is no longer queued stay until they are taken; the caller skips them.
 #[derive(Debug, Clone, Default)]
 pub struct Queue {
+    /// Queues of all teams, sorted by priority and team.
     team_queues: Vec<TeamQueue>,
     delayed: Vec<DelayedTask>,
 }
--- a/crates/core/src/shard/state.rs
+++ b/crates/core/src/shard/state.rs
@@ -199,9 +199,9 @@
                     task.failed_on.insert(i, worker);
                 }
                 task.failures += 1;
-                let tried_all_workers = task.failed_on.len() >= attempts;
+                let tried_enough_workers = task.failed_on.len() >= attempts;
                 let failed_too_often = task.failures as usize >= attempts * MAX_FAILURES_PER_WORKER;
-                let is_final = !service && (tried_all_workers || failed_too_often);
+                let is_final = !service && (tried_enough_workers || failed_too_often);
                 if is_final {
                     TaskState::Failed
                 } else {
