--- a/crates/core/src/placement/history.rs
+++ b/crates/core/src/placement/history.rs
@@ -1,57 +1,60 @@
-//! What ran on a worker and when, by the worker's clock.
+//! History of the attempts on a worker, by the worker's clock.
 
 use crate::{Millis, shard::AttemptId};
 
-/// How long an interval is kept after its end.
-const KEEP: Millis = 60_000;
+/// How long an interval is kept after its end, since samples arrive late.
+const RETENTION_MS: Millis = 60_000;
 
-/// An attempt that ran at a time.
+/// An attempt that ran on the worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoRunner {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Class of its job.
+    /// Index of the class of its job.
     pub class: u16,
 }
 
 #[derive(Debug, Clone)]
 struct Interval {
-    who: CoRunner,
+    co_runner: CoRunner,
     from: Millis,
     to: Option<Millis>,
 }
 
-/// Intervals in which attempts ran; late samples are matched against them.
+/// Intervals in which attempts ran, to match late samples with the attempts of that time.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     intervals: Vec<Interval>,
 }
 
 impl History {
-    /// Notes that an attempt runs from `at` on; a repeated note changes nothing.
-    pub fn begin(&mut self, who: CoRunner, at: Millis) {
-        let known = self.intervals.iter().any(|i| i.who.attempt == who.attempt);
+    /// Records that an attempt runs from `at` on; has no effect if the attempt is already recorded.
+    pub fn begin(&mut self, co_runner: CoRunner, at: Millis) {
+        let known = self
+            .intervals
+            .iter()
+            .any(|i| i.co_runner.attempt == co_runner.attempt);
         if !known {
             self.intervals.push(Interval {
-                who,
+                co_runner,
                 from: at,
                 to: None,
             });
         }
     }
 
-    /// Notes that an attempt no longer runs, and forgets old intervals.
+    /// Records that an attempt ended at `at`, and removes old intervals.
     pub fn end(&mut self, attempt: AttemptId, at: Millis) {
         for i in &mut self.intervals {
-            if i.who.attempt == attempt && i.to.is_none() {
+            if i.co_runner.attempt == attempt && i.to.is_none() {
                 i.to = Some(at);
             }
         }
-        let start = at.saturating_sub(KEEP);
+        let start = at.saturating_sub(RETENTION_MS);
         self.intervals.retain(|i| i.to.is_none_or(|t| t >= start));
     }
 
-    /// Forgets everything, since the worker's clock started anew.
+    /// Removes all intervals; needed when the worker's clock restarts.
     pub fn clear(&mut self) {
         self.intervals.clear();
     }
@@ -61,7 +64,7 @@
         let mut out = Vec::new();
         for i in &self.intervals {
             if i.from <= at && i.to.is_none_or(|t| at < t) {
-                out.push(i.who);
+                out.push(i.co_runner);
             }
         }
         out
--- a/crates/core/src/placement/interference.rs
+++ b/crates/core/src/placement/interference.rs
@@ -1,54 +1,53 @@
 //! Interference between ordered pairs of classes, learned from samples.
 //!
-//! The slowdown of a task is modelled as the sum of what each of its
-//! neighbours adds. Each sample moves the terms of the neighbours that ran
-//! when it was measured by a share of the error (normalised least mean
-//! squares). Evidence decays, so that a shift is learned within a few
-//! half-lives; a term without evidence falls back to other bands and then to a
+//! The slowdown of a task is modelled as the sum of the slowdowns that its neighbours add. Each
+//! sample moves the terms of the neighbours that ran when it was measured by a share of the error
+//! (normalised least mean squares). Evidence decays exponentially, so that a change of behaviour is
+//! learned within a few half-lives. A term without evidence falls back to other bands and then to a
 //! prior.
 
 use super::{BAND_COUNT, Band};
 use crate::Millis;
 
 /// Half-life of evidence.
-const HALF_LIFE: f64 = 30_000.0;
+const HALF_LIFE_MS: f64 = 30_000.0;
 
-/// Smallest learning rate, so that shifts are followed.
-const MIN_RATE: f32 = 0.08;
+/// Minimum learning rate, so that changes of behaviour are followed.
+const MIN_LEARNING_RATE: f32 = 0.08;
 
-/// Most that one neighbour is taken to add.
-const MAX_TERM: f32 = 4.0;
+/// Maximum slowdown that one neighbour adds.
+const MAX_ADDED_SLOWDOWN: f32 = 4.0;
 
-/// Evidence below which a term counts as unknown.
-const KNOWN: f32 = 0.5;
+/// Evidence below which a term is unknown.
+const MIN_EVIDENCE: f32 = 0.5;
 
-/// What an unknown neighbour is taken to add.
-const PRIOR: f32 = 0.08;
+/// Slowdown that an unknown neighbour is assumed to add.
+const PRIOR_ADDED_SLOWDOWN: f32 = 0.08;
 
-/// What a neighbour adds to a slowdown.
+/// Estimate of the slowdown that a neighbour adds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
-    /// Added slowdown; 0.5 means half as slow again.
+    /// Added slowdown; 0.5 means that the task takes 50% longer.
     pub added_slowdown: f32,
-    /// Whether there is evidence.
+    /// Whether the estimate is based on samples instead of the prior.
     pub known: bool,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Cell {
-    adds: f32,
-    weight: f32,
-    at: Millis,
+    added_slowdown: f32,
+    evidence: f32,
+    updated_at: Millis,
 }
 
 impl Cell {
-    fn weight_at(&self, now: Millis) -> f32 {
-        let age = now.saturating_sub(self.at) as f64;
-        self.weight * (-age / HALF_LIFE * std::f64::consts::LN_2).exp() as f32
+    fn evidence_at(&self, now: Millis) -> f32 {
+        let age = now.saturating_sub(self.updated_at) as f64;
+        self.evidence * (-age / HALF_LIFE_MS * std::f64::consts::LN_2).exp() as f32
     }
 }
 
-/// The learned table; grows with the number of classes squared.
+/// Learned table of added slowdowns; its size is quadratic in the number of classes.
 #[derive(Debug, Clone, Default)]
 pub struct InterferenceModel {
     classes: usize,
@@ -56,7 +55,7 @@
 }
 
 impl InterferenceModel {
-    /// Makes room for `classes` classes and keeps what was learned.
+    /// Grows the table to `classes` classes and keeps learned terms.
     pub fn grow(&mut self, classes: usize) {
         if classes <= self.classes {
             return;
@@ -78,67 +77,68 @@
         (usize::from(victim) * self.classes + usize::from(other)) * BAND_COUNT + band.0
     }
 
-    /// Returns what `other` adds to the slowdown of `victim`.
+    /// Returns the estimated slowdown that `other` adds to `victim`.
     ///
-    /// The age of evidence does not count here, only when it is replaced.
+    /// Evidence decays only when a sample updates its term, so old evidence still counts here.
     pub fn estimate(&self, victim: u16, other: u16, band: Band) -> Estimate {
         let base = self.index(victim, other, Band(0));
         let cells = &self.cells[base..base + BAND_COUNT];
-        if cells[band.0].weight >= KNOWN {
+        if cells[band.0].evidence >= MIN_EVIDENCE {
             return Estimate {
-                added_slowdown: cells[band.0].adds,
+                added_slowdown: cells[band.0].added_slowdown,
                 known: true,
             };
         }
         for cell in cells {
-            if cell.weight >= KNOWN {
+            if cell.evidence >= MIN_EVIDENCE {
                 return Estimate {
-                    added_slowdown: cell.adds,
+                    added_slowdown: cell.added_slowdown,
                     known: true,
                 };
             }
         }
         Estimate {
-            added_slowdown: PRIOR,
+            added_slowdown: PRIOR_ADDED_SLOWDOWN,
             known: false,
         }
     }
 
-    /// Sets a term as if it were known for certain.
-    pub fn set(&mut self, victim: u16, other: u16, band: Band, adds: f32) {
+    /// Sets a term with maximum evidence.
+    pub fn set(&mut self, victim: u16, other: u16, band: Band, added_slowdown: f32) {
         let i = self.index(victim, other, band);
         self.cells[i] = Cell {
-            adds,
-            weight: f32::MAX,
-            at: Millis::MAX,
+            added_slowdown,
+            evidence: f32::MAX,
+            updated_at: Millis::MAX,
         };
     }
 
-    /// Learns from one sample: `slow` is 1 for a task as fast as alone.
-    pub fn learn(&mut self, victim: u16, others: &[u16], band: Band, slow: f32, now: Millis) {
-        if others.is_empty() || !slow.is_finite() {
+    /// Learns from one sample; a `slowdown` of 1 means that the task is as fast as when it runs
+    /// alone.
+    pub fn learn(&mut self, victim: u16, others: &[u16], band: Band, slowdown: f32, now: Millis) {
+        if others.is_empty() || !slowdown.is_finite() {
             return;
         }
         let mut expected = 0.0;
         for &other in others {
             expected += self.estimate(victim, other, band).added_slowdown;
         }
-        let error = (slow - 1.0).clamp(0.0, MAX_TERM * 4.0) - expected;
+        let error = (slowdown - 1.0).clamp(0.0, MAX_ADDED_SLOWDOWN * 4.0) - expected;
         let share = error / others.len() as f32;
         for &other in others {
-            let start = self.estimate(victim, other, band).added_slowdown;
+            let initial = self.estimate(victim, other, band).added_slowdown;
             let i = self.index(victim, other, band);
             let cell = &mut self.cells[i];
-            let weight = cell.weight_at(now);
-            let rate = (1.0 / (1.0 + weight)).max(MIN_RATE);
-            let before = if cell.weight >= KNOWN {
-                cell.adds
+            let evidence = cell.evidence_at(now);
+            let rate = (1.0 / (1.0 + evidence)).max(MIN_LEARNING_RATE);
+            let previous = if cell.evidence >= MIN_EVIDENCE {
+                cell.added_slowdown
             } else {
-                start
+                initial
             };
-            cell.adds = (before + rate * share).clamp(0.0, MAX_TERM);
-            cell.weight = weight + 1.0;
-            cell.at = now;
+            cell.added_slowdown = (previous + rate * share).clamp(0.0, MAX_ADDED_SLOWDOWN);
+            cell.evidence = evidence + 1.0;
+            cell.updated_at = now;
         }
     }
 }
--- a/crates/core/src/shard/effects.rs
+++ b/crates/core/src/shard/effects.rs
@@ -1,4 +1,4 @@
-//! The soft state follows the book.
+//! Updates of the soft state after records change the shard state.
 
 use super::{
     Allocation, AttemptId, Effect, FinishedJob, JobStatus, ShardScheduler, StopReason, TaskRef,
@@ -6,7 +6,9 @@
 use crate::{Millis, name::Name, size::Size};
 
 impl ShardScheduler {
-    /// Brings the soft state in line with one effect of record `number`.
+    /// Updates the soft state for one effect of record `number`.
+    ///
+    /// A task that the effect queues becomes ready after `delay`.
     pub(super) fn apply_effect(&mut self, now: Millis, effect: Effect, number: u64, delay: Millis) {
         match effect {
             Effect::Queued(task) => self.enqueue(now, task, delay),
@@ -15,13 +17,13 @@
                 worker,
                 size,
             } => self.reserve(now, attempt, &worker, &size, number),
-            Effect::Freed { attempt, worker } => self.free(attempt, &worker),
-            Effect::StopRequested { attempt, worker } => self.unwant(attempt, &worker),
-            Effect::Finished { job } => self.finish(now, job),
+            Effect::Freed { attempt, worker } => self.free_attempt(attempt, &worker),
+            Effect::StopRequested { attempt, worker } => self.request_stop(attempt, &worker),
+            Effect::Finished { job } => self.finish_job(now, job),
         }
     }
 
-    /// Puts a queued task into its lane.
+    /// Adds a queued task to the queue of its team, ready after `delay`.
     pub(super) fn enqueue(&mut self, now: Millis, task: TaskRef, delay: Millis) {
         let Some(job) = self.state.job(task.job) else {
             return;
@@ -37,7 +39,7 @@
         self.placement_due = true;
     }
 
-    /// Reserves room on a worker for an attempt.
+    /// Reserves resources on a worker for an attempt that record number `record` started.
     pub(super) fn reserve(
         &mut self,
         now: Millis,
@@ -83,33 +85,33 @@
             throttle_changed_at: 0,
         });
         if service {
-            self.targets += 1;
+            self.targets_version += 1;
         }
     }
 
-    fn free(&mut self, attempt: AttemptId, worker: &Name) {
+    fn free_attempt(&mut self, attempt: AttemptId, worker: &Name) {
         self.placement_due = true;
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
             return;
         };
-        let Some(resident) = self.workers[i].remove(attempt) else {
+        let Some(allocation) = self.workers[i].remove(attempt) else {
             return;
         };
         let clock = self.workers[i].last_clock;
         self.workers[i].history.end(attempt, clock);
-        if resident.service {
-            self.targets += 1;
+        if allocation.service {
+            self.targets_version += 1;
         }
         let Some(job) = self.state.job(attempt.job) else {
             return;
         };
         let (org, team) = (job.spec.key.org.clone(), job.spec.team.clone());
-        let team = self.team_index(&org, &team, resident.service);
+        let team = self.team_index(&org, &team, allocation.service);
         let team = &mut self.teams[usize::from(team)];
-        team.used = team.used.saturating_sub(&resident.size);
+        team.used = team.used.saturating_sub(&allocation.size);
     }
 
-    fn unwant(&mut self, attempt: AttemptId, worker: &Name) {
+    fn request_stop(&mut self, attempt: AttemptId, worker: &Name) {
         let Ok(i) = self.workers.binary_search_by(|w| w.name.cmp(worker)) else {
             return;
         };
@@ -117,11 +119,11 @@
         w.dirty = true;
         if let Some(r) = w.allocation_mut(attempt) {
             r.stop = Some(StopReason::Cancelled);
-            self.targets += u64::from(r.service);
+            self.targets_version += u64::from(r.service);
         }
     }
 
-    fn finish(&mut self, now: Millis, job: u32) {
+    fn finish_job(&mut self, now: Millis, job: u32) {
         let Some(found) = self.state.job(job) else {
             return;
         };
@@ -138,10 +140,11 @@
             number: job,
             attempts,
         });
-        self.closing.push_back((now + self.settings.retention, job));
+        self.close_queue
+            .push_back((now + self.settings.retention, job));
     }
 
-    /// Marks every task on a leaving worker to be moved.
+    /// Requests a stop of every attempt on a leaving worker, so that its tasks are moved.
     pub(super) fn drain_worker(&mut self, i: usize) {
         let w = &mut self.workers[i];
         for r in &mut w.allocations {
--- a/crates/core/src/shard/scheduler.rs
+++ b/crates/core/src/shard/scheduler.rs
@@ -1,4 +1,4 @@
-//! The state machine of a shard's owner.
+//! Scheduler of a shard: a state machine that its owner drives by events.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -17,36 +17,36 @@
     template::{OrgLimits, Organisation, Weights},
 };
 
-/// Place of a shard among all shards of the system.
+/// Name and index of a shard among all shards of the system.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardId {
     /// Name of the shard.
     pub name: Name,
-    /// Its index among all shards.
+    /// Index of the shard among all shards.
     pub index: u32,
     /// Number of all shards.
     pub count: u32,
 }
 
-/// What an owner starts from.
+/// State that a new owner starts from.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Takeover {
     /// Epoch of the new ownership.
     pub epoch: u64,
-    /// Book that was recovered from the journal.
+    /// Shard state that was recovered from the journal.
     #[serde(rename = "book")]
     pub state: ShardState,
     /// Number of the first record that is not in the journal.
     #[serde(rename = "next")]
     pub next_record: u64,
-    /// Hold that the shard's row states.
+    /// Hold in the shard's row when the owner took over.
     #[serde(rename = "inherited")]
     pub inherited_hold: Millis,
     /// Whether no earlier owner can still renew leases.
     pub settled: bool,
 }
 
-/// Owns a shard: decides starts, stops and ends.
+/// Scheduler of a shard: decides which attempts start, stop and have ended.
 #[derive(Debug)]
 pub struct ShardScheduler {
     pub(super) shard: ShardId,
@@ -58,47 +58,47 @@
     pub(super) workers: Vec<Worker>,
     pub(super) queue: Queue,
     pub(super) classes: Vec<TaskClass>,
-    /// Positions of the classes, sorted by organisation and kind.
-    class_order: Vec<u16>,
+    /// Indices of the classes, sorted by organisation and kind.
+    classes_by_name: Vec<u16>,
     pub(super) teams: Vec<TeamUsage>,
-    /// Positions of the teams, sorted by organisation and name.
-    team_order: Vec<u16>,
+    /// Indices of the teams, sorted by organisation and name.
+    teams_by_name: Vec<u16>,
     pub(super) interference: InterferenceModel,
-    /// Number of workers that stay, by index of the shard.
+    /// Number of workers that are not leaving, by index of the shard.
     pub(super) worker_counts: Vec<u32>,
-    pub(super) pending: Vec<Record>,
+    pub(super) pending_records: Vec<Record>,
     pub(super) finished: Vec<FinishedJob>,
     /// Number of the next record.
-    pub(super) next: u64,
+    pub(super) next_record: u64,
     /// Records below this number are in the journal.
     pub(super) committed: u64,
-    /// Last contact with the table service.
+    /// Time of the last contact with the table service.
     pub(super) store_seen_at: Millis,
-    /// Hold that the shard's row states; an owner does not go beyond it.
+    /// Hold in the shard's row, which limits the hold of each attempt.
     pub(super) hold_cap: Millis,
-    /// Hold that an earlier owner stated.
+    /// Hold in the shard's row at takeover, written by an earlier owner.
     pub(super) inherited_hold: Millis,
     /// Whether no earlier owner can still renew leases.
     pub(super) settled: bool,
-    /// When this owner took over.
-    pub(super) start: Millis,
-    /// Finished jobs by the time at which they leave the book.
-    pub(super) closing: VecDeque<(Millis, u32)>,
+    /// Time of the takeover.
+    pub(super) started_at: Millis,
+    /// Finished jobs with the time at which they are removed from the shard state.
+    pub(super) close_queue: VecDeque<(Millis, u32)>,
     pub(super) recent_evictions: VecDeque<Millis>,
-    /// Whether something changed that may let a task be placed.
+    /// Whether a change may allow a task to be placed.
     pub(super) placement_due: bool,
-    /// Whether workers that the list lacks were looked for since it came.
-    pub(super) adopted: bool,
+    /// Whether workers missing from the membership list were added since the list arrived.
+    pub(super) unlisted_checked: bool,
     pub(super) placed_at: Millis,
     pub(super) interference_checked_at: Millis,
     pub(super) actions: Vec<Action>,
-    pub(super) targets: u64,
+    pub(super) targets_version: u64,
 }
 
 impl ShardScheduler {
-    /// Takes over a shard.
+    /// Returns a scheduler that takes over a shard.
     pub fn new(
-        place: ShardId,
+        shard: ShardId,
         settings: ShardSettings,
         seed: u64,
         takeover: Takeover,
@@ -106,46 +106,46 @@
     ) -> ShardScheduler {
         let Takeover {
             epoch,
-            state: book,
-            next_record: next,
-            inherited_hold: inherited,
+            state,
+            next_record,
+            inherited_hold,
             settled,
         } = takeover;
-        let mut machine = ShardScheduler {
-            shard: place,
+        let mut scheduler = ShardScheduler {
+            shard,
             settings,
             epoch,
             rng: SmallRng::seed_from_u64(seed),
             orgs: Vec::new(),
-            state: book,
+            state,
             workers: Vec::new(),
             queue: Queue::default(),
             classes: Vec::new(),
-            class_order: Vec::new(),
+            classes_by_name: Vec::new(),
             teams: Vec::new(),
-            team_order: Vec::new(),
+            teams_by_name: Vec::new(),
             interference: InterferenceModel::default(),
             worker_counts: Vec::new(),
-            pending: Vec::new(),
+            pending_records: Vec::new(),
             finished: Vec::new(),
-            next,
-            committed: next,
+            next_record,
+            committed: next_record,
             store_seen_at: now,
-            hold_cap: inherited,
-            inherited_hold: inherited,
+            hold_cap: inherited_hold,
+            inherited_hold,
             settled,
-            start: now,
-            closing: VecDeque::new(),
+            started_at: now,
+            close_queue: VecDeque::new(),
             recent_evictions: VecDeque::new(),
             placement_due: true,
-            adopted: false,
+            unlisted_checked: false,
             placed_at: 0,
             interference_checked_at: 0,
             actions: Vec::new(),
-            targets: 1,
+            targets_version: 1,
         };
-        machine.recover(now);
-        machine
+        scheduler.recover(now);
+        scheduler
     }
 
     /// Returns the epoch of this ownership.
@@ -153,7 +153,7 @@
         self.epoch
     }
 
-    /// Returns the book.
+    /// Returns the shard state.
     pub fn state(&self) -> &ShardState {
         &self.state
     }
@@ -165,10 +165,10 @@
 
     /// Returns the number of the next record.
     pub fn next_record(&self) -> u64 {
-        self.next
+        self.next_record
     }
 
-    /// Handles one event and returns what is to be done.
+    /// Handles one event and returns the actions for the owner.
     pub fn step(&mut self, now: Millis, event: &Event) -> Vec<Action> {
         match event {
             Event::Organisations(orgs) => self.set_orgs(now, orgs),
@@ -179,8 +179,8 @@
             }
             Event::Submit(specs) => self.submit(now, specs),
             Event::Cancel(keys) => self.cancel(now, keys),
-            Event::Answer { worker, answer } => self.answer(now, worker, answer),
-            Event::NoAnswer { worker, seq } => self.no_answer(worker, *seq),
+            Event::Answer { worker, answer } => self.handle_answer(now, worker, answer),
+            Event::NoAnswer { worker, seq } => self.handle_no_answer(worker, *seq),
             Event::Committed(upto) => self.commit(now, *upto),
             Event::StoreSeen(hold) => {
                 self.store_seen_at = now;
@@ -195,7 +195,7 @@
 
     fn tick(&mut self, now: Millis) {
         self.queue.promote_delayed(now);
-        self.adopt_unlisted(now);
+        self.add_unlisted_workers(now);
         self.check_workers(now);
         self.close_jobs(now);
         self.limit_interference(now);
@@ -204,11 +204,11 @@
     }
 
     fn flush(&mut self) {
-        if self.pending.is_empty() {
+        if self.pending_records.is_empty() {
             return;
         }
-        let records = std::mem::take(&mut self.pending);
-        let first = self.next - records.len() as u64;
+        let records = std::mem::take(&mut self.pending_records);
+        let first = self.next_record - records.len() as u64;
         let finished = std::mem::take(&mut self.finished);
         self.actions.push(Action::Append {
             first,
@@ -233,14 +233,14 @@
         }
     }
 
-    /// Applies a record to the book and queues it for the journal.
+    /// Applies a record to the shard state and queues it for the journal.
     ///
-    /// Returns the record's number.
+    /// A task that the record queues becomes ready after `delay`. Returns the record's number.
     pub(super) fn append_record(&mut self, now: Millis, record: Record, delay: Millis) -> u64 {
-        let number = self.next;
+        let number = self.next_record;
         let effects = self.state.apply(&record);
-        self.next += 1;
-        self.pending.push(record);
+        self.next_record += 1;
+        self.pending_records.push(record);
         for effect in effects {
             self.apply_effect(now, effect, number, delay);
         }
@@ -267,7 +267,8 @@
             self.enqueue(now, task, 0);
         }
         for job in finished {
-            self.closing.push_back((now + self.settings.retention, job));
+            self.close_queue
+                .push_back((now + self.settings.retention, job));
         }
     }
 
@@ -301,8 +302,7 @@
         self.sync_services(now);
     }
 
-    /// Returns the longest time for which any owner may go on without the
-    /// table service.
+    /// Returns the longest time for which any owner may renew leases without the table service.
     pub fn longest_hold(&self) -> Millis {
         let wanted = self.orgs.iter().map(|o| o.limits.hold).max();
         wanted.unwrap_or(0).max(self.inherited_hold)
@@ -322,12 +322,12 @@
         self.workers
             .retain(|w| w.listed || !w.allocations.is_empty());
         if self.workers.len() != before {
-            self.targets += 1;
+            self.targets_version += 1;
         }
-        self.adopted = false;
+        self.unlisted_checked = false;
     }
 
-    /// Takes note that no earlier owner renews leases any more.
+    /// Shortens the presumed leases on new workers once no earlier owner can renew them.
     fn settle(&mut self, now: Millis) {
         self.settled = true;
         for w in &mut self.workers {
@@ -344,37 +344,37 @@
         if w.addr != info.addr || w.service_addr != info.target {
             w.addr = info.addr;
             w.service_addr = info.target;
-            self.targets += 1;
+            self.targets_version += 1;
         }
         if info.leaving && !w.leaving {
             w.leaving = true;
-            self.targets += 1;
+            self.targets_version += 1;
             self.drain_worker(i);
         } else if !info.leaving && w.leaving {
             w.leaving = false;
-            self.targets += 1;
+            self.targets_version += 1;
             self.placement_due = true;
         }
     }
 
     fn add_worker(&mut self, now: Millis, i: usize, info: &WorkerInfo) {
         let hold = if self.settled { 0 } else { self.longest_hold() };
-        let basis = now + hold;
-        self.workers.insert(i, Worker::new(info, now, basis));
-        self.targets += 1;
-        self.place_residents(now, i);
+        let lease_start = now + hold;
+        self.workers.insert(i, Worker::new(info, now, lease_start));
+        self.targets_version += 1;
+        self.restore_allocations(now, i);
     }
 
-    /// Puts the attempts that the book has on a worker into its view.
-    fn place_residents(&mut self, now: Millis, i: usize) {
+    /// Adds an allocation for each attempt that the shard state has on worker `i`.
+    fn restore_allocations(&mut self, now: Millis, i: usize) {
         let name = self.workers[i].name.clone();
         let mut found = Vec::new();
         for job in self.state.jobs() {
             for (t, task) in job.tasks.iter().enumerate() {
-                let TaskState::Active(on) = &task.state else {
+                let TaskState::Active(worker) = &task.state else {
                     continue;
                 };
-                if *on != name {
+                if *worker != name {
                     continue;
                 }
                 let attempt = AttemptId {
@@ -382,52 +382,55 @@
                     task: t as u32,
                     attempt: task.attempt,
                 };
-                let unwanted = job.cancelled || t as u32 >= job.spec.tasks;
-                found.push((attempt, job.spec.size, unwanted));
+                let is_unwanted = job.cancelled || t as u32 >= job.spec.tasks;
+                found.push((attempt, job.spec.size, is_unwanted));
             }
         }
-        for (attempt, size, unwanted) in found {
+        for (attempt, size, is_unwanted) in found {
             self.reserve(now, attempt, &name, &size, 0);
             let Some(r) = self.workers[i].allocation_mut(attempt) else {
                 continue;
             };
             r.sent_seq = Some(0);
-            if unwanted {
+            if is_unwanted {
                 r.stop = Some(super::StopReason::Cancelled);
             }
         }
     }
 
-    /// Adds workers that the book has attempts on and the list no longer has.
+    /// Adds workers that have attempts in the shard state but are missing from the membership list.
     ///
-    /// Not at once, since the first list may come before it is complete.
-    pub(super) fn adopt_unlisted(&mut self, now: Millis) {
+    /// Waits for `silent_after` from the takeover, since the first list may be incomplete.
+    pub(super) fn add_unlisted_workers(&mut self, now: Millis) {
         let known = !self.worker_counts.is_empty();
-        if self.adopted || !known || now < self.start + self.settings.silent_after {
+        if self.unlisted_checked || !known || now < self.started_at + self.settings.silent_after {
             return;
         }
-        self.adopted = true;
+        self.unlisted_checked = true;
         let mut names: Vec<Name> = Vec::new();
         for job in self.state.jobs() {
             for task in &job.tasks {
-                let TaskState::Active(on) = &task.state else {
+                let TaskState::Active(worker) = &task.state else {
                     continue;
                 };
-                let known = self.workers.binary_search_by(|w| w.name.cmp(on)).is_ok();
-                if known || names.contains(on) {
+                let known = self
+                    .workers
+                    .binary_search_by(|w| w.name.cmp(worker))
+                    .is_ok();
+                if known || names.contains(worker) {
                     continue;
                 }
-                names.push(on.clone());
+                names.push(worker.clone());
             }
         }
-        let nowhere = ([0, 0, 0, 0], 0).into();
+        let no_addr = ([0, 0, 0, 0], 0).into();
         for name in names {
             let info = WorkerInfo {
                 name: name.clone(),
                 zone: name.clone(),
                 rack: name.clone(),
-                addr: nowhere,
-                target: nowhere,
+                addr: no_addr,
+                target: no_addr,
                 size: Size::default(),
                 leaving: true,
             };
@@ -446,7 +449,7 @@
                 continue;
             }
             let job = self.state.next_job();
-            let reason = self.refusal(spec, &mut open);
+            let reason = self.rejection_reason(spec, &mut open);
             self.append_record(now, Record::Submitted(spec.clone()), 0);
             if let Some(reason) = reason {
                 self.append_record(now, Record::Rejected { job, reason }, 0);
@@ -455,7 +458,7 @@
         self.placement_due = true;
     }
 
-    /// Returns the number of open jobs of each organisation, in their order.
+    /// Returns the number of open jobs of each organisation, in the order of `orgs`.
     fn open_jobs(&self) -> Vec<u32> {
         let mut open = vec![0; self.orgs.len()];
         for job in self.state.jobs() {
@@ -472,10 +475,10 @@
         open
     }
 
-    /// Returns why a job can never run, as far as that is known.
+    /// Returns why a job has to be rejected, or `None` if it is accepted.
     ///
-    /// Without the organisation's template nothing is known of its limits.
-    fn refusal(&self, spec: &JobSpec, open: &mut [u32]) -> Option<Name> {
+    /// A job of an organisation without a template is accepted, since its limits are unknown.
+    fn rejection_reason(&self, spec: &JobSpec, open: &mut [u32]) -> Option<Name> {
         let org = self
             .orgs
             .binary_search_by(|o| o.name.cmp(&spec.key.org))
@@ -516,22 +519,22 @@
     }
 
     fn close_jobs(&mut self, now: Millis) {
-        while self.closing.front().is_some_and(|c| c.0 <= now) {
-            let Some((_, job)) = self.closing.pop_front() else {
+        while self.close_queue.front().is_some_and(|c| c.0 <= now) {
+            let Some((_, job)) = self.close_queue.pop_front() else {
                 return;
             };
             self.append_record(now, Record::Closed { job }, 0);
         }
     }
 
-    /// Returns the index of a class, which is made if it is new.
+    /// Returns the index of a class, which is added if it is new.
     pub(super) fn class_index(&mut self, org: &Name, kind: &Name, service: bool) -> u16 {
-        let found = self.class_order.binary_search_by(|i| {
+        let found = self.classes_by_name.binary_search_by(|i| {
             let c = &self.classes[usize::from(*i)];
             (&c.org, &c.kind).cmp(&(org, kind))
         });
         let at = match found {
-            Ok(at) => return self.class_order[at],
+            Ok(at) => return self.classes_by_name[at],
             Err(at) => at,
         };
         let known = self.orgs.iter().find(|o| o.name == *org);
@@ -552,18 +555,18 @@
         });
         self.interference.grow(self.classes.len());
         let new = (self.classes.len() - 1) as u16;
-        self.class_order.insert(at, new);
+        self.classes_by_name.insert(at, new);
         new
     }
 
-    /// Returns the index of a team, which is made if it is new.
+    /// Returns the index of a team, which is added if it is new.
     pub(super) fn team_index(&mut self, org: &Name, team: &Name, service: bool) -> u16 {
-        let found = self.team_order.binary_search_by(|i| {
+        let found = self.teams_by_name.binary_search_by(|i| {
             let t = &self.teams[usize::from(*i)];
             (&t.org, &t.team).cmp(&(org, team))
         });
         let at = match found {
-            Ok(at) => return self.team_order[at],
+            Ok(at) => return self.teams_by_name[at],
             Err(at) => at,
         };
         let count = u64::from(self.shard.count);
@@ -584,7 +587,7 @@
             },
         });
         let new = (self.teams.len() - 1) as u16;
-        self.team_order.insert(at, new);
+        self.teams_by_name.insert(at, new);
         new
     }
 }
