--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -45,7 +45,7 @@
             now,
             sent: Vec::new(),
         };
-        owner.tell(Event::Queues(vec![QueuePolicy {
+        owner.handle_event(Event::Queues(vec![QueuePolicy {
             queue: "q".into(),
             service: "s".into(),
             priority: 0,
@@ -53,8 +53,8 @@
             stretch: 1.5,
             latency: 250,
         }]));
-        owner.row(1);
-        owner.list(0, 1, &[]);
+        owner.register(1);
+        owner.report(0, 1, &[]);
         let step = Step {
             count: 1,
             cpu: 1000,
@@ -65,7 +65,7 @@
             steps: vec![step],
             ..Spec::default()
         };
-        owner.tell(Event::Accepted(Arc::new(Job {
+        owner.handle_event(Event::Accepted(Arc::new(Job {
             id: TASK.job,
             queue: "q".into(),
             accepted: 0,
@@ -76,12 +76,12 @@
         owner
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.machine.handle(self.now, self.now, event);
     }
 
     fn answer(&mut self, worker: u32, sent: u64, answer: Answer) {
-        self.tell(Event::Answer {
+        self.handle_event(Event::Answer {
             worker,
             sent,
             answer,
@@ -94,11 +94,11 @@
         for _ in 0..50 {
             self.now += 5;
             let asked = self.now;
-            self.tell(Event::WorkersSynced { asked_at: asked });
-            self.tell(Event::Renewed { asked_at: asked });
+            self.handle_event(Event::WorkersSynced { asked_at: asked });
+            self.handle_event(Event::Renewed { asked_at: asked });
             for action in self.machine.decide(self.now, self.now) {
                 match action {
-                    Action::Commit(_) => self.tell(Event::Committed { asked_at: asked }),
+                    Action::Commit(_) => self.handle_event(Event::Committed { asked_at: asked }),
                     Action::Poll { .. } => {}
                     action => self.sent.push(action),
                 }
@@ -107,10 +107,10 @@
     }
 
     /// The row of a life is read.
-    fn row(&mut self, born: u64) {
-        self.tell(Event::WorkerUpdated(WorkerInfo {
+    fn register(&mut self, start_time: u64) {
+        self.handle_event(Event::WorkerUpdated(WorkerInfo {
             id: "w".into(),
-            start_time: Some(born),
+            start_time: Some(start_time),
             addr: ([127, 0, 0, 1], 1000).into(),
             service: "s".into(),
             zone: "z".into(),
@@ -128,7 +128,7 @@
     }
 
     /// A list of a life is read with these runs of the task, which was asked for just before.
-    fn list(&mut self, worker: u32, born: u64, runs: &[u32]) {
+    fn report(&mut self, worker: u32, start_time: u64, runs: &[u32]) {
         let running = runs.iter().map(|&run| ReportedRun {
             task: TASK,
             run,
@@ -136,15 +136,15 @@
             percent: 1,
             metric: None,
         });
-        let look = WorkerReport {
-            start_time: Some(born),
-            clock: self.now - born,
+        let report = WorkerReport {
+            start_time: Some(start_time),
+            clock: self.now - start_time,
             running: running.collect(),
             finished: Vec::new(),
         };
         let sent = self.now;
         self.now += 5;
-        self.answer(worker, sent, Answer::Report(look));
+        self.answer(worker, sent, Answer::Report(report));
     }
 
     fn started(&mut self, worker: u32, run: u32, started: Started) {
@@ -179,88 +179,88 @@
 }
 
 #[test]
-fn a_run_that_was_listed_is_over() {
+fn a_listed_run_ends_with_its_incarnation() {
     let mut owner = Owner::new();
     owner.started(0, 1, Started::Done);
-    owner.list(0, 1, &[1]);
-    owner.row(2);
-    owner.list(0, 2, &[]);
+    owner.report(0, 1, &[1]);
+    owner.register(2);
+    owner.report(0, 2, &[]);
     assert_eq!(owner.starts(), [(1, 2)]);
 }
 
 /// An answer does not say which life it is of.
 #[test]
-fn a_start_that_was_not_listed_is_barred_in_the_next_life() {
+fn an_unlisted_start_is_stopped_in_the_next_incarnation() {
     for answer in [None, Some(Started::Unknown), Some(Started::Done)] {
         let mut owner = Owner::new();
         if let Some(started) = answer {
             owner.started(0, 1, started);
         }
-        owner.row(2);
-        owner.list(0, 2, &[]);
+        owner.register(2);
+        owner.report(0, 2, &[]);
         assert_eq!(owner.stops(), [(1, 1)]);
         owner.stopped(1, 1);
-        owner.list(1, 2, &[]);
+        owner.report(1, 2, &[]);
         assert_eq!(owner.starts(), [(1, 2)]);
     }
 }
 
 #[test]
-fn a_run_that_the_next_life_lists_goes_on() {
+fn a_run_that_the_next_incarnation_lists_goes_on() {
     let mut owner = Owner::new();
-    owner.row(2);
-    owner.list(0, 2, &[1]);
-    owner.list(1, 2, &[1]);
+    owner.register(2);
+    owner.report(0, 2, &[1]);
+    owner.report(1, 2, &[1]);
     assert!(owner.sent.is_empty());
-    owner.list(1, 2, &[]);
+    owner.report(1, 2, &[]);
     assert_eq!(owner.starts(), [(1, 2)]);
 }
 
 #[test]
-fn a_stop_that_the_old_life_confirmed_bars_nothing_in_the_next_one() {
+fn a_stop_confirmed_by_the_old_incarnation_does_not_bind_the_next() {
     let mut owner = Owner::new();
     owner.started(0, 1, Started::Unknown);
-    owner.list(0, 1, &[]);
+    owner.report(0, 1, &[]);
     assert_eq!(owner.stops(), [(0, 1)]);
     owner.stopped(0, 1);
-    owner.row(2);
-    owner.list(0, 2, &[]);
+    owner.register(2);
+    owner.report(0, 2, &[]);
     assert_eq!(owner.stops(), [(1, 1)]);
 }
 
 /// Run 1 was given up and run 2 lost with the old life; the start of run 1 may come to the
 /// next one.
 #[test]
-fn a_task_waits_until_starts_that_were_given_up_are_barred() {
+fn a_task_waits_until_its_late_starts_are_stopped() {
     let mut owner = Owner::new();
     owner.started(0, 1, Started::Unknown);
-    owner.list(0, 1, &[]);
+    owner.report(0, 1, &[]);
     assert_eq!(owner.stops(), [(0, 1)]);
     owner.stopped(0, 1);
-    owner.list(0, 1, &[]);
+    owner.report(0, 1, &[]);
     assert_eq!(owner.starts(), [(0, 2)]);
-    owner.list(0, 1, &[2]);
-    owner.row(2);
-    owner.list(0, 2, &[]);
+    owner.report(0, 1, &[2]);
+    owner.register(2);
+    owner.report(0, 2, &[]);
     assert_eq!(owner.stops(), [(1, 1), (1, 2)]);
     owner.stopped(1, 2);
-    owner.list(1, 2, &[1]);
+    owner.report(1, 2, &[1]);
     owner.stopped(1, 1);
-    owner.list(1, 2, &[1]);
+    owner.report(1, 2, &[1]);
     assert!(owner.sent.is_empty());
-    owner.list(1, 2, &[]);
+    owner.report(1, 2, &[]);
     assert_eq!(owner.starts(), [(1, 3)]);
 }
 
 /// Its clock is behind, and it takes the longest lease from what was meant for the old life.
 #[test]
-fn the_next_life_is_not_given_up_while_old_orders_may_hold_its_runs() {
+fn the_next_incarnation_is_not_lost_while_misdirected_leases_may_hold() {
     let mut owner = Owner::new();
-    owner.list(0, 1, &[1]);
-    owner.row(2);
-    owner.list(0, 2, &[]);
+    owner.report(0, 1, &[1]);
+    owner.register(2);
+    owner.report(0, 2, &[]);
     assert_eq!(owner.starts(), [(1, 2)]);
-    owner.list(1, 2, &[2]);
+    owner.report(1, 2, &[2]);
     let end = owner.now + Settings::default().max_lease;
     while owner.now < end {
         let sent = owner.now;
@@ -287,7 +287,7 @@
 }
 
 /// Has a worker be silent from now on; returns for how many milliseconds its run is held.
-fn hold(mut owner: Owner) -> u64 {
+fn hold_time(mut owner: Owner) -> u64 {
     let since = owner.now;
     while owner
         .machine
@@ -305,16 +305,16 @@
 /// A start that a later life may have taken holds its run for the longest lease, though looks
 /// that get no answer follow; one that its own life has taken does not.
 #[test]
-fn a_start_without_a_list_is_waited_for_as_long_as_a_later_life_may_run_it() {
+fn an_unlisted_start_is_held_as_long_as_a_later_incarnation_may_run_it() {
     let longest = Settings::default().max_lease;
     let mut own = Owner::new();
     own.started(0, 1, Started::DoneAt(own.now - 1));
-    let own = hold(own);
+    let own = hold_time(own);
     assert!(own < longest - 2000, "{own}");
     for started in [Started::Done, Started::DoneAt(10), Started::Unknown] {
         let mut other = Owner::new();
         other.started(0, 1, started);
-        let other = hold(other);
+        let other = hold_time(other);
         assert!(
             (longest..longest + 4500).contains(&other),
             "{started:?} {other}"
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn a_look_tells_of_ends_only_where_they_are_kept_and_its_reader_is_known() {
+fn a_poll_drops_ends_only_of_a_known_incarnation_that_still_lists_them() {
     let mut owner = Owner::new();
     let worker = owner.machine.fleet.get_mut(0);
     worker.durable_end = 5;
