--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -11,13 +11,13 @@
 };
 
 /// A worker that had no room, though it should have, gets no run for this long.
-const NO_ROOM_PAUSE: u64 = 250;
+const NO_ROOM_PAUSE_MS: u64 = 250;
 
 /// Pause before a stop without an answer is sent again, in milliseconds.
-const STOP_RETRY: u64 = 400;
+const STOP_RETRY_MS: u64 = 400;
 
 /// First pause before a silent worker is asked again, in milliseconds.
-const SILENT_RETRY: u64 = 250;
+const SILENT_RETRY_MS: u64 = 250;
 
 impl Machine {
     /// Returns a task's run if it is on this worker under this number.
@@ -56,7 +56,7 @@
                 if matches!(run.stage, Stage::Sent(_) | Stage::Unanswered(_)) {
                     run.stage = Stage::Confirmed(now);
                 }
-                return self.mark_begun(id);
+                return self.mark_job_active(id);
             }
             Started::Unknown | Started::Old => {
                 if matches!(run.stage, Stage::Sent(_)) {
@@ -78,7 +78,7 @@
             Started::NotSent => {
                 worker.silent_since.get_or_insert(now);
             }
-            _ => worker.closed_until = worker.closed_until.max(now + NO_ROOM_PAUSE),
+            _ => worker.closed_until = worker.closed_until.max(now + NO_ROOM_PAUSE_MS),
         }
         if sent {
             self.clear_run(id);
@@ -97,19 +97,19 @@
             if matches!(run.stage, Stage::Stopping(_)) {
                 run.stage = match done {
                     true => Stage::StopConfirmed(now),
-                    false => Stage::Stopping(Some(now + STOP_RETRY)),
+                    false => Stage::Stopping(Some(now + STOP_RETRY_MS)),
                 };
             }
             return;
         }
-        let strays = &mut self.fleet.get_mut(slot).orphans;
-        let Some(stray) = strays.iter_mut().find(|s| s.task == id && s.run == number) else {
+        let orphans = &mut self.fleet.get_mut(slot).orphans;
+        let Some(orphan) = orphans.iter_mut().find(|s| s.task == id && s.run == number) else {
             return;
         };
-        stray.sent_at = None;
+        orphan.sent_at = None;
         match done {
-            true => stray.stopped_at = Some(now),
-            false => stray.retry_at = now + STOP_RETRY,
+            true => orphan.stopped_at = Some(now),
+            false => orphan.retry_at = now + STOP_RETRY_MS,
         }
     }
 
@@ -121,7 +121,7 @@
             return;
         }
         worker.poll_in_flight = false;
-        worker.next_poll_at = now + SILENT_RETRY;
+        worker.next_poll_at = now + SILENT_RETRY_MS;
         worker.unanswered_poll = Some(sent);
         if worker.silent_since.is_none() {
             worker.silent_since = Some(now);
@@ -133,28 +133,28 @@
     pub(crate) fn send_stops(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             if !self.fleet.get(slot).orphans.is_empty() {
-                self.stop_strays(slot);
+                self.stop_orphans(slot);
             }
         }
-        let mut left = std::mem::take(&mut self.stopping);
-        left.sort_unstable();
-        left.dedup();
-        left.retain(|&id| self.send_stop(id));
-        self.stopping = left;
+        let mut unfinished = std::mem::take(&mut self.stopping);
+        unfinished.sort_unstable();
+        unfinished.dedup();
+        unfinished.retain(|&id| self.send_stop(id));
+        self.stopping = unfinished;
     }
 
     /// Sends stops of the runs on a worker that nobody wants.
-    fn stop_strays(&mut self, slot: u32) {
+    fn stop_orphans(&mut self, slot: u32) {
         let now = self.now;
         if !self.fleet.get(slot).can_take_orders() {
             return;
         }
-        for stray in &mut self.fleet.get_mut(slot).orphans {
-            if stray.sent_at.is_some() || stray.stopped_at.is_some() || stray.retry_at > now {
+        for orphan in &mut self.fleet.get_mut(slot).orphans {
+            if orphan.sent_at.is_some() || orphan.stopped_at.is_some() || orphan.retry_at > now {
                 continue;
             }
-            stray.sent_at = Some(now);
-            let (task, run) = (stray.task, stray.run);
+            orphan.sent_at = Some(now);
+            let (task, run) = (orphan.task, orphan.run);
             self.actions.push(Action::Stop {
                 worker: slot,
                 task,
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -16,7 +16,7 @@
 
 /// Pause of a task whose start was rejected without a checkpoint, in milliseconds: others may
 /// reject it as well, and each of them is blamed.
-const REJECTED_PAUSE: u64 = 2000;
+const REJECTED_PAUSE_MS: u64 = 2000;
 
 impl Machine {
     /// Has all members of a gang go on from the newest checkpoint of any of them.
@@ -42,7 +42,7 @@
         let task = &mut step.tasks[id.index as usize];
         let run = task.last_run;
         if task.run.as_ref().is_none_or(|r| !r.partial) {
-            task.retry_at = now + REJECTED_PAUSE;
+            task.retry_at = now + REJECTED_PAUSE_MS;
             return self.note_worker_failure(slot);
         }
         self.stats.rejected += 1;
@@ -53,13 +53,13 @@
         if gang {
             step.reject_checkpoint(&rejected.text);
         }
-        let (saved_run, saved_on) = self.source(&rejected);
+        let (saved_run, saved_on) = self.checkpoint_source(&rejected);
         log::warn!(task = id.to_string().as_str(), run, worker = &*self.fleet.get(slot).id, saved = log_excerpt(&rejected.text), saved_run, saved_on; "start: checkpoint rejected");
         self.mark_dirty(id.job);
     }
 
     /// Returns what log lines tell of where a checkpoint was made: the run and its worker.
-    pub(super) fn source(&self, checkpoint: &Checkpoint) -> (u32, &str) {
+    pub(super) fn checkpoint_source(&self, checkpoint: &Checkpoint) -> (u32, &str) {
         match checkpoint.origin {
             Some(origin) => (origin.run, &self.fleet.get(origin.worker).id),
             None => (0, "record"),
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -17,16 +17,16 @@
 
 /// A start with a shorter lease is not sent, in milliseconds: the look at an idle worker goes
 /// on waiting, and the run would lapse before its lease is renewed.
-const LEAST_LEASE: u64 = IDLE_POLL_WAIT_MS + 1000;
+const MIN_LEASE_MS: u64 = IDLE_POLL_WAIT_MS + 1000;
 
 /// A batch as it is made.
-struct Writer {
+struct BatchBuilder {
     records: Vec<(JobId, Vec<u8>)>,
     rows: Appender,
-    flight: InFlight,
+    in_flight: InFlight,
 }
 
-impl Writer {
+impl BatchBuilder {
     fn is_empty(&self) -> bool {
         self.records.is_empty() && self.rows.is_empty()
     }
@@ -38,50 +38,50 @@
         if self.in_flight.is_some() {
             return;
         }
-        let mut writer = Writer {
+        let mut builder = BatchBuilder {
             records: Vec::new(),
             rows: Appender::new(&self.log),
-            flight: InFlight::default(),
+            in_flight: InFlight::default(),
         };
         let mut written = 0;
-        while written < self.dirty_jobs.len() && writer.records.len() < self.settings.batch_records
+        while written < self.dirty_jobs.len() && builder.records.len() < self.settings.batch_records
         {
-            if !self.write_job(self.dirty_jobs[written], &mut writer) {
+            if !self.write_job(self.dirty_jobs[written], &mut builder) {
                 break;
             }
             written += 1;
         }
         self.dirty_jobs.drain(..written);
         // Shortening alone is worth no write.
-        if !writer.is_empty() {
-            self.shorten_log(&mut writer.rows);
+        if !builder.is_empty() {
+            self.compact_log(&mut builder.rows);
         }
-        let whole = self.dirty_jobs.is_empty();
-        let mut flight = writer.flight;
-        if whole {
-            self.collect_observed(&mut flight);
+        let is_complete = self.dirty_jobs.is_empty();
+        let mut in_flight = builder.in_flight;
+        if is_complete {
+            self.collect_pending_ends(&mut in_flight);
         }
         let batch = Batch {
-            records: writer.records,
-            dropped_rows: writer.rows.dropped(),
-            appended_rows: writer.rows.finish(&mut self.log),
+            records: builder.records,
+            dropped_rows: builder.rows.dropped(),
+            appended_rows: builder.rows.finish(&mut self.log),
         };
         if !batch.is_empty() {
             self.stats.commits += 1;
-            self.in_flight = Some(flight);
+            self.in_flight = Some(in_flight);
             self.actions.push(Action::Commit(batch));
-        } else if whole {
+        } else if is_complete {
             // Nothing is left to be made durable: ends may be dropped at once.
-            self.observe(&flight);
+            self.mark_ends_durable(&in_flight);
         }
     }
 
     /// Writes what changed of a job; true if all of it found room in the batch.
-    fn write_job(&mut self, id: JobId, writer: &mut Writer) -> bool {
+    fn write_job(&mut self, id: JobId, builder: &mut BatchBuilder) -> bool {
         let Some(state) = self.jobs.get(&id) else {
             return true;
         };
-        if !state.outcome.is_final() && !self.log_tasks(id, writer) {
+        if !state.outcome.is_final() && !self.log_tasks(id, builder) {
             return false;
         }
         let Some(state) = self.jobs.get_mut(&id) else {
@@ -90,24 +90,25 @@
         if state.written_outcome != state.outcome {
             state.written_outcome = state.outcome;
             let record = Record::new(state.outcome);
-            writer.records.push((id, record.encode()));
+            builder.records.push((id, record.encode()));
         }
         state.dirty = false;
         true
     }
 
     /// Logs the tasks of a job that changed; true if all of them found room.
-    fn log_tasks(&mut self, id: JobId, writer: &mut Writer) -> bool {
+    fn log_tasks(&mut self, id: JobId, builder: &mut BatchBuilder) -> bool {
         let (jobs, fleet) = (&mut self.jobs, &self.fleet);
         let Some(state) = jobs.get_mut(&id) else {
             return true;
         };
-        for (time, steps) in (0..).zip(&mut state.repetitions) {
+        for (repetition, steps) in (0..).zip(&mut state.repetitions) {
             for (step, state) in (0..).zip(steps) {
                 if state.is_done() {
                     state.forget_logged();
                     let row = state.logged_row;
-                    state.logged_row = row.or_else(|| Some(writer.rows.step(id, (time, step))));
+                    state.logged_row =
+                        row.or_else(|| Some(builder.rows.add_step(id, (repetition, step))));
                     continue;
                 }
                 for (index, task) in (0..).zip(&mut state.tasks) {
@@ -115,22 +116,22 @@
                         continue;
                     }
                     if task.has_changed() {
-                        if writer.rows.is_full() {
+                        if builder.rows.is_full() {
                             return false;
                         }
                         let name = |slot| fleet.get(slot).incarnation_name.clone();
-                        let record = task.record((time, step, index), name);
-                        task.note_logged(writer.rows.task(id, record));
+                        let record = task.record((repetition, step, index), name);
+                        task.note_logged(builder.rows.add_task(id, record));
                     }
                     let run = task.run.as_ref();
                     if run.is_some_and(|r| r.stage == Stage::Planned) {
                         let id = TaskId {
                             job: id,
-                            repetition: time,
+                            repetition,
                             step,
                             index,
                         };
-                        writer.flight.starts.push((id, task.last_run));
+                        builder.in_flight.starts.push((id, task.last_run));
                     }
                 }
             }
@@ -139,23 +140,23 @@
     }
 
     /// Drops the log's oldest rows while it is too long; what of them still holds is logged anew.
-    fn shorten_log(&mut self, rows: &mut Appender) {
+    fn compact_log(&mut self, rows: &mut Appender) {
         let live = if self.log.is_large() {
             self.live_bytes()
         } else {
             0
         };
         while !rows.is_drop_limit_reached() && !rows.is_full() {
-            let long = self.log.len() > self.settings.log_rows;
+            let has_excess_rows = self.log.len() > self.settings.log_rows;
             let Some((number, jobs)) = self.log.oldest() else {
                 return;
             };
-            if !long && !self.log.is_too_large(live) {
+            if !has_excess_rows && !self.log.is_too_large(live) {
                 return;
             }
             let jobs = jobs.to_vec();
             for id in jobs {
-                if !self.log_again(id, number, rows) {
+                if !self.rewrite_logged(id, number, rows) {
                     return;
                 }
             }
@@ -173,7 +174,7 @@
     }
 
     /// Logs anew what a row tells of a job and still holds; true if all of it found room.
-    fn log_again(&mut self, id: JobId, number: u64, rows: &mut Appender) -> bool {
+    fn rewrite_logged(&mut self, id: JobId, number: u64, rows: &mut Appender) -> bool {
         let (jobs, fleet) = (&mut self.jobs, &self.fleet);
         let Some(state) = jobs.get_mut(&id) else {
             return true;
@@ -182,10 +183,10 @@
             // Its record says so, once that is written.
             return state.written_outcome == state.outcome;
         }
-        for (time, steps) in (0..).zip(&mut state.repetitions) {
+        for (repetition, steps) in (0..).zip(&mut state.repetitions) {
             for (step, state) in (0..).zip(steps) {
                 if state.logged_row == Some(number) {
-                    state.logged_row = Some(rows.step(id, (time, step)));
+                    state.logged_row = Some(rows.add_step(id, (repetition, step)));
                 }
                 for (index, task) in (0..).zip(&mut state.tasks) {
                     if task.logged.is_none() || task.logged_row != number {
@@ -196,28 +197,28 @@
                     }
                     // As it is now: what waits for that to be durable waits for its own batch.
                     let name = |slot| fleet.get(slot).incarnation_name.clone();
-                    let record = task.record((time, step, index), name);
-                    task.note_logged(rows.task(id, record));
+                    let record = task.record((repetition, step, index), name);
+                    task.note_logged(rows.add_task(id, record));
                 }
             }
         }
         true
     }
 
-    fn collect_observed(&mut self, flight: &mut InFlight) {
-        let mut left = std::mem::take(&mut self.workers_with_ends);
-        left.sort_unstable();
-        left.dedup();
-        left.retain(|&slot| self.fleet.get(slot).has_pending_ends());
-        let rows = left
+    fn collect_pending_ends(&mut self, in_flight: &mut InFlight) {
+        let mut pending = std::mem::take(&mut self.workers_with_ends);
+        pending.sort_unstable();
+        pending.dedup();
+        pending.retain(|&slot| self.fleet.get(slot).has_pending_ends());
+        let rows = pending
             .iter()
             .map(|&slot| (slot, self.fleet.get(slot).counted_end));
-        flight.observed.extend(rows);
-        self.workers_with_ends = left;
+        in_flight.observed.extend(rows);
+        self.workers_with_ends = pending;
     }
 
-    fn observe(&mut self, flight: &InFlight) {
-        for &(slot, number) in &flight.observed {
+    fn mark_ends_durable(&mut self, in_flight: &InFlight) {
+        for &(slot, number) in &in_flight.observed {
             let worker = self.fleet.get_mut(slot);
             worker.durable_end = worker.durable_end.max(number);
             worker.next_poll_at = worker.next_poll_at.min(self.now);
@@ -226,11 +227,11 @@
 
     /// The batch in flight is durable: its starts may be sent, its ends dropped.
     pub(crate) fn handle_committed(&mut self) {
-        let Some(flight) = self.in_flight.take() else {
+        let Some(in_flight) = self.in_flight.take() else {
             return;
         };
-        self.observe(&flight);
-        for (id, run) in flight.starts {
+        self.mark_ends_durable(&in_flight);
+        for (id, run) in in_flight.starts {
             self.send_start(id, run);
         }
     }
@@ -244,24 +245,24 @@
         let Some(task) = state.task_mut(id).filter(|t| t.last_run == number) else {
             return;
         };
-        let saved = task.checkpoint_text();
+        let checkpoint = task.checkpoint_text();
         let Some(run) = task.run.as_mut().filter(|r| r.stage == Stage::Planned) else {
             return;
         };
-        let current = self.fleet.is_fresh(now, &settings);
+        let is_fresh = self.fleet.is_fresh(now, &settings);
         let worker = self.fleet.get_mut(run.worker);
         let reading = worker.clock.map_or(0, |(reading, _)| reading);
         let deadline = worker.deadline(&settings, self.store_contact);
-        let lasts = |d: &u64| *d >= reading + LEAST_LEASE;
+        let is_long_enough = |d: &u64| *d >= reading + MIN_LEASE_MS;
         // A place may become durable seconds after it was chosen: meanwhile the worker may
         // have said that it leaves or has less room, or this owner may not have heard.
-        let fits = current && worker.accepts_runs(now) && !worker.is_overcommitted();
-        let Some(deadline) = deadline.filter(lasts).filter(|_| fits) else {
+        let can_start = is_fresh && worker.accepts_runs(now) && !worker.is_overcommitted();
+        let Some(deadline) = deadline.filter(is_long_enough).filter(|_| can_start) else {
             return self.clear_run(id);
         };
         run.stage = Stage::Sent(now);
         run.sent_at = Some(now);
-        run.partial = !saved.is_empty();
+        run.partial = !checkpoint.is_empty();
         worker.granted_until = worker.granted_until.max(deadline);
         worker.note_lease_order(now, &settings);
         let (slot, waited) = (run.worker, now - run.placed_at);
@@ -271,25 +272,25 @@
             run: number,
             spec,
             deadline,
-            checkpoint: saved,
+            checkpoint,
         };
-        self.tell_start(slot, &order, waited);
+        self.log_start(slot, &order, waited);
         self.actions.push(Action::Start(slot, order));
     }
 
     /// Logs a start that waited so many milliseconds for its place to become durable, and where
     /// the checkpoint was made that it brings.
-    fn tell_start(&self, slot: u32, order: &StartOrder, waited: u64) {
+    fn log_start(&self, slot: u32, order: &StartOrder, waited: u64) {
         let (id, run) = (order.task, order.run);
         let worker = self.fleet.get(slot);
-        let apart = worker.isolated_task == Some(id);
+        let is_isolated = worker.isolated_task == Some(id);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let Some(checkpoint) = task.and_then(|t| t.checkpoint.as_deref()) else {
-            log::info!(task = id.to_string().as_str(), run, worker = &*worker.id, waited_ms = waited, apart; "start: sent");
+            log::info!(task = id.to_string().as_str(), run, worker = &*worker.id, waited_ms = waited, apart = is_isolated; "start: sent");
             return;
         };
-        let (saved_run, saved_on) = self.source(checkpoint);
+        let (saved_run, saved_on) = self.checkpoint_source(checkpoint);
         let saved_ms = checkpoint.origin.map_or(0, |o| self.now - o.reported_at);
-        log::info!(task = id.to_string().as_str(), run, worker = &*worker.id, waited_ms = waited, apart, saved = log_excerpt(&checkpoint.text), saved_run, saved_on, saved_ms; "start: sent");
+        log::info!(task = id.to_string().as_str(), run, worker = &*worker.id, waited_ms = waited, apart = is_isolated, saved = log_excerpt(&checkpoint.text), saved_run, saved_on, saved_ms; "start: sent");
     }
 }
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -24,20 +24,20 @@
 pub(crate) const JUST_STARTED_MS: u64 = 800;
 
 /// Workers that are lost within this time of each other are lost at once, in milliseconds.
-const AT_ONCE: u64 = 1000;
+const SIMULTANEOUS_MS: u64 = 1000;
 
 /// If so many others are lost at once, no task of one of them is the cause ...
-const MANY: usize = 3;
+const MIN_SIMULTANEOUS_LOSSES: usize = 3;
 
 /// ... or, in a large fleet, one in so many.
-const MANY_SHARE: usize = 12;
+const SIMULTANEOUS_LOSS_DIVISOR: usize = 12;
 
 /// A task whose run has been at work for this long crashes no workers, in milliseconds.
-const CLEARED: u64 = 30_000;
+const CLEAR_SUSPECT_MS: u64 = 30_000;
 
 impl Run {
     /// Tells whether it had just begun at `now`.
-    fn is_young(&self, now: u64) -> bool {
+    fn has_just_started(&self, now: u64) -> bool {
         self.sent_at
             .is_some_and(|at| now.saturating_sub(at) <= JUST_STARTED_MS)
     }
@@ -53,7 +53,7 @@
             let worker = self.fleet.get(slot);
             let due = worker
                 .silent_since
-                .is_some_and(|at| self.now > at + AT_ONCE);
+                .is_some_and(|at| self.now > at + SIMULTANEOUS_MS);
             if due && worker.process_ended && !worker.crash_recorded {
                 self.note_crash(slot);
             }
@@ -66,11 +66,11 @@
         if std::mem::replace(&mut worker.crash_recorded, true) || worker.leaving_since.is_some() {
             return;
         }
-        let most = match self.many_lost(slot) {
+        let max_blame = match self.is_simultaneous_loss(slot) {
             true => Blame::Shared,
             false => Blame::Own,
         };
-        self.attribute_crash(slot, most);
+        self.attribute_crash(slot, max_blame);
     }
 
     /// A worker answers though its machine refused connections: it has not crashed.
@@ -78,7 +78,7 @@
         let worker = self.fleet.get_mut(slot);
         worker.process_ended = false;
         worker.crash_recorded = false;
-        let (life, runs) = (worker.incarnation_name.clone(), worker.runs.clone());
+        let (incarnation, runs) = (worker.incarnation_name.clone(), worker.runs.clone());
         worker.isolated_task = worker
             .isolated_task
             .filter(|g| runs.binary_search(g).is_ok());
@@ -87,34 +87,34 @@
             let Some(state) = state.and_then(|j| j.task_mut(task)) else {
                 continue;
             };
-            state.crashes.remove(&life);
+            state.crashes.remove(&incarnation);
             self.mark_dirty(task.job);
         }
     }
 
     /// Takes note of what the crash of a worker tells of the tasks there, `most` at most.
-    pub(super) fn attribute_crash(&mut self, slot: u32, most: Blame) {
+    pub(super) fn attribute_crash(&mut self, slot: u32, max_blame: Blame) {
         let worker = self.fleet.get(slot);
-        let (life, runs) = (worker.incarnation_name.clone(), worker.runs.clone());
+        let (incarnation, runs) = (worker.incarnation_name.clone(), worker.runs.clone());
         let end = worker.silent_since.unwrap_or(self.now);
-        let young: Vec<TaskId> = runs
+        let just_started: Vec<TaskId> = runs
             .iter()
             .copied()
             .filter(|&t| self.may_be_cause(t, end))
             .collect();
         for &task in &runs {
-            let blame = match young.contains(&task) {
-                true if young.len() == 1 => Blame::Own,
+            let blame = match just_started.contains(&task) {
+                true if just_started.len() == 1 => Blame::Own,
                 true => Blame::Close,
                 false if runs.len() == 1 => Blame::Own,
                 false => Blame::Shared,
             };
-            self.charge_task(task, &life, blame.min(most));
+            self.record_task_crash(task, &incarnation, blame.min(max_blame));
         }
     }
 
     /// Takes note of the crash of a worker's life for a task that ran there.
-    fn charge_task(&mut self, id: TaskId, life: &Arc<str>, blame: Blame) {
+    fn record_task_crash(&mut self, id: TaskId, incarnation: &Arc<str>, blame: Blame) {
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         let Some(task) = task else {
             return;
@@ -122,19 +122,19 @@
         if task.run.as_ref().is_none_or(|r| r.stage == Stage::Planned) {
             return;
         }
-        task.crashes.add(life, blame);
+        task.crashes.add(incarnation, blame);
         let (run, crashes) = (task.last_run, task.crashes.count());
-        log::info!(task = id.to_string().as_str(), run, worker = &**life, blame:?, crashes; "task: a worker crashed under it");
+        log::info!(task = id.to_string().as_str(), run, worker = &**incarnation, blame:?, crashes; "task: a worker crashed under it");
         if task.crashes.is_suspect() {
             self.add_suspect(id);
         }
         self.mark_dirty(id.job);
-        self.give_up(id);
+        self.fail_proven_cause(id);
     }
 
     /// Tells whether so many other workers crashed at the same time that the cause is none
     /// of their tasks. Those that ran a suspect apart don't count: it may be the cause there.
-    fn many_lost(&self, slot: u32) -> bool {
+    fn is_simultaneous_loss(&self, slot: u32) -> bool {
         let at = self.fleet.get(slot).silent_since;
         let Some(at) = at else {
             return false;
@@ -142,10 +142,12 @@
         let workers = (0..).zip(&self.fleet.workers);
         let others = workers.filter(|&(other, w)| other != slot && w.isolated_task.is_none());
         let others = others.filter(|(_, w)| w.process_ended && w.leaving_since.is_none());
-        let lost =
-            others.filter(|(_, w)| w.silent_since.is_some_and(|s| s.abs_diff(at) <= AT_ONCE));
-        let listed = self.fleet.workers.iter().filter(|w| w.registered).count();
-        lost.count() >= MANY.max(listed / MANY_SHARE)
+        let lost = others.filter(|(_, w)| {
+            w.silent_since
+                .is_some_and(|s| s.abs_diff(at) <= SIMULTANEOUS_MS)
+        });
+        let registered = self.fleet.workers.iter().filter(|w| w.registered).count();
+        lost.count() >= MIN_SIMULTANEOUS_LOSSES.max(registered / SIMULTANEOUS_LOSS_DIVISOR)
     }
 
     /// Tells whether a run had just begun at `end`, or was kept apart since its task may crash
@@ -155,11 +157,11 @@
         let Some(run) = task.and_then(|t| t.run.as_ref()) else {
             return false;
         };
-        run.is_young(end) || self.fleet.get(run.worker).isolated_task == Some(id)
+        run.has_just_started(end) || self.fleet.get(run.worker).isolated_task == Some(id)
     }
 
     /// Ends a job one task of which crashes the workers that start it.
-    fn give_up(&mut self, id: TaskId) {
+    fn fail_proven_cause(&mut self, id: TaskId) {
         let Some(state) = self.jobs.get(&id.job) else {
             return;
         };
@@ -179,14 +181,15 @@
         let Some(task) = task else {
             return;
         };
-        let listed = task.run.as_ref().and_then(|r| r.listed);
-        let ms = listed.map_or(0, |at| clock.saturating_sub(at));
-        if ms > task.crashes.isolation_ms() && self.fleet.get(slot).isolated_task == Some(id) {
-            log::info!(task = id.to_string().as_str(), worker = &*self.fleet.get(slot).id, after_ms = ms; "run: no longer apart");
+        let first_listed = task.run.as_ref().and_then(|r| r.listed);
+        let listed_ms = first_listed.map_or(0, |at| clock.saturating_sub(at));
+        if listed_ms > task.crashes.isolation_ms() && self.fleet.get(slot).isolated_task == Some(id)
+        {
+            log::info!(task = id.to_string().as_str(), worker = &*self.fleet.get(slot).id, after_ms = listed_ms; "run: no longer apart");
             self.fleet.get_mut(slot).isolated_task = None;
             self.placement_due = true;
         }
-        if ms > CLEARED {
+        if listed_ms > CLEAR_SUSPECT_MS {
             task.crashes.clear();
             self.mark_dirty(id.job);
         }
--- a/crates/jobs/src/runs/incarnations.rs
+++ b/crates/jobs/src/runs/incarnations.rs
@@ -25,7 +25,7 @@
 
 /// Lives of a name that were replaced and are remembered. An answer comes within three
 /// seconds, in which a worker does not start so often.
-const REMEMBERED: usize = 16;
+const MAX_REPLACED: usize = 16;
 
 /// The lives of one name.
 #[derive(Debug, Default)]
@@ -57,9 +57,9 @@
 impl Fleet {
     /// Returns the slot of a life, by its own name, a new one if need be.
     pub(crate) fn slot(&mut self, name: &Arc<str>) -> u32 {
-        let life = Incarnation::parse(name);
-        self.find(&life.id, life.start_time)
-            .unwrap_or_else(|| self.add(life))
+        let incarnation = Incarnation::parse(name);
+        self.find(&incarnation.id, incarnation.start_time)
+            .unwrap_or_else(|| self.add(incarnation))
     }
 
     /// Returns the slots of the lives of a name that may be there.
@@ -67,21 +67,25 @@
         self.incarnations.get(id).map_or(&[], |l| &l.slots)
     }
 
-    fn find(&self, id: &str, born: Option<u64>) -> Option<u32> {
-        let mut lives = self.incarnations(id).iter().copied();
-        lives.find(|&slot| self.get(slot).start_time == born)
+    fn find(&self, id: &str, start_time: Option<u64>) -> Option<u32> {
+        let mut incarnations = self.incarnations(id).iter().copied();
+        incarnations.find(|&slot| self.get(slot).start_time == start_time)
     }
 
-    fn add(&mut self, life: Incarnation) -> u32 {
+    fn add(&mut self, incarnation: Incarnation) -> u32 {
         let slot = self.workers.len() as u32;
-        self.incarnations.or_default(&life.id).slots.push(slot);
-        self.workers.push(Worker::new(life, self.prior_leases_end));
+        self.incarnations
+            .or_default(&incarnation.id)
+            .slots
+            .push(slot);
+        self.workers
+            .push(Worker::new(incarnation, self.prior_leases_end));
         slot
     }
 
-    fn is_replaced(&self, id: &str, born: u64) -> bool {
-        let lives = self.incarnations.get(id);
-        lives.is_some_and(|l| l.replaced.contains(&born))
+    fn is_replaced(&self, id: &str, start_time: u64) -> bool {
+        let incarnations = self.incarnations.get(id);
+        incarnations.is_some_and(|l| l.replaced.contains(&start_time))
     }
 
     /// Returns the slot of the life that an announcement is of; nothing if it was replaced.
@@ -89,95 +93,100 @@
         if let Some(slot) = self.find(&info.id, info.start_time) {
             return Some(slot);
         }
-        let Some(born) = info.start_time else {
+        let Some(start_time) = info.start_time else {
             // One that tells its start in its lists alone.
-            let mut lives = self.incarnations(&info.id).iter().copied();
-            let heard = lives.find(|&slot| self.get(slot).clock.is_some());
-            return Some(heard.unwrap_or_else(|| self.add(life(info))));
+            let mut incarnations = self.incarnations(&info.id).iter().copied();
+            let polled = incarnations.find(|&slot| self.get(slot).clock.is_some());
+            return Some(polled.unwrap_or_else(|| self.add(incarnation_of(info))));
         };
-        if self.is_replaced(&info.id, born) {
-            log::info!(worker = &*info.id, born; "worker: row of an earlier life");
+        if self.is_replaced(&info.id, start_time) {
+            log::info!(worker = &*info.id, born = start_time; "worker: row of an earlier life");
             return None;
         }
-        let slot = self.add(life(info));
+        let slot = self.add(incarnation_of(info));
         if self.incarnations(&info.id).len() > 1 {
-            self.contest(&info.id);
+            self.mark_contested(&info.id);
         }
         Some(slot)
     }
 
     /// Has nothing begin on any life of a name until a list says which one is there.
-    fn contest(&mut self, id: &str) {
+    fn mark_contested(&mut self, id: &str) {
         for slot in self.incarnations(id).to_vec() {
             self.get_mut(slot).contested = true;
         }
     }
 
     /// Returns what a list says that was read in the place of one life, asked for at `sent`.
-    pub(super) fn attribute(&mut self, slot: u32, sent: u64, born: Option<u64>) -> Attribution {
+    pub(super) fn attribute(
+        &mut self,
+        slot: u32,
+        sent: u64,
+        start_time: Option<u64>,
+    ) -> Attribution {
         let worker = self.get(slot);
-        let born = born.or(worker.start_time);
-        let same = worker.start_time == born && worker.clock.is_some();
+        let start_time = start_time.or(worker.start_time);
+        let same = worker.start_time == start_time && worker.clock.is_some();
         if same && !worker.contested && !worker.dead {
             return Attribution::Known(slot, Vec::new());
         }
         let id = worker.id.clone();
-        let target = match born {
-            Some(born) if self.is_replaced(&id, born) => {
-                log::info!(worker = &*id, born; "worker: list of an earlier life");
+        let current = match start_time {
+            Some(start_time) if self.is_replaced(&id, start_time) => {
+                log::info!(worker = &*id, born = start_time; "worker: list of an earlier life");
                 return Attribution::Earlier;
             }
-            Some(_) => self.find(&id, born),
+            Some(_) => self.find(&id, start_time),
             // It is of the life in whose place it was read, unless that one is over.
             None if !self.incarnations(&id).contains(&slot) => return Attribution::Earlier,
             None => Some(slot),
         };
-        let heard = target.is_some_and(|t| self.get(t).clock.is_some());
-        if !heard && self.heard_after(&id, sent) {
-            self.contest(&id);
-            log::info!(worker = &*id, born:?; "worker: list of an unknown life");
+        let has_reported = current.is_some_and(|t| self.get(t).clock.is_some());
+        if !has_reported && self.has_report_since(&id, sent) {
+            self.mark_contested(&id);
+            log::info!(worker = &*id, born:? = start_time; "worker: list of an unknown life");
             return Attribution::Unclear;
         }
-        let target = target.unwrap_or_else(|| {
+        let current = current.unwrap_or_else(|| {
             self.add(Incarnation {
                 id: id.clone(),
-                start_time: born,
+                start_time,
             })
         });
-        self.introduce(target, slot);
-        let (over, left) = self.others(target, sent);
-        self.get_mut(target).contested = !left.is_empty();
-        Attribution::Known(target, over)
+        self.inherit_info(current, slot);
+        let (ended, undecided) = self.partition_others(current, sent);
+        self.get_mut(current).contested = !undecided.is_empty();
+        Attribution::Known(current, ended)
     }
 
     /// Tells whether a list of a life of a name arrived after `sent`.
-    fn heard_after(&self, id: &str, sent: u64) -> bool {
-        let lives = self.incarnations(id).iter().map(|&slot| self.get(slot));
-        let mut clocks = lives.filter(|w| !w.dead).filter_map(|w| w.clock);
+    fn has_report_since(&self, id: &str, sent: u64) -> bool {
+        let incarnations = self.incarnations(id).iter().map(|&slot| self.get(slot));
+        let mut clocks = incarnations.filter(|w| !w.dead).filter_map(|w| w.clock);
         clocks.any(|(_, at)| at > sent)
     }
 
     /// Gives a life that answered in the place of another one that one's address, if it has
     /// none. Nothing new begins there before it is announced itself.
-    fn introduce(&mut self, target: u32, slot: u32) {
-        if self.get(target).info.is_some() {
+    fn inherit_info(&mut self, current: u32, slot: u32) {
+        if self.get(current).info.is_some() {
             return;
         }
         let Some(mut info) = self.get(slot).info.clone() else {
             return;
         };
-        let worker = self.get_mut(target);
+        let worker = self.get_mut(current);
         info.start_time = worker.start_time;
         worker.info = Some(info);
-        let evacuated = self.is_evacuated(target);
-        self.get_mut(target).evacuated = evacuated;
+        let evacuated = self.is_evacuated(current);
+        self.get_mut(current).evacuated = evacuated;
     }
 
     /// Returns the other lives of a life's name: those that are over if it is there in a list
     /// that was asked for at `sent`, and those that may be later ones.
-    fn others(&self, target: u32, sent: u64) -> (Vec<u32>, Vec<u32>) {
-        let lives = self.incarnations(&self.get(target).id).iter().copied();
-        let others = lives.filter(|&slot| slot != target);
+    fn partition_others(&self, current: u32, sent: u64) -> (Vec<u32>, Vec<u32>) {
+        let incarnations = self.incarnations(&self.get(current).id).iter().copied();
+        let others = incarnations.filter(|&slot| slot != current);
         others.partition(|&slot| {
             let worker = self.get(slot);
             worker.clock.is_some() || worker.registered_at <= sent
@@ -190,20 +199,20 @@
         worker.dead = true;
         worker.registered = false;
         worker.poll_in_flight = false;
-        let (id, born) = (worker.id.clone(), worker.start_time);
-        let lives = self.incarnations.or_default(&id);
-        lives.slots.retain(|&s| s != slot);
-        let Some(born) = born else {
+        let (id, start_time) = (worker.id.clone(), worker.start_time);
+        let incarnations = self.incarnations.or_default(&id);
+        incarnations.slots.retain(|&s| s != slot);
+        let Some(start_time) = start_time else {
             return;
         };
-        if lives.replaced.len() >= REMEMBERED {
-            lives.replaced.pop_front();
+        if incarnations.replaced.len() >= MAX_REPLACED {
+            incarnations.replaced.pop_front();
         }
-        lives.replaced.push_back(born);
+        incarnations.replaced.push_back(start_time);
     }
 }
 
-fn life(info: &WorkerInfo) -> Incarnation {
+fn incarnation_of(info: &WorkerInfo) -> Incarnation {
     Incarnation {
         id: info.id.clone(),
         start_time: info.start_time,
--- a/crates/jobs/src/runs/late_start.rs
+++ b/crates/jobs/src/runs/late_start.rs
@@ -15,10 +15,10 @@
 };
 
 /// A start is carried out within this time or not at all, in milliseconds.
-const KEPT: u64 = 30_000;
+const RETENTION_MS: u64 = 30_000;
 
 /// Most such starts that are kept for a worker.
-const MOST: usize = 64;
+const MAX_LATE_STARTS: usize = 64;
 
 /// A start that may still be carried out, though its run was given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,8 +49,8 @@
     /// Keeps such a start, and of those that are kept only what may still be carried out.
     pub(super) fn keep_late_start(&mut self, start: LateStart, now: u64) {
         self.late_starts
-            .retain(|l| now <= l.sent_at + KEPT && *l != start);
-        if self.late_starts.len() >= MOST {
+            .retain(|l| now <= l.sent_at + RETENTION_MS && *l != start);
+        if self.late_starts.len() >= MAX_LATE_STARTS {
             self.late_starts.remove(0);
         }
         self.late_starts.push(start);
@@ -59,7 +59,7 @@
     /// Takes the starts that may still be carried out by its next life.
     pub(super) fn take_late_starts(&mut self, now: u64) -> Vec<LateStart> {
         let mut out = std::mem::take(&mut self.late_starts);
-        out.retain(|l| now <= l.sent_at + KEPT);
+        out.retain(|l| now <= l.sent_at + RETENTION_MS);
         out
     }
 }
--- a/crates/jobs/src/runs/log.rs
+++ b/crates/jobs/src/runs/log.rs
@@ -20,16 +20,16 @@
 };
 
 /// Bytes of a row at most: the users' store takes 64 KB.
-const ROW_BYTES: usize = 60_000;
+const MAX_ROW_BYTES: usize = 60_000;
 
 /// Rows that one commit appends at most: a transaction holds 1 MB, and text of a third more.
-const APPENDED: usize = 8;
+const MAX_APPENDED_ROWS: usize = 8;
 
 /// Rows that one commit drops at most.
-const DROPPED: usize = 8;
+const MAX_DROPPED_ROWS: usize = 8;
 
 /// The log is shortened where it is larger than this and twice what still holds, in bytes.
-const MOST_BYTES: usize = 500_000;
+const MIN_COMPACTION_BYTES: usize = 500_000;
 
 /// Bytes that a task takes up in the log, about.
 pub(crate) const TASK_BYTES: usize = 64;
@@ -47,7 +47,7 @@
 pub(crate) struct Log {
     rows: VecDeque<Row>,
     /// Number of the oldest one.
-    first: RowNumber,
+    first_number: RowNumber,
     bytes: usize,
     /// What earlier owners wrote of jobs that are not restored yet.
     replayed: SortedMap<JobId, Replayed>,
@@ -92,7 +92,7 @@
     /// Returns the number of the oldest row and the jobs that it tells of.
     pub(crate) fn oldest(&self) -> Option<(RowNumber, &[JobId])> {
         let row = self.rows.front()?;
-        Some((self.first, &row.jobs))
+        Some((self.first_number, &row.jobs))
     }
 
     /// Returns how many rows there are.
@@ -102,25 +102,25 @@
 
     /// Tells whether the rows are so large that it matters how much of them still holds.
     pub(crate) fn is_large(&self) -> bool {
-        self.bytes > MOST_BYTES
+        self.bytes > MIN_COMPACTION_BYTES
     }
 
     /// Tells whether the rows are too large for `live` bytes that still hold.
     pub(crate) fn is_too_large(&self, live: usize) -> bool {
-        self.bytes > MOST_BYTES + 2 * live
+        self.bytes > MIN_COMPACTION_BYTES + 2 * live
     }
 
     /// Drops the oldest row.
     pub(crate) fn drop_oldest(&mut self) {
         if let Some(row) = self.rows.pop_front() {
-            self.first += 1;
+            self.first_number += 1;
             self.bytes -= row.bytes;
         }
     }
 
     /// Returns the number of the next row.
     fn next(&self) -> RowNumber {
-        self.first + self.rows.len() as RowNumber
+        self.first_number + self.rows.len() as RowNumber
     }
 
     fn push(&mut self, bytes: usize, jobs: Vec<JobId>) {
@@ -137,9 +137,9 @@
     rows: Vec<Vec<u8>>,
     jobs: Vec<Vec<JobId>>,
     /// What is written of one job.
-    open: Option<Changes>,
+    open_changes: Option<Changes>,
     /// Bytes of that, about.
-    pending: usize,
+    pending_bytes: usize,
     dropped: usize,
 }
 
@@ -150,20 +150,21 @@
             number: log.next(),
             rows: vec![Vec::new()],
             jobs: vec![Vec::new()],
-            open: None,
-            pending: 0,
+            open_changes: None,
+            pending_bytes: 0,
             dropped: 0,
         }
     }
 
     /// Tells whether nothing was written.
     pub(crate) fn is_empty(&self) -> bool {
-        self.open.is_none() && self.rows.iter().all(Vec::is_empty)
+        self.open_changes.is_none() && self.rows.iter().all(Vec::is_empty)
     }
 
     /// Tells whether the commit holds as much as it may.
     pub(crate) fn is_full(&self) -> bool {
-        self.rows.len() >= APPENDED && self.used() + self.pending > ROW_BYTES / 2
+        self.rows.len() >= MAX_APPENDED_ROWS
+            && self.row_bytes() + self.pending_bytes > MAX_ROW_BYTES / 2
     }
 
     /// Takes note that the commit drops a row.
@@ -178,36 +179,36 @@
 
     /// Tells whether the commit drops as many rows as it may.
     pub(crate) fn is_drop_limit_reached(&self) -> bool {
-        self.dropped >= DROPPED
+        self.dropped >= MAX_DROPPED_ROWS
     }
 
     /// Writes a step that is done whole; returns its row.
-    pub(crate) fn step(&mut self, job: JobId, step: StepAt) -> RowNumber {
-        self.changes(job, TASK_BYTES / 4).steps.push(step);
+    pub(crate) fn add_step(&mut self, job: JobId, step: StepAt) -> RowNumber {
+        self.changes_of(job, TASK_BYTES / 4).steps.push(step);
         self.number
     }
 
     /// Writes a task as it is now; returns its row.
-    pub(crate) fn task(&mut self, job: JobId, task: TaskRecord) -> RowNumber {
+    pub(crate) fn add_task(&mut self, job: JobId, task: TaskRecord) -> RowNumber {
         let bytes = task.size();
-        self.changes(job, bytes).tasks.push(task);
+        self.changes_of(job, bytes).tasks.push(task);
         self.number
     }
 
     /// Returns the job's changes in a row that has room for so many bytes more.
-    fn changes(&mut self, job: JobId, bytes: usize) -> &mut Changes {
-        let other = self.open.as_ref().is_some_and(|c| c.job != job);
-        let full = self.used() + self.pending + bytes > ROW_BYTES;
-        if other || full {
-            self.close();
+    fn changes_of(&mut self, job: JobId, bytes: usize) -> &mut Changes {
+        let is_other_job = self.open_changes.as_ref().is_some_and(|c| c.job != job);
+        let is_full = self.row_bytes() + self.pending_bytes + bytes > MAX_ROW_BYTES;
+        if is_other_job || is_full {
+            self.flush();
         }
-        if full && self.used() > 0 {
+        if is_full && self.row_bytes() > 0 {
             self.rows.push(Vec::new());
             self.jobs.push(Vec::new());
             self.number += 1;
         }
-        self.pending += bytes;
-        self.open.get_or_insert_with(|| Changes {
+        self.pending_bytes += bytes;
+        self.open_changes.get_or_insert_with(|| Changes {
             job,
             steps: Vec::new(),
             tasks: Vec::new(),
@@ -215,9 +216,9 @@
     }
 
     /// Ends what is written of one job.
-    fn close(&mut self) {
-        self.pending = 0;
-        let Some(changes) = self.open.take() else {
+    fn flush(&mut self) {
+        self.pending_bytes = 0;
+        let Some(changes) = self.open_changes.take() else {
             return;
         };
         if let (Some(row), Some(jobs)) = (self.rows.last_mut(), self.jobs.last_mut()) {
@@ -226,13 +227,13 @@
         }
     }
 
-    fn used(&self) -> usize {
+    fn row_bytes(&self) -> usize {
         self.rows.last().map_or(0, Vec::len)
     }
 
     /// Ends the commit: the log remembers its rows, which are returned.
     pub(crate) fn finish(mut self, log: &mut Log) -> Vec<Vec<u8>> {
-        self.close();
+        self.flush();
         self.rows.retain(|row| !row.is_empty());
         for (row, jobs) in self.rows.iter().zip(self.jobs) {
             log.push(row.len(), jobs);
--- a/crates/jobs/src/runs/lost.rs
+++ b/crates/jobs/src/runs/lost.rs
@@ -62,17 +62,17 @@
         let worker = self.fleet.get(slot);
         // Without its row it can't be asked: it may have crashed. One that was silent until its
         // leases were over may be cut off.
-        let unclear = loss == Loss::Ended || worker.info.is_none();
+        let may_have_crashed = loss == Loss::Ended || worker.info.is_none();
         if worker.process_ended {
             self.note_crash(slot);
-        } else if unclear && worker.leaving_since.is_none() {
+        } else if may_have_crashed && worker.leaving_since.is_none() {
             self.attribute_crash(slot, Blame::Unseen);
         }
     }
 
     /// Clears runs on a worker that is lost.
     pub(super) fn drop_runs(&mut self, slot: u32, runs: &[TaskId]) {
-        self.tell_lost(slot, runs);
+        self.log_lost_runs(slot, runs);
         let worker = self.fleet.get_mut(slot);
         worker.drop_orphans(|_| true);
         for &id in runs {
@@ -83,7 +83,7 @@
 
     /// Logs the runs that are lost with a worker, and for how long each was there when the
     /// worker was last heard.
-    fn tell_lost(&mut self, slot: u32, runs: &[TaskId]) {
+    fn log_lost_runs(&mut self, slot: u32, runs: &[TaskId]) {
         let worker = self.fleet.get(slot);
         self.stats.lost += runs.len() as u64;
         let end = worker.silent_since.unwrap_or(self.now);
--- a/crates/jobs/src/runs/quarantine.rs
+++ b/crates/jobs/src/runs/quarantine.rs
@@ -10,15 +10,15 @@
 
 /// Failures in a row after which a worker gets no work for a while: by chance one run in
 /// 8,000 is the third if one in twenty fails.
-const TOO_MANY_FAILURES: u32 = 3;
+const QUARANTINE_FAILURES: u32 = 3;
 
 /// Runs that a worker is tried with after a failure, until one does well: about as many
 /// as a worker has at a time.
-const PROBES: u32 = 6;
+const MAX_PROBES: u32 = 6;
 
 /// Another try follows after this long, in milliseconds, if the last ones told
 /// nothing: a run may be stopped, or neither end nor fail.
-const PROBE_AGAIN: u64 = 2000;
+const PROBE_RETRY_MS: u64 = 2000;
 
 /// Weight of the newest run in a worker's slowness, as one in so many.
 const SLOWNESS_WEIGHT: u64 = 4;
@@ -38,8 +38,8 @@
 
     /// Tells whether its last runs failed and enough others are to show why.
     pub(crate) fn is_on_probation(&self, now: u64) -> bool {
-        let recent = now < self.probed_at + PROBE_AGAIN;
-        self.failures > 0 && recent && self.probes >= PROBES
+        let recent = now < self.probed_at + PROBE_RETRY_MS;
+        self.failures > 0 && recent && self.probes >= MAX_PROBES
     }
 
     /// Takes note that a run failed or hung here; `limits` are the first and the
@@ -48,10 +48,10 @@
         self.failures += 1;
         self.failed_at = now;
         self.probes = 0;
-        if self.failures < TOO_MANY_FAILURES {
+        if self.failures < QUARANTINE_FAILURES {
             return;
         }
-        let doublings = (self.failures - TOO_MANY_FAILURES).min(4);
+        let doublings = (self.failures - QUARANTINE_FAILURES).min(4);
         let pause = (limits.0 << doublings).min(limits.1);
         self.closed_until = self.closed_until.max(now + pause);
         log::warn!(worker = &*self.id, failures = self.failures, pause_ms = pause; "worker: gets no work");
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -28,12 +28,12 @@
         &mut self,
         slot: u32,
         sent: u64,
-        born: Option<u64>,
+        start_time: Option<u64>,
     ) -> Option<u32> {
-        let Attribution::Known(new, over) = self.fleet.attribute(slot, sent, born) else {
+        let Attribution::Known(new, ended) = self.fleet.attribute(slot, sent, start_time) else {
             return None;
         };
-        for old in over {
+        for old in ended {
             self.replace(old, new);
         }
         Some(new)
@@ -43,8 +43,8 @@
         let worker = self.fleet.get(old);
         let (runs, counted) = (worker.runs.len(), worker.counted_end);
         let moved = match worker.is_unidentified() {
-            true => self.rename(old, new),
-            false => self.succeed(old, new),
+            true => self.merge_identified(old, new),
+            false => self.supersede(old, new),
         };
         self.fleet.retire(old);
         self.placement_due = true;
@@ -58,60 +58,60 @@
 
     /// Hands what is known of a life over to the same one, now that its name is known; returns
     /// how many runs that were.
-    fn rename(&mut self, old: u32, new: u32) -> usize {
+    fn merge_identified(&mut self, old: u32, new: u32) -> usize {
         let worker = self.fleet.get(old);
-        let (runs, guest) = (worker.runs.clone(), worker.isolated_task);
-        let listed = worker.registered;
+        let (runs, isolated) = (worker.runs.clone(), worker.isolated_task);
+        let registered = worker.registered;
         for &id in &runs {
             self.move_run(id, new, |stage| stage);
         }
         let worker = self.fleet.get_mut(new);
-        worker.isolated_task = worker.isolated_task.or(guest);
-        worker.registered |= listed;
+        worker.isolated_task = worker.isolated_task.or(isolated);
+        worker.registered |= registered;
         runs.len()
     }
 
     /// Ends a life that another one has replaced; returns how many starts of it may still be
     /// carried out.
-    fn succeed(&mut self, old: u32, new: u32) -> usize {
+    fn supersede(&mut self, old: u32, new: u32) -> usize {
         let (now, settings) = (self.now, self.settings);
         let worker = self.fleet.get_mut(old);
-        let dead = std::mem::replace(&mut worker.dead, true);
-        let late = if worker.granted_until > 0 {
+        let was_dead = std::mem::replace(&mut worker.dead, true);
+        let order_delay = if worker.granted_until > 0 {
             MAX_ORDER_DELAY_MS
         } else {
             0
         };
         if worker.clock.is_some() || !worker.runs.is_empty() {
-            let end = now + late + lease_upper_bound(settings.max_lease);
+            let end = now + order_delay + lease_upper_bound(settings.max_lease);
             let worker = self.fleet.get_mut(new);
             worker.misdirected_lease_end = worker.misdirected_lease_end.max(end);
         }
-        if !dead {
+        if !was_dead {
             self.record_loss(old, Loss::Ended);
         }
-        let loose = self.fleet.get_mut(old).take_late_starts(now);
-        let unlisted = self.unlisted(old);
-        for &id in &unlisted {
-            self.move_run(id, new, unclear);
+        let late_starts = self.fleet.get_mut(old).take_late_starts(now);
+        let unreported = self.unreported_runs(old);
+        for &id in &unreported {
+            self.move_run(id, new, successor_stage);
         }
-        for start in &loose {
-            self.bar(old, new, *start);
+        for start in &late_starts {
+            self.block_late_start(old, new, *start);
         }
-        let left = self.fleet.get(old).runs.clone();
-        self.drop_runs(old, &left);
-        unlisted.len() + loose.len()
+        let remaining = self.fleet.get(old).runs.clone();
+        self.drop_runs(old, &remaining);
+        unreported.len() + late_starts.len()
     }
 
     /// Returns the runs on a worker whose starts were sent and that it has not listed.
-    fn unlisted(&self, slot: u32) -> Vec<TaskId> {
+    fn unreported_runs(&self, slot: u32) -> Vec<TaskId> {
         let runs = self.fleet.get(slot).runs.iter().copied();
-        let unlisted = runs.filter(|&id| {
+        let unreported = runs.filter(|&id| {
             let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
             let run = task.and_then(|t| t.run.as_ref());
             run.is_some_and(|r| r.unreported_since().is_some())
         });
-        unlisted.collect()
+        unreported.collect()
     }
 
     /// Has a run be in the place of another life, at the stage that `stage` gives.
@@ -133,35 +133,35 @@
         }
         let worker = self.fleet.get_mut(old);
         worker.release(id, step);
-        let guest = worker.isolated_task.filter(|&g| g == id);
+        let isolated = worker.isolated_task.filter(|&g| g == id);
         let worker = self.fleet.get_mut(new);
         worker.reserve(id, step);
-        worker.isolated_task = worker.isolated_task.or(guest);
+        worker.isolated_task = worker.isolated_task.or(isolated);
         self.mark_dirty(id.job);
     }
 
     /// Has the next life stop what it may still start of a run that was given up. Where its
     /// task would need a run now it waits until that is barred.
-    fn bar(&mut self, old: u32, new: u32, start: LateStart) {
+    fn block_late_start(&mut self, old: u32, new: u32, start: LateStart) {
         let id = start.task;
         self.fleet.get_mut(new).keep_late_start(start, self.now);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let Some(task) = task.filter(|t| !t.done) else {
-            return self.add_stray(new, start);
+            return self.add_late_orphan(new, start);
         };
         let last = task.last_run;
         match &task.run {
-            None => self.detain(new, id),
+            None => self.hold_task(new, id),
             Some(run) if run.worker == old => self.move_run(id, new, |_| Stage::Stopping(None)),
-            Some(_) => return self.add_stray(new, start),
+            Some(_) => return self.add_late_orphan(new, start),
         }
         if last != start.run {
-            self.add_stray(new, start);
+            self.add_late_orphan(new, start);
         }
     }
 
     /// Has a worker stop a run that it may still start and that nobody wants.
-    fn add_stray(&mut self, slot: u32, start: LateStart) {
+    fn add_late_orphan(&mut self, slot: u32, start: LateStart) {
         let id = start.task;
         let state = self.jobs.get(&id.job);
         let step = state.and_then(|j| j.job.spec.steps.get(id.step as usize));
@@ -177,7 +177,7 @@
     }
 
     /// Has a task without a run wait as if it had one that is to be stopped.
-    fn detain(&mut self, slot: u32, id: TaskId) {
+    fn hold_task(&mut self, slot: u32, id: TaskId) {
         let now = self.now;
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
@@ -197,7 +197,7 @@
 
 /// Returns the stage in the next life of a run that it may start or not: its first list
 /// tells, and else a stop.
-fn unclear(stage: Stage) -> Stage {
+fn successor_stage(stage: Stage) -> Stage {
     match stage {
         Stage::Stopping(_) | Stage::StopConfirmed(_) => Stage::Stopping(None),
         _ => Stage::Unanswered(0),
--- a/crates/jobs/src/runs/report.rs
+++ b/crates/jobs/src/runs/report.rs
@@ -11,28 +11,28 @@
 };
 
 /// Ends that one answer holds at most; a full list may be cut.
-const FULL_LIST: usize = 500;
+const MAX_LISTED_ENDS: usize = 500;
 
 /// First pause of a task after a failure, in milliseconds; it doubles.
-const RETRY_PAUSE: u64 = 40;
+const RETRY_BACKOFF_MS: u64 = 40;
 
 /// Doublings of that pause at most.
-const RETRY_DOUBLINGS: usize = 6;
+const MAX_BACKOFF_DOUBLINGS: usize = 6;
 
 impl Machine {
     /// Takes a worker's answer to a look that was sent at `sent`.
-    pub(crate) fn handle_report(&mut self, slot: u32, sent: u64, look: WorkerReport) {
+    pub(crate) fn handle_report(&mut self, slot: u32, sent: u64, report: WorkerReport) {
         let (now, settings) = (self.now, self.settings);
         self.fleet.get_mut(slot).poll_in_flight = false;
-        let Some(slot) = self.reporting_slot(slot, sent, look.start_time) else {
+        let Some(slot) = self.reporting_slot(slot, sent, report.start_time) else {
             return;
         };
         let worker = self.fleet.get_mut(slot);
         if worker.dead {
             return;
         }
-        worker.note_clock(look.clock, now, &settings);
-        worker.first_end = look.finished.first().map(|e| e.number);
+        worker.note_clock(report.clock, now, &settings);
+        worker.first_end = report.finished.first().map(|e| e.number);
         let was_absent = worker.process_ended;
         if let Some(since) = worker.silent_since.take() {
             log::info!(worker = &*worker.id, silent_ms = now - since; "worker: answers again");
@@ -42,31 +42,31 @@
         if was_absent {
             self.retract_crash(slot);
         }
-        self.count_ends(slot, &look);
-        for row in &look.running {
-            self.handle_reported_run(slot, row, look.clock);
+        self.count_ends(slot, &report);
+        for row in &report.running {
+            self.handle_reported_run(slot, row, report.clock);
         }
-        if look.finished.len() < FULL_LIST {
-            self.check_unreported(slot, sent, &look);
+        if report.finished.len() < MAX_LISTED_ENDS {
+            self.check_unreported(slot, sent, &report);
         }
         self.check_stalled(slot);
-        let ended = look.finished.iter().filter(|e| e.number > counted);
-        self.observe_metrics(slot, &look, &ended.collect::<Vec<_>>());
+        let ended = report.finished.iter().filter(|e| e.number > counted);
+        self.observe_metrics(slot, &report, &ended.collect::<Vec<_>>());
     }
 
-    fn count_ends(&mut self, slot: u32, look: &WorkerReport) {
-        for end in &look.finished {
+    fn count_ends(&mut self, slot: u32, report: &WorkerReport) {
+        for end in &report.finished {
             let worker = self.fleet.get_mut(slot);
             if end.number <= worker.counted_end {
                 continue;
             }
             worker.counted_end = end.number;
             self.workers_with_ends.push(slot);
-            self.ended(slot, end);
+            self.handle_run_end(slot, end);
         }
     }
 
-    fn ended(&mut self, slot: u32, end: &RunEnd) {
+    fn handle_run_end(&mut self, slot: u32, end: &RunEnd) {
         let id = end.task;
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
@@ -77,7 +77,7 @@
         };
         let run = task.run.as_ref();
         let current = run.is_some_and(|r| r.worker == slot) && task.last_run == end.run;
-        let ran = run.map_or(0, |r| self.now.saturating_sub(r.placed_at));
+        let elapsed = run.map_or(0, |r| self.now.saturating_sub(r.placed_at));
         let partial = run.is_none_or(|r| r.partial);
         if current && let Some(step) = state.step_mut(id.repetition, id.step) {
             let origin = Origin {
@@ -87,23 +87,23 @@
             };
             step.save_checkpoint(id.index as usize, &end.checkpoint, origin);
         }
-        log::info!(task = id.to_string().as_str(), run = end.run, worker = &*self.fleet.get(slot).id, how:? = end.ending, current, ran_ms = ran, saved = log_excerpt(&end.checkpoint); "run: ended");
+        log::info!(task = id.to_string().as_str(), run = end.run, worker = &*self.fleet.get(slot).id, how:? = end.ending, current, ran_ms = elapsed, saved = log_excerpt(&end.checkpoint); "run: ended");
         if current {
             self.clear_run(id);
         }
         self.mark_dirty(id.job);
         match end.ending {
-            Ending::Done => self.done(slot, id, ran, current && !partial),
-            Ending::Failed => self.failed(slot, id, end.run, is_final),
+            Ending::Done => self.handle_done(slot, id, elapsed, current && !partial),
+            Ending::Failed => self.handle_failed(slot, id, end.run, is_final),
             _ => self.stats.stopped += 1,
         }
     }
 
-    fn done(&mut self, slot: u32, id: TaskId, ran: u64, telling: bool) {
+    fn handle_done(&mut self, slot: u32, id: TaskId, elapsed: u64, is_representative: bool) {
         self.stats.done += 1;
         self.fleet.get_mut(slot).note_success();
-        if telling {
-            self.note_time(id, ran);
+        if is_representative {
+            self.observe_duration(id, elapsed);
         }
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
@@ -112,10 +112,10 @@
         if step.long_running || state.outcome.is_final() {
             return;
         }
-        if !step.best_effort && step.estimate > 0 && ran > 0 {
+        if !step.best_effort && step.estimate > 0 && elapsed > 0 {
             self.fleet
                 .get_mut(slot)
-                .note_duration(ran * 100 / step.estimate);
+                .note_duration(elapsed * 100 / step.estimate);
         }
         let members = match step.gang {
             true => 0..step.count,
@@ -136,24 +136,24 @@
     }
 
     /// Learns from the time that a task took from its start at full pace.
-    fn note_time(&mut self, id: TaskId, ran: u64) {
+    fn observe_duration(&mut self, id: TaskId, elapsed: u64) {
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
         };
         let job = state.job.clone();
         let step = &job.spec.steps[id.step as usize];
         if let Some(state) = state.step_mut(id.repetition, id.step) {
-            state.observed_times.observe(ran);
+            state.observed_times.observe(elapsed);
         }
         if step.long_running || step.estimate == 0 {
             return;
         }
         self.estimates
             .or_default(&job.queue)
-            .observe(step.estimate, ran);
+            .observe(step.estimate, elapsed);
     }
 
-    fn failed(&mut self, slot: u32, id: TaskId, run: u32, is_final: bool) {
+    fn handle_failed(&mut self, slot: u32, id: TaskId, run: u32, is_final: bool) {
         self.stats.failed += 1;
         let now = self.now;
         self.note_worker_failure(slot);
@@ -161,7 +161,7 @@
             return;
         };
         let step = &state.job.spec.steps[id.step as usize];
-        let (gang, lasting) = (step.gang, step.long_running);
+        let (gang, long_running) = (step.gang, step.long_running);
         let queue = state.job.queue.clone();
         let attempts = self.policy(&queue).map(|q| q.attempts);
         // A gang fails as one: its runs are counted at its first member.
@@ -177,11 +177,11 @@
             return;
         }
         task.failed_runs.push(run);
-        let doublings = (task.failed_runs.len() - 1).min(RETRY_DOUBLINGS);
-        task.retry_at = now + (RETRY_PAUSE << doublings);
+        let doublings = (task.failed_runs.len() - 1).min(MAX_BACKOFF_DOUBLINGS);
+        task.retry_at = now + (RETRY_BACKOFF_MS << doublings);
         task.failed_worker = Some(slot);
         let count = task.failed_runs.len() as u32;
-        if !lasting && !is_final && attempts.is_some_and(|a| count >= a) {
+        if !long_running && !is_final && attempts.is_some_and(|a| count >= a) {
             log::warn!(task = id.to_string().as_str(), failures = count; "job: failed too often");
             self.end_job(id.job, Outcome::Failed);
         }
--- a/crates/jobs/src/runs/reported.rs
+++ b/crates/jobs/src/runs/reported.rs
@@ -16,54 +16,57 @@
 };
 
 /// A lasting task that is at work for this long has done well, in milliseconds.
-const SETTLED: u64 = 1500;
+const SETTLED_MS: u64 = 1500;
 
 impl Machine {
     /// Takes note of a run that a worker lists when its clock shows `clock`.
-    pub(super) fn handle_reported_run(&mut self, slot: u32, row: &ReportedRun, clock: u64) {
+    pub(super) fn handle_reported_run(&mut self, slot: u32, reported: &ReportedRun, clock: u64) {
         let now = self.now;
-        let id = row.task;
+        let id = reported.task;
         let Some(state) = self.jobs.get_mut(&id.job) else {
-            return self.stray(slot, row);
+            return self.add_reported_orphan(slot, reported);
         };
-        let pending = state.outcome == Outcome::Pending;
+        let is_pending = state.outcome == Outcome::Pending;
         let step = state.step_mut(id.repetition, id.step);
         let Some(step) = step.filter(|s| s.tasks.len() > id.index as usize) else {
-            return self.stray(slot, row);
+            return self.add_reported_orphan(slot, reported);
         };
         let task = &mut step.tasks[id.index as usize];
-        let here = task.run.as_ref().is_some_and(|r| r.worker == slot);
-        if task.last_run != row.run || (task.run.is_some() && !here) || task.done && !here {
-            return self.stray(slot, row);
+        let is_here = task.run.as_ref().is_some_and(|r| r.worker == slot);
+        if task.last_run != reported.run
+            || (task.run.is_some() && !is_here)
+            || task.done && !is_here
+        {
+            return self.add_reported_orphan(slot, reported);
         }
         let origin = Origin {
-            run: row.run,
+            run: reported.run,
             worker: slot,
             reported_at: now,
         };
-        let crashed = !task.crashes.is_empty();
-        let idle = task.run.is_none();
-        step.save_checkpoint(id.index as usize, &row.checkpoint, origin);
-        if idle {
+        let has_crashes = !task.crashes.is_empty();
+        let is_idle = task.run.is_none();
+        step.save_checkpoint(id.index as usize, &reported.checkpoint, origin);
+        if is_idle {
             step.set_run(
                 id.index as usize,
                 Run::new(slot, Stage::Confirmed(now), now),
             );
-            self.adopt(slot, id, row.run);
+            self.adopt_run(slot, id, reported.run);
         }
-        self.progress(slot, row, clock);
-        if crashed {
+        self.update_progress(slot, reported, clock);
+        if has_crashes {
             self.note_survival(slot, id, clock);
         }
-        if pending {
-            self.mark_begun(id);
+        if is_pending {
+            self.mark_job_active(id);
         }
     }
 
     /// Takes note of how far a run is.
-    fn progress(&mut self, slot: u32, row: &ReportedRun, clock: u64) {
+    fn update_progress(&mut self, slot: u32, reported: &ReportedRun, clock: u64) {
         let now = self.now;
-        let Some(run) = self.run_on(slot, row.task, row.run) else {
+        let Some(run) = self.run_on(slot, reported.task, reported.run) else {
             return;
         };
         if matches!(
@@ -72,20 +75,20 @@
         ) {
             run.stage = Stage::Confirmed(now);
         }
-        if run.percent != row.percent || run.progressed_at.is_none() {
-            run.percent = row.percent;
+        if run.percent != reported.percent || run.progressed_at.is_none() {
+            run.percent = reported.percent;
             run.progressed_at = Some(clock);
         }
-        let settled = now > run.placed_at + SETTLED && row.percent == 100;
-        let since = run.placed_at;
+        let is_settled = now > run.placed_at + SETTLED_MS && reported.percent == 100;
+        let placed_at = run.placed_at;
         run.listed.get_or_insert(clock);
         let worker = self.fleet.get(slot);
-        if settled && worker.failures > 0 && since > worker.failed_at {
+        if is_settled && worker.failures > 0 && placed_at > worker.failed_at {
             self.fleet.get_mut(slot).note_success();
         }
     }
 
-    fn adopt(&mut self, slot: u32, id: TaskId, run: u32) {
+    fn adopt_run(&mut self, slot: u32, id: TaskId, run: u32) {
         let Some(state) = self.jobs.get(&id.job) else {
             return;
         };
@@ -98,7 +101,7 @@
     }
 
     /// Takes note that a task of a job has begun.
-    pub(crate) fn mark_begun(&mut self, id: TaskId) {
+    pub(crate) fn mark_job_active(&mut self, id: TaskId) {
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
         };
@@ -108,19 +111,19 @@
         }
     }
 
-    fn stray(&mut self, slot: u32, row: &ReportedRun) {
+    fn add_reported_orphan(&mut self, slot: u32, reported: &ReportedRun) {
         let worker = self.fleet.get(slot);
-        let known = |s: &Orphan| s.task == row.task && s.run == row.run;
-        if worker.orphans.iter().any(known) {
+        let is_known = |s: &Orphan| s.task == reported.task && s.run == reported.run;
+        if worker.orphans.iter().any(is_known) {
             return;
         }
-        let state = self.jobs.get(&row.task.job);
-        let step = state.and_then(|j| j.job.spec.steps.get(row.task.step as usize));
-        log::info!(task = row.task.to_string().as_str(), run = row.run, worker = &*worker.id; "run: not wanted");
+        let state = self.jobs.get(&reported.task.job);
+        let step = state.and_then(|j| j.job.spec.steps.get(reported.task.step as usize));
+        log::info!(task = reported.task.to_string().as_str(), run = reported.run, worker = &*worker.id; "run: not wanted");
         let size = step.map_or(Capacity::default(), demand);
         self.fleet.get_mut(slot).add_orphan(Orphan {
-            task: row.task,
-            run: row.run,
+            task: reported.task,
+            run: reported.run,
             size,
             sent_at: None,
             stopped_at: None,
@@ -129,16 +132,16 @@
     }
 
     /// Draws conclusions from what a look that was sent at `sent` does not list.
-    pub(super) fn check_unreported(&mut self, slot: u32, sent: u64, look: &WorkerReport) {
+    pub(super) fn check_unreported(&mut self, slot: u32, sent: u64, report: &WorkerReport) {
         let is_listed = |id: TaskId, run: u32| {
-            let rows = &look.running;
-            rows.iter().any(|r| r.task == id && r.run == run)
+            let running = &report.running;
+            running.iter().any(|r| r.task == id && r.run == run)
         };
         let worker = self.fleet.get_mut(slot);
         worker.drop_orphans(|s| {
             s.stopped_at.is_some_and(|at| sent > at) && !is_listed(s.task, s.run)
         });
-        let strays: Vec<TaskId> = worker.orphans.iter().map(|s| s.task).collect();
+        let orphans: Vec<TaskId> = worker.orphans.iter().map(|s| s.task).collect();
         for id in worker.runs.clone() {
             let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
             let Some(task) = task else {
@@ -152,22 +155,22 @@
                 continue;
             }
             // Another run of the task may be there, or begin.
-            let free = !strays.contains(&id);
+            let has_no_orphan = !orphans.contains(&id);
             match run.stage {
                 Stage::Unanswered(at) if sent > at => {
                     run.stage = Stage::Stopping(None);
                     self.stopping.push(id);
                 }
-                Stage::Confirmed(at) | Stage::StopConfirmed(at) if sent > at && free => {
-                    self.gone(id)
+                Stage::Confirmed(at) | Stage::StopConfirmed(at) if sent > at && has_no_orphan => {
+                    self.drop_missing(id)
                 }
-                Stage::Inherited if free => self.gone(id),
+                Stage::Inherited if has_no_orphan => self.drop_missing(id),
                 _ => {}
             }
         }
     }
 
-    fn gone(&mut self, id: TaskId) {
+    fn drop_missing(&mut self, id: TaskId) {
         log::info!(task = id.to_string().as_str(); "run: not there");
         self.clear_run(id);
         self.mark_dirty(id.job);
--- a/crates/jobs/src/runs/unreported.rs
+++ b/crates/jobs/src/runs/unreported.rs
@@ -69,7 +69,7 @@
     }
 
     /// Tells whether a run may be under way in a later life of its worker's name.
-    fn may_have_moved(&self, slot: u32, id: TaskId) -> bool {
+    fn may_run_in_successor(&self, slot: u32, id: TaskId) -> bool {
         let worker = self.fleet.get(slot);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let run = task.and_then(|t| t.run.as_ref());
@@ -79,7 +79,7 @@
     /// Returns the runs on a worker that are over when its life is, or its leases are.
     pub(super) fn ended_runs(&self, slot: u32) -> Vec<TaskId> {
         let runs = self.fleet.get(slot).runs.iter().copied();
-        let ended = runs.filter(|&id| !self.may_have_moved(slot, id));
+        let ended = runs.filter(|&id| !self.may_run_in_successor(slot, id));
         ended.collect()
     }
 }
