--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -1,4 +1,4 @@
-//! What came of orders, and the ends of workers.
+//! Handles the results of starts and stops, and polls without an answer; sends stops.
 
 use crate::{
     action::Action,
@@ -10,17 +10,18 @@
     },
 };
 
-/// A worker that had no room, though it should have, gets no run for this long.
+/// A worker that refused a start for lack of room, although it should have had some, gets no run
+/// for this long, in milliseconds.
 const NO_ROOM_PAUSE_MS: u64 = 250;
 
-/// Pause before a stop without an answer is sent again, in milliseconds.
+/// Delay before an unconfirmed stop is sent again, in milliseconds.
 const STOP_RETRY_MS: u64 = 400;
 
-/// First pause before a silent worker is asked again, in milliseconds.
+/// Delay before a silent worker is polled again, in milliseconds.
 const SILENT_RETRY_MS: u64 = 250;
 
 impl Machine {
-    /// Returns a task's run if it is on this worker under this number.
+    /// Returns a task's run if it is on this worker and has this number.
     pub(crate) fn run_on(&mut self, slot: u32, id: TaskId, run: u32) -> Option<&mut Run> {
         let task = self.jobs.get_mut(&id.job)?.task_mut(id)?;
         if task.last_run != run {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// A look that was sent at `sent` got no answer.
+    /// Handles a poll sent at `sent` that got no answer.
     pub(crate) fn handle_no_reply(&mut self, slot: u32, sent: u64) {
         let now = self.now;
         let worker = self.fleet.get_mut(slot);
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Sends the stops that are wanted.
+    /// Sends the stops that are due.
     pub(crate) fn send_stops(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             if !self.fleet.get(slot).orphans.is_empty() {
@@ -143,7 +144,7 @@
         self.stopping = unfinished;
     }
 
-    /// Sends stops of the runs on a worker that nobody wants.
+    /// Sends the stops of orphans on a worker that are due.
     fn stop_orphans(&mut self, slot: u32) {
         let now = self.now;
         if !self.fleet.get(slot).can_take_orders() {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Sends a stop if it is due; true if the run has to be seen to again.
+    /// Sends a stop if it is due; returns whether the run has to be checked again.
     fn send_stop(&mut self, id: TaskId) -> bool {
         let now = self.now;
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
@@ -184,7 +185,7 @@
         if !due || !worker.can_take_orders() {
             return true;
         }
-        // The answer sets the next time; this one only guards against its loss.
+        // No further stop is sent before the answer, or its absence, sets the next time.
         run.stage = Stage::Stopping(Some(u64::MAX));
         log::info!(task = id.to_string().as_str(), run = number, worker = &*worker.id; "stop: sent");
         self.actions.push(Action::Stop {
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -1,10 +1,11 @@
-//! What tasks go on from: one checkpoint for all members of a gang, and none that was rejected.
+//! Checkpoints that tasks resume from: one for all members of a gang, and none that was rejected.
 //!
-//! The load pattern that this answers: a text that is not the task's, however it came to be
-//! kept, so that each start that brings it is rejected.
+//! A stored checkpoint may not be the task's own, whatever the cause, so that each start that
+//! carries it is rejected.
 //!
-//! Limits: one worker's word is enough, so that one that rejects good checkpoints costs the work
-//! that was done by then. The last rejected checkpoint of a gang is remembered, by this owner.
+//! Limits: a rejection by one worker is enough, so a worker that rejects good checkpoints costs the
+//! work saved in them. Only the last rejected checkpoint of a gang is remembered, and only by this
+//! owner.
 
 use crate::{
     machine::Machine,
@@ -14,12 +15,12 @@
     },
 };
 
-/// Pause of a task whose start was rejected without a checkpoint, in milliseconds: others may
-/// reject it as well, and each of them is blamed.
+/// Delay of a task whose start without a checkpoint was rejected, in milliseconds: other workers
+/// may reject it as well, and each rejection counts as a failure of the worker.
 const REJECTED_PAUSE_MS: u64 = 2000;
 
 impl Machine {
-    /// Has all members of a gang go on from the newest checkpoint of any of them.
+    /// Makes all members of a gang resume from the newest checkpoint of any of them.
     pub(crate) fn share_checkpoint(&mut self, member: TaskId) {
         let state = self.jobs.get_mut(&member.job);
         if let Some(step) = state.and_then(|j| j.step_mut(member.repetition, member.step)) {
@@ -27,9 +28,9 @@
         }
     }
 
-    /// Takes note that a worker rejected a start as malformed: the task forgets the checkpoint
-    /// that this brought, since other workers would reject it too, and the worker is to blame if
-    /// it brought none.
+    /// Handles a start that a worker rejected as malformed. The task drops the checkpoint that the
+    /// start carried, since other workers would reject it too. Without a checkpoint the rejection
+    /// counts as a failure of the worker.
     pub(super) fn reject_start(&mut self, slot: u32, id: TaskId) {
         let now = self.now;
         let Some(state) = self.jobs.get_mut(&id.job) else {
@@ -46,7 +47,7 @@
             return self.note_worker_failure(slot);
         }
         self.stats.rejected += 1;
-        // The answer to another member's start may have taken it away already.
+        // The answer to another member's start may have removed the checkpoint already.
         let Some(rejected) = task.checkpoint.take() else {
             return;
         };
@@ -58,7 +59,7 @@
         self.mark_dirty(id.job);
     }
 
-    /// Returns what log lines tell of where a checkpoint was made: the run and its worker.
+    /// Returns the run that made a checkpoint and the name of its worker, for log lines.
     pub(super) fn checkpoint_source(&self, checkpoint: &Checkpoint) -> (u32, &str) {
         match checkpoint.origin {
             Some(origin) => (origin.run, &self.fleet.get(origin.worker).id),
--- a/crates/jobs/src/runs/close.rs
+++ b/crates/jobs/src/runs/close.rs
@@ -1,4 +1,4 @@
-//! How jobs and runs are closed: ended, stopped or forgotten.
+//! Ends jobs, stops runs, and drops the state of both.
 
 use crate::{
     machine::Machine,
@@ -10,7 +10,7 @@
 };
 
 impl Machine {
-    /// Ends a job; its runs are stopped.
+    /// Ends a job and stops its runs.
     pub(crate) fn end_job(&mut self, id: JobId, outcome: Outcome) {
         let now = self.now;
         let Some(state) = self.jobs.get_mut(&id) else {
@@ -28,7 +28,7 @@
         self.placement_due = true;
     }
 
-    /// Has a task's run stopped, or forgets it if nothing was sent.
+    /// Stops a task's run, or drops it if its start was not sent.
     pub(crate) fn stop_run(&mut self, id: TaskId) {
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         let Some(run) = task.and_then(|t| t.run.as_mut()) else {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Forgets a task's run and gives back its room.
+    /// Drops a task's run and releases its room.
     pub(crate) fn clear_run(&mut self, id: TaskId) {
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
@@ -62,7 +62,7 @@
         let worker = self.fleet.get_mut(run.worker);
         worker.release(id, step);
         worker.note_late_start(id, number, &run, now);
-        // One that is lost keeps it: what was lost there is explained by it.
+        // A lost worker keeps its suspect, which explains the loss of the other runs there.
         if !worker.dead && !worker.process_ended {
             worker.isolated_task = worker.isolated_task.filter(|&g| g != id);
         }
@@ -70,8 +70,8 @@
         self.forget_tasks(id.job);
     }
 
-    /// Forgets the tasks of a job that has ended once none of them has a run: 80 tasks take
-    /// 16 KB, and a job is asked after for minutes.
+    /// Drops the tasks of a job that has ended once none of them has a run: 80 tasks take 16 KB,
+    /// and callers ask for a job for minutes.
     fn forget_tasks(&mut self, id: JobId) {
         let Some(state) = self.jobs.get_mut(&id) else {
             return;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes note that a job's record changed.
+    /// Records that a job's record has to be written.
     pub(crate) fn mark_dirty(&mut self, id: JobId) {
         let Some(state) = self.jobs.get_mut(&id) else {
             return;
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -1,4 +1,5 @@
-//! What is made durable, and what waits for it: starts, and ends that may be dropped.
+//! Commits changes of jobs, and then sends the starts and releases the ends that wait for the
+//! commit.
 
 use crate::{
     action::{Action, Batch, StartOrder},
@@ -15,11 +16,11 @@
     },
 };
 
-/// A start with a shorter lease is not sent, in milliseconds: the look at an idle worker goes
-/// on waiting, and the run would lapse before its lease is renewed.
+/// Shortest lease that a start is sent with, in milliseconds. The poll of an idle worker goes on
+/// waiting, and with a shorter lease the run would lapse before the next poll renews it.
 const MIN_LEASE_MS: u64 = IDLE_POLL_WAIT_MS + 1000;
 
-/// A batch as it is made.
+/// A batch under construction.
 struct BatchBuilder {
     records: Vec<(JobId, Vec<u8>)>,
     rows: Appender,
@@ -33,7 +34,7 @@
 }
 
 impl Machine {
-    /// Sends the next batch, if none is under way.
+    /// Sends the next batch if none is in flight.
     pub(crate) fn commit(&mut self) {
         if self.in_flight.is_some() {
             return;
@@ -52,7 +53,7 @@
             written += 1;
         }
         self.dirty_jobs.drain(..written);
-        // Shortening alone is worth no write.
+        // Compaction alone is not worth a write.
         if !builder.is_empty() {
             self.compact_log(&mut builder.rows);
         }
@@ -71,12 +72,12 @@
             self.in_flight = Some(in_flight);
             self.actions.push(Action::Commit(batch));
         } else if is_complete {
-            // Nothing is left to be made durable: ends may be dropped at once.
+            // Everything is durable, so ends may be dropped at once.
             self.mark_ends_durable(&in_flight);
         }
     }
 
-    /// Writes what changed of a job; true if all of it found room in the batch.
+    /// Writes the changes of a job; returns whether all of them fit into the batch.
     fn write_job(&mut self, id: JobId, builder: &mut BatchBuilder) -> bool {
         let Some(state) = self.jobs.get(&id) else {
             return true;
@@ -96,7 +97,7 @@
         true
     }
 
-    /// Logs the tasks of a job that changed; true if all of them found room.
+    /// Logs the changed tasks of a job; returns whether all of them fit into the batch.
     fn log_tasks(&mut self, id: JobId, builder: &mut BatchBuilder) -> bool {
         let (jobs, fleet) = (&mut self.jobs, &self.fleet);
         let Some(state) = jobs.get_mut(&id) else {
@@ -139,7 +140,7 @@
         true
     }
 
-    /// Drops the log's oldest rows while it is too long; what of them still holds is logged anew.
+    /// Drops the oldest rows of a log that is too long, and logs their valid entries again.
     fn compact_log(&mut self, rows: &mut Appender) {
         let live = if self.log.is_large() {
             self.live_bytes()
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Returns how many bytes of the log still hold, about.
+    /// Returns the approximate size of the log's valid entries in bytes.
     fn live_bytes(&self) -> usize {
         let jobs = self.open_jobs.iter().filter_map(|id| self.jobs.get(id));
         let steps = jobs.flat_map(|j| j.repetitions.iter().flatten());
@@ -173,14 +174,14 @@
         tasks.count() * TASK_BYTES
     }
 
-    /// Logs anew what a row tells of a job and still holds; true if all of it found room.
+    /// Logs the valid entries of a job in a row again; returns whether all of them fit.
     fn rewrite_logged(&mut self, id: JobId, number: u64, rows: &mut Appender) -> bool {
         let (jobs, fleet) = (&mut self.jobs, &self.fleet);
         let Some(state) = jobs.get_mut(&id) else {
             return true;
         };
         if state.outcome.is_final() {
-            // Its record says so, once that is written.
+            // The record replaces the entries once it is written.
             return state.written_outcome == state.outcome;
         }
         for (repetition, steps) in (0..).zip(&mut state.repetitions) {
@@ -195,7 +196,8 @@
                     if rows.is_full() {
                         return false;
                     }
-                    // As it is now: what waits for that to be durable waits for its own batch.
+                    // Logs the current state. Whatever waits for that state to be durable waits for
+                    // its own batch.
                     let name = |slot| fleet.get(slot).incarnation_name.clone();
                     let record = task.record((repetition, step, index), name);
                     task.note_logged(rows.add_task(id, record));
@@ -225,7 +227,7 @@
         }
     }
 
-    /// The batch in flight is durable: its starts may be sent, its ends dropped.
+    /// Handles the commit of the batch in flight: its starts may be sent, and its ends dropped.
     pub(crate) fn handle_committed(&mut self) {
         let Some(in_flight) = self.in_flight.take() else {
             return;
@@ -254,8 +256,8 @@
         let reading = worker.clock.map_or(0, |(reading, _)| reading);
         let deadline = worker.deadline(&settings, self.store_contact);
         let is_long_enough = |d: &u64| *d >= reading + MIN_LEASE_MS;
-        // A place may become durable seconds after it was chosen: meanwhile the worker may
-        // have said that it leaves or has less room, or this owner may not have heard.
+        // A placement may become durable seconds after it was chosen. Meanwhile the worker may have
+        // reported that it leaves or has less room, or its registration may have become stale.
         let can_start = is_fresh && worker.accepts_runs(now) && !worker.is_overcommitted();
         let Some(deadline) = deadline.filter(is_long_enough).filter(|_| can_start) else {
             return self.clear_run(id);
@@ -278,8 +280,8 @@
         self.actions.push(Action::Start(slot, order));
     }
 
-    /// Logs a start that waited so many milliseconds for its place to become durable, and where
-    /// the checkpoint was made that it brings.
+    /// Logs a start, the milliseconds that it waited for its placement to become durable, and where
+    /// the checkpoint that it carries was made.
     fn log_start(&self, slot: u32, order: &StartOrder, waited: u64) {
         let (id, run) = (order.task, order.run);
         let worker = self.fleet.get(slot);
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -1,11 +1,11 @@
-//! What the crash of a worker tells of the tasks that ran there.
+//! Attributes the crash of a worker to the tasks that ran there.
 //!
-//! The load pattern that this answers: a task that crashes each worker that starts it, and takes
-//! one after the other with all that runs there, among crashes that have other causes.
+//! A task may crash each worker that starts it, and so bring down one after the other with all
+//! other runs there, among crashes with other causes.
 //!
-//! Limits: a run counts as the likely cause if it had begun within a second; a task is given
-//! up on evidence that is its own (see [`crate::model::crash`]), and where many workers are
-//! lost at once, none of their tasks is the cause.
+//! Limits: a run is a likely cause if it started within a second before the crash. A task is given
+//! up only on evidence of its own (see [`crate::model::crash`]), and where many workers are lost at
+//! once, none of their tasks is the cause.
 
 use std::sync::Arc;
 
@@ -19,24 +19,24 @@
     },
 };
 
-/// A run that was started less than this before its worker was last heard had just begun, in
-/// milliseconds: longer than looks are apart, which tell when that was.
+/// A run had just started if its start was sent no longer than this before its worker fell silent,
+/// in milliseconds. This exceeds the interval of the polls that show when a worker fell silent.
 pub(crate) const JUST_STARTED_MS: u64 = 800;
 
-/// Workers that are lost within this time of each other are lost at once, in milliseconds.
+/// Workers that are lost within this time of each other are lost simultaneously, in milliseconds.
 const SIMULTANEOUS_MS: u64 = 1000;
 
-/// If so many others are lost at once, no task of one of them is the cause ...
+/// If so many other workers are lost simultaneously, none of their tasks is the cause.
 const MIN_SIMULTANEOUS_LOSSES: usize = 3;
 
-/// ... or, in a large fleet, one in so many.
+/// In a large fleet, the limit is one worker in this many instead, if that is higher.
 const SIMULTANEOUS_LOSS_DIVISOR: usize = 12;
 
-/// A task whose run has been at work for this long crashes no workers, in milliseconds.
+/// A task whose run has been listed for longer than this crashes no workers, in milliseconds.
 const CLEAR_SUSPECT_MS: u64 = 30_000;
 
 impl Run {
-    /// Tells whether it had just begun at `now`.
+    /// Returns whether the run had just started at `now`.
     fn has_just_started(&self, now: u64) -> bool {
         self.sent_at
             .is_some_and(|at| now.saturating_sub(at) <= JUST_STARTED_MS)
@@ -44,10 +44,11 @@
 }
 
 impl Machine {
-    /// Takes note of what the crashes of a while ago tell.
+    /// Records the crashes of workers that have been silent for [`SIMULTANEOUS_MS`].
     ///
-    /// Not when the runs are given up: a later owner may find the next life there and never learn
-    /// how this one ended. Nor at once: what else is lost at the same time shows a little later.
+    /// To record them only when the runs are given up would be too late: a later owner may find the
+    /// next incarnation and never learn how this one ended. To record them at once would be too
+    /// early: simultaneous losses of other workers show a little later.
     pub(crate) fn note_crashes(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Takes note of what the crash of a worker tells, once.
+    /// Records the crash of a worker once, and attributes it to the tasks there.
     pub(super) fn note_crash(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
         if std::mem::replace(&mut worker.crash_recorded, true) || worker.leaving_since.is_some() {
@@ -73,7 +74,7 @@
         self.attribute_crash(slot, max_blame);
     }
 
-    /// A worker answers though its machine refused connections: it has not crashed.
+    /// Retracts the crash of a worker that answers although its machine refused connections.
     pub(crate) fn retract_crash(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
         worker.process_ended = false;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Takes note of what the crash of a worker tells of the tasks there, `most` at most.
+    /// Attributes the crash of a worker to the tasks there, with `max_blame` as the limit.
     pub(super) fn attribute_crash(&mut self, slot: u32, max_blame: Blame) {
         let worker = self.fleet.get(slot);
         let (incarnation, runs) = (worker.incarnation_name.clone(), worker.runs.clone());
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Takes note of the crash of a worker's life for a task that ran there.
+    /// Records the crash of a worker's incarnation for a task that ran there.
     fn record_task_crash(&mut self, id: TaskId, incarnation: &Arc<str>, blame: Blame) {
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         let Some(task) = task else {
@@ -132,8 +133,9 @@
         self.fail_proven_cause(id);
     }
 
-    /// Tells whether so many other workers crashed at the same time that the cause is none
-    /// of their tasks. Those that ran a suspect apart don't count: it may be the cause there.
+    /// Returns whether so many other workers crashed at the same time that none of their tasks is
+    /// the cause. Workers with an isolated suspect do not count, since the suspect may be the cause
+    /// there.
     fn is_simultaneous_loss(&self, slot: u32) -> bool {
         let at = self.fleet.get(slot).silent_since;
         let Some(at) = at else {
@@ -150,8 +152,7 @@
         lost.count() >= MIN_SIMULTANEOUS_LOSSES.max(registered / SIMULTANEOUS_LOSS_DIVISOR)
     }
 
-    /// Tells whether a run had just begun at `end`, or was kept apart since its task may crash
-    /// workers.
+    /// Returns whether a run had just started at `end`, or was isolated as a suspect.
     fn may_be_cause(&self, id: TaskId, end: u64) -> bool {
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let Some(run) = task.and_then(|t| t.run.as_ref()) else {
@@ -160,7 +161,7 @@
         run.has_just_started(end) || self.fleet.get(run.worker).isolated_task == Some(id)
     }
 
-    /// Ends a job one task of which crashes the workers that start it.
+    /// Ends a job if one of its tasks is proven to crash the workers that start it.
     fn fail_proven_cause(&mut self, id: TaskId) {
         let Some(state) = self.jobs.get(&id.job) else {
             return;
@@ -174,8 +175,9 @@
         self.end_job(id.job, Outcome::Failed);
     }
 
-    /// Takes note of how long a run under whose task workers crashed has been at work when its
-    /// worker's clock shows `clock`: at last it need not be kept apart, and its task is no suspect.
+    /// Records how long the run of a task with crashes has been listed when its worker's clock
+    /// shows `clock`. After a while the run need not be isolated, and later its task is no longer a
+    /// suspect.
     pub(crate) fn note_survival(&mut self, slot: u32, id: TaskId, clock: u64) {
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         let Some(task) = task else {
--- a/crates/jobs/src/runs/incarnations.rs
+++ b/crates/jobs/src/runs/incarnations.rs
@@ -1,17 +1,17 @@
-//! Which life of a worker is there, of those that share its name.
+//! Decides which incarnation of a worker is current, of those that share its name.
 //!
-//! The load pattern that this answers: workers that crash and start again under their names.
-//! A later life holds nothing of an earlier one and counts its ends and its time anew.
+//! Workers crash and start again under their names. A later incarnation has no runs of an earlier
+//! one, and starts its clock and the numbers of its ends anew.
 //!
-//! A list says which life is there. An announcement says that there is such a life, and may be
-//! older than the list. One life is there at a time, so that whatever was known of another one
-//! before the list was asked for is of an earlier life. When a life began tells lives apart and
-//! does not order them, since clocks step.
+//! A report shows which incarnation is current. A registration shows only that an incarnation
+//! exists, and may be older than the report. Only one incarnation exists at a time, so everything
+//! known of another one from before the poll was sent belongs to an earlier one. The start time
+//! identifies incarnations but does not order them, since clocks step.
 //!
-//! All that is kept of a worker is its life's: also what its runs tell of the machine, since
-//! that may be of another kind at the next start.
+//! All state of a worker belongs to one incarnation, including what its runs show about the
+//! machine, since the machine may be of another kind after the next start.
 //!
-//! Limits: of the lives of a name that were replaced, the last ones are remembered.
+//! Limits: only the last replaced incarnations of a name are remembered.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -23,46 +23,46 @@
     },
 };
 
-/// Lives of a name that were replaced and are remembered. An answer comes within three
-/// seconds, in which a worker does not start so often.
+/// Replaced incarnations that are remembered for each name. An answer arrives within three seconds,
+/// in which a worker does not start so often.
 const MAX_REPLACED: usize = 16;
 
-/// The lives of one name.
+/// The incarnations of one name.
 #[derive(Debug, Default)]
 pub(super) struct Incarnations {
-    /// Slots of those that may be there.
+    /// Slots of the incarnations that may be current.
     slots: Vec<u32>,
-    /// When those began that were replaced, the last ones.
+    /// Start times of the last replaced incarnations, the oldest first.
     replaced: VecDeque<u64>,
 }
 
-/// What a list says of the lives of its worker's name.
+/// Which incarnation a report is from.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Attribution {
-    /// The life that is there, and the earlier ones that are over.
+    /// The current incarnation, and the earlier ones that have ended.
     Known(u32, Vec<u32>),
-    /// It is of a life that was replaced.
+    /// An incarnation that was replaced.
     Earlier,
-    /// It may be older than the last one of another life.
+    /// Undecided: the report may be older than the last one of another incarnation.
     Unclear,
 }
 
 impl Worker {
-    /// Tells whether it can't be known which life of its name this is.
+    /// Returns whether it is unknown which incarnation of its name this is.
     pub(super) fn is_unidentified(&self) -> bool {
         self.start_time.is_none() && self.clock.is_none()
     }
 }
 
 impl Fleet {
-    /// Returns the slot of a life, by its own name, a new one if need be.
+    /// Returns the slot of an incarnation by its full name, and adds the incarnation if it is new.
     pub(crate) fn slot(&mut self, name: &Arc<str>) -> u32 {
         let incarnation = Incarnation::parse(name);
         self.find(&incarnation.id, incarnation.start_time)
             .unwrap_or_else(|| self.add(incarnation))
     }
 
-    /// Returns the slots of the lives of a name that may be there.
+    /// Returns the slots of the incarnations of a name that may be current.
     pub(super) fn incarnations(&self, id: &str) -> &[u32] {
         self.incarnations.get(id).map_or(&[], |l| &l.slots)
     }
@@ -88,13 +88,13 @@
         incarnations.is_some_and(|l| l.replaced.contains(&start_time))
     }
 
-    /// Returns the slot of the life that an announcement is of; nothing if it was replaced.
+    /// Returns the slot of the incarnation that registered, or `None` if it was replaced.
     pub(super) fn registering_slot(&mut self, info: &WorkerInfo) -> Option<u32> {
         if let Some(slot) = self.find(&info.id, info.start_time) {
             return Some(slot);
         }
         let Some(start_time) = info.start_time else {
-            // One that tells its start in its lists alone.
+            // The worker gives its start time in reports only.
             let mut incarnations = self.incarnations(&info.id).iter().copied();
             let polled = incarnations.find(|&slot| self.get(slot).clock.is_some());
             return Some(polled.unwrap_or_else(|| self.add(incarnation_of(info))));
@@ -110,14 +110,14 @@
         Some(slot)
     }
 
-    /// Has nothing begin on any life of a name until a list says which one is there.
+    /// Prevents starts on all incarnations of a name until a report shows which one is current.
     fn mark_contested(&mut self, id: &str) {
         for slot in self.incarnations(id).to_vec() {
             self.get_mut(slot).contested = true;
         }
     }
 
-    /// Returns what a list says that was read in the place of one life, asked for at `sent`.
+    /// Returns which incarnation a report is from that answers a poll of `slot` sent at `sent`.
     pub(super) fn attribute(
         &mut self,
         slot: u32,
@@ -137,7 +137,8 @@
                 return Attribution::Earlier;
             }
             Some(_) => self.find(&id, start_time),
-            // It is of the life in whose place it was read, unless that one is over.
+            // Without a start time, the report is from the polled incarnation unless that has
+            // ended.
             None if !self.incarnations(&id).contains(&slot) => return Attribution::Earlier,
             None => Some(slot),
         };
@@ -159,15 +160,15 @@
         Attribution::Known(current, ended)
     }
 
-    /// Tells whether a list of a life of a name arrived after `sent`.
+    /// Returns whether a report of an incarnation of a name arrived after `sent`.
     fn has_report_since(&self, id: &str, sent: u64) -> bool {
         let incarnations = self.incarnations(id).iter().map(|&slot| self.get(slot));
         let mut clocks = incarnations.filter(|w| !w.dead).filter_map(|w| w.clock);
         clocks.any(|(_, at)| at > sent)
     }
 
-    /// Gives a life that answered in the place of another one that one's address, if it has
-    /// none. Nothing new begins there before it is announced itself.
+    /// Copies the address of the polled incarnation to the one that answered, if that has none.
+    /// Nothing new starts there before its own registration arrives.
     fn inherit_info(&mut self, current: u32, slot: u32) {
         if self.get(current).info.is_some() {
             return;
@@ -182,8 +183,8 @@
         self.get_mut(current).evacuated = evacuated;
     }
 
-    /// Returns the other lives of a life's name: those that are over if it is there in a list
-    /// that was asked for at `sent`, and those that may be later ones.
+    /// Splits the other incarnations of the name into those that have ended, given that `current`
+    /// answered a poll sent at `sent`, and those that may be later ones.
     fn partition_others(&self, current: u32, sent: u64) -> (Vec<u32>, Vec<u32>) {
         let incarnations = self.incarnations(&self.get(current).id).iter().copied();
         let others = incarnations.filter(|&slot| slot != current);
@@ -193,7 +194,7 @@
         })
     }
 
-    /// Takes note that a life is over and another one is there.
+    /// Marks an incarnation as ended and replaced by another one.
     pub(super) fn retire(&mut self, slot: u32) {
         let worker = self.get_mut(slot);
         worker.dead = true;
--- a/crates/jobs/src/runs/incarnations_tests.rs
+++ b/crates/jobs/src/runs/incarnations_tests.rs
@@ -1,4 +1,4 @@
-//! Which life of a worker a list is of, and what follows for the others.
+//! Which incarnation of a worker a report is from, and what follows for the others.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 };
 use crate::settings::Settings;
 
-/// Lives of one worker, and what was heard of them.
+/// A fleet with the incarnations of one worker.
 struct Harness {
     fleet: Fleet,
     now: u64,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Reads a row, and returns whether it told anything new.
+    /// Registers an incarnation; returns whether that changed anything.
     fn register(&mut self, start_time: Option<u64>) -> bool {
         self.now += 10;
         let info = WorkerInfo {
@@ -41,7 +41,7 @@
         self.fleet.register(info, self.now)
     }
 
-    /// Reads a list in the place of a life that was asked for at `sent`.
+    /// Handles a report to a poll of `slot` sent at `sent`.
     fn report(&mut self, slot: u32, sent: u64, start_time: Option<u64>) -> Attribution {
         let attribution = self.fleet.attribute(slot, sent, start_time);
         if let Attribution::Known(current, ended) = &attribution {
@@ -54,7 +54,7 @@
         attribution
     }
 
-    /// Asks in the place of a life, and reads the list.
+    /// Polls `slot` and handles the report.
     fn poll(&mut self, slot: u32, start_time: Option<u64>) -> Attribution {
         let sent = self.now;
         self.now += 10;
@@ -71,7 +71,7 @@
     }
 }
 
-/// Later lives may have begun earlier, by a clock that was set.
+/// A later incarnation may have an earlier start time, since clocks step.
 #[test]
 fn a_report_replaces_the_previous_incarnation() {
     for start_time in [900, 100] {
@@ -89,7 +89,7 @@
             info.as_mut().expect("announced").start_time = Some(start_time);
             info
         });
-        // Its room may be another one.
+        // Its capacity may be another one.
         assert!(!harness.accepts_runs(1));
         assert!(harness.register(Some(start_time)));
         assert!(harness.accepts_runs(1));
@@ -112,7 +112,8 @@
     assert_eq!(harness.fleet.workers.len(), 2);
 }
 
-/// The row of a new life closes the old one until a list says which of them is there.
+/// The registration of a new incarnation closes the old one until a report shows which of them is
+/// current.
 #[test]
 fn a_registration_alone_ends_no_incarnation() {
     let mut harness = Harness::new();
@@ -121,19 +122,19 @@
     let asked = harness.now;
     harness.register(Some(2));
     assert!(!harness.accepts_runs(0) && !harness.accepts_runs(1));
-    // It was asked for before the row was read.
+    // The poll was sent before the registration was read.
     assert_eq!(
         harness.report(0, asked, Some(1)),
         Attribution::Known(0, vec![])
     );
     assert!(!harness.accepts_runs(0));
-    // The row was an old one.
+    // The registration was outdated.
     assert_eq!(harness.poll(0, Some(1)), Attribution::Known(0, vec![1]));
     assert!(harness.accepts_runs(0) && !harness.accepts_runs(1));
     assert!(!harness.register(Some(2)));
 }
 
-/// Which of two lists is the later one is known if it was asked for after the other had come.
+/// A report is known to be the later of two if its poll was sent after the other had arrived.
 #[test]
 fn reports_that_overtook_each_other_are_polled_again() {
     let mut harness = Harness::new();
@@ -184,7 +185,7 @@
     assert!(!harness.register(None));
 }
 
-/// Records name lives that an earlier owner knew.
+/// Records name incarnations that an earlier owner knew.
 #[test]
 fn a_recorded_incarnation_ends_if_another_one_reports() {
     let mut harness = Harness::new();
@@ -220,7 +221,7 @@
     assert_eq!(harness.fleet.workers.len(), 2);
 }
 
-/// Many starts of one worker are remembered in bounded space.
+/// Many restarts of one worker take up bounded space.
 #[test]
 fn replaced_incarnations_are_remembered_in_bounded_space() {
     let mut harness = Harness::new();
--- a/crates/jobs/src/runs/log.rs
+++ b/crates/jobs/src/runs/log.rs
@@ -1,12 +1,12 @@
-//! The log: rows that tell what changed of the jobs' tasks.
+//! The log: rows with the changes of jobs' tasks.
 //!
-//! The load pattern that this answers: thousands of starts and ends a second, each of which
-//! changes one task of a job that has a hundred; and a store that takes half a second for a
-//! write. What a commit carries follows the tasks that changed: neither the size of their jobs
-//! nor the number of jobs that changed.
+//! Thousands of runs start and end in a second, each of which changes one task of a job with a
+//! hundred tasks, and the store takes half a second for a write. The size of a commit grows with
+//! the number of changed tasks, neither with the size of their jobs nor with the number of changed
+//! jobs.
 //!
-//! Limits: a new owner reads all rows. So they are bounded by what still holds: the oldest row is
-//! dropped once what of it still holds was written anew.
+//! Limits: a new owner reads all rows, so their size is bounded by the entries that are still
+//! valid. The oldest row is dropped once its valid entries were written again.
 
 use std::collections::VecDeque;
 
@@ -19,45 +19,45 @@
     sorted_map::SortedMap,
 };
 
-/// Bytes of a row at most: the users' store takes 64 KB.
+/// Largest size of a row: the users' store accepts 64 KB.
 const MAX_ROW_BYTES: usize = 60_000;
 
-/// Rows that one commit appends at most: a transaction holds 1 MB, and text of a third more.
+/// Rows that one commit appends at most: a transaction holds 1 MB, and text takes a third more.
 const MAX_APPENDED_ROWS: usize = 8;
 
 /// Rows that one commit drops at most.
 const MAX_DROPPED_ROWS: usize = 8;
 
-/// The log is shortened where it is larger than this and twice what still holds, in bytes.
+/// The log is compacted once it is larger than this plus twice the size of its valid entries.
 const MIN_COMPACTION_BYTES: usize = 500_000;
 
-/// Bytes that a task takes up in the log, about.
+/// Approximate size of a task in the log.
 pub(crate) const TASK_BYTES: usize = 64;
 
-/// A row as it is remembered.
+/// What is remembered of a row.
 #[derive(Debug, Default)]
 struct Row {
     bytes: usize,
-    /// Jobs that it tells of.
+    /// Jobs with entries in the row.
     jobs: Vec<JobId>,
 }
 
-/// The log's rows, the oldest first.
+/// The rows of the log, the oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct Log {
     rows: VecDeque<Row>,
-    /// Number of the oldest one.
+    /// Number of the oldest row.
     first_number: RowNumber,
     bytes: usize,
-    /// What earlier owners wrote of jobs that are not restored yet.
+    /// Entries by earlier owners for jobs that are not restored yet.
     replayed: SortedMap<JobId, Replayed>,
 }
 
 impl Log {
-    /// Takes the next row that an earlier owner wrote.
+    /// Adds the next row that an earlier owner wrote. Fails if the row can't be decoded.
     pub(crate) fn replay(&mut self, row: &[u8]) -> Result<(), RecordError> {
         let number = self.next();
-        // One that can't be read tells nothing; it is dropped in its turn.
+        // A row that can't be decoded has no entries; it is dropped in its turn.
         let changes = Changes::decode_all(row);
         let jobs = changes.iter().flatten().map(|c| c.job).collect();
         self.push(row.len(), jobs);
@@ -69,8 +69,7 @@
         Ok(())
     }
 
-    /// Returns the record of a job as the log brings it up to date; nothing if neither tells of
-    /// the job.
+    /// Returns the record of a job as updated by the log, or `None` if neither mentions the job.
     pub(crate) fn current_record(&self, id: JobId, record: Option<Record>) -> Option<Record> {
         let Some(replayed) = self.replayed.get(&id) else {
             return record;
@@ -80,37 +79,37 @@
         Some(record)
     }
 
-    /// Returns what earlier owners wrote of a job, once.
+    /// Removes and returns the entries by earlier owners for a job.
     pub(crate) fn take_replayed(&mut self, id: JobId) -> Replayed {
-        // In its place an empty one stays: thousands of removals would move the rest each time.
+        // Leaves an empty value, since each of thousands of removals would move the entries behind
+        // it.
         self.replayed
             .get_mut(&id)
             .map(std::mem::take)
             .unwrap_or_default()
     }
 
-    /// Returns the number of the oldest row and the jobs that it tells of.
+    /// Returns the number of the oldest row and the jobs with entries in it.
     pub(crate) fn oldest(&self) -> Option<(RowNumber, &[JobId])> {
         let row = self.rows.front()?;
         Some((self.first_number, &row.jobs))
     }
 
-    /// Returns how many rows there are.
+    /// Returns the number of rows.
     pub(crate) fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Tells whether the rows are so large that it matters how much of them still holds.
+    /// Returns whether the log is so large that the size of its valid entries matters.
     pub(crate) fn is_large(&self) -> bool {
         self.bytes > MIN_COMPACTION_BYTES
     }
 
-    /// Tells whether the rows are too large for `live` bytes that still hold.
+    /// Returns whether the log is too large for `live` bytes of valid entries.
     pub(crate) fn is_too_large(&self, live: usize) -> bool {
         self.bytes > MIN_COMPACTION_BYTES + 2 * live
     }
 
-    /// Drops the oldest row.
     pub(crate) fn drop_oldest(&mut self) {
         if let Some(row) = self.rows.pop_front() {
             self.first_number += 1;
@@ -129,22 +128,22 @@
     }
 }
 
-/// The rows of one commit as they are written.
+/// The rows of one commit while they are written.
 #[derive(Debug)]
 pub(crate) struct Appender {
-    /// Number of the row that is written.
+    /// Number of the row that is being written.
     number: RowNumber,
     rows: Vec<Vec<u8>>,
     jobs: Vec<Vec<JobId>>,
-    /// What is written of one job.
+    /// Changes of the current job that are not encoded yet.
     open_changes: Option<Changes>,
-    /// Bytes of that, about.
+    /// Approximate size of these changes.
     pending_bytes: usize,
     dropped: usize,
 }
 
 impl Appender {
-    /// Begins a commit behind the log's last row.
+    /// Starts a commit after the log's last row.
     pub(crate) fn new(log: &Log) -> Appender {
         Appender {
             number: log.next(),
@@ -156,18 +155,18 @@
         }
     }
 
-    /// Tells whether nothing was written.
+    /// Returns whether nothing was written.
     pub(crate) fn is_empty(&self) -> bool {
         self.open_changes.is_none() && self.rows.iter().all(Vec::is_empty)
     }
 
-    /// Tells whether the commit holds as much as it may.
+    /// Returns whether the commit is as large as it may be.
     pub(crate) fn is_full(&self) -> bool {
         self.rows.len() >= MAX_APPENDED_ROWS
             && self.row_bytes() + self.pending_bytes > MAX_ROW_BYTES / 2
     }
 
-    /// Takes note that the commit drops a row.
+    /// Records that the commit drops a row.
     pub(crate) fn note_dropped(&mut self) {
         self.dropped += 1;
     }
@@ -177,25 +176,25 @@
         self.dropped
     }
 
-    /// Tells whether the commit drops as many rows as it may.
+    /// Returns whether the commit drops as many rows as it may.
     pub(crate) fn is_drop_limit_reached(&self) -> bool {
         self.dropped >= MAX_DROPPED_ROWS
     }
 
-    /// Writes a step that is done whole; returns its row.
+    /// Writes a step whose tasks are all done; returns the number of its row.
     pub(crate) fn add_step(&mut self, job: JobId, step: StepAt) -> RowNumber {
         self.changes_of(job, TASK_BYTES / 4).steps.push(step);
         self.number
     }
 
-    /// Writes a task as it is now; returns its row.
+    /// Writes the current state of a task; returns the number of its row.
     pub(crate) fn add_task(&mut self, job: JobId, task: TaskRecord) -> RowNumber {
         let bytes = task.size();
         self.changes_of(job, bytes).tasks.push(task);
         self.number
     }
 
-    /// Returns the job's changes in a row that has room for so many bytes more.
+    /// Returns the open changes of a job, in a row that has room for `bytes` more.
     fn changes_of(&mut self, job: JobId, bytes: usize) -> &mut Changes {
         let is_other_job = self.open_changes.as_ref().is_some_and(|c| c.job != job);
         let is_full = self.row_bytes() + self.pending_bytes + bytes > MAX_ROW_BYTES;
@@ -215,7 +214,7 @@
         })
     }
 
-    /// Ends what is written of one job.
+    /// Encodes the open changes into the row.
     fn flush(&mut self) {
         self.pending_bytes = 0;
         let Some(changes) = self.open_changes.take() else {
@@ -231,7 +230,7 @@
         self.rows.last().map_or(0, Vec::len)
     }
 
-    /// Ends the commit: the log remembers its rows, which are returned.
+    /// Ends the commit: adds its rows to the log and returns them.
     pub(crate) fn finish(mut self, log: &mut Log) -> Vec<Vec<u8>> {
         self.flush();
         self.rows.retain(|row| !row.is_empty());
--- a/crates/jobs/src/runs/lost.rs
+++ b/crates/jobs/src/runs/lost.rs
@@ -1,8 +1,8 @@
-//! What is lost with a worker.
+//! Loss of workers and of the runs on them.
 //!
-//! A worker is lost if another life answers at its address or under its name, or if all leases
-//! on it are over and it gave no answer. Its machine may have lost its power, it may be cut off,
-//! or its process may have ended; only of the last one does its address refuse connections.
+//! A worker is lost if another incarnation answers at its address or under its name, or if all
+//! leases on it have expired and it did not answer. Its machine may have lost power, it may be cut
+//! off, or its process may have ended; only in the last case does its address refuse connections.
 
 use crate::{
     machine::Machine,
@@ -12,14 +12,14 @@
 /// How a worker was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Loss {
-    /// Another life answers at its address, or under its name.
+    /// Another incarnation answers at its address or under its name.
     Ended,
-    /// It gave no answer, and all leases on it are over.
+    /// It did not answer, and all leases on it have expired.
     Lapsed,
 }
 
 impl Machine {
-    /// A worker's life has ended, and with it all that ran there.
+    /// Handles the end of a worker's incarnation, and of the runs there.
     pub(crate) fn worker_lost(&mut self, slot: u32) {
         let worker = self.fleet.get(slot);
         if worker.dead {
@@ -35,7 +35,7 @@
         self.drop_runs(slot, &ended);
     }
 
-    /// Gives up the runs of silent workers whose leases are over.
+    /// Drops the runs of silent workers whose leases have expired.
     pub(crate) fn expire_leases(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
@@ -57,11 +57,11 @@
         }
     }
 
-    /// Takes note of what the loss of a worker tells of the tasks there.
+    /// Records what the loss of a worker shows about the tasks there.
     pub(super) fn record_loss(&mut self, slot: u32, loss: Loss) {
         let worker = self.fleet.get(slot);
-        // Without its row it can't be asked: it may have crashed. One that was silent until its
-        // leases were over may be cut off.
+        // A worker without a registration can't be polled and may have crashed. One that was silent
+        // until its leases expired may only be cut off.
         let may_have_crashed = loss == Loss::Ended || worker.info.is_none();
         if worker.process_ended {
             self.note_crash(slot);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Clears runs on a worker that is lost.
+    /// Clears the given runs, and all orphans, on a lost worker.
     pub(super) fn drop_runs(&mut self, slot: u32, runs: &[TaskId]) {
         self.log_lost_runs(slot, runs);
         let worker = self.fleet.get_mut(slot);
@@ -81,8 +81,7 @@
         }
     }
 
-    /// Logs the runs that are lost with a worker, and for how long each was there when the
-    /// worker was last heard.
+    /// Logs the runs that are lost with a worker, with the age of each when the worker fell silent.
     fn log_lost_runs(&mut self, slot: u32, runs: &[TaskId]) {
         let worker = self.fleet.get(slot);
         self.stats.lost += runs.len() as u64;
--- a/crates/jobs/src/runs/mod.rs
+++ b/crates/jobs/src/runs/mod.rs
@@ -1,13 +1,11 @@
-//! Leases of workers, starts and stops, ends, and what is made durable.
+//! Leases on workers, starts, stops and ends of runs, and the commits that make them durable.
 //!
-//! The load pattern that this answers: answers that come late, twice or never, from
-//! workers that die, are cut off or fail all they start, to an owner that itself is late.
-//! Nothing is concluded from silence that was not asked for and read.
+//! Answers come late, twice or never, from workers that die, are cut off or fail every start, to an
+//! owner that may itself be late. Silence alone proves nothing: only the result of a poll does.
 //!
-//! Limits: a lease on a worker is as long as a takeover may take, and reaches no further
-//! from the owner's last contact with the store than a successor may keep tasks waiting; a
-//! worker is closed after three failures in a row, since one run in twenty fails by its own
-//! fault.
+//! Limits: a lease on a worker is as long as a takeover may take, and reaches no further past the
+//! owner's last contact with the store than a successor may keep tasks waiting. A worker is
+//! quarantined after three failures in a row, since one run in twenty fails by its own fault.
 
 pub(crate) mod answers;
 pub(crate) mod checkpoints;
--- a/crates/jobs/src/runs/orphan.rs
+++ b/crates/jobs/src/runs/orphan.rs
@@ -1,4 +1,4 @@
-//! A run that nobody wants.
+//! Runs that nobody wants.
 
 use crate::{model::ids::TaskId, runs::worker::Capacity};
 
@@ -7,12 +7,12 @@
 pub(crate) struct Orphan {
     pub(crate) task: TaskId,
     pub(crate) run: u32,
-    /// What it takes up.
+    /// Resources that the run takes up.
     pub(crate) size: Capacity,
-    /// When its stop was sent, if that is unanswered.
+    /// When its stop was sent, while the answer is pending.
     pub(crate) sent_at: Option<u64>,
     /// When its stop was confirmed.
     pub(crate) stopped_at: Option<u64>,
-    /// No new stop before this time.
+    /// Earliest time of the next stop.
     pub(crate) retry_at: u64,
 }
--- a/crates/jobs/src/runs/poll.rs
+++ b/crates/jobs/src/runs/poll.rs
@@ -1,32 +1,33 @@
-//! When a worker is looked at, and how long a look waits for an end.
+//! Decides when a worker is polled, and how long a poll waits for the end of a run.
 
 use crate::{runs::worker::Worker, settings::Settings};
 
-/// How long an idle worker's look waits, in milliseconds; the longest it takes.
+/// How long a poll of an idle worker waits, in milliseconds; the longest wait of any poll.
 pub(crate) const IDLE_POLL_WAIT_MS: u64 = 2000;
 
-/// An answer to a look that took longer lay unread, in milliseconds, and the worker's clock
-/// has gone on: leases that count from its reading are short. So the next look does not wait
-/// for an end, and the one after it renews them whole. Without both, up to 283 of 800 runs
-/// lapsed where an owner stood still for 4 s and its successor read the jobs from a slow store
-/// (the day earned 0.70 of its worth, 0.74 with both, ten plays each).
+/// A poll that was answered later than this was read late, in milliseconds, and the worker's clock
+/// has moved on: leases that count from its reading are short. So the next poll does not wait for
+/// an end, and the one after it renews the leases in full. Without either of these, up to 283 of
+/// 800 runs lapse when an owner stalls for 4 s and its successor reads the jobs from a slow store.
 const LATE_ANSWER_MS: u64 = IDLE_POLL_WAIT_MS + 500;
 
-/// A lease that a look would prolong by more than this is renewed without a pause, in
-/// milliseconds: looks a second apart prolong it by a second.
+/// A lease that a poll would extend by more than this is renewed without delay, in milliseconds.
+/// Polls a second apart extend it by a second.
 const URGENT_LEASE_GAIN_MS: u64 = 1500;
 
 impl Worker {
-    /// Tells whether ends that it listed are not durable yet, so that it lists them again.
+    /// Returns whether the worker listed ends that are not durable yet, so that it lists them
+    /// again.
     pub(crate) fn has_pending_ends(&self) -> bool {
         self.counted_end > self.durable_end
     }
 
-    /// Returns up to which end a look that is sent now lets it drop them; 0 if it has dropped
-    /// them already.
+    /// Returns up to which number a poll that is sent now lets the worker drop its ends, or 0 for
+    /// none.
     ///
-    /// Where another life reads the look it drops ends of its own that nobody has read. So it
-    /// tells of none where that may be, nor of any twice: ends that are kept are listed again.
+    /// Another incarnation that reads the poll would drop ends of its own that nobody has read. So
+    /// a poll names no end where that may happen, and none that the worker has dropped already.
+    /// Ends that are kept are listed again.
     pub(crate) fn droppable_end(&self) -> u64 {
         let is_uncertain = self.silent_since.is_some() || self.contested;
         let are_kept = self.first_end.is_some_and(|e| e <= self.durable_end);
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Returns when it is to be looked at; `deadline` is the lease that this would grant.
+    /// Returns when the worker is to be polled; `deadline` is the lease that the poll would grant.
     pub(crate) fn poll_due(&self, deadline: Option<u64>, settings: &Settings) -> u64 {
         let gained = deadline.unwrap_or(0).saturating_sub(self.granted_until);
         if self.has_pending_ends() && gained <= URGENT_LEASE_GAIN_MS {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Returns how long a look that is sent now waits for an end, in milliseconds.
+    /// Returns how long a poll that is sent now waits for an end, in milliseconds.
     pub(crate) fn poll_wait(&self, settings: &Settings) -> u64 {
         let Some((_, at)) = self.clock else {
             return 0;
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -1,8 +1,9 @@
-//! What is left of a worker's earlier life when another one is there.
+//! Handles the runs and starts of a worker's incarnation that another one has replaced.
 //!
-//! Whatever ran there is over, whatever clocks and leases say. Starts that it has not listed
-//! may be carried out by the next life, which has seen no epoch and whose clock is behind:
-//! their tasks wait until it lists them, or until a stop bars them there.
+//! All runs that the earlier incarnation has listed have ended, whatever clocks and leases show.
+//! Starts that it has not listed may be carried out by the next incarnation, which has seen no
+//! epoch and whose clock is behind. Their tasks wait until the next incarnation lists them, or
+//! until a stop prevents them there.
 
 use crate::{
     machine::Machine,
@@ -22,8 +23,8 @@
 };
 
 impl Machine {
-    /// Returns the slot of the life that a list is of; nothing if it does not count. Earlier
-    /// lives are over.
+    /// Returns the slot of the incarnation that a report is from, or `None` if the report does not
+    /// count. Ends the earlier incarnations.
     pub(super) fn reporting_slot(
         &mut self,
         slot: u32,
@@ -56,8 +57,8 @@
         log::warn!(worker = &*worker.id, born:? = worker.start_time, old_born:? = old.start_time, counted, runs, unconfirmed = moved; "worker: another life");
     }
 
-    /// Hands what is known of a life over to the same one, now that its name is known; returns
-    /// how many runs that were.
+    /// Moves the state of a worker whose incarnation was unknown to the slot of that incarnation;
+    /// returns the number of runs.
     fn merge_identified(&mut self, old: u32, new: u32) -> usize {
         let worker = self.fleet.get(old);
         let (runs, isolated) = (worker.runs.clone(), worker.isolated_task);
@@ -71,8 +72,8 @@
         runs.len()
     }
 
-    /// Ends a life that another one has replaced; returns how many starts of it may still be
-    /// carried out.
+    /// Ends an incarnation that another one has replaced; returns how many of its starts may still
+    /// be carried out.
     fn supersede(&mut self, old: u32, new: u32) -> usize {
         let (now, settings) = (self.now, self.settings);
         let worker = self.fleet.get_mut(old);
@@ -114,7 +115,7 @@
         unreported.collect()
     }
 
-    /// Has a run be in the place of another life, at the stage that `stage` gives.
+    /// Moves a run to another incarnation, at the stage that `stage` returns.
     fn move_run(&mut self, id: TaskId, new: u32, stage: impl Fn(Stage) -> Stage) {
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
@@ -140,8 +141,8 @@
         self.mark_dirty(id.job);
     }
 
-    /// Has the next life stop what it may still start of a run that was given up. Where its
-    /// task would need a run now it waits until that is barred.
+    /// Makes the next incarnation stop a run that was given up and that it may still start. A task
+    /// that needs a run now waits until the start is prevented.
     fn block_late_start(&mut self, old: u32, new: u32, start: LateStart) {
         let id = start.task;
         self.fleet.get_mut(new).keep_late_start(start, self.now);
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Has a worker stop a run that it may still start and that nobody wants.
+    /// Adds a run that a worker may still start, and that nobody wants, to its orphans.
     fn add_late_orphan(&mut self, slot: u32, start: LateStart) {
         let id = start.task;
         let state = self.jobs.get(&id.job);
@@ -176,7 +177,7 @@
         });
     }
 
-    /// Has a task without a run wait as if it had one that is to be stopped.
+    /// Makes a task without a run wait by giving it one that is to be stopped.
     fn hold_task(&mut self, slot: u32, id: TaskId) {
         let now = self.now;
         let Some(state) = self.jobs.get_mut(&id.job) else {
@@ -195,8 +196,8 @@
     }
 }
 
-/// Returns the stage in the next life of a run that it may start or not: its first list
-/// tells, and else a stop.
+/// Returns the stage in the next incarnation of a run that it may or may not start: its first
+/// report decides, or else a stop.
 fn successor_stage(stage: Stage) -> Stage {
     match stage {
         Stage::Stopping(_) | Stage::StopConfirmed(_) => Stage::Stopping(None),
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of runs and starts when their worker has started again.
+//! Runs and starts of a worker that has started again.
 
 use std::sync::Arc;
 
@@ -24,16 +24,17 @@
     index: 0,
 };
 
-/// An owner of one job of one task, and of one worker whose answers the test gives.
+/// An owner with one job of one task, and with one worker whose answers the test gives.
 struct Owner {
     machine: Machine,
     now: u64,
-    /// What was sent since it was last asked for, but for looks.
+    /// Actions since the last check, without polls.
     sent: Vec<Action>,
 }
 
 impl Owner {
-    /// Makes an owner whose worker's first life was heard and has the start of run 1.
+    /// Returns an owner whose worker has reported in its first incarnation and was sent the start
+    /// of run 1.
     fn new() -> Owner {
         let now = 100_000;
         let takeover = Takeover {
@@ -89,7 +90,7 @@
         self.run();
     }
 
-    /// Decides for a while; records are durable at once.
+    /// Makes decisions for 250 ms; commits are durable at once.
     fn run(&mut self) {
         for _ in 0..50 {
             self.now += 5;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The row of a life is read.
+    /// Handles the registration of an incarnation.
     fn register(&mut self, start_time: u64) {
         self.handle_event(Event::WorkerUpdated(WorkerInfo {
             id: "w".into(),
@@ -127,7 +128,7 @@
         self.run();
     }
 
-    /// A list of a life is read with these runs of the task, which was asked for just before.
+    /// Handles a report of an incarnation with these runs of the task, to a poll sent just before.
     fn report(&mut self, worker: u32, start_time: u64, runs: &[u32]) {
         let running = runs.iter().map(|&run| ReportedRun {
             task: TASK,
@@ -157,7 +158,7 @@
         self.answer(worker, sent, Answer::Stopped(TASK, run, Stopped::Done));
     }
 
-    /// Returns the workers and runs of the starts that were sent; nothing else was.
+    /// Returns the workers and runs of the starts that were sent; panics on other actions.
     fn starts(&mut self) -> Vec<(u32, u32)> {
         let sent = std::mem::take(&mut self.sent);
         let starts = sent.into_iter().map(|action| match action {
@@ -167,7 +168,7 @@
         starts.collect()
     }
 
-    /// Returns the workers and runs of the stops that were sent; nothing else was.
+    /// Returns the workers and runs of the stops that were sent; panics on other actions.
     fn stops(&mut self) -> Vec<(u32, u32)> {
         let sent = std::mem::take(&mut self.sent);
         let stops = sent.into_iter().map(|action| match action {
@@ -188,7 +189,7 @@
     assert_eq!(owner.starts(), [(1, 2)]);
 }
 
-/// An answer does not say which life it is of.
+/// An answer does not show which incarnation gave it.
 #[test]
 fn an_unlisted_start_is_stopped_in_the_next_incarnation() {
     for answer in [None, Some(Started::Unknown), Some(Started::Done)] {
@@ -228,8 +229,8 @@
     assert_eq!(owner.stops(), [(1, 1)]);
 }
 
-/// Run 1 was given up and run 2 lost with the old life; the start of run 1 may come to the
-/// next one.
+/// Run 1 was given up and run 2 was lost with the old incarnation. The start of run 1 may still
+/// reach the next incarnation.
 #[test]
 fn a_task_waits_until_its_late_starts_are_stopped() {
     let mut owner = Owner::new();
@@ -252,7 +253,8 @@
     assert_eq!(owner.starts(), [(1, 3)]);
 }
 
-/// Its clock is behind, and it takes the longest lease from what was meant for the old life.
+/// The clock of the next incarnation is behind, so that it grants the longest lease to orders that
+/// were meant for the old one.
 #[test]
 fn the_next_incarnation_is_not_lost_while_misdirected_leases_may_hold() {
     let mut owner = Owner::new();
@@ -286,7 +288,7 @@
     );
 }
 
-/// Has a worker be silent from now on; returns for how many milliseconds its run is held.
+/// Keeps the worker silent from now on; returns for how many milliseconds its run is held.
 fn hold_time(mut owner: Owner) -> u64 {
     let since = owner.now;
     while owner
@@ -302,8 +304,8 @@
     owner.now - since
 }
 
-/// A start that a later life may have taken holds its run for the longest lease, though looks
-/// that get no answer follow; one that its own life has taken does not.
+/// A start that a later incarnation may have carried out holds its run for the longest lease, even
+/// if unanswered polls follow. A start that its own incarnation has carried out does not.
 #[test]
 fn an_unlisted_start_is_held_as_long_as_a_later_incarnation_may_run_it() {
     let longest = Settings::default().max_lease;
--- a/crates/jobs/src/runs/report.rs
+++ b/crates/jobs/src/runs/report.rs
@@ -1,4 +1,4 @@
-//! What the workers' lists say.
+//! Handles the reports of workers and the ends of runs in them.
 
 use crate::{
     event::{Ending, RunEnd, WorkerReport},
@@ -10,17 +10,17 @@
     },
 };
 
-/// Ends that one answer holds at most; a full list may be cut.
+/// Ends that one report lists at most; a report with so many may be incomplete.
 const MAX_LISTED_ENDS: usize = 500;
 
-/// First pause of a task after a failure, in milliseconds; it doubles.
+/// First delay of a task after a failure, in milliseconds; it doubles with each failure.
 const RETRY_BACKOFF_MS: u64 = 40;
 
-/// Doublings of that pause at most.
+/// Doublings of that delay at most.
 const MAX_BACKOFF_DOUBLINGS: usize = 6;
 
 impl Machine {
-    /// Takes a worker's answer to a look that was sent at `sent`.
+    /// Handles a worker's report, the answer to a poll sent at `sent`.
     pub(crate) fn handle_report(&mut self, slot: u32, sent: u64, report: WorkerReport) {
         let (now, settings) = (self.now, self.settings);
         self.fleet.get_mut(slot).poll_in_flight = false;
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Learns from the time that a task took from its start at full pace.
+    /// Updates the estimates by the duration of a run from its start at full pace.
     fn observe_duration(&mut self, id: TaskId, elapsed: u64) {
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
@@ -164,7 +164,7 @@
         let (gang, long_running) = (step.gang, step.long_running);
         let queue = state.job.queue.clone();
         let attempts = self.policy(&queue).map(|q| q.attempts);
-        // A gang fails as one: its runs are counted at its first member.
+        // A gang fails as a whole, so its failures are counted at its first member.
         let counter = match gang {
             true => TaskId { index: 0, ..id },
             false => id,
--- a/crates/jobs/src/runs/reported.rs
+++ b/crates/jobs/src/runs/reported.rs
@@ -1,4 +1,4 @@
-//! What follows from the runs that a worker lists, and from those that it does not.
+//! Handles the runs that a worker lists, and those that it does not list.
 
 use crate::{
     event::{ReportedRun, WorkerReport},
@@ -15,11 +15,11 @@
     },
 };
 
-/// A lasting task that is at work for this long has done well, in milliseconds.
+/// A long-running task that has run for this long counts as a success, in milliseconds.
 const SETTLED_MS: u64 = 1500;
 
 impl Machine {
-    /// Takes note of a run that a worker lists when its clock shows `clock`.
+    /// Records a run that a worker lists when its clock shows `clock`.
     pub(super) fn handle_reported_run(&mut self, slot: u32, reported: &ReportedRun, clock: u64) {
         let now = self.now;
         let id = reported.task;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes note of how far a run is.
+    /// Records the progress of a run.
     fn update_progress(&mut self, slot: u32, reported: &ReportedRun, clock: u64) {
         let now = self.now;
         let Some(run) = self.run_on(slot, reported.task, reported.run) else {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Takes note that a task of a job has begun.
+    /// Marks a job as active once one of its tasks has started.
     pub(crate) fn mark_job_active(&mut self, id: TaskId) {
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
@@ -131,7 +131,7 @@
         });
     }
 
-    /// Draws conclusions from what a look that was sent at `sent` does not list.
+    /// Handles the runs that a report to a poll sent at `sent` does not list.
     pub(super) fn check_unreported(&mut self, slot: u32, sent: u64, report: &WorkerReport) {
         let is_listed = |id: TaskId, run: u32| {
             let running = &report.running;
@@ -154,7 +154,7 @@
             if is_listed(id, last) {
                 continue;
             }
-            // Another run of the task may be there, or begin.
+            // An orphan of the same task may be running, or may start.
             let has_no_orphan = !orphans.contains(&id);
             match run.stage {
                 Stage::Unanswered(at) if sent > at => {
--- a/crates/jobs/src/runs/unreported.rs
+++ b/crates/jobs/src/runs/unreported.rs
@@ -1,17 +1,17 @@
-//! Starts that a later life of a worker's name may have taken.
+//! Starts that a later incarnation of a worker may have carried out.
 //!
-//! The load pattern that this answers: a worker starts again under its name and, before
-//! anybody has heard the new life, takes a start that was meant for the one before. The end of
-//! the lease that the start names is on a clock that is far ahead, so the new life cuts it to
-//! the longest lease, counted from when the order arrived. Its run outlasts whatever the owner
-//! promised, and no list has shown it when the worker is cut off or its address is taken by
-//! another one.
+//! A worker starts again under its name and, before its new incarnation is known, carries out a
+//! start that was meant for the previous one. The start names the end of its lease on a clock that
+//! is far ahead, so the new incarnation cuts the lease to the longest one, counted from the arrival
+//! of the order. Its run outlasts what the owner granted, and no report has listed it when the
+//! worker is cut off or another one takes its address.
 //!
-//! A run is held until a list says which life has it, or until no lease that a later life may
-//! have taken can still be valid. All other runs end with the leases that this life was given.
+//! A run is kept until a report shows which incarnation has it, or until no lease that a later
+//! incarnation may have taken can still be valid. All other runs end with the leases granted to
+//! this incarnation.
 //!
-//! Limits: orders that were held up for longer than [`MAX_ORDER_DELAY_MS`] are not foreseen. Workers that
-//! do not say when they began have a new name in each life, which refuses such orders.
+//! Limits: orders delayed by more than [`MAX_ORDER_DELAY_MS`] are not covered. Workers that do not
+//! report a start time have a new name in each incarnation, which refuses such orders.
 
 use crate::{
     event::Started,
@@ -21,11 +21,11 @@
     settings::{Settings, lease_upper_bound, min_clock_advance},
 };
 
-/// An order is carried out within this time or not at all, in milliseconds.
+/// Longest delay after which an order is still carried out, in milliseconds.
 pub(super) const MAX_ORDER_DELAY_MS: u64 = 3000;
 
 impl Run {
-    /// Tells whether its start was sent and it is not known which life of the worker's name, if
+    /// Returns whether the start was sent and it is unknown which incarnation of the worker, if
     /// any, has carried it out.
     fn is_unattributed(&self) -> bool {
         self.unreported_since().is_some() && !self.attributed
@@ -33,7 +33,7 @@
 }
 
 impl Worker {
-    /// Takes note that an order which names the end of a lease is sent.
+    /// Records that an order was sent that names the end of a lease.
     pub(crate) fn note_lease_order(&mut self, now: u64, settings: &Settings) {
         if self.start_time.is_some() {
             self.successor_lease_end =
@@ -41,11 +41,11 @@
         }
     }
 
-    /// Tells whether a clock reading in answer to an order that was sent at `sent` is no less
-    /// than what this life's clock showed by then.
+    /// Returns whether a clock reading in the answer to an order sent at `sent` is at least what
+    /// this incarnation's clock showed by then.
     ///
-    /// Then no lease that was taken with the order outlasts what this life was promised,
-    /// whichever life answered.
+    /// If so, no lease taken with the order outlasts what was granted to this incarnation,
+    /// whichever incarnation answered.
     pub(super) fn is_clock_consistent(&self, reading: u64, sent: u64) -> bool {
         self.clock.is_some_and(|(last, at)| {
             let elapsed = sent.saturating_sub(at);
@@ -55,8 +55,8 @@
 }
 
 impl Machine {
-    /// Tells whether an answer to a start shows that its run is over with the leases that its
-    /// worker's life was promised.
+    /// Returns whether an answer to a start shows that the run ends with the leases granted to this
+    /// incarnation of its worker.
     pub(super) fn is_attributed(&self, slot: u32, id: TaskId, started: Started) -> bool {
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let sent = task.and_then(|t| t.run.as_ref()).and_then(|r| r.sent_at);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Tells whether a run may be under way in a later life of its worker's name.
+    /// Returns whether a run may be in progress in a later incarnation of its worker.
     fn may_run_in_successor(&self, slot: u32, id: TaskId) -> bool {
         let worker = self.fleet.get(slot);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
@@ -76,7 +76,7 @@
         self.now <= worker.successor_lease_end && run.is_some_and(|r| r.is_unattributed())
     }
 
-    /// Returns the runs on a worker that are over when its life is, or its leases are.
+    /// Returns the runs on a worker that end with its incarnation or its leases.
     pub(super) fn ended_runs(&self, slot: u32) -> Vec<TaskId> {
         let runs = self.fleet.get(slot).runs.iter().copied();
         let ended = runs.filter(|&id| !self.may_run_in_successor(slot, id));
--- a/crates/jobs/src/runs/unverified.rs
+++ b/crates/jobs/src/runs/unverified.rs
@@ -1,13 +1,13 @@
-//! Runs of earlier owners on workers that this owner has not heard yet.
+//! Runs of earlier owners on workers that have not reported to this owner yet.
 //!
-//! Such a run holds its task until its worker answers, or until every lease that an earlier
-//! owner may have granted is over. A worker whose announcement was gone at the takeover
-//! can't even be asked.
+//! Such a run occupies its task until its worker reports, or until every lease that an earlier
+//! owner may have granted has expired. A worker without a registration at the takeover can't even
+//! be polled.
 
 use crate::{machine::Machine, runs::worker::Worker};
 
 impl Worker {
-    /// Returns how many runs on it wait for its first word to this owner.
+    /// Returns how many runs on the worker wait for its first report to this owner.
     fn unverified_runs(&self) -> usize {
         if self.clock.is_none() && !self.dead {
             self.runs.len()
@@ -18,13 +18,13 @@
 }
 
 impl Machine {
-    /// Returns how many runs of earlier owners are on workers that were not heard yet.
+    /// Returns how many runs of earlier owners are on workers that have not reported yet.
     pub(crate) fn unverified_runs(&self) -> u64 {
         let workers = self.fleet.workers.iter();
         workers.map(|w| w.unverified_runs() as u64).sum()
     }
 
-    /// Logs the workers that can't be asked after their runs, and for how long these wait.
+    /// Logs the workers that can't be polled, and how long their runs wait.
     pub fn log_unverified_runs(&self) {
         for worker in &self.fleet.workers {
             if worker.info.is_some() || worker.runs.is_empty() {
