--- a/crates/jobs/src/runs/incarnations_tests.rs
+++ b/crates/jobs/src/runs/incarnations_tests.rs
@@ -86,7 +86,7 @@
         assert!(harness.fleet.get(0).dead);
         assert_eq!(harness.fleet.get(1).info, {
             let mut info = harness.fleet.get(0).info.clone();
-            info.as_mut().expect("announced").start_time = Some(start_time);
+            info.as_mut().expect("registered").start_time = Some(start_time);
             info
         });
         // Its capacity may be another one.
--- a/crates/jobs/src/runs/quarantine.rs
+++ b/crates/jobs/src/runs/quarantine.rs
@@ -36,7 +36,7 @@
         self.probed_at = now;
     }
 
-    /// Returns whether the last runs failed and enough others are placed to show the reason.
+    /// Returns whether the last runs failed and enough further ones were placed to find out why.
     pub(crate) fn is_on_probation(&self, now: u64) -> bool {
         let recent = now < self.probed_at + PROBE_RETRY_MS;
         self.failures > 0 && recent && self.probes >= MAX_PROBES
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -299,7 +299,10 @@
     {
         let sent = owner.now;
         owner.answer(0, sent, Answer::NoReply);
-        assert!(owner.now < since + 60_000, "held for good");
+        assert!(
+            owner.now < since + 60_000,
+            "the run is still held after 60 s"
+        );
     }
     owner.now - since
 }
