--- a/crates/jobs/src/runs/mod.rs
+++ b/crates/jobs/src/runs/mod.rs
@@ -1,7 +1,7 @@
 //! Leases on workers, starts, stops and ends of runs, and the commits that make them durable.
 //!
 //! Answers come late, twice or never, from workers that die, are cut off or fail every start, to an
-//! owner that may itself be late. Silence alone proves nothing; only the result of a poll does.
+//! owner that may itself be late. Silence is no evidence; the result of a poll is.
 //!
 //! Limits: a lease on a worker is as long as a takeover may take, and reaches no further past the
 //! owner's last contact with the store than a successor may keep tasks waiting. A worker is
