--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -1,4 +1,4 @@
-//! What came of orders, and the ends of workers.
+//! Handles the results of starts and stops, and polls without an answer; sends stops.
 
 use crate::{
     action::Action,
@@ -10,17 +10,18 @@
     },
 };
 
-/// A worker that had no room, though it should have, gets no run for this long.
-const NO_ROOM_PAUSE: u64 = 250;
+/// A worker that refused a start for lack of room, although it should have had some, gets no run
+/// for this long, in milliseconds.
+const NO_ROOM_PAUSE_MS: u64 = 250;
 
-/// Pause before a stop without an answer is sent again, in milliseconds.
-const STOP_RETRY: u64 = 400;
+/// Delay before an unconfirmed stop is sent again, in milliseconds.
+const STOP_RETRY_MS: u64 = 400;
 
-/// First pause before a silent worker is asked again, in milliseconds.
-const SILENT_RETRY: u64 = 250;
+/// Delay before a silent worker is polled again, in milliseconds.
+const SILENT_RETRY_MS: u64 = 250;
 
 impl Machine {
-    /// Returns a task's run if it is on this worker under this number.
+    /// Returns a task's run if it is on this worker and has this number.
     pub(crate) fn run_on(&mut self, slot: u32, id: TaskId, run: u32) -> Option<&mut Run> {
         let task = self.jobs.get_mut(&id.job)?.task_mut(id)?;
         if task.last_run != run {
@@ -56,7 +57,7 @@
                 if matches!(run.stage, Stage::Sent(_) | Stage::Unanswered(_)) {
                     run.stage = Stage::Confirmed(now);
                 }
-                return self.mark_begun(id);
+                return self.mark_job_active(id);
             }
             Started::Unknown | Started::Old => {
                 if matches!(run.stage, Stage::Sent(_)) {
@@ -78,7 +79,7 @@
             Started::NotSent => {
                 worker.silent_since.get_or_insert(now);
             }
-            _ => worker.closed_until = worker.closed_until.max(now + NO_ROOM_PAUSE),
+            _ => worker.closed_until = worker.closed_until.max(now + NO_ROOM_PAUSE_MS),
         }
         if sent {
             self.clear_run(id);
@@ -97,23 +98,23 @@
             if matches!(run.stage, Stage::Stopping(_)) {
                 run.stage = match done {
                     true => Stage::StopConfirmed(now),
-                    false => Stage::Stopping(Some(now + STOP_RETRY)),
+                    false => Stage::Stopping(Some(now + STOP_RETRY_MS)),
                 };
             }
             return;
         }
-        let strays = &mut self.fleet.get_mut(slot).orphans;
-        let Some(stray) = strays.iter_mut().find(|s| s.task == id && s.run == number) else {
+        let orphans = &mut self.fleet.get_mut(slot).orphans;
+        let Some(orphan) = orphans.iter_mut().find(|s| s.task == id && s.run == number) else {
             return;
         };
-        stray.sent_at = None;
+        orphan.sent_at = None;
         match done {
-            true => stray.stopped_at = Some(now),
-            false => stray.retry_at = now + STOP_RETRY,
+            true => orphan.stopped_at = Some(now),
+            false => orphan.retry_at = now + STOP_RETRY_MS,
         }
     }
 
-    /// A look that was sent at `sent` got no answer.
+    /// Handles a poll sent at `sent` that got no answer.
     pub(crate) fn handle_no_reply(&mut self, slot: u32, sent: u64) {
         let now = self.now;
         let worker = self.fleet.get_mut(slot);
@@ -121,7 +122,7 @@
             return;
         }
         worker.poll_in_flight = false;
-        worker.next_poll_at = now + SILENT_RETRY;
+        worker.next_poll_at = now + SILENT_RETRY_MS;
         worker.unanswered_poll = Some(sent);
         if worker.silent_since.is_none() {
             worker.silent_since = Some(now);
@@ -129,32 +130,32 @@
         }
     }
 
-    /// Sends the stops that are wanted.
+    /// Sends the stops that are due.
     pub(crate) fn send_stops(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             if !self.fleet.get(slot).orphans.is_empty() {
-                self.stop_strays(slot);
+                self.stop_orphans(slot);
             }
         }
-        let mut left = std::mem::take(&mut self.stopping);
-        left.sort_unstable();
-        left.dedup();
-        left.retain(|&id| self.send_stop(id));
-        self.stopping = left;
+        let mut unfinished = std::mem::take(&mut self.stopping);
+        unfinished.sort_unstable();
+        unfinished.dedup();
+        unfinished.retain(|&id| self.send_stop(id));
+        self.stopping = unfinished;
     }
 
-    /// Sends stops of the runs on a worker that nobody wants.
-    fn stop_strays(&mut self, slot: u32) {
+    /// Sends the stops of orphans on a worker that are due.
+    fn stop_orphans(&mut self, slot: u32) {
         let now = self.now;
         if !self.fleet.get(slot).can_take_orders() {
             return;
         }
-        for stray in &mut self.fleet.get_mut(slot).orphans {
-            if stray.sent_at.is_some() || stray.stopped_at.is_some() || stray.retry_at > now {
+        for orphan in &mut self.fleet.get_mut(slot).orphans {
+            if orphan.sent_at.is_some() || orphan.stopped_at.is_some() || orphan.retry_at > now {
                 continue;
             }
-            stray.sent_at = Some(now);
-            let (task, run) = (stray.task, stray.run);
+            orphan.sent_at = Some(now);
+            let (task, run) = (orphan.task, orphan.run);
             self.actions.push(Action::Stop {
                 worker: slot,
                 task,
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Sends a stop if it is due; true if the run has to be seen to again.
+    /// Sends a stop if it is due; returns whether the run has to be checked again.
     fn send_stop(&mut self, id: TaskId) -> bool {
         let now = self.now;
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
@@ -184,7 +185,7 @@
         if !due || !worker.can_take_orders() {
             return true;
         }
-        // The answer sets the next time; this one only guards against its loss.
+        // No further stop is sent before the answer, or its absence, sets the next time.
         run.stage = Stage::Stopping(Some(u64::MAX));
         log::info!(task = id.to_string().as_str(), run = number, worker = &*worker.id; "stop: sent");
         self.actions.push(Action::Stop {
