--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -296,7 +296,7 @@
         let worker = self.fleet.get_mut(slot);
         worker.reserve(id, step);
         if step.best_effort {
-            worker.own_load.note_best_effort(true, now);
+            worker.own_load.record_best_effort(true, now);
         }
         self.mark_dirty(id.job);
         Some(assigned)
--- a/crates/jobs/src/share/forecast.rs
+++ b/crates/jobs/src/share/forecast.rs
@@ -12,20 +12,20 @@
 use serde::{Deserialize, Serialize};
 
 /// Points that are kept of a step, one for each half second.
-const MOST_POINTS: usize = 80;
+const MAX_POINTS: usize = 80;
 
 /// Milliseconds after which a point counts half.
-const HALF_LIFE: f64 = 20_000.0;
+const HALF_LIFE_MS: f64 = 20_000.0;
 
 /// Error of the mean of a step's figures that more of them don't lower, in headroom: what
 /// fills is known roughly.
-const ROUGH: f64 = 0.15;
+const SYSTEMATIC_ERROR: f64 = 0.15;
 
 /// Share of a point's deviation from the curve that counts as a lasting one.
-const DRIFT: f64 = 0.2;
+const DRIFT_SMOOTHING: f64 = 0.2;
 
 /// Milliseconds from one value of a curve to the next where it is searched.
-const STRIDE: u64 = 250;
+const STRIDE_MS: u64 = 250;
 
 /// Headroom of a step in one half second.
 #[derive(Debug, Clone, Copy)]
@@ -46,8 +46,8 @@
 
 impl History {
     /// Takes the newest point.
-    pub(crate) fn note(&mut self, point: Point) {
-        if self.points.len() == MOST_POINTS {
+    pub(crate) fn push(&mut self, point: Point) {
+        if self.points.len() == MAX_POINTS {
             self.points.pop_front();
         }
         self.points.push_back(point);
@@ -72,30 +72,30 @@
     }
 
     /// Returns the curve through the points, given what is usual.
-    pub(crate) fn fit(&self, usual: &Prior, now: u64) -> Fitted {
-        let points = self.points.iter().map(|p| Weighed::new(p, usual, now));
-        let points: Vec<Weighed> = points.collect();
-        let mut sums = Normal::new(usual);
+    pub(crate) fn fit(&self, prior: &Prior, now: u64) -> CurveFit {
+        let points = self
+            .points
+            .iter()
+            .map(|p| WeightedPoint::new(p, prior, now));
+        let points: Vec<WeightedPoint> = points.collect();
+        let mut sums = NormalEquations::new(prior);
         for point in &points {
             sums.add(point);
         }
-        let mut curve = sums.solve(usual, now);
-        let mut missed = 0.0;
+        let mut curve = sums.solve(prior, now);
+        let mut residual = 0.0;
         for point in &points {
-            let off = point.headroom - curve.value(point.sin, point.cos);
-            missed += point.weight * off * off;
-            curve.drift += DRIFT * (off - curve.drift);
-        }
-        Fitted {
-            curve,
-            residual: missed,
+            let deviation = point.headroom - curve.value(point.sin, point.cos);
+            residual += point.weight * deviation * deviation;
+            curve.drift += DRIFT_SMOOTHING * (deviation - curve.drift);
         }
+        CurveFit { curve, residual }
     }
 }
 
 /// What a fit gives.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Fitted {
+pub(crate) struct CurveFit {
     /// The curve.
     pub(crate) curve: Curve,
     /// By how much the points miss it: the sum of squares, each by its error.
@@ -103,21 +103,21 @@
 }
 
 /// A point as one fit uses it, twice: for the sums, and for what the curve misses.
-struct Weighed {
+struct WeightedPoint {
     headroom: f64,
     weight: f64,
     sin: f64,
     cos: f64,
 }
 
-impl Weighed {
-    fn new(point: &Point, usual: &Prior, now: u64) -> Weighed {
+impl WeightedPoint {
+    fn new(point: &Point, prior: &Prior, now: u64) -> WeightedPoint {
         let age = now.saturating_sub(point.at) as f64;
-        let error = 1.0 / point.precision + ROUGH * ROUGH;
-        let (sin, cos) = angle(usual.period, now, point.at).sin_cos();
-        Weighed {
+        let error = 1.0 / point.precision + SYSTEMATIC_ERROR * SYSTEMATIC_ERROR;
+        let (sin, cos) = phase(prior.period, now, point.at).sin_cos();
+        WeightedPoint {
             headroom: point.headroom,
-            weight: 0.5_f64.powf(age / HALF_LIFE) / error,
+            weight: 0.5_f64.powf(age / HALF_LIFE_MS) / error,
             sin,
             cos,
         }
@@ -132,28 +132,34 @@
     /// Mean headroom.
     pub(crate) mean: f64,
     /// Variance of steps' means.
-    pub(crate) spread: f64,
+    #[serde(rename = "spread")]
+    pub(crate) mean_variance: f64,
     /// Mean square of half of the swing.
-    pub(crate) swing: f64,
+    #[serde(rename = "swing")]
+    pub(crate) squared_amplitude: f64,
 }
 
 /// Sums of a least squares fit of a constant, a cosine and a sine.
-struct Normal {
+struct NormalEquations {
     squares: [[f64; 3]; 3],
     products: [f64; 3],
 }
 
-impl Normal {
-    fn new(usual: &Prior) -> Normal {
-        let swing = 2.0 / usual.swing;
-        let mean = 1.0 / usual.spread;
-        Normal {
-            squares: [[mean, 0.0, 0.0], [0.0, swing, 0.0], [0.0, 0.0, swing]],
-            products: [mean * usual.mean, 0.0, 0.0],
+impl NormalEquations {
+    fn new(prior: &Prior) -> NormalEquations {
+        let amplitude_precision = 2.0 / prior.squared_amplitude;
+        let mean_precision = 1.0 / prior.mean_variance;
+        NormalEquations {
+            squares: [
+                [mean_precision, 0.0, 0.0],
+                [0.0, amplitude_precision, 0.0],
+                [0.0, 0.0, amplitude_precision],
+            ],
+            products: [mean_precision * prior.mean, 0.0, 0.0],
         }
     }
 
-    fn add(&mut self, point: &Weighed) {
+    fn add(&mut self, point: &WeightedPoint) {
         let row = [1.0, point.cos, point.sin];
         for a in 0..3 {
             for b in 0..3 {
@@ -164,7 +170,7 @@
     }
 
     /// Solves by elimination; what is usual keeps the matrix regular.
-    fn solve(mut self, usual: &Prior, now: u64) -> Curve {
+    fn solve(mut self, prior: &Prior, now: u64) -> Curve {
         let (m, p) = (&mut self.squares, &mut self.products);
         for at in 0..3 {
             for row in at + 1..3 {
@@ -180,7 +186,7 @@
         let cos = (p[1] - m[1][2] * sin) / m[1][1];
         let mean = (p[0] - m[0][1] * cos - m[0][2] * sin) / m[0][0];
         Curve {
-            period: usual.period,
+            period: prior.period,
             origin: now,
             mean,
             cos,
@@ -190,7 +196,7 @@
     }
 }
 
-fn angle(period: f64, origin: u64, at: u64) -> f64 {
+fn phase(period: f64, origin: u64, at: u64) -> f64 {
     TAU * (at as f64 - origin as f64) / period
 }
 
@@ -208,8 +214,8 @@
 
 impl Curve {
     /// Returns the headroom at a time.
-    fn at(&self, at: u64) -> f64 {
-        let (sin, cos) = angle(self.period, self.origin, at).sin_cos();
+    fn value_at(&self, at: u64) -> f64 {
+        let (sin, cos) = phase(self.period, self.origin, at).sin_cos();
         self.value(sin, cos)
     }
 
@@ -219,24 +225,24 @@
 
     /// Returns the headroom that is expected at a time to come.
     pub(crate) fn expected(&self, at: u64) -> f64 {
-        self.at(at) + self.drift
+        self.value_at(at) + self.drift
     }
 
     /// Returns the least headroom that is expected from a time on for so long.
-    pub(crate) fn least(&self, from: u64, span: u64) -> f64 {
-        let values = (0..=span / STRIDE).map(|n| self.expected(from + n * STRIDE));
+    pub(crate) fn minimum(&self, from: u64, span: u64) -> f64 {
+        let values = (0..=span / STRIDE_MS).map(|n| self.expected(from + n * STRIDE_MS));
         values.fold(f64::INFINITY, f64::min)
     }
 
     /// Returns the mean headroom that is expected from a time on for so long.
     pub(crate) fn average(&self, from: u64, span: u64) -> f64 {
-        let count = span / STRIDE + 1;
-        let values = (0..count).map(|n| self.expected(from + n * STRIDE));
+        let count = span / STRIDE_MS + 1;
+        let values = (0..count).map(|n| self.expected(from + n * STRIDE_MS));
         values.sum::<f64>() / count as f64
     }
 
     /// Returns the square of half of its swing.
-    pub(crate) fn swing(&self) -> f64 {
+    pub(crate) fn squared_amplitude(&self) -> f64 {
         self.cos * self.cos + self.sin * self.sin
     }
 }
--- a/crates/jobs/src/share/headroom.rs
+++ b/crates/jobs/src/share/headroom.rs
@@ -13,96 +13,96 @@
 pub(crate) const INITIAL_HEADROOM: f64 = 2.5;
 
 /// Share of the newest figures in a headroom that is tracked.
-const NEWEST: f64 = 0.8;
+const SMOOTHING: f64 = 0.8;
 
 /// By how much the lowest recent headroom rises each half second.
-const RECOVERY: f64 = 1.04;
+const RECOVERY_FACTOR: f64 = 1.04;
 
 /// Half seconds that a fall of headroom is thought to go on for: until a pace that is
 /// chosen now is replaced.
-const FORESIGHT: f64 = 1.5;
+const EXTRAPOLATION_INTERVALS: f64 = 1.5;
 
 /// What is known of the headroom of one step, without what fills.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Headroom {
-    now: f64,
+    current: f64,
     /// By how much it falls each half second.
     fall: f64,
     /// Lowest of late.
     lowest: f64,
-    known: bool,
+    has_samples: bool,
     /// What a curve foresees, if one does.
-    foreseen: Option<HeadroomForecast>,
+    forecast: Option<HeadroomForecast>,
 }
 
 /// What a curve foresees of a headroom.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct HeadroomForecast {
     /// What it is in the half second that begins.
-    pub(crate) now: f64,
+    pub(crate) current: f64,
     /// The least until a pace that is chosen now is replaced.
-    pub(crate) soon: f64,
+    pub(crate) min_for_pace: f64,
     /// The least while a new task runs.
-    pub(crate) later: f64,
+    pub(crate) min_for_run: f64,
     /// The mean while a new task runs.
-    pub(crate) average: f64,
+    pub(crate) mean_for_run: f64,
 }
 
 impl Default for Headroom {
     fn default() -> Headroom {
         Headroom {
-            now: INITIAL_HEADROOM,
+            current: INITIAL_HEADROOM,
             fall: 0.0,
             lowest: INITIAL_HEADROOM,
-            known: false,
-            foreseen: None,
+            has_samples: false,
+            forecast: None,
         }
     }
 }
 
 impl Headroom {
     /// Returns what it will be when a pace that is chosen now is replaced.
-    pub(crate) fn soon(&self) -> f64 {
-        match self.foreseen {
-            Some(f) => f.soon,
-            None => self.now - self.fall.max(0.0) * FORESIGHT,
+    pub(crate) fn min_for_pace(&self) -> f64 {
+        match self.forecast {
+            Some(f) => f.min_for_pace,
+            None => self.current - self.fall.max(0.0) * EXTRAPOLATION_INTERVALS,
         }
     }
 
     /// Returns the least that it will be while a new task runs.
-    pub(crate) fn later(&self) -> f64 {
-        match self.foreseen {
-            Some(f) => f.later,
-            None => self.between(),
+    pub(crate) fn min_for_run(&self) -> f64 {
+        match self.forecast {
+            Some(f) => f.min_for_run,
+            None => self.midpoint(),
         }
     }
 
     /// Returns what it will be on average while a new task runs.
-    pub(crate) fn average(&self) -> f64 {
-        match self.foreseen {
-            Some(f) => f.average,
-            None => self.between(),
+    pub(crate) fn mean_for_run(&self) -> f64 {
+        match self.forecast {
+            Some(f) => f.mean_for_run,
+            None => self.midpoint(),
         }
     }
 
     /// Returns the middle of what it is and the lowest of late: a load comes back.
-    fn between(&self) -> f64 {
-        (self.now + self.lowest) / 2.0
+    fn midpoint(&self) -> f64 {
+        (self.current + self.lowest) / 2.0
     }
 
     /// Takes what a curve foresees; nothing if curves don't.
-    pub(crate) fn set_forecast(&mut self, foreseen: Option<HeadroomForecast>) {
-        self.foreseen = foreseen;
+    pub(crate) fn set_forecast(&mut self, forecast: Option<HeadroomForecast>) {
+        self.forecast = forecast;
     }
 
     /// Returns what was foreseen of it for the last half second, if a curve did.
-    pub(crate) fn forecast_now(&self) -> Option<f64> {
-        self.foreseen.map(|f| f.now)
+    pub(crate) fn current_forecast(&self) -> Option<f64> {
+        self.forecast.map(|f| f.current)
     }
 
     /// Returns what it is.
-    pub(crate) fn now(&self) -> f64 {
-        self.now
+    pub(crate) fn current(&self) -> f64 {
+        self.current
     }
 
     /// Returns the lowest of late.
@@ -112,13 +112,13 @@
 
     /// Takes the newest figure.
     pub(crate) fn update(&mut self, newest: f64) {
-        if !self.known {
-            (self.now, self.lowest, self.known) = (newest, newest, true);
+        if !self.has_samples {
+            (self.current, self.lowest, self.has_samples) = (newest, newest, true);
             return;
         }
-        let moved = NEWEST * (newest - self.now);
-        self.now += moved;
-        self.fall = -moved;
-        self.lowest = self.now.min(self.lowest * RECOVERY);
+        let change = SMOOTHING * (newest - self.current);
+        self.current += change;
+        self.fall = -change;
+        self.lowest = self.current.min(self.lowest * RECOVERY_FACTOR);
     }
 }
--- a/crates/jobs/src/share/interference.rs
+++ b/crates/jobs/src/share/interference.rs
@@ -30,14 +30,14 @@
 /// What takes less than this of headroom with all processors of a worker does not
 /// disturb: pairs take 0 to 1.5 or 6 to 14 (fitted to the 17,000 figures of a day), and
 /// one that is not known yet is taken to disturb.
-const HARMLESS: f64 = 2.8;
+const MAX_HARMLESS_WEIGHT: f64 = 2.8;
 
 /// Headrooms of one step that are compared at least.
-const ENOUGH: usize = 3;
+const MIN_SAMPLES: usize = 3;
 
 /// A headroom that waits for others of its step to be compared with is too old after
 /// so many fits: the load has moved by then.
-const TOO_OLD: u8 = 4;
+const MAX_SAMPLE_AGE: u8 = 4;
 
 /// Headroom of a step without what fills.
 #[derive(Debug, Clone, Copy)]
@@ -60,28 +60,28 @@
 
 impl Interference {
     /// Returns the headroom that a whole worker of a filling image takes from a serving one.
-    pub(crate) fn weight(&self, fill: Image, serve: Image) -> f64 {
-        let weight = self.fits.get(&serve).map(|f| f.weight(fill));
+    pub(crate) fn weight(&self, best_effort: Image, serving: Image) -> f64 {
+        let weight = self.fits.get(&serving).map(|f| f.weight(best_effort));
         weight.unwrap_or(INITIAL_WEIGHT)
     }
 
     /// Returns the headroom that a whole worker of a filling image takes from each of so
     /// many serving ones.
-    pub(crate) fn headroom_costs(&self, fill: Image, images: usize) -> Vec<f64> {
-        let mut takes = vec![INITIAL_WEIGHT; images];
-        for (&serve, fit) in self.fits.iter() {
-            if let Some(weight) = takes.get_mut(serve as usize) {
-                *weight = fit.weight(fill);
+    pub(crate) fn headroom_costs(&self, best_effort: Image, images: usize) -> Vec<f64> {
+        let mut costs = vec![INITIAL_WEIGHT; images];
+        for (&serving, fit) in self.fits.iter() {
+            if let Some(weight) = costs.get_mut(serving as usize) {
+                *weight = fit.weight(best_effort);
             }
         }
-        takes
+        costs
     }
 
     /// Returns what is known of all pairs.
     pub(crate) fn known_weights(&self) -> Vec<PairWeight> {
         let mut known = Vec::new();
-        for (&serve, fit) in self.fits.iter() {
-            known.extend(fit.known_weights(serve));
+        for (&serving, fit) in self.fits.iter() {
+            known.extend(fit.known_weights(serving));
         }
         known
     }
@@ -92,60 +92,60 @@
     }
 
     /// Returns the headroom that what fills takes from a serving image.
-    pub(crate) fn headroom_taken(&self, serve: Image, press: &[Pressure]) -> f64 {
-        match self.fits.get(&serve) {
-            Some(fit) => fit.headroom_taken(press),
-            None => Fit::default().headroom_taken(press),
+    pub(crate) fn headroom_taken(&self, serving: Image, pressures: &[Pressure]) -> f64 {
+        match self.fits.get(&serving) {
+            Some(fit) => fit.headroom_taken(pressures),
+            None => Fit::default().headroom_taken(pressures),
         }
     }
 
     /// Tells whether a filling image disturbs a serving one.
-    pub(crate) fn interferes(&self, fill: Image, serve: Image) -> bool {
-        is_interfering(self.weight(fill, serve))
+    pub(crate) fn interferes(&self, best_effort: Image, serving: Image) -> bool {
+        is_interfering(self.weight(best_effort, serving))
     }
 
     /// Takes a headroom, and what filled beside it.
-    pub(crate) fn note(
+    pub(crate) fn add_sample(
         &mut self,
-        group: StepKey,
-        serve: Image,
+        step_key: StepKey,
+        serving: Image,
         headroom: f64,
-        press: &Arc<[Pressure]>,
+        pressures: &Arc<[Pressure]>,
     ) {
         self.samples.push(Sample {
-            step_key: group,
-            serving_image: serve,
+            step_key,
+            serving_image: serving,
             headroom,
-            pressures: press.clone(),
+            pressures: pressures.clone(),
             age: 0,
         });
     }
 
     /// Fits to what was noted, once each half second, and returns the newest headrooms
-    /// of the steps; `foreseen` tells which one was foreseen of a step, if any was.
-    pub(crate) fn fit(&mut self, foreseen: impl Fn(StepKey) -> Option<f64>) -> Vec<BaseHeadroom> {
+    /// of the steps; `forecast` tells which one was foreseen of a step, if any was.
+    pub(crate) fn fit(&mut self, forecast: impl Fn(StepKey) -> Option<f64>) -> Vec<BaseHeadroom> {
         let mut bases = Vec::new();
         let mut kept = Vec::new();
         self.samples.sort_by_key(|s| s.step_key);
         for samples in self.samples.chunk_by(|a, b| a.step_key == b.step_key) {
-            let serve = samples[0].serving_image;
-            let fit = self.fits.or_default(&serve);
+            let serving = samples[0].serving_image;
+            let fit = self.fits.or_default(&serving);
             let base = fit.base(samples);
             bases.push(BaseHeadroom {
                 step_key: samples[0].step_key,
                 headroom: base,
                 precision: fit.precision(samples),
             });
-            if let Some(expected) = foreseen(samples[0].step_key) {
+            if let Some(expected) = forecast(samples[0].step_key) {
                 fit.add_with_forecast(samples, expected);
                 continue;
             }
-            if samples.len() >= ENOUGH {
+            if samples.len() >= MIN_SAMPLES {
                 fit.add(samples, base);
                 continue;
             }
-            let young = samples.iter().filter(|s| s.age < TOO_OLD);
-            kept.extend(young.cloned());
+            let recent = samples.iter().filter(|s| s.age < MAX_SAMPLE_AGE);
+            kept.extend(recent.cloned());
         }
         for sample in &mut kept {
             sample.age += 1;
@@ -160,5 +160,5 @@
 
 /// Tells whether what takes so much headroom with all processors of a worker disturbs.
 pub(crate) fn is_interfering(weight: f64) -> bool {
-    weight > HARMLESS
+    weight > MAX_HARMLESS_WEIGHT
 }
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -15,7 +15,7 @@
 };
 
 /// Pairs that are kept at most, the best known first: with 20 bytes each they fit a row.
-const MOST_PAIRS: usize = 2000;
+const MAX_PAIRS: usize = 2000;
 
 /// What one filling image takes from one serving image. Written as an array.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -34,9 +34,10 @@
 
 /// What is learned of the guesses of one queue. Written as an array.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct QueueGuesses {
+struct QueueEstimates {
     queue: Arc<str>,
-    guesses: EstimateModel,
+    #[serde(rename = "guesses")]
+    estimates: EstimateModel,
 }
 
 /// What an owner has learned.
@@ -44,10 +45,10 @@
 pub struct Learned {
     images: Vec<Arc<str>>,
     pairs: Vec<PairWeight>,
-    queues: Vec<QueueGuesses>,
+    queues: Vec<QueueEstimates>,
     /// What is usual of loads, if curves foresee them; an older program wrote nothing of it.
-    #[serde(default)]
-    usual: Option<Prior>,
+    #[serde(rename = "usual", default)]
+    prior: Option<Prior>,
 }
 
 impl Machine {
@@ -59,16 +60,19 @@
         }
         let mut pairs = self.interference.known_weights();
         pairs.sort_by(|a, b| b.seen.total_cmp(&a.seen));
-        pairs.truncate(MOST_PAIRS);
-        let queues = self.estimates.iter().map(|(queue, guesses)| QueueGuesses {
-            queue: queue.clone(),
-            guesses: guesses.clone(),
-        });
+        pairs.truncate(MAX_PAIRS);
+        let queues = self
+            .estimates
+            .iter()
+            .map(|(queue, estimates)| QueueEstimates {
+                queue: queue.clone(),
+                estimates: estimates.clone(),
+            });
         Learned {
             images,
             pairs,
             queues: queues.collect(),
-            usual: self.seasonality.known(),
+            prior: self.seasonality.reliable_prior(),
         }
     }
 
@@ -77,24 +81,24 @@
         let names = learned.images.iter();
         let numbers: Vec<Image> = names.map(|name| self.number_image(name)).collect();
         for pair in &learned.pairs {
-            let fill = numbers.get(pair.best_effort_image as usize);
-            let serve = numbers.get(pair.serving_image as usize);
-            let (Some(&fill), Some(&serve)) = (fill, serve) else {
+            let best_effort = numbers.get(pair.best_effort_image as usize);
+            let serving = numbers.get(pair.serving_image as usize);
+            let (Some(&best_effort), Some(&serving)) = (best_effort, serving) else {
                 log::warn!(fill = pair.best_effort_image, serve = pair.serving_image; "learned: a pair without names");
                 continue;
             };
             self.interference.restore(&PairWeight {
-                best_effort_image: fill,
-                serving_image: serve,
+                best_effort_image: best_effort,
+                serving_image: serving,
                 ..*pair
             });
         }
-        if let Some(usual) = learned.usual {
-            self.seasonality.restore(usual);
+        if let Some(prior) = learned.prior {
+            self.seasonality.restore(prior);
         }
         for kept in &learned.queues {
             self.estimates
-                .insert(kept.queue.clone(), kept.guesses.clone());
+                .insert(kept.queue.clone(), kept.estimates.clone());
         }
     }
 }
--- a/crates/jobs/src/share/metrics.rs
+++ b/crates/jobs/src/share/metrics.rs
@@ -13,28 +13,28 @@
 };
 
 /// Figures are of half a second: a worker's are used this often, in milliseconds.
-const PERIOD: u64 = 450;
+const MIN_METRICS_INTERVAL_MS: u64 = 450;
 
 /// Milliseconds from one fit of the disturbances to the next.
-const FIT_PERIOD: u64 = 500;
+const FIT_INTERVAL_MS: u64 = 500;
 
 impl Machine {
     /// Takes note of the figures that a worker lists, and chooses paces; `ended` are the ends
     /// that it lists for the first time.
-    pub(crate) fn observe_metrics(&mut self, slot: u32, look: &WorkerReport, ended: &[&RunEnd]) {
+    pub(crate) fn observe_metrics(&mut self, slot: u32, report: &WorkerReport, ended: &[&RunEnd]) {
         let now = self.now;
         let worker = self.fleet.get_mut(slot);
         if worker.serving_tasks == 0 {
-            return self.watch_fillers(slot);
+            return self.restore_paces(slot);
         }
-        if now < worker.metrics_at + PERIOD {
+        if now < worker.metrics_at + MIN_METRICS_INTERVAL_MS {
             return;
         }
         worker.metrics_at = now;
-        let is_working = self.fills_at_work(slot);
-        let press: Arc<[Pressure]> = self.press(slot, look, ended).into();
-        let (mut over, mut is_above) = (false, false);
-        for row in &look.running {
+        let is_working = self.is_best_effort_working(slot);
+        let pressures: Arc<[Pressure]> = self.pressures(slot, report, ended).into();
+        let (mut is_over, mut is_above) = (false, false);
+        for row in &report.running {
             let Some(state) = self.jobs.get_mut(&row.task.job) else {
                 continue;
             };
@@ -51,25 +51,26 @@
             };
             let Some(ms) = row.metric.filter(|f| *f > 0) else {
                 run.record_no_latency();
-                over |= run.over_since.is_some();
+                is_over |= run.over_since.is_some();
                 continue;
             };
-            let group = StepKey {
+            let step_key = StepKey {
                 job: row.task.job,
                 repetition: row.task.repetition,
                 step: row.task.step,
             };
-            let share = ms as f64 / target as f64;
-            is_above |= share >= 1.0;
-            self.interference.note(group, image, 1.0 / share, &press);
-            let worst = lowest - self.interference.headroom_taken(image, &press);
-            run.record_latency(share, worst, now);
-            over |= run.over_since.is_some();
+            let ratio = ms as f64 / target as f64;
+            is_above |= ratio >= 1.0;
+            self.interference
+                .add_sample(step_key, image, 1.0 / ratio, &pressures);
+            let worst = lowest - self.interference.headroom_taken(image, &pressures);
+            run.record_latency(ratio, worst, now);
+            is_over |= run.over_since.is_some();
         }
         let worker = self.fleet.get_mut(slot);
-        worker.own_load.note_best_effort(is_working, now);
-        worker.own_load.note_over_target(is_above, now);
-        worker.is_over_target = over && worker.best_effort_cpu > 0;
+        worker.own_load.record_best_effort(is_working, now);
+        worker.own_load.record_over_target(is_above, now);
+        worker.is_over_target = is_over && worker.best_effort_cpu > 0;
         worker.slack = None;
         if worker.best_effort_cpu > 0 {
             self.choose_paces(slot);
@@ -78,7 +79,7 @@
 
     /// Lets what fills on a worker without serving tasks work at its full pace: what was slowed
     /// for one that has gone would else stay so, and nothing more would fill there.
-    fn watch_fillers(&mut self, slot: u32) {
+    fn restore_paces(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
         worker.is_over_target = false;
         worker.own_load = OwnLoad::default();
@@ -90,29 +91,31 @@
     /// Fits the disturbances to the figures, each half second, and lowers paces where a
     /// tail has been over its target for long.
     pub(crate) fn update_model(&mut self) {
-        if self.now < self.last_fit + FIT_PERIOD {
+        if self.now < self.last_fit + FIT_INTERVAL_MS {
             return;
         }
         self.last_fit = self.now;
         let jobs = &self.jobs;
-        let foreseen = |group: StepKey| {
-            let step = jobs.get(&group.job)?.step(group.repetition, group.step)?;
-            step.headroom.forecast_now()
+        let forecast = |step_key: StepKey| {
+            let step = jobs
+                .get(&step_key.job)?
+                .step(step_key.repetition, step_key.step)?;
+            step.headroom.current_forecast()
         };
-        for base in self.interference.fit(foreseen) {
-            let group = base.step_key;
-            let state = self.jobs.get_mut(&group.job);
-            let step = state.and_then(|j| j.step_mut(group.repetition, group.step));
+        for base in self.interference.fit(forecast) {
+            let step_key = base.step_key;
+            let state = self.jobs.get_mut(&step_key.job);
+            let step = state.and_then(|j| j.step_mut(step_key.repetition, step_key.step));
             let Some(step) = step else {
                 continue;
             };
             step.headroom.update(base.headroom);
-            step.history.note(Point {
+            step.history.push(Point {
                 at: self.now,
                 headroom: base.headroom,
                 precision: base.precision,
             });
-            self.seasonality.score(group, base.headroom, self.now);
+            self.seasonality.score(step_key, base.headroom, self.now);
         }
         self.forecast_headrooms();
         self.update_spare_cpu();
@@ -125,13 +128,13 @@
     }
 
     /// Tells whether something that fills on a worker may be at work.
-    fn fills_at_work(&self, slot: u32) -> bool {
+    fn is_best_effort_working(&self, slot: u32) -> bool {
         let worker = self.fleet.get(slot);
         if worker.best_effort_cpu == 0 {
             return false;
         }
-        let (_, fillers) = self.colocated_runs(slot);
-        let runs = fillers.iter().filter_map(|f| {
+        let (_, best_effort_runs) = self.colocated_runs(slot);
+        let runs = best_effort_runs.iter().filter_map(|f| {
             let task = self.jobs.get(&f.task.job)?.task(f.task)?;
             task.run.as_ref()
         });
@@ -144,8 +147,8 @@
     ///
     /// A look is answered as soon as a run ends, so that one that has just ended filled for
     /// all of that time.
-    fn press(&self, slot: u32, look: &WorkerReport, ended: &[&RunEnd]) -> Vec<Pressure> {
-        let running = look.running.iter().map(|r| (r.task, r.metric));
+    fn pressures(&self, slot: u32, report: &WorkerReport, ended: &[&RunEnd]) -> Vec<Pressure> {
+        let running = report.running.iter().map(|r| (r.task, r.metric));
         let ended = ended.iter().map(|e| (e.task, None));
         let mut out: Vec<Pressure> = Vec::new();
         for (task, figure) in running.chain(ended) {
--- a/crates/jobs/src/share/seasonality_tests.rs
+++ b/crates/jobs/src/share/seasonality_tests.rs
@@ -18,47 +18,47 @@
 const STEPS: u64 = 20;
 
 /// Milliseconds from one point of a step to the next.
-const EACH: u64 = 500;
+const POINT_INTERVAL_MS: u64 = 500;
 
 /// What the headroom of a step is at a time.
-type Law = fn(u64, u64) -> f64;
+type HeadroomAt = fn(u64, u64) -> f64;
 
 /// Plays loads by a law, with figures that are off by a tenth, and returns what is known of
 /// them at the end, and the root of the mean square by which curves missed headrooms 2 s later
 /// in the last 20 s.
-fn play(seconds: u64, law: Law) -> (Seasonality, f64) {
-    let mut season = Seasonality::default();
+fn simulate(seconds: u64, headroom_at: HeadroomAt) -> (Seasonality, f64) {
+    let mut seasonality = Seasonality::default();
     let mut histories = vec![History::default(); STEPS as usize];
     let mut rng = SmallRng::seed_from_u64(7);
     let (mut squares, mut count) = (0.0, 0.0);
-    for at in (0..seconds * 1000).step_by(EACH as usize) {
-        season.fade(at);
+    for at in (0..seconds * 1000).step_by(POINT_INTERVAL_MS as usize) {
+        seasonality.decay(at);
         for (step, history) in (0..).zip(&mut histories) {
-            let headroom = law(step, at) * rng.random_range(0.9..1.1);
-            history.note(Point {
+            let headroom = headroom_at(step, at) * rng.random_range(0.9..1.1);
+            history.push(Point {
                 at,
                 headroom,
                 precision: 20.0,
             });
-            let group = StepKey {
+            let step_key = StepKey {
                 job: JobId(step),
                 repetition: 0,
                 step: 0,
             };
-            season.score(group, headroom, at);
-            let curve = history.fit(&season.prior, at).curve;
-            season.add_forecast(group, &curve, headroom, at);
+            seasonality.score(step_key, headroom, at);
+            let curve = history.fit(&seasonality.prior, at).curve;
+            seasonality.add_forecast(step_key, &curve, headroom, at);
             if at + 20_000 > seconds * 1000 {
-                squares += (curve.expected(at + 2000) - law(step, at + 2000)).powi(2);
+                squares += (curve.expected(at + 2000) - headroom_at(step, at + 2000)).powi(2);
                 count += 1.0;
             }
         }
-        if season.is_due(at) {
+        if seasonality.is_due(at) {
             let all: Vec<&History> = histories.iter().collect();
-            season.choose_period(&all, at);
+            seasonality.choose_period(&all, at);
         }
     }
-    (season, f64::sqrt(squares / count))
+    (seasonality, f64::sqrt(squares / count))
 }
 
 /// A load that swings around a mean, at another time for each step.
@@ -69,57 +69,57 @@
 #[test_case(10_000.0, |s, t| swing(10_000.0, s, t); "of 10 s")]
 #[test_case(14_000.0, |s, t| swing(14_000.0, s, t); "of 14 s")]
 #[test_case(20_000.0, |s, t| swing(20_000.0, s, t); "of 20 s")]
-fn the_period_of_loads_is_found(period: f64, law: Law) {
-    let (season, missed) = play(60, law);
-    assert!(season.is_known());
-    let found = season.prior.period;
+fn the_period_of_loads_is_found(period: f64, headroom_at: HeadroomAt) {
+    let (seasonality, error) = simulate(60, headroom_at);
+    assert!(seasonality.is_reliable());
+    let found = seasonality.prior.period;
     assert!((found / period - 1.0).abs() < 0.05, "{found} ms");
-    assert!(missed < 0.3, "missed by {missed}");
+    assert!(error < 0.3, "missed by {error}");
 }
 
 /// What was seen last tells as much as any curve.
 #[test]
 fn curves_are_not_used_for_loads_that_jump_without_pattern() {
-    let law: Law = |s, t| 2.0 + mixed(t / 4000 * 31 + s);
-    let (season, _) = play(60, law);
-    assert!(!season.is_known());
+    let headroom_at: HeadroomAt = |s, t| 2.0 + pseudo_random(t / 4000 * 31 + s);
+    let (seasonality, _) = simulate(60, headroom_at);
+    assert!(!seasonality.is_reliable());
 }
 
 /// A figure that is off by a tenth tells less than the mean of many.
 #[test]
 fn a_load_that_stays_is_foreseen_as_it_is() {
-    let (_, missed) = play(60, |_, _| 2.0);
-    assert!(missed < 0.1, "missed by {missed}");
+    let (_, error) = simulate(60, |_, _| 2.0);
+    assert!(error < 0.1, "missed by {error}");
 }
 
 /// Returns a number from 0 to 2 without pattern.
-fn mixed(seed: u64) -> f64 {
-    let mixed = (seed + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    (mixed >> 40) as f64 / f64::from(1 << 23)
+fn pseudo_random(seed: u64) -> f64 {
+    let hash = (seed + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    (hash >> 40) as f64 / f64::from(1 << 23)
 }
 
 /// All loads rise by a third of the headroom at once, and stay so.
 #[test]
 fn a_load_that_rises_for_good_is_followed() {
-    let law: Law = |s, t| swing(20_000.0, s, t) - if t > 45_000 { 1.0 } else { 0.0 };
-    let (_, missed) = play(70, law);
-    assert!(missed < 0.45, "missed by {missed}");
+    let headroom_at: HeadroomAt = |s, t| swing(20_000.0, s, t) - if t > 45_000 { 1.0 } else { 0.0 };
+    let (_, error) = simulate(70, headroom_at);
+    assert!(error < 0.45, "missed by {error}");
 }
 
 /// Without a point a step is thought to be as the others; after five seconds of figures its
 /// curve foresees the next two.
 #[test]
 fn a_step_that_is_new_is_foreseen_soon() {
-    let (season, _) = play(60, |s, t| swing(20_000.0, s, t));
+    let (seasonality, _) = simulate(60, |s, t| swing(20_000.0, s, t));
     let mut history = History::default();
-    for at in (60_000..65_000).step_by(EACH as usize) {
-        history.note(Point {
+    for at in (60_000..65_000).step_by(POINT_INTERVAL_MS as usize) {
+        history.push(Point {
             at,
             headroom: swing(20_000.0, 3, at),
             precision: 20.0,
         });
     }
-    let curve = history.fit(&season.prior, 65_000).curve;
-    let missed = curve.expected(67_000) - swing(20_000.0, 3, 67_000);
-    assert!(missed.abs() < 0.35, "missed by {missed}");
+    let curve = history.fit(&seasonality.prior, 65_000).curve;
+    let error = curve.expected(67_000) - swing(20_000.0, 3, 67_000);
+    assert!(error.abs() < 0.35, "missed by {error}");
 }
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -13,13 +13,13 @@
 
 /// What stands for the excess on a worker on which nothing is disturbed: as good as a
 /// target of five times the tail.
-const CALM: f64 = -4.0;
+const MIN_EXCESS: f64 = -4.0;
 
 /// What hardly disturbs may take so much more than there is: many such tasks together do
 /// disturb at the peak of a load. With 0.6 filling jobs earned 0.774 of their worth and serving
 /// ones 0.797, with 0.8 0.785 and 0.784, with 0.2 0.677 and 0.835 (10 days with trouble on 350
 /// full workers).
-const LIGHT_MARGIN: f64 = 0.8;
+const HARMLESS_MARGIN: f64 = 0.8;
 
 /// A serving run on a worker, as placement and pacing see it.
 #[derive(Debug, Clone, Copy)]
@@ -57,26 +57,29 @@
     /// Returns by how much more headroom a filling task would take than there is; 0 or
     /// less if there is enough, and the less the better.
     ///
-    /// `takes` is the headroom that its image takes from each serving one.
-    pub(crate) fn excess(&self, takes: &[f64], share: f64) -> f64 {
-        let mut most = f64::NEG_INFINITY;
-        for &(serve, left) in &self.rows {
-            let weight = takes.get(serve as usize).copied().unwrap_or(INITIAL_WEIGHT);
+    /// `costs` is the headroom that its image takes from each serving one.
+    pub(crate) fn excess(&self, costs: &[f64], share: f64) -> f64 {
+        let mut max_excess = f64::NEG_INFINITY;
+        for &(serving, left) in &self.rows {
+            let weight = costs
+                .get(serving as usize)
+                .copied()
+                .unwrap_or(INITIAL_WEIGHT);
             let excess = weight * share - left;
             if is_interfering(weight) {
-                most = most.max(excess);
-            } else if excess > LIGHT_MARGIN {
-                most = most.max(excess - LIGHT_MARGIN);
+                max_excess = max_excess.max(excess);
+            } else if excess > HARMLESS_MARGIN {
+                max_excess = max_excess.max(excess - HARMLESS_MARGIN);
             }
         }
-        most.max(CALM)
+        max_excess.max(MIN_EXCESS)
     }
 }
 
 impl Machine {
     /// Returns what serves and what fills on a worker.
     pub(crate) fn colocated_runs(&self, slot: u32) -> (Vec<ServingRun>, Vec<BestEffortRun>) {
-        let (mut served, mut fillers) = (Vec::new(), Vec::new());
+        let (mut serving_runs, mut best_effort_runs) = (Vec::new(), Vec::new());
         let worker = self.fleet.get(slot);
         for &task in &worker.runs {
             let Some(state) = self.jobs.get(&task.job) else {
@@ -89,7 +92,7 @@
             let image = state.images[task.step as usize];
             if step.latency_target > 0 {
                 let runs = &state.repetitions[task.repetition as usize][task.step as usize];
-                served.push(ServingRun {
+                serving_runs.push(ServingRun {
                     image,
                     headroom: runs.headroom,
                     over_ms: run.over_since.map_or(0, |since| (self.now - since).max(1)),
@@ -97,7 +100,7 @@
                         && worker.own_load.may_run_best_effort(self.now),
                 });
             } else if step.best_effort {
-                fillers.push(BestEffortRun {
+                best_effort_runs.push(BestEffortRun {
                     task,
                     image,
                     cpu_share: worker.cpu_share(step.cpu),
@@ -105,50 +108,52 @@
                 });
             }
         }
-        (served, fillers)
+        (serving_runs, best_effort_runs)
     }
 
     /// Returns what a worker's serving tasks bear besides what fills there, worked out
     /// anew only after something there changed.
     pub(crate) fn slack(&mut self, slot: u32) -> &Slack {
         let known = self.fleet.workers[slot as usize].slack.take();
-        let slack = known.unwrap_or_else(|| self.work_out(slot));
+        let slack = known.unwrap_or_else(|| self.compute_slack(slot));
         self.fleet.workers[slot as usize].slack.insert(slack)
     }
 
-    fn work_out(&self, slot: u32) -> Slack {
+    fn compute_slack(&self, slot: u32) -> Slack {
         if self.fleet.get(slot).serving_tasks == 0 {
             return Slack::default();
         }
-        let (served, fillers) = self.colocated_runs(slot);
+        let (serving_runs, best_effort_runs) = self.colocated_runs(slot);
         let mut slack = Slack::default();
-        for s in &served {
-            slack.is_over_target |= s.over_ms > 0;
+        for run in &serving_runs {
+            slack.is_over_target |= run.over_ms > 0;
             // A load that was high a while ago comes back while the task runs.
-            let left = s.headroom.later() - MIN_HEADROOM - self.taken(&fillers, s.image);
-            match slack.rows.iter_mut().find(|r| r.0 == s.image) {
+            let left = run.headroom.min_for_run()
+                - MIN_HEADROOM
+                - self.headroom_taken_by(&best_effort_runs, run.image);
+            match slack.rows.iter_mut().find(|r| r.0 == run.image) {
                 Some(row) => row.1 = row.1.min(left),
-                None => slack.rows.push((s.image, left)),
+                None => slack.rows.push((run.image, left)),
             }
         }
         slack
     }
 
     /// Returns the headroom that what fills on a worker would take from a serving task.
-    pub(crate) fn headroom_taken_on(&self, slot: u32, serve: Image) -> f64 {
+    pub(crate) fn headroom_taken_on(&self, slot: u32, serving: Image) -> f64 {
         if self.fleet.get(slot).best_effort_cpu == 0 {
             return 0.0;
         }
-        let (_, fillers) = self.colocated_runs(slot);
-        self.taken(&fillers, serve)
+        let (_, best_effort_runs) = self.colocated_runs(slot);
+        self.headroom_taken_by(&best_effort_runs, serving)
     }
 
     /// Returns the headroom that filling runs at their paces take from a serving task.
-    fn taken(&self, fillers: &[BestEffortRun], serve: Image) -> f64 {
+    fn headroom_taken_by(&self, best_effort_runs: &[BestEffortRun], serving: Image) -> f64 {
         let mut taken = 0.0;
-        for filler in fillers {
-            let pace = f64::from(filler.pace) / 100.0;
-            taken += self.interference.weight(filler.image, serve) * filler.cpu_share * pace;
+        for run in best_effort_runs {
+            let pace = f64::from(run.pace) / 100.0;
+            taken += self.interference.weight(run.image, serving) * run.cpu_share * pace;
         }
         taken
     }
--- a/crates/jobs/src/share/spare_cpu.rs
+++ b/crates/jobs/src/share/spare_cpu.rs
@@ -12,42 +12,43 @@
 /// percent, on average. They use about half: what fills is slowed a little at times, but
 /// hardly a processor stands idle while tasks wait. 600 tasks on eight workers take 1.18
 /// times the least time, 1.31 times with one share of half for all workers.
-const SERVING_USE: u64 = 42;
+const SERVING_USE_PERCENT: u64 = 42;
 
 /// Largest share of what a serving task asks for that it leaves: it is never idle.
-const MOST_UNUSED: f64 = 0.9;
+const MAX_UNUSED_SHARE: f64 = 0.9;
 
 /// What the serving tasks of a worker ask for, in thousandths of a core.
 #[derive(Debug, Clone, Copy, Default)]
-struct Asked {
+struct RequestedCpu {
     cpu: f64,
     /// The same, each times its headroom.
-    weighed: f64,
+    weighted: f64,
 }
 
 impl Machine {
     /// Works out what the serving tasks of each worker leave.
     pub(crate) fn update_spare_cpu(&mut self) {
-        let mut all = Asked::default();
+        let mut all = RequestedCpu::default();
         let mut rows = Vec::with_capacity(self.fleet.workers.len());
         for slot in 0..self.fleet.workers.len() as u32 {
-            let asked = self.asked(slot);
-            all.cpu += asked.cpu;
-            all.weighed += asked.weighed;
-            rows.push(asked);
+            let requested = self.requested_cpu(slot);
+            all.cpu += requested.cpu;
+            all.weighted += requested.weighted;
+            rows.push(requested);
         }
-        if all.weighed <= 0.0 {
+        if all.weighted <= 0.0 {
             return;
         }
-        let share = (100 - SERVING_USE) as f64 / 100.0 * all.cpu / all.weighed;
-        for (slot, asked) in rows.into_iter().enumerate() {
-            let most = asked.cpu * MOST_UNUSED;
-            self.fleet.get_mut(slot as u32).spare_cpu = (asked.weighed * share).min(most) as u64;
+        let share = (100 - SERVING_USE_PERCENT) as f64 / 100.0 * all.cpu / all.weighted;
+        for (slot, requested) in rows.into_iter().enumerate() {
+            let max_unused = requested.cpu * MAX_UNUSED_SHARE;
+            self.fleet.get_mut(slot as u32).spare_cpu =
+                (requested.weighted * share).min(max_unused) as u64;
         }
     }
 
-    fn asked(&self, slot: u32) -> Asked {
-        let mut asked = Asked::default();
+    fn requested_cpu(&self, slot: u32) -> RequestedCpu {
+        let mut requested = RequestedCpu::default();
         for &task in &self.fleet.get(slot).runs {
             let Some(state) = self.jobs.get(&task.job) else {
                 continue;
@@ -57,10 +58,10 @@
                 continue;
             }
             let runs = &state.repetitions[task.repetition as usize][task.step as usize];
-            asked.cpu += step.cpu as f64;
-            asked.weighed += step.cpu as f64 * runs.headroom.average().max(0.0);
+            requested.cpu += step.cpu as f64;
+            requested.weighted += step.cpu as f64 * runs.headroom.mean_for_run().max(0.0);
         }
-        asked
+        requested
     }
 }
 
@@ -69,6 +70,6 @@
 pub(crate) fn unused_cpu(step: &Step) -> u64 {
     match step.latency_target {
         0 => 0,
-        _ => step.cpu * (100 - SERVING_USE) / 100,
+        _ => step.cpu * (100 - SERVING_USE_PERCENT) / 100,
     }
 }
