--- a/crates/jobs/src/share/mod.rs
+++ b/crates/jobs/src/share/mod.rs
@@ -11,8 +11,8 @@
 
 pub(crate) mod fit;
 pub(crate) mod forecast;
-pub(crate) mod foresee;
 pub(crate) mod headroom;
+pub(crate) mod headroom_forecasts;
 pub(crate) mod interference;
 pub(crate) mod learned;
 pub(crate) mod metrics;
