--- a/crates/jobs/src/share/fit.rs
+++ b/crates/jobs/src/share/fit.rs
@@ -1,49 +1,52 @@
-//! The least squares fit of what filling images take from one serving image.
+//! Least squares fit of the headroom that best-effort images take from one serving image.
 
 use crate::share::{
     learned::PairWeight,
     sample::{Image, Pressure, Sample},
 };
 
-/// Weight of the first guess, in squared shares of a worker at a headroom of one: as
-/// much as a second beside one task on a twentieth of the processors.
+/// Weight of [`INITIAL_WEIGHT`] in the fit, in squared CPU shares at a headroom of one: as much as
+/// one second of samples beside a task that uses a twentieth of the worker's CPU.
 const PRIOR_PRECISION: f64 = 0.002;
 
-/// Headroom that an image takes that was never seen beside the other, if it uses all
-/// processors: the mean over all pairs.
+/// Headroom taken by a best-effort image that uses all CPUs and was never observed beside the
+/// serving image: the mean over all pairs.
 pub(crate) const INITIAL_WEIGHT: f64 = 3.5;
 
-/// What older differences keep of their weight at each fit, one a half second:
-/// half is gone after some 15 seconds.
+/// Factor by which the weight of older samples decays at each fit. With two fits per second, half
+/// of it is gone after some 15 seconds.
 const DECAY: f64 = 0.977;
 
-/// Error of a figure, as a share of it.
+/// Relative error of a measured headroom.
 const MEASUREMENT_ERROR: f64 = 0.1;
 
-/// Error of what fills takes, as a share of it.
+/// Relative error of the estimated headroom that best-effort runs take.
 const INTERFERENCE_ERROR: f64 = 0.4;
 
-/// Rounds of the fit; each starts from the last one's result.
+/// Iterations of the solver. Each fit starts from the result of the previous one.
 const ITERATIONS: usize = 3;
 
-/// Largest difference from what was expected that is learned from, as a share of it:
-/// a figure may be far off.
+/// Largest deviation from the expected headroom that a sample counts with, as a share of the
+/// expected headroom. Single measurements may be far off.
 const MAX_DEVIATION: f64 = 0.7;
 
-/// Below this headroom a worker is overloaded, and the figure tells no more than that.
+/// Below this headroom a worker is overloaded, and the measured value carries no further
+/// information.
 const OVERLOAD_HEADROOM: f64 = 0.4;
 
-/// Largest headroom that an image takes if it uses all processors.
+/// Upper bound of the headroom that an image takes if it uses all CPUs.
 const MAX_WEIGHT: f64 = 64.0;
 
-/// What filling images take from one serving image.
+/// Headroom that best-effort images take from one serving image, and the sums that it is fitted
+/// from.
 #[derive(Debug, Default)]
 pub(crate) struct Fit {
-    /// Sums of products of differences, by pairs of filling images.
+    /// Weighted sums of products of the deviations in CPU share, by pair of best-effort images.
     squares: Vec<Vec<f64>>,
-    /// Sums of products of differences in use and in headroom.
+    /// Weighted sums of products of the deviations in CPU share and the lost headroom, by
+    /// best-effort image.
     products: Vec<f64>,
-    /// Headroom that a whole worker takes, by filling image.
+    /// Headroom taken at the full CPU of a worker, by best-effort image.
     weights: Vec<f64>,
 }
 
@@ -60,19 +63,19 @@
         }
     }
 
-    /// Returns the headroom that a whole worker of a filling image takes.
+    /// Returns the headroom that a best-effort image takes if it uses all CPUs of a worker.
     pub(crate) fn weight(&self, image: Image) -> f64 {
         let weight = self.weights.get(image as usize);
         weight.copied().unwrap_or(INITIAL_WEIGHT)
     }
 
-    /// Returns the headroom that what fills takes.
+    /// Returns the headroom that best-effort runs with these CPU shares take.
     pub(crate) fn headroom_taken(&self, pressures: &[Pressure]) -> f64 {
         let each = pressures.iter().map(|p| self.weight(p.image) * p.share);
         each.sum()
     }
 
-    /// Returns the middle of the headrooms without what fills.
+    /// Returns the median of the headrooms without best-effort runs.
     pub(crate) fn base(&self, samples: &[Sample]) -> f64 {
         let bases = samples
             .iter()
@@ -82,7 +85,7 @@
         bases[bases.len() / 2]
     }
 
-    /// Returns one over the square of the error of [`Fit::base`].
+    /// Returns the inverse of the squared error of [`Fit::base`].
     pub(crate) fn precision(&self, samples: &[Sample]) -> f64 {
         let each = samples.iter().map(|s| {
             let error = MEASUREMENT_ERROR * s.headroom.max(1.0)
@@ -92,7 +95,7 @@
         each.sum()
     }
 
-    /// Returns a headroom as far as it can be believed.
+    /// Returns the measured headroom, limited to what is plausible given the expected one.
     fn plausible_headroom(&self, sample: &Sample, base: f64) -> f64 {
         let expected = base - self.headroom_taken(&sample.pressures);
         if sample.headroom < OVERLOAD_HEADROOM && expected < OVERLOAD_HEADROOM {
@@ -104,7 +107,7 @@
             .clamp(expected - max_deviation, expected + max_deviation)
     }
 
-    /// Learns from how headrooms differ from the one that is foreseen of their step.
+    /// Adds samples of one step as deviations from the step's forecast headroom `base`.
     pub(crate) fn add_with_forecast(&mut self, samples: &[Sample], base: f64) {
         self.grow(image_count(samples));
         for sample in samples {
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Learns from how headrooms of one step differ from each other.
+    /// Adds samples of one step as deviations from their own mean, for a step without a forecast.
     pub(crate) fn add(&mut self, samples: &[Sample], base: f64) {
         let images = image_count(samples);
         self.grow(images);
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Adds a sample to the sums, and returns the headroom that it has lost.
+    /// Adds a sample to the sums and returns the headroom that it has lost against `base`.
     fn accumulate(&mut self, sample: &Sample, base: f64) -> f64 {
         let lost = base - self.plausible_headroom(sample, base);
         let precision = sample.precision();
@@ -149,7 +152,7 @@
         lost
     }
 
-    /// Returns what is known of each filling image.
+    /// Returns the weights of the best-effort images with at least one sample.
     pub(crate) fn known_weights(&self, serving: Image) -> Vec<PairWeight> {
         let all = (0..).zip(&self.weights);
         let pairs = all.map(|(best_effort, weight)| PairWeight {
@@ -161,7 +164,8 @@
         pairs.filter(|p| p.seen > 0.0).collect()
     }
 
-    /// Takes over what was known of a filling image, as if it had been seen alone.
+    /// Restores the weight of a best-effort image from an earlier owner, as if the image had been
+    /// observed alone.
     pub(crate) fn restore(&mut self, pair: &PairWeight) {
         let at = pair.best_effort_image as usize;
         self.grow(at + 1);
@@ -171,7 +175,7 @@
         self.products[at] = weight * (seen + PRIOR_PRECISION) - PRIOR_PRECISION * INITIAL_WEIGHT;
     }
 
-    /// Solves for the weights, none of them negative.
+    /// Solves for the weights by coordinate descent, keeps them non-negative, and decays the sums.
     pub(crate) fn solve(&mut self) {
         for _ in 0..ITERATIONS {
             for at in 0..self.weights.len() {
@@ -193,7 +197,7 @@
     }
 }
 
-/// Returns how many images these samples name, counted from the first.
+/// Returns one more than the highest image number in the samples.
 fn image_count(samples: &[Sample]) -> usize {
     let all = samples.iter().flat_map(|s| s.pressures.iter());
     all.map(|p| p.image as usize + 1).max().unwrap_or(0)
--- a/crates/jobs/src/share/forecast.rs
+++ b/crates/jobs/src/share/forecast.rs
@@ -1,51 +1,52 @@
-//! Where the headroom of a step goes: what it was, and a curve through that.
+//! Forecasts the headroom of a step by fitting a sinusoid to its recent values.
 //!
-//! The load pattern that this answers: loads that rise and fall in a period of their own, the
-//! same for all steps and at other times for each. A filling task runs for seconds, so that
-//! what counts is the headroom while it runs, not the one when it begins.
+//! The load of a service rises and falls periodically. All steps share the period, with a phase of
+//! their own. A best-effort run lasts for seconds, so the headroom that matters is the one during
+//! the run, not the one at its start.
 //!
-//! Limits: of each step the last 40 s are kept, two and more periods of the loads that were
-//! seen (10 to 20 s); a step without figures is thought to be as the others are.
+//! Limits: the last 40 s of each step are kept, which covers at least two periods of 10 to 20 s. A
+//! step without samples is assumed to behave like the others.
 
 use std::{collections::VecDeque, f64::consts::TAU};
 
 use serde::{Deserialize, Serialize};
 
-/// Points that are kept of a step, one for each half second.
+/// Points kept per step, two per second.
 const MAX_POINTS: usize = 80;
 
-/// Milliseconds after which a point counts half.
+/// Age at which the weight of a point is halved.
 const HALF_LIFE_MS: f64 = 20_000.0;
 
-/// Error of the mean of a step's figures that more of them don't lower, in headroom: what
-/// fills is known roughly.
+/// Error of a step's mean headroom that doesn't shrink with more samples, because the headroom that
+/// best-effort runs take is only known roughly.
 const SYSTEMATIC_ERROR: f64 = 0.15;
 
-/// Share of a point's deviation from the curve that counts as a lasting one.
+/// Smoothing factor of the drift: the share of a point's deviation from the curve that counts as
+/// lasting.
 const DRIFT_SMOOTHING: f64 = 0.2;
 
-/// Milliseconds from one value of a curve to the next where it is searched.
+/// Interval at which a curve is evaluated for its minimum and its mean.
 const STRIDE_MS: u64 = 250;
 
 /// Headroom of a step in one half second.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Point {
-    /// When it was, in milliseconds.
+    /// Time in milliseconds.
     pub(crate) at: u64,
-    /// Headroom without what fills.
+    /// Headroom without best-effort runs.
     pub(crate) headroom: f64,
-    /// Weight of the figures that it comes from, one over the square of their error.
+    /// Inverse of the squared error of `headroom`.
     pub(crate) precision: f64,
 }
 
-/// What the headroom of a step was of late.
+/// Recent headrooms of a step, oldest first.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct History {
     points: VecDeque<Point>,
 }
 
 impl History {
-    /// Takes the newest point.
+    /// Appends the newest point and drops the oldest one if the history is full.
     pub(crate) fn push(&mut self, point: Point) {
         if self.points.len() == MAX_POINTS {
             self.points.pop_front();
@@ -53,17 +54,16 @@
         self.points.push_back(point);
     }
 
-    /// Tells whether nothing was seen of it.
     pub(crate) fn is_empty(&self) -> bool {
         self.points.is_empty()
     }
 
-    /// Returns how many points there are.
+    /// Returns the number of points.
     pub(crate) fn len(&self) -> usize {
         self.points.len()
     }
 
-    /// Returns the time from the first point to the last, in milliseconds.
+    /// Returns the time from the first to the last point in milliseconds.
     pub(crate) fn span(&self) -> u64 {
         match (self.points.front(), self.points.back()) {
             (Some(first), Some(last)) => last.at - first.at,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns the curve through the points, given what is usual.
+    /// Fits a curve to the points, regularised by the prior.
     pub(crate) fn fit(&self, prior: &Prior, now: u64) -> CurveFit {
         let points = self
             .points
@@ -93,16 +93,15 @@
     }
 }
 
-/// What a fit gives.
+/// Result of fitting a curve to a history.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CurveFit {
-    /// The curve.
     pub(crate) curve: Curve,
-    /// By how much the points miss it: the sum of squares, each by its error.
+    /// Sum of the squared residuals, each weighted by its age and inverse squared error.
     pub(crate) residual: f64,
 }
 
-/// A point as one fit uses it, twice: for the sums, and for what the curve misses.
+/// A point as one fit uses it, first for the normal equations and then for the residual.
 struct WeightedPoint {
     headroom: f64,
     weight: f64,
@@ -124,22 +123,22 @@
     }
 }
 
-/// What is usual for steps: what a curve is thought to be without any point.
+/// Typical behaviour of steps, and the assumed behaviour of a step without points.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Prior {
-    /// Milliseconds from one peak of the load to the next.
+    /// Period of the load in milliseconds.
     pub(crate) period: f64,
     /// Mean headroom.
     pub(crate) mean: f64,
-    /// Variance of steps' means.
+    /// Variance of the steps' mean headrooms.
     #[serde(rename = "spread")]
     pub(crate) mean_variance: f64,
-    /// Mean square of half of the swing.
+    /// Mean of the squared amplitude.
     #[serde(rename = "swing")]
     pub(crate) squared_amplitude: f64,
 }
 
-/// Sums of a least squares fit of a constant, a cosine and a sine.
+/// Normal equations of the least squares fit of a constant, a cosine and a sine.
 struct NormalEquations {
     squares: [[f64; 3]; 3],
     products: [f64; 3],
@@ -169,7 +168,7 @@
         }
     }
 
-    /// Solves by elimination; what is usual keeps the matrix regular.
+    /// Solves by Gaussian elimination. The prior keeps the matrix regular.
     fn solve(mut self, prior: &Prior, now: u64) -> Curve {
         let (m, p) = (&mut self.squares, &mut self.products);
         for at in 0..3 {
@@ -200,7 +199,7 @@
     TAU * (at as f64 - origin as f64) / period
 }
 
-/// A headroom that rises and falls.
+/// A sinusoidal headroom with a drift.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Curve {
     period: f64,
@@ -208,12 +207,12 @@
     pub(crate) mean: f64,
     cos: f64,
     sin: f64,
-    /// By how much the last points were above it.
+    /// Smoothed deviation of the last points from the sinusoid.
     drift: f64,
 }
 
 impl Curve {
-    /// Returns the headroom at a time.
+    /// Returns the headroom at a time, without the drift.
     fn value_at(&self, at: u64) -> f64 {
         let (sin, cos) = phase(self.period, self.origin, at).sin_cos();
         self.value(sin, cos)
@@ -223,25 +222,25 @@
         self.mean + self.cos * cos + self.sin * sin
     }
 
-    /// Returns the headroom that is expected at a time to come.
+    /// Returns the expected headroom at a time.
     pub(crate) fn expected(&self, at: u64) -> f64 {
         self.value_at(at) + self.drift
     }
 
-    /// Returns the least headroom that is expected from a time on for so long.
+    /// Returns the lowest expected headroom in the `span` milliseconds after `from`.
     pub(crate) fn minimum(&self, from: u64, span: u64) -> f64 {
         let values = (0..=span / STRIDE_MS).map(|n| self.expected(from + n * STRIDE_MS));
         values.fold(f64::INFINITY, f64::min)
     }
 
-    /// Returns the mean headroom that is expected from a time on for so long.
+    /// Returns the mean expected headroom in the `span` milliseconds after `from`.
     pub(crate) fn average(&self, from: u64, span: u64) -> f64 {
         let count = span / STRIDE_MS + 1;
         let values = (0..count).map(|n| self.expected(from + n * STRIDE_MS));
         values.sum::<f64>() / count as f64
     }
 
-    /// Returns the square of half of its swing.
+    /// Returns the squared amplitude.
     pub(crate) fn squared_amplitude(&self) -> f64 {
         self.cos * self.cos + self.sin * self.sin
     }
--- a/crates/jobs/src/share/headroom.rs
+++ b/crates/jobs/src/share/headroom.rs
@@ -1,50 +1,50 @@
-//! How far the tails of a step's tasks are below their target.
+//! Headroom of a step: how far the tail latencies of its tasks are below their target.
 //!
-//! Headroom is target over tail: above one, users are served in time. It swings with
-//! the load, which all tasks of a step share. Where a curve foresees it, that is taken; else
-//! what was seen last and the lowest of late.
+//! Headroom is the target divided by the tail latency; above one, the target is met. It varies with
+//! the load, which all tasks of a step share. It is forecast by a curve where curves are reliable,
+//! and else estimated from the last and the lowest recent value.
 
-/// Target over tail is kept above this: figures are off by a tenth, and so are curves. With 1.2
-/// filling jobs earned 0.775 of their worth, with 1.3 0.785 (10 days with trouble on 350 full
-/// workers), and tails were over their targets for as long.
+/// Paces and placement keep the headroom above this value. Measurements and curves are off by about
+/// a tenth. With 1.2, best-effort jobs earn 0.775 of their value, with 1.3 0.785, and tail
+/// latencies are over their targets for as long.
 pub(crate) const MIN_HEADROOM: f64 = 1.3;
 
-/// Headroom of a serving task before its first figure.
+/// Headroom of a serving task before its first measurement.
 pub(crate) const INITIAL_HEADROOM: f64 = 2.5;
 
-/// Share of the newest figures in a headroom that is tracked.
+/// Smoothing factor: the share of the newest measurement in the current headroom.
 const SMOOTHING: f64 = 0.8;
 
-/// By how much the lowest recent headroom rises each half second.
+/// Factor by which the lowest recent headroom rises each half second.
 const RECOVERY_FACTOR: f64 = 1.04;
 
-/// Half seconds that a fall of headroom is thought to go on for: until a pace that is
-/// chosen now is replaced.
+/// Half seconds for which a fall of the headroom is extrapolated: until a pace chosen now is
+/// replaced.
 const EXTRAPOLATION_INTERVALS: f64 = 1.5;
 
-/// What is known of the headroom of one step, without what fills.
+/// Headroom of one step without best-effort runs.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Headroom {
     current: f64,
-    /// By how much it falls each half second.
+    /// Decrease per half second.
     fall: f64,
-    /// Lowest of late.
+    /// Lowest recent value.
     lowest: f64,
     has_samples: bool,
-    /// What a curve foresees, if one does.
+    /// Forecast by a curve, if curves are reliable.
     forecast: Option<HeadroomForecast>,
 }
 
-/// What a curve foresees of a headroom.
+/// Headroom of a step as a curve forecasts it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct HeadroomForecast {
-    /// What it is in the half second that begins.
+    /// Value in the half second that begins.
     pub(crate) current: f64,
-    /// The least until a pace that is chosen now is replaced.
+    /// Minimum until a pace chosen now is replaced.
     pub(crate) min_for_pace: f64,
-    /// The least while a new task runs.
+    /// Minimum while a run that starts now lasts.
     pub(crate) min_for_run: f64,
-    /// The mean while a new task runs.
+    /// Mean while a run that starts now lasts.
     pub(crate) mean_for_run: f64,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Headroom {
-    /// Returns what it will be when a pace that is chosen now is replaced.
+    /// Returns the lowest expected headroom until a pace chosen now is replaced.
     pub(crate) fn min_for_pace(&self) -> f64 {
         match self.forecast {
             Some(f) => f.min_for_pace,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns the least that it will be while a new task runs.
+    /// Returns the lowest expected headroom while a run that starts now lasts.
     pub(crate) fn min_for_run(&self) -> f64 {
         match self.forecast {
             Some(f) => f.min_for_run,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns what it will be on average while a new task runs.
+    /// Returns the mean expected headroom while a run that starts now lasts.
     pub(crate) fn mean_for_run(&self) -> f64 {
         match self.forecast {
             Some(f) => f.mean_for_run,
@@ -85,32 +85,32 @@
         }
     }
 
-    /// Returns the middle of what it is and the lowest of late: a load comes back.
+    /// Returns the mean of the current and the lowest recent headroom, since a high load comes
+    /// back.
     fn midpoint(&self) -> f64 {
         (self.current + self.lowest) / 2.0
     }
 
-    /// Takes what a curve foresees; nothing if curves don't.
+    /// Sets the forecast, or clears it if curves are not reliable.
     pub(crate) fn set_forecast(&mut self, forecast: Option<HeadroomForecast>) {
         self.forecast = forecast;
     }
 
-    /// Returns what was foreseen of it for the last half second, if a curve did.
+    /// Returns the headroom that was forecast for the last half second, if any.
     pub(crate) fn current_forecast(&self) -> Option<f64> {
         self.forecast.map(|f| f.current)
     }
 
-    /// Returns what it is.
     pub(crate) fn current(&self) -> f64 {
         self.current
     }
 
-    /// Returns the lowest of late.
+    /// Returns the lowest recent headroom.
     pub(crate) fn lowest(&self) -> f64 {
         self.lowest
     }
 
-    /// Takes the newest figure.
+    /// Updates the headroom with the newest measurement.
     pub(crate) fn update(&mut self, newest: f64) {
         if !self.has_samples {
             (self.current, self.lowest, self.has_samples) = (newest, newest, true);
--- a/crates/jobs/src/share/headroom_forecasts.rs
+++ b/crates/jobs/src/share/headroom_forecasts.rs
@@ -1,9 +1,9 @@
-//! Foresees the headrooms of all steps.
+//! Forecasts the headrooms of all steps.
 //!
-//! The load pattern that this answers: what fills begins or is paced now, and works beside the
-//! load of the next seconds. How far ahead follows from how long a pace and a task last.
+//! A best-effort run that starts or changes its pace now runs beside the load of the next seconds.
+//! The forecast horizons follow from how long a pace and a run last.
 //!
-//! Limits: while curves don't foresee, only as many are fitted as are judged.
+//! Limits: while curves are not reliable, only as many are fitted as can be scored.
 
 use crate::{
     machine::Machine,
@@ -13,18 +13,18 @@
     },
 };
 
-/// Milliseconds until a pace that is chosen now is replaced and that takes effect.
+/// Time until a pace chosen now is replaced and its replacement takes effect.
 const PACE_HORIZON_MS: u64 = 1500;
 
-/// Milliseconds for which a filling task runs, usually. With 4 s filling jobs earned 0.76 of
-/// their worth, with 2.5 s 0.77 (10 days with trouble on 350 full workers).
+/// Typical duration of a best-effort run. With 4 s, best-effort jobs earn 0.76 of their value, with
+/// 2.5 s 0.77.
 const RUN_HORIZON_MS: u64 = 2500;
 
-/// Milliseconds from now to the middle of the next figures.
+/// Time from now to the middle of the half second that the next metrics cover.
 const NEXT_METRICS_MS: u64 = 250;
 
 impl Machine {
-    /// Foresees the headrooms of all steps, as far as curves do.
+    /// Updates the forecasts of all steps, and the seasonality when that is due.
     pub(crate) fn forecast_headrooms(&mut self) {
         let now = self.now;
         self.seasonality.decay(now);
@@ -43,8 +43,7 @@
     }
 }
 
-/// Foresees the headrooms of a job's steps; if curves are not `reliable` to do so, they are only
-/// judged.
+/// Updates the forecasts of a job's steps. While curves are not `reliable`, they are only scored.
 fn forecast_job(
     seasonality: &mut Seasonality,
     job: JobId,
@@ -57,7 +56,7 @@
             if step.history.is_empty() {
                 continue;
             }
-            // Nobody would use its curve.
+            // The curve would be neither used nor scored.
             if !reliable && seasonality.is_full() {
                 step.headroom.set_forecast(None);
                 continue;
--- a/crates/jobs/src/share/interference.rs
+++ b/crates/jobs/src/share/interference.rs
@@ -1,20 +1,21 @@
-//! How much tasks that fill disturb tasks that serve.
+//! Model of how much best-effort tasks lengthen the tail latencies of serving tasks.
 //!
-//! Measured on the users' bench (tmdro-grown quiet-1, 116,000 figures): a tail grows
-//! as in a queue, with one over what is left of the server, so that target over
-//! tail, here called headroom, falls in proportion to the load and to what fills.
-//! Tasks of one step share their load, which swings by a factor of three within five
-//! seconds. A core of a filling image takes 0.2 to 0.7 of headroom from a serving
-//! image in about one pair of four, and nothing in the others, steadily. What is
-//! left unexplained is a tenth of the headroom.
+//! A tail latency grows as in a queue, with the inverse of the remaining capacity. The headroom
+//! (target divided by tail latency) therefore falls linearly with the load and with the CPU that
+//! best-effort runs use. Tasks of one step share their load, which varies by a factor of three
+//! within five seconds. In about one of four pairs of images, a core used by the best-effort image
+//! constantly takes 0.2 to 0.7 of headroom from the serving image; in the others it takes nothing.
+//! About a tenth of the headroom remains unexplained.
 //!
-//! So what each filling image takes is fitted, by least squares, to how headrooms differ from
-//! the one that is foreseen of their step; where none is, to how those of one step differ from
-//! their mean and how what fills beside them differs from its mean. Older differences fade.
-//! Weights are too low by a third in the second way (fitted to the 51,000 figures of a day):
-//! what fills is known roughly, and alike beside the tasks of a step. Differences of logarithms
-//! from one half second to the next were used first: the swing of the load drowned them, and
-//! harmless pairs were taken for harmful ones.
+//! The headroom that each best-effort image takes is fitted by least squares. Where a step's
+//! headroom is forecast, the fit uses the deviations of its tasks' headrooms from the forecast.
+//! Else it uses their deviations from the step's mean, against the deviations of the best-effort
+//! use beside them from its mean. The second way underestimates the weights by a third, because the
+//! best-effort use is known only roughly and is similar beside all tasks of a step. Older samples
+//! decay.
+//!
+//! Differences of logarithms from one half second to the next don't work: the variation of the load
+//! hides the interference, and harmless pairs appear harmful.
 
 use std::sync::Arc;
 
@@ -27,46 +28,44 @@
     sorted_map::SortedMap,
 };
 
-/// What takes less than this of headroom with all processors of a worker does not
-/// disturb: pairs take 0 to 1.5 or 6 to 14 (fitted to the 17,000 figures of a day), and
-/// one that is not known yet is taken to disturb.
+/// Up to this weight a pair of images doesn't interfere. Pairs have weights of 0 to 1.5 or of 6 to
+/// 14, and an unknown pair counts as interfering (see [`INITIAL_WEIGHT`]).
 const MAX_HARMLESS_WEIGHT: f64 = 2.8;
 
-/// Headrooms of one step that are compared at least.
+/// Fewest headrooms of one step that are compared with each other.
 const MIN_SAMPLES: usize = 3;
 
-/// A headroom that waits for others of its step to be compared with is too old after
-/// so many fits: the load has moved by then.
+/// Fits that a sample waits for others of its step. The load has changed by then.
 const MAX_SAMPLE_AGE: u8 = 4;
 
-/// Headroom of a step without what fills.
+/// Headroom of a step without best-effort runs.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BaseHeadroom {
-    /// The step.
     pub(crate) step_key: StepKey,
-    /// The middle of its tasks' headrooms.
+    /// Median over the step's tasks.
     pub(crate) headroom: f64,
-    /// One over the square of its error.
+    /// Inverse of the squared error of `headroom`.
     pub(crate) precision: f64,
 }
 
-/// What filling images take from serving ones, by pair.
+/// Headroom that best-effort images take from serving ones, by pair.
 #[derive(Debug, Default)]
 pub(crate) struct Interference {
     fits: SortedMap<Image, Fit>,
-    /// What was not learned from yet.
+    /// Samples that are not part of a fit yet.
     samples: Vec<Sample>,
 }
 
 impl Interference {
-    /// Returns the headroom that a whole worker of a filling image takes from a serving one.
+    /// Returns the headroom that a best-effort image takes from a serving one if it uses all CPUs
+    /// of a worker.
     pub(crate) fn weight(&self, best_effort: Image, serving: Image) -> f64 {
         let weight = self.fits.get(&serving).map(|f| f.weight(best_effort));
         weight.unwrap_or(INITIAL_WEIGHT)
     }
 
-    /// Returns the headroom that a whole worker of a filling image takes from each of so
-    /// many serving ones.
+    /// Returns the weight of a best-effort image against each serving image below `images`, indexed
+    /// by image number.
     pub(crate) fn headroom_costs(&self, best_effort: Image, images: usize) -> Vec<f64> {
         let mut costs = vec![INITIAL_WEIGHT; images];
         for (&serving, fit) in self.fits.iter() {
@@ -77,7 +76,7 @@
         costs
     }
 
-    /// Returns what is known of all pairs.
+    /// Returns the weights of all pairs with samples.
     pub(crate) fn known_weights(&self) -> Vec<PairWeight> {
         let mut known = Vec::new();
         for (&serving, fit) in self.fits.iter() {
@@ -86,12 +85,12 @@
         known
     }
 
-    /// Takes over what an earlier owner knew of a pair.
+    /// Restores the weight of a pair from an earlier owner.
     pub(crate) fn restore(&mut self, pair: &PairWeight) {
         self.fits.or_default(&pair.serving_image).restore(pair);
     }
 
-    /// Returns the headroom that what fills takes from a serving image.
+    /// Returns the headroom that best-effort runs with these CPU shares take from a serving image.
     pub(crate) fn headroom_taken(&self, serving: Image, pressures: &[Pressure]) -> f64 {
         match self.fits.get(&serving) {
             Some(fit) => fit.headroom_taken(pressures),
@@ -99,12 +98,12 @@
         }
     }
 
-    /// Tells whether a filling image disturbs a serving one.
+    /// Returns whether a best-effort image interferes with a serving one.
     pub(crate) fn interferes(&self, best_effort: Image, serving: Image) -> bool {
         is_interfering(self.weight(best_effort, serving))
     }
 
-    /// Takes a headroom, and what filled beside it.
+    /// Records the headroom of a serving task and the CPU shares of the best-effort runs beside it.
     pub(crate) fn add_sample(
         &mut self,
         step_key: StepKey,
@@ -121,8 +120,9 @@
         });
     }
 
-    /// Fits to what was noted, once each half second, and returns the newest headrooms
-    /// of the steps; `forecast` tells which one was foreseen of a step, if any was.
+    /// Fits the weights to the recorded samples, once each half second, and returns the newest
+    /// headrooms of the steps. `forecast` returns the headroom that was forecast for a step, if
+    /// any.
     pub(crate) fn fit(&mut self, forecast: impl Fn(StepKey) -> Option<f64>) -> Vec<BaseHeadroom> {
         let mut bases = Vec::new();
         let mut kept = Vec::new();
@@ -158,7 +158,7 @@
     }
 }
 
-/// Tells whether what takes so much headroom with all processors of a worker disturbs.
+/// Returns whether an image with this weight interferes.
 pub(crate) fn is_interfering(weight: f64) -> bool {
     weight > MAX_HARMLESS_WEIGHT
 }
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -1,8 +1,8 @@
-//! What an owner has learned, kept for the one after it.
+//! State learned by an owner, stored for the next owner of the shard.
 //!
-//! Which images disturb which and how long tasks take takes half a minute to learn. Until
-//! then each pair counts as one that disturbs, so that hardly a task fills beside one that
-//! serves: the first half minute after a takeover went to that.
+//! Learning which images interfere and how long tasks take needs half a minute. Until then each
+//! pair counts as interfering, so that hardly any best-effort task runs beside serving tasks.
+//! Without the stored state, every takeover would lose that half minute.
 
 use std::sync::Arc;
 
@@ -14,25 +14,25 @@
     share::{forecast::Prior, sample::Image},
 };
 
-/// Pairs that are kept at most, the best known first: with 20 bytes each they fit a row.
+/// Most pairs that are stored, the best known first. At 20 bytes each they fit into one row.
 const MAX_PAIRS: usize = 2000;
 
-/// What one filling image takes from one serving image. Written as an array.
+/// Headroom that one best-effort image takes from one serving image. Encoded as an array.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PairWeight {
-    /// Index of the filling image's name.
+    /// Index of the best-effort image's name.
     #[serde(rename = "fill")]
     pub(crate) best_effort_image: u16,
     /// Index of the serving image's name.
     #[serde(rename = "serve")]
     pub(crate) serving_image: u16,
-    /// Headroom that a whole worker of the one takes from the other.
+    /// Headroom taken if the best-effort image uses all CPUs of a worker.
     pub(crate) weight: f32,
-    /// How much was seen of it, as the fit weighs it.
+    /// Weighted sum of the squared CPU shares that were observed beside the serving image.
     pub(crate) seen: f32,
 }
 
-/// What is learned of the guesses of one queue. Written as an array.
+/// Model of the run time estimates of one queue. Encoded as an array.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct QueueEstimates {
     queue: Arc<str>,
@@ -40,19 +40,19 @@
     estimates: EstimateModel,
 }
 
-/// What an owner has learned.
+/// State learned by an owner.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Learned {
     images: Vec<Arc<str>>,
     pairs: Vec<PairWeight>,
     queues: Vec<QueueEstimates>,
-    /// What is usual of loads, if curves foresee them; an older program wrote nothing of it.
+    /// Prior of the load curves, if curves are reliable. Rows of older versions lack it.
     #[serde(rename = "usual", default)]
     prior: Option<Prior>,
 }
 
 impl Machine {
-    /// Returns what was learned so far.
+    /// Returns the state learned so far.
     pub fn learned(&self) -> Learned {
         let mut images: Vec<Arc<str>> = vec![Arc::default(); self.image_numbers.len() + 1];
         for (name, &image) in self.image_numbers.iter() {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Takes over what an earlier owner learned.
+    /// Imports the state learned by an earlier owner.
     pub fn import_learned(&mut self, learned: &Learned) {
         let names = learned.images.iter();
         let numbers: Vec<Image> = names.map(|name| self.number_image(name)).collect();
@@ -84,7 +84,7 @@
             let best_effort = numbers.get(pair.best_effort_image as usize);
             let serving = numbers.get(pair.serving_image as usize);
             let (Some(&best_effort), Some(&serving)) = (best_effort, serving) else {
-                log::warn!(fill = pair.best_effort_image, serve = pair.serving_image; "learned: a pair without names");
+                log::warn!(fill = pair.best_effort_image, serve = pair.serving_image; "learned: skipping a pair whose images have no names");
                 continue;
             };
             self.interference.restore(&PairWeight {
