--- a/crates/jobs/src/share/metrics.rs
+++ b/crates/jobs/src/share/metrics.rs
@@ -1,4 +1,4 @@
-//! Takes note of workers' figures, and learns from them.
+//! Records the metrics in worker reports and updates the interference model from them.
 
 use std::sync::Arc;
 
@@ -12,15 +12,15 @@
     },
 };
 
-/// Figures are of half a second: a worker's are used this often, in milliseconds.
+/// Shortest interval at which the metrics of one worker are used. Each covers half a second.
 const MIN_METRICS_INTERVAL_MS: u64 = 450;
 
-/// Milliseconds from one fit of the disturbances to the next.
+/// Interval between fits of the interference model.
 const FIT_INTERVAL_MS: u64 = 500;
 
 impl Machine {
-    /// Takes note of the figures that a worker lists, and chooses paces; `ended` are the ends
-    /// that it lists for the first time.
+    /// Records the metrics in a worker's report and chooses the paces of its best-effort runs.
+    /// `ended` are the ends that the worker reports for the first time.
     pub(crate) fn observe_metrics(&mut self, slot: u32, report: &WorkerReport, ended: &[&RunEnd]) {
         let now = self.now;
         let worker = self.fleet.get_mut(slot);
@@ -77,8 +77,9 @@
         }
     }
 
-    /// Lets what fills on a worker without serving tasks work at its full pace: what was slowed
-    /// for one that has gone would else stay so, and nothing more would fill there.
+    /// Lets best-effort runs on a worker without serving tasks run at full pace. Else a run that
+    /// was slowed for a serving task that has gone would stay slowed, and no more best-effort tasks
+    /// would be placed there.
     fn restore_paces(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
         worker.is_over_target = false;
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Fits the disturbances to the figures, each half second, and lowers paces where a
-    /// tail has been over its target for long.
+    /// Fits the interference model each half second, updates the forecasts, and lowers paces where
+    /// a tail latency has been over its target for long.
     pub(crate) fn update_model(&mut self) {
         if self.now < self.last_fit + FIT_INTERVAL_MS {
             return;
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Tells whether something that fills on a worker may be at work.
+    /// Returns whether a best-effort run on the worker may be using CPU.
     fn is_best_effort_working(&self, slot: u32) -> bool {
         let worker = self.fleet.get(slot);
         if worker.best_effort_cpu == 0 {
@@ -142,11 +143,10 @@
         working.next().is_some()
     }
 
-    /// Returns what filled on a worker for the last half second, with its share of the
-    /// processors.
+    /// Returns the CPU shares that best-effort images used on a worker in the last half second.
     ///
-    /// A look is answered as soon as a run ends, so that one that has just ended filled for
-    /// all of that time.
+    /// A poll is answered as soon as a run ends, so a run that has just ended used CPU for all of
+    /// that time.
     fn pressures(&self, slot: u32, report: &WorkerReport, ended: &[&RunEnd]) -> Vec<Pressure> {
         let running = report.running.iter().map(|r| (r.task, r.metric));
         let ended = ended.iter().map(|e| (e.task, None));
--- a/crates/jobs/src/share/mod.rs
+++ b/crates/jobs/src/share/mod.rs
@@ -1,13 +1,13 @@
-//! What tasks on one worker do to each other, and the paces that follow.
+//! Interference between tasks on one worker, and the paces that limit it.
 //!
-//! The load pattern that this answers: serving tasks whose load swings by a factor of
-//! three within seconds, beside filling tasks of which one pair of four disturbs. What
-//! each pair does is fitted to the workers' figures; room for what fills follows the
-//! load that is foreseen, where loads swing in a period, and the present one else; tails close to their target slow what disturbs them and, when that does
-//! not help in time, stop it.
+//! The load of serving tasks varies by a factor of three within seconds, and about one of four
+//! pairs of a best-effort and a serving image interferes. The interference of each pair is fitted
+//! to the workers' metrics. The CPU and headroom for best-effort runs follow the forecast load
+//! where the load is periodic, and else the present load. Tail latencies close to their target slow
+//! the interfering runs and, if that doesn't help in time, halt them.
 //!
-//! Limits: figures come once a second and are off by a tenth; the users count four seconds
-//! over a target as harm, so that all is stopped before half of that.
+//! Limits: metrics arrive once a second and are off by a tenth. Users count four seconds over a
+//! target as harm, so all best-effort runs are halted in less than half of that.
 
 pub(crate) mod fit;
 pub(crate) mod forecast;
--- a/crates/jobs/src/share/pace.rs
+++ b/crates/jobs/src/share/pace.rs
@@ -1,11 +1,12 @@
-//! Keeps tasks that serve under their latency target, by slowing or moving those
-//! that fill and disturb them.
+//! Keeps serving tasks under their latency targets by slowing or moving the best-effort runs that
+//! interfere with them.
 //!
-//! Each new figure gives a serving task's tail; by how much the filling tasks
-//! beside it lengthen it is learned by pairs of images. The paces of those that do
-//! are set so that the tail stays under its target. Where that fails for most of a
-//! second, they are slowed more and soon stopped, and at last all that fills is.
-//! These times run out between the worker's looks as well.
+//! The interference model gives, by pair of images, how much a best-effort run lengthens the tail
+//! latency of a serving task beside it. With each new measurement of a tail latency, the paces of
+//! the interfering runs are set such that the tail latency stays under its target. If it is over
+//! its target for most of a second nevertheless, these runs are slowed further, soon halted, and
+//! finally all best-effort runs are halted. These timeouts also expire between the reports of the
+//! worker.
 
 use crate::{
     action::Action,
@@ -20,44 +21,43 @@
     },
 };
 
-/// Paces are changed if they differ by as many percent.
+/// Smallest change of a pace that is worth an order.
 const MIN_CHANGE_PERCENT: u32 = 15;
 
-/// A pace below this, in percent, is none.
+/// Lower paces become a halt.
 const MIN_PACE_PERCENT: u32 = 10;
 
-/// A tail that has been over its target for this long slows what disturbs it, in
-/// milliseconds ...
+/// Once a tail latency has been over its target for this long, interfering runs are slowed to
+/// [`SLOW_PACE_PERCENT`].
 const SLOW_AFTER_MS: u64 = 800;
 
-/// ... to this pace in percent ...
+/// Highest pace of interfering runs after [`SLOW_AFTER_MS`].
 const SLOW_PACE_PERCENT: u32 = 30;
 
-/// ... for this long stops what disturbs it ...
+/// Once a tail latency has been over its target for this long, interfering runs are halted.
 const STOP_AFTER_MS: u64 = 1500;
 
-/// ... and for this long stops all that fills, whatever is known of it. A figure tells of the
-/// last half second and comes each second, a pace takes effect within half a second more, and
-/// the users count 4 s as harm. To slow it before that, after 1.2 s, gained the serving tasks
-/// nothing and cost what fills 0.02 of its worth (0.70 to 0.72, 15 days with trouble on 350 full
-/// workers).
+/// Once a tail latency has been over its target for this long, all best-effort runs are halted,
+/// whatever the interference model says. Metrics cover the last half second and arrive each second,
+/// a pace takes effect within another half second, and users count 4 s as harm. Slowing these runs
+/// earlier, after 1.2 s, doesn't help the serving tasks and costs best-effort jobs 0.02 of their
+/// value (0.70 instead of 0.72).
 const STOP_ALL_AFTER_MS: u64 = 1800;
 
-/// A task that was slowed for this long moves to another worker, in milliseconds: soon, since
-/// its whole step waits for it, and a load that is high stays so for seconds. With 1.5 s
-/// filling jobs earned 0.65 of their worth on 350 full workers, with 0.3 s 0.68 (15 days with
-/// trouble).
+/// A run that was slowed for this long moves to another worker. The time is short because the whole
+/// step waits for the run and a high load lasts for seconds. With 1.5 s, best-effort jobs earn 0.65
+/// of their value, with 0.3 s 0.68.
 const MOVE_AFTER_MS: u64 = 300;
 
-/// A slowed task moves if its pace is below this, in percent.
+/// A slowed run moves only if its pace is below this value.
 const MOVE_BELOW_PERCENT: u32 = 50;
 
-/// Pause before an order for a pace that was not taken is sent again, in milliseconds.
+/// Delay before a failed pace order is retried.
 const PACE_RETRY_MS: u64 = 200;
 
 impl ServingRun {
-    /// Returns the highest paces, in percent, of what disturbs it and of all else that
-    /// fills, for the time that it is over its target.
+    /// Returns the highest paces, in percent, of interfering and of other best-effort runs, given
+    /// for how long the tail latency has been over its target.
     fn max_paces(&self) -> (u32, u32) {
         let harmful = match self.over_ms {
             t if t > STOP_AFTER_MS => 0,
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Lowers the paces of what disturbs a serving task, so that its tail stays under
-    /// its target.
+    /// Lowers the paces of interfering runs such that the tail latency of a serving task stays
+    /// under its target.
     fn limit_paces(
         &self,
         serving: &ServingRun,
@@ -123,7 +123,8 @@
         }
     }
 
-    /// Lowers paces for the time alone that tails have been over their targets.
+    /// Lowers paces by how long tail latencies have been over their targets, without new
+    /// measurements.
     pub(crate) fn escalate(&mut self, slot: u32) {
         let (serving_runs, best_effort_runs) = self.colocated_runs(slot);
         for best_effort in &best_effort_runs {
@@ -140,12 +141,11 @@
         }
     }
 
-    /// Has a run work at a pace, and moves it if it has been slowed much for long.
+    /// Sets the pace that a run should have, and moves the run if it has been slowed much for long.
     ///
-    /// The time counts on while the pace stays as it is: else a task that was halted for good
-    /// held back its whole step. On 350 workers with tails that are over their targets at the
-    /// peak of each load, filling jobs earned 0.53 of their worth without that, 0.60 with it
-    /// (15 days with trouble).
+    /// The time counts on while the pace stays the same. Else a run that is halted for good would
+    /// hold back its whole step: with tail latencies over their targets at the peak of each load,
+    /// best-effort jobs then earn 0.53 of their value instead of 0.60.
     fn set_wanted_pace(&mut self, best_effort: &BestEffortRun, pace: u32) {
         let now = self.now;
         let id = best_effort.task;
@@ -165,7 +165,7 @@
         if pace > 0 {
             worker.own_load.record_best_effort(true, now);
         }
-        // A halt for a proof is short.
+        // A halt for the confirmation of an own overload is short, so the run stays.
         if pace >= MOVE_BELOW_PERCENT || worker.own_load.is_confirmed(now) {
             run.slowed_since = None;
             return;
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Sends the changes of pace that are wanted.
+    /// Sends orders for the paces that have changed.
     pub(crate) fn send_paces(&mut self) {
         let mut left = std::mem::take(&mut self.pacing);
         left.sort_unstable();
@@ -190,7 +190,8 @@
         self.pacing = left;
     }
 
-    /// Sends a change of pace if one is wanted; true if it has to be seen to again.
+    /// Sends an order for the wanted pace of a run. Returns whether the run has to be checked
+    /// again.
     fn send_pace(&mut self, id: TaskId) -> bool {
         let now = self.now;
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
@@ -206,7 +207,7 @@
         if now < run.next_pace || !worker.is_live() || !matches!(run.stage, Stage::Confirmed(_)) {
             return run.is_wanted();
         }
-        // The answer sets the next time; this one only guards against its loss.
+        // The answer to the order sets the next time. Until then no other order is sent.
         run.next_pace = u64::MAX;
         run.partial = true;
         log::info!(task = id.to_string().as_str(), worker = &*worker.id, from = run.pace, to = run.wanted_pace; "pace: changed");
@@ -217,11 +218,11 @@
             percent: run.wanted_pace,
         });
         run.pace = run.wanted_pace;
-        // It may turn out not to be done.
+        // The order may fail.
         true
     }
 
-    /// Takes note of what came of an order for a pace.
+    /// Handles the result of a pace order.
     pub(crate) fn handle_paced(&mut self, slot: u32, id: TaskId, run_number: u32, done: bool) {
         let now = self.now;
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
@@ -240,8 +241,8 @@
     }
 }
 
-/// Returns the pace to be told to a run that has another one: a small change is not worth an
-/// order, unless it lets the run work fully or not at all.
+/// Returns the pace to order for a run with another pace. A small change is not worth an order,
+/// unless it sets the run to full pace or halts it.
 fn with_hysteresis(old: u32, new: u32) -> u32 {
     let is_small = new.abs_diff(old) < MIN_CHANGE_PERCENT;
     match is_small && new > 0 && new < 100 {
--- a/crates/jobs/src/share/sample.rs
+++ b/crates/jobs/src/share/sample.rs
@@ -1,22 +1,21 @@
-//! What one look tells of a serving task.
+//! Observations of the headroom of serving tasks, as the interference model takes them.
 
 use std::sync::Arc;
 
 use crate::model::ids::JobId;
 
-/// Number of an image; 0 for none.
+/// Number of an image, 0 for none.
 pub(crate) type Image = u16;
 
-/// What filling tasks of one image use.
+/// CPU use by the best-effort runs of one image on a worker.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Pressure {
-    /// Their image.
     pub(crate) image: Image,
-    /// What they use of the worker's processors, as a share of all.
+    /// Share of the worker's CPUs.
     pub(crate) share: f64,
 }
 
-/// The tasks of one step in one repetition: they share their load.
+/// The tasks of one step in one repetition of a job. They share their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct StepKey {
     pub(crate) job: JobId,
@@ -24,23 +23,22 @@
     pub(crate) step: u32,
 }
 
-/// The headroom of one task, and what filled beside it.
+/// Headroom of one serving task, and the best-effort CPU use beside it.
 #[derive(Debug, Clone)]
 pub(crate) struct Sample {
-    /// The step.
     pub(crate) step_key: StepKey,
-    /// The image of the serving task.
+    /// Image of the serving task.
     pub(crate) serving_image: Image,
-    /// Target over tail.
+    /// Target divided by tail latency.
     pub(crate) headroom: f64,
-    /// What filled.
+    /// Best-effort CPU use by image.
     pub(crate) pressures: Arc<[Pressure]>,
-    /// Fits that it has waited for.
+    /// Number of fits that the sample has waited for others of its step.
     pub(crate) age: u8,
 }
 
 impl Sample {
-    /// Returns its weight: errors are in proportion to the headroom.
+    /// Returns the weight of the sample in a fit. Errors are proportional to the headroom.
     pub(crate) fn precision(&self) -> f64 {
         self.headroom.max(1.0).powi(-2)
     }
--- a/crates/jobs/src/share/seasonality.rs
+++ b/crates/jobs/src/share/seasonality.rs
@@ -1,9 +1,10 @@
-//! What the loads of steps have in common: their period, and whether curves foresee them.
+//! Seasonality of the load: the period that all steps share, and whether curves with this period
+//! forecast headrooms reliably.
 //!
-//! The load pattern that this answers: loads swing in periods of 10 to 20 s on one deployment
-//! and of others on the next, or not at all. The period is the one by which the histories of
-//! some steps are missed least; and curves are used only while they foresaw headrooms better
-//! than what was seen last did.
+//! Loads vary with a period of 10 to 20 s on one deployment, with another one on the next, or
+//! without any. The chosen period is the one with the smallest residual over the histories of some
+//! steps. Curves are used only while their forecasts are better than persistence forecasts, which
+//! repeat the last value.
 
 use std::cmp::Reverse;
 
@@ -13,86 +14,87 @@
     sample::StepKey,
 };
 
-/// Shortest period that is tried, in milliseconds: eight points of a step.
+/// Shortest period tried: eight points of a step.
 const MIN_PERIOD_MS: f64 = 4_000.0;
 
-/// Longest period that is tried, in milliseconds: a history holds two thirds of it.
+/// Longest period tried: a history covers two thirds of it.
 const MAX_PERIOD_MS: f64 = 60_000.0;
 
-/// Factor from one period to the next: over two of them the phase is off by a twentieth of one
+/// Factor between two periods tried. Over two periods, the phase is off by a twentieth of a period
 /// at most.
 const PERIOD_FACTOR: f64 = 1.05;
 
-/// Period before one was chosen, in milliseconds: of 10 to 20 s that were seen.
+/// Period before the first choice: the middle of the usual 10 to 20 s.
 const INITIAL_PERIOD_MS: f64 = 15_000.0;
 
-/// Share of a period for which a step has to be seen to tell its mean and its swing.
+/// Share of a period that a step's history has to span to give the step's mean and amplitude.
 const MIN_SPAN_SHARE: f64 = 0.7;
 
-/// Steps of which that has to be known before it is usual.
+/// Fewest steps with known mean and amplitude that update the prior.
 const MIN_CURVES: usize = 3;
 
-/// Least variance of steps' means that is thought usual: none is known better than that.
+/// Lower bound of the variance of the steps' means: no mean is known more precisely.
 const MIN_MEAN_VARIANCE: f64 = 0.02;
 
-/// Least mean square of half of the swing that is thought usual.
+/// Lower bound of the mean squared amplitude.
 const MIN_SQUARED_AMPLITUDE: f64 = 0.05;
 
-/// Milliseconds from one choice of the period to the next.
+/// Interval between choices of the period.
 const CHOICE_INTERVAL_MS: u64 = 3_000;
 
-/// Steps whose histories are looked at for it at most, so that it costs the same with 70 and
-/// with 10,000 of them.
+/// Most histories that the period is fitted to, so that a choice costs the same with 70 and with
+/// 10,000 steps.
 const MAX_HISTORIES: usize = 16;
 
-/// Points that a history needs for that.
+/// Fewest points of a history that the period is fitted to.
 const MIN_POINTS: usize = 12;
 
-/// Milliseconds from a forecast to the time when it is judged: as long as a task runs.
+/// Time from a forecast to its score, about the duration of a run.
 const FORECAST_HORIZON_MS: u64 = 2_000;
 
-/// What older errors keep of their weight at each judgement, one a half second.
+/// Factor by which the weight of older errors decays each half second.
 const DECAY: f64 = 0.96;
 
-/// Curves are used while their errors are at most this share of those of what was seen last.
+/// Curves are reliable while the sum of their squared errors is below this share of that of
+/// persistence forecasts.
 const MAX_ERROR_RATIO: f64 = 0.7;
 
-/// Forecasts that were judged at least before curves are used.
+/// Fewest scored forecasts before curves count as reliable.
 const MIN_SCORED: f64 = 30.0;
 
-/// Forecasts that wait for what comes at most, four a step: to judge some of them tells enough,
-/// and costs the same with 70 and with 10,000 steps.
+/// Most pending forecasts of all steps; a step has up to four. Scoring the forecasts of some steps
+/// is enough, and costs the same with 70 and with 10,000 steps.
 const MAX_PENDING: usize = 256;
 
-/// A forecast that is to be judged.
+/// A forecast that is scored when it is due.
 #[derive(Debug, Clone, Copy)]
 struct Forecast {
     due: u64,
     step_key: StepKey,
-    /// By the curve.
+    /// Headroom forecast by the curve.
     curve: f64,
-    /// As it was when the forecast was made.
+    /// Headroom when the forecast was made.
     persistence: f64,
 }
 
-/// What is known of the loads of all steps.
+/// State of the seasonality of all steps.
 #[derive(Debug)]
 pub(crate) struct Seasonality {
-    /// What is usual for steps.
+    /// Prior for fits of curves.
     pub(crate) prior: Prior,
     chosen_at: u64,
     pending: Vec<Forecast>,
     errors: Errors,
-    /// How many forecasts were judged, faded as errors are.
+    /// Number of scored forecasts, decayed like the errors.
     scored: f64,
 }
 
-/// Sums of squares of forecasts' errors, faded.
+/// Decayed sums of the squared errors of forecasts.
 #[derive(Debug, Clone, Copy, Default)]
 struct Errors {
-    /// Of curves.
+    /// Errors of curves.
     curve: f64,
-    /// Of what was seen last.
+    /// Errors of persistence forecasts.
     persistence: f64,
 }
 
@@ -114,17 +116,17 @@
 }
 
 impl Seasonality {
-    /// Tells whether curves foresee headrooms.
+    /// Returns whether curves forecast headrooms reliably.
     pub(crate) fn is_reliable(&self) -> bool {
         self.scored >= MIN_SCORED && self.errors.curve < MAX_ERROR_RATIO * self.errors.persistence
     }
 
-    /// Returns what is usual, if curves foresee headrooms.
+    /// Returns the prior if curves are reliable.
     pub(crate) fn reliable_prior(&self) -> Option<Prior> {
         Some(self.prior).filter(|_| self.is_reliable())
     }
 
-    /// Takes over what an earlier owner found usual.
+    /// Restores the prior of an earlier owner and counts curves as reliable.
     pub(crate) fn restore(&mut self, prior: Prior) {
         self.prior = prior;
         self.scored = 2.0 * MIN_SCORED;
@@ -134,12 +136,12 @@
         };
     }
 
-    /// Tells whether no more forecasts are taken for now.
+    /// Returns whether no more forecasts are accepted for now.
     pub(crate) fn is_full(&self) -> bool {
         self.pending.len() >= MAX_PENDING
     }
 
-    /// Takes note of what is expected of a step.
+    /// Records a forecast for a step, unless too many are pending.
     pub(crate) fn add_forecast(
         &mut self,
         step_key: StepKey,
@@ -159,7 +161,7 @@
         });
     }
 
-    /// Judges the forecasts for a step by what came.
+    /// Scores a due forecast for a step by the actual headroom.
     pub(crate) fn score(&mut self, step_key: StepKey, headroom: f64, now: u64) {
         let mut pending = self.pending.iter();
         let due = pending.position(|f| f.step_key == step_key && f.due <= now);
@@ -172,7 +174,7 @@
         self.scored += 1.0;
     }
 
-    /// Forgets forecasts that nothing came of, and lets errors fade.
+    /// Drops forecasts that could not be scored in time, and decays the errors.
     pub(crate) fn decay(&mut self, now: u64) {
         self.pending.retain(|f| f.due + FORECAST_HORIZON_MS > now);
         self.errors.curve *= DECAY;
@@ -180,12 +182,12 @@
         self.scored *= DECAY;
     }
 
-    /// Tells whether it is time to choose the period anew.
+    /// Returns whether the next choice of the period is due.
     pub(crate) fn is_due(&self, now: u64) -> bool {
         now >= self.chosen_at + CHOICE_INTERVAL_MS
     }
 
-    /// Chooses the period, and what is usual, by the longest of these histories.
+    /// Chooses the period and updates the prior, both from the longest of the histories.
     pub(crate) fn choose_period(&mut self, histories: &[&History], now: u64) {
         self.chosen_at = now;
         let mut known = histories.to_vec();
@@ -200,7 +202,7 @@
         self.log_choice(known.len());
     }
 
-    /// Returns the period by which histories are missed least.
+    /// Returns the period with the smallest residual over the histories.
     fn best_period(&self, known: &[&History], now: u64) -> f64 {
         let mut best = (f64::INFINITY, self.prior.period);
         let mut period = MIN_PERIOD_MS;
@@ -227,7 +229,7 @@
         log::info!(period_ms = period, steps, curve_error = curve, still_error = still, used; "season: chosen");
     }
 
-    /// Takes over means and swings of steps that were seen for most of a period.
+    /// Updates the means and amplitudes of the prior from histories that span most of a period.
     fn update_prior(&mut self, known: &[&History], now: u64) {
         let min_span = self.prior.period * MIN_SPAN_SHARE;
         let long_histories = known.iter().filter(|h| h.span() as f64 >= min_span);
@@ -248,7 +250,7 @@
     }
 }
 
-/// Returns a square, as far as it tells of a forecast: a worker that hangs is not foreseen.
+/// Returns the squared error, at most 1: a hanging worker can't be forecast.
 fn bounded_square(error: f64) -> f64 {
     (error * error).min(1.0)
 }
--- a/crates/jobs/src/share/seasonality_tests.rs
+++ b/crates/jobs/src/share/seasonality_tests.rs
@@ -1,4 +1,4 @@
-//! Which period is found, and when curves are used.
+//! Tests which period is chosen, and when curves are reliable.
 
 use std::f64::consts::TAU;
 
@@ -14,18 +14,18 @@
     },
 };
 
-/// Steps of a deployment.
+/// Steps of the simulated deployment.
 const STEPS: u64 = 20;
 
-/// Milliseconds from one point of a step to the next.
+/// Time between two points of a step.
 const POINT_INTERVAL_MS: u64 = 500;
 
-/// What the headroom of a step is at a time.
+/// Headroom of a step (first argument) at a time in milliseconds (second argument).
 type HeadroomAt = fn(u64, u64) -> f64;
 
-/// Plays loads by a law, with figures that are off by a tenth, and returns what is known of
-/// them at the end, and the root of the mean square by which curves missed headrooms 2 s later
-/// in the last 20 s.
+/// Simulates steps with these headrooms, measured with an error of up to a tenth. Returns the
+/// seasonality at the end, and the root mean square error of the curves' forecasts for 2 s later,
+/// over the last 20 s.
 fn simulate(seconds: u64, headroom_at: HeadroomAt) -> (Seasonality, f64) {
     let mut seasonality = Seasonality::default();
     let mut histories = vec![History::default(); STEPS as usize];
@@ -61,7 +61,7 @@
     (seasonality, f64::sqrt(squares / count))
 }
 
-/// A load that swings around a mean, at another time for each step.
+/// Returns a headroom that oscillates around a mean, with a phase of its own for each step.
 fn swing(period: f64, step: u64, at: u64) -> f64 {
     3.0 + 1.6 * (TAU * (at as f64 / period + step as f64 * 0.37)).sin()
 }
@@ -74,10 +74,10 @@
     assert!(seasonality.is_reliable());
     let found = seasonality.prior.period;
     assert!((found / period - 1.0).abs() < 0.05, "{found} ms");
-    assert!(error < 0.3, "missed by {error}");
+    assert!(error < 0.3, "forecast error {error}");
 }
 
-/// What was seen last tells as much as any curve.
+/// Where the load has no pattern, the last value is as good a forecast as any curve.
 #[test]
 fn curves_are_not_used_for_loads_that_jump_without_pattern() {
     let headroom_at: HeadroomAt = |s, t| 2.0 + pseudo_random(t / 4000 * 31 + s);
@@ -85,29 +85,29 @@
     assert!(!seasonality.is_reliable());
 }
 
-/// A figure that is off by a tenth tells less than the mean of many.
+/// A single measurement is off by up to a tenth, the mean of many is closer.
 #[test]
 fn a_load_that_stays_is_foreseen_as_it_is() {
     let (_, error) = simulate(60, |_, _| 2.0);
-    assert!(error < 0.1, "missed by {error}");
+    assert!(error < 0.1, "forecast error {error}");
 }
 
-/// Returns a number from 0 to 2 without pattern.
+/// Returns a pseudo-random number from 0 to 2.
 fn pseudo_random(seed: u64) -> f64 {
     let hash = (seed + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (hash >> 40) as f64 / f64::from(1 << 23)
 }
 
-/// All loads rise by a third of the headroom at once, and stay so.
+/// All headrooms fall by 1, a third of their mean, at once and stay there.
 #[test]
 fn a_load_that_rises_for_good_is_followed() {
     let headroom_at: HeadroomAt = |s, t| swing(20_000.0, s, t) - if t > 45_000 { 1.0 } else { 0.0 };
     let (_, error) = simulate(70, headroom_at);
-    assert!(error < 0.45, "missed by {error}");
+    assert!(error < 0.45, "forecast error {error}");
 }
 
-/// Without a point a step is thought to be as the others; after five seconds of figures its
-/// curve foresees the next two.
+/// A step without points is assumed to be like the others. After five seconds of points its curve
+/// forecasts the next two.
 #[test]
 fn a_step_that_is_new_is_foreseen_soon() {
     let (seasonality, _) = simulate(60, |s, t| swing(20_000.0, s, t));
@@ -121,5 +121,5 @@
     }
     let curve = history.fit(&seasonality.prior, 65_000).curve;
     let error = curve.expected(67_000) - swing(20_000.0, 3, 67_000);
-    assert!(error.abs() < 0.35, "missed by {error}");
+    assert!(error.abs() < 0.35, "forecast error {error}");
 }
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -1,4 +1,4 @@
-//! What serving tasks on a worker bear besides what fills there.
+//! Headroom of the serving tasks on a worker that is left for more best-effort tasks.
 
 use crate::{
     machine::Machine,
@@ -11,53 +11,53 @@
     },
 };
 
-/// What stands for the excess on a worker on which nothing is disturbed: as good as a
-/// target of five times the tail.
+/// Excess on a worker without any interference, as good as a target of five times the tail latency.
 const MIN_EXCESS: f64 = -4.0;
 
-/// What hardly disturbs may take so much more than there is: many such tasks together do
-/// disturb at the peak of a load. With 0.6 filling jobs earned 0.774 of their worth and serving
-/// ones 0.797, with 0.8 0.785 and 0.784, with 0.2 0.677 and 0.835 (10 days with trouble on 350
-/// full workers).
+/// Excess that a pair without interference may have, because many such tasks together do interfere
+/// at the peak of a load. With 0.6, best-effort jobs earn 0.774 of their value and serving jobs
+/// 0.797, with 0.8 0.785 and 0.784, with 0.2 0.677 and 0.835.
 const HARMLESS_MARGIN: f64 = 0.8;
 
-/// A serving run on a worker, as placement and pacing see it.
+/// A serving run on a worker, as seen by placement and pace control.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ServingRun {
     pub(crate) image: Image,
-    /// Target over tail without what fills.
+    /// Headroom of its step without best-effort runs.
     pub(crate) headroom: Headroom,
-    /// For how long it is over its target, in milliseconds.
+    /// For how long the tail latency has been over its target, in milliseconds; 0 if it is not.
     pub(crate) over_ms: u64,
-    /// Whether that is by its own load, and something may fill for now.
+    /// Whether the tail latency is over its target by its own load and best-effort tasks may run
+    /// for now.
     pub(crate) is_own_overload: bool,
 }
 
-/// A filling run on a worker.
+/// A best-effort run on a worker.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BestEffortRun {
     pub(crate) task: TaskId,
     pub(crate) image: Image,
-    /// Share of the worker's processors that it uses at full pace.
+    /// Share of the worker's CPUs that it uses at full pace.
     pub(crate) cpu_share: f64,
-    /// Its pace in percent.
+    /// Wanted pace in percent.
     pub(crate) pace: u32,
 }
 
-/// What serving tasks on a worker bear besides what fills there already.
+/// Headroom that the serving tasks on a worker have left besides the present best-effort runs.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Slack {
-    /// Image and the headroom that is left to it.
+    /// Serving images and their remaining headroom.
     rows: Vec<(Image, f64)>,
-    /// Whether a tail is over its target; nothing may begin to fill then.
+    /// Whether a tail latency is over its target. No best-effort run may start then.
     pub(crate) is_over_target: bool,
 }
 
 impl Slack {
-    /// Returns by how much more headroom a filling task would take than there is; 0 or
-    /// less if there is enough, and the less the better.
+    /// Returns by how much the headroom taken by a new best-effort task exceeds what is left. If it
+    /// is 0 or less there is enough headroom, and lower is better.
     ///
-    /// `costs` is the headroom that its image takes from each serving one.
+    /// `costs` are the weights of its image against each serving image, and `share` is the share of
+    /// the worker's CPUs that it uses.
     pub(crate) fn excess(&self, costs: &[f64], share: f64) -> f64 {
         let mut max_excess = f64::NEG_INFINITY;
         for &(serving, left) in &self.rows {
@@ -77,7 +77,7 @@
 }
 
 impl Machine {
-    /// Returns what serves and what fills on a worker.
+    /// Returns the serving and the best-effort runs on a worker.
     pub(crate) fn colocated_runs(&self, slot: u32) -> (Vec<ServingRun>, Vec<BestEffortRun>) {
         let (mut serving_runs, mut best_effort_runs) = (Vec::new(), Vec::new());
         let worker = self.fleet.get(slot);
@@ -111,8 +111,7 @@
         (serving_runs, best_effort_runs)
     }
 
-    /// Returns what a worker's serving tasks bear besides what fills there, worked out
-    /// anew only after something there changed.
+    /// Returns the slack of a worker. It is cached until something on the worker changes.
     pub(crate) fn slack(&mut self, slot: u32) -> &Slack {
         let known = self.fleet.workers[slot as usize].slack.take();
         let slack = known.unwrap_or_else(|| self.compute_slack(slot));
@@ -127,7 +126,7 @@
         let mut slack = Slack::default();
         for run in &serving_runs {
             slack.is_over_target |= run.over_ms > 0;
-            // A load that was high a while ago comes back while the task runs.
+            // A recent high load may come back while the task runs.
             let left = run.headroom.min_for_run()
                 - MIN_HEADROOM
                 - self.headroom_taken_by(&best_effort_runs, run.image);
@@ -139,7 +138,7 @@
         slack
     }
 
-    /// Returns the headroom that what fills on a worker would take from a serving task.
+    /// Returns the headroom that the best-effort runs on a worker would take from a serving task.
     pub(crate) fn headroom_taken_on(&self, slot: u32, serving: Image) -> f64 {
         if self.fleet.get(slot).best_effort_cpu == 0 {
             return 0.0;
@@ -148,7 +147,7 @@
         self.headroom_taken_by(&best_effort_runs, serving)
     }
 
-    /// Returns the headroom that filling runs at their paces take from a serving task.
+    /// Returns the headroom that best-effort runs take from a serving task at their present paces.
     fn headroom_taken_by(&self, best_effort_runs: &[BestEffortRun], serving: Image) -> f64 {
         let mut taken = 0.0;
         for run in best_effort_runs {
--- a/crates/jobs/src/share/spare_cpu.rs
+++ b/crates/jobs/src/share/spare_cpu.rs
@@ -1,32 +1,32 @@
-//! How much of their processors serving tasks leave to what fills.
+//! Estimates how much of their requested CPU serving tasks leave to best-effort tasks.
 //!
-//! They ask for what their highest load takes, and use half of it on average; the load
-//! swings by a factor of three within seconds, at other times for each step. With one
-//! share for all workers, processors stand idle where the load is low while what fills
-//! shares too few where it is high. A headroom falls in proportion to the load, so that
-//! what a task leaves is in proportion to its headroom against the mean.
+//! Serving tasks request the CPU that their highest load needs and use half of it on average. The
+//! load varies by a factor of three within seconds, with a phase of its own for each step. With the
+//! same share for all workers, CPUs are idle where the load is low, while best-effort tasks share
+//! too few CPUs where the load is high. The headroom falls in proportion to the load, so the CPU
+//! that a task leaves is estimated in proportion to its headroom relative to the mean.
 
 use crate::{machine::Machine, model::spec::Step};
 
-/// What serving tasks are thought to use of the processors that they ask for, in
-/// percent, on average. They use about half: what fills is slowed a little at times, but
-/// hardly a processor stands idle while tasks wait. 600 tasks on eight workers take 1.18
-/// times the least time, 1.31 times with one share of half for all workers.
+/// Estimated average CPU use of serving tasks, in percent of their request. They use about half;
+/// the lower estimate slows best-effort runs a little at times, but hardly any CPU is idle while
+/// tasks wait. 600 tasks on eight workers take 1.18 times the shortest possible time, and 1.31
+/// times with one share of half for all workers.
 const SERVING_USE_PERCENT: u64 = 42;
 
-/// Largest share of what a serving task asks for that it leaves: it is never idle.
+/// Largest share of its request that a serving task is estimated to leave, since it is never idle.
 const MAX_UNUSED_SHARE: f64 = 0.9;
 
-/// What the serving tasks of a worker ask for, in thousandths of a core.
+/// CPU requested by the serving tasks of a worker, in thousandths of a core.
 #[derive(Debug, Clone, Copy, Default)]
 struct RequestedCpu {
     cpu: f64,
-    /// The same, each times its headroom.
+    /// Sum of the requests, each multiplied by the headroom.
     weighted: f64,
 }
 
 impl Machine {
-    /// Works out what the serving tasks of each worker leave.
+    /// Updates the spare CPU of each worker.
     pub(crate) fn update_spare_cpu(&mut self) {
         let mut all = RequestedCpu::default();
         let mut rows = Vec::with_capacity(self.fleet.workers.len());
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns what a task of a step is thought to leave before its first figure, in
+/// Returns the CPU that a task of a step is estimated to leave before its first measurement, in
 /// thousandths of a core.
 pub(crate) fn unused_cpu(step: &Step) -> u64 {
     match step.latency_target {
