--- a/crates/jobs/src/share/metrics.rs
+++ b/crates/jobs/src/share/metrics.rs
@@ -49,7 +49,7 @@
             let Some(run) = task.and_then(|t| t.run.as_mut()) else {
                 continue;
             };
-            let Some(ms) = row.metric.filter(|f| *f > 0) else {
+            let Some(ms) = row.metric.filter(|ms| *ms > 0) else {
                 run.record_no_latency();
                 is_over |= run.over_since.is_some();
                 continue;
@@ -135,8 +135,8 @@
             return false;
         }
         let (_, best_effort_runs) = self.colocated_runs(slot);
-        let runs = best_effort_runs.iter().filter_map(|f| {
-            let task = self.jobs.get(&f.task.job)?.task(f.task)?;
+        let runs = best_effort_runs.iter().filter_map(|run| {
+            let task = self.jobs.get(&run.task.job)?.task(run.task)?;
             task.run.as_ref()
         });
         let mut working = runs.filter(|r| r.pace > 0 || r.wanted_pace > 0);
@@ -151,7 +151,7 @@
         let running = report.running.iter().map(|r| (r.task, r.metric));
         let ended = ended.iter().map(|e| (e.task, None));
         let mut out: Vec<Pressure> = Vec::new();
-        for (task, figure) in running.chain(ended) {
+        for (task, cpu_used) in running.chain(ended) {
             let Some(state) = self.jobs.get(&task.job) else {
                 continue;
             };
@@ -162,7 +162,7 @@
                 continue;
             }
             let image = state.images[task.step as usize];
-            let share = self.fleet.get(slot).cpu_share(figure.unwrap_or(step.cpu));
+            let share = self.fleet.get(slot).cpu_share(cpu_used.unwrap_or(step.cpu));
             match out.iter_mut().find(|p| p.image == image) {
                 Some(p) => p.share += share,
                 None => out.push(Pressure { image, share }),
--- a/crates/jobs/src/share/pace.rs
+++ b/crates/jobs/src/share/pace.rs
@@ -35,14 +35,14 @@
 const SLOW_PACE_PERCENT: u32 = 30;
 
 /// Once a tail latency has been over its target for this long, interfering runs are halted.
-const STOP_AFTER_MS: u64 = 1500;
+const HALT_AFTER_MS: u64 = 1500;
 
 /// Once a tail latency has been over its target for this long, all best-effort runs are halted,
 /// whatever the interference model says. Metrics cover the last half second and arrive each second,
 /// a pace takes effect within another half second, and users count 4 s as harm. Slowing these runs
 /// earlier, after 1.2 s, doesn't help the serving tasks and costs best-effort jobs 0.02 of their
 /// value (0.70 instead of 0.72).
-const STOP_ALL_AFTER_MS: u64 = 1800;
+const HALT_ALL_AFTER_MS: u64 = 1800;
 
 /// A run that was slowed for this long moves to another worker. The time is short because the whole
 /// step waits for the run and a high load lasts for seconds. With 1.5 s, best-effort jobs earn 0.65
@@ -59,16 +59,16 @@
     /// Returns the highest paces, in percent, of interfering and of other best-effort runs, given
     /// for how long the tail latency has been over its target.
     fn max_paces(&self) -> (u32, u32) {
-        let harmful = match self.over_ms {
-            t if t > STOP_AFTER_MS => 0,
+        let interfering = match self.over_ms {
+            t if t > HALT_AFTER_MS => 0,
             t if t > SLOW_AFTER_MS => SLOW_PACE_PERCENT,
             _ => 100,
         };
-        let others = match self.over_ms {
-            t if t > STOP_ALL_AFTER_MS => 0,
+        let other = match self.over_ms {
+            t if t > HALT_ALL_AFTER_MS => 0,
             _ => 100,
         };
-        (harmful, others)
+        (interfering, other)
     }
 }
 
@@ -76,8 +76,11 @@
     pub(crate) fn choose_paces(&mut self, slot: u32) {
         let (serving_runs, best_effort_runs) = self.colocated_runs(slot);
         let mut paces = vec![100; best_effort_runs.len()];
-        for s in serving_runs.iter().filter(|s| !s.is_own_overload) {
-            self.limit_paces(s, &best_effort_runs, &mut paces);
+        for serving in serving_runs
+            .iter()
+            .filter(|serving| !serving.is_own_overload)
+        {
+            self.limit_paces(serving, &best_effort_runs, &mut paces);
         }
         for (best_effort, pace) in best_effort_runs.iter().zip(paces) {
             let pace = if pace < MIN_PACE_PERCENT { 0 } else { pace };
@@ -109,15 +112,15 @@
             true => (available.max(0.0) / demand * 100.0) as u32,
             false => 100,
         };
-        let (harmful, others) = serving.max_paces();
+        let (interfering, other) = serving.max_paces();
         for (best_effort, pace) in best_effort_runs.iter().zip(paces) {
-            let harms = self
+            let is_interfering = self
                 .interference
                 .interferes(best_effort.image, serving.image);
-            let max_pace = if harms {
-                fitting_pace.min(harmful)
+            let max_pace = if is_interfering {
+                fitting_pace.min(interfering)
             } else {
-                others
+                other
             };
             *pace = (*pace).min(max_pace);
         }
@@ -128,11 +131,15 @@
     pub(crate) fn escalate(&mut self, slot: u32) {
         let (serving_runs, best_effort_runs) = self.colocated_runs(slot);
         for best_effort in &best_effort_runs {
-            let limiting = serving_runs.iter().filter(|s| !s.is_own_overload);
-            let max_pace = limiting.map(|s| {
-                let harms = self.interference.interferes(best_effort.image, s.image);
-                let (harmful, others) = s.max_paces();
-                if harms { harmful } else { others }
+            let limiting = serving_runs
+                .iter()
+                .filter(|serving| !serving.is_own_overload);
+            let max_pace = limiting.map(|serving| {
+                let is_interfering = self
+                    .interference
+                    .interferes(best_effort.image, serving.image);
+                let (interfering, other) = serving.max_paces();
+                if is_interfering { interfering } else { other }
             });
             let max_pace = max_pace.min().unwrap_or(100);
             if max_pace < best_effort.pace {
@@ -183,11 +190,11 @@
 
     /// Sends orders for the paces that have changed.
     pub(crate) fn send_paces(&mut self) {
-        let mut left = std::mem::take(&mut self.pacing);
-        left.sort_unstable();
-        left.dedup();
-        left.retain(|&id| self.send_pace(id));
-        self.pacing = left;
+        let mut pending = std::mem::take(&mut self.pacing);
+        pending.sort_unstable();
+        pending.dedup();
+        pending.retain(|&id| self.send_pace(id));
+        self.pacing = pending;
     }
 
     /// Sends an order for the wanted pace of a run. Returns whether the run has to be checked
@@ -223,7 +230,7 @@
     }
 
     /// Handles the result of a pace order.
-    pub(crate) fn handle_paced(&mut self, slot: u32, id: TaskId, run_number: u32, done: bool) {
+    pub(crate) fn handle_paced(&mut self, slot: u32, id: TaskId, run_number: u32, is_done: bool) {
         let now = self.now;
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         let Some(task) = task.filter(|t| t.last_run == run_number) else {
@@ -233,7 +240,7 @@
             return;
         };
         run.next_pace = 0;
-        if !done {
+        if !is_done {
             run.pace = UNKNOWN_PACE;
             run.next_pace = now + PACE_RETRY_MS;
             self.pacing.push(id);
--- a/crates/jobs/src/share/seasonality_tests.rs
+++ b/crates/jobs/src/share/seasonality_tests.rs
@@ -62,13 +62,13 @@
 }
 
 /// Returns a headroom that oscillates around a mean, with a phase of its own for each step.
-fn swing(period: f64, step: u64, at: u64) -> f64 {
+fn periodic_headroom(period: f64, step: u64, at: u64) -> f64 {
     3.0 + 1.6 * (TAU * (at as f64 / period + step as f64 * 0.37)).sin()
 }
 
-#[test_case(10_000.0, |s, t| swing(10_000.0, s, t); "of 10 s")]
-#[test_case(14_000.0, |s, t| swing(14_000.0, s, t); "of 14 s")]
-#[test_case(20_000.0, |s, t| swing(20_000.0, s, t); "of 20 s")]
+#[test_case(10_000.0, |s, t| periodic_headroom(10_000.0, s, t); "of 10 s")]
+#[test_case(14_000.0, |s, t| periodic_headroom(14_000.0, s, t); "of 14 s")]
+#[test_case(20_000.0, |s, t| periodic_headroom(20_000.0, s, t); "of 20 s")]
 fn the_period_of_loads_is_found(period: f64, headroom_at: HeadroomAt) {
     let (seasonality, error) = simulate(60, headroom_at);
     assert!(seasonality.is_reliable());
@@ -87,7 +87,7 @@
 
 /// A single measurement is off by up to a tenth, the mean of many is closer.
 #[test]
-fn a_load_that_stays_is_foreseen_as_it_is() {
+fn a_constant_load_is_forecast_as_it_is() {
     let (_, error) = simulate(60, |_, _| 2.0);
     assert!(error < 0.1, "forecast error {error}");
 }
@@ -100,8 +100,9 @@
 
 /// All headrooms fall by 1, a third of their mean, at once and stay there.
 #[test]
-fn a_load_that_rises_for_good_is_followed() {
-    let headroom_at: HeadroomAt = |s, t| swing(20_000.0, s, t) - if t > 45_000 { 1.0 } else { 0.0 };
+fn a_lasting_rise_of_the_load_is_followed() {
+    let headroom_at: HeadroomAt =
+        |s, t| periodic_headroom(20_000.0, s, t) - if t > 45_000 { 1.0 } else { 0.0 };
     let (_, error) = simulate(70, headroom_at);
     assert!(error < 0.45, "forecast error {error}");
 }
@@ -109,17 +110,17 @@
 /// A step without points is assumed to be like the others. After five seconds of points its curve
 /// forecasts the next two.
 #[test]
-fn a_step_that_is_new_is_foreseen_soon() {
-    let (seasonality, _) = simulate(60, |s, t| swing(20_000.0, s, t));
+fn a_new_step_is_forecast_after_five_seconds() {
+    let (seasonality, _) = simulate(60, |s, t| periodic_headroom(20_000.0, s, t));
     let mut history = History::default();
     for at in (60_000..65_000).step_by(POINT_INTERVAL_MS as usize) {
         history.push(Point {
             at,
-            headroom: swing(20_000.0, 3, at),
+            headroom: periodic_headroom(20_000.0, 3, at),
             precision: 20.0,
         });
     }
     let curve = history.fit(&seasonality.prior, 65_000).curve;
-    let error = curve.expected(67_000) - swing(20_000.0, 3, 67_000);
+    let error = curve.expected(67_000) - periodic_headroom(20_000.0, 3, 67_000);
     assert!(error.abs() < 0.35, "forecast error {error}");
 }
