--- a/crates/jobs/src/model/step.rs
+++ b/crates/jobs/src/model/step.rs
@@ -138,7 +138,7 @@
             };
             seen.observe_run(run.percent, now - run.placed_at);
         }
-        seen.longest(guesses, guess, self.tasks.len())
+        seen.longest_ms(guesses, guess, self.tasks.len())
     }
 
     /// Returns how many runs the step has on a worker.
--- a/crates/jobs/src/order/estimates.rs
+++ b/crates/jobs/src/order/estimates.rs
@@ -10,21 +10,21 @@
 use serde::{Deserialize, Serialize};
 
 /// Differences that the callers' guess is worth as they are, in squared logarithms.
-const PRIOR: f64 = 4.0;
+const PRIOR_WEIGHT: f64 = 4.0;
 
 /// Tasks that the line is worth when tasks of the step itself have ended: the tasks of
 /// a step differ by a third, steps of one guess by a half.
-const LINE: f64 = 0.4;
+const ESTIMATE_WEIGHT: f64 = 0.4;
 
 /// Older tasks count half when so many are known.
-const MOST: f64 = 4000.0;
+const MAX_OBSERVATIONS: f64 = 4000.0;
 
 /// By how much the longest task of a step exceeds the usual one, for each unit of the
 /// logarithm of their number: tasks of a step differ by a third.
-const WIDEST: f64 = 0.26;
+const SPREAD_PER_LOG_COUNT: f64 = 0.26;
 
 /// Progress in percent from which a run's pace tells its length.
-const TELLING: u32 = 20;
+const MIN_PROGRESS_PERCENT: u32 = 20;
 
 /// What is learned of the guesses of one queue.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -39,15 +39,15 @@
 impl EstimateModel {
     /// Takes a guess and the time that the task took, both in milliseconds.
     pub(crate) fn observe(&mut self, guess: u64, took: u64) {
-        if self.count >= MOST {
-            for sum in [
+        if self.count >= MAX_OBSERVATIONS {
+            for total in [
                 &mut self.count,
                 &mut self.guessed,
                 &mut self.took,
                 &mut self.squares,
                 &mut self.products,
             ] {
-                *sum /= 2.0;
+                *total /= 2.0;
             }
         }
         let (x, y) = (log(guess), log(took));
@@ -59,7 +59,7 @@
     }
 
     /// Returns the logarithm of the time that a task of this guess takes.
-    fn expect(&self, guess: u64) -> f64 {
+    fn expected_log(&self, guess: u64) -> f64 {
         let x = log(guess);
         if self.count == 0.0 {
             return x;
@@ -67,9 +67,9 @@
         let (mean_x, mean_y) = (self.guessed / self.count, self.took / self.count);
         let squares = self.squares - self.count * mean_x * mean_x;
         let products = self.products - self.count * mean_x * mean_y;
-        let slope = (products + PRIOR) / (squares + PRIOR);
-        let trust = self.count / (self.count + PRIOR);
-        x + trust * (mean_y - mean_x) + (slope - 1.0) * (x - mean_x)
+        let slope = (products + PRIOR_WEIGHT) / (squares + PRIOR_WEIGHT);
+        let confidence = self.count / (self.count + PRIOR_WEIGHT);
+        x + confidence * (mean_y - mean_x) + (slope - 1.0) * (x - mean_x)
     }
 }
 
@@ -77,34 +77,34 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ObservedTimes {
     count: f64,
-    sum: f64,
+    log_sum: f64,
 }
 
 impl ObservedTimes {
     /// Takes the time that one of them took, in milliseconds.
     pub(crate) fn observe(&mut self, took: u64) {
         self.count += 1.0;
-        self.sum += log(took);
+        self.log_sum += log(took);
     }
 
     /// Takes what a run tells that has got so far, in percent, in so long.
     pub(crate) fn observe_run(&mut self, percent: u32, ran: u64) {
-        if percent >= TELLING {
+        if percent >= MIN_PROGRESS_PERCENT {
             self.observe(ran * 100 / u64::from(percent));
         }
     }
 
     /// Returns the time that the longest of so many tasks of this guess takes, in
     /// milliseconds; 0 if there is neither a guess nor a time.
-    pub(crate) fn longest(&self, guesses: &EstimateModel, guess: u64, tasks: usize) -> u64 {
-        let line = if guess > 0 { LINE } else { 0.0 };
-        let known = line + self.count;
-        if known == 0.0 {
+    pub(crate) fn longest_ms(&self, model: &EstimateModel, guess: u64, tasks: usize) -> u64 {
+        let weight = if guess > 0 { ESTIMATE_WEIGHT } else { 0.0 };
+        let total_weight = weight + self.count;
+        if total_weight == 0.0 {
             return 0;
         }
-        let usual = (line * guesses.expect(guess) + self.sum) / known;
-        let widest = 1.0 + WIDEST * (tasks.max(1) as f64).ln();
-        (usual.exp() * widest) as u64
+        let mean_log = (weight * model.expected_log(guess) + self.log_sum) / total_weight;
+        let spread = 1.0 + SPREAD_PER_LOG_COUNT * (tasks.max(1) as f64).ln();
+        (mean_log.exp() * spread) as u64
     }
 }
 
--- a/crates/jobs/src/order/estimates_tests.rs
+++ b/crates/jobs/src/order/estimates_tests.rs
@@ -5,23 +5,23 @@
 use crate::order::estimates::{EstimateModel, ObservedTimes};
 
 /// Milliseconds that a task usually takes.
-const USUAL: f64 = 1700.0;
+const USUAL_MS: f64 = 1700.0;
 
 /// Returns the mean errors, in logarithms, of the guesses and of what is expected:
 /// times spread by `spread`, guesses by `off` around them.
-fn errors(spread: f64, off: f64) -> (f64, f64) {
+fn errors(time_spread: f64, guess_spread: f64) -> (f64, f64) {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut guesses = EstimateModel::default();
+    let mut model = EstimateModel::default();
     let (mut guessed, mut expected) = (0.0, 0.0);
-    for at in 0..2000 {
-        let took = USUAL * (rng.random_range(-1.7..1.7) * spread).exp();
-        let guess = (took * (rng.random_range(-1.7..1.7) * off).exp()) as u64;
-        if at >= 1000 {
-            let longest = ObservedTimes::default().longest(&guesses, guess, 1);
+    for index in 0..2000 {
+        let took = USUAL_MS * (rng.random_range(-1.7..1.7) * time_spread).exp();
+        let guess = (took * (rng.random_range(-1.7..1.7) * guess_spread).exp()) as u64;
+        if index >= 1000 {
+            let longest_ms = ObservedTimes::default().longest_ms(&model, guess, 1);
             guessed += (guess as f64 / took).ln().abs();
-            expected += (longest as f64 / took).ln().abs();
+            expected += (longest_ms as f64 / took).ln().abs();
         }
-        guesses.observe(guess, took as u64);
+        model.observe(guess, took as u64);
     }
     (guessed / 1000.0, expected / 1000.0)
 }
@@ -40,26 +40,26 @@
 
 #[test]
 fn before_anything_is_known_the_guess_counts() {
-    let longest = ObservedTimes::default().longest(&EstimateModel::default(), 900, 1);
-    assert!((899..=901).contains(&longest), "{longest}");
+    let longest_ms = ObservedTimes::default().longest_ms(&EstimateModel::default(), 900, 1);
+    assert!((899..=901).contains(&longest_ms), "{longest_ms}");
 }
 
 #[test]
 fn what_tasks_of_the_step_took_tells_more_than_the_guess() {
-    let mut seen = ObservedTimes::default();
+    let mut times = ObservedTimes::default();
     for took in [3900, 4000, 4100] {
-        seen.observe(took);
+        times.observe(took);
     }
-    let longest = seen.longest(&EstimateModel::default(), 500, 1);
-    assert!((2900..4000).contains(&longest), "{longest}");
+    let longest_ms = times.longest_ms(&EstimateModel::default(), 500, 1);
+    assert!((2900..4000).contains(&longest_ms), "{longest_ms}");
 }
 
 #[test]
 fn a_run_tells_the_length_once_it_is_a_fifth_through() {
-    let mut seen = ObservedTimes::default();
-    seen.observe_run(10, 500);
-    assert_eq!(seen.longest(&EstimateModel::default(), 0, 1), 0);
-    seen.observe_run(50, 1000);
-    let longest = seen.longest(&EstimateModel::default(), 0, 1);
-    assert!((1990..=2010).contains(&longest), "{longest}");
+    let mut times = ObservedTimes::default();
+    times.observe_run(10, 500);
+    assert_eq!(times.longest_ms(&EstimateModel::default(), 0, 1), 0);
+    times.observe_run(50, 1000);
+    let longest_ms = times.longest_ms(&EstimateModel::default(), 0, 1);
+    assert!((1990..=2010).contains(&longest_ms), "{longest_ms}");
 }
--- a/crates/jobs/src/order/standing.rs
+++ b/crates/jobs/src/order/standing.rs
@@ -14,29 +14,29 @@
 /// A lasting task that has waited for this long goes before all others, and a worker
 /// is kept free for it, in milliseconds: the users count one that waits for 6 s beside
 /// room, in pieces of whatever size, as lost.
-const OVERDUE: u64 = 2000;
+const OVERDUE_MS: u64 = 2000;
 
 /// Time that a task takes against its estimate, in percent, with its start.
-const USUAL_TIME: u64 = 105;
+const RUN_TIME_PERCENT: u64 = 105;
 
 /// What is left of a job is worked out this often, in milliseconds: placement goes through
 /// all open jobs up to 100 times a second, and objectives are a second and more.
-const CHAIN_PERIOD: u64 = 100;
+const CRITICAL_PATH_PERIOD_MS: u64 = 100;
 
 /// Multiplier that spreads jobs' names over all orders.
-const LOTTERY: u64 = 0x9e37_79b9_7f4a_7c15;
+const ORDER_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// How a job stands to its objective; the first come first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Standing {
+enum Urgency {
     /// It lasts, and a task of it has waited for long.
     Overdue,
     /// It can meet its objective, and has begun; or has none.
-    Begun,
+    Started,
     /// It can meet its objective.
-    Fresh,
+    NotStarted,
     /// It has none: a core of a short job earns four times as much.
-    Lasting,
+    LongRunning,
     /// It can't.
     Late,
 }
@@ -49,60 +49,63 @@
     /// those that have begun come first; the rest wait in an order that does not
     /// depend on their age or size, so that some are in time and not all late.
     pub(crate) fn sort_open_jobs(&mut self) {
-        self.note_chains();
-        let mut keys: Vec<(Standing, u32, u64, JobId)> = Vec::with_capacity(self.open_jobs.len());
+        self.update_critical_paths();
+        let mut keys: Vec<(Urgency, u32, u64, JobId)> = Vec::with_capacity(self.open_jobs.len());
         for &id in &self.open_jobs {
             let Some(state) = self.jobs.get(&id) else {
                 continue;
             };
             let policy = self.policy(&state.job.queue);
             let priority = policy.map_or(u32::MAX, |p| p.priority);
-            let standing = self.standing(state, policy);
-            let order = id.0.wrapping_mul(LOTTERY);
-            keys.push((standing, priority, order, id));
+            let urgency = self.urgency(state, policy);
+            let order = id.0.wrapping_mul(ORDER_MULTIPLIER);
+            keys.push((urgency, priority, order, id));
         }
         keys.sort_unstable();
-        self.late_jobs = keys.iter().filter(|k| k.0 == Standing::Late).count();
+        self.late_jobs = keys.iter().filter(|k| k.0 == Urgency::Late).count();
         self.open_jobs = keys.into_iter().map(|k| k.3).collect();
     }
 
     /// Works out the chains of the open jobs that were worked out a while ago.
-    fn note_chains(&mut self) {
-        let unknown = EstimateModel::default();
+    fn update_critical_paths(&mut self) {
+        let no_model = EstimateModel::default();
         for id in &self.open_jobs {
             let Some(state) = self.jobs.get_mut(id) else {
                 continue;
             };
-            let known = state.critical_path.map(|(_, at)| at);
-            if known.is_some_and(|at| self.now < at + CHAIN_PERIOD) {
+            let computed_at = state.critical_path.map(|(_, at)| at);
+            if computed_at.is_some_and(|at| self.now < at + CRITICAL_PATH_PERIOD_MS) {
                 continue;
             }
-            let guesses = self.estimates.get(&state.job.queue).unwrap_or(&unknown);
-            state.critical_path = Some((state.compute_critical_path(guesses, self.now), self.now));
+            let model = self.estimates.get(&state.job.queue).unwrap_or(&no_model);
+            state.critical_path = Some((state.compute_critical_path(model, self.now), self.now));
         }
     }
 
-    fn standing(&self, state: &JobState, policy: Option<&QueuePolicy>) -> Standing {
+    fn urgency(&self, state: &JobState, policy: Option<&QueuePolicy>) -> Urgency {
         let spec = &state.job.spec;
-        let begun = state.outcome == Outcome::Active;
+        let has_started = state.outcome == Outcome::Active;
         let Some(policy) = policy.filter(|_| spec.schedule.repetitions == 0) else {
-            return Standing::Begun;
+            return Urgency::Started;
         };
         if spec.steps.iter().any(|s| s.long_running) {
             return match self.is_overdue(state) {
-                true => Standing::Overdue,
-                false => Standing::Lasting,
+                true => Urgency::Overdue,
+                false => Urgency::LongRunning,
             };
         }
-        let chain = state
+        let path = state
             .critical_path
-            .map_or(CriticalPath::default(), |(chain, _)| chain);
-        let goal = (chain.total as f64 * policy.stretch) as u64 + policy.latency;
-        let left = chain.remaining * USUAL_TIME / 100;
-        match (self.now + left > state.known_since + goal, begun) {
-            (true, _) => Standing::Late,
-            (false, true) => Standing::Begun,
-            (false, false) => Standing::Fresh,
+            .map_or(CriticalPath::default(), |(path, _)| path);
+        let objective = (path.total as f64 * policy.stretch) as u64 + policy.latency;
+        let remaining = path.remaining * RUN_TIME_PERCENT / 100;
+        match (
+            self.now + remaining > state.known_since + objective,
+            has_started,
+        ) {
+            (true, _) => Urgency::Late,
+            (false, true) => Urgency::Started,
+            (false, false) => Urgency::NotStarted,
         }
     }
 
@@ -116,7 +119,7 @@
         let mut tasks = steps.flat_map(|s| &s.tasks);
         tasks.any(|t| {
             let since = state.known_since.max(t.idle_since).max(t.retry_at);
-            t.is_waiting(self.now) && self.now > since + OVERDUE
+            t.is_waiting(self.now) && self.now > since + OVERDUE_MS
         })
     }
 }
--- a/crates/jobs/src/place/aging.rs
+++ b/crates/jobs/src/place/aging.rs
@@ -19,13 +19,13 @@
 
 /// A job of which nothing has run for this long comes first among late ones, in milliseconds:
 /// users count a job as lost that has stood still for 3 s.
-const AGED: u64 = 2000;
+const AGED_MS: u64 = 2000;
 
 /// Which jobs stand still is worked out this often, in milliseconds.
-const PERIOD: u64 = 100;
+const REFRESH_PERIOD_MS: u64 = 100;
 
 /// One in so many workers may have a task that was placed so.
-const SHARE: usize = 8;
+const WORKERS_PER_RUN: usize = 8;
 
 /// The jobs that stand still, and those that got their turn.
 #[derive(Debug, Default)]
@@ -33,7 +33,7 @@
     /// Jobs of which nothing has run for long, and since when, the longest first.
     jobs: Vec<(u64, JobId)>,
     /// When that was worked out.
-    noted: u64,
+    refreshed_at: u64,
     /// Runs by which jobs got their turn.
     runs: Vec<(TaskId, u32)>,
 }
@@ -45,16 +45,19 @@
             return None;
         }
         let tasks = self.repetitions.iter().flatten().flat_map(|s| &s.tasks);
-        let ended = tasks.map(|t| t.idle_since).max().unwrap_or(0);
-        Some(self.known_since.max(ended))
+        let last_idle = tasks.map(|t| t.idle_since).max().unwrap_or(0);
+        Some(self.known_since.max(last_idle))
     }
 
     /// Returns the first task that waits beside others, if it is no member of a gang.
-    fn first_beside(&self, now: u64) -> Option<TaskId> {
-        for (time, steps) in (0..).zip(&self.repetitions) {
-            for (step, state) in (0..).zip(steps) {
-                let kept = &self.job.spec.steps[step as usize];
-                if kept.gang || kept.long_running || !self.is_ready(time as usize, step as usize) {
+    fn first_eligible_task(&self, now: u64) -> Option<TaskId> {
+        for (repetition, steps) in (0..).zip(&self.repetitions) {
+            for (step_index, state) in (0..).zip(steps) {
+                let spec = &self.job.spec.steps[step_index as usize];
+                if spec.gang
+                    || spec.long_running
+                    || !self.is_ready(repetition as usize, step_index as usize)
+                {
                     continue;
                 }
                 let Some(&index) = state.waiting_tasks(now).first() else {
@@ -62,8 +65,8 @@
                 };
                 return Some(TaskId {
                     job: self.job.id,
-                    repetition: time,
-                    step,
+                    repetition,
+                    step: step_index,
                     index,
                 });
             }
@@ -75,23 +78,23 @@
 impl Machine {
     /// Places a task of each job that has stood still for long, as far as that may go.
     pub(super) fn place_aged_jobs(&mut self, pass: &mut Pass) {
-        if self.now >= self.aging.noted + PERIOD {
-            self.aging.noted = self.now;
-            self.note_aged();
+        if self.now >= self.aging.refreshed_at + REFRESH_PERIOD_MS {
+            self.aging.refreshed_at = self.now;
+            self.refresh_aged_jobs();
         }
-        let most = pass.open_workers.len().div_ceil(SHARE);
+        let max_runs = pass.open_workers.len().div_ceil(WORKERS_PER_RUN);
         let jobs = std::mem::take(&mut self.aging.jobs);
         for &(_, id) in &jobs {
-            if self.aging.runs.len() >= most || pass.starts_left == 0 || pass.is_over_budget() {
+            if self.aging.runs.len() >= max_runs || pass.starts_left == 0 || pass.is_over_budget() {
                 break;
             }
-            self.place_one(id, pass);
+            self.place_aged_job(id, pass);
         }
         self.aging.jobs = jobs;
     }
 
     /// Works out which jobs stand still, and which of those that got their turn still run.
-    fn note_aged(&mut self) {
+    fn refresh_aged_jobs(&mut self) {
         let mut runs = std::mem::take(&mut self.aging.runs);
         runs.retain(|&(id, run)| {
             let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
@@ -101,7 +104,7 @@
         let mut jobs = Vec::new();
         for &id in &self.open_jobs {
             let since = self.jobs.get(&id).and_then(JobState::idle_since);
-            let since = since.filter(|&at| self.now > at + AGED);
+            let since = since.filter(|&at| self.now > at + AGED_MS);
             jobs.extend(since.map(|at| (at, id)));
         }
         jobs.sort_unstable();
@@ -109,11 +112,11 @@
     }
 
     /// Places a task of a job that stands still.
-    fn place_one(&mut self, id: JobId, pass: &mut Pass) {
+    fn place_aged_job(&mut self, id: JobId, pass: &mut Pass) {
         let Some(state) = self.jobs.get(&id).filter(|j| !j.has_runs()) else {
             return;
         };
-        let Some(task) = state.first_beside(self.now) else {
+        let Some(task) = state.first_eligible_task(self.now) else {
             return;
         };
         let (job, image) = (state.job.clone(), state.images[task.step as usize]);
--- a/crates/jobs/src/place/free_capacity.rs
+++ b/crates/jobs/src/place/free_capacity.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct FreeCapacity {
     /// Whether more is taken than there is: then nothing fits, whatever it asks for.
-    over: bool,
+    is_overcommitted: bool,
     free: Capacity,
     /// Thousandths of a core that more filling tasks may ask for.
     free_best_effort_cpu: u64,
@@ -22,14 +22,14 @@
 impl FreeCapacity {
     /// Returns what a worker has left.
     pub(crate) fn of(worker: &Worker) -> FreeCapacity {
-        let (room, used) = (worker.capacity(), worker.used);
-        let cpu = room.cpu.saturating_sub(used.cpu);
+        let (capacity, used) = (worker.capacity(), worker.used);
+        let cpu = capacity.cpu.saturating_sub(used.cpu);
         FreeCapacity {
-            over: worker.is_overcommitted(),
+            is_overcommitted: worker.is_overcommitted(),
             free: Capacity {
                 cpu,
-                memory: room.memory.saturating_sub(used.memory),
-                gpu: room.gpu.saturating_sub(used.gpu),
+                memory: capacity.memory.saturating_sub(used.memory),
+                gpu: capacity.gpu.saturating_sub(used.gpu),
             },
             free_best_effort_cpu: (cpu + worker.spare_cpu).saturating_sub(worker.best_effort_cpu),
         }
@@ -43,16 +43,16 @@
     /// Tells whether a task of a step fits; one that fills may go beyond the share of
     /// processors that is left if its job has `starved`.
     pub(crate) fn fits(&self, step: &Step, starved: bool) -> bool {
-        self.check(step, starved).is_ok()
+        self.check_fit(step, starved).is_ok()
     }
 
     /// Says why a task of a step does not fit, as [`FreeCapacity::fits`] asks.
-    fn check(&self, step: &Step, starved: bool) -> Result<(), Refusal> {
-        let size = demand(step);
-        let enough = size.cpu <= self.free.cpu
-            && size.memory <= self.free.memory
-            && size.gpu <= self.free.gpu;
-        if self.over || !enough {
+    fn check_fit(&self, step: &Step, starved: bool) -> Result<(), Refusal> {
+        let demanded = demand(step);
+        let has_room = demanded.cpu <= self.free.cpu
+            && demanded.memory <= self.free.memory
+            && demanded.gpu <= self.free.gpu;
+        if self.is_overcommitted || !has_room {
             return Err(Refusal::NoRoom);
         }
         match starved || !step.best_effort || step.cpu <= self.free_best_effort_cpu {
@@ -64,7 +64,7 @@
 
 impl Machine {
     /// Says why a worker may not run a task of a step, whatever room it has.
-    pub(super) fn may_take(
+    pub(super) fn check_eligibility(
         &self,
         worker: &Worker,
         step: &Step,
@@ -86,14 +86,14 @@
     }
 
     /// Says why a worker can't take a task of a step now, as [`FreeCapacity::fits`] asks.
-    pub(crate) fn fits(
+    pub(crate) fn check_fit(
         &self,
         worker: &Worker,
         step: &Step,
         service: &Arc<str>,
         starved: bool,
     ) -> Result<(), Refusal> {
-        FreeCapacity::of(worker).check(step, starved)?;
-        self.may_take(worker, step, service)
+        FreeCapacity::of(worker).check_fit(step, starved)?;
+        self.check_eligibility(worker, step, service)
     }
 }
--- a/crates/jobs/src/place/isolation.rs
+++ b/crates/jobs/src/place/isolation.rs
@@ -14,35 +14,35 @@
 use crate::{
     machine::Machine,
     model::{ids::TaskId, task::Task},
-    place::{pass::Pass, rank::rating, request::Request, tasks::Placed},
+    place::{pass::Pass, rank::base_rating, request::Request, tasks::GangPlacement},
     runs::{crashes::JUST_STARTED_MS, worker::Worker},
 };
 
 /// A suspect waits for an empty worker for this long, in milliseconds: short tasks end within,
 /// and crashed workers are back.
-const PATIENCE: u64 = 1500;
+const ISOLATION_WAIT_MS: u64 = 1500;
 
 /// A member of a gang waits for a worker of its own for this long, in milliseconds: a gang may
 /// have more members than workers may run suspects.
-const GANG_PATIENCE: u64 = 2 * PATIENCE;
+const GANG_ISOLATION_WAIT_MS: u64 = 2 * ISOLATION_WAIT_MS;
 
 /// One in so many workers may run a likely suspect ...
-const LIKELY_SHARE: usize = 2;
+const WORKERS_PER_LIKELY_SUSPECT: usize = 2;
 
 /// ... and one in so many a suspect that chance alone may speak against.
-const UNLIKELY_SHARE: usize = 8;
+const WORKERS_PER_UNLIKELY_SUSPECT: usize = 8;
 
 /// Where nothing else waits suspects take all empty workers but one in so many, at least one.
-const SPARE_SHARE: usize = 8;
+const WORKERS_PER_SPARE: usize = 8;
 
 impl Task {
     /// Tells whether its next run has to be apart from others.
     ///
-    /// What only chance speaks against waits no longer than [`PATIENCE`]: after a loss of
+    /// What only chance speaks against waits no longer than [`ISOLATION_WAIT_MS`]: after a loss of
     /// power that struck twice there are many of them.
     pub(crate) fn needs_isolation(&self, now: u64) -> bool {
-        let waits = now <= self.idle_since + PATIENCE;
-        self.crashes.is_likely_cause() || self.crashes.is_suspect() && waits
+        let is_within_wait = now <= self.idle_since + ISOLATION_WAIT_MS;
+        self.crashes.is_likely_cause() || self.crashes.is_suspect() && is_within_wait
     }
 }
 
@@ -56,22 +56,22 @@
 
     /// Places the suspects that wait, before others take the empty workers.
     pub(super) fn place_suspects(&mut self, pass: &mut Pass) {
-        let mut left = std::mem::take(&mut self.suspects);
-        left.retain(|&id| self.is_open_suspect(id));
-        let mut tried = None;
-        for &id in &left {
+        let mut suspects = std::mem::take(&mut self.suspects);
+        suspects.retain(|&id| self.is_open_suspect(id));
+        let mut tried_gang = None;
+        for &id in &suspects {
             if pass.starts_left == 0 {
                 break;
             }
             // One try of a gang stands for all its members.
             let first = TaskId { index: 0, ..id };
-            if tried == Some(first) && self.is_member(id) {
+            if tried_gang == Some(first) && self.is_gang_member(id) {
                 continue;
             }
-            tried = Some(first);
+            tried_gang = Some(first);
             self.place_suspect(id, pass);
         }
-        self.suspects = left;
+        self.suspects = suspects;
     }
 
     /// Places suspects on workers that nobody else has a use for, once all others have places.
@@ -79,7 +79,7 @@
         if pass.is_over_budget() || !pass.unplaceable.is_empty() {
             return;
         }
-        pass.others_placed = true;
+        pass.others_are_placed = true;
         self.place_suspects(pass);
     }
 
@@ -90,7 +90,7 @@
         task.is_some_and(|t| !t.done && t.crashes.is_suspect())
     }
 
-    fn is_member(&self, id: TaskId) -> bool {
+    fn is_gang_member(&self, id: TaskId) -> bool {
         let state = self.jobs.get(&id.job);
         state.is_some_and(|j| j.job.spec.steps[id.step as usize].gang)
     }
@@ -105,7 +105,7 @@
         let Some(task) = task.filter(|t| t.needs_isolation(self.now)) else {
             return;
         };
-        let likely = task.crashes.is_likely_cause();
+        let is_likely_cause = task.crashes.is_likely_cause();
         let Some(service) = self.policy(&job.queue).map(|p| p.service.clone()) else {
             return;
         };
@@ -118,17 +118,17 @@
             failed_worker: None,
             starved: true,
         };
-        let placed = match step.gang {
-            true => matches!(self.place_gang(request, pass), Placed::All),
-            false => self.place_apart(id, &request, pass),
+        let is_placed = match step.gang {
+            true => matches!(self.place_gang(request, pass), GangPlacement::All),
+            false => self.place_isolated(id, &request, pass),
         };
-        if !placed && likely {
-            self.clear_way(&request, pass);
+        if !is_placed && is_likely_cause {
+            self.reserve_for_suspect(&request, pass);
         }
     }
 
     /// Places a suspect; true if there is a worker for it.
-    fn place_apart(&mut self, id: TaskId, request: &Request<'_>, pass: &mut Pass) -> bool {
+    fn place_isolated(&mut self, id: TaskId, request: &Request<'_>, pass: &mut Pass) -> bool {
         let Some(slot) = self.find_isolated_worker(id, request, pass) else {
             return false;
         };
@@ -145,7 +145,7 @@
         pass.open_workers.retain(|&s| s != slot);
     }
 
-    /// Finds a worker for a suspect: an empty one, or after [`PATIENCE`] one with little to
+    /// Finds a worker for a suspect: an empty one, or after [`ISOLATION_WAIT_MS`] one with little to
     /// lose.
     pub(super) fn find_isolated_worker(
         &self,
@@ -154,76 +154,80 @@
         pass: &Pass,
     ) -> Option<u32> {
         let task = self.jobs.get(&id.job)?.task(id)?;
-        let share = match task.crashes.is_likely_cause() {
-            true => LIKELY_SHARE,
-            false => UNLIKELY_SHARE,
+        let workers_per_suspect = match task.crashes.is_likely_cause() {
+            true => WORKERS_PER_LIKELY_SUSPECT,
+            false => WORKERS_PER_UNLIKELY_SUSPECT,
         };
-        if !self.may_host(share, pass) {
+        if !self.can_isolate_more(workers_per_suspect, pass) {
             return None;
         }
-        let empty = self.best_apart(request, pass, |w| w.runs.is_empty() && w.orphans.is_empty());
-        if empty.is_some() || pass.others_placed || self.now <= task.idle_since + PATIENCE {
+        let empty =
+            self.least_loaded_worker(request, pass, |w| w.runs.is_empty() && w.orphans.is_empty());
+        if empty.is_some()
+            || pass.others_are_placed
+            || self.now <= task.idle_since + ISOLATION_WAIT_MS
+        {
             return empty;
         }
         // Whatever else had just begun there might be blamed as well.
-        self.best_apart(request, pass, |w| self.now > w.probed_at + JUST_STARTED_MS)
+        self.least_loaded_worker(request, pass, |w| self.now > w.probed_at + JUST_STARTED_MS)
     }
 
     /// Tells whether one more worker may run a suspect, of those of which one in `share` may.
-    fn may_host(&self, share: usize, pass: &Pass) -> bool {
-        let hosts = self
+    fn can_isolate_more(&self, workers_per_suspect: usize, pass: &Pass) -> bool {
+        let isolating = self
             .fleet
             .workers
             .iter()
             .filter(|w| w.is_isolating())
             .count();
-        let all = hosts + pass.open_workers.len();
-        let most = match pass.others_placed {
-            true => all - all.div_ceil(SPARE_SHARE),
-            false => (all / share).max(1),
+        let workers = isolating + pass.open_workers.len();
+        let max_isolating = match pass.others_are_placed {
+            true => workers - workers.div_ceil(WORKERS_PER_SPARE),
+            false => (workers / workers_per_suspect).max(1),
         };
-        hosts < most
+        isolating < max_isolating
     }
 
     /// Tells whether a member of a gang has waited in vain for a worker of its own.
     pub(super) fn has_waited_for_isolation(&self, id: TaskId) -> bool {
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
-        task.is_some_and(|t| self.now > t.idle_since + GANG_PATIENCE)
+        task.is_some_and(|t| self.now > t.idle_since + GANG_ISOLATION_WAIT_MS)
     }
 
     /// Keeps new tasks from the worker that a suspect will soon run on beside others, so that
     /// fewer are there then; from one at a time, whatever number of suspects waits.
-    fn clear_way(&self, request: &Request<'_>, pass: &mut Pass) {
-        if pass.others_placed
-            || !self.may_host(LIKELY_SHARE, pass)
-            || std::mem::replace(&mut pass.reserved_for_suspect, true)
+    fn reserve_for_suspect(&self, request: &Request<'_>, pass: &mut Pass) {
+        if pass.others_are_placed
+            || !self.can_isolate_more(WORKERS_PER_LIKELY_SUSPECT, pass)
+            || std::mem::replace(&mut pass.has_suspect_reservation, true)
         {
             return;
         }
-        if let Some(slot) = self.best_apart(request, pass, |_| true) {
+        if let Some(slot) = self.least_loaded_worker(request, pass, |_| true) {
             pass.open_workers.retain(|&s| s != slot);
         }
     }
 
     /// Returns the worker with the least to lose that can take a request and suits.
-    fn best_apart(
+    fn least_loaded_worker(
         &self,
         request: &Request<'_>,
         pass: &Pass,
-        suits: impl Fn(&Worker) -> bool,
+        is_suitable: impl Fn(&Worker) -> bool,
     ) -> Option<u32> {
         let workers = pass
             .open_workers
             .iter()
             .map(|&slot| (slot, self.fleet.get(slot)));
         let fitting = workers.filter(|&(slot, w)| {
-            let fits = self.fits(w, request.step, request.service, request.starved);
-            suits(w) && fits.is_ok() && !self.is_at_step_limit(slot, request)
+            let fits = self.check_fit(w, request.step, request.service, request.starved);
+            is_suitable(w) && fits.is_ok() && !self.is_at_step_limit(slot, request)
         });
-        let best = fitting.min_by_key(|&(slot, w)| {
-            let stake = (w.long_running_tasks, w.runs.len());
-            (stake, Reverse(rating(w, request.step)), slot)
+        let worker = fitting.min_by_key(|&(slot, w)| {
+            let load = (w.long_running_tasks, w.runs.len());
+            (load, Reverse(base_rating(w, request.step)), slot)
         });
-        best.map(|(slot, _)| slot)
+        worker.map(|(slot, _)| slot)
     }
 }
--- a/crates/jobs/src/place/rank.rs
+++ b/crates/jobs/src/place/rank.rs
@@ -16,25 +16,25 @@
 
 /// What a serving task of the same image on a worker adds to its rating, in thousandths
 /// of the worker's processors.
-const ALIKE: i64 = 200;
+const SAME_IMAGE_BONUS: i64 = 200;
 
 /// What one of another image takes off.
-const UNLIKE: i64 = 400;
+const OTHER_IMAGE_PENALTY: i64 = 400;
 
 /// What a headroom that is less by one takes off.
-const DISTURBED: f64 = 250.0;
+const HEADROOM_PENALTY: f64 = 250.0;
 
 /// What the data's rack adds: more than any other difference.
-const NEAR: i64 = 5000;
+const DATA_RACK_BONUS: i64 = 5000;
 
 /// What each percent by which a worker is slower than usual takes off.
-const SLOW: i64 = 5;
+const SLOWNESS_PENALTY: i64 = 5;
 
 /// Workers with room for a task of one step, by rating.
 #[derive(Debug)]
 pub(crate) struct Ranking {
     /// Ratings and slots; of equal ratings the lowest slot comes first.
-    rated: BinaryHeap<(i64, Reverse<u32>)>,
+    candidates: BinaryHeap<(i64, Reverse<u32>)>,
     /// Headroom that the step's image takes from each serving one; none if it does not
     /// fill.
     headroom_costs: Vec<f64>,
@@ -42,10 +42,10 @@
 
 impl Machine {
     /// Rates all workers for a request.
-    pub(crate) fn rank(&mut self, request: &Request<'_>, pass: &Pass) -> Ranking {
+    pub(crate) fn rank_workers(&mut self, request: &Request<'_>, pass: &Pass) -> Ranking {
         let mut ranking = Ranking {
-            rated: BinaryHeap::new(),
-            headroom_costs: self.takes(request),
+            candidates: BinaryHeap::new(),
+            headroom_costs: self.headroom_costs(request),
         };
         for &slot in &pass.open_workers {
             if !pass.free_capacity(slot).fits(request.step, request.starved) {
@@ -54,14 +54,16 @@
             let rating = self
                 .rate_worker(slot, request, pass, &ranking.headroom_costs)
                 .ok();
-            ranking.rated.extend(rating.map(|r| (r, Reverse(slot))));
+            ranking
+                .candidates
+                .extend(rating.map(|r| (r, Reverse(slot))));
         }
         ranking
     }
 
     /// Returns the headroom that a request takes from each serving image; none if it does not
     /// fill.
-    pub(super) fn takes(&self, request: &Request<'_>) -> Vec<f64> {
+    pub(super) fn headroom_costs(&self, request: &Request<'_>) -> Vec<f64> {
         match request.step.best_effort {
             true => self
                 .interference
@@ -73,21 +75,21 @@
     /// Returns the best worker of a ranking.
     ///
     /// What was placed since may have changed a rating: it counts only if it still holds.
-    pub(crate) fn best(
+    pub(crate) fn best_worker(
         &mut self,
         ranking: &mut Ranking,
         request: &Request<'_>,
         pass: &Pass,
     ) -> Option<u32> {
-        while let Some(&(old, Reverse(slot))) = ranking.rated.peek() {
+        while let Some(&(old, Reverse(slot))) = ranking.candidates.peek() {
             let new = self
                 .rate_worker(slot, request, pass, &ranking.headroom_costs)
                 .ok();
             if new == Some(old) {
                 return Some(slot);
             }
-            ranking.rated.pop();
-            ranking.rated.extend(new.map(|r| (r, Reverse(slot))));
+            ranking.candidates.pop();
+            ranking.candidates.extend(new.map(|r| (r, Reverse(slot))));
         }
         None
     }
@@ -98,11 +100,11 @@
         slot: u32,
         request: &Request<'_>,
         pass: &Pass,
-        takes: &[f64],
+        headroom_costs: &[f64],
     ) -> Result<i64, Refusal> {
         let step = request.step;
         let worker = self.fleet.get(slot);
-        self.fits(worker, step, request.service, request.starved)?;
+        self.check_fit(worker, step, request.service, request.starved)?;
         if request.failed_worker == Some(slot)
             || request.failed_worker.is_some() && worker.failures > 0
         {
@@ -114,28 +116,28 @@
         if self.is_at_step_limit(slot, request) {
             return Err(Refusal::StepLimit);
         }
-        let mut points = rating(worker, step);
+        let mut rating = base_rating(worker, step);
         if step.latency_target > 0 {
-            points += self.alike(worker, request.image);
-            points -= (self.headroom_taken_on(slot, request.image) * DISTURBED) as i64;
+            rating += self.image_affinity(worker, request.image);
+            rating -= (self.headroom_taken_on(slot, request.image) * HEADROOM_PENALTY) as i64;
         }
         if step.best_effort {
             let share = worker.cpu_share(step.cpu);
             let slack = self.slack(slot);
-            let excess = slack.excess(takes, share);
-            if slack.is_over_target && !self.may_fill_beside(slot, request) {
+            let excess = slack.excess(headroom_costs, share);
+            if slack.is_over_target && !self.can_start_over_target(slot, request) {
                 return Err(Refusal::OverTarget);
             }
             if excess > 0.0 && !request.starved {
                 return Err(Refusal::Interference);
             }
-            points -= (excess * DISTURBED) as i64;
+            rating -= (excess * HEADROOM_PENALTY) as i64;
         }
-        Ok(points)
+        Ok(rating)
     }
 
     /// Tells whether a task may begin to fill beside a tail that is over its target.
-    fn may_fill_beside(&self, slot: u32, request: &Request<'_>) -> bool {
+    fn can_start_over_target(&self, slot: u32, request: &Request<'_>) -> bool {
         let worker = self.fleet.get(slot);
         request.starved
             && worker.best_effort_cpu == 0
@@ -144,21 +146,21 @@
 
     /// Tells whether a worker has as many tasks of a step as it may have.
     pub(super) fn is_at_step_limit(&self, slot: u32, request: &Request<'_>) -> bool {
-        let (first, spread) = (request.first_task, request.step.max_per_worker);
-        if spread == 0 {
+        let (first, max_per_worker) = (request.first_task, request.step.max_per_worker);
+        if max_per_worker == 0 {
             return false;
         }
         let state = self.jobs.get(&first.job);
         let runs = state.map(|j| &j.repetitions[first.repetition as usize][first.step as usize]);
-        runs.is_some_and(|r| r.runs_on(slot) >= spread)
+        runs.is_some_and(|r| r.runs_on(slot) >= max_per_worker)
     }
 
     /// Returns how well a serving task suits those that a worker has.
     ///
     /// Images differ in what disturbs them. Where a worker serves one image only,
     /// what disturbs the others can fill there.
-    fn alike(&self, worker: &Worker, image: Image) -> i64 {
-        let mut points = 0;
+    fn image_affinity(&self, worker: &Worker, image: Image) -> i64 {
+        let mut rating = 0;
         for id in &worker.runs {
             let Some(state) = self.jobs.get(&id.job) else {
                 continue;
@@ -166,25 +168,25 @@
             if state.job.spec.steps[id.step as usize].latency_target == 0 {
                 continue;
             }
-            points += match state.images[id.step as usize] == image {
-                true => ALIKE,
-                false => -UNLIKE,
+            rating += match state.images[id.step as usize] == image {
+                true => SAME_IMAGE_BONUS,
+                false => -OTHER_IMAGE_PENALTY,
             };
         }
-        points
+        rating
     }
 }
 
 /// Returns how well a worker suits a task of a step by its room, place and speed.
-pub(super) fn rating(worker: &Worker, step: &Step) -> i64 {
-    let room = worker.capacity();
-    let free =
-        (room.cpu + worker.spare_cpu) as i64 - (worker.used.cpu + worker.best_effort_cpu) as i64;
-    let mut points = free * 1000 / (room.cpu as i64).max(1);
+pub(super) fn base_rating(worker: &Worker, step: &Step) -> i64 {
+    let capacity = worker.capacity();
+    let free = (capacity.cpu + worker.spare_cpu) as i64
+        - (worker.used.cpu + worker.best_effort_cpu) as i64;
+    let mut rating = free * 1000 / (capacity.cpu as i64).max(1);
     if let (Some(rack), Some(info)) = (&step.data_rack, &worker.info)
         && info.labels.contains(rack)
     {
-        points += NEAR;
+        rating += DATA_RACK_BONUS;
     }
-    points - (worker.slowness as i64 - 100).max(0) * SLOW
+    rating - (worker.slowness as i64 - 100).max(0) * SLOWNESS_PENALTY
 }
--- a/crates/jobs/src/place/start_window.rs
+++ b/crates/jobs/src/place/start_window.rs
@@ -11,35 +11,35 @@
 
 /// An answer to a start that takes longer is late, in milliseconds: workers answer within
 /// 5, and starts are given up after 700.
-const LATE: u64 = 300;
+const LATE_MS: u64 = 300;
 
 /// Answers after which the window is set anew.
-const ROUND: u32 = 32;
+const ROUND_ANSWERS: u32 = 32;
 
 /// Smallest window: enough for one start to each of a few workers.
-const LEAST: usize = 16;
+const MIN_SIZE: usize = 16;
 
 /// A window of so many bounds nothing.
-const MOST: usize = 4096;
+const MAX_SIZE: usize = 4096;
 
 /// It grows by one in so many each round without late answers: slowly enough that the next
 /// round's answers are late before any start is given up.
-const GROWTH: usize = 8;
+const GROWTH_DIVISOR: usize = 8;
 
 /// How many starts may be under way at once.
 #[derive(Debug)]
 pub(crate) struct StartWindow {
     size: usize,
     answers: u32,
-    late: u32,
+    late_answers: u32,
 }
 
 impl Default for StartWindow {
     fn default() -> StartWindow {
         StartWindow {
-            size: MOST,
+            size: MAX_SIZE,
             answers: 0,
-            late: 0,
+            late_answers: 0,
         }
     }
 }
@@ -47,20 +47,20 @@
 impl StartWindow {
     /// Returns how many starts may be under way; nothing if there is no bound.
     pub(crate) fn limit(&self) -> Option<usize> {
-        Some(self.size).filter(|&s| s < MOST)
+        Some(self.size).filter(|&s| s < MAX_SIZE)
     }
 
     /// Takes note that a start was answered, or given up, after so many milliseconds.
     pub(crate) fn note_answer(&mut self, ms: u64) {
         self.answers += 1;
-        self.late += u32::from(ms > LATE);
-        if self.answers < ROUND {
+        self.late_answers += u32::from(ms > LATE_MS);
+        if self.answers < ROUND_ANSWERS {
             return;
         }
-        self.size = match self.late * 2 > self.answers {
-            true => (self.size / 2).max(LEAST),
-            false => (self.size + self.size / GROWTH).min(MOST),
+        self.size = match self.late_answers * 2 > self.answers {
+            true => (self.size / 2).max(MIN_SIZE),
+            false => (self.size + self.size / GROWTH_DIVISOR).min(MAX_SIZE),
         };
-        (self.answers, self.late) = (0, 0);
+        (self.answers, self.late_answers) = (0, 0);
     }
 }
--- a/crates/jobs/src/place/start_window_tests.rs
+++ b/crates/jobs/src/place/start_window_tests.rs
@@ -2,7 +2,7 @@
 
 use super::start_window::StartWindow;
 
-fn answered(window: &mut StartWindow, count: u32, ms: u64) {
+fn record_answers(window: &mut StartWindow, count: u32, ms: u64) {
     for _ in 0..count {
         window.note_answer(ms);
     }
@@ -11,7 +11,7 @@
 #[test]
 fn quick_answers_bound_nothing() {
     let mut window = StartWindow::default();
-    answered(&mut window, 1000, 20);
+    record_answers(&mut window, 1000, 20);
     assert_eq!(window.limit(), None);
 }
 
@@ -20,8 +20,8 @@
 fn some_late_answers_bound_nothing() {
     let mut window = StartWindow::default();
     for _ in 0..200 {
-        answered(&mut window, 3, 700);
-        answered(&mut window, 7, 10);
+        record_answers(&mut window, 3, 700);
+        record_answers(&mut window, 7, 10);
     }
     assert_eq!(window.limit(), None);
 }
@@ -29,12 +29,12 @@
 #[test]
 fn late_answers_bound_it_and_quick_ones_free_it() {
     let mut window = StartWindow::default();
-    answered(&mut window, 320, 600);
+    record_answers(&mut window, 320, 600);
     assert_eq!(window.limit(), Some(16));
-    answered(&mut window, 32, 600);
+    record_answers(&mut window, 32, 600);
     assert_eq!(window.limit(), Some(16));
-    answered(&mut window, 32, 20);
+    record_answers(&mut window, 32, 20);
     assert_eq!(window.limit(), Some(18));
-    answered(&mut window, 50 * 32, 20);
+    record_answers(&mut window, 50 * 32, 20);
     assert_eq!(window.limit(), None);
 }
--- a/crates/jobs/src/place/starvation.rs
+++ b/crates/jobs/src/place/starvation.rs
@@ -12,16 +12,16 @@
 };
 
 /// A job of which nothing has run for this long stands still, in milliseconds.
-const STILL: u64 = 3000;
+const LOG_AFTER_MS: u64 = 3000;
 
 /// Jobs that are logged at most, each time.
-const MOST_LINES: usize = 4;
+const MAX_LOG_LINES: usize = 4;
 
 /// Workers by the reason why they take no task of a job.
 #[derive(Debug, Default)]
-struct Refusals([u32; Refusal::COUNT]);
+struct RefusalCounts([u32; Refusal::COUNT]);
 
-impl Refusals {
+impl RefusalCounts {
     fn get(&self, refusal: Refusal) -> u32 {
         self.0[refusal as usize]
     }
@@ -29,10 +29,10 @@
 
 impl JobState {
     /// Returns the first task of the first step that has tasks waiting.
-    fn first_waiting(&self, now: u64) -> Option<TaskId> {
-        for (time, steps) in (0..).zip(&self.repetitions) {
-            for (step, state) in (0..).zip(steps) {
-                if !self.is_ready(time as usize, step as usize) {
+    fn first_waiting_task(&self, now: u64) -> Option<TaskId> {
+        for (repetition, steps) in (0..).zip(&self.repetitions) {
+            for (step_index, state) in (0..).zip(steps) {
+                if !self.is_ready(repetition as usize, step_index as usize) {
                     continue;
                 }
                 let index = state.tasks.iter().position(|t| t.is_waiting(now));
@@ -41,8 +41,8 @@
                 };
                 return Some(TaskId {
                     job: self.job.id,
-                    repetition: time,
-                    step,
+                    repetition,
+                    step: step_index,
                     index: index as u32,
                 });
             }
@@ -54,32 +54,34 @@
 impl Machine {
     /// Logs the jobs that have stood still for longest, and counts all.
     pub(crate) fn log_starved_jobs(&mut self) {
-        let mut still: Vec<(u64, JobId)> = Vec::new();
+        let mut starved: Vec<(u64, JobId)> = Vec::new();
         for &id in &self.open_jobs {
             let Some(state) = self.jobs.get(&id) else {
                 continue;
             };
-            let since = state.idle_since().filter(|&at| self.now > at + STILL);
-            let waits = state.first_waiting(self.now).is_some();
-            still.extend(since.filter(|_| waits).map(|at| (at, id)));
+            let since = state
+                .idle_since()
+                .filter(|&at| self.now > at + LOG_AFTER_MS);
+            let has_waiting_task = state.first_waiting_task(self.now).is_some();
+            starved.extend(since.filter(|_| has_waiting_task).map(|at| (at, id)));
         }
-        self.stats.starved_jobs = still.len() as u64;
-        still.sort_unstable();
+        self.stats.starved_jobs = starved.len() as u64;
+        starved.sort_unstable();
         let pass = Pass::new(&self.fleet, self.now);
-        for (since, id) in still.into_iter().take(MOST_LINES) {
-            self.tell_refusals(id, since, &pass);
+        for (since, id) in starved.into_iter().take(MAX_LOG_LINES) {
+            self.log_refusals(id, since, &pass);
         }
     }
 
-    fn tell_refusals(&mut self, id: JobId, since: u64, pass: &Pass) {
+    fn log_refusals(&mut self, id: JobId, since: u64, pass: &Pass) {
         let Some(state) = self.jobs.get(&id) else {
             return;
         };
-        let Some(task) = state.first_waiting(self.now) else {
+        let Some(task) = state.first_waiting_task(self.now) else {
             return;
         };
         let (job, image) = (state.job.clone(), state.images[task.step as usize]);
-        let apart = state
+        let needs_isolation = state
             .task(task)
             .is_some_and(|t| t.needs_isolation(self.now));
         let Some(service) = self.policy(&job.queue).map(|p| p.service.clone()) else {
@@ -94,13 +96,13 @@
             failed_worker: None,
             starved: false,
         };
-        let refusals = self.refusals(&request, pass);
-        let crowded = pass.is_crowded(&service);
-        let at = self.open_jobs.iter().position(|&o| o == id);
+        let refusals = self.count_refusals(&request, pass);
+        let is_crowded = pass.is_crowded(&service);
+        let position = self.open_jobs.iter().position(|&o| o == id);
         let count = |r| refusals.get(r);
         log::info!(
             task = task.to_string().as_str(), still_ms = self.now - since,
-            order:? = at, jobs = self.open_jobs.len(), crowded, apart,
+            order:? = position, jobs = self.open_jobs.len(), crowded = is_crowded, apart = needs_isolation,
             closed = count(Refusal::Closed), guest = count(Refusal::Isolating),
             trial = count(Refusal::OnProbation), label = count(Refusal::Label),
             room = count(Refusal::NoRoom), share = count(Refusal::BestEffortShare),
@@ -112,9 +114,9 @@
     }
 
     /// Counts the workers by why they don't take a request now.
-    fn refusals(&mut self, request: &Request<'_>, pass: &Pass) -> Refusals {
-        let takes = self.takes(request);
-        let mut refusals = Refusals::default();
+    fn count_refusals(&mut self, request: &Request<'_>, pass: &Pass) -> RefusalCounts {
+        let headroom_costs = self.headroom_costs(request);
+        let mut refusals = RefusalCounts::default();
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
             if !worker.registered {
@@ -124,7 +126,7 @@
                 refusals.0[Refusal::Closed as usize] += 1;
                 continue;
             }
-            if let Err(refusal) = self.rate_worker(slot, request, pass, &takes) {
+            if let Err(refusal) = self.rate_worker(slot, request, pass, &headroom_costs) {
                 refusals.0[refusal as usize] += 1;
             }
         }
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -22,17 +22,17 @@
 /// Not while the fleet is crowded: then most jobs wait for as long, and with a task of each
 /// beyond its share all are slowed (filling jobs earned 0.60 of their worth so on 350 full
 /// workers, 0.65 without that, 15 days with trouble).
-const STARVED: u64 = 1500;
+const STARVED_MS: u64 = 1500;
 
 /// A task does not go back to the worker that it failed on for this long, and not
 /// to one that others failed on, in milliseconds.
-const AVOID: u64 = 2500;
+const AVOID_WORKER_MS: u64 = 2500;
 
 /// A member of a gang, in the order in which they are placed: those that run apart come first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Member {
     /// Whether it may run beside others.
-    beside: bool,
+    can_share: bool,
     index: u32,
 }
 
@@ -42,13 +42,13 @@
     id: TaskId,
     slot: u32,
     /// Number of its last run.
-    last: u32,
+    previous_run: u32,
     /// When it last lost its run.
-    cleared: u64,
+    previous_idle_since: u64,
 }
 
 /// What became of a gang.
-pub(super) enum Placed {
+pub(super) enum GangPlacement {
     /// All that waited are placed.
     All,
     /// None is.
@@ -62,18 +62,18 @@
     pub(crate) fn place_tasks(&mut self) -> Coverage {
         if !self.fleet.is_fresh(self.now, &self.settings) {
             self.stats.skipped_passes += 1;
-            return Coverage::Whole;
+            return Coverage::Complete;
         }
         self.sort_open_jobs();
         let mut pass = Pass::new(&self.fleet, self.now);
         pass.reservations = self.current_reservations();
-        if let Some(bound) = self.window.limit() {
-            pass.starts_left = bound.saturating_sub(self.starting());
+        if let Some(limit) = self.window.limit() {
+            pass.starts_left = limit.saturating_sub(self.unanswered_starts());
         }
         self.place_suspects(&mut pass);
-        let timely = self.open_jobs.len() - self.late_jobs;
-        for at in 0..self.open_jobs.len() {
-            if at == timely {
+        let on_time_jobs = self.open_jobs.len() - self.late_jobs;
+        for index in 0..self.open_jobs.len() {
+            if index == on_time_jobs {
                 self.place_aged_jobs(&mut pass);
             }
             if pass.starts_left == 0 {
@@ -84,26 +84,26 @@
                 self.stats.truncated_passes += 1;
                 break;
             }
-            let id = self.open_jobs[at];
+            let id = self.open_jobs[index];
             self.place_job(id, &mut pass);
         }
         self.place_suspects_on_idle(&mut pass);
         self.stats.ratings += pass.ratings as u64;
         match pass.is_over_budget() {
             true => Coverage::Partial,
-            false => Coverage::Whole,
+            false => Coverage::Complete,
         }
     }
 
     /// Returns how many runs are placed and have not been answered for.
-    fn starting(&self) -> usize {
+    fn unanswered_starts(&self) -> usize {
         let runs = self.fleet.workers.iter().flat_map(|w| &w.runs);
         let stages = runs.filter_map(|&id| {
             let run = self.jobs.get(&id.job)?.task(id)?.run.as_ref();
             run.map(|r| r.stage)
         });
-        let under_way = stages.filter(|s| matches!(s, Stage::Planned | Stage::Sent(_)));
-        under_way.count()
+        let unanswered = stages.filter(|s| matches!(s, Stage::Planned | Stage::Sent(_)));
+        unanswered.count()
     }
 
     fn place_job(&mut self, id: JobId, pass: &mut Pass) {
@@ -111,35 +111,35 @@
             return;
         };
         let job = state.job.clone();
-        let long = self.now > state.known_since + STARVED;
-        let is_still = long && !state.has_runs();
-        let times = state.repetitions.len();
+        let has_waited = self.now > state.known_since + STARVED_MS;
+        let is_starved = has_waited && !state.has_runs();
+        let repetitions = state.repetitions.len();
         let Some(service) = self.policy(&job.queue).map(|p| p.service.clone()) else {
             return;
         };
         let service = self.fleet.service(&service);
-        let mut idle = is_still && !pass.is_crowded(&service);
-        for time in 0..times {
-            for (at, step) in job.spec.steps.iter().enumerate() {
+        let mut may_exceed_share = is_starved && !pass.is_crowded(&service);
+        for repetition in 0..repetitions {
+            for (step_index, step) in job.spec.steps.iter().enumerate() {
                 let Some(state) = self.jobs.get(&id) else {
                     return;
                 };
-                let nothing_waits = state.repetitions[time][at].unassigned == 0;
-                if nothing_waits || !state.is_ready(time, at) {
+                let has_no_waiting = state.repetitions[repetition][step_index].unassigned == 0;
+                if has_no_waiting || !state.is_ready(repetition, step_index) {
                     continue;
                 }
                 let request = Request {
                     first_task: TaskId {
                         job: id,
-                        repetition: time as u32,
-                        step: at as u32,
+                        repetition: repetition as u32,
+                        step: step_index as u32,
                         index: 0,
                     },
                     step,
-                    image: state.images[at],
+                    image: state.images[step_index],
                     service: &service,
                     failed_worker: None,
-                    starved: idle && step.best_effort,
+                    starved: may_exceed_share && step.best_effort,
                 };
                 // What waits of one step holds back no other one: that may ask for less.
                 match step.gang {
@@ -148,7 +148,8 @@
                     }
                     false => self.place_step(request, pass),
                 }
-                idle = idle && self.jobs.get(&id).is_some_and(|j| !j.has_runs());
+                may_exceed_share =
+                    may_exceed_share && self.jobs.get(&id).is_some_and(|j| !j.has_runs());
             }
         }
     }
@@ -181,51 +182,51 @@
     /// Returns the worker on which a task failed of late.
     pub(super) fn worker_to_avoid(&self, id: TaskId) -> Option<u32> {
         let task = self.jobs.get(&id.job)?.task(id)?;
-        let recent = self.now < task.retry_at + AVOID;
+        let recent = self.now < task.retry_at + AVOID_WORKER_MS;
         task.failed_worker.filter(|_| recent)
     }
 
     /// Places all tasks of a gang, or none.
-    pub(super) fn place_gang(&mut self, request: Request<'_>, pass: &mut Pass) -> Placed {
+    pub(super) fn place_gang(&mut self, request: Request<'_>, pass: &mut Pass) -> GangPlacement {
         let (step, first) = (request.step, request.first_task);
         let Some(state) = self.jobs.get(&first.job) else {
-            return Placed::All;
+            return GangPlacement::All;
         };
         let tasks = &state.repetitions[first.repetition as usize][first.step as usize].tasks;
         if tasks.iter().any(|t| !t.is_waiting(self.now)) {
-            return Placed::All;
+            return GangPlacement::All;
         }
         let run = tasks.iter().map(|t| t.last_run).max().unwrap_or(0) + 1;
         // Suspects come first, while there are empty workers.
         let mut members: Vec<Member> = (0..)
             .zip(tasks)
             .map(|(index, task)| Member {
-                beside: !task.needs_isolation(self.now),
+                can_share: !task.needs_isolation(self.now),
                 index,
             })
             .collect();
         members.sort_unstable();
-        let (starts, misfits) = (pass.starts_left, pass.unplaceable.len());
-        pass.starts_left = starts.saturating_sub(step.count as usize);
+        let (starts_left, unplaceable_before) = (pass.starts_left, pass.unplaceable.len());
+        pass.starts_left = starts_left.saturating_sub(step.count as usize);
         let placed = self.assign_members(&request, &members, run, pass);
         if placed.len() == step.count as usize {
             for member in placed {
                 self.fleet.get_mut(member.slot).note_probe(self.now);
             }
             self.share_checkpoint(first);
-            return Placed::All;
+            return GangPlacement::All;
         }
-        pass.starts_left = starts;
+        pass.starts_left = starts_left;
         if !placed.is_empty() {
             // What did not fit beside its members may fit without them.
-            pass.unplaceable.truncate(misfits);
+            pass.unplaceable.truncate(unplaceable_before);
         }
         for member in placed {
-            pass.reopen(member.slot);
+            pass.reopen_worker(member.slot);
             self.unassign(&member);
             pass.update_free_capacity(member.slot, &self.fleet);
         }
-        Placed::Unplaced
+        GangPlacement::Unplaced
     }
 
     /// Places members of a gang as its next run, until one finds no worker.
@@ -238,17 +239,17 @@
     ) -> Vec<Assigned> {
         let mut ranking: Option<Ranking> = None;
         let mut placed = Vec::new();
-        for &Member { beside, index } in members {
+        for &Member { can_share, index } in members {
             let id = TaskId {
                 index,
                 ..request.first_task
             };
-            let apart = match beside {
+            let isolated = match can_share {
                 true => None,
                 false => self.find_isolated_worker(id, request, pass),
             };
-            let slot = match apart {
-                None if beside || self.has_waited_for_isolation(id) => {
+            let slot = match isolated {
+                None if can_share || self.has_waited_for_isolation(id) => {
                     self.choose_worker(request, &mut ranking, pass)
                 }
                 slot => slot,
@@ -257,7 +258,7 @@
                 break;
             };
             placed.extend(self.assign(id, slot, request.step, Some(run)));
-            if apart.is_some() {
+            if isolated.is_some() {
                 self.isolate(id, slot, pass);
             }
             pass.update_free_capacity(slot, &self.fleet);
@@ -288,8 +289,8 @@
         let assigned = Assigned {
             id,
             slot,
-            last: task.last_run,
-            cleared: task.idle_since,
+            previous_run: task.last_run,
+            previous_idle_since: task.idle_since,
         };
         task.last_run = number.unwrap_or(task.last_run + 1);
         runs.set_run(id.index as usize, Run::new(slot, Stage::Planned, now));
@@ -309,8 +310,8 @@
         self.clear_run(id);
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         if let Some(task) = task {
-            task.last_run = assigned.last;
-            task.idle_since = assigned.cleared;
+            task.last_run = assigned.previous_run;
+            task.idle_since = assigned.previous_idle_since;
         }
     }
 
@@ -324,24 +325,28 @@
     ) -> Option<u32> {
         if request.failed_worker.is_some() {
             pass.count_ratings();
-            let mut own = self.rank(request, pass);
-            return self.best(&mut own, request, pass);
+            let mut own_ranking = self.rank_workers(request, pass);
+            return self.best_worker(&mut own_ranking, request, pass);
         }
-        let misfit = Unplaceable::new(request);
-        if pass.unplaceable.iter().any(|m| m.implies(&misfit)) {
+        let unplaceable = Unplaceable::new(request);
+        if pass.unplaceable.iter().any(|u| u.implies(&unplaceable)) {
             return None;
         }
-        let mut own = None;
-        let ranking = if request.starved { &mut own } else { ranking };
+        let mut own_ranking = None;
+        let ranking = if request.starved {
+            &mut own_ranking
+        } else {
+            ranking
+        };
         if ranking.is_none() {
             pass.count_ratings();
-            *ranking = Some(self.rank(request, pass));
+            *ranking = Some(self.rank_workers(request, pass));
         }
-        let best = self.best(ranking.as_mut()?, request, pass);
+        let worker = self.best_worker(ranking.as_mut()?, request, pass);
         // A worker that has as many tasks of one step as it may have takes those of another one.
-        if best.is_none() && request.step.max_per_worker == 0 {
-            pass.unplaceable.push(misfit);
+        if worker.is_none() && request.step.max_per_worker == 0 {
+            pass.unplaceable.push(unplaceable);
         }
-        best
+        worker
     }
 }
--- a/crates/jobs/src/place/unplaceable.rs
+++ b/crates/jobs/src/place/unplaceable.rs
@@ -8,14 +8,14 @@
 #[derive(Debug, PartialEq)]
 pub(crate) struct Unplaceable {
     image: Image,
-    fill: bool,
+    best_effort: bool,
     /// Whether it might have gone beyond the share of what fills.
     starved: bool,
     service: Arc<str>,
     /// The label that its worker must have.
     label: Option<Arc<str>>,
     /// What it asks for, also if it fills.
-    asked: Capacity,
+    requested: Capacity,
 }
 
 impl Unplaceable {
@@ -24,11 +24,11 @@
         let step = request.step;
         Unplaceable {
             image: request.image,
-            fill: step.best_effort,
+            best_effort: step.best_effort,
             starved: request.starved,
             service: request.service.clone(),
             label: step.label.clone(),
-            asked: Capacity {
+            requested: Capacity {
                 cpu: step.cpu,
                 memory: step.memory,
                 gpu: step.gpu,
@@ -39,12 +39,12 @@
     /// Tells whether `other` can't be placed either.
     pub(crate) fn implies(&self, other: &Unplaceable) -> bool {
         self.image == other.image
-            && self.fill == other.fill
+            && self.best_effort == other.best_effort
             && (self.starved || !other.starved)
             && Arc::ptr_eq(&self.service, &other.service)
             && (self.label.is_none() || self.label == other.label)
-            && self.asked.cpu <= other.asked.cpu
-            && self.asked.memory <= other.asked.memory
-            && self.asked.gpu <= other.asked.gpu
+            && self.requested.cpu <= other.requested.cpu
+            && self.requested.memory <= other.requested.memory
+            && self.requested.gpu <= other.requested.gpu
     }
 }
