--- a/crates/jobs/src/order/mod.rs
+++ b/crates/jobs/src/order/mod.rs
@@ -12,4 +12,4 @@
 pub(crate) mod estimates;
 #[cfg(test)]
 mod estimates_tests;
-pub(crate) mod standing;
+pub(crate) mod urgency;
