--- a/crates/jobs/src/order/estimates.rs
+++ b/crates/jobs/src/order/estimates.rs
@@ -1,32 +1,35 @@
-//! How long tasks take, against what callers guess.
+//! Estimates how long tasks take, from the callers' guesses and from observed times.
 //!
-//! Callers' guesses are off by a factor of two to three, more in one queue than in
-//! another. Ordered by such guesses, jobs that were guessed short are given up as late
-//! while they could be in time, and hopeless ones are carried on. So the time that a
-//! task takes is fitted to the guess by queue, as a line through logarithms: where
-//! guesses tell little, all tasks are thought to take the usual time. What the tasks of
-//! a step took tells more of the others than the guess.
+//! Callers' guesses are off by a factor of two to three, more in some queues than in
+//! others. In an order by such guesses, jobs whose guesses are too short are given up as
+//! late although they could be on time, and hopeless jobs are carried on. A linear
+//! regression per queue therefore maps the logarithm of the guess to the logarithm of the
+//! duration: in queues whose guesses say little, all tasks are expected to take the usual
+//! time. The observed times of a step's own tasks predict its other tasks better than the
+//! guess.
 
 use serde::{Deserialize, Serialize};
 
-/// Differences that the callers' guess is worth as they are, in squared logarithms.
+/// Weight of the prior that a task takes as long as guessed: a number of tasks for the
+/// mean, a sum of squared logarithms for the slope.
 const PRIOR_WEIGHT: f64 = 4.0;
 
-/// Tasks that the line is worth when tasks of the step itself have ended: the tasks of
-/// a step differ by a third, steps of one guess by a half.
+/// Weight of the regression's estimate as a number of observed tasks of the step. Durations
+/// differ by a third within a step, and by a half between steps with the same guess.
 const ESTIMATE_WEIGHT: f64 = 0.4;
 
-/// Older tasks count half when so many are known.
+/// Number of observations at which the weight of all of them is halved.
 const MAX_OBSERVATIONS: f64 = 4000.0;
 
-/// By how much the longest task of a step exceeds the usual one, for each unit of the
-/// logarithm of their number: tasks of a step differ by a third.
+/// Excess of a step's longest task over its usual one, per unit of the logarithm of the
+/// number of tasks: durations differ by a third within a step.
 const SPREAD_PER_LOG_COUNT: f64 = 0.26;
 
-/// Progress in percent from which a run's pace tells its length.
+/// Progress from which a run's total duration is extrapolated.
 const MIN_PROGRESS_PERCENT: u32 = 20;
 
-/// What is learned of the guesses of one queue.
+/// Regression of the durations on the guesses of one queue, as sums over logarithms of
+/// milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EstimateModel {
     count: f64,
@@ -37,7 +40,7 @@
 }
 
 impl EstimateModel {
-    /// Takes a guess and the time that the task took, both in milliseconds.
+    /// Adds a task's guess and duration, both in milliseconds.
     pub(crate) fn observe(&mut self, guess: u64, took: u64) {
         if self.count >= MAX_OBSERVATIONS {
             for total in [
@@ -58,7 +61,7 @@
         self.products += x * y;
     }
 
-    /// Returns the logarithm of the time that a task of this guess takes.
+    /// Returns the logarithm of the expected duration of a task with this guess.
     fn expected_log(&self, guess: u64) -> f64 {
         let x = log(guess);
         if self.count == 0.0 {
@@ -73,7 +76,7 @@
     }
 }
 
-/// What is known of the times of a step's own tasks.
+/// Durations of a step's own tasks.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ObservedTimes {
     count: f64,
@@ -81,21 +84,22 @@
 }
 
 impl ObservedTimes {
-    /// Takes the time that one of them took, in milliseconds.
+    /// Adds the duration of a task, in milliseconds.
     pub(crate) fn observe(&mut self, took: u64) {
         self.count += 1.0;
         self.log_sum += log(took);
     }
 
-    /// Takes what a run tells that has got so far, in percent, in so long.
+    /// Adds the extrapolated duration of a run that is at `percent` after `ran`
+    /// milliseconds, if it is far enough.
     pub(crate) fn observe_run(&mut self, percent: u32, ran: u64) {
         if percent >= MIN_PROGRESS_PERCENT {
             self.observe(ran * 100 / u64::from(percent));
         }
     }
 
-    /// Returns the time that the longest of so many tasks of this guess takes, in
-    /// milliseconds; 0 if there is neither a guess nor a time.
+    /// Returns the expected duration of the longest of `tasks` tasks with this guess,
+    /// in milliseconds; 0 if there is neither a guess nor an observation.
     pub(crate) fn longest_ms(&self, model: &EstimateModel, guess: u64, tasks: usize) -> u64 {
         let weight = if guess > 0 { ESTIMATE_WEIGHT } else { 0.0 };
         let total_weight = weight + self.count;
--- a/crates/jobs/src/order/estimates_tests.rs
+++ b/crates/jobs/src/order/estimates_tests.rs
@@ -1,14 +1,15 @@
-//! Tests of what is learned of guessed times.
+//! Tests of the estimates of task durations.
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 use crate::order::estimates::{EstimateModel, ObservedTimes};
 
-/// Milliseconds that a task usually takes.
+/// Usual duration of a task.
 const USUAL_MS: f64 = 1700.0;
 
-/// Returns the mean errors, in logarithms, of the guesses and of what is expected:
-/// times spread by `spread`, guesses by `off` around them.
+/// Returns the mean absolute errors, in logarithms, of the guesses and of the estimates.
+/// Durations vary by `time_spread` around the usual one, and guesses by `guess_spread`
+/// around the durations.
 fn errors(time_spread: f64, guess_spread: f64) -> (f64, f64) {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut model = EstimateModel::default();
--- a/crates/jobs/src/order/mod.rs
+++ b/crates/jobs/src/order/mod.rs
@@ -1,13 +1,13 @@
-//! Which job comes first.
+//! Decides which jobs are placed first.
 //!
-//! The load pattern that this answers is more work than room: first come first served
-//! then makes all jobs late. So jobs are sorted by whether they can still meet their
-//! objective and have begun, and the rest by a lot that does not depend on their age or
-//! size. Whether a job can be in time needs the time that it takes, which callers guess
-//! badly and which is learned from what ends.
+//! The load pattern is more work than capacity, where first come, first served makes all
+//! jobs late. Jobs are therefore sorted by whether they can still meet their objective and
+//! whether they have started, and otherwise by a pseudo-random order that is independent of
+//! age and size. Whether a job can be on time depends on its duration, which callers guess
+//! badly and which is learned from the tasks that end.
 //!
-//! Limits: what is left of a job is worked out ten times a second, since placement goes
-//! through all open jobs up to fifty times a second and objectives are a second and more.
+//! Limits: the critical path of a job is recomputed only ten times a second, since
+//! placement goes through all open jobs far more often and objectives are a second or more.
 
 pub(crate) mod estimates;
 #[cfg(test)]
--- a/crates/jobs/src/order/urgency.rs
+++ b/crates/jobs/src/order/urgency.rs
@@ -1,4 +1,4 @@
-//! The order in which jobs are placed.
+//! Sorts the open jobs into the order in which they are placed.
 
 use crate::{
     machine::Machine,
@@ -11,43 +11,47 @@
     order::estimates::EstimateModel,
 };
 
-/// A lasting task that has waited for this long goes before all others, and a worker
-/// is kept free for it, in milliseconds: the users count one that waits for 6 s beside
-/// room, in pieces of whatever size, as lost.
+/// Waiting time after which a task of a long-running job is overdue, in milliseconds: the
+/// job goes before all others, and a worker is reserved for the task. Users count a
+/// long-running task as lost that waits for 6 s while there is free capacity, however
+/// fragmented.
 const OVERDUE_MS: u64 = 2000;
 
-/// Time that a task takes against its estimate, in percent, with its start.
+/// Time that a task takes including its start, in percent of its estimate.
 const RUN_TIME_PERCENT: u64 = 105;
 
-/// What is left of a job is worked out this often, in milliseconds: placement goes through
-/// all open jobs up to 100 times a second, and objectives are a second and more.
+/// Time between two computations of a job's critical path, in milliseconds. Placement goes
+/// through all open jobs up to 100 times a second, and objectives are a second or more.
 const CRITICAL_PATH_PERIOD_MS: u64 = 100;
 
-/// Multiplier that spreads jobs' names over all orders.
+/// Multiplier that hashes job ids to a pseudo-random order: 2^64 divided by the golden
+/// ratio.
 const ORDER_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// How a job stands to its objective; the first come first.
+/// Urgency of a job; smaller values are placed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// It lasts, and a task of it has waited for long.
+    /// A long-running job with a task that has waited for long.
     Overdue,
-    /// It can meet its objective, and has begun; or has none.
+    /// A job that has started and can meet its objective, or a job without an
+    /// objective.
     Started,
-    /// It can meet its objective.
+    /// A job that has not started and can meet its objective.
     NotStarted,
-    /// It has none: a core of a short job earns four times as much.
+    /// A long-running job without an overdue task. It has no objective, and a core
+    /// earns four times as much with short jobs.
     LongRunning,
-    /// It can't.
+    /// A job that can no longer meet its objective.
     Late,
 }
 
 impl Machine {
     /// Sorts the open jobs into the order in which they are placed.
     ///
-    /// With more work than room, first come first served makes all jobs late. So
-    /// those that can't meet their objective any more come last, and of the others
-    /// those that have begun come first; the rest wait in an order that does not
-    /// depend on their age or size, so that some are in time and not all late.
+    /// With more work than capacity, first come, first served makes all jobs late. Jobs
+    /// that can no longer meet their objective therefore come last, and of the others
+    /// those that have started come first. The rest wait in an order that is
+    /// independent of age and size, so that some are on time rather than all late.
     pub(crate) fn sort_open_jobs(&mut self) {
         self.update_critical_paths();
         let mut keys: Vec<(Urgency, u32, u64, JobId)> = Vec::with_capacity(self.open_jobs.len());
@@ -66,7 +70,7 @@
         self.open_jobs = keys.into_iter().map(|k| k.3).collect();
     }
 
-    /// Works out the chains of the open jobs that were worked out a while ago.
+    /// Recomputes the critical paths of open jobs that are out of date.
     fn update_critical_paths(&mut self) {
         let no_model = EstimateModel::default();
         for id in &self.open_jobs {
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Tells whether a task of a lasting job has waited for long.
+    /// Returns whether a task of a long-running job is overdue.
     pub(crate) fn is_overdue(&self, state: &JobState) -> bool {
         let steps = state
             .repetitions
--- a/crates/jobs/src/place/aging.rs
+++ b/crates/jobs/src/place/aging.rs
@@ -1,12 +1,13 @@
-//! Ages late jobs: those that stand still get their turn.
+//! Ages late jobs, so that those without runs are placed eventually.
 //!
-//! The load pattern that this answers: more work than room for minutes. Jobs that are late come
-//! last, in an order that does not change, so that the last ones of it would get nothing. Of what
-//! jobs in time leave, the late one of which nothing has run for longest gets a piece first, for
-//! one task.
+//! The load pattern is more work than capacity for minutes. Late jobs come last, in an
+//! order that does not change, so that the last ones would never run. From the capacity
+//! that jobs on time leave, the late job that has been idle for longest is served first,
+//! with one task.
 //!
-//! Limits: while jobs in time take all, late ones wait. A part of the workers has such a task at
-//! a time, so that other late jobs end as well. Gangs and suspects wait for their own turn.
+//! Limits: late jobs wait while jobs on time take all capacity. Only a part of the workers
+//! runs an aged task at a time, so that other late jobs complete as well. Gangs,
+//! long-running steps and suspects are not aged.
 
 use crate::{
     machine::Machine,
@@ -17,29 +18,29 @@
     place::{pass::Pass, request::Request},
 };
 
-/// A job of which nothing has run for this long comes first among late ones, in milliseconds:
-/// users count a job as lost that has stood still for 3 s.
+/// Idle time after which a late job is placed before the others, in milliseconds. Users
+/// count a job as lost after 3 s without a run.
 const AGED_MS: u64 = 2000;
 
-/// Which jobs stand still is worked out this often, in milliseconds.
+/// Time between two searches for aged jobs, in milliseconds.
 const REFRESH_PERIOD_MS: u64 = 100;
 
-/// One in so many workers may have a task that was placed so.
+/// One aged run is allowed per this many open workers.
 const WORKERS_PER_RUN: usize = 8;
 
-/// The jobs that stand still, and those that got their turn.
+/// The aged jobs and the runs that were placed by age.
 #[derive(Debug, Default)]
 pub(crate) struct Aging {
-    /// Jobs of which nothing has run for long, and since when, the longest first.
+    /// Aged jobs and since when they have been idle, the longest first.
     jobs: Vec<(u64, JobId)>,
-    /// When that was worked out.
+    /// When the list of jobs was refreshed, in milliseconds.
     refreshed_at: u64,
-    /// Runs by which jobs got their turn.
+    /// Runs that were placed by age, each with its run number.
     runs: Vec<(TaskId, u32)>,
 }
 
 impl JobState {
-    /// Returns since when nothing of it has run, if nothing runs.
+    /// Returns since when no task of the job has run; `None` if one runs.
     pub(crate) fn idle_since(&self) -> Option<u64> {
         if self.has_runs() {
             return None;
@@ -49,7 +50,8 @@
         Some(self.known_since.max(last_idle))
     }
 
-    /// Returns the first task that waits beside others, if it is no member of a gang.
+    /// Returns the first waiting task that needs no isolation and belongs neither to a
+    /// gang nor to a long-running step.
     fn first_eligible_task(&self, now: u64) -> Option<TaskId> {
         for (repetition, steps) in (0..).zip(&self.repetitions) {
             for (step_index, state) in (0..).zip(steps) {
@@ -76,7 +78,7 @@
 }
 
 impl Machine {
-    /// Places a task of each job that has stood still for long, as far as that may go.
+    /// Places one task of each aged job, up to the limit of aged runs.
     pub(super) fn place_aged_jobs(&mut self, pass: &mut Pass) {
         if self.now >= self.aging.refreshed_at + REFRESH_PERIOD_MS {
             self.aging.refreshed_at = self.now;
@@ -93,7 +95,7 @@
         self.aging.jobs = jobs;
     }
 
-    /// Works out which jobs stand still, and which of those that got their turn still run.
+    /// Updates the list of aged jobs and drops aged runs that have ended.
     fn refresh_aged_jobs(&mut self) {
         let mut runs = std::mem::take(&mut self.aging.runs);
         runs.retain(|&(id, run)| {
@@ -111,7 +113,7 @@
         self.aging.jobs = jobs;
     }
 
-    /// Places a task of a job that stands still.
+    /// Places one task of an aged job.
     fn place_aged_job(&mut self, id: JobId, pass: &mut Pass) {
         let Some(state) = self.jobs.get(&id).filter(|j| !j.has_runs()) else {
             return;
--- a/crates/jobs/src/place/free_capacity.rs
+++ b/crates/jobs/src/place/free_capacity.rs
@@ -1,4 +1,4 @@
-//! Which workers have room for a task.
+//! Checks which workers have capacity for a task.
 
 use std::sync::Arc;
 
@@ -9,18 +9,19 @@
     runs::worker::{Capacity, Worker, demand},
 };
 
-/// What a worker has left.
+/// The free capacity of a worker.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct FreeCapacity {
-    /// Whether more is taken than there is: then nothing fits, whatever it asks for.
+    /// Whether more is used than the worker has: then nothing fits, whatever it
+    /// requests.
     is_overcommitted: bool,
     free: Capacity,
-    /// Thousandths of a core that more filling tasks may ask for.
+    /// Thousandths of a core that further best-effort tasks may request.
     free_best_effort_cpu: u64,
 }
 
 impl FreeCapacity {
-    /// Returns what a worker has left.
+    /// Returns the free capacity of a worker.
     pub(crate) fn of(worker: &Worker) -> FreeCapacity {
         let (capacity, used) = (worker.capacity(), worker.used);
         let cpu = capacity.cpu.saturating_sub(used.cpu);
@@ -35,18 +36,19 @@
         }
     }
 
-    /// Returns how many thousandths of a core more filling tasks may ask for.
+    /// Returns how many thousandths of a core further best-effort tasks may request.
     pub(crate) fn free_best_effort_cpu(&self) -> u64 {
         self.free_best_effort_cpu
     }
 
-    /// Tells whether a task of a step fits; one that fills may go beyond the share of
-    /// processors that is left if its job has `starved`.
+    /// Returns whether a task of a step fits. A best-effort task of a `starved` job may
+    /// exceed the CPU share of best-effort tasks.
     pub(crate) fn fits(&self, step: &Step, starved: bool) -> bool {
         self.check_fit(step, starved).is_ok()
     }
 
-    /// Says why a task of a step does not fit, as [`FreeCapacity::fits`] asks.
+    /// Returns why a task of a step does not fit, under the rules of
+    /// [`FreeCapacity::fits`].
     fn check_fit(&self, step: &Step, starved: bool) -> Result<(), Refusal> {
         let demanded = demand(step);
         let has_room = demanded.cpu <= self.free.cpu
@@ -63,7 +65,8 @@
 }
 
 impl Machine {
-    /// Says why a worker may not run a task of a step, whatever room it has.
+    /// Returns why a worker may not run a task of a step, regardless of its free
+    /// capacity.
     pub(super) fn check_eligibility(
         &self,
         worker: &Worker,
@@ -85,7 +88,8 @@
         }
     }
 
-    /// Says why a worker can't take a task of a step now, as [`FreeCapacity::fits`] asks.
+    /// Returns why a worker can't take a task of a step now, under the rules of
+    /// [`FreeCapacity::fits`].
     pub(crate) fn check_fit(
         &self,
         worker: &Worker,
--- a/crates/jobs/src/place/isolation.rs
+++ b/crates/jobs/src/place/isolation.rs
@@ -1,13 +1,13 @@
-//! Where tasks run that may crash their workers.
+//! Isolates tasks that may crash their workers.
 //!
-//! The load pattern that this answers: a task that crashes each worker that starts it, beside
-//! many others that did nothing. What may be the cause runs apart until it has outlived the
-//! time in which workers crashed: nothing else begins beside it, so that it takes no others
-//! with it, and a crash that follows is its own.
+//! The load pattern is a task that crashes each worker that starts it, beside many tasks
+//! that are not at fault. A suspect runs in isolation until it has outlived the time within
+//! which workers crashed: no other task starts on its worker, so that a crash affects no
+//! others and is attributed to the suspect.
 //!
-//! Limits: an empty worker is best; where there is none for a while, one with little to lose
-//! does. A part of the workers is kept free of suspects, and of those that only chance speaks
-//! against, some run beside others.
+//! Limits: an empty worker is preferred; if there is none for a while, the worker that
+//! loses least in a crash is used. A part of the workers is kept free of suspects. Some of
+//! the suspects whose crashes may be chance run beside other tasks.
 
 use std::cmp::Reverse;
 
@@ -18,28 +18,30 @@
     runs::{crashes::JUST_STARTED_MS, worker::Worker},
 };
 
-/// A suspect waits for an empty worker for this long, in milliseconds: short tasks end within,
-/// and crashed workers are back.
+/// Time for which a suspect waits for an empty worker, in milliseconds: short tasks end and
+/// crashed workers return within it.
 const ISOLATION_WAIT_MS: u64 = 1500;
 
-/// A member of a gang waits for a worker of its own for this long, in milliseconds: a gang may
-/// have more members than workers may run suspects.
+/// Time for which a suspect in a gang waits for a worker of its own, in milliseconds. It
+/// then runs beside other tasks, since a gang may have more members than there are workers
+/// for suspects.
 const GANG_ISOLATION_WAIT_MS: u64 = 2 * ISOLATION_WAIT_MS;
 
-/// One in so many workers may run a likely suspect ...
+/// One in this many workers may isolate a task that is the likely cause of a crash.
 const WORKERS_PER_LIKELY_SUSPECT: usize = 2;
 
-/// ... and one in so many a suspect that chance alone may speak against.
+/// One in this many workers may isolate a suspect whose crashes may be chance.
 const WORKERS_PER_UNLIKELY_SUSPECT: usize = 8;
 
-/// Where nothing else waits suspects take all empty workers but one in so many, at least one.
+/// One in this many workers, at least one, is kept free of suspects when no other task
+/// waits.
 const WORKERS_PER_SPARE: usize = 8;
 
 impl Task {
-    /// Tells whether its next run has to be apart from others.
+    /// Returns whether the next run of the task has to be isolated.
     ///
-    /// What only chance speaks against waits no longer than [`ISOLATION_WAIT_MS`]: after a loss of
-    /// power that struck twice there are many of them.
+    /// A suspect whose crashes may be chance waits for isolation no longer than
+    /// [`ISOLATION_WAIT_MS`]: after two power losses there are many of them.
     pub(crate) fn needs_isolation(&self, now: u64) -> bool {
         let is_within_wait = now <= self.idle_since + ISOLATION_WAIT_MS;
         self.crashes.is_likely_cause() || self.crashes.is_suspect() && is_within_wait
@@ -47,14 +49,14 @@
 }
 
 impl Machine {
-    /// Takes note that a task may crash its workers.
+    /// Records that a task may crash its workers.
     pub(crate) fn add_suspect(&mut self, id: TaskId) {
         if let Err(at) = self.suspects.binary_search(&id) {
             self.suspects.insert(at, id);
         }
     }
 
-    /// Places the suspects that wait, before others take the empty workers.
+    /// Places the waiting suspects before other tasks take the empty workers.
     pub(super) fn place_suspects(&mut self, pass: &mut Pass) {
         let mut suspects = std::mem::take(&mut self.suspects);
         suspects.retain(|&id| self.is_open_suspect(id));
@@ -63,7 +65,7 @@
             if pass.starts_left == 0 {
                 break;
             }
-            // One try of a gang stands for all its members.
+            // A gang is tried once for all its members.
             let first = TaskId { index: 0, ..id };
             if tried_gang == Some(first) && self.is_gang_member(id) {
                 continue;
@@ -74,7 +76,7 @@
         self.suspects = suspects;
     }
 
-    /// Places suspects on workers that nobody else has a use for, once all others have places.
+    /// Places suspects on idle workers once all other tasks are placed.
     pub(super) fn place_suspects_on_idle(&mut self, pass: &mut Pass) {
         if pass.is_over_budget() || !pass.unplaceable.is_empty() {
             return;
@@ -83,7 +85,7 @@
         self.place_suspects(pass);
     }
 
-    /// Tells whether a task is a suspect and not done.
+    /// Returns whether a task is a suspect and not done.
     fn is_open_suspect(&self, id: TaskId) -> bool {
         let state = self.jobs.get(&id.job).filter(|j| !j.outcome.is_final());
         let task = state.and_then(|j| j.task(id));
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Places a suspect; true if there is a worker for it.
+    /// Places a suspect on a worker of its own; returns whether one was found.
     fn place_isolated(&mut self, id: TaskId, request: &Request<'_>, pass: &mut Pass) -> bool {
         let Some(slot) = self.find_isolated_worker(id, request, pass) else {
             return false;
@@ -138,15 +140,15 @@
         true
     }
 
-    /// Keeps others away from a worker while a suspect runs there.
+    /// Keeps other tasks off a worker while a suspect runs there.
     pub(super) fn isolate(&mut self, id: TaskId, slot: u32, pass: &mut Pass) {
         self.fleet.get_mut(slot).isolated_task = Some(id);
         pass.update_free_capacity(slot, &self.fleet);
         pass.open_workers.retain(|&s| s != slot);
     }
 
-    /// Finds a worker for a suspect: an empty one, or after [`ISOLATION_WAIT_MS`] one with little to
-    /// lose.
+    /// Returns a worker for a suspect: an empty one or, after [`ISOLATION_WAIT_MS`],
+    /// the one that loses least in a crash.
     pub(super) fn find_isolated_worker(
         &self,
         id: TaskId,
@@ -169,11 +171,12 @@
         {
             return empty;
         }
-        // Whatever else had just begun there might be blamed as well.
+        // A run that had just started there could be suspected of the crash as well.
         self.least_loaded_worker(request, pass, |w| self.now > w.probed_at + JUST_STARTED_MS)
     }
 
-    /// Tells whether one more worker may run a suspect, of those of which one in `share` may.
+    /// Returns whether one more worker may isolate a suspect, at one in
+    /// `workers_per_suspect` workers.
     fn can_isolate_more(&self, workers_per_suspect: usize, pass: &Pass) -> bool {
         let isolating = self
             .fleet
@@ -189,14 +192,15 @@
         isolating < max_isolating
     }
 
-    /// Tells whether a member of a gang has waited in vain for a worker of its own.
+    /// Returns whether a gang member has waited too long for a worker of its own.
     pub(super) fn has_waited_for_isolation(&self, id: TaskId) -> bool {
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         task.is_some_and(|t| self.now > t.idle_since + GANG_ISOLATION_WAIT_MS)
     }
 
-    /// Keeps new tasks from the worker that a suspect will soon run on beside others, so that
-    /// fewer are there then; from one at a time, whatever number of suspects waits.
+    /// Keeps new tasks off the worker on which a suspect may soon run beside others, so
+    /// that fewer are there by then. Reserves one worker at a time, however many
+    /// suspects wait.
     fn reserve_for_suspect(&self, request: &Request<'_>, pass: &mut Pass) {
         if pass.others_are_placed
             || !self.can_isolate_more(WORKERS_PER_LIKELY_SUSPECT, pass)
@@ -209,7 +213,8 @@
         }
     }
 
-    /// Returns the worker with the least to lose that can take a request and suits.
+    /// Returns the suitable worker that can take a request and loses least in a crash:
+    /// the one with the fewest long-running tasks, then the fewest runs.
     fn least_loaded_worker(
         &self,
         request: &Request<'_>,
--- a/crates/jobs/src/place/mod.rs
+++ b/crates/jobs/src/place/mod.rs
@@ -1,13 +1,14 @@
-//! Which worker a task runs on, and what waits for room.
+//! Chooses the worker that each waiting task runs on, and decides what waits for capacity.
 //!
-//! The load patterns that this answers: thousands of tasks that wait on hundreds of workers
-//! (a step's workers are rated once, and what found no room tells of others like it);
-//! serving tasks on nearly all processors, with room left in pieces (a worker is kept free
-//! for a lasting task that has waited for long); workers that join empty (the most room
-//! comes first).
+//! The module handles three load patterns. When thousands of tasks wait for hundreds of
+//! workers, the workers are rated once per step, and a task that fits nowhere rules out
+//! similar ones. When serving tasks take nearly all CPU and the free capacity is
+//! fragmented, a worker is reserved for a long-running task that has waited for long. When
+//! empty workers join, the workers with the most free capacity are chosen first.
 //!
 //! Limits: a pass rates a bounded number of workers, the most urgent steps first, so that
-//! no pass holds up renewals; passes are paced by the number of open jobs.
+//! no pass delays lease renewals. The time between passes grows with the number of open
+//! jobs.
 
 pub(crate) mod aging;
 pub(crate) mod free_capacity;
--- a/crates/jobs/src/place/pass.rs
+++ b/crates/jobs/src/place/pass.rs
@@ -1,4 +1,4 @@
-//! What one pass of placement knows and found out, and how far it goes.
+//! State of one pass of placement: loads, free capacities, findings and the rating budget.
 
 use std::sync::Arc;
 
@@ -7,22 +7,23 @@
     runs::{fleet::Fleet, worker::Capacity},
 };
 
-/// Workers that one pass rates at most, some 15 ms of work: a hundred steps of 3,000
-/// workers. With a third of that twice the usual load of 3,000 workers left twice as many
-/// jobs waiting. The most urgent steps come first, so that those left over are the ones
-/// that would wait longest anyway.
+/// Maximum number of workers that one pass rates: 100 steps on 3,000 workers, about 15 ms.
+///
+/// A third of this left twice as many jobs waiting at twice the usual load of 3,000
+/// workers. The most urgent steps come first, so that the steps left over are those that
+/// would wait longest anyway.
 const MAX_RATINGS: usize = 300_000;
 
-/// Steps that a pass tries at least, however many workers there are.
+/// Number of steps that a pass tries at least, however many workers there are.
 const MIN_STEPS: usize = 30;
 
-/// What the workers of a service have that take new runs.
+/// Capacity and use of a service's workers that accept runs.
 #[derive(Debug)]
 struct ServiceLoad {
     service: Arc<str>,
-    /// Thousandths of a core that more filling tasks may ask for.
+    /// Thousandths of a core that further best-effort tasks may request.
     free_best_effort_cpu: u64,
-    /// Thousandths of a core that filling tasks ask for.
+    /// Thousandths of a core that best-effort tasks request.
     best_effort_cpu: u64,
     capacity: Capacity,
     used: Capacity,
@@ -39,11 +40,11 @@
         }
     }
 
-    /// Tells whether more than half of the room is taken, and filling tasks have more than half
-    /// of the processors that are left to them.
+    /// Returns whether more than half of the capacity is used and best-effort tasks
+    /// request more CPU than is left to them.
     ///
-    /// What fills takes up no processors: users count a job as lost of which nothing runs while
-    /// half of the room is free, however much fills there.
+    /// CPU of best-effort tasks doesn't count as used: users count a job without runs
+    /// as lost while half of the capacity is free, however many best-effort tasks run.
     fn is_crowded(&self) -> bool {
         self.is_half_full() && self.best_effort_cpu > self.free_best_effort_cpu
     }
@@ -54,43 +55,43 @@
     }
 }
 
-/// Whether a pass of placement came to its end.
+/// Whether a pass of placement tried all waiting steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Coverage {
-    /// Each step that waited was tried.
+    /// Every waiting step was tried.
     Complete,
-    /// Some are left to the next pass.
+    /// Some steps are left to the next pass.
     Partial,
 }
 
-/// What one pass of placement found out.
+/// The state of one pass of placement.
 #[derive(Debug, Default)]
 pub(crate) struct Pass {
-    /// Workers that take new runs.
+    /// Slots of the workers that accept new runs, sorted.
     pub(crate) open_workers: Vec<u32>,
-    /// What each worker has left, by slot: with work piled up most have no room, and this
-    /// tells so without a look at the worker.
+    /// Free capacity of each worker, by slot. Under load most workers are full, and
+    /// this shows it without a look at the worker.
     free_capacities: Vec<FreeCapacity>,
-    /// Tasks that no worker can take.
+    /// Requests that no worker can take in this pass.
     pub(crate) unplaceable: Vec<Unplaceable>,
-    /// Workers that are kept free for tasks that have waited for long.
+    /// Workers that are reserved for tasks that have waited for long.
     pub(crate) reservations: Vec<Reservation>,
-    /// Whether all others have their places, so that suspects may take what is empty.
+    /// Whether all other tasks are placed, so that suspects may take empty workers.
     pub(crate) others_are_placed: bool,
     /// Whether a worker is kept free for a suspect that found none.
     pub(crate) has_suspect_reservation: bool,
-    /// Workers that were rated.
+    /// Number of workers rated so far.
     pub(crate) ratings: usize,
-    /// Workers that it may rate.
+    /// Number of workers that this pass may rate.
     max_ratings: usize,
-    /// What the workers of each service have, sorted.
+    /// Load by service, sorted by service.
     loads: Vec<ServiceLoad>,
-    /// Starts that may still be placed.
+    /// Number of further starts that may be placed.
     pub(crate) starts_left: usize,
 }
 
 impl Pass {
-    /// Begins a pass at `now`.
+    /// Begins a pass at `now`, in milliseconds.
     pub(crate) fn new(fleet: &Fleet, now: u64) -> Pass {
         let mut pass = Pass::default();
         for (slot, worker) in (0..).zip(&fleet.workers) {
@@ -124,7 +125,7 @@
         &mut self.loads[index]
     }
 
-    /// Tells whether the workers of a service are crowded.
+    /// Returns whether the workers of a service are crowded.
     pub(crate) fn is_crowded(&self, service: &Arc<str>) -> bool {
         let index = self
             .loads
@@ -132,7 +133,7 @@
         index.is_ok_and(|index| self.loads[index].is_crowded())
     }
 
-    /// Tells whether more than half of the room of a service's workers is taken.
+    /// Returns whether more than half of the capacity of a service's workers is used.
     pub(crate) fn is_half_full(&self, service: &Arc<str>) -> bool {
         let index = self
             .loads
@@ -140,29 +141,29 @@
         index.is_ok_and(|index| self.loads[index].is_half_full())
     }
 
-    /// Returns what a worker has left.
+    /// Returns the free capacity of a worker.
     pub(crate) fn free_capacity(&self, slot: u32) -> FreeCapacity {
         self.free_capacities[slot as usize]
     }
 
-    /// Takes note of what a worker has left now.
+    /// Updates the free capacity of a worker.
     pub(crate) fn update_free_capacity(&mut self, slot: u32, fleet: &Fleet) {
         self.free_capacities[slot as usize] = FreeCapacity::of(fleet.get(slot));
     }
 
-    /// Has a worker take new runs again that was kept for one of this pass.
+    /// Opens a worker to new runs again that was isolated for a task in this pass.
     pub(crate) fn reopen_worker(&mut self, slot: u32) {
         if let Err(index) = self.open_workers.binary_search(&slot) {
             self.open_workers.insert(index, slot);
         }
     }
 
-    /// Takes note that all workers are rated for a step.
+    /// Counts a rating of all open workers.
     pub(crate) fn count_ratings(&mut self) {
         self.ratings += self.open_workers.len();
     }
 
-    /// Tells whether as many workers were rated as one pass may.
+    /// Returns whether the pass has rated as many workers as it may.
     pub(crate) fn is_over_budget(&self) -> bool {
         self.ratings >= self.max_ratings
     }
--- a/crates/jobs/src/place/rank.rs
+++ b/crates/jobs/src/place/rank.rs
@@ -1,8 +1,10 @@
-//! Which workers can take a task of a step, best first.
+//! Ranks the workers that can take a task of a step.
 //!
-//! All tasks of a step suit a worker alike. So workers are rated once for a step, and one
-//! of them again after each task that is placed on it: with 1,100 workers rating all of
-//! them for each task took half of the time of deciding.
+//! A worker suits all tasks of a step equally well. The workers are therefore rated once
+//! per step, and a worker is rated again only after a task is placed on it: rating all of
+//! 1,100 workers for each task took half of the decision time.
+//!
+//! Ratings are in thousandths of a worker's CPU capacity; a higher rating is better.
 
 use std::{cmp::Reverse, collections::BinaryHeap};
 
@@ -14,34 +16,34 @@
     share::sample::Image,
 };
 
-/// What a serving task of the same image on a worker adds to its rating, in thousandths
-/// of the worker's processors.
+/// Added to the rating of a serving task for each serving task of the same image on the
+/// worker.
 const SAME_IMAGE_BONUS: i64 = 200;
 
-/// What one of another image takes off.
+/// Subtracted for each serving task of another image on the worker.
 const OTHER_IMAGE_PENALTY: i64 = 400;
 
-/// What a headroom that is less by one takes off.
+/// Subtracted for each unit of headroom that is lost.
 const HEADROOM_PENALTY: f64 = 250.0;
 
-/// What the data's rack adds: more than any other difference.
+/// Added for workers in the rack of the step's data; exceeds every other term.
 const DATA_RACK_BONUS: i64 = 5000;
 
-/// What each percent by which a worker is slower than usual takes off.
+/// Subtracted for each percent by which a worker's runs exceed their estimates.
 const SLOWNESS_PENALTY: i64 = 5;
 
-/// Workers with room for a task of one step, by rating.
+/// Workers with capacity for a task of one step, ordered by rating.
 #[derive(Debug)]
 pub(crate) struct Ranking {
-    /// Ratings and slots; of equal ratings the lowest slot comes first.
+    /// Ratings and slots; the lowest slot comes first among equal ratings.
     candidates: BinaryHeap<(i64, Reverse<u32>)>,
-    /// Headroom that the step's image takes from each serving one; none if it does not
-    /// fill.
+    /// Headroom that each serving image loses to a whole worker of the step's image;
+    /// empty unless the step is best-effort.
     headroom_costs: Vec<f64>,
 }
 
 impl Machine {
-    /// Rates all workers for a request.
+    /// Rates all open workers for a request.
     pub(crate) fn rank_workers(&mut self, request: &Request<'_>, pass: &Pass) -> Ranking {
         let mut ranking = Ranking {
             candidates: BinaryHeap::new(),
@@ -61,8 +63,8 @@
         ranking
     }
 
-    /// Returns the headroom that a request takes from each serving image; none if it does not
-    /// fill.
+    /// Returns the headroom that each serving image loses to a whole worker of the
+    /// request's image; empty unless the step is best-effort.
     pub(super) fn headroom_costs(&self, request: &Request<'_>) -> Vec<f64> {
         match request.step.best_effort {
             true => self
@@ -74,7 +76,8 @@
 
     /// Returns the best worker of a ranking.
     ///
-    /// What was placed since may have changed a rating: it counts only if it still holds.
+    /// Placements since the rating may have changed it, so the worker is rated again,
+    /// and returned only if its rating still holds.
     pub(crate) fn best_worker(
         &mut self,
         ranking: &mut Ranking,
@@ -94,7 +97,7 @@
         None
     }
 
-    /// Returns how well a worker suits a request, more is better, or why it can't take it.
+    /// Returns the rating of a worker for a request, or why the worker can't take it.
     pub(super) fn rate_worker(
         &mut self,
         slot: u32,
@@ -136,7 +139,8 @@
         Ok(rating)
     }
 
-    /// Tells whether a task may begin to fill beside a tail that is over its target.
+    /// Returns whether a best-effort task may start beside a serving task whose tail
+    /// latency is over its target.
     fn can_start_over_target(&self, slot: u32, request: &Request<'_>) -> bool {
         let worker = self.fleet.get(slot);
         request.starved
@@ -144,7 +148,7 @@
             && worker.own_load.may_run_best_effort(self.now)
     }
 
-    /// Tells whether a worker has as many tasks of a step as it may have.
+    /// Returns whether a worker runs as many tasks of a step as it may.
     pub(super) fn is_at_step_limit(&self, slot: u32, request: &Request<'_>) -> bool {
         let (first, max_per_worker) = (request.first_task, request.step.max_per_worker);
         if max_per_worker == 0 {
@@ -155,10 +159,12 @@
         runs.is_some_and(|r| r.runs_on(slot) >= max_per_worker)
     }
 
-    /// Returns how well a serving task suits those that a worker has.
+    /// Returns the part of the rating for the serving tasks that already run on a
+    /// worker.
     ///
-    /// Images differ in what disturbs them. Where a worker serves one image only,
-    /// what disturbs the others can fill there.
+    /// Images differ in which best-effort tasks interfere with them. A worker that
+    /// serves a single image can run the best-effort tasks that interfere with other
+    /// images.
     fn image_affinity(&self, worker: &Worker, image: Image) -> i64 {
         let mut rating = 0;
         for id in &worker.runs {
@@ -177,7 +183,7 @@
     }
 }
 
-/// Returns how well a worker suits a task of a step by its room, place and speed.
+/// Returns the rating of a worker for a task of a step by free CPU, rack and speed.
 pub(super) fn base_rating(worker: &Worker, step: &Step) -> i64 {
     let capacity = worker.capacity();
     let free = (capacity.cpu + worker.spare_cpu) as i64
--- a/crates/jobs/src/place/refusal.rs
+++ b/crates/jobs/src/place/refusal.rs
@@ -1,33 +1,34 @@
-//! Why a worker does not take a task.
+//! Reasons why a worker does not take a task.
 
-/// The first reason that was found.
+/// The first reason found why a worker does not take a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// It takes nothing new now: it leaves, is silent, failed too often, or is evacuated.
+    /// The worker accepts no runs: it is leaving, silent, quarantined or evacuated.
     Closed,
-    /// A suspect runs there apart.
+    /// A suspect runs on the worker in isolation.
     Isolating,
-    /// Its last runs failed, and enough others are to show why.
+    /// The worker's last runs failed, and enough other runs are there to show why.
     OnProbation,
-    /// It is of another service, or lacks a label.
+    /// The worker belongs to another service or lacks a label.
     Label,
-    /// Processors, memory or accelerators are short.
+    /// The worker lacks CPU, memory or accelerators.
     NoRoom,
-    /// What fills there has its share of processors.
+    /// Best-effort tasks on the worker already use their share of CPU.
     BestEffortShare,
-    /// The task failed there of late, or another one did.
+    /// The task failed on this worker recently, or on another one while this one has
+    /// failures too.
     FailedBefore,
-    /// It is kept free for a lasting task.
+    /// The worker is reserved for another step.
     Reserved,
-    /// It has as many tasks of the step as it may have.
+    /// The worker runs as many tasks of the step as it may.
     StepLimit,
-    /// A tail there is over its target.
+    /// The tail latency of a serving task on the worker is over its target.
     OverTarget,
-    /// The task would disturb what serves there.
+    /// The task would interfere too much with serving tasks on the worker.
     Interference,
 }
 
 impl Refusal {
-    /// How many reasons there are.
+    /// Number of reasons.
     pub(crate) const COUNT: usize = Refusal::Interference as usize + 1;
 }
--- a/crates/jobs/src/place/request.rs
+++ b/crates/jobs/src/place/request.rs
@@ -1,4 +1,4 @@
-//! What placement is asked for.
+//! A request for a worker.
 
 use std::sync::Arc;
 
@@ -7,19 +7,20 @@
     share::sample::Image,
 };
 
-/// A task that asks for a worker.
+/// A request for a worker for one task of a step.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Request<'a> {
-    /// Its step's first task.
+    /// The first task of the step, which identifies the step.
     pub(crate) first_task: TaskId,
     /// The step.
     pub(crate) step: &'a Step,
-    /// What its tasks run.
+    /// The image that the step's tasks run.
     pub(crate) image: Image,
-    /// The service whose workers run it.
+    /// The service whose workers run the step.
     pub(crate) service: &'a Arc<str>,
-    /// The worker that it failed on of late.
+    /// The worker on which the task failed recently.
     pub(crate) failed_worker: Option<u32>,
-    /// Whether its job has waited for long with nothing at work.
+    /// Whether the job is starved, so that the task may exceed the CPU share of
+    /// best-effort tasks.
     pub(crate) starved: bool,
 }
--- a/crates/jobs/src/place/reservation.rs
+++ b/crates/jobs/src/place/reservation.rs
@@ -1,12 +1,12 @@
-//! Keeps a worker free for a task that fits nowhere yet.
+//! Reserves a worker for a task that fits nowhere yet.
 //!
-//! The load pattern that this answers: room that lies in pieces. Smaller tasks take each piece
-//! as soon as it is free, so that a large task never finds enough of them on one worker, however
-//! much room there is in all.
+//! The load pattern is fragmented capacity. Smaller tasks take each free piece at once, so
+//! that a large task never finds enough on one worker, however much is free in total.
 //!
-//! Limits: a lasting task holds a worker once it has waited for long; of the others one at a
-//! time does, and only while half of the room is free. What fills goes on there as far as it
-//! leaves enough memory.
+//! Limits: a long-running task reserves a worker once it has waited for long. Of the other
+//! tasks only one at a time does, and only while half of the capacity is free. Best-effort
+//! tasks still start on a reserved worker as long as they leave enough memory and
+//! accelerators.
 
 use crate::{
     machine::Machine,
@@ -15,39 +15,40 @@
     runs::worker::{Capacity, Worker, demand},
 };
 
-/// A job of which nothing has run for this long may hold a worker, in milliseconds: users count
-/// it as lost after 3 s, and what runs there takes its time to end.
+/// Idle time after which a job may reserve a worker, in milliseconds. Users count the job
+/// as lost after 3 s, and the runs on the worker take time to end.
 const RESERVE_AFTER_MS: u64 = 1000;
 
-/// A worker is held for this long at the most, in milliseconds: users count a lasting task as
-/// lost that waits for as long beside room.
+/// Maximum duration of a reservation, in milliseconds. Users count a long-running task as
+/// lost that waits for as long while there is free capacity.
 const MAX_RESERVATION_MS: u64 = 6000;
 
-/// A worker is looked for this often, in milliseconds ...
+/// Time between two searches for a worker to reserve, in milliseconds.
 const SEARCH_PERIOD_MS: u64 = 100;
 
-/// ... and a job that found none waits for this long, so that others get their turn.
+/// Time for which a job waits after a failed search, in milliseconds, so that other jobs
+/// get their turn.
 const SEARCH_RETRY_MS: u64 = 2000;
 
-/// Workers whose runs are looked at to find one: those that lack the least room.
+/// Number of workers whose runs one search examines: those with the least shortage.
 const MAX_CANDIDATES: usize = 32;
 
-/// A worker that is kept free of others for a task of a step.
+/// A worker that is reserved for a task of a step.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Reservation {
-    /// The step's first task.
+    /// The first task of the step, which identifies the step.
     first_task: TaskId,
     slot: u32,
-    /// What the task asks for.
+    /// The capacity that the task takes up.
     demand: Capacity,
     long_running: bool,
-    /// When it ends.
+    /// When the reservation ends, in milliseconds.
     expires_at: u64,
 }
 
 impl Reservation {
-    /// Tells whether a worker that takes something of this size as well has too little memory or
-    /// too few accelerators for the task.
+    /// Returns whether too little memory or too few accelerators are left for the
+    /// reserved task if the worker takes `more` as well.
     fn would_block(&self, worker: &Worker, more: Capacity) -> bool {
         let (capacity, used) = (worker.capacity(), worker.used);
         capacity.memory < used.memory + more.memory + self.demand.memory
@@ -56,7 +57,7 @@
 }
 
 impl Machine {
-    /// Returns the workers that are held at the beginning of a pass.
+    /// Drops the reservations that are no longer needed and returns the others.
     pub(super) fn current_reservations(&mut self) -> Vec<Reservation> {
         let mut reservations = std::mem::take(&mut self.reservations);
         reservations.retain(|r| self.is_reservation_needed(r));
@@ -64,7 +65,7 @@
         self.reservations.clone()
     }
 
-    /// Tells whether a task still waits for the worker that is held for it.
+    /// Returns whether a task still waits for the worker that is reserved for it.
     fn is_reservation_needed(&self, reservation: &Reservation) -> bool {
         let first = reservation.first_task;
         let state = self.jobs.get(&first.job);
@@ -78,7 +79,7 @@
         is_waiting && is_blocked && accepts_runs && self.now < reservation.expires_at
     }
 
-    /// Tells whether a worker is held for a task of another step.
+    /// Returns whether a worker is reserved for a task of another step.
     pub(super) fn is_reserved(&self, slot: u32, request: &Request<'_>, pass: &Pass) -> bool {
         let others = pass.reservations.iter().filter(|r| r.slot == slot);
         let mut others = others.filter(|r| r.first_task != request.first_task);
@@ -87,7 +88,7 @@
         others.any(|r| !step.best_effort || r.would_block(worker, demand(step)))
     }
 
-    /// Holds a worker for a task that fits nowhere, if it has waited for long.
+    /// Reserves a worker for a task that fits nowhere, if the task has waited for long.
     pub(super) fn reserve_worker(&mut self, request: &Request<'_>, pass: &mut Pass) {
         let first = request.first_task;
         if pass.reservations.iter().any(|r| r.first_task == first) {
@@ -125,7 +126,8 @@
         pass.reservations.push(reservation);
     }
 
-    /// Tells whether a job stands still beside much room, and may hold a worker.
+    /// Returns whether a job is idle despite much free capacity and may reserve a
+    /// worker.
     fn may_reserve(&self, state: &JobState, request: &Request<'_>, pass: &Pass) -> bool {
         let is_too_early = self.now < self.last_search + SEARCH_PERIOD_MS
             || self.now < state.search_failed_at + SEARCH_RETRY_MS;
@@ -137,8 +139,8 @@
         since.is_some_and(|at| self.now > at + RESERVE_AFTER_MS)
     }
 
-    /// Finds the worker that soonest has room for a task of a step, of those that have none now
-    /// and are not held already.
+    /// Returns the unreserved worker that is the first to have capacity for a task of a
+    /// step, of those that have none now.
     fn find_worker_to_reserve(&self, request: &Request<'_>, pass: &Pass) -> Option<u32> {
         let step = request.step;
         let mut candidates = self.reservation_candidates(request, pass);
@@ -149,7 +151,7 @@
         let waiting_times = candidates[..limit].iter().filter_map(|&(_, slot)| {
             let worker = self.fleet.get(slot);
             let wait = self.time_until_fit(worker, demand(step))?;
-            // Else it would wait for too long.
+            // Otherwise the reservation would expire before there is capacity.
             (step.long_running || wait < MAX_RESERVATION_MS).then_some((
                 wait,
                 worker.used.cpu,
@@ -159,15 +161,16 @@
         waiting_times.min().map(|(_, _, slot)| slot)
     }
 
-    /// Returns the workers that may have room for a task of a step once others have ended, with
-    /// how much is short, in thousandths of what they can hold.
+    /// Returns the workers that may have capacity for a task of a step once other runs
+    /// have ended, with the shortage in thousandths of their capacity.
     fn reservation_candidates(&self, request: &Request<'_>, pass: &Pass) -> Vec<(u64, u32)> {
         let (step, demanded) = (request.step, demand(request.step));
         let mut candidates = Vec::new();
         for (slot, worker) in (0..).zip(&self.fleet.workers) {
             let capacity = worker.capacity();
             let missing = shortage(worker, demanded);
-            // One that lacks nothing is refused for another reason than room.
+            // A worker without a shortage refuses the task for another reason
+            // than capacity.
             if missing == 0 && !step.long_running
                 || !capacity.has_room(worker.long_running_size, demanded)
             {
@@ -185,8 +188,9 @@
         candidates
     }
 
-    /// Returns in how many milliseconds enough of a worker's runs are likely to have ended for
-    /// something of a size; nothing if those that last leave too little.
+    /// Returns in how many milliseconds enough runs of a worker are expected to have
+    /// ended for a task with this demand; `None` if long-running tasks leave too
+    /// little.
     fn time_until_fit(&self, worker: &Worker, demanded: Capacity) -> Option<u64> {
         let capacity = worker.capacity();
         let mut ends: Vec<(u64, Capacity)> = Vec::new();
@@ -217,7 +221,8 @@
     }
 }
 
-/// Returns how much a worker lacks for something of a size, in thousandths of what it can hold.
+/// Returns how much a worker lacks for a task with this demand, in thousandths of its
+/// capacity, summed over CPU, memory and accelerators.
 fn shortage(worker: &Worker, demanded: Capacity) -> u64 {
     let (capacity, used) = (worker.capacity(), worker.used);
     let missing = |capacity: u64, used: u64, demanded: u64| {
@@ -229,7 +234,8 @@
         + missing(capacity.gpu, used.gpu, demanded.gpu)
 }
 
-/// Returns how long a run is likely to take yet, in milliseconds, with its task's `estimate`.
+/// Returns the expected remaining time of a run, in milliseconds, from its task's
+/// `estimate`.
 fn remaining_ms(run: &Run, estimate: u64) -> u64 {
     if !run.is_wanted() {
         return 0;
--- a/crates/jobs/src/place/start_window.rs
+++ b/crates/jobs/src/place/start_window.rs
@@ -1,32 +1,34 @@
-//! How many starts may be under way at once.
+//! Bounds the number of starts in flight.
 //!
-//! The load pattern that this answers: an owner whose link, or whose own processor, is full.
-//! More starts than it carries wait in its sockets, where no order is kept, and behind them
-//! wait the looks that renew leases: workers look silent, and what matters most waits as
-//! long as all else. So once starts are answered late their number is bounded, and what
-//! waits, waits where it is sorted.
+//! The load pattern is an owner whose link or CPU is saturated. Starts beyond its
+//! throughput queue in its sockets in no useful order, and the polls that renew leases
+//! queue behind them: workers look silent, and urgent starts wait as long as all others.
+//! Once starts are answered late, the window bounds the number in flight, and the remaining
+//! starts wait in the sorted order of jobs.
 //!
-//! Limits: half of the answers must be late, since a zone of five that is cut off, or one
-//! worker in twenty that answers nobody, tells nothing of the owner.
+//! Limits: the window shrinks only if more than half of the answers are late. One zone of
+//! five that is cut off, or one worker in twenty that answers nobody, says nothing about
+//! the owner.
 
-/// An answer to a start that takes longer is late, in milliseconds: workers answer within
-/// 5, and starts are given up after 700.
+/// An answer to a start that takes longer than this is late, in milliseconds. Workers
+/// answer within 5 ms, and starts are given up after 700 ms.
 const LATE_MS: u64 = 300;
 
-/// Answers after which the window is set anew.
+/// Number of answers after which the window is resized.
 const ROUND_ANSWERS: u32 = 32;
 
 /// Smallest window: enough for one start to each of a few workers.
 const MIN_SIZE: usize = 16;
 
-/// A window of so many bounds nothing.
+/// A window of this size is unbounded.
 const MAX_SIZE: usize = 4096;
 
-/// It grows by one in so many each round without late answers: slowly enough that the next
-/// round's answers are late before any start is given up.
+/// The window grows by one in this many after each round in which at most half of the
+/// answers are late: slowly enough that answers of the next round are late before any start
+/// is given up.
 const GROWTH_DIVISOR: usize = 8;
 
-/// How many starts may be under way at once.
+/// Bound on the number of starts in flight.
 #[derive(Debug)]
 pub(crate) struct StartWindow {
     size: usize,
@@ -45,12 +47,12 @@
 }
 
 impl StartWindow {
-    /// Returns how many starts may be under way; nothing if there is no bound.
+    /// Returns how many starts may be in flight, or `None` if unbounded.
     pub(crate) fn limit(&self) -> Option<usize> {
         Some(self.size).filter(|&s| s < MAX_SIZE)
     }
 
-    /// Takes note that a start was answered, or given up, after so many milliseconds.
+    /// Records that a start was answered, or given up, after `ms` milliseconds.
     pub(crate) fn note_answer(&mut self, ms: u64) {
         self.answers += 1;
         self.late_answers += u32::from(ms > LATE_MS);
--- a/crates/jobs/src/place/start_window_tests.rs
+++ b/crates/jobs/src/place/start_window_tests.rs
@@ -1,4 +1,4 @@
-//! When starts are held back.
+//! Tests of the bound on starts in flight.
 
 use super::start_window::StartWindow;
 
@@ -15,7 +15,7 @@
     assert_eq!(window.limit(), None);
 }
 
-/// A zone of five is cut off, and one worker in ten answers late.
+/// One zone of five is cut off, and one worker in ten answers late.
 #[test]
 fn some_late_answers_bound_nothing() {
     let mut window = StartWindow::default();
--- a/crates/jobs/src/place/starvation.rs
+++ b/crates/jobs/src/place/starvation.rs
@@ -1,6 +1,6 @@
-//! Tells which jobs stand still, and why no worker takes a task of theirs.
+//! Logs which jobs are starved and why no worker takes their tasks.
 //!
-//! Limits: a few jobs a second, those that have stood still for longest.
+//! Limits: only the few jobs that have been idle for longest are logged, once a second.
 
 use crate::{
     machine::Machine,
@@ -11,13 +11,13 @@
     place::{pass::Pass, refusal::Refusal, request::Request},
 };
 
-/// A job of which nothing has run for this long stands still, in milliseconds.
+/// Idle time after which a job counts as starved and is logged, in milliseconds.
 const LOG_AFTER_MS: u64 = 3000;
 
-/// Jobs that are logged at most, each time.
+/// Maximum number of jobs that are logged each time.
 const MAX_LOG_LINES: usize = 4;
 
-/// Workers by the reason why they take no task of a job.
+/// Number of workers by the reason why they don't take a request.
 #[derive(Debug, Default)]
 struct RefusalCounts([u32; Refusal::COUNT]);
 
@@ -28,7 +28,7 @@
 }
 
 impl JobState {
-    /// Returns the first task of the first step that has tasks waiting.
+    /// Returns the first waiting task of the first step that has one.
     fn first_waiting_task(&self, now: u64) -> Option<TaskId> {
         for (repetition, steps) in (0..).zip(&self.repetitions) {
             for (step_index, state) in (0..).zip(steps) {
@@ -52,7 +52,7 @@
 }
 
 impl Machine {
-    /// Logs the jobs that have stood still for longest, and counts all.
+    /// Counts the starved jobs and logs those that have been idle for longest.
     pub(crate) fn log_starved_jobs(&mut self) {
         let mut starved: Vec<(u64, JobId)> = Vec::new();
         for &id in &self.open_jobs {
@@ -113,7 +113,7 @@
         );
     }
 
-    /// Counts the workers by why they don't take a request now.
+    /// Counts the workers by the reason why they don't take a request now.
     fn count_refusals(&mut self, request: &Request<'_>, pass: &Pass) -> RefusalCounts {
         let headroom_costs = self.headroom_costs(request);
         let mut refusals = RefusalCounts::default();
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -1,4 +1,4 @@
-//! Places the tasks that wait.
+//! Places waiting tasks on workers.
 
 use crate::{
     machine::Machine,
@@ -15,50 +15,53 @@
     },
 };
 
-/// A job of which nothing runs for this long may have a task beyond the share of
-/// processors that filling tasks are given, in milliseconds: else one that disturbs
-/// everywhere might never begin.
+/// A job of this age without runs may place one task beyond the CPU share of best-effort
+/// tasks, in milliseconds. Otherwise a task that interferes with every serving task might
+/// never start.
 ///
-/// Not while the fleet is crowded: then most jobs wait for as long, and with a task of each
-/// beyond its share all are slowed (filling jobs earned 0.60 of their worth so on 350 full
-/// workers, 0.65 without that, 15 days with trouble).
+/// This does not apply while the service is crowded: most jobs then wait for as long, and
+/// one extra task of each would slow all of them down. On 350 full workers that lowered the
+/// value earned by best-effort jobs from 0.65 to 0.60.
 const STARVED_MS: u64 = 1500;
 
-/// A task does not go back to the worker that it failed on for this long, and not
-/// to one that others failed on, in milliseconds.
+/// Time for which a task avoids the worker on which it failed, and workers with other
+/// failures, in milliseconds after its backoff.
 const AVOID_WORKER_MS: u64 = 2500;
 
-/// A member of a gang, in the order in which they are placed: those that run apart come first.
+/// A member of a gang. The order is that of placement: members that need isolation come
+/// first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Member {
-    /// Whether it may run beside others.
+    /// Whether the member may share its worker with other tasks.
     can_share: bool,
     index: u32,
 }
 
-/// A place that was chosen in this pass, and what its task was like before.
+/// An assignment made in this pass, with the previous state of its task.
 #[derive(Debug)]
 struct Assigned {
     id: TaskId,
     slot: u32,
-    /// Number of its last run.
+    /// Number of the task's previous run.
     previous_run: u32,
-    /// When it last lost its run.
+    /// When the task lost its previous run.
     previous_idle_since: u64,
 }
 
-/// What became of a gang.
+/// Result of placing a gang.
 pub(super) enum GangPlacement {
-    /// All that waited are placed.
+    /// No member is left to place in this pass.
     All,
-    /// None is.
+    /// No member is placed.
     Unplaced,
 }
 
 impl Machine {
-    /// Places tasks that wait, the most urgent jobs first, as far as one pass goes.
+    /// Places waiting tasks, those of the most urgent jobs first, within the budget of
+    /// one pass.
     ///
-    /// Nothing is placed while it is not known which workers are about to leave.
+    /// Places nothing while the workers' announcements are stale: any worker may be
+    /// about to leave.
     pub(crate) fn place_tasks(&mut self) -> Coverage {
         if !self.fleet.is_fresh(self.now, &self.settings) {
             self.stats.skipped_passes += 1;
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Returns how many runs are placed and have not been answered for.
+    /// Returns the number of placed runs whose start has not been answered.
     fn unanswered_starts(&self) -> usize {
         let runs = self.fleet.workers.iter().flat_map(|w| &w.runs);
         let stages = runs.filter_map(|&id| {
@@ -141,7 +144,8 @@
                     failed_worker: None,
                     starved: may_exceed_share && step.best_effort,
                 };
-                // What waits of one step holds back no other one: that may ask for less.
+                // A step that finds no worker doesn't block later steps,
+                // which may request less.
                 match step.gang {
                     true => {
                         self.place_gang(request, pass);
@@ -154,8 +158,8 @@
         }
     }
 
-    /// Places the tasks of a step that wait; the first one beyond the usual share if the
-    /// job has starved.
+    /// Places the waiting tasks of a step. If the job is starved, the first one may
+    /// exceed the CPU share of best-effort tasks.
     fn place_step(&mut self, mut request: Request<'_>, pass: &mut Pass) {
         let (step, first) = (request.step, request.first_task);
         let mut ranking: Option<Ranking> = None;
@@ -179,7 +183,7 @@
         }
     }
 
-    /// Returns the worker on which a task failed of late.
+    /// Returns the worker on which a task failed recently.
     pub(super) fn worker_to_avoid(&self, id: TaskId) -> Option<u32> {
         let task = self.jobs.get(&id.job)?.task(id)?;
         let recent = self.now < task.retry_at + AVOID_WORKER_MS;
@@ -218,7 +222,8 @@
         }
         pass.starts_left = starts_left;
         if !placed.is_empty() {
-            // What did not fit beside its members may fit without them.
+            // A task that doesn't fit beside its gang members may fit without
+            // them.
             pass.unplaceable.truncate(unplaceable_before);
         }
         for member in placed {
@@ -229,7 +234,8 @@
         GangPlacement::Unplaced
     }
 
-    /// Places members of a gang as its next run, until one finds no worker.
+    /// Assigns members of a gang to workers as run number `run`, until one finds no
+    /// worker.
     fn assign_members(
         &mut self,
         request: &Request<'_>,
@@ -266,15 +272,15 @@
         placed
     }
 
-    /// Places a task on a worker, as one of those that it is tried with.
+    /// Places a task on a worker and counts the run as a probe of the worker.
     pub(super) fn place_on(&mut self, id: TaskId, slot: u32, step: &Step) {
         if self.assign(id, slot, step, None).is_some() {
             self.fleet.get_mut(slot).note_probe(self.now);
         }
     }
 
-    /// Places a task on a worker, as the next run or as that with a number; returns what takes
-    /// this back.
+    /// Assigns a task to a worker, as run `number` or else the next one. Returns what
+    /// [`Machine::unassign`] needs to undo the assignment.
     fn assign(
         &mut self,
         id: TaskId,
@@ -303,8 +309,8 @@
         Some(assigned)
     }
 
-    /// Takes a place back that was chosen in this pass: its task has waited all the while, and
-    /// nothing of it has to be made durable.
+    /// Undoes an assignment of this pass. The task counts as waiting all the while, and
+    /// no record has to become durable.
     fn unassign(&mut self, assigned: &Assigned) {
         let id = assigned.id;
         self.clear_run(id);
@@ -315,8 +321,8 @@
         }
     }
 
-    /// Returns the best worker for a task of a step, if any can take it; `ranking` serves
-    /// the tasks of the step that are alike.
+    /// Returns the best worker for a task of a step, if any can take it. The `ranking`
+    /// is shared by similar tasks of the step.
     pub(super) fn choose_worker(
         &mut self,
         request: &Request<'_>,
@@ -343,7 +349,8 @@
             *ranking = Some(self.rank_workers(request, pass));
         }
         let worker = self.best_worker(ranking.as_mut()?, request, pass);
-        // A worker that has as many tasks of one step as it may have takes those of another one.
+        // Requests of a step with a limit per worker say nothing about other steps:
+        // a worker at the limit still takes their tasks.
         if worker.is_none() && request.step.max_per_worker == 0 {
             pass.unplaceable.push(unplaceable);
         }
--- a/crates/jobs/src/place/unplaceable.rs
+++ b/crates/jobs/src/place/unplaceable.rs
@@ -1,25 +1,25 @@
-//! What one pass of placement need not try again.
+//! Requests that one pass of placement need not try again.
 
 use std::sync::Arc;
 
 use crate::{place::request::Request, runs::worker::Capacity, share::sample::Image};
 
-/// A task that no worker can take in this pass, nor any larger one of its kind.
+/// A request that no worker can take in this pass, nor any larger request of its kind.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Unplaceable {
     image: Image,
     best_effort: bool,
-    /// Whether it might have gone beyond the share of what fills.
+    /// Whether the request was allowed to exceed the CPU share of best-effort tasks.
     starved: bool,
     service: Arc<str>,
-    /// The label that its worker must have.
+    /// The label that the worker must have.
     label: Option<Arc<str>>,
-    /// What it asks for, also if it fills.
+    /// The requested capacity, including the CPU of best-effort tasks.
     requested: Capacity,
 }
 
 impl Unplaceable {
-    /// Returns what a request stands for.
+    /// Returns the entry for a request.
     pub(crate) fn new(request: &Request<'_>) -> Unplaceable {
         let step = request.step;
         Unplaceable {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Tells whether `other` can't be placed either.
+    /// Returns whether `other` can't be placed either.
     pub(crate) fn implies(&self, other: &Unplaceable) -> bool {
         self.image == other.image
             && self.best_effort == other.best_effort
