--- a/crates/jobs/src/order/estimates_tests.rs
+++ b/crates/jobs/src/order/estimates_tests.rs
@@ -28,25 +28,25 @@
 }
 
 #[test]
-fn where_guesses_tell_little_the_usual_time_is_expected() {
+fn poor_guesses_yield_the_usual_time() {
     let (guessed, expected) = errors(0.5, 0.9);
     assert!(expected < 0.6 * guessed, "{expected} of {guessed}");
 }
 
 #[test]
-fn good_guesses_are_believed() {
+fn accurate_guesses_are_kept() {
     let (guessed, expected) = errors(0.9, 0.1);
     assert!(expected < 1.05 * guessed, "{expected} of {guessed}");
 }
 
 #[test]
-fn before_anything_is_known_the_guess_counts() {
+fn without_observations_the_guess_is_used() {
     let longest_ms = ObservedTimes::default().longest_ms(&EstimateModel::default(), 900, 1);
     assert!((899..=901).contains(&longest_ms), "{longest_ms}");
 }
 
 #[test]
-fn what_tasks_of_the_step_took_tells_more_than_the_guess() {
+fn observed_times_of_the_step_outweigh_the_guess() {
     let mut times = ObservedTimes::default();
     for took in [3900, 4000, 4100] {
         times.observe(took);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_run_tells_the_length_once_it_is_a_fifth_through() {
+fn a_run_is_extrapolated_once_it_has_enough_progress() {
     let mut times = ObservedTimes::default();
     times.observe_run(10, 500);
     assert_eq!(times.longest_ms(&EstimateModel::default(), 0, 1), 0);
--- a/crates/jobs/src/place/start_window_tests.rs
+++ b/crates/jobs/src/place/start_window_tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn quick_answers_bound_nothing() {
+fn quick_answers_leave_starts_unbounded() {
     let mut window = StartWindow::default();
     record_answers(&mut window, 1000, 20);
     assert_eq!(window.limit(), None);
@@ -17,7 +17,7 @@
 
 /// One zone of five is cut off, and one worker in ten answers late.
 #[test]
-fn some_late_answers_bound_nothing() {
+fn some_late_answers_leave_starts_unbounded() {
     let mut window = StartWindow::default();
     for _ in 0..200 {
         record_answers(&mut window, 3, 700);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn late_answers_bound_it_and_quick_ones_free_it() {
+fn late_answers_shrink_the_window_and_quick_ones_grow_it() {
     let mut window = StartWindow::default();
     record_answers(&mut window, 320, 600);
     assert_eq!(window.limit(), Some(16));
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -39,7 +39,7 @@
 
 /// An assignment made in this pass, with the previous state of its task.
 #[derive(Debug)]
-struct Assigned {
+struct Assignment {
     id: TaskId,
     slot: u32,
     /// Number of the task's previous run.
@@ -242,7 +242,7 @@
         members: &[Member],
         run: u32,
         pass: &mut Pass,
-    ) -> Vec<Assigned> {
+    ) -> Vec<Assignment> {
         let mut ranking: Option<Ranking> = None;
         let mut placed = Vec::new();
         for &Member { can_share, index } in members {
@@ -287,12 +287,12 @@
         slot: u32,
         step: &Step,
         number: Option<u32>,
-    ) -> Option<Assigned> {
+    ) -> Option<Assignment> {
         let now = self.now;
         let state = self.jobs.get_mut(&id.job)?;
         let runs = state.step_mut(id.repetition, id.step)?;
         let task = &mut runs.tasks[id.index as usize];
-        let assigned = Assigned {
+        let assignment = Assignment {
             id,
             slot,
             previous_run: task.last_run,
@@ -306,18 +306,18 @@
             worker.own_load.note_best_effort(true, now);
         }
         self.mark_dirty(id.job);
-        Some(assigned)
+        Some(assignment)
     }
 
     /// Undoes an assignment of this pass. The task counts as waiting all the while, and
     /// no record has to become durable.
-    fn unassign(&mut self, assigned: &Assigned) {
-        let id = assigned.id;
+    fn unassign(&mut self, assignment: &Assignment) {
+        let id = assignment.id;
         self.clear_run(id);
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         if let Some(task) = task {
-            task.last_run = assigned.previous_run;
-            task.idle_since = assigned.previous_idle_since;
+            task.last_run = assignment.previous_run;
+            task.idle_since = assignment.previous_idle_since;
         }
     }
 
