--- a/crates/jobs/src/place/aging.rs
+++ b/crates/jobs/src/place/aging.rs
@@ -1,12 +1,13 @@
-//! Ages late jobs: those that stand still get their turn.
+//! Ages late jobs, so that those without runs are placed eventually.
 //!
-//! The load pattern that this answers: more work than room for minutes. Jobs that are late come
-//! last, in an order that does not change, so that the last ones of it would get nothing. Of what
-//! jobs in time leave, the late one of which nothing has run for longest gets a piece first, for
-//! one task.
+//! The load pattern is more work than capacity for minutes. Late jobs come last, in an
+//! order that does not change, so that the last ones would never run. From the capacity
+//! that jobs on time leave, the late job that has been idle for longest is served first,
+//! with one task.
 //!
-//! Limits: while jobs in time take all, late ones wait. A part of the workers has such a task at
-//! a time, so that other late jobs end as well. Gangs and suspects wait for their own turn.
+//! Limits: late jobs wait while jobs on time take all capacity. Only a part of the workers
+//! runs an aged task at a time, so that other late jobs complete as well. Gangs,
+//! long-running steps and suspects are not aged.
 
 use crate::{
     machine::Machine,
@@ -17,44 +18,48 @@
     place::{pass::Pass, request::Request},
 };
 
-/// A job of which nothing has run for this long comes first among late ones, in milliseconds:
-/// users count a job as lost that has stood still for 3 s.
-const AGED: u64 = 2000;
+/// Idle time after which a late job is placed before the others, in milliseconds. Users
+/// count a job as lost after 3 s without a run.
+const AGED_MS: u64 = 2000;
 
-/// Which jobs stand still is worked out this often, in milliseconds.
-const PERIOD: u64 = 100;
+/// Time between two searches for aged jobs, in milliseconds.
+const REFRESH_PERIOD_MS: u64 = 100;
 
-/// One in so many workers may have a task that was placed so.
-const SHARE: usize = 8;
+/// One aged run is allowed per this many open workers.
+const WORKERS_PER_RUN: usize = 8;
 
-/// The jobs that stand still, and those that got their turn.
+/// The aged jobs and the runs that were placed by age.
 #[derive(Debug, Default)]
 pub(crate) struct Aging {
-    /// Jobs of which nothing has run for long, and since when, the longest first.
+    /// Aged jobs and since when they have been idle, the longest first.
     jobs: Vec<(u64, JobId)>,
-    /// When that was worked out.
-    noted: u64,
-    /// Runs by which jobs got their turn.
+    /// When the list of jobs was refreshed, in milliseconds.
+    refreshed_at: u64,
+    /// Runs that were placed by age, each with its run number.
     runs: Vec<(TaskId, u32)>,
 }
 
 impl JobState {
-    /// Returns since when nothing of it has run, if nothing runs.
+    /// Returns since when no task of the job has run; `None` if one runs.
     pub(crate) fn idle_since(&self) -> Option<u64> {
         if self.has_runs() {
             return None;
         }
         let tasks = self.repetitions.iter().flatten().flat_map(|s| &s.tasks);
-        let ended = tasks.map(|t| t.idle_since).max().unwrap_or(0);
-        Some(self.known_since.max(ended))
+        let last_idle = tasks.map(|t| t.idle_since).max().unwrap_or(0);
+        Some(self.known_since.max(last_idle))
     }
 
-    /// Returns the first task that waits beside others, if it is no member of a gang.
-    fn first_beside(&self, now: u64) -> Option<TaskId> {
-        for (time, steps) in (0..).zip(&self.repetitions) {
-            for (step, state) in (0..).zip(steps) {
-                let kept = &self.job.spec.steps[step as usize];
-                if kept.gang || kept.long_running || !self.is_ready(time as usize, step as usize) {
+    /// Returns the first waiting task that needs no isolation and belongs neither to a
+    /// gang nor to a long-running step.
+    fn first_eligible_task(&self, now: u64) -> Option<TaskId> {
+        for (repetition, steps) in (0..).zip(&self.repetitions) {
+            for (step_index, state) in (0..).zip(steps) {
+                let spec = &self.job.spec.steps[step_index as usize];
+                if spec.gang
+                    || spec.long_running
+                    || !self.is_ready(repetition as usize, step_index as usize)
+                {
                     continue;
                 }
                 let Some(&index) = state.waiting_tasks(now).first() else {
@@ -62,8 +67,8 @@
                 };
                 return Some(TaskId {
                     job: self.job.id,
-                    repetition: time,
-                    step,
+                    repetition,
+                    step: step_index,
                     index,
                 });
             }
@@ -73,25 +78,25 @@
 }
 
 impl Machine {
-    /// Places a task of each job that has stood still for long, as far as that may go.
+    /// Places one task of each aged job, up to the limit of aged runs.
     pub(super) fn place_aged_jobs(&mut self, pass: &mut Pass) {
-        if self.now >= self.aging.noted + PERIOD {
-            self.aging.noted = self.now;
-            self.note_aged();
+        if self.now >= self.aging.refreshed_at + REFRESH_PERIOD_MS {
+            self.aging.refreshed_at = self.now;
+            self.refresh_aged_jobs();
         }
-        let most = pass.open_workers.len().div_ceil(SHARE);
+        let max_runs = pass.open_workers.len().div_ceil(WORKERS_PER_RUN);
         let jobs = std::mem::take(&mut self.aging.jobs);
         for &(_, id) in &jobs {
-            if self.aging.runs.len() >= most || pass.starts_left == 0 || pass.is_over_budget() {
+            if self.aging.runs.len() >= max_runs || pass.starts_left == 0 || pass.is_over_budget() {
                 break;
             }
-            self.place_one(id, pass);
+            self.place_aged_job(id, pass);
         }
         self.aging.jobs = jobs;
     }
 
-    /// Works out which jobs stand still, and which of those that got their turn still run.
-    fn note_aged(&mut self) {
+    /// Updates the list of aged jobs and drops aged runs that have ended.
+    fn refresh_aged_jobs(&mut self) {
         let mut runs = std::mem::take(&mut self.aging.runs);
         runs.retain(|&(id, run)| {
             let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
@@ -101,19 +106,19 @@
         let mut jobs = Vec::new();
         for &id in &self.open_jobs {
             let since = self.jobs.get(&id).and_then(JobState::idle_since);
-            let since = since.filter(|&at| self.now > at + AGED);
+            let since = since.filter(|&at| self.now > at + AGED_MS);
             jobs.extend(since.map(|at| (at, id)));
         }
         jobs.sort_unstable();
         self.aging.jobs = jobs;
     }
 
-    /// Places a task of a job that stands still.
-    fn place_one(&mut self, id: JobId, pass: &mut Pass) {
+    /// Places one task of an aged job.
+    fn place_aged_job(&mut self, id: JobId, pass: &mut Pass) {
         let Some(state) = self.jobs.get(&id).filter(|j| !j.has_runs()) else {
             return;
         };
-        let Some(task) = state.first_beside(self.now) else {
+        let Some(task) = state.first_eligible_task(self.now) else {
             return;
         };
         let (job, image) = (state.job.clone(), state.images[task.step as usize]);
--- a/crates/jobs/src/place/pass.rs
+++ b/crates/jobs/src/place/pass.rs
@@ -1,4 +1,4 @@
-//! What one pass of placement knows and found out, and how far it goes.
+//! State of one pass of placement: loads, free capacities, findings and the rating budget.
 
 use std::sync::Arc;
 
@@ -7,157 +7,164 @@
     runs::{fleet::Fleet, worker::Capacity},
 };
 
-/// Workers that one pass rates at most, some 15 ms of work: a hundred steps of 3,000
-/// workers. With a third of that twice the usual load of 3,000 workers left twice as many
-/// jobs waiting. The most urgent steps come first, so that those left over are the ones
-/// that would wait longest anyway.
-const RATINGS: usize = 300_000;
+/// Maximum number of workers that one pass rates: 100 steps on 3,000 workers, about 15 ms.
+///
+/// A third of this left twice as many jobs waiting at twice the usual load of 3,000
+/// workers. The most urgent steps come first, so that the steps left over are those that
+/// would wait longest anyway.
+const MAX_RATINGS: usize = 300_000;
 
-/// Steps that a pass tries at least, however many workers there are.
-const STEPS: usize = 30;
+/// Number of steps that a pass tries at least, however many workers there are.
+const MIN_STEPS: usize = 30;
 
-/// What the workers of a service have that take new runs.
+/// Capacity and use of a service's workers that accept runs.
 #[derive(Debug)]
-struct Load {
+struct ServiceLoad {
     service: Arc<str>,
-    /// Thousandths of a core that more filling tasks may ask for.
-    left: u64,
-    /// Thousandths of a core that filling tasks ask for.
-    filling: u64,
-    all: Capacity,
+    /// Thousandths of a core that further best-effort tasks may request.
+    free_best_effort_cpu: u64,
+    /// Thousandths of a core that best-effort tasks request.
+    best_effort_cpu: u64,
+    capacity: Capacity,
     used: Capacity,
 }
 
-impl Load {
-    fn new(service: Arc<str>) -> Load {
-        Load {
+impl ServiceLoad {
+    fn new(service: Arc<str>) -> ServiceLoad {
+        ServiceLoad {
             service,
-            left: 0,
-            filling: 0,
-            all: Capacity::default(),
+            free_best_effort_cpu: 0,
+            best_effort_cpu: 0,
+            capacity: Capacity::default(),
             used: Capacity::default(),
         }
     }
 
-    /// Tells whether more than half of the room is taken, and filling tasks have more than half
-    /// of the processors that are left to them.
+    /// Returns whether more than half of the capacity is used and best-effort tasks
+    /// request more CPU than is left to them.
     ///
-    /// What fills takes up no processors: users count a job as lost of which nothing runs while
-    /// half of the room is free, however much fills there.
+    /// CPU of best-effort tasks doesn't count as used: users count a job without runs
+    /// as lost while half of the capacity is free, however many best-effort tasks run.
     fn is_crowded(&self) -> bool {
-        self.is_half_full() && self.filling > self.left
+        self.is_half_full() && self.best_effort_cpu > self.free_best_effort_cpu
     }
 
     fn is_half_full(&self) -> bool {
-        let (all, used) = (self.all, self.used);
-        used.cpu * 2 > all.cpu || used.memory * 2 > all.memory
+        let (capacity, used) = (self.capacity, self.used);
+        used.cpu * 2 > capacity.cpu || used.memory * 2 > capacity.memory
     }
 }
 
-/// Whether a pass of placement came to its end.
+/// Whether a pass of placement tried all waiting steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Coverage {
-    /// Each step that waited was tried.
-    Whole,
-    /// Some are left to the next pass.
+    /// Every waiting step was tried.
+    Complete,
+    /// Some steps are left to the next pass.
     Partial,
 }
 
-/// What one pass of placement found out.
+/// The state of one pass of placement.
 #[derive(Debug, Default)]
 pub(crate) struct Pass {
-    /// Workers that take new runs.
+    /// Slots of the workers that accept new runs, sorted.
     pub(crate) open_workers: Vec<u32>,
-    /// What each worker has left, by slot: with work piled up most have no room, and this
-    /// tells so without a look at the worker.
-    rooms: Vec<FreeCapacity>,
-    /// Tasks that no worker can take.
+    /// Free capacity of each worker, by slot. Under load most workers are full, and
+    /// this shows it without a look at the worker.
+    free_capacities: Vec<FreeCapacity>,
+    /// Requests that no worker can take in this pass.
     pub(crate) unplaceable: Vec<Unplaceable>,
-    /// Workers that are kept free for tasks that have waited for long.
+    /// Workers that are reserved for tasks that have waited for long.
     pub(crate) reservations: Vec<Reservation>,
-    /// Whether all others have their places, so that suspects may take what is empty.
-    pub(crate) others_placed: bool,
+    /// Whether all other tasks are placed, so that suspects may take empty workers.
+    pub(crate) others_are_placed: bool,
     /// Whether a worker is kept free for a suspect that found none.
-    pub(crate) reserved_for_suspect: bool,
-    /// Workers that were rated.
+    pub(crate) has_suspect_reservation: bool,
+    /// Number of workers rated so far.
     pub(crate) ratings: usize,
-    /// Workers that it may rate.
-    budget: usize,
-    /// What the workers of each service have, sorted.
-    loads: Vec<Load>,
-    /// Starts that may still be placed.
+    /// Number of workers that this pass may rate.
+    max_ratings: usize,
+    /// Load by service, sorted by service.
+    loads: Vec<ServiceLoad>,
+    /// Number of further starts that may be placed.
     pub(crate) starts_left: usize,
 }
 
 impl Pass {
-    /// Begins a pass at `now`.
+    /// Begins a pass at `now`, in milliseconds.
     pub(crate) fn new(fleet: &Fleet, now: u64) -> Pass {
         let mut pass = Pass::default();
         for (slot, worker) in (0..).zip(&fleet.workers) {
-            let room = FreeCapacity::of(worker);
-            pass.rooms.push(room);
+            let free = FreeCapacity::of(worker);
+            pass.free_capacities.push(free);
             let info = worker.info.as_ref().filter(|_| worker.accepts_runs(now));
             let Some(info) = info.filter(|_| worker.isolated_task.is_none()) else {
                 continue;
             };
             pass.open_workers.push(slot);
             let load = pass.load_mut(&info.service);
-            load.left += room.free_best_effort_cpu();
-            load.filling += worker.best_effort_cpu;
-            load.all.add(worker.capacity());
+            load.free_best_effort_cpu += free.free_best_effort_cpu();
+            load.best_effort_cpu += worker.best_effort_cpu;
+            load.capacity.add(worker.capacity());
             load.used.add(worker.used);
         }
-        pass.budget = RATINGS.max(STEPS * pass.open_workers.len());
+        pass.max_ratings = MAX_RATINGS.max(MIN_STEPS * pass.open_workers.len());
         pass.starts_left = usize::MAX;
         pass
     }
 
-    fn load_mut(&mut self, service: &Arc<str>) -> &mut Load {
-        let at = self.loads.binary_search_by(|l| l.service.cmp(service));
-        let at = at.unwrap_or_else(|at| {
+    fn load_mut(&mut self, service: &Arc<str>) -> &mut ServiceLoad {
+        let index = self
+            .loads
+            .binary_search_by(|load| load.service.cmp(service));
+        let index = index.unwrap_or_else(|index| {
             let service = service.clone();
-            self.loads.insert(at, Load::new(service));
-            at
+            self.loads.insert(index, ServiceLoad::new(service));
+            index
         });
-        &mut self.loads[at]
+        &mut self.loads[index]
     }
 
-    /// Tells whether the workers of a service are crowded.
+    /// Returns whether the workers of a service are crowded.
     pub(crate) fn is_crowded(&self, service: &Arc<str>) -> bool {
-        let at = self.loads.binary_search_by(|l| l.service.cmp(service));
-        at.is_ok_and(|at| self.loads[at].is_crowded())
+        let index = self
+            .loads
+            .binary_search_by(|load| load.service.cmp(service));
+        index.is_ok_and(|index| self.loads[index].is_crowded())
     }
 
-    /// Tells whether more than half of the room of a service's workers is taken.
+    /// Returns whether more than half of the capacity of a service's workers is used.
     pub(crate) fn is_half_full(&self, service: &Arc<str>) -> bool {
-        let at = self.loads.binary_search_by(|l| l.service.cmp(service));
-        at.is_ok_and(|at| self.loads[at].is_half_full())
+        let index = self
+            .loads
+            .binary_search_by(|load| load.service.cmp(service));
+        index.is_ok_and(|index| self.loads[index].is_half_full())
     }
 
-    /// Returns what a worker has left.
+    /// Returns the free capacity of a worker.
     pub(crate) fn free_capacity(&self, slot: u32) -> FreeCapacity {
-        self.rooms[slot as usize]
+        self.free_capacities[slot as usize]
     }
 
-    /// Takes note of what a worker has left now.
+    /// Updates the free capacity of a worker.
     pub(crate) fn update_free_capacity(&mut self, slot: u32, fleet: &Fleet) {
-        self.rooms[slot as usize] = FreeCapacity::of(fleet.get(slot));
+        self.free_capacities[slot as usize] = FreeCapacity::of(fleet.get(slot));
     }
 
-    /// Has a worker take new runs again that was kept for one of this pass.
-    pub(crate) fn reopen(&mut self, slot: u32) {
-        if let Err(at) = self.open_workers.binary_search(&slot) {
-            self.open_workers.insert(at, slot);
+    /// Opens a worker to new runs again that was isolated for a task in this pass.
+    pub(crate) fn reopen_worker(&mut self, slot: u32) {
+        if let Err(index) = self.open_workers.binary_search(&slot) {
+            self.open_workers.insert(index, slot);
         }
     }
 
-    /// Takes note that all workers are rated for a step.
+    /// Counts a rating of all open workers.
     pub(crate) fn count_ratings(&mut self) {
         self.ratings += self.open_workers.len();
     }
 
-    /// Tells whether as many workers were rated as one pass may.
+    /// Returns whether the pass has rated as many workers as it may.
     pub(crate) fn is_over_budget(&self) -> bool {
-        self.ratings >= self.budget
+        self.ratings >= self.max_ratings
     }
 }
--- a/crates/jobs/src/place/rank.rs
+++ b/crates/jobs/src/place/rank.rs
@@ -1,8 +1,10 @@
-//! Which workers can take a task of a step, best first.
+//! Ranks the workers that can take a task of a step.
 //!
-//! All tasks of a step suit a worker alike. So workers are rated once for a step, and one
-//! of them again after each task that is placed on it: with 1,100 workers rating all of
-//! them for each task took half of the time of deciding.
+//! A worker suits all tasks of a step equally well. The workers are therefore rated once
+//! per step, and a worker is rated again only after a task is placed on it: rating all of
+//! 1,100 workers for each task took half of the decision time.
+//!
+//! Ratings are in thousandths of a worker's CPU capacity; a higher rating is better.
 
 use std::{cmp::Reverse, collections::BinaryHeap};
 
@@ -14,38 +16,38 @@
     share::sample::Image,
 };
 
-/// What a serving task of the same image on a worker adds to its rating, in thousandths
-/// of the worker's processors.
-const ALIKE: i64 = 200;
+/// Added to the rating of a serving task for each serving task of the same image on the
+/// worker.
+const SAME_IMAGE_BONUS: i64 = 200;
 
-/// What one of another image takes off.
-const UNLIKE: i64 = 400;
+/// Subtracted for each serving task of another image on the worker.
+const OTHER_IMAGE_PENALTY: i64 = 400;
 
-/// What a headroom that is less by one takes off.
-const DISTURBED: f64 = 250.0;
+/// Subtracted for each unit of headroom that is lost.
+const HEADROOM_PENALTY: f64 = 250.0;
 
-/// What the data's rack adds: more than any other difference.
-const NEAR: i64 = 5000;
+/// Added for workers in the rack of the step's data; exceeds every other term.
+const DATA_RACK_BONUS: i64 = 5000;
 
-/// What each percent by which a worker is slower than usual takes off.
-const SLOW: i64 = 5;
+/// Subtracted for each percent by which a worker's runs exceed their estimates.
+const SLOWNESS_PENALTY: i64 = 5;
 
-/// Workers with room for a task of one step, by rating.
+/// Workers with capacity for a task of one step, ordered by rating.
 #[derive(Debug)]
 pub(crate) struct Ranking {
-    /// Ratings and slots; of equal ratings the lowest slot comes first.
-    rated: BinaryHeap<(i64, Reverse<u32>)>,
-    /// Headroom that the step's image takes from each serving one; none if it does not
-    /// fill.
+    /// Ratings and slots; the lowest slot comes first among equal ratings.
+    candidates: BinaryHeap<(i64, Reverse<u32>)>,
+    /// Headroom that each serving image loses to a whole worker of the step's image;
+    /// empty unless the step is best-effort.
     headroom_costs: Vec<f64>,
 }
 
 impl Machine {
-    /// Rates all workers for a request.
-    pub(crate) fn rank(&mut self, request: &Request<'_>, pass: &Pass) -> Ranking {
+    /// Rates all open workers for a request.
+    pub(crate) fn rank_workers(&mut self, request: &Request<'_>, pass: &Pass) -> Ranking {
         let mut ranking = Ranking {
-            rated: BinaryHeap::new(),
-            headroom_costs: self.takes(request),
+            candidates: BinaryHeap::new(),
+            headroom_costs: self.headroom_costs(request),
         };
         for &slot in &pass.open_workers {
             if !pass.free_capacity(slot).fits(request.step, request.starved) {
@@ -54,14 +56,16 @@
             let rating = self
                 .rate_worker(slot, request, pass, &ranking.headroom_costs)
                 .ok();
-            ranking.rated.extend(rating.map(|r| (r, Reverse(slot))));
+            ranking
+                .candidates
+                .extend(rating.map(|r| (r, Reverse(slot))));
         }
         ranking
     }
 
-    /// Returns the headroom that a request takes from each serving image; none if it does not
-    /// fill.
-    pub(super) fn takes(&self, request: &Request<'_>) -> Vec<f64> {
+    /// Returns the headroom that each serving image loses to a whole worker of the
+    /// request's image; empty unless the step is best-effort.
+    pub(super) fn headroom_costs(&self, request: &Request<'_>) -> Vec<f64> {
         match request.step.best_effort {
             true => self
                 .interference
@@ -72,37 +76,38 @@
 
     /// Returns the best worker of a ranking.
     ///
-    /// What was placed since may have changed a rating: it counts only if it still holds.
-    pub(crate) fn best(
+    /// Placements since the rating may have changed it, so the worker is rated again,
+    /// and returned only if its rating still holds.
+    pub(crate) fn best_worker(
         &mut self,
         ranking: &mut Ranking,
         request: &Request<'_>,
         pass: &Pass,
     ) -> Option<u32> {
-        while let Some(&(old, Reverse(slot))) = ranking.rated.peek() {
+        while let Some(&(old, Reverse(slot))) = ranking.candidates.peek() {
             let new = self
                 .rate_worker(slot, request, pass, &ranking.headroom_costs)
                 .ok();
             if new == Some(old) {
                 return Some(slot);
             }
-            ranking.rated.pop();
-            ranking.rated.extend(new.map(|r| (r, Reverse(slot))));
+            ranking.candidates.pop();
+            ranking.candidates.extend(new.map(|r| (r, Reverse(slot))));
         }
         None
     }
 
-    /// Returns how well a worker suits a request, more is better, or why it can't take it.
+    /// Returns the rating of a worker for a request, or why the worker can't take it.
     pub(super) fn rate_worker(
         &mut self,
         slot: u32,
         request: &Request<'_>,
         pass: &Pass,
-        takes: &[f64],
+        headroom_costs: &[f64],
     ) -> Result<i64, Refusal> {
         let step = request.step;
         let worker = self.fleet.get(slot);
-        self.fits(worker, step, request.service, request.starved)?;
+        self.check_fit(worker, step, request.service, request.starved)?;
         if request.failed_worker == Some(slot)
             || request.failed_worker.is_some() && worker.failures > 0
         {
@@ -114,51 +119,54 @@
         if self.is_at_step_limit(slot, request) {
             return Err(Refusal::StepLimit);
         }
-        let mut points = rating(worker, step);
+        let mut rating = base_rating(worker, step);
         if step.latency_target > 0 {
-            points += self.alike(worker, request.image);
-            points -= (self.headroom_taken_on(slot, request.image) * DISTURBED) as i64;
+            rating += self.image_affinity(worker, request.image);
+            rating -= (self.headroom_taken_on(slot, request.image) * HEADROOM_PENALTY) as i64;
         }
         if step.best_effort {
             let share = worker.cpu_share(step.cpu);
             let slack = self.slack(slot);
-            let excess = slack.excess(takes, share);
-            if slack.is_over_target && !self.may_fill_beside(slot, request) {
+            let excess = slack.excess(headroom_costs, share);
+            if slack.is_over_target && !self.can_start_over_target(slot, request) {
                 return Err(Refusal::OverTarget);
             }
             if excess > 0.0 && !request.starved {
                 return Err(Refusal::Interference);
             }
-            points -= (excess * DISTURBED) as i64;
+            rating -= (excess * HEADROOM_PENALTY) as i64;
         }
-        Ok(points)
+        Ok(rating)
     }
 
-    /// Tells whether a task may begin to fill beside a tail that is over its target.
-    fn may_fill_beside(&self, slot: u32, request: &Request<'_>) -> bool {
+    /// Returns whether a best-effort task may start beside a serving task whose tail
+    /// latency is over its target.
+    fn can_start_over_target(&self, slot: u32, request: &Request<'_>) -> bool {
         let worker = self.fleet.get(slot);
         request.starved
             && worker.best_effort_cpu == 0
             && worker.own_load.may_run_best_effort(self.now)
     }
 
-    /// Tells whether a worker has as many tasks of a step as it may have.
+    /// Returns whether a worker runs as many tasks of a step as it may.
     pub(super) fn is_at_step_limit(&self, slot: u32, request: &Request<'_>) -> bool {
-        let (first, spread) = (request.first_task, request.step.max_per_worker);
-        if spread == 0 {
+        let (first, max_per_worker) = (request.first_task, request.step.max_per_worker);
+        if max_per_worker == 0 {
             return false;
         }
         let state = self.jobs.get(&first.job);
         let runs = state.map(|j| &j.repetitions[first.repetition as usize][first.step as usize]);
-        runs.is_some_and(|r| r.runs_on(slot) >= spread)
+        runs.is_some_and(|r| r.runs_on(slot) >= max_per_worker)
     }
 
-    /// Returns how well a serving task suits those that a worker has.
+    /// Returns the part of the rating for the serving tasks that already run on a
+    /// worker.
     ///
-    /// Images differ in what disturbs them. Where a worker serves one image only,
-    /// what disturbs the others can fill there.
-    fn alike(&self, worker: &Worker, image: Image) -> i64 {
-        let mut points = 0;
+    /// Images differ in which best-effort tasks interfere with them. A worker that
+    /// serves a single image can run the best-effort tasks that interfere with other
+    /// images.
+    fn image_affinity(&self, worker: &Worker, image: Image) -> i64 {
+        let mut rating = 0;
         for id in &worker.runs {
             let Some(state) = self.jobs.get(&id.job) else {
                 continue;
@@ -166,25 +174,25 @@
             if state.job.spec.steps[id.step as usize].latency_target == 0 {
                 continue;
             }
-            points += match state.images[id.step as usize] == image {
-                true => ALIKE,
-                false => -UNLIKE,
+            rating += match state.images[id.step as usize] == image {
+                true => SAME_IMAGE_BONUS,
+                false => -OTHER_IMAGE_PENALTY,
             };
         }
-        points
+        rating
     }
 }
 
-/// Returns how well a worker suits a task of a step by its room, place and speed.
-pub(super) fn rating(worker: &Worker, step: &Step) -> i64 {
-    let room = worker.capacity();
-    let free =
-        (room.cpu + worker.spare_cpu) as i64 - (worker.used.cpu + worker.best_effort_cpu) as i64;
-    let mut points = free * 1000 / (room.cpu as i64).max(1);
+/// Returns the rating of a worker for a task of a step by free CPU, rack and speed.
+pub(super) fn base_rating(worker: &Worker, step: &Step) -> i64 {
+    let capacity = worker.capacity();
+    let free = (capacity.cpu + worker.spare_cpu) as i64
+        - (worker.used.cpu + worker.best_effort_cpu) as i64;
+    let mut rating = free * 1000 / (capacity.cpu as i64).max(1);
     if let (Some(rack), Some(info)) = (&step.data_rack, &worker.info)
         && info.labels.contains(rack)
     {
-        points += NEAR;
+        rating += DATA_RACK_BONUS;
     }
-    points - (worker.slowness as i64 - 100).max(0) * SLOW
+    rating - (worker.slowness as i64 - 100).max(0) * SLOWNESS_PENALTY
 }
