--- a/crates/core/src/shard/queue.rs
+++ b/crates/core/src/shard/queue.rs
@@ -1,10 +1,10 @@
-//! Queued tasks, by priority and fair between teams.
+//! Queue of tasks by priority and team.
 //!
-//! The load pattern that this answers: thousands of tasks that fit nowhere, before others that
-//! do. Tasks of one shape find room alike, so that those that were held up stand in a line for
-//! each shape, and the first of a line speaks for all of it.
+//! Thousands of tasks that fit on no worker must not delay the tasks queued behind them. Tasks of
+//! one shape fit on the same workers, so blocked tasks are grouped by shape, and placement tries
+//! only the first task of each group.
 //!
-//! Limits: there is a line for each shape that waits, and each is tried in each round.
+//! Limits: there is a group for each blocked shape, and each group is tried in each pass.
 
 use std::collections::VecDeque;
 
@@ -21,116 +21,121 @@
     pub task: u32,
 }
 
-/// A queued task and since when it is ready.
+/// A queued task that is ready to be placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadyTask {
     /// The task.
     pub task: TaskRef,
-    /// When it became ready.
+    /// When the task became ready, in milliseconds by the owner's clock.
     pub since: u64,
 }
 
 impl ReadyTask {
-    /// Returns what ready tasks are ordered by: the oldest comes first.
+    /// Returns the sort key of ready tasks; the oldest task comes first.
     fn age(&self) -> (u64, TaskRef) {
         (self.since, self.task)
     }
 }
 
-/// What tasks have in common that find room alike.
+/// Properties that decide on which workers a task fits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskShape {
-    /// Number of their class.
+    /// Index of the class.
     pub class: u16,
-    /// What each of them asks for.
+    /// Size of each task.
     pub size: Size,
 }
 
-/// Tasks of one shape that found no room when they were last tried, the oldest first.
+/// Tasks of one shape that fitted on no worker when they were last tried, the oldest first.
 #[derive(Debug, Clone)]
-struct Line {
+struct BlockedGroup {
     shape: TaskShape,
     tasks: VecDeque<ReadyTask>,
 }
 
-/// Tasks of one team and priority.
+/// Ready tasks of one team and priority.
 #[derive(Debug, Clone)]
-struct Lane {
+struct TeamQueue {
     priority: Priority,
     team: u16,
-    /// Those that were not held up.
+    /// Tasks that are not blocked.
     tasks: VecDeque<ReadyTask>,
-    held: Vec<Line>,
+    blocked: Vec<BlockedGroup>,
 }
 
-impl Lane {
-    fn new(priority: Priority, team: u16) -> Lane {
-        Lane {
+impl TeamQueue {
+    fn new(priority: Priority, team: u16) -> TeamQueue {
+        TeamQueue {
             priority,
             team,
             tasks: VecDeque::new(),
-            held: Vec::new(),
+            blocked: Vec::new(),
         }
     }
 
     fn len(&self) -> usize {
-        let held: usize = self.held.iter().map(|l| l.tasks.len()).sum();
-        self.tasks.len() + held
+        let blocked: usize = self.blocked.iter().map(|l| l.tasks.len()).sum();
+        self.tasks.len() + blocked
     }
 
-    fn line(&self, shape: &TaskShape) -> Option<usize> {
-        self.held.iter().position(|l| l.shape == *shape)
+    fn group_index(&self, shape: &TaskShape) -> Option<usize> {
+        self.blocked.iter().position(|l| l.shape == *shape)
     }
 
-    /// Returns the line with the oldest first task, of those that are not passed over.
-    fn oldest_line(&self, is_passed: impl Fn(&TaskShape) -> bool) -> Option<(usize, ReadyTask)> {
-        let lines = self.held.iter().enumerate();
-        let firsts = lines
-            .filter(|(_, l)| !is_passed(&l.shape))
-            .filter_map(|(at, l)| l.tasks.front().map(|f| (at, *f)));
+    /// Returns the index and first task of the group whose first task is the oldest, without
+    /// skipped shapes.
+    fn oldest_blocked(
+        &self,
+        is_skipped: impl Fn(&TaskShape) -> bool,
+    ) -> Option<(usize, ReadyTask)> {
+        let groups = self.blocked.iter().enumerate();
+        let firsts = groups
+            .filter(|(_, l)| !is_skipped(&l.shape))
+            .filter_map(|(index, l)| l.tasks.front().map(|f| (index, *f)));
         firsts.min_by_key(|(_, first)| first.age())
     }
 
-    /// Takes the first task of a line.
-    fn pop_line(&mut self, at: usize) -> Option<ReadyTask> {
-        let first = self.held[at].tasks.pop_front();
-        if self.held[at].tasks.is_empty() {
-            self.held.swap_remove(at);
+    /// Takes the first task of a group.
+    fn pop_blocked(&mut self, index: usize) -> Option<ReadyTask> {
+        let first = self.blocked[index].tasks.pop_front();
+        if self.blocked[index].tasks.is_empty() {
+            self.blocked.swap_remove(index);
         }
         first
     }
 }
 
-/// Tasks that wait until a time.
+/// A task that becomes ready at a later time.
 #[derive(Debug, Clone)]
-struct Delayed {
+struct DelayedTask {
     until: u64,
     priority: Priority,
     team: u16,
     task: TaskRef,
 }
 
-/// Queued tasks; an entry whose task is no longer queued is skipped when met.
+/// Queue of tasks with a separate queue for each priority and team, so that a burst from one team
+/// does not delay the others.
 ///
-/// Lanes are sorted by priority and team. Within a priority the lanes take
-/// turns, so that a wave from one team does not hold up the others.
+/// Entries whose task is no longer queued stay until they are taken; the caller skips them.
 #[derive(Debug, Clone, Default)]
 pub struct Queue {
-    lanes: Vec<Lane>,
-    delayed: Vec<Delayed>,
+    /// Queues of all teams, sorted by priority and team.
+    team_queues: Vec<TeamQueue>,
+    delayed: Vec<DelayedTask>,
 }
 
 impl Queue {
-    /// Adds a task at the end of its lane.
+    /// Adds a task at the end of the queue of its team.
     pub fn push(&mut self, priority: Priority, team: u16, task: TaskRef, since: u64) {
-        self.lane(priority, team)
+        self.queue_mut(priority, team)
             .tasks
             .push_back(ReadyTask { task, since });
     }
 
-    /// Puts a task back at the front of its lane.
+    /// Puts a task back at the front of the queue of its team.
     pub fn push_front(&mut self, priority: Priority, team: u16, ready: ReadyTask) {
-        self.lane(priority, team).tasks.push_front(ready);
+        self.queue_mut(priority, team).tasks.push_front(ready);
     }
 
     /// Adds a task that becomes ready at `until`.
@@ -138,7 +143,7 @@
         let i = self.delayed.partition_point(|d| d.until >= until);
         self.delayed.insert(
             i,
-            Delayed {
+            DelayedTask {
                 until,
                 priority,
                 team,
@@ -147,7 +152,7 @@
         );
     }
 
-    /// Moves the tasks whose delay is over into their lanes.
+    /// Moves the tasks whose delay is over into the queues of their teams.
     pub fn promote_delayed(&mut self, now: u64) {
         while self.delayed.last().is_some_and(|d| d.until <= now) {
             let Some(d) = self.delayed.pop() else { return };
@@ -157,11 +162,11 @@
 
     /// Returns the number of entries, stale ones included.
     pub fn len(&self) -> usize {
-        let ready: usize = self.lanes.iter().map(Lane::len).sum();
+        let ready: usize = self.team_queues.iter().map(TeamQueue::len).sum();
         ready + self.delayed.len()
     }
 
-    /// Tells whether there is no entry.
+    /// Returns whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -169,37 +174,38 @@
     /// Returns the teams that have ready tasks of a priority.
     pub fn teams(&self, priority: Priority) -> Vec<u16> {
         let mut teams = Vec::new();
-        for lane in &self.lanes {
-            if lane.priority == priority && lane.len() > 0 {
-                teams.push(lane.team);
+        for queue in &self.team_queues {
+            if queue.priority == priority && queue.len() > 0 {
+                teams.push(queue.team);
             }
         }
         teams
     }
 
-    /// Takes the first ready task of a lane, of those that are not held up.
+    /// Takes the first ready task of a team that is not blocked.
     pub fn pop(&mut self, priority: Priority, team: u16) -> Option<ReadyTask> {
-        self.lane(priority, team).tasks.pop_front()
+        self.queue_mut(priority, team).tasks.pop_front()
     }
 
-    /// Takes the oldest ready task of a lane, held up or not, but for those that are held up and
-    /// whose shape is passed over.
+    /// Takes the oldest ready task of a team, without blocked tasks whose shape is skipped.
     pub fn pop_oldest(
         &mut self,
         priority: Priority,
         team: u16,
-        is_passed: impl Fn(&TaskShape) -> bool,
+        is_skipped: impl Fn(&TaskShape) -> bool,
     ) -> Option<ReadyTask> {
-        let lane = self.lane(priority, team);
-        let line = lane.oldest_line(is_passed);
-        match (lane.tasks.front(), line) {
-            (Some(first), Some((at, held))) if held.age() < first.age() => lane.pop_line(at),
-            (None, Some((at, _))) => lane.pop_line(at),
-            _ => lane.tasks.pop_front(),
+        let queue = self.queue_mut(priority, team);
+        let oldest_blocked = queue.oldest_blocked(is_skipped);
+        match (queue.tasks.front(), oldest_blocked) {
+            (Some(first), Some((index, blocked))) if blocked.age() < first.age() => {
+                queue.pop_blocked(index)
+            }
+            (None, Some((index, _))) => queue.pop_blocked(index),
+            _ => queue.tasks.pop_front(),
         }
     }
 
-    /// Has a task that found no room wait behind older ones of its shape.
+    /// Adds a task that fitted on no worker to the blocked tasks of its shape.
     pub fn push_blocked(
         &mut self,
         priority: Priority,
@@ -207,43 +213,45 @@
         ready: ReadyTask,
         shape: TaskShape,
     ) {
-        let lane = self.lane(priority, team);
-        let Some(at) = lane.line(&shape) else {
+        let queue = self.queue_mut(priority, team);
+        let Some(index) = queue.group_index(&shape) else {
             let tasks = VecDeque::from([ready]);
-            lane.held.push(Line { shape, tasks });
+            queue.blocked.push(BlockedGroup { shape, tasks });
             return;
         };
-        let tasks = &mut lane.held[at].tasks;
+        let tasks = &mut queue.blocked[index].tasks;
         match tasks.front().is_some_and(|f| ready.age() < f.age()) {
             true => tasks.push_front(ready),
             false => tasks.push_back(ready),
         }
     }
 
-    /// Returns the first tasks of a shape that are held up, `most` at most.
+    /// Returns up to `limit` blocked tasks of a shape, the oldest first.
     pub fn first_blocked(
         &mut self,
         priority: Priority,
         team: u16,
         shape: &TaskShape,
-        most: usize,
+        limit: usize,
     ) -> Vec<ReadyTask> {
-        let lane = self.lane(priority, team);
-        let tasks = lane.line(shape).map(|at| &lane.held[at].tasks);
-        tasks.map_or(Vec::new(), |t| t.iter().take(most).copied().collect())
+        let queue = self.queue_mut(priority, team);
+        let tasks = queue
+            .group_index(shape)
+            .map(|index| &queue.blocked[index].tasks);
+        tasks.map_or(Vec::new(), |t| t.iter().take(limit).copied().collect())
     }
 
-    fn lane(&mut self, priority: Priority, team: u16) -> &mut Lane {
+    fn queue_mut(&mut self, priority: Priority, team: u16) -> &mut TeamQueue {
         let found = self
-            .lanes
+            .team_queues
             .binary_search_by_key(&(priority, team), |l| (l.priority, l.team));
         let i = match found {
             Ok(i) => i,
             Err(i) => {
-                self.lanes.insert(i, Lane::new(priority, team));
+                self.team_queues.insert(i, TeamQueue::new(priority, team));
                 i
             }
         };
-        &mut self.lanes[i]
+        &mut self.team_queues[i]
     }
 }
--- a/crates/jobs/src/place/start_window_tests.rs
+++ b/crates/jobs/src/place/start_window_tests.rs
@@ -1,40 +1,40 @@
-//! When starts are held back.
+//! Tests of the bound on starts in flight.
 
 use super::start_window::StartWindow;
 
-fn answered(window: &mut StartWindow, count: u32, ms: u64) {
+fn record_answers(window: &mut StartWindow, count: u32, ms: u64) {
     for _ in 0..count {
         window.note_answer(ms);
     }
 }
 
 #[test]
-fn quick_answers_bound_nothing() {
+fn quick_answers_leave_starts_unbounded() {
     let mut window = StartWindow::default();
-    answered(&mut window, 1000, 20);
+    record_answers(&mut window, 1000, 20);
     assert_eq!(window.limit(), None);
 }
 
-/// A zone of five is cut off, and one worker in ten answers late.
+/// One zone of five is cut off, and one worker in ten answers late.
 #[test]
-fn some_late_answers_bound_nothing() {
+fn some_late_answers_leave_starts_unbounded() {
     let mut window = StartWindow::default();
     for _ in 0..200 {
-        answered(&mut window, 3, 700);
-        answered(&mut window, 7, 10);
+        record_answers(&mut window, 3, 700);
+        record_answers(&mut window, 7, 10);
     }
     assert_eq!(window.limit(), None);
 }
 
 #[test]
-fn late_answers_bound_it_and_quick_ones_free_it() {
+fn late_answers_shrink_the_window_and_quick_ones_grow_it() {
     let mut window = StartWindow::default();
-    answered(&mut window, 320, 600);
+    record_answers(&mut window, 320, 600);
     assert_eq!(window.limit(), Some(16));
-    answered(&mut window, 32, 600);
+    record_answers(&mut window, 32, 600);
     assert_eq!(window.limit(), Some(16));
-    answered(&mut window, 32, 20);
+    record_answers(&mut window, 32, 20);
     assert_eq!(window.limit(), Some(18));
-    answered(&mut window, 50 * 32, 20);
+    record_answers(&mut window, 50 * 32, 20);
     assert_eq!(window.limit(), None);
 }
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of runs and starts when their worker has started again.
+//! Runs and starts of a worker that has started again.
 
 use std::sync::Arc;
 
@@ -24,16 +24,17 @@
     index: 0,
 };
 
-/// An owner of one job of one task, and of one worker whose answers the test gives.
+/// An owner with one job of one task, and with one worker whose answers the test gives.
 struct Owner {
     machine: Machine,
     now: u64,
-    /// What was sent since it was last asked for, but for looks.
+    /// Actions since the last check, without polls.
     sent: Vec<Action>,
 }
 
 impl Owner {
-    /// Makes an owner whose worker's first life was heard and has the start of run 1.
+    /// Returns an owner whose worker has reported in its first incarnation and was sent the start
+    /// of run 1.
     fn new() -> Owner {
         let now = 100_000;
         let takeover = Takeover {
@@ -45,7 +46,7 @@
             now,
             sent: Vec::new(),
         };
-        owner.tell(Event::Queues(vec![QueuePolicy {
+        owner.handle_event(Event::Queues(vec![QueuePolicy {
             queue: "q".into(),
             service: "s".into(),
             priority: 0,
@@ -53,8 +54,8 @@
             stretch: 1.5,
             latency: 250,
         }]));
-        owner.row(1);
-        owner.list(0, 1, &[]);
+        owner.register(1);
+        owner.report(0, 1, &[]);
         let step = Step {
             count: 1,
             cpu: 1000,
@@ -65,7 +66,7 @@
             steps: vec![step],
             ..Spec::default()
         };
-        owner.tell(Event::Accepted(Arc::new(Job {
+        owner.handle_event(Event::Accepted(Arc::new(Job {
             id: TASK.job,
             queue: "q".into(),
             accepted: 0,
@@ -76,12 +77,12 @@
         owner
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.machine.handle(self.now, self.now, event);
     }
 
     fn answer(&mut self, worker: u32, sent: u64, answer: Answer) {
-        self.tell(Event::Answer {
+        self.handle_event(Event::Answer {
             worker,
             sent,
             answer,
@@ -89,16 +90,16 @@
         self.run();
     }
 
-    /// Decides for a while; records are durable at once.
+    /// Makes decisions for 250 ms; commits are durable at once.
     fn run(&mut self) {
         for _ in 0..50 {
             self.now += 5;
             let asked = self.now;
-            self.tell(Event::WorkersSynced { asked_at: asked });
-            self.tell(Event::Renewed { asked_at: asked });
+            self.handle_event(Event::WorkersSynced { asked_at: asked });
+            self.handle_event(Event::Renewed { asked_at: asked });
             for action in self.machine.decide(self.now, self.now) {
                 match action {
-                    Action::Commit(_) => self.tell(Event::Committed { asked_at: asked }),
+                    Action::Commit(_) => self.handle_event(Event::Committed { asked_at: asked }),
                     Action::Poll { .. } => {}
                     action => self.sent.push(action),
                 }
@@ -106,11 +107,11 @@
         }
     }
 
-    /// The row of a life is read.
-    fn row(&mut self, born: u64) {
-        self.tell(Event::WorkerUpdated(WorkerInfo {
+    /// Handles the registration of an incarnation.
+    fn register(&mut self, start_time: u64) {
+        self.handle_event(Event::WorkerUpdated(WorkerInfo {
             id: "w".into(),
-            start_time: Some(born),
+            start_time: Some(start_time),
             addr: ([127, 0, 0, 1], 1000).into(),
             service: "s".into(),
             zone: "z".into(),
@@ -127,8 +128,8 @@
         self.run();
     }
 
-    /// A list of a life is read with these runs of the task, which was asked for just before.
-    fn list(&mut self, worker: u32, born: u64, runs: &[u32]) {
+    /// Handles a report of an incarnation with these runs of the task, to a poll sent just before.
+    fn report(&mut self, worker: u32, start_time: u64, runs: &[u32]) {
         let running = runs.iter().map(|&run| ReportedRun {
             task: TASK,
             run,
@@ -136,15 +137,15 @@
             percent: 1,
             metric: None,
         });
-        let look = WorkerReport {
-            start_time: Some(born),
-            clock: self.now - born,
+        let report = WorkerReport {
+            start_time: Some(start_time),
+            clock: self.now - start_time,
             running: running.collect(),
             finished: Vec::new(),
         };
         let sent = self.now;
         self.now += 5;
-        self.answer(worker, sent, Answer::Report(look));
+        self.answer(worker, sent, Answer::Report(report));
     }
 
     fn started(&mut self, worker: u32, run: u32, started: Started) {
@@ -157,7 +158,7 @@
         self.answer(worker, sent, Answer::Stopped(TASK, run, Stopped::Done));
     }
 
-    /// Returns the workers and runs of the starts that were sent; nothing else was.
+    /// Returns the workers and runs of the starts that were sent; panics on other actions.
     fn starts(&mut self) -> Vec<(u32, u32)> {
         let sent = std::mem::take(&mut self.sent);
         let starts = sent.into_iter().map(|action| match action {
@@ -167,7 +168,7 @@
         starts.collect()
     }
 
-    /// Returns the workers and runs of the stops that were sent; nothing else was.
+    /// Returns the workers and runs of the stops that were sent; panics on other actions.
     fn stops(&mut self) -> Vec<(u32, u32)> {
         let sent = std::mem::take(&mut self.sent);
         let stops = sent.into_iter().map(|action| match action {
@@ -179,88 +180,89 @@
 }
 
 #[test]
-fn a_run_that_was_listed_is_over() {
+fn a_listed_run_ends_with_its_incarnation() {
     let mut owner = Owner::new();
     owner.started(0, 1, Started::Done);
-    owner.list(0, 1, &[1]);
-    owner.row(2);
-    owner.list(0, 2, &[]);
+    owner.report(0, 1, &[1]);
+    owner.register(2);
+    owner.report(0, 2, &[]);
     assert_eq!(owner.starts(), [(1, 2)]);
 }
 
-/// An answer does not say which life it is of.
+/// An answer does not show which incarnation gave it.
 #[test]
-fn a_start_that_was_not_listed_is_barred_in_the_next_life() {
+fn an_unlisted_start_is_stopped_in_the_next_incarnation() {
     for answer in [None, Some(Started::Unknown), Some(Started::Done)] {
         let mut owner = Owner::new();
         if let Some(started) = answer {
             owner.started(0, 1, started);
         }
-        owner.row(2);
-        owner.list(0, 2, &[]);
+        owner.register(2);
+        owner.report(0, 2, &[]);
         assert_eq!(owner.stops(), [(1, 1)]);
         owner.stopped(1, 1);
-        owner.list(1, 2, &[]);
+        owner.report(1, 2, &[]);
         assert_eq!(owner.starts(), [(1, 2)]);
     }
 }
 
 #[test]
-fn a_run_that_the_next_life_lists_goes_on() {
+fn a_run_that_the_next_incarnation_lists_goes_on() {
     let mut owner = Owner::new();
-    owner.row(2);
-    owner.list(0, 2, &[1]);
-    owner.list(1, 2, &[1]);
+    owner.register(2);
+    owner.report(0, 2, &[1]);
+    owner.report(1, 2, &[1]);
     assert!(owner.sent.is_empty());
-    owner.list(1, 2, &[]);
+    owner.report(1, 2, &[]);
     assert_eq!(owner.starts(), [(1, 2)]);
 }
 
 #[test]
-fn a_stop_that_the_old_life_confirmed_bars_nothing_in_the_next_one() {
+fn a_stop_confirmed_by_the_old_incarnation_does_not_bind_the_next() {
     let mut owner = Owner::new();
     owner.started(0, 1, Started::Unknown);
-    owner.list(0, 1, &[]);
+    owner.report(0, 1, &[]);
     assert_eq!(owner.stops(), [(0, 1)]);
     owner.stopped(0, 1);
-    owner.row(2);
-    owner.list(0, 2, &[]);
+    owner.register(2);
+    owner.report(0, 2, &[]);
     assert_eq!(owner.stops(), [(1, 1)]);
 }
 
-/// Run 1 was given up and run 2 lost with the old life; the start of run 1 may come to the
-/// next one.
+/// Run 1 was given up and run 2 was lost with the old incarnation. The start of run 1 may still
+/// reach the next incarnation.
 #[test]
-fn a_task_waits_until_starts_that_were_given_up_are_barred() {
+fn a_task_waits_until_its_late_starts_are_stopped() {
     let mut owner = Owner::new();
     owner.started(0, 1, Started::Unknown);
-    owner.list(0, 1, &[]);
+    owner.report(0, 1, &[]);
     assert_eq!(owner.stops(), [(0, 1)]);
     owner.stopped(0, 1);
-    owner.list(0, 1, &[]);
+    owner.report(0, 1, &[]);
     assert_eq!(owner.starts(), [(0, 2)]);
-    owner.list(0, 1, &[2]);
-    owner.row(2);
-    owner.list(0, 2, &[]);
+    owner.report(0, 1, &[2]);
+    owner.register(2);
+    owner.report(0, 2, &[]);
     assert_eq!(owner.stops(), [(1, 1), (1, 2)]);
     owner.stopped(1, 2);
-    owner.list(1, 2, &[1]);
+    owner.report(1, 2, &[1]);
     owner.stopped(1, 1);
-    owner.list(1, 2, &[1]);
+    owner.report(1, 2, &[1]);
     assert!(owner.sent.is_empty());
-    owner.list(1, 2, &[]);
+    owner.report(1, 2, &[]);
     assert_eq!(owner.starts(), [(1, 3)]);
 }
 
-/// Its clock is behind, and it takes the longest lease from what was meant for the old life.
+/// The clock of the next incarnation is behind, so that it grants the longest lease to orders that
+/// were meant for the old one.
 #[test]
-fn the_next_life_is_not_given_up_while_old_orders_may_hold_its_runs() {
+fn the_next_incarnation_is_not_lost_while_misdirected_leases_may_hold() {
     let mut owner = Owner::new();
-    owner.list(0, 1, &[1]);
-    owner.row(2);
-    owner.list(0, 2, &[]);
+    owner.report(0, 1, &[1]);
+    owner.register(2);
+    owner.report(0, 2, &[]);
     assert_eq!(owner.starts(), [(1, 2)]);
-    owner.list(1, 2, &[2]);
+    owner.report(1, 2, &[2]);
     let end = owner.now + Settings::default().max_lease;
     while owner.now < end {
         let sent = owner.now;
@@ -286,8 +288,8 @@
     );
 }
 
-/// Has a worker be silent from now on; returns for how many milliseconds its run is held.
-fn hold(mut owner: Owner) -> u64 {
+/// Keeps the worker silent from now on; returns for how many milliseconds its run is held.
+fn hold_time(mut owner: Owner) -> u64 {
     let since = owner.now;
     while owner
         .machine
@@ -297,24 +299,27 @@
     {
         let sent = owner.now;
         owner.answer(0, sent, Answer::NoReply);
-        assert!(owner.now < since + 60_000, "held for good");
+        assert!(
+            owner.now < since + 60_000,
+            "the run is still held after 60 s"
+        );
     }
     owner.now - since
 }
 
-/// A start that a later life may have taken holds its run for the longest lease, though looks
-/// that get no answer follow; one that its own life has taken does not.
+/// A start that a later incarnation may have carried out holds its run for the longest lease, even
+/// if unanswered polls follow. A start that its own incarnation has carried out does not.
 #[test]
-fn a_start_without_a_list_is_waited_for_as_long_as_a_later_life_may_run_it() {
+fn an_unlisted_start_is_held_as_long_as_a_later_incarnation_may_run_it() {
     let longest = Settings::default().max_lease;
     let mut own = Owner::new();
     own.started(0, 1, Started::DoneAt(own.now - 1));
-    let own = hold(own);
+    let own = hold_time(own);
     assert!(own < longest - 2000, "{own}");
     for started in [Started::Done, Started::DoneAt(10), Started::Unknown] {
         let mut other = Owner::new();
         other.started(0, 1, started);
-        let other = hold(other);
+        let other = hold_time(other);
         assert!(
             (longest..longest + 4500).contains(&other),
             "{started:?} {other}"
@@ -323,7 +328,7 @@
 }
 
 #[test]
-fn a_look_tells_of_ends_only_where_they_are_kept_and_its_reader_is_known() {
+fn a_poll_drops_ends_only_of_a_known_incarnation_that_still_lists_them() {
     let mut owner = Owner::new();
     let worker = owner.machine.fleet.get_mut(0);
     worker.durable_end = 5;
