--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -13,17 +13,17 @@
 /// Runs are gone through this often, in milliseconds. At each of hundreds of answers a
 /// second it cost, with placement, two fifths of an owner's peak: 0.41 of a core with 490
 /// workers, 0.24 with both paced.
-const CHECK_PERIOD: u64 = 20;
+const CHECK_PERIOD_MS: u64 = 20;
 
 /// Placement pauses for a millisecond for each so many open jobs, so that what it costs
 /// does not grow with the answers that arrive ...
-const OPEN_JOBS: u64 = 40;
+const JOBS_PER_PAUSE_MS: u64 = 40;
 
 /// ... and for no longer than this, in milliseconds.
-const LONGEST_PAUSE: u64 = 20;
+const MAX_PAUSE_MS: u64 = 20;
 
 /// Placement runs at least this often, in milliseconds, for what time alone changes.
-const PLACE_PERIOD: u64 = 100;
+const PLACEMENT_PERIOD_MS: u64 = 100;
 
 impl Machine {
     /// Does all that is due: first what keeps promises, which costs little, then what
@@ -32,20 +32,20 @@
     /// Leases are renewed by looks and stops end harm: neither waits for a pass of
     /// placement.
     pub(crate) fn drive(&mut self) {
-        if self.now >= self.last_check + CHECK_PERIOD {
+        if self.now >= self.last_check + CHECK_PERIOD_MS {
             self.last_check = self.now;
             self.check_runs();
         }
-        self.send_looks();
+        self.send_polls();
         self.update_model();
-        if self.place_due() {
+        if self.is_placement_due() {
             self.last_placement = self.now;
             self.stats.passes += 1;
             // What a cut pass has left is placed by the next one.
             self.placement_due = self.place_tasks() == Coverage::Partial;
         }
         self.commit();
-        self.send_looks();
+        self.send_polls();
         self.log_load();
     }
 
@@ -54,27 +54,27 @@
         self.note_crashes();
         self.expire_leases();
         self.check_leaving();
-        self.release_times();
+        self.add_repetitions();
         self.send_stops();
         self.send_paces();
     }
 
     /// Tells whether it is time to place tasks.
-    fn place_due(&self) -> bool {
-        let pause = (self.open_jobs.len() as u64 / OPEN_JOBS).min(LONGEST_PAUSE);
+    fn is_placement_due(&self) -> bool {
+        let pause = (self.open_jobs.len() as u64 / JOBS_PER_PAUSE_MS).min(MAX_PAUSE_MS);
         let since = self.now.saturating_sub(self.last_placement);
-        since >= PLACE_PERIOD || self.placement_due && since >= pause
+        since >= PLACEMENT_PERIOD_MS || self.placement_due && since >= pause
     }
 
     /// Adds the repetitions that are due.
-    fn release_times(&mut self) {
-        let mut left = std::mem::take(&mut self.scheduled);
-        left.retain(|&id| self.release(id));
-        self.scheduled = left;
+    fn add_repetitions(&mut self) {
+        let mut scheduled = std::mem::take(&mut self.scheduled);
+        scheduled.retain(|&id| self.add_job_repetitions(id));
+        self.scheduled = scheduled;
     }
 
     /// Adds the repetitions of a job that are due; true if more are to come.
-    fn release(&mut self, id: JobId) -> bool {
+    fn add_job_repetitions(&mut self, id: JobId) -> bool {
         let Some(state) = self.jobs.get_mut(&id) else {
             return false;
         };
@@ -118,8 +118,8 @@
         if step.long_running {
             return false;
         }
-        let left = step.estimate * u64::from(100 - run.percent.min(100)) / 100;
-        self.now + left + left / 4 < end
+        let remaining = step.estimate * u64::from(100 - run.percent.min(100)) / 100;
+        self.now + remaining + remaining / 4 < end
     }
 
     /// Stops runs on a worker whose progress stands still; only an answer tells of that.
@@ -129,36 +129,36 @@
             return;
         }
         let runs = worker.runs.clone();
-        let left = runs.iter().filter_map(|&id| self.check_stall(slot, id));
-        let least = left.min();
-        self.fleet.get_mut(slot).stall_due = least;
+        let remaining = runs.iter().filter_map(|&id| self.check_stall(slot, id));
+        let first_due = remaining.min();
+        self.fleet.get_mut(slot).stall_due = first_due;
     }
 
     /// Stops a run that stands still; returns in how many milliseconds it will have stood
     /// still for too long if it takes longer than was thought.
     fn check_stall(&mut self, slot: u32, id: TaskId) -> Option<u64> {
-        let (now, stall) = (self.now, self.settings.stall_limit);
+        let (now, stall_limit) = (self.now, self.settings.stall_limit);
         let (clock, _) = self.fleet.get(slot).clock?;
         let state = self.jobs.get_mut(&id.job)?;
         let job = state.job.clone();
         let step = &job.spec.steps[id.step as usize];
         let run = state.task_mut(id)?.run.as_mut()?;
-        let Stage::Confirmed(at) = run.stage else {
+        let Stage::Confirmed(confirmed_at) = run.stage else {
             return None;
         };
         // A look a second shows progress: what takes longer a percent is not judged.
-        let limit = stall.max(step.estimate / 20) * if step.best_effort { 3 } else { 1 };
+        let limit = stall_limit.max(step.estimate / 20) * if step.best_effort { 3 } else { 1 };
         let slowed = run.pace < 100 || run.wanted_pace < 100;
-        let over = !slowed && now > at + step.estimate + limit;
-        if step.long_running || step.gang || !over {
+        let is_overdue = !slowed && now > confirmed_at + step.estimate + limit;
+        if step.long_running || step.gang || !is_overdue {
             return None;
         }
         // Only what the worker's own answers show counts: they may be read late.
-        let still = run.stalled_for(clock);
-        if still <= limit {
-            return Some(limit + 1 - still);
+        let stalled = run.stalled_for(clock);
+        if stalled <= limit {
+            return Some(limit + 1 - stalled);
         }
-        log::warn!(task = id.to_string().as_str(), percent = run.percent, still_ms = still, worker = &*self.fleet.get(slot).id; "run: stands still");
+        log::warn!(task = id.to_string().as_str(), percent = run.percent, still_ms = stalled, worker = &*self.fleet.get(slot).id; "run: stands still");
         run.stage = Stage::Stopping(None);
         self.stopping.push(id);
         self.note_worker_failure(slot);
@@ -166,31 +166,31 @@
     }
 
     /// Sends the looks that are due, at the workers that changed or whose time has come.
-    fn send_looks(&mut self) {
+    fn send_polls(&mut self) {
         let mut due = self.fleet.take_due(self.now);
         // Looks go out in one order, however their workers changed.
         due.sort_unstable();
         for slot in due {
-            self.send_look(slot);
+            self.send_poll(slot);
         }
     }
 
-    fn send_look(&mut self, slot: u32) {
+    fn send_poll(&mut self, slot: u32) {
         let (now, settings) = (self.now, self.settings);
         let worker = &mut self.fleet.workers[slot as usize];
-        let wanted = worker.registered || !worker.runs.is_empty() || !worker.orphans.is_empty();
-        if worker.dead || worker.poll_in_flight || worker.info.is_none() || !wanted {
+        let is_needed = worker.registered || !worker.runs.is_empty() || !worker.orphans.is_empty();
+        if worker.dead || worker.poll_in_flight || worker.info.is_none() || !is_needed {
             return;
         }
         // A later life would take it for a lease of the longest length, at each try anew.
         let renews = worker.start_time.is_none() || worker.silent_since.is_none();
         let deadline = worker.deadline(&settings, self.store_contact);
         let deadline = deadline.filter(|_| renews);
-        let at = worker.poll_due(deadline, &settings);
-        if now < at {
-            if worker.timer_at != at {
-                worker.timer_at = at;
-                self.fleet.set_timer(slot, at);
+        let due_at = worker.poll_due(deadline, &settings);
+        if now < due_at {
+            if worker.timer_at != due_at {
+                worker.timer_at = due_at;
+                self.fleet.set_timer(slot, due_at);
             }
             return;
         }
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -149,7 +149,7 @@
     /// [`Machine::current_record`] returns it.
     pub fn restore(&mut self, job: Arc<Job>, record: &Record) {
         let id = job.id;
-        let images = self.number_images(&job);
+        let images = self.intern_images(&job);
         let mut state = JobState::new(job, images, self.now);
         let replayed = self.log.take_replayed(id);
         let mut is_logged = true;
@@ -192,18 +192,18 @@
 
     /// Takes an event at `now` on the own steady clock, and `wall` since 1970,
     /// both in milliseconds. [`Machine::decide`] follows after one or several.
-    pub fn handle(&mut self, now: u64, wall: u64, event: Event) {
+    pub fn handle(&mut self, now: u64, wall_clock: u64, event: Event) {
         self.now = now.max(self.now);
-        self.wall_clock = wall;
+        self.wall_clock = wall_clock;
         match event {
-            Event::Accepted(job) => self.accepted(job),
-            Event::Cancelled(job) => self.cancelled(job),
+            Event::Accepted(job) => self.handle_accepted(job),
+            Event::Cancelled(job) => self.handle_cancelled(job),
             Event::WorkerUpdated(info) => self.placement_due |= self.fleet.register(info, self.now),
             Event::Evacuated(zones) => {
                 self.fleet.evacuate(zones);
                 self.placement_due = true;
             }
-            Event::WorkersSynced { asked_at: asked } => self.fleet.note_synced(asked),
+            Event::WorkersSynced { asked_at } => self.fleet.note_synced(asked_at),
             Event::WorkerRemoved(id) => self.fleet.deregister(&id),
             Event::Queues(queues) => {
                 self.queues = queues;
@@ -213,19 +213,19 @@
                 worker,
                 sent,
                 answer,
-            } => self.answered(worker, sent, answer),
-            Event::Committed { asked_at: asked } => {
-                self.renewed(asked);
+            } => self.handle_answer(worker, sent, answer),
+            Event::Committed { asked_at } => {
+                self.handle_renewed(asked_at);
                 self.handle_committed();
             }
-            Event::Renewed { asked_at: asked } => self.renewed(asked),
+            Event::Renewed { asked_at } => self.handle_renewed(asked_at),
         }
     }
 
     /// Decides, and returns what is to be done.
-    pub fn decide(&mut self, now: u64, wall: u64) -> Vec<Action> {
+    pub fn decide(&mut self, now: u64, wall_clock: u64) -> Vec<Action> {
         self.now = now.max(self.now);
-        self.wall_clock = wall;
+        self.wall_clock = wall_clock;
         self.drive();
         std::mem::take(&mut self.actions)
     }
@@ -270,17 +270,17 @@
 
     /// The lease on the jobs counts from when it was asked for: another instance takes it
     /// over by the store's clock, however late this one reads the answer.
-    fn renewed(&mut self, asked: u64) {
-        self.store_contact = self.store_contact.max(asked);
+    fn handle_renewed(&mut self, asked_at: u64) {
+        self.store_contact = self.store_contact.max(asked_at);
     }
 
-    fn accepted(&mut self, job: Arc<Job>) {
+    fn handle_accepted(&mut self, job: Arc<Job>) {
         let id = job.id;
         if self.has_job(id) {
             return;
         }
         log::info!(job = id.to_string().as_str(), queue = &*job.queue, chain = job.spec.critical_path(); "jobs: taken up");
-        let images = self.number_images(&job);
+        let images = self.intern_images(&job);
         self.jobs.insert(id, JobState::new(job, images, self.now));
         self.open_jobs.push(id);
         self.scheduled.push(id);
@@ -288,7 +288,7 @@
     }
 
     /// Returns the number of each step's image.
-    fn number_images(&mut self, job: &Job) -> Vec<Image> {
+    fn intern_images(&mut self, job: &Job) -> Vec<Image> {
         let mut out = Vec::with_capacity(job.spec.steps.len());
         for step in &job.spec.steps {
             let image = step.image.as_ref().map(|name| self.number_image(name));
@@ -310,15 +310,15 @@
         *number
     }
 
-    fn cancelled(&mut self, id: JobId) {
+    fn handle_cancelled(&mut self, id: JobId) {
         if self.jobs.get(&id).is_some_and(|j| !j.outcome.is_final()) {
             self.end_job(id, Outcome::Cancelled);
         }
     }
 
-    fn answered(&mut self, worker: u32, sent: u64, answer: Answer) {
+    fn handle_answer(&mut self, worker: u32, sent: u64, answer: Answer) {
         match answer {
-            Answer::Report(look) => self.handle_report(worker, sent, look),
+            Answer::Report(report) => self.handle_report(worker, sent, report),
             Answer::NoReply => self.handle_no_reply(worker, sent),
             Answer::ConnectionRefused => {
                 self.handle_no_reply(worker, sent);
--- a/crates/jobs/src/model/changes.rs
+++ b/crates/jobs/src/model/changes.rs
@@ -38,11 +38,11 @@
 
     /// Reads the changes of several jobs that follow each other in a row.
     pub(crate) fn decode_all(row: &[u8]) -> Result<Vec<Changes>, RecordError> {
-        let (mut all, mut rest) = (Vec::new(), row);
-        while !rest.is_empty() {
-            all.push(rmp_serde::from_read(&mut rest).context(DecodeSnafu)?);
+        let (mut changes, mut remaining) = (Vec::new(), row);
+        while !remaining.is_empty() {
+            changes.push(rmp_serde::from_read(&mut remaining).context(DecodeSnafu)?);
         }
-        Ok(all)
+        Ok(changes)
     }
 }
 
@@ -72,8 +72,8 @@
             }
         }
         record.tasks.retain(|t| self.tasks.get(&t.at).is_none());
-        let logged = self.tasks.iter().map(|(_, (_, task))| task.clone());
-        record.tasks.extend(logged);
+        let log_tasks = self.tasks.iter().map(|(_, (_, task))| task.clone());
+        record.tasks.extend(log_tasks);
         let steps = &record.steps;
         let is_done = |t: &TaskRecord| steps.binary_search(&(t.at.0, t.at.1)).is_ok();
         record.tasks.retain(|t| !is_done(t));
--- a/crates/jobs/src/model/crash.rs
+++ b/crates/jobs/src/model/crash.rs
@@ -9,18 +9,18 @@
 use serde::{Deserialize, Serialize};
 
 /// Crashes with nothing else to blame before a task is given up: one may be chance.
-const OWN_CRASHES: usize = 2;
+const MIN_OWN_CRASHES: usize = 2;
 
 /// Crashes just after it had begun, or with nothing else to blame, before it is given up ...
-const CRASHES: usize = 3;
+const MIN_CRASHES: usize = 3;
 
 /// ... unless there are so many of any kind, as users allow no sixth start. Then one of each
 /// of these kinds is enough.
-const MOST_CRASHES: usize = 5;
+const MAX_CRASHES: usize = 5;
 
 /// A run whose task is a suspect is kept apart for this long after it was first listed, in
 /// milliseconds; it doubles with each crash, so that what crashes later is found as well.
-const PROBATION: u64 = 1500;
+const PROBATION_MS: u64 = 1500;
 
 /// How much a worker's crash tells of a task that ran there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -89,25 +89,25 @@
 
     /// Tells whether more than chance speaks for it.
     pub(crate) fn is_likely_cause(&self) -> bool {
-        self.count_from(Blame::Close) > 0 || self.count_from(Blame::Shared) >= CRASHES
+        self.count_at_least(Blame::Close) > 0 || self.count_at_least(Blame::Shared) >= MIN_CRASHES
     }
 
     /// Tells whether the task is the cause, as far as that can be known.
     pub(crate) fn is_proven_cause(&self) -> bool {
-        let own = self.count_from(Blame::Own);
-        let close = self.count_from(Blame::Close);
-        let most = self.list.len() >= MOST_CRASHES;
-        own >= OWN_CRASHES && close >= CRASHES || most && own > 0 && close > 1
+        let own = self.count_at_least(Blame::Own);
+        let close = self.count_at_least(Blame::Close);
+        let at_limit = self.list.len() >= MAX_CRASHES;
+        own >= MIN_OWN_CRASHES && close >= MIN_CRASHES || at_limit && own > 0 && close > 1
     }
 
     /// Returns how many tell at least so much.
-    fn count_from(&self, least: Blame) -> usize {
-        self.list.iter().filter(|c| c.blame >= least).count()
+    fn count_at_least(&self, min_blame: Blame) -> usize {
+        self.list.iter().filter(|c| c.blame >= min_blame).count()
     }
 
     /// Returns for how long a run is kept apart after it was first listed, in milliseconds.
     pub(crate) fn isolation_ms(&self) -> u64 {
-        let doublings = self.list.len().clamp(1, CRASHES * 2) - 1;
-        PROBATION << doublings
+        let doublings = self.list.len().clamp(1, MIN_CRASHES * 2) - 1;
+        PROBATION_MS << doublings
     }
 }
--- a/crates/jobs/src/model/ids.rs
+++ b/crates/jobs/src/model/ids.rs
@@ -6,7 +6,7 @@
 use snafu::{OptionExt, Snafu};
 
 /// Digits of a job's name.
-const DIGITS: usize = 16;
+const JOB_ID_DIGITS: usize = 16;
 
 /// Why a text is no name.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
@@ -30,7 +30,7 @@
 
     fn from_str(text: &str) -> Result<JobId, IdError> {
         let context = IdSnafu { text };
-        let digits = text.len() == DIGITS && text.bytes().all(is_digit);
+        let digits = text.len() == JOB_ID_DIGITS && text.bytes().all(is_digit);
         let value = digits.then(|| u64::from_str_radix(text, 16).ok()).flatten();
         Ok(JobId(value.context(context)?))
     }
@@ -70,10 +70,10 @@
         let mut parts = text.split('.');
         let job = parts.next().context(IdSnafu { text })?.parse()?;
         let mut number = || parts.next()?.parse().ok();
-        let (time, step, index) = (number(), number(), number());
+        let (repetition, step, index) = (number(), number(), number());
         let id = TaskId {
             job,
-            repetition: time.context(IdSnafu { text })?,
+            repetition: repetition.context(IdSnafu { text })?,
             step: step.context(IdSnafu { text })?,
             index: index.context(IdSnafu { text })?,
         };
--- a/crates/jobs/src/model/incarnation.rs
+++ b/crates/jobs/src/model/incarnation.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 /// Stands between a worker's name and when its life began.
-const MARK: char = '@';
+const SEPARATOR: char = '@';
 
 /// A life of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,21 +23,21 @@
     /// Returns the life's own name.
     pub(crate) fn name(&self) -> Arc<str> {
         match self.start_time {
-            Some(born) => format!("{}{MARK}{born}", self.id).into(),
+            Some(start_time) => format!("{}{SEPARATOR}{start_time}", self.id).into(),
             None => self.id.clone(),
         }
     }
 
     /// Reads a life's own name.
     pub(crate) fn parse(name: &Arc<str>) -> Incarnation {
-        let parts = name.rsplit_once(MARK);
+        let parts = name.rsplit_once(SEPARATOR);
         // `parse` would take a sign as well.
-        let parts = parts.filter(|(_, born)| born.bytes().all(|b| b.is_ascii_digit()));
-        let known = parts.and_then(|(id, born)| Some((id, born.parse().ok()?)));
-        match known {
-            Some((id, born)) => Incarnation {
+        let parts = parts.filter(|(_, start_time)| start_time.bytes().all(|b| b.is_ascii_digit()));
+        let named = parts.and_then(|(id, start_time)| Some((id, start_time.parse().ok()?)));
+        match named {
+            Some((id, start_time)) => Incarnation {
                 id: id.into(),
-                start_time: Some(born),
+                start_time: Some(start_time),
             },
             None => Incarnation {
                 id: name.clone(),
--- a/crates/jobs/src/model/job.rs
+++ b/crates/jobs/src/model/job.rs
@@ -26,7 +26,7 @@
 }
 
 impl CriticalPath {
-    fn longer(self, other: CriticalPath) -> CriticalPath {
+    fn max(self, other: CriticalPath) -> CriticalPath {
         CriticalPath {
             total: self.total.max(other.total),
             remaining: self.remaining.max(other.remaining),
@@ -85,12 +85,12 @@
     }
 
     /// Adds repetitions that are due at `wall`, in milliseconds since 1970.
-    pub(crate) fn add_due_repetitions(&mut self, wall: u64) {
+    pub(crate) fn add_due_repetitions(&mut self, wall_clock: u64) {
         let spec = &self.job.spec;
         while (self.repetitions.len() as u32) < spec.repetitions() {
             let schedule = spec.schedule;
             let due = schedule.first + self.repetitions.len() as u64 * schedule.interval;
-            if schedule.repetitions > 0 && wall < due {
+            if schedule.repetitions > 0 && wall_clock < due {
                 return;
             }
             let steps = spec.steps.iter().map(|s| StepState::new(s.count));
@@ -100,41 +100,45 @@
     }
 
     /// Tells whether the steps that `step` depends on are done.
-    pub(crate) fn is_ready(&self, time: usize, step: usize) -> bool {
+    pub(crate) fn is_ready(&self, repetition: usize, step: usize) -> bool {
         let deps = &self.job.spec.steps[step].deps;
-        let steps = &self.repetitions[time];
+        let steps = &self.repetitions[repetition];
         deps.iter().all(|&d| steps[d as usize].is_done())
     }
 
     /// Tells whether every task of every repetition is done.
     pub(crate) fn is_done(&self) -> bool {
-        let all = self.repetitions.len() as u32 == self.job.spec.repetitions();
-        all && self.repetitions.iter().flatten().all(StepState::is_done)
+        let all_due = self.repetitions.len() as u32 == self.job.spec.repetitions();
+        all_due && self.repetitions.iter().flatten().all(StepState::is_done)
     }
 
     /// Works out the longest chain of its steps' times.
-    pub(crate) fn compute_critical_path(&self, guesses: &EstimateModel, now: u64) -> CriticalPath {
+    pub(crate) fn compute_critical_path(
+        &self,
+        estimates: &EstimateModel,
+        now: u64,
+    ) -> CriticalPath {
         let spec = &self.job.spec;
         let mut ends: Vec<CriticalPath> = Vec::with_capacity(spec.steps.len());
         for (at, step) in spec.steps.iter().enumerate() {
             let mut end = CriticalPath::default();
             for &d in &step.deps {
-                end = end.longer(ends[d as usize]);
+                end = end.max(ends[d as usize]);
             }
             if let Some(state) = self.repetitions.first().map(|t| &t[at]) {
-                let whole = state.longest_task_ms(guesses, step.estimate, now);
+                let duration = state.longest_task_ms(estimates, step.estimate, now);
                 let percent = if state.is_done() {
                     100
                 } else {
                     state.min_percent()
                 };
-                end.total += whole;
-                end.remaining += whole * u64::from(100 - percent) / 100;
+                end.total += duration;
+                end.remaining += duration * u64::from(100 - percent) / 100;
             }
             ends.push(end);
         }
         ends.into_iter()
-            .fold(CriticalPath::default(), CriticalPath::longer)
+            .fold(CriticalPath::default(), CriticalPath::max)
     }
 
     /// Returns a task.
@@ -150,26 +154,26 @@
     }
 
     /// Returns a step in one repetition.
-    pub(crate) fn step(&self, time: u32, step: u32) -> Option<&StepState> {
-        let steps = self.repetitions.get(time as usize)?;
+    pub(crate) fn step(&self, repetition: u32, step: u32) -> Option<&StepState> {
+        let steps = self.repetitions.get(repetition as usize)?;
         steps.get(step as usize)
     }
 
     /// Returns a step in one repetition, to be changed.
-    pub(crate) fn step_mut(&mut self, time: u32, step: u32) -> Option<&mut StepState> {
-        let steps = self.repetitions.get_mut(time as usize)?;
+    pub(crate) fn step_mut(&mut self, repetition: u32, step: u32) -> Option<&mut StepState> {
+        let steps = self.repetitions.get_mut(repetition as usize)?;
         steps.get_mut(step as usize)
     }
 
     /// Returns the names of all tasks that have fallen due.
     pub(crate) fn task_ids(&self) -> Vec<TaskId> {
         let mut out = Vec::new();
-        for (time, steps) in self.repetitions.iter().enumerate() {
+        for (repetition, steps) in self.repetitions.iter().enumerate() {
             for (step, state) in steps.iter().enumerate() {
                 for index in 0..state.tasks.len() {
                     out.push(TaskId {
                         job: self.job.id,
-                        repetition: time as u32,
+                        repetition: repetition as u32,
                         step: step as u32,
                         index: index as u32,
                     });
@@ -182,30 +186,30 @@
     /// Takes over what was kept; `slot` gives the slot of a worker's name.
     pub(crate) fn restore(&mut self, record: &Record, mut slot: impl FnMut(&Arc<str>) -> u32) {
         (self.outcome, self.written_outcome) = (record.outcome, record.outcome);
-        let times = record.steps.iter().map(|s| s.0);
-        let times = times.chain(record.tasks.iter().map(|t| t.at.0)).max();
-        while times.is_some_and(|t| self.repetitions.len() <= t as usize) {
+        let repetitions = record.steps.iter().map(|s| s.0);
+        let last_repetition = repetitions.chain(record.tasks.iter().map(|t| t.at.0)).max();
+        while last_repetition.is_some_and(|t| self.repetitions.len() <= t as usize) {
             let steps = self.job.spec.steps.iter().map(|s| StepState::new(s.count));
             self.repetitions.push(steps.collect());
         }
-        for &(time, step) in &record.steps {
-            let state = &mut self.repetitions[time as usize][step as usize];
+        for &(repetition, step) in &record.steps {
+            let state = &mut self.repetitions[repetition as usize][step as usize];
             for index in 0..state.tasks.len() {
                 state.mark_done(index);
             }
         }
-        for kept in &record.tasks {
-            let (time, step, index) = kept.at;
-            let state = &mut self.repetitions[time as usize][step as usize];
-            if kept.done {
+        for task_record in &record.tasks {
+            let (repetition, step, index) = task_record.at;
+            let state = &mut self.repetitions[repetition as usize][step as usize];
+            if task_record.done {
                 state.mark_done(index as usize);
             }
             let task = &mut state.tasks[index as usize];
-            task.last_run = kept.run;
-            task.failed_runs = kept.failed.clone();
-            task.checkpoint = Checkpoint::from_record(&kept.saved);
-            task.crashes = kept.crashes.clone();
-            let run = kept.worker.as_ref();
+            task.last_run = task_record.run;
+            task.failed_runs = task_record.failed.clone();
+            task.checkpoint = Checkpoint::from_record(&task_record.saved);
+            task.crashes = task_record.crashes.clone();
+            let run = task_record.worker.as_ref();
             let run = run.map(|w| Run::new(slot(w), Stage::Inherited, self.known_since));
             if let Some(run) = run {
                 state.set_run(index as usize, run);
@@ -215,13 +219,15 @@
 
     /// Takes note of where the log tells of it; true if it tells of all that was kept.
     pub(crate) fn note_logged(&mut self, replayed: Replayed) -> bool {
-        for (&(time, step), &row) in replayed.steps.iter() {
-            if let Some(state) = self.step_mut(time, step) {
+        for (&(repetition, step), &row) in replayed.steps.iter() {
+            if let Some(state) = self.step_mut(repetition, step) {
                 state.logged_row = Some(row);
             }
         }
-        for (&(time, step, index), &(row, _)) in replayed.tasks.iter() {
-            let state = self.step_mut(time, step).filter(|s| s.logged_row.is_none());
+        for (&(repetition, step, index), &(row, _)) in replayed.tasks.iter() {
+            let state = self
+                .step_mut(repetition, step)
+                .filter(|s| s.logged_row.is_none());
             let task = state.and_then(|s| s.tasks.get_mut(index as usize));
             if let Some(task) = task {
                 task.note_logged(row);
--- a/crates/jobs/src/model/record.rs
+++ b/crates/jobs/src/model/record.rs
@@ -21,7 +21,7 @@
 }
 
 /// Bytes of what is kept of a task without its texts and lists, at the most.
-const FIXED_BYTES: usize = 24;
+const MAX_FIXED_BYTES: usize = 24;
 
 /// Bytes of a crash that is kept, about.
 const CRASH_BYTES: usize = 40;
@@ -76,7 +76,7 @@
     pub(crate) fn size(&self) -> usize {
         let worker = self.worker.as_ref().map_or(0, |w| w.len());
         let lists = self.failed.len() * 4 + self.crashes.count() * CRASH_BYTES;
-        FIXED_BYTES + worker + self.saved.len() + lists
+        MAX_FIXED_BYTES + worker + self.saved.len() + lists
     }
 }
 
@@ -115,13 +115,14 @@
 
     /// Tells whether it can be one of a job with this spec: somebody else may have written it.
     pub fn is_valid_for(&self, spec: &Spec) -> bool {
-        let count = |time: u32, step: u32| {
+        let count = |repetition: u32, step: u32| {
             let step = spec.steps.get(step as usize);
-            step.filter(|_| time < spec.repetitions()).map(|s| s.count)
+            step.filter(|_| repetition < spec.repetitions())
+                .map(|s| s.count)
         };
         let mut steps = self.steps.iter();
         let mut tasks = self.tasks.iter();
-        steps.all(|&(time, step)| count(time, step).is_some())
+        steps.all(|&(repetition, step)| count(repetition, step).is_some())
             && tasks.all(|t| count(t.at.0, t.at.1).is_some_and(|c| t.at.2 < c))
     }
 
--- a/crates/jobs/src/model/spec.rs
+++ b/crates/jobs/src/model/spec.rs
@@ -20,16 +20,16 @@
         step: usize,
     },
     /// A step depends on itself or on a later one.
-    #[snafu(display("step {step} depends on step {on}"))]
+    #[snafu(display("step {step} depends on step {dependency}"))]
     Order {
         /// The step.
         step: usize,
         /// What it names.
-        on: u32,
+        dependency: u32,
     },
     /// There are more tasks than a record can hold.
     #[snafu(display("{tasks} tasks, more than {MAX_TASKS}"))]
-    TooMany {
+    TooManyTasks {
         /// Tasks of all steps and repetitions.
         tasks: u64,
     },
@@ -113,13 +113,16 @@
         ensure!(!self.steps.is_empty(), EmptySnafu { step: 0_usize });
         for (step, s) in self.steps.iter().enumerate() {
             ensure!(s.count > 0, EmptySnafu { step });
-            for &on in &s.deps {
-                ensure!((on as usize) < step, OrderSnafu { step, on });
+            for &dependency in &s.deps {
+                ensure!(
+                    (dependency as usize) < step,
+                    OrderSnafu { step, dependency }
+                );
             }
         }
-        let once: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
-        let tasks = once * u64::from(self.repetitions());
-        ensure!(tasks <= MAX_TASKS, TooManySnafu { tasks });
+        let per_repetition: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
+        let tasks = per_repetition * u64::from(self.repetitions());
+        ensure!(tasks <= MAX_TASKS, TooManyTasksSnafu { tasks });
         Ok(())
     }
 
@@ -132,8 +135,8 @@
     pub fn critical_path(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
-            let before = step.deps.iter().map(|&d| ends[d as usize]).max();
-            ends.push(before.unwrap_or(0) + step.estimate);
+            let start = step.deps.iter().map(|&d| ends[d as usize]).max();
+            ends.push(start.unwrap_or(0) + step.estimate);
         }
         ends.into_iter().max().unwrap_or(0)
     }
--- a/crates/jobs/src/model/step.rs
+++ b/crates/jobs/src/model/step.rs
@@ -130,15 +130,20 @@
 
     /// Returns the time that its longest task takes, in milliseconds, from the callers'
     /// guess and from what its tasks show.
-    pub(crate) fn longest_task_ms(&self, guesses: &EstimateModel, guess: u64, now: u64) -> u64 {
-        let mut seen = self.observed_times;
+    pub(crate) fn longest_task_ms(
+        &self,
+        estimates: &EstimateModel,
+        estimate: u64,
+        now: u64,
+    ) -> u64 {
+        let mut observed = self.observed_times;
         for task in &self.tasks {
-            let Some(run) = task.run.as_ref().filter(|r| is_telling(r)) else {
+            let Some(run) = task.run.as_ref().filter(|r| is_representative(r)) else {
                 continue;
             };
-            seen.observe_run(run.percent, now - run.placed_at);
+            observed.observe_run(run.percent, now - run.placed_at);
         }
-        seen.longest(guesses, guess, self.tasks.len())
+        observed.longest(estimates, estimate, self.tasks.len())
     }
 
     /// Returns how many runs the step has on a worker.
@@ -149,6 +154,6 @@
 }
 
 /// Tells whether a run is at work and its time tells of the task.
-fn is_telling(run: &Run) -> bool {
+fn is_representative(run: &Run) -> bool {
     matches!(run.stage, Stage::Confirmed(_)) && !run.partial
 }
--- a/crates/jobs/src/model/task.rs
+++ b/crates/jobs/src/model/task.rs
@@ -10,11 +10,11 @@
 };
 
 /// A figure below this share of its target is below it, whatever it is off by.
-const FAR_UNDER: f64 = 0.6;
+const FAR_BELOW_TARGET: f64 = 0.6;
 
 /// A figure below this share of its target is clearly below it, if others say the same:
 /// figures are usually off by a tenth.
-const CLEARLY_UNDER: f64 = 0.9;
+const CLEARLY_BELOW_TARGET: f64 = 0.9;
 
 /// A run's pace where nobody knows what its worker was told last.
 pub(crate) const UNKNOWN_PACE: u32 = u32::MAX;
@@ -57,7 +57,7 @@
     /// Progress in percent, as last listed.
     pub(crate) percent: u32,
     /// When it was first listed, on the worker's clock.
-    pub(crate) listed: Option<u64>,
+    pub(crate) reported_at: Option<u64>,
     /// When the progress last changed, on the worker's clock; nothing before it was listed.
     pub(crate) progressed_at: Option<u64>,
     /// Share of its pace that its worker was told, in percent, or [`UNKNOWN_PACE`].
@@ -68,13 +68,13 @@
     /// progress, or began under an earlier owner.
     pub(crate) partial: bool,
     /// No order for its pace before this time; [`u64::MAX`] while one is under way.
-    pub(crate) next_pace: u64,
+    pub(crate) next_pace_at: u64,
     /// Since when it is slowed much.
     pub(crate) slowed_since: Option<u64>,
     /// For a task that serves: since when its tail is over its target.
     pub(crate) over_since: Option<u64>,
     /// Whether its last figure was not over its target.
-    under: bool,
+    was_below: bool,
 }
 
 impl Run {
@@ -92,15 +92,15 @@
             answered: false,
             attributed: false,
             percent: 0,
-            listed: None,
+            reported_at: None,
             progressed_at: None,
             pace,
             wanted_pace: 100,
             partial: stage != Stage::Planned,
-            next_pace: 0,
+            next_pace_at: 0,
             slowed_since: None,
             over_since: None,
-            under: false,
+            was_below: false,
         }
     }
 
@@ -108,7 +108,7 @@
     /// `clock`, in milliseconds.
     pub(crate) fn stalled_for(&self, clock: u64) -> u64 {
         self.progressed_at
-            .map_or(0, |moved| clock.saturating_sub(moved))
+            .map_or(0, |progressed_at| clock.saturating_sub(progressed_at))
     }
 
     /// Takes a tail as a share of its target; `worst` is the headroom that the tasks of its
@@ -124,29 +124,29 @@
     /// The other tasks of the step tell as well: where they were well below their targets all
     /// the while, one clearly lower figure is enough (filling jobs earn 0.75 of their worth so,
     /// 0.72 without, on 350 full workers, 15 days with trouble).
-    pub(crate) fn record_latency(&mut self, share: f64, worst: f64, now: u64) {
-        let under = share < 1.0;
-        let expected = share < CLEARLY_UNDER && worst > 1.0 / CLEARLY_UNDER;
-        if !under {
+    pub(crate) fn record_latency(&mut self, share: f64, min_headroom: f64, now: u64) {
+        let is_below = share < 1.0;
+        let expected = share < CLEARLY_BELOW_TARGET && min_headroom > 1.0 / CLEARLY_BELOW_TARGET;
+        if !is_below {
             self.over_since = self.over_since.or(Some(now));
-        } else if self.under || share < FAR_UNDER || expected {
+        } else if self.was_below || share < FAR_BELOW_TARGET || expected {
             self.over_since = None;
         }
-        self.under = under;
+        self.was_below = is_below;
     }
 
     /// Takes note that there is no tail, since nobody was served in the last half second.
     pub(crate) fn record_no_latency(&mut self) {
-        if self.under {
+        if self.was_below {
             self.over_since = None;
         }
-        self.under = true;
+        self.was_below = true;
     }
 
     /// Returns when its start was sent, if its worker has not listed it: it may not have begun
     /// yet, or in another life than the one that was meant. An answer does not say which.
     pub(crate) fn unreported_since(&self) -> Option<u64> {
-        self.sent_at.filter(|_| self.listed.is_none())
+        self.sent_at.filter(|_| self.reported_at.is_none())
     }
 
     /// Tells whether the run is wanted to go on.
@@ -191,7 +191,7 @@
     worker: Option<u32>,
     /// How many of its runs failed.
     failed: u32,
-    saved: Option<Arc<str>>,
+    checkpoint: Option<Arc<str>>,
     crashes: Option<Box<Crashes>>,
 }
 
@@ -209,7 +209,7 @@
                 && l.run == self.last_run
                 && l.worker == self.run.as_ref().map(|r| r.worker)
                 && l.failed as usize == self.failed_runs.len()
-                && l.saved.as_ref() == self.checkpoint.as_ref().map(|c| &c.text)
+                && l.checkpoint.as_ref() == self.checkpoint.as_ref().map(|c| &c.text)
                 && crashes.map_or(self.crashes.is_empty(), |c| *c == self.crashes)
         });
         !unchanged
@@ -224,7 +224,7 @@
             run: self.last_run,
             worker: self.run.as_ref().map(|r| r.worker),
             failed: self.failed_runs.len() as u32,
-            saved: self.checkpoint.as_ref().map(|c| c.text.clone()),
+            checkpoint: self.checkpoint.as_ref().map(|c| c.text.clone()),
             crashes: crashes.map(|c| Box::new(c.clone())),
         }));
     }
--- a/crates/jobs/src/model/task_tests.rs
+++ b/crates/jobs/src/model/task_tests.rs
@@ -6,26 +6,26 @@
 
 /// Headroom of a step whose tasks are well below their targets, and of one at the peak of
 /// its load.
-const CALM: f64 = 2.0;
-const PEAK: f64 = 1.05;
+const HIGH_HEADROOM: f64 = 2.0;
+const LOW_HEADROOM: f64 = 1.05;
 
 /// Takes figures, one a second, and returns whether the tail counts as over its target.
-fn over(worst: f64, percents: &[u32]) -> bool {
+fn is_over_target(min_headroom: f64, percents: &[u32]) -> bool {
     let mut run = Run::new(0, Stage::Planned, 0);
     for (at, &percent) in (1..).zip(percents) {
-        run.record_latency(f64::from(percent) / 100.0, worst, at * 1000);
+        run.record_latency(f64::from(percent) / 100.0, min_headroom, at * 1000);
     }
     run.over_since.is_some()
 }
 
-#[test_case(CALM, &[80, 92, 99] => false; "below the target")]
-#[test_case(CALM, &[80, 101] => true; "once above it")]
-#[test_case(CALM, &[105, 85] => false; "clearly lower once, as the step")]
-#[test_case(PEAK, &[105, 85] => true; "lower once, at the peak of the step")]
-#[test_case(CALM, &[105, 95] => true; "hardly lower once")]
-#[test_case(PEAK, &[105, 95, 97] => false; "lower twice in a row")]
-#[test_case(PEAK, &[105, 102, 76, 104] => true; "one low figure among high ones")]
-#[test_case(PEAK, &[105, 50] => false; "far lower once")]
-fn a_tail_counts_as_over_its_target(worst: f64, percents: &[u32]) -> bool {
-    over(worst, percents)
+#[test_case(HIGH_HEADROOM, &[80, 92, 99] => false; "below the target")]
+#[test_case(HIGH_HEADROOM, &[80, 101] => true; "once above it")]
+#[test_case(HIGH_HEADROOM, &[105, 85] => false; "clearly lower once, as the step")]
+#[test_case(LOW_HEADROOM, &[105, 85] => true; "lower once, at the peak of the step")]
+#[test_case(HIGH_HEADROOM, &[105, 95] => true; "hardly lower once")]
+#[test_case(LOW_HEADROOM, &[105, 95, 97] => false; "lower twice in a row")]
+#[test_case(LOW_HEADROOM, &[105, 102, 76, 104] => true; "one low figure among high ones")]
+#[test_case(LOW_HEADROOM, &[105, 50] => false; "far lower once")]
+fn a_tail_counts_as_over_its_target(min_headroom: f64, percents: &[u32]) -> bool {
+    is_over_target(min_headroom, percents)
 }
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -179,7 +179,7 @@
         let Some(task) = task else {
             return;
         };
-        let listed = task.run.as_ref().and_then(|r| r.listed);
+        let listed = task.run.as_ref().and_then(|r| r.reported_at);
         let ms = listed.map_or(0, |at| clock.saturating_sub(at));
         if ms > task.crashes.isolation_ms() && self.fleet.get(slot).isolated_task == Some(id) {
             log::info!(task = id.to_string().as_str(), worker = &*self.fleet.get(slot).id, after_ms = ms; "run: no longer apart");
--- a/crates/jobs/src/runs/fleet.rs
+++ b/crates/jobs/src/runs/fleet.rs
@@ -20,28 +20,28 @@
     /// When leases of an earlier owner are over everywhere.
     pub(super) prior_leases_end: u64,
     /// Workers that changed since they were last asked for.
-    touched: Vec<u32>,
+    changed: Vec<u32>,
     /// Workers to be seen to at a time.
     timers: BinaryHeap<Reverse<(u64, u32)>>,
     /// Names of services, each once.
     services: Vec<Arc<str>>,
     /// When the announcements were asked for that are all known.
-    current: u64,
+    synced_at: u64,
     /// Availability zones whose workers get nothing new, sorted.
     evacuated: Arc<[Arc<str>]>,
 }
 
 impl Fleet {
     /// Makes a fleet without workers; leases of an earlier owner are over at `inherited`.
-    pub(crate) fn new(inherited: u64) -> Fleet {
+    pub(crate) fn new(prior_leases_end: u64) -> Fleet {
         Fleet {
             workers: Vec::new(),
             incarnations: SortedMap::default(),
-            prior_leases_end: inherited,
-            touched: Vec::new(),
+            prior_leases_end,
+            changed: Vec::new(),
             timers: BinaryHeap::new(),
             services: Vec::new(),
-            current: 0,
+            synced_at: 0,
             evacuated: Arc::default(),
         }
     }
@@ -54,8 +54,8 @@
         let Some(slot) = self.registering_slot(&info) else {
             return false;
         };
-        let known = self.get(slot);
-        if known.registered && known.info.as_ref() == Some(&info) {
+        let worker = self.get(slot);
+        if worker.registered && worker.info.as_ref() == Some(&info) {
             return false;
         }
         let worker = self.get_mut(slot);
@@ -92,13 +92,13 @@
     }
 
     /// Takes note that all announcements of a time are known.
-    pub(crate) fn note_synced(&mut self, asked: u64) {
-        self.current = self.current.max(asked);
+    pub(crate) fn note_synced(&mut self, asked_at: u64) {
+        self.synced_at = self.synced_at.max(asked_at);
     }
 
     /// Returns how old what is known of the workers' announcements is, in milliseconds.
     pub(crate) fn age(&self, now: u64) -> u64 {
-        now.saturating_sub(self.current)
+        now.saturating_sub(self.synced_at)
     }
 
     /// Tells whether enough is known of the workers' announcements for something to begin.
@@ -122,7 +122,7 @@
         let worker = &mut self.workers[slot as usize];
         if !worker.changed {
             worker.changed = true;
-            self.touched.push(slot);
+            self.changed.push(slot);
         }
         worker
     }
@@ -143,7 +143,7 @@
             self.timers.pop();
             self.get_mut(slot);
         }
-        let due = std::mem::take(&mut self.touched);
+        let due = std::mem::take(&mut self.changed);
         for &slot in &due {
             self.workers[slot as usize].changed = false;
         }
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -127,7 +127,7 @@
         let old = std::mem::replace(&mut run.worker, new);
         run.stage = stage(run.stage);
         run.pace = UNKNOWN_PACE;
-        run.next_pace = 0;
+        run.next_pace_at = 0;
         if matches!(run.stage, Stage::Stopping(_)) {
             self.stopping.push(id);
         }
--- a/crates/jobs/src/runs/reported.rs
+++ b/crates/jobs/src/runs/reported.rs
@@ -78,7 +78,7 @@
         }
         let settled = now > run.placed_at + SETTLED && row.percent == 100;
         let since = run.placed_at;
-        run.listed.get_or_insert(clock);
+        run.reported_at.get_or_insert(clock);
         let worker = self.fleet.get(slot);
         if settled && worker.failures > 0 && since > worker.failed_at {
             self.fleet.get_mut(slot).note_success();
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -12,7 +12,7 @@
 /// A look without an answer tells something for this long after it was sent, in
 /// milliseconds: its time limit with the longest wait of a worker that has runs, and a
 /// late wake-up. One from before a pause of the process tells nothing.
-const FRESH: u64 = 2000;
+const UNANSWERED_POLL_VALID_MS: u64 = 2000;
 
 /// What a worker can hold, or a task asks for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -178,11 +178,11 @@
 }
 
 impl Worker {
-    pub(crate) fn new(life: Incarnation, inherited: u64) -> Worker {
+    pub(crate) fn new(incarnation: Incarnation, prior_leases_end: u64) -> Worker {
         Worker {
-            incarnation_name: life.name(),
-            id: life.id,
-            start_time: life.start_time,
+            incarnation_name: incarnation.name(),
+            id: incarnation.id,
+            start_time: incarnation.start_time,
             registered_at: 0,
             contested: false,
             info: None,
@@ -192,7 +192,7 @@
             changed: false,
             clock: None,
             granted_until: 0,
-            prior_leases_end: inherited,
+            prior_leases_end,
             misdirected_lease_end: 0,
             successor_lease_end: 0,
             counted_end: 0,
@@ -239,8 +239,8 @@
 
     /// Tells whether it has more than it can hold, since its room has shrunk.
     pub(crate) fn is_overcommitted(&self) -> bool {
-        let (room, used) = (self.capacity(), self.used);
-        used.cpu > room.cpu || used.memory > room.memory || used.gpu > room.gpu
+        let (capacity, used) = (self.capacity(), self.used);
+        used.cpu > capacity.cpu || used.memory > capacity.memory || used.gpu > capacity.gpu
     }
 
     /// Returns what share of its processors so many thousandths of a core are.
@@ -274,10 +274,10 @@
     ///
     /// It counts from a reading of that clock that is already past, so that a
     /// delayed order grants no more than its sender knows of.
-    pub(crate) fn deadline(&self, settings: &Settings, contact: u64) -> Option<u64> {
+    pub(crate) fn deadline(&self, settings: &Settings, store_contact: u64) -> Option<u64> {
         let (reading, at) = self.clock?;
-        let left = (contact + settings.store_grace).saturating_sub(at);
-        (left > 0).then_some(reading + settings.lease.min(left))
+        let remaining = (store_contact + settings.store_grace).saturating_sub(at);
+        (remaining > 0).then_some(reading + settings.lease.min(remaining))
     }
 
     /// Returns when every lease that any owner granted here is over, on our clock.
@@ -286,8 +286,8 @@
         let Some((reading, at)) = self.clock else {
             return others;
         };
-        let left = self.granted_until.saturating_sub(reading);
-        let own = at + lease_upper_bound(left);
+        let remaining = self.granted_until.saturating_sub(reading);
+        let own = at + lease_upper_bound(remaining);
         own.max(others)
     }
 
@@ -311,10 +311,12 @@
     /// that were done, and these were started again. One that only records name can't
     /// be asked.
     pub(crate) fn is_lost(&self, now: u64) -> bool {
-        let missed = self.unanswered_poll.is_some_and(|at| now <= at + FRESH);
-        let asked = self.silent_since.is_some() && missed;
-        let unknown = self.info.is_none();
-        (asked || unknown) && now > self.leases_end()
+        let is_unanswered = self
+            .unanswered_poll
+            .is_some_and(|at| now <= at + UNANSWERED_POLL_VALID_MS);
+        let is_silent = self.silent_since.is_some() && is_unanswered;
+        let is_unannounced = self.info.is_none();
+        (is_silent || is_unannounced) && now > self.leases_end()
     }
 
     /// Takes up room for a run of a step.
@@ -324,13 +326,13 @@
         }
         self.slack = None;
         self.used.add(demand(step));
-        self.best_effort_cpu += filling(step);
+        self.best_effort_cpu += best_effort_cpu(step);
         self.serving_tasks += u32::from(step.latency_target > 0);
         if step.long_running {
             self.long_running_tasks += 1;
             self.long_running_size.add(demand(step));
         }
-        self.serving_cpu += serving(step);
+        self.serving_cpu += serving_cpu(step);
         self.spare_cpu += unused_cpu(step);
     }
 
@@ -342,32 +344,32 @@
         self.runs.remove(at);
         self.slack = None;
         self.used.subtract(demand(step));
-        self.best_effort_cpu -= filling(step).min(self.best_effort_cpu);
+        self.best_effort_cpu -= best_effort_cpu(step).min(self.best_effort_cpu);
         self.serving_tasks -= u32::from(step.latency_target > 0).min(self.serving_tasks);
         if step.long_running {
             self.long_running_tasks -= self.long_running_tasks.min(1);
             self.long_running_size.subtract(demand(step));
         }
-        self.serving_cpu -= serving(step).min(self.serving_cpu);
+        self.serving_cpu -= serving_cpu(step).min(self.serving_cpu);
         self.spare_cpu -= unused_cpu(step).min(self.spare_cpu);
     }
 
     /// Takes up room for a run that is not wanted.
-    pub(crate) fn add_orphan(&mut self, stray: Orphan) {
-        self.used.add(stray.size);
-        self.orphans.push(stray);
+    pub(crate) fn add_orphan(&mut self, orphan: Orphan) {
+        self.used.add(orphan.size);
+        self.orphans.push(orphan);
     }
 
     /// Gives back the room of runs that are not wanted and gone.
-    pub(crate) fn drop_orphans(&mut self, gone: impl Fn(&Orphan) -> bool) {
+    pub(crate) fn drop_orphans(&mut self, is_gone: impl Fn(&Orphan) -> bool) {
         let mut at = 0;
         while at < self.orphans.len() {
-            if !gone(&self.orphans[at]) {
+            if !is_gone(&self.orphans[at]) {
                 at += 1;
                 continue;
             }
-            let stray = self.orphans.remove(at);
-            self.used.subtract(stray.size);
+            let orphan = self.orphans.remove(at);
+            self.used.subtract(orphan.size);
         }
     }
 }
@@ -381,10 +383,10 @@
     }
 }
 
-fn serving(step: &Step) -> u64 {
+fn serving_cpu(step: &Step) -> u64 {
     if step.latency_target > 0 { step.cpu } else { 0 }
 }
 
-fn filling(step: &Step) -> u64 {
+fn best_effort_cpu(step: &Step) -> u64 {
     if step.best_effort { step.cpu } else { 0 }
 }
--- a/crates/jobs/src/settings.rs
+++ b/crates/jobs/src/settings.rs
@@ -35,22 +35,22 @@
 }
 
 /// Slowest rate of a worker's clock against ours, in percent.
-const CLOCK_RATE: u64 = 98;
+const MIN_CLOCK_RATE_PERCENT: u64 = 98;
 
 /// Added to a computed end of a lease: a reading is in whole milliseconds and
 /// timers are late.
-const LEASE_MARGIN: u64 = 60;
+const LEASE_MARGIN_MS: u64 = 60;
 
 /// Returns how much a worker's clock goes on at least while ours goes on by `ms`, both in
 /// milliseconds.
 pub(crate) fn min_clock_advance(ms: u64) -> u64 {
-    ms * CLOCK_RATE / 100
+    ms * MIN_CLOCK_RATE_PERCENT / 100
 }
 
 /// Returns how long a lease may last by our clock that lasts `ms` by a worker's, both in
 /// milliseconds.
 pub fn lease_upper_bound(ms: u64) -> u64 {
-    ms * 100 / CLOCK_RATE + LEASE_MARGIN
+    ms * 100 / MIN_CLOCK_RATE_PERCENT + LEASE_MARGIN_MS
 }
 
 impl Default for Settings {
--- a/crates/jobs/src/share/pace.rs
+++ b/crates/jobs/src/share/pace.rs
@@ -185,11 +185,12 @@
         };
         let slot = run.worker;
         let worker = self.fleet.get(slot);
-        if now < run.next_pace || !worker.is_live() || !matches!(run.stage, Stage::Confirmed(_)) {
+        if now < run.next_pace_at || !worker.is_live() || !matches!(run.stage, Stage::Confirmed(_))
+        {
             return run.is_wanted();
         }
         // The answer sets the next time; this one only guards against its loss.
-        run.next_pace = u64::MAX;
+        run.next_pace_at = u64::MAX;
         run.partial = true;
         log::info!(task = id.to_string().as_str(), worker = &*worker.id, from = run.pace, to = run.wanted_pace; "pace: changed");
         self.actions.push(Action::Pace {
@@ -213,10 +214,10 @@
         let Some(run) = task.run.as_mut().filter(|r| r.worker == slot) else {
             return;
         };
-        run.next_pace = 0;
+        run.next_pace_at = 0;
         if !done {
             run.pace = UNKNOWN_PACE;
-            run.next_pace = now + PACE_RETRY;
+            run.next_pace_at = now + PACE_RETRY;
             self.pacing.push(id);
         }
     }
--- a/crates/jobs/src/summary.rs
+++ b/crates/jobs/src/summary.rs
@@ -3,29 +3,29 @@
 use crate::{machine::Machine, runs::worker::Capacity};
 
 /// Milliseconds from one line to the next.
-const PERIOD: u64 = 1000;
+const LOG_PERIOD_MS: u64 = 1000;
 
 impl Machine {
     /// Logs how full the workers are, and what waits.
     pub(crate) fn log_load(&mut self) {
-        if self.now < self.last_load_log + PERIOD {
+        if self.now < self.last_load_log + LOG_PERIOD_MS {
             return;
         }
         self.last_load_log = self.now;
-        let mut room = Capacity::default();
+        let mut capacity = Capacity::default();
         let mut used = Capacity::default();
-        let (mut filling, mut open, mut serving) = (0, 0, 0);
+        let (mut best_effort_cpu, mut open, mut serving_cpu) = (0, 0, 0);
         for worker in &self.fleet.workers {
             if !worker.accepts_runs(self.now) {
                 continue;
             }
             open += 1;
-            room.cpu += worker.capacity().cpu;
-            room.memory += worker.capacity().memory;
+            capacity.cpu += worker.capacity().cpu;
+            capacity.memory += worker.capacity().memory;
             used.cpu += worker.used.cpu;
             used.memory += worker.used.memory;
-            filling += worker.best_effort_cpu;
-            serving += worker.serving_cpu;
+            best_effort_cpu += worker.best_effort_cpu;
+            serving_cpu += worker.serving_cpu;
         }
         let (mut waiting, mut running, mut slowed) = (0, 0_u32, 0);
         for id in &self.open_jobs {
@@ -43,8 +43,9 @@
         }
         self.stats.running = u64::from(running);
         log::info!(
-            workers = open, cpu = room.cpu, cpu_used = used.cpu, serving, filling,
-            age_ms = self.fleet.age(self.now), memory = room.memory, memory_used = used.memory,
+            workers = open, cpu = capacity.cpu, cpu_used = used.cpu, serving = serving_cpu,
+            filling = best_effort_cpu, age_ms = self.fleet.age(self.now),
+            memory = capacity.memory, memory_used = used.memory,
             jobs = self.open_jobs.len(), waiting, running, slowed;
             "owner: load"
         );
