--- a/crates/jobs/src/action.rs
+++ b/crates/jobs/src/action.rs
@@ -1,4 +1,4 @@
-//! What the machine wants done.
+//! The actions that the machine returns.
 
 use std::sync::Arc;
 
@@ -7,51 +7,52 @@
     spec::Spec,
 };
 
-/// A start of a run.
+/// The order to start a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StartOrder {
     /// The task.
     pub task: TaskId,
     /// Number of the run.
     pub run: u32,
-    /// Text for the worker.
+    /// The job's spec, with the payload for the worker.
     pub spec: Arc<Spec>,
     /// End of the lease on the worker's clock, in milliseconds.
     pub deadline: u64,
-    /// Progress to go on from; empty for none.
+    /// Checkpoint to resume from; empty for none.
     pub checkpoint: Arc<str>,
 }
 
-/// What is made durable together.
+/// Changes that are committed atomically.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// Records of jobs, in place of those that were written before.
+    /// Records of jobs, which replace the previous ones.
     pub records: Vec<(JobId, Vec<u8>)>,
-    /// Rows that are appended to the log.
+    /// Rows to append to the log.
     pub appended_rows: Vec<Vec<u8>>,
-    /// How many of the log's oldest rows are dropped.
+    /// Number of the log's oldest rows to delete.
     pub dropped_rows: usize,
 }
 
 impl Batch {
-    /// Tells whether there is nothing to be made durable.
+    /// Returns whether there is nothing to commit.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty() && self.appended_rows.is_empty() && self.dropped_rows == 0
     }
 }
 
-/// What the machine wants done.
+/// An action for the caller to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Ask a worker what runs and what ended, and renew its lease.
+    /// Poll a worker for its running and ended runs, and renew its lease.
     Poll {
         /// The worker.
         worker: u32,
-        /// Ends up to this number may be dropped.
+        /// The worker may drop ends up to this number.
         observed: u64,
-        /// End of the lease on the worker's clock; none leaves it as it is.
+        /// End of the lease on the worker's clock, in milliseconds; `None` leaves the lease
+        /// unchanged.
         deadline: Option<u64>,
-        /// Milliseconds that the worker may wait for an end.
+        /// Milliseconds that the worker may wait for a run to end before it reports.
         wait: u64,
     },
     /// Start a run.
@@ -65,7 +66,7 @@
         /// Number of the run.
         run: u32,
     },
-    /// Let a run work at a share of its pace.
+    /// Set the pace of a run.
     Pace {
         /// The worker.
         worker: u32,
@@ -73,11 +74,11 @@
         task: TaskId,
         /// Number of the run.
         run: u32,
-        /// Share in percent.
+        /// Pace in percent of full speed.
         percent: u32,
     },
-    /// Make a batch durable, all of it or none; one at a time.
+    /// Commit a batch atomically. At most one batch is in flight.
     Commit(Batch),
-    /// Another owner has taken over: stop at once.
+    /// Another owner has taken over: stop immediately.
     StepDown,
 }
--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -1,4 +1,4 @@
-//! What is to be done now: looks, and what has run out.
+//! The order of the machine's work: checks of runs, polls, placement and commits.
 
 use crate::{
     action::Action,
@@ -10,27 +10,26 @@
     place::pass::Coverage,
 };
 
-/// Runs are gone through this often, in milliseconds. At each of hundreds of answers a
-/// second it cost, with placement, two fifths of an owner's peak: 0.41 of a core with 490
-/// workers, 0.24 with both paced.
+/// Interval between checks of all runs. Checking the runs and placing tasks at each of hundreds
+/// of answers a second takes two fifths of an owner's CPU time at its peak.
 const CHECK_PERIOD_MS: u64 = 20;
 
-/// Placement pauses for a millisecond for each so many open jobs, so that what it costs
-/// does not grow with the answers that arrive ...
+/// Placement pauses for a millisecond per this many open jobs, so that its cost does not grow
+/// with the rate of answers.
 const JOBS_PER_PAUSE_MS: u64 = 40;
 
-/// ... and for no longer than this, in milliseconds.
+/// Longest pause between passes of placement when one is due.
 const MAX_PAUSE_MS: u64 = 20;
 
-/// Placement runs at least this often, in milliseconds, for what time alone changes.
+/// Placement runs at least this often, for changes that come with time alone.
 const PLACEMENT_PERIOD_MS: u64 = 100;
 
 impl Machine {
-    /// Does all that is due: first what keeps promises, which costs little, then what
-    /// serves jobs, which may cost much where work has piled up.
+    /// Does all the work that is due.
     ///
-    /// Leases are renewed by looks and stops end harm: neither waits for a pass of
-    /// placement.
+    /// Checks of runs and polls come first because they are cheap: polls renew leases and stops
+    /// end interference, so neither may wait for a pass of placement, which takes long when
+    /// many tasks wait.
     pub(crate) fn drive(&mut self) {
         if self.now >= self.last_check + CHECK_PERIOD_MS {
             self.last_check = self.now;
@@ -41,7 +40,7 @@
         if self.is_placement_due() {
             self.last_placement = self.now;
             self.stats.passes += 1;
-            // What a cut pass has left is placed by the next one.
+            // The next pass continues a truncated one.
             self.placement_due = self.place_tasks() == Coverage::Partial;
         }
         self.commit();
@@ -49,7 +48,7 @@
         self.log_load();
     }
 
-    /// Does what is asked of every run in turn.
+    /// Runs the periodic checks of all runs and scheduled jobs.
     fn check_runs(&mut self) {
         self.note_crashes();
         self.expire_leases();
@@ -59,21 +58,21 @@
         self.send_paces();
     }
 
-    /// Tells whether it is time to place tasks.
+    /// Returns whether a pass of placement is due.
     fn is_placement_due(&self) -> bool {
         let pause = (self.open_jobs.len() as u64 / JOBS_PER_PAUSE_MS).min(MAX_PAUSE_MS);
         let since = self.now.saturating_sub(self.last_placement);
         since >= PLACEMENT_PERIOD_MS || self.placement_due && since >= pause
     }
 
-    /// Adds the repetitions that are due.
+    /// Adds the repetitions of all jobs that are due.
     fn add_repetitions(&mut self) {
         let mut scheduled = std::mem::take(&mut self.scheduled);
         scheduled.retain(|&id| self.add_job_repetitions(id));
         self.scheduled = scheduled;
     }
 
-    /// Adds the repetitions of a job that are due; true if more are to come.
+    /// Adds the repetitions of a job that are due. Returns whether more are to come.
     fn add_job_repetitions(&mut self, id: JobId) -> bool {
         let Some(state) = self.jobs.get_mut(&id) else {
             return false;
@@ -87,7 +86,7 @@
         (state.repetitions.len() as u32) < state.job.spec.repetitions()
     }
 
-    /// Stops on leaving workers what would die with them.
+    /// Stops the runs on leaving workers that are unlikely to end before their worker does.
     fn check_leaving(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Tells whether a run is likely to end before `end`.
+    /// Returns whether a run is likely to end before `end`.
     fn ends_before(&self, id: TaskId, end: u64) -> bool {
         let Some(state) = self.jobs.get(&id.job) else {
             return true;
@@ -122,7 +121,7 @@
         self.now + remaining + remaining / 4 < end
     }
 
-    /// Stops runs on a worker whose progress stands still; only an answer tells of that.
+    /// Stops the stalled runs on a worker. Only a report of the worker shows a stall.
     pub(crate) fn check_stalled(&mut self, slot: u32) {
         let worker = self.fleet.get(slot);
         if !worker.is_live() {
@@ -134,8 +133,8 @@
         self.fleet.get_mut(slot).stall_due = first_due;
     }
 
-    /// Stops a run that stands still; returns in how many milliseconds it will have stood
-    /// still for too long if it takes longer than was thought.
+    /// Stops a run if it is stalled. Returns in how many milliseconds it will count as stalled
+    /// if it exceeds its estimate and makes no progress.
     fn check_stall(&mut self, slot: u32, id: TaskId) -> Option<u64> {
         let (now, stall_limit) = (self.now, self.settings.stall_limit);
         let (clock, _) = self.fleet.get(slot).clock?;
@@ -146,14 +145,15 @@
         let Stage::Confirmed(confirmed_at) = run.stage else {
             return None;
         };
-        // A look a second shows progress: what takes longer a percent is not judged.
+        // A poll comes about every second and shows progress in percent. A twentieth of the
+        // estimate spares runs that need longer for each percent.
         let limit = stall_limit.max(step.estimate / 20) * if step.best_effort { 3 } else { 1 };
         let slowed = run.pace < 100 || run.wanted_pace < 100;
         let is_overdue = !slowed && now > confirmed_at + step.estimate + limit;
         if step.long_running || step.gang || !is_overdue {
             return None;
         }
-        // Only what the worker's own answers show counts: they may be read late.
+        // Only times on the worker's clock count, since its reports may be read late.
         let stalled = run.stalled_for(clock);
         if stalled <= limit {
             return Some(limit + 1 - stalled);
@@ -165,10 +165,10 @@
         None
     }
 
-    /// Sends the looks that are due, at the workers that changed or whose time has come.
+    /// Sends the polls that are due to workers that changed or whose timer fired.
     fn send_polls(&mut self) {
         let mut due = self.fleet.take_due(self.now);
-        // Looks go out in one order, however their workers changed.
+        // Sorted, so that the order does not depend on how the workers changed.
         due.sort_unstable();
         for slot in due {
             self.send_poll(slot);
@@ -182,7 +182,8 @@
         if worker.dead || worker.poll_in_flight || worker.info.is_none() || !is_needed {
             return;
         }
-        // A later life would take it for a lease of the longest length, at each try anew.
+        // A later incarnation would take the deadline for a lease of the maximum length, again
+        // at each retry.
         let renews = worker.start_time.is_none() || worker.silent_since.is_none();
         let deadline = worker.deadline(&settings, self.store_contact);
         let deadline = deadline.filter(|_| renews);
@@ -211,7 +212,7 @@
         });
     }
 
-    /// Returns the names of the workers whose connections may be closed.
+    /// Returns the slots of the workers whose connections may be closed.
     pub fn closable_workers(&self) -> Vec<u32> {
         let mut out = Vec::new();
         for (slot, worker) in self.fleet.workers.iter().enumerate() {
--- a/crates/jobs/src/event.rs
+++ b/crates/jobs/src/event.rs
@@ -1,4 +1,4 @@
-//! What the machine is told.
+//! The events that the machine takes.
 
 use std::sync::Arc;
 
@@ -14,163 +14,166 @@
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// It did its work.
+    /// The run completed its work.
     Done,
-    /// It failed, by its own or its worker's fault.
+    /// The run failed, by its own or its worker's fault.
     Failed,
-    /// It was stopped by an order.
+    /// The run was stopped by an order.
     Stopped,
-    /// Its lease lapsed.
+    /// The lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     Broken,
-    /// It waited for its gang for too long.
+    /// The run waited too long for the other members of its gang.
     Alone,
 }
 
-/// An end that a worker lists.
+/// The end of a run, as its worker reports it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunEnd {
-    /// Number of the end in the worker's life, rising from 1.
+    /// Number of the end within the worker's incarnation, rising from 1.
     pub number: u64,
     /// The task.
     pub task: TaskId,
     /// Number of the run.
     pub run: u32,
-    /// How it ended.
+    /// How the run ended.
     pub ending: Ending,
-    /// Progress it saved; empty for none.
+    /// The last checkpoint; empty for none.
     pub checkpoint: Arc<str>,
 }
 
-/// A run that a worker lists.
+/// A running run, as its worker reports it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportedRun {
     /// The task.
     pub task: TaskId,
     /// Number of the run.
     pub run: u32,
-    /// Progress it saved; empty for none.
+    /// The last checkpoint; empty for none.
     pub checkpoint: Arc<str>,
     /// Progress in percent.
     pub percent: u32,
-    /// For a task that serves, the tail of its latency in milliseconds; for
-    /// another, the thousandths of a core in use. Rough, of the last half second.
+    /// Tail latency in milliseconds for a serving task, else the CPU in use in
+    /// thousandths of a core. An approximate value over the last half second.
     pub metric: Option<u64>,
 }
 
-/// A worker's answer to a look.
+/// A worker's answer to a poll.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerReport {
-    /// When the life that answers began, in milliseconds since 1970, if it says so.
+    /// Start time of the incarnation that answers, in milliseconds since the Unix epoch, if
+    /// the worker reports one.
     pub start_time: Option<u64>,
-    /// The worker's steady clock in milliseconds.
+    /// The worker's monotonic clock in milliseconds.
     pub clock: u64,
-    /// What runs.
+    /// Runs that are running.
     pub running: Vec<ReportedRun>,
-    /// What ended and was not dropped yet, in order.
+    /// Ends that the worker has not dropped yet, in the order of their numbers.
     pub finished: Vec<RunEnd>,
 }
 
-/// What came of a start.
+/// The result of a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Started {
-    /// The run is there; the worker's clock was not told.
+    /// The run is on the worker, which did not report its clock.
     Done,
-    /// The run is there, and the worker's steady clock shows this, in milliseconds.
+    /// The run is on the worker, whose monotonic clock shows this many milliseconds.
     DoneAt(u64),
-    /// It does not fit; nothing was started.
+    /// The worker lacks the capacity; nothing was started.
     NoRoom,
-    /// The run, or a later one, ended there before.
+    /// This run or a later one of the task has already ended on the worker.
     Old,
-    /// The worker has seen a higher epoch; nothing was started.
+    /// The worker has seen a higher epoch of the lease; nothing was started.
     Fenced,
-    /// The worker refuses now; nothing was started.
+    /// The worker refuses the start for now; nothing was started.
     Refused,
-    /// The worker can't take the order as it is; nothing was started.
+    /// The worker rejects the order as invalid; nothing was started.
     Rejected,
-    /// The worker's life has ended.
+    /// The worker's incarnation has ended.
     Dead,
-    /// Nothing was sent.
+    /// The order was not sent.
     NotSent,
-    /// It waited for a connection to the worker for too long; nothing was sent.
+    /// The order waited too long for a connection to the worker and was not sent.
     Withdrawn,
-    /// No answer: it may have been started, or may be later.
+    /// No answer: the run may have been started, or may be started later.
     Unknown,
 }
 
-/// What came of a stop.
+/// The result of a stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stopped {
-    /// The run ends, or will never begin.
+    /// The run is ending, or will never start.
     Done,
-    /// The worker's life has ended.
+    /// The worker's incarnation has ended.
     Dead,
-    /// The worker has seen a higher epoch.
+    /// The worker has seen a higher epoch of the lease.
     Fenced,
     /// No answer, or a refusal.
     Unknown,
 }
 
-/// An answer to an action, or the lack of one.
+/// The answer to an action, or the failure to get one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// To a look.
+    /// The report that answers a poll.
     Report(WorkerReport),
-    /// No answer to a look.
+    /// A poll got no answer.
     NoReply,
-    /// No answer to a look: the worker's machine refused the connection, since no process
-    /// listens there.
+    /// A poll got no answer because the worker's machine refused the connection: no process
+    /// listens on the port.
     ConnectionRefused,
-    /// The worker has seen a higher epoch.
+    /// The worker has seen a higher epoch of the lease.
     Fenced,
-    /// The worker's life has ended.
+    /// The worker's incarnation has ended.
     Dead,
-    /// To a start of a run.
+    /// The result of a start, by task and number of the run.
     Started(TaskId, u32, Started),
-    /// To a stop of a run.
+    /// The result of a stop, by task and number of the run.
     Stopped(TaskId, u32, Stopped),
-    /// To a change of a run's pace; whether it took effect.
+    /// Whether a change of a run's pace took effect, by task and number of the run.
     Paced(TaskId, u32, bool),
 }
 
-/// What the machine is told.
+/// An event for the machine to handle.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A job was accepted; told more than once it stays one job.
+    /// A job was accepted. Idempotent.
     Accepted(Arc<Job>),
     /// A caller cancelled a job.
     Cancelled(JobId),
-    /// A worker announced itself or changed.
+    /// A worker announced itself, or its announcement changed.
     WorkerUpdated(WorkerInfo),
-    /// A worker's announcement is gone, or can't be read.
+    /// A worker's announcement was removed, or can't be read.
     WorkerRemoved(Arc<str>),
-    /// All announcements that there were at a time have been told.
+    /// All announcements that existed at a point in time have been delivered as events.
     WorkersSynced {
-        /// When they were asked for, on the own steady clock in milliseconds.
+        /// When the announcements were requested, on the local monotonic clock in
+        /// milliseconds.
         asked_at: u64,
     },
-    /// The availability zones whose workers get nothing new, whole, sorted.
+    /// The complete list of evacuated availability zones, sorted. Their workers get no new
+    /// runs.
     Evacuated(Arc<[Arc<str>]>),
-    /// The configuration of the queues, whole, sorted by name.
+    /// The complete configuration of the queues, sorted by name.
     Queues(Vec<QueuePolicy>),
-    /// A worker answered something that was sent at `sent`, or did not.
+    /// A worker answered an action, or did not.
     Answer {
         /// The worker.
         worker: u32,
-        /// When the question was sent.
+        /// When the action was sent, on the local monotonic clock in milliseconds.
         sent: u64,
         /// The answer.
         answer: Answer,
     },
-    /// The batch in flight is durable; with it the lease on the jobs is confirmed.
+    /// The batch in flight is durable, which also confirms the lease on the jobs.
     Committed {
-        /// When the write was asked for, on the own steady clock in milliseconds.
+        /// When the write was requested, on the local monotonic clock in milliseconds.
         asked_at: u64,
     },
     /// The store confirmed that the lease on the jobs is still held.
     Renewed {
-        /// When the confirmation was asked for, on the own steady clock in milliseconds.
+        /// When the confirmation was requested, on the local monotonic clock in milliseconds.
         asked_at: u64,
     },
 }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,30 +1,30 @@
-//! Decisions about jobs, without I/O.
+//! The job scheduler as a state machine without I/O.
 //!
-//! A [`Machine`] takes events (a job was accepted, a worker answered, a batch of
-//! records became durable) and returns actions (look at a worker, start or stop a
-//! run, commit records). It knows no clocks and no sockets, so every failure can
-//! be played against it in no real time, with the same verdict each time.
+//! A [`Machine`] takes events (a job was accepted, a worker reported, a batch of
+//! records became durable) and returns actions (poll a worker, start or stop a
+//! run, commit records). The machine reads no clock and opens no socket, so tests
+//! replay any failure in virtual time, with the same result each time.
 //!
-//! What it promises, and how:
+//! Guarantees, and how they are kept:
 //!
-//! - *A task never runs twice at once.* A run's place is committed before its
-//!   start is sent. A task is placed again only after its worker listed the end
-//!   of its run, or showed in an answer to a question asked later than the last
-//!   order that it has no such run, or after every lease on that worker is over.
-//! - *An end counts once.* Ends are dropped at the worker only after the record
-//!   that counts them is durable; a failed run is counted by its number.
-//! - *A worker holds what it can hold.* Room is given back when an end is listed,
-//!   not when a stop is sent.
+//! - *A task never has two runs at once.* The worker of a run is committed before
+//!   the start is sent. A task is placed again only after its worker reported the
+//!   end of the run, or after a report to a poll sent later than the last order
+//!   does not list the run, or after every lease on that worker has expired.
+//! - *An end counts once.* A worker is allowed to drop an end only after the record
+//!   that counts the end is durable. A failed run is counted by its number.
+//! - *A worker is never overcommitted.* Capacity is released when an end is
+//!   reported, not when a stop is sent.
 //!
-//! Where what is decided:
+//! Modules:
 //!
 //! - [`model`]: jobs, steps, tasks and their records, without decisions;
-//! - [`order`]: which job comes first;
-//! - [`place`]: which worker a task runs on, and what waits for room;
-//! - [`share`]: what tasks on one worker do to each other, and the paces that follow;
-//! - [`runs`]: leases of workers, starts and stops, ends, and what is made durable.
+//! - [`order`]: the order of the jobs;
+//! - [`place`]: which worker runs a task, and which tasks wait for capacity;
+//! - [`share`]: interference between tasks on one worker, and the paces of runs;
+//! - [`runs`]: leases of workers, starts, stops, ends, and what is committed.
 //!
-//! [`drive`] says in which order these take their turn.
+//! [`drive`] defines the order in which these run.
 
 mod action;
 mod drive;
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -1,4 +1,4 @@
-//! The state of the decisions, and how events come in.
+//! The state of the machine and the handling of events.
 
 use std::sync::Arc;
 
@@ -22,66 +22,67 @@
     takeover::Takeover,
 };
 
-/// What waits for a batch that is on its way to the store.
+/// Work that waits for the batch in flight to the store.
 #[derive(Debug, Default)]
 pub(crate) struct InFlight {
-    /// Runs whose place it makes durable.
+    /// Runs whose placement the batch makes durable.
     pub(crate) starts: Vec<(TaskId, u32)>,
-    /// Ends of workers that it makes durable.
+    /// Ends that the batch makes durable, as slot of the worker and highest number.
     pub(crate) observed: Vec<(u32, u64)>,
 }
 
-/// The decisions about all jobs, made by the one owner of the lease.
+/// The state machine that schedules all jobs of a shard. Only the owner of the lease runs it.
 #[derive(Debug)]
 pub struct Machine {
     pub(crate) settings: Settings,
     pub(crate) jobs: SortedMap<JobId, JobState>,
-    /// Jobs that are not finished, in the order in which they are to be placed.
+    /// Jobs that are not finished, in the order of placement.
     pub(crate) open_jobs: Vec<JobId>,
-    /// Jobs of which repetitions are still to fall due.
+    /// Jobs with repetitions that are not due yet.
     pub(crate) scheduled: Vec<JobId>,
     /// Tasks that may crash their workers, sorted.
     pub(crate) suspects: Vec<TaskId>,
-    /// Tasks whose run is to be stopped, until it halts.
+    /// Tasks whose run is to be stopped, until the run has ended.
     pub(crate) stopping: Vec<TaskId>,
-    /// Tasks whose run may have another pace than is wanted.
+    /// Tasks whose run may have a pace other than the wanted one.
     pub(crate) pacing: Vec<TaskId>,
-    /// Workers of which ends were counted that are not durable yet.
+    /// Workers with counted ends that are not durable yet.
     pub(crate) workers_with_ends: Vec<u32>,
-    /// How many starts may be under way.
+    /// Limits the number of starts in flight.
     pub(crate) window: StartWindow,
-    /// How many of the open jobs, the last ones, can't be in time.
+    /// Number of jobs at the end of `open_jobs` that can't meet their objective.
     pub(crate) late_jobs: usize,
-    /// Workers that are kept free for tasks that have waited for long.
+    /// Workers reserved for tasks that have waited for long.
     pub(crate) reservations: Vec<Reservation>,
-    /// When a worker was last looked for that a job that stands still may hold.
+    /// When a worker to reserve for a starved job was last searched for.
     pub(crate) last_search: u64,
-    /// Jobs that stand still.
+    /// Late jobs that have had no run for long.
     pub(crate) aging: Aging,
     /// Jobs whose records changed.
     pub(crate) dirty_jobs: Vec<JobId>,
     pub(crate) fleet: Fleet,
     pub(crate) queues: Vec<QueuePolicy>,
     pub(crate) interference: Interference,
-    /// What the loads of serving steps have in common.
+    /// The common seasonality of the loads of serving steps.
     pub(crate) seasonality: Seasonality,
-    /// What was learned of guessed times, by queue.
+    /// Models that correct the callers' estimates, by queue.
     pub(crate) estimates: SortedMap<Arc<str>, EstimateModel>,
-    /// Numbers of images.
+    /// Numbers of images by name.
     pub(crate) image_numbers: SortedMap<Arc<str>, Image>,
-    /// What waits for the batch in flight, if there is one.
+    /// The batch in flight, if there is one.
     pub(crate) in_flight: Option<InFlight>,
-    /// Rows that tell of jobs' tasks.
+    /// The log of changes to tasks.
     pub(crate) log: Log,
-    /// When the store was last asked for a confirmation of the lease that it gave.
+    /// When the last request was sent that the store answered by confirming the lease on the
+    /// jobs.
     pub(crate) store_contact: u64,
-    /// Whether something changed that may let tasks be placed.
+    /// Whether something changed that may allow tasks to be placed.
     pub(crate) placement_due: bool,
     /// When placement last ran.
     pub(crate) last_placement: u64,
-    /// When all runs were last gone through.
+    /// When all runs were last checked.
     pub(crate) last_check: u64,
-    /// When the disturbances were last fitted.
+    /// When the interference model was last fitted.
     pub(crate) last_fit: u64,
     /// When the load was last logged.
     pub(crate) last_load_log: u64,
@@ -92,7 +93,7 @@
 }
 
 impl Machine {
-    /// Makes a machine at `now` on the own steady clock, in milliseconds.
+    /// Makes a machine at `now` on the local monotonic clock, in milliseconds.
     pub fn new(settings: Settings, now: u64, takeover: Takeover) -> Machine {
         let fleet = Fleet::new(takeover.prior_leases_end);
         Machine {
@@ -131,22 +132,22 @@
         }
     }
 
-    /// Takes the next row of the log that earlier owners wrote, the oldest one first. All rows
-    /// come before [`Machine::current_record`] and [`Machine::restore`].
+    /// Replays the next row of the log that earlier owners wrote, oldest first. All rows have to
+    /// be replayed before [`Machine::current_record`] and [`Machine::restore`] are called.
     ///
-    /// Errors: the row can't be read; what it told is lost.
+    /// Fails if the row can't be decoded; its changes are lost.
     pub fn replay(&mut self, row: &[u8]) -> Result<(), RecordError> {
         self.log.replay(row)
     }
 
-    /// Returns the record of a job, brought up to date by the log; nothing if earlier owners wrote
-    /// nothing of it.
+    /// Returns the record of a job, updated from the log, or `None` if earlier owners wrote
+    /// nothing about the job.
     pub fn current_record(&self, id: JobId, record: Option<Record>) -> Option<Record> {
         self.log.current_record(id, record)
     }
 
-    /// Takes over a job that earlier owners wrote of, with its record as
-    /// [`Machine::current_record`] returns it.
+    /// Restores a job of earlier owners from its record, which [`Machine::current_record`]
+    /// returned.
     pub fn restore(&mut self, job: Arc<Job>, record: &Record) {
         let id = job.id;
         let images = self.intern_images(&job);
@@ -175,7 +176,7 @@
             let step = &state.job.spec.steps[id.step as usize];
             let worker = self.fleet.get_mut(run.worker);
             worker.reserve(id, step);
-            // After losses of power there may be others on each worker.
+            // After power failures, other suspects may run on the same worker.
             if task.crashes.is_likely_cause() {
                 worker.isolated_task = Some(id);
             }
@@ -184,14 +185,16 @@
         for id in suspects {
             self.add_suspect(id);
         }
-        // A record of an earlier version tells of tasks: the log has to, before it is replaced.
+        // A record of an earlier version holds tasks. They have to be in the log before the
+        // record is replaced.
         if !is_logged {
             self.mark_dirty(id);
         }
     }
 
-    /// Takes an event at `now` on the own steady clock, and `wall` since 1970,
-    /// both in milliseconds. [`Machine::decide`] follows after one or several.
+    /// Handles an event at `now` on the local monotonic clock and `wall_clock` since the Unix
+    /// epoch, both in milliseconds. The caller calls [`Machine::decide`] after one or more
+    /// events.
     pub fn handle(&mut self, now: u64, wall_clock: u64, event: Event) {
         self.now = now.max(self.now);
         self.wall_clock = wall_clock;
@@ -222,7 +225,8 @@
         }
     }
 
-    /// Decides, and returns what is to be done.
+    /// Does all the work that is due and returns the resulting actions. The times are those of
+    /// [`Machine::handle`].
     pub fn decide(&mut self, now: u64, wall_clock: u64) -> Vec<Action> {
         self.now = now.max(self.now);
         self.wall_clock = wall_clock;
@@ -230,7 +234,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the figures.
+    /// Returns the current statistics.
     pub fn stats(&self) -> Stats {
         Stats {
             open_jobs: self.open_jobs.len() as u64,
@@ -241,7 +245,7 @@
         }
     }
 
-    /// Returns the number of jobs of each queue none of whose tasks has begun.
+    /// Returns the number of jobs by queue of which no task has begun.
     pub fn pending_jobs(&self) -> Vec<(Arc<str>, u64)> {
         let mut counts: SortedMap<Arc<str>, u64> = SortedMap::default();
         for id in &self.open_jobs {
@@ -257,19 +261,21 @@
         counts.iter().map(|(q, n)| (q.clone(), *n)).collect()
     }
 
-    /// Returns where a worker listens, and its name.
+    /// Returns the address and the name of a worker.
     pub fn worker_address(&self, slot: u32) -> Option<(std::net::SocketAddr, Arc<str>)> {
         let worker = self.fleet.workers.get(slot as usize)?;
         worker.info.as_ref().map(|i| (i.addr, worker.id.clone()))
     }
 
-    /// Tells whether the job is known already.
+    /// Returns whether the job is known.
     pub fn has_job(&self, id: JobId) -> bool {
         self.jobs.get(&id).is_some()
     }
 
-    /// The lease on the jobs counts from when it was asked for: another instance takes it
-    /// over by the store's clock, however late this one reads the answer.
+    /// Takes note that the store confirmed the lease on the jobs.
+    ///
+    /// The lease counts from the time of the request: another instance takes the jobs over by
+    /// the store's clock, however late this instance reads the answer.
     fn handle_renewed(&mut self, asked_at: u64) {
         self.store_contact = self.store_contact.max(asked_at);
     }
@@ -287,7 +293,7 @@
         self.placement_due = true;
     }
 
-    /// Returns the number of each step's image.
+    /// Returns the number of the image of each step; 0 for a step without one.
     fn intern_images(&mut self, job: &Job) -> Vec<Image> {
         let mut out = Vec::with_capacity(job.spec.steps.len());
         for step in &job.spec.steps {
@@ -297,7 +303,8 @@
         out
     }
 
-    /// Returns the number of an image by its name; 0 for the empty name.
+    /// Returns the number of an image, assigning the next one to a new name; 0 for the empty
+    /// name.
     pub(crate) fn number_image(&mut self, name: &Arc<str>) -> Image {
         if name.is_empty() {
             return 0;
@@ -332,7 +339,7 @@
         }
     }
 
-    /// Returns the policy of a job's queue, if the configuration has that queue.
+    /// Returns the policy of a queue, if the queue is configured.
     pub(crate) fn policy(&self, queue: &str) -> Option<&QueuePolicy> {
         let at = self.queues.binary_search_by(|q| (*q.queue).cmp(queue));
         at.ok().map(|at| &self.queues[at])
--- a/crates/jobs/src/model/changes.rs
+++ b/crates/jobs/src/model/changes.rs
@@ -1,6 +1,6 @@
-//! What changed of one job's tasks, as a row of the log holds it.
+//! Changes to the tasks of a job, as the rows of the log hold them.
 //!
-//! Entries are absolute: of several that tell of a task, or of a step, the newest one counts.
+//! Entries hold absolute state: the newest entry of a task or of a step counts.
 
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
@@ -13,30 +13,30 @@
     sorted_map::SortedMap,
 };
 
-/// Number of a row of the log; it only grows while one owner writes.
+/// Number of a row of the log, rising while one owner writes.
 pub(crate) type RowNumber = u64;
 
-/// A step in one repetition.
+/// A step in one repetition, as repetition and step.
 pub(crate) type StepAt = (u32, u32);
 
-/// What changed of one job's tasks.
+/// Changes to the tasks of one job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Changes {
     pub(crate) job: JobId,
-    /// Steps that are done whole.
+    /// Steps with all tasks done.
     pub(crate) steps: Vec<StepAt>,
-    /// Tasks of other steps.
+    /// Tasks of the other steps.
     pub(crate) tasks: Vec<TaskRecord>,
 }
 
 impl Changes {
-    /// Writes the changes.
+    /// Encodes the changes as MessagePack.
     pub(crate) fn encode(&self) -> Vec<u8> {
-        // Writing plain data to a vector can't fail.
+        // Serializing plain data to a vector can't fail.
         rmp_serde::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads the changes of several jobs that follow each other in a row.
+    /// Decodes a row of the log, which holds the changes of several jobs one after the other.
     pub(crate) fn decode_all(row: &[u8]) -> Result<Vec<Changes>, RecordError> {
         let (mut changes, mut remaining) = (Vec::new(), row);
         while !remaining.is_empty() {
@@ -46,7 +46,7 @@
     }
 }
 
-/// What the log tells of one job, and in which row each part of it is.
+/// The replayed changes of one job, with the row that holds each of them.
 #[derive(Debug, Default)]
 pub(crate) struct Replayed {
     pub(crate) steps: SortedMap<StepAt, RowNumber>,
@@ -54,7 +54,7 @@
 }
 
 impl Replayed {
-    /// Takes the next changes.
+    /// Applies the changes of the next row.
     pub(crate) fn apply(&mut self, number: RowNumber, changes: Changes) {
         for step in changes.steps {
             self.steps.insert(step, number);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Brings a record up to date.
+    /// Updates a record with the replayed changes.
     pub(crate) fn apply_to(&self, record: &mut Record) {
         for (&step, _) in self.steps.iter() {
             if let Err(at) = record.steps.binary_search(&step) {
--- a/crates/jobs/src/model/checkpoint.rs
+++ b/crates/jobs/src/model/checkpoint.rs
@@ -1,10 +1,11 @@
-//! The progress that a task goes on from, and where that was made.
+//! The checkpoint that a task resumes from, and its origin.
 //!
-//! Limits: the text is the worker's own and opaque. A record keeps it without its origin.
+//! The text of a checkpoint comes from a worker and is opaque. Records keep the text without
+//! its origin.
 
 use std::sync::Arc;
 
-/// Bytes of a text that log lines show at most.
+/// Maximum length of an excerpt in a log line.
 const SHOWN: usize = 32;
 
 /// A task's checkpoint.
@@ -12,23 +13,23 @@
 pub(crate) struct Checkpoint {
     /// The worker's text, never empty.
     pub(crate) text: Arc<str>,
-    /// Where it was made; nothing if it comes from a record.
+    /// The run that saved the checkpoint; `None` if it comes from a record.
     pub(crate) origin: Option<Origin>,
 }
 
-/// Where a checkpoint was made.
+/// The origin of a checkpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Origin {
-    /// Number of the run that made it.
+    /// Number of the run that saved the checkpoint.
     pub(crate) run: u32,
-    /// The run's worker, by slot.
+    /// Slot of the run's worker.
     pub(crate) worker: u32,
-    /// When the worker first listed it.
+    /// When the worker first reported the checkpoint.
     pub(crate) reported_at: u64,
 }
 
 impl Checkpoint {
-    /// Returns a checkpoint that a record has; nothing for an empty text.
+    /// Returns the checkpoint of a record, or `None` for an empty text.
     pub(crate) fn from_record(text: &Arc<str>) -> Option<Box<Checkpoint>> {
         let checkpoint = Checkpoint {
             text: text.clone(),
@@ -37,14 +38,14 @@
         (!text.is_empty()).then(|| Box::new(checkpoint))
     }
 
-    /// Returns the number of the run that made it and when it was listed, by which checkpoints
-    /// of one gang are ordered; those of records come first.
+    /// Returns the sort key for the checkpoints of a gang, oldest first: the number of the run
+    /// and the time of the report. Checkpoints from records are the oldest.
     pub(crate) fn recency(&self) -> Option<(u32, u64)> {
         self.origin.map(|o| (o.run, o.reported_at))
     }
 }
 
-/// Returns what log lines show of a checkpoint's text.
+/// Returns the excerpt of a checkpoint's text that log lines show.
 pub(crate) fn log_excerpt(text: &str) -> &str {
     &text[..text.floor_char_boundary(SHOWN)]
 }
--- a/crates/jobs/src/model/crash.rs
+++ b/crates/jobs/src/model/crash.rs
@@ -1,45 +1,47 @@
-//! What workers that crashed tell of a task that ran on them.
+//! The crashes of workers under a task, as evidence that the task causes them.
 //!
-//! A crashed worker does not say which of its tasks brought that about, and most of them did
-//! not. So a crash counts by what else was on the worker, and a task is given up only on
-//! crashes that no other task can explain.
+//! A crashed worker does not report which of its tasks caused the crash, and most of them did
+//! not. So a crash is weighed by the other tasks on the worker, and a task is given up only
+//! after crashes that no other task explains.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Crashes with nothing else to blame before a task is given up: one may be chance.
+/// A task is given up only after this many crashes that nothing else explains, since a single
+/// one may be a coincidence ...
 const MIN_OWN_CRASHES: usize = 2;
 
-/// Crashes just after it had begun, or with nothing else to blame, before it is given up ...
+/// ... and after this many crashes that followed its start or that nothing else explains. As
+/// many crashes of a weaker blame make the task a likely cause.
 const MIN_CRASHES: usize = 3;
 
-/// ... unless there are so many of any kind, as users allow no sixth start. Then one of each
-/// of these kinds is enough.
+/// After this many crashes of any kind, one crash that nothing else explains and another one
+/// that followed the start are enough, since a sixth start is not allowed.
 const MAX_CRASHES: usize = 5;
 
-/// A run whose task is a suspect is kept apart for this long after it was first listed, in
-/// milliseconds; it doubles with each crash, so that what crashes later is found as well.
+/// How long a run of a suspect is isolated after its worker first reported it. The time doubles
+/// with each crash, so that a task that crashes its workers later is found as well.
 const PROBATION_MS: u64 = 1500;
 
-/// How much a worker's crash tells of a task that ran there.
+/// How strongly a worker's crash suggests that a task on it was the cause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) enum Blame {
-    /// Hardly anything: nobody saw the worker's process end, and its machine may have lost its
+    /// Hardly: the end of the worker's process was not observed, and the machine may have lost
     /// power.
     Unseen,
-    /// Little: it had been there for a while, or the cause is more likely another one.
+    /// Weakly: the task had run for a while, or another cause is more likely.
     Shared,
-    /// It had just begun, as others there had.
+    /// Moderately: the task had just begun, as had others on the worker.
     Close,
-    /// Nothing else there had just begun, or nothing else was there.
+    /// Strongly: no other task on the worker had just begun, or there was no other task.
     Own,
 }
 
 /// A worker that crashed while a task was on it. Written as an array, to save bytes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct Crash {
-    /// Name of the worker's life.
+    /// Name of the worker's incarnation.
     worker: Arc<str>,
     blame: Blame,
 }
@@ -53,17 +55,17 @@
 }
 
 impl Crashes {
-    /// Tells whether there are none.
+    /// Returns whether there are no crashes.
     pub(crate) fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Returns how many there are.
+    /// Returns the number of crashes.
     pub(crate) fn count(&self) -> usize {
         self.list.len()
     }
 
-    /// Takes note of a crash; a worker's life counts once.
+    /// Adds a crash. An incarnation of a worker counts once.
     pub(crate) fn add(&mut self, worker: &Arc<str>, blame: Blame) {
         let Err(at) = self.list.binary_search_by(|c| c.worker.cmp(worker)) else {
             return;
@@ -72,27 +74,27 @@
         self.list.insert(at, Crash { worker, blame });
     }
 
-    /// Takes back that a worker crashed.
+    /// Removes the crash of a worker.
     pub(crate) fn remove(&mut self, worker: &Arc<str>) {
         self.list.retain(|c| c.worker != *worker);
     }
 
-    /// Forgets all: the task has been at work for long.
+    /// Removes all crashes, after the task has run for long enough to be cleared.
     pub(crate) fn clear(&mut self) {
         self.list.clear();
     }
 
-    /// Tells whether the task may be the cause, so that it has to run apart from others.
+    /// Returns whether the task may be the cause, so that it has to run in isolation.
     pub(crate) fn is_suspect(&self) -> bool {
         self.is_likely_cause() || self.list.len() > 1
     }
 
-    /// Tells whether more than chance speaks for it.
+    /// Returns whether the crashes suggest more than a coincidence.
     pub(crate) fn is_likely_cause(&self) -> bool {
         self.count_at_least(Blame::Close) > 0 || self.count_at_least(Blame::Shared) >= MIN_CRASHES
     }
 
-    /// Tells whether the task is the cause, as far as that can be known.
+    /// Returns whether the task is the cause, as far as the crashes can prove it.
     pub(crate) fn is_proven_cause(&self) -> bool {
         let own = self.count_at_least(Blame::Own);
         let close = self.count_at_least(Blame::Close);
@@ -100,12 +102,12 @@
         own >= MIN_OWN_CRASHES && close >= MIN_CRASHES || at_limit && own > 0 && close > 1
     }
 
-    /// Returns how many tell at least so much.
+    /// Returns the number of crashes with at least this blame.
     fn count_at_least(&self, min_blame: Blame) -> usize {
         self.list.iter().filter(|c| c.blame >= min_blame).count()
     }
 
-    /// Returns for how long a run is kept apart after it was first listed, in milliseconds.
+    /// Returns how long a run is isolated after its worker first reported it, in milliseconds.
     pub(crate) fn isolation_ms(&self) -> u64 {
         let doublings = self.list.len().clamp(1, MIN_CRASHES * 2) - 1;
         PROBATION_MS << doublings
--- a/crates/jobs/src/model/crash_tests.rs
+++ b/crates/jobs/src/model/crash_tests.rs
@@ -1,4 +1,4 @@
-//! What crashes tell of a task, and what is kept of them.
+//! Tests of the verdict on a task after crashes, and of the stored crashes.
 
 use std::sync::Arc;
 
@@ -37,7 +37,8 @@
     assert!(!crashes(&once).is_proven_cause());
 }
 
-/// What was there twice when others crashed a worker may be unlucky twice more.
+/// Guards against giving up a task that happened to run on workers which other tasks crashed:
+/// two crashes of blame `Own` after such a history may still be a coincidence.
 #[test]
 fn more_is_needed_where_others_may_have_caused_the_first() {
     let mut blames = vec![Blame::Shared, Blame::Shared, Blame::Own, Blame::Own];
@@ -46,7 +47,7 @@
     assert!(crashes(&blames).is_proven_cause());
 }
 
-/// A sixth start is not allowed, whatever became of what is known.
+/// After five crashes weaker evidence is enough, since a sixth start is not allowed.
 #[test]
 fn five_crashes_need_less() {
     let mut blames = vec![Blame::Shared, Blame::Close, Blame::Shared, Blame::Own];
@@ -90,7 +91,7 @@
     assert_eq!(read, kept);
 }
 
-/// Records of tasks under which no worker crashed are written as before there were any.
+/// Records without crashes keep the encoding of versions that did not store crashes.
 #[test]
 fn a_record_without_them_is_read() {
     type Old = (Outcome, Vec<(u32, u32)>, Vec<OldTask>);
--- a/crates/jobs/src/model/ids.rs
+++ b/crates/jobs/src/model/ids.rs
@@ -1,21 +1,20 @@
-//! Names of jobs and tasks.
+//! Identifiers of jobs and tasks.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, Snafu};
 
-/// Digits of a job's name.
 const JOB_ID_DIGITS: usize = 16;
 
-/// Why a text is no name.
+/// The error for a text that is not an identifier of a job or a task.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("not a name of a job or task: {text}"))]
+#[snafu(display("invalid job or task ID: {text}"))]
 pub struct IdError {
     text: String,
 }
 
-/// A job's name: 16 hexadecimal digits in lower case, chosen by its caller.
+/// Identifier of a job, chosen by the caller and written as 16 lower-case hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
@@ -40,7 +39,7 @@
     matches!(byte, b'0'..=b'9' | b'a'..=b'f')
 }
 
-/// A task's name, written `job.time.step.index`.
+/// Identifier of a task, written as `job.repetition.step.index`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskId {
     /// The job.
--- a/crates/jobs/src/model/incarnation.rs
+++ b/crates/jobs/src/model/incarnation.rs
@@ -1,26 +1,26 @@
-//! Names of the lives of workers.
+//! Names of the incarnations of workers.
 //!
-//! A worker that says when its life began may have another one under the same name. Records
-//! tell them apart by `NAME@BORN`; an instance that does not know of lives takes that for a
-//! worker that it never hears of, and waits until its leases are over.
+//! A worker that reports its start time may have several incarnations under one name. Records
+//! tell them apart as `NAME@START_TIME`. An instance without support for incarnations takes
+//! that for the name of a worker that never reports, and waits until its leases have expired.
 
 use std::sync::Arc;
 
-/// Stands between a worker's name and when its life began.
+/// Separates the name of a worker from the start time.
 const SEPARATOR: char = '@';
 
-/// A life of a worker.
+/// An incarnation of a worker: one process under the worker's name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Incarnation {
     /// The worker's name.
     pub(crate) id: Arc<str>,
-    /// When the life began, in milliseconds since 1970, if it says so. Clocks step: it tells
-    /// lives apart and does not order them.
+    /// Start time in milliseconds since the Unix epoch, if the worker reports one. It tells
+    /// incarnations apart but does not order them, since clocks step.
     pub(crate) start_time: Option<u64>,
 }
 
 impl Incarnation {
-    /// Returns the life's own name.
+    /// Returns the name of the incarnation.
     pub(crate) fn name(&self) -> Arc<str> {
         match self.start_time {
             Some(start_time) => format!("{}{SEPARATOR}{start_time}", self.id).into(),
@@ -28,10 +28,10 @@
         }
     }
 
-    /// Reads a life's own name.
+    /// Parses the name of an incarnation.
     pub(crate) fn parse(name: &Arc<str>) -> Incarnation {
         let parts = name.rsplit_once(SEPARATOR);
-        // `parse` would take a sign as well.
+        // `parse` would accept a sign as well.
         let parts = parts.filter(|(_, start_time)| start_time.bytes().all(|b| b.is_ascii_digit()));
         let named = parts.and_then(|(id, start_time)| Some((id, start_time.parse().ok()?)));
         match named {
--- a/crates/jobs/src/model/incarnation_tests.rs
+++ b/crates/jobs/src/model/incarnation_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the names of lives.
+//! Tests of the names of incarnations.
 
 use std::sync::Arc;
 
--- a/crates/jobs/src/model/job.rs
+++ b/crates/jobs/src/model/job.rs
@@ -1,4 +1,4 @@
-//! A job and what became of it.
+//! A job and the state of its steps.
 
 use std::sync::Arc;
 
@@ -16,12 +16,12 @@
     share::sample::Image,
 };
 
-/// The longest chain of a job's steps, in milliseconds.
+/// Length of the critical path of a job, in milliseconds.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct CriticalPath {
-    /// All of it.
+    /// Length of the whole path.
     pub(crate) total: u64,
-    /// What is not done yet.
+    /// Length of the longest path of remaining work.
     pub(crate) remaining: u64,
 }
 
@@ -34,26 +34,26 @@
     }
 }
 
-/// A job that the machine knows.
+/// The state of a job.
 #[derive(Debug)]
 pub(crate) struct JobState {
-    /// What was accepted.
+    /// The job as it was accepted.
     pub(crate) job: Arc<Job>,
-    /// Number of each step's image.
+    /// Number of the image of each step.
     pub(crate) images: Vec<Image>,
-    /// What became of it.
+    /// The outcome so far.
     pub(crate) outcome: Outcome,
-    /// The steps of each repetition that has fallen due.
+    /// The steps of each repetition that is due.
     pub(crate) repetitions: Vec<Vec<StepState>>,
-    /// When the machine learned of it.
+    /// When the machine took the job up.
     pub(crate) known_since: u64,
-    /// The outcome that was last sent to be committed.
+    /// The outcome in the last commit that was sent.
     pub(crate) written_outcome: Outcome,
-    /// Whether something of it changed since that was last sent to be committed.
+    /// Whether the job changed since the last commit that was sent.
     pub(crate) dirty: bool,
-    /// The longest chain of its steps as it was last worked out, and when.
+    /// The last computed critical path, and when it was computed.
     pub(crate) critical_path: Option<(CriticalPath, u64)>,
-    /// When no worker was found that it may hold; 0 if that did not happen.
+    /// When the search for a worker to reserve for the job last failed; 0 if it never did.
     pub(crate) search_failed_at: u64,
 }
 
@@ -72,19 +72,19 @@
         }
     }
 
-    /// Tells whether a task has a run.
+    /// Returns whether any task has a run.
     pub(crate) fn has_runs(&self) -> bool {
         let mut tasks = self.repetitions.iter().flatten().flat_map(|s| &s.tasks);
         tasks.any(|t| t.run.is_some())
     }
 
-    /// Returns the number of tasks that are kept.
+    /// Returns the number of tasks in memory.
     pub(crate) fn task_count(&self) -> u64 {
         let steps = self.repetitions.iter().flatten();
         steps.map(|s| s.tasks.len() as u64).sum()
     }
 
-    /// Adds repetitions that are due at `wall`, in milliseconds since 1970.
+    /// Adds the repetitions that are due at `wall_clock`, in milliseconds since the Unix epoch.
     pub(crate) fn add_due_repetitions(&mut self, wall_clock: u64) {
         let spec = &self.job.spec;
         while (self.repetitions.len() as u32) < spec.repetitions() {
@@ -99,20 +99,20 @@
         }
     }
 
-    /// Tells whether the steps that `step` depends on are done.
+    /// Returns whether all dependencies of a step are done.
     pub(crate) fn is_ready(&self, repetition: usize, step: usize) -> bool {
         let deps = &self.job.spec.steps[step].deps;
         let steps = &self.repetitions[repetition];
         deps.iter().all(|&d| steps[d as usize].is_done())
     }
 
-    /// Tells whether every task of every repetition is done.
+    /// Returns whether every task of every repetition is done.
     pub(crate) fn is_done(&self) -> bool {
         let all_due = self.repetitions.len() as u32 == self.job.spec.repetitions();
         all_due && self.repetitions.iter().flatten().all(StepState::is_done)
     }
 
-    /// Works out the longest chain of its steps' times.
+    /// Computes the critical path from estimated and observed times.
     pub(crate) fn compute_critical_path(
         &self,
         estimates: &EstimateModel,
@@ -147,7 +147,7 @@
         step.tasks.get(id.index as usize)
     }
 
-    /// Returns a task, to be changed.
+    /// Returns a mutable reference to a task.
     pub(crate) fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
         let step = self.step_mut(id.repetition, id.step)?;
         step.tasks.get_mut(id.index as usize)
@@ -159,13 +159,13 @@
         steps.get(step as usize)
     }
 
-    /// Returns a step in one repetition, to be changed.
+    /// Returns a mutable reference to a step in one repetition.
     pub(crate) fn step_mut(&mut self, repetition: u32, step: u32) -> Option<&mut StepState> {
         let steps = self.repetitions.get_mut(repetition as usize)?;
         steps.get_mut(step as usize)
     }
 
-    /// Returns the names of all tasks that have fallen due.
+    /// Returns the identifiers of all tasks in due repetitions.
     pub(crate) fn task_ids(&self) -> Vec<TaskId> {
         let mut out = Vec::new();
         for (repetition, steps) in self.repetitions.iter().enumerate() {
@@ -183,7 +183,7 @@
         out
     }
 
-    /// Takes over what was kept; `slot` gives the slot of a worker's name.
+    /// Restores the state from a record; `slot` returns the slot of a worker by its name.
     pub(crate) fn restore(&mut self, record: &Record, mut slot: impl FnMut(&Arc<str>) -> u32) {
         (self.outcome, self.written_outcome) = (record.outcome, record.outcome);
         let repetitions = record.steps.iter().map(|s| s.0);
@@ -217,7 +217,8 @@
         }
     }
 
-    /// Takes note of where the log tells of it; true if it tells of all that was kept.
+    /// Notes which rows of the log hold the state of the job. Returns whether the log holds all
+    /// of it.
     pub(crate) fn note_logged(&mut self, replayed: Replayed) -> bool {
         for (&(repetition, step), &row) in replayed.steps.iter() {
             if let Some(state) = self.step_mut(repetition, step) {
--- a/crates/jobs/src/model/mod.rs
+++ b/crates/jobs/src/model/mod.rs
@@ -1,7 +1,7 @@
-//! Jobs, steps, tasks and runs, and the records that are kept of them.
+//! Jobs, steps, tasks and runs, and their stored records.
 //!
-//! Nothing is decided here. Limits: a job has 4,000 tasks at most, so that what is kept of it
-//! fits a few rows of the store.
+//! This module holds state and makes no decisions. A job has at most 4,000 tasks, so that its
+//! state fits a few rows of the store.
 
 pub(crate) mod changes;
 pub(crate) mod checkpoint;
--- a/crates/jobs/src/model/policy.rs
+++ b/crates/jobs/src/model/policy.rs
@@ -1,20 +1,21 @@
-//! What the configuration says of a queue.
+//! The configured policy of a queue.
 
 use std::sync::Arc;
 
-/// A queue's policy.
+/// The policy of a queue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueuePolicy {
     /// Name of the queue.
     pub queue: Arc<str>,
     /// The service whose workers run its tasks.
     pub service: Arc<str>,
-    /// Priority; 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Runs of a task that may fail before its job has failed.
+    /// Number of failed runs of a task after which its job fails.
     pub attempts: u32,
-    /// Objective: this many times the longest chain of estimated times ...
+    /// Factor of the objective for the time of a job, which is `stretch` times the critical
+    /// path of its estimates plus `latency`.
     pub stretch: f64,
-    /// ... and this much more, in milliseconds.
+    /// Constant part of the objective, in milliseconds.
     pub latency: u64,
 }
--- a/crates/jobs/src/model/record.rs
+++ b/crates/jobs/src/model/record.rs
@@ -1,5 +1,5 @@
-//! What is kept of a job beside what was handed in: its outcome in a row of its own, its tasks in
-//! the log.
+//! The stored state of a job beside its spec: the outcome in a row of its own, the tasks in the
+//! log.
 
 use std::sync::Arc;
 
@@ -8,41 +8,41 @@
 
 use crate::model::{crash::Crashes, spec::Spec};
 
-/// Why a record can't be used.
+/// The error for a record that can't be used.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RecordError {
-    /// It can't be read.
+    /// The record can't be decoded.
     #[snafu(display("malformed record"))]
     Decode {
-        /// The codec's answer.
+        /// The error of the codec.
         source: rmp_serde::decode::Error,
     },
 }
 
-/// Bytes of what is kept of a task without its texts and lists, at the most.
+/// Maximum size of a task record without its texts and lists.
 const MAX_FIXED_BYTES: usize = 24;
 
-/// Bytes of a crash that is kept, about.
+/// Approximate size of a crash in a task record.
 const CRASH_BYTES: usize = 40;
 
-/// What became of a job.
+/// The outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Accepted; no task has begun.
+    /// The job was accepted and no task has begun.
     Pending,
     /// Some task has begun.
     Active,
     /// Every task is done.
     Complete,
-    /// A task has failed too often, or has crashed its workers.
+    /// A task failed too often or crashed its workers.
     Failed,
-    /// Its caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
 impl Outcome {
-    /// Tells whether nothing can follow.
+    /// Returns whether the outcome is final.
     pub fn is_final(self) -> bool {
         matches!(
             self,
@@ -51,28 +51,28 @@
     }
 }
 
-/// What is kept of a task. Written as an array, to save bytes.
+/// The stored state of a task. Encoded as an array, to save bytes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct TaskRecord {
     /// Repetition, step and index.
     pub(crate) at: (u32, u32, u32),
-    /// Whether it is done.
+    /// Whether the task is done.
     pub(crate) done: bool,
     /// Number of the last run.
     pub(crate) run: u32,
-    /// Worker of the last run, if that may still be there.
+    /// Name of the incarnation that has the last run, if the run may still exist.
     pub(crate) worker: Option<Arc<str>>,
     /// Numbers of the runs that failed.
     pub(crate) failed: Vec<u32>,
-    /// Saved progress.
+    /// The last checkpoint; empty for none.
     pub(crate) saved: Arc<str>,
-    /// Workers that crashed under its runs.
+    /// Crashes of workers under the task's runs.
     #[serde(default, skip_serializing_if = "Crashes::is_empty")]
     pub(crate) crashes: Crashes,
 }
 
 impl TaskRecord {
-    /// Returns about how many bytes it takes up.
+    /// Returns the approximate encoded size in bytes.
     pub(crate) fn size(&self) -> usize {
         let worker = self.worker.as_ref().map_or(0, |w| w.len());
         let lists = self.failed.len() * 4 + self.crashes.count() * CRASH_BYTES;
@@ -80,20 +80,20 @@
     }
 }
 
-/// What is kept of a job.
+/// The stored state of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// What became of it.
+    /// The outcome so far.
     pub outcome: Outcome,
-    /// Steps that are done whole, as repetition and step; none as it is written, since the log
-    /// tells of them.
+    /// Steps with all tasks done, as repetition and step. Written empty, since the log holds
+    /// them.
     pub(crate) steps: Vec<(u32, u32)>,
-    /// Tasks of the other steps that ran; none as it is written.
+    /// Tasks of the other steps that ran. Written empty, since the log holds them.
     pub(crate) tasks: Vec<TaskRecord>,
 }
 
 impl Record {
-    /// Makes the record of a job with this outcome, as it is written.
+    /// Makes the record of a job with this outcome, in the form in which records are written.
     pub(crate) fn new(outcome: Outcome) -> Record {
         Record {
             outcome,
@@ -102,18 +102,19 @@
         }
     }
 
-    /// Makes the record of a job of which nothing was written.
+    /// Makes the record of a job without a stored one.
     pub(crate) fn pending() -> Record {
         Record::new(Outcome::Pending)
     }
 
-    /// Writes the record.
+    /// Encodes the record as MessagePack.
     pub fn encode(&self) -> Vec<u8> {
-        // Writing plain data to a vector can't fail.
+        // Serializing plain data to a vector can't fail.
         rmp_serde::to_vec(self).unwrap_or_default()
     }
 
-    /// Tells whether it can be one of a job with this spec: somebody else may have written it.
+    /// Returns whether the record fits a job with this spec. Another program may have written
+    /// it.
     pub fn is_valid_for(&self, spec: &Spec) -> bool {
         let count = |repetition: u32, step: u32| {
             let step = spec.steps.get(step as usize);
@@ -126,7 +127,7 @@
             && tasks.all(|t| count(t.at.0, t.at.1).is_some_and(|c| t.at.2 < c))
     }
 
-    /// Reads a record.
+    /// Decodes a record.
     pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
         rmp_serde::from_slice(bytes).context(DecodeSnafu)
     }
--- a/crates/jobs/src/model/spec.rs
+++ b/crates/jobs/src/model/spec.rs
@@ -1,4 +1,4 @@
-//! What a caller hands in.
+//! The specification of a job as its caller submits it.
 
 use std::sync::Arc;
 
@@ -7,108 +7,110 @@
 
 use crate::model::ids::JobId;
 
-/// Tasks that one job may have in all, so that what is kept of it fits a few rows.
+/// Maximum number of tasks of a job over all repetitions, so that its state fits a few rows of
+/// the store.
 const MAX_TASKS: u64 = 4000;
 
-/// Why a job is refused.
+/// The error for an invalid spec.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum SpecError {
-    /// There is no step, or a step without tasks.
+    /// There is no step, or a step has no tasks.
     #[snafu(display("step {step} has no tasks"))]
     Empty {
         /// The step.
         step: usize,
     },
     /// A step depends on itself or on a later one.
-    #[snafu(display("step {step} depends on step {dependency}"))]
+    #[snafu(display("step {step} depends on step {dependency}, which is not an earlier step"))]
     Order {
         /// The step.
         step: usize,
-        /// What it names.
+        /// The step that it depends on.
         dependency: u32,
     },
-    /// There are more tasks than a record can hold.
-    #[snafu(display("{tasks} tasks, more than {MAX_TASKS}"))]
+    /// There are too many tasks.
+    #[snafu(display("job has {tasks} tasks, more than {MAX_TASKS}"))]
     TooManyTasks {
-        /// Tasks of all steps and repetitions.
+        /// Number of tasks over all steps and repetitions.
         tasks: u64,
     },
 }
 
-/// One step: tasks that are alike.
+/// A step of a job: a number of tasks of the same kind.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
     /// Number of tasks.
     pub count: u32,
-    /// Thousandths of a core that a task asks for.
+    /// CPU that a task requests, in thousandths of a core.
     pub cpu: u64,
-    /// Memory that a task asks for, in MB.
+    /// Memory that a task requests, in MB.
     pub memory: u64,
-    /// Accelerators that a task asks for.
+    /// Accelerators that a task requests.
     pub gpu: u64,
-    /// Guess of a task's time in milliseconds; 0 if there is none.
+    /// The caller's estimate of the time of a task, in milliseconds; 0 for none.
     pub estimate: u64,
-    /// Earlier steps all of whose tasks come first.
+    /// Earlier steps that have to be done before the tasks of this step begin.
     pub deps: Vec<u32>,
-    /// Whether its tasks save their progress.
+    /// Whether the tasks save checkpoints.
     pub checkpoints: bool,
-    /// Whether its tasks work jointly only.
+    /// Whether the tasks are a gang: they make progress only while all of them run.
     pub gang: bool,
-    /// Whether its tasks are slow unless they share a rack.
+    /// Whether the tasks are slow unless they run in the same rack.
     pub same_rack: bool,
-    /// Label that its workers must have.
+    /// Label that a worker needs to run the tasks.
     pub label: Option<Arc<str>>,
-    /// Rack in which its data lies.
+    /// Rack that holds the data of the step.
     #[serde(rename = "rack")]
     pub data_rack: Option<Arc<str>>,
-    /// Tasks of the step that one worker may run at most; 0 for any number.
+    /// Maximum number of tasks of the step on one worker; 0 for no limit.
     #[serde(rename = "spread")]
     pub max_per_worker: u32,
-    /// Whether copies of a task may run beside each other.
+    /// Whether several copies of a task may run at the same time.
     pub copies: bool,
-    /// Whether its tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     #[serde(rename = "lasting")]
     pub long_running: bool,
-    /// What its tasks run.
+    /// Image that the tasks run.
     pub image: Option<Arc<str>>,
-    /// Latency in milliseconds that the tail of its answers stays under; 0 for none.
+    /// Target for the tail latency of a serving task, in milliseconds; 0 for none.
     #[serde(rename = "target")]
     pub latency_target: u64,
-    /// Whether its tasks take the processor time that others leave.
+    /// Whether the tasks are best-effort: they use the CPU time that other tasks leave.
     #[serde(rename = "fill")]
     pub best_effort: bool,
-    /// Tasks that may be away at once by the scheduler's doing; none without a budget.
+    /// Maximum number of tasks that the scheduler itself may keep from running at one time;
+    /// `None` for no limit.
     #[serde(rename = "away")]
     pub disruption_budget: Option<u32>,
 }
 
-/// When a repeated job falls due.
+/// When the repetitions of a job are due.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// Number of repetitions; 0 for a job that runs once, at once.
+    /// Number of repetitions; 0 for a job that runs once and immediately.
     #[serde(rename = "times")]
     pub repetitions: u32,
-    /// When the first is due, in milliseconds since 1970.
+    /// When the first repetition is due, in milliseconds since the Unix epoch.
     pub first: u64,
-    /// Milliseconds from one to the next.
+    /// Milliseconds from one repetition to the next.
     pub interval: u64,
 }
 
-/// What a caller hands in: a text for the workers, steps, and when they run.
+/// The specification of a job: the payload for the workers, the steps and the schedule.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spec {
-    /// Text that is passed to the workers as it is.
+    /// Text that is passed to the workers unchanged.
     #[serde(rename = "text")]
     pub payload: Arc<str>,
     /// The steps.
     pub steps: Vec<Step>,
-    /// When they run.
+    /// When the steps run.
     pub schedule: Schedule,
 }
 
 impl Spec {
-    /// Checks what no later change can mend.
+    /// Checks the constraints that hold whatever the configuration is.
     pub fn validate(&self) -> Result<(), SpecError> {
         ensure!(!self.steps.is_empty(), EmptySnafu { step: 0_usize });
         for (step, s) in self.steps.iter().enumerate() {
@@ -131,7 +133,7 @@
         self.schedule.repetitions.max(1)
     }
 
-    /// Returns the longest chain of estimated times, in milliseconds.
+    /// Returns the length of the critical path by the estimates, in milliseconds.
     pub fn critical_path(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
@@ -142,15 +144,15 @@
     }
 }
 
-/// A job as it was accepted.
+/// An accepted job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Its name.
+    /// Identifier of the job.
     pub id: JobId,
-    /// The queue it was handed in to.
+    /// Name of the queue that the job was submitted to.
     pub queue: Arc<str>,
-    /// When it was accepted, by the store's clock in milliseconds.
+    /// When the job was accepted, in milliseconds on the store's clock.
     pub accepted: u64,
-    /// What was handed in.
+    /// The specification.
     pub spec: Arc<Spec>,
 }
--- a/crates/jobs/src/model/step.rs
+++ b/crates/jobs/src/model/step.rs
@@ -15,22 +15,21 @@
 /// The tasks of one step in one repetition.
 #[derive(Debug, Clone)]
 pub(crate) struct StepState {
-    /// The tasks.
     pub(crate) tasks: Vec<Task>,
-    /// How many of them are done.
+    /// Number of tasks that are done.
     pub(crate) done: u32,
-    /// How many of them are not done and have no run.
+    /// Number of tasks that are not done and have no run.
     pub(crate) unassigned: u32,
-    /// For tasks that serve: how far their tails are below the target.
+    /// For serving tasks: the headroom of their tail latency below the target.
     pub(crate) headroom: Headroom,
-    /// For tasks that serve: what that was of late.
+    /// For serving tasks: the recent history of the headroom.
     pub(crate) history: History,
-    /// Times of tasks that ran from their start at full pace.
+    /// Times of tasks that ran from the beginning at full pace.
     pub(crate) observed_times: ObservedTimes,
-    /// The row of the log that tells that it is done whole.
+    /// The row of the log that records all tasks as done.
     pub(crate) logged_row: Option<RowNumber>,
-    /// The last checkpoint that a worker rejected: members of a gang that began with it on other
-    /// workers still list it.
+    /// The last checkpoint that a worker rejected. Members of a gang that resumed from it on
+    /// other workers still report it.
     pub(crate) rejected: Option<Arc<str>>,
 }
 
@@ -48,12 +47,12 @@
         }
     }
 
-    /// Tells whether every task is done.
+    /// Returns whether every task is done.
     pub(crate) fn is_done(&self) -> bool {
         self.done as usize == self.tasks.len()
     }
 
-    /// Forgets what the log tells of its tasks, which it tells of the step.
+    /// Discards the logged state of the tasks, after the log has recorded the whole step.
     pub(crate) fn forget_logged(&mut self) {
         for task in &mut self.tasks {
             task.logged = None;
@@ -69,8 +68,8 @@
         }
     }
 
-    /// Gives all tasks the newest checkpoint of any of them: the members of a gang work jointly,
-    /// and workers take what began from different checkpoints for different work.
+    /// Gives all tasks the newest checkpoint of any of them. The members of a gang have to resume
+    /// from the same checkpoint, since workers take runs from different ones for different work.
     pub(crate) fn share_checkpoint(&mut self) {
         let saved = self.tasks.iter().filter_map(|t| t.checkpoint.as_ref());
         let Some(newest) = saved.max_by_key(|c| c.recency()).cloned() else {
@@ -81,14 +80,14 @@
         }
     }
 
-    /// Takes over a checkpoint that a run of a task listed, unless it was rejected.
+    /// Saves a checkpoint that a run of a task reported, unless it was rejected.
     pub(crate) fn save_checkpoint(&mut self, index: usize, text: &Arc<str>, origin: Origin) {
         if self.rejected.as_ref() != Some(text) {
             self.tasks[index].save_checkpoint(text, origin);
         }
     }
 
-    /// Has no task go on from this checkpoint any more.
+    /// Discards a checkpoint, so that no task resumes from it.
     pub(crate) fn reject_checkpoint(&mut self, text: &Arc<str>) {
         for task in &mut self.tasks {
             task.checkpoint = task.checkpoint.take().filter(|c| c.text != *text);
@@ -103,7 +102,7 @@
         task.run = Some(Box::new(run));
     }
 
-    /// Takes a task's run away.
+    /// Removes and returns the run of a task.
     pub(crate) fn take_run(&mut self, index: usize) -> Option<Box<Run>> {
         let task = &mut self.tasks[index];
         let run = task.run.take();
@@ -111,7 +110,7 @@
         run
     }
 
-    /// Returns the indices of the tasks that need a run now, beside others.
+    /// Returns the indices of the tasks that need a run now and need no isolation.
     pub(crate) fn waiting_tasks(&self, now: u64) -> Vec<u32> {
         if self.unassigned == 0 {
             return Vec::new();
@@ -121,15 +120,15 @@
         waiting.map(|(index, _)| index).collect()
     }
 
-    /// Returns the least progress of its tasks that are not done, in percent.
+    /// Returns the lowest progress of the tasks that are not done, in percent.
     pub(crate) fn min_percent(&self) -> u32 {
         let open = self.tasks.iter().filter(|t| !t.done);
         let percents = open.map(|t| t.run.as_ref().map_or(0, |r| r.percent.min(100)));
         percents.min().unwrap_or(0)
     }
 
-    /// Returns the time that its longest task takes, in milliseconds, from the callers'
-    /// guess and from what its tasks show.
+    /// Returns the expected time of the longest task in milliseconds, from the caller's estimate
+    /// and the observed times of tasks.
     pub(crate) fn longest_task_ms(
         &self,
         estimates: &EstimateModel,
@@ -146,14 +145,14 @@
         observed.longest(estimates, estimate, self.tasks.len())
     }
 
-    /// Returns how many runs the step has on a worker.
+    /// Returns the number of runs that the step has on a worker.
     pub(crate) fn runs_on(&self, worker: u32) -> u32 {
         let runs = self.tasks.iter().filter_map(|t| t.run.as_ref());
         runs.filter(|r| r.worker == worker).count() as u32
     }
 }
 
-/// Tells whether a run is at work and its time tells of the task.
+/// Returns whether a run is confirmed and its time is representative of the task.
 fn is_representative(run: &Run) -> bool {
     matches!(run.stage, Stage::Confirmed(_)) && !run.partial
 }
--- a/crates/jobs/src/model/task.rs
+++ b/crates/jobs/src/model/task.rs
@@ -1,4 +1,4 @@
-//! One task and the run it has.
+//! A task and its run.
 
 use std::sync::Arc;
 
@@ -9,77 +9,76 @@
     record::TaskRecord,
 };
 
-/// A figure below this share of its target is below it, whatever it is off by.
+/// A tail latency below this share of its target is below it, whatever its error.
 const FAR_BELOW_TARGET: f64 = 0.6;
 
-/// A figure below this share of its target is clearly below it, if others say the same:
-/// figures are usually off by a tenth.
+/// A tail latency below this share of its target is below it if the other tasks of the step
+/// agree: a measured tail is usually off by a tenth.
 const CLEARLY_BELOW_TARGET: f64 = 0.9;
 
-/// A run's pace where nobody knows what its worker was told last.
+/// The pace of a run where the last order that its worker received is unknown.
 pub(crate) const UNKNOWN_PACE: u32 = u32::MAX;
 
-/// Where a run stands.
+/// The stage of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Its place is not durable yet; nothing was sent.
+    /// The placement is not durable yet; no start was sent.
     Planned,
-    /// Its start was sent at this time and is unanswered.
+    /// The start was sent at this time and is unanswered.
     Sent(u64),
-    /// Its worker said at this time that it is there.
+    /// The worker confirmed the run at this time.
     Confirmed(u64),
-    /// Its start got no answer by this time.
+    /// The start had got no answer by this time.
     Unanswered(u64),
-    /// An earlier owner placed it; its worker was not heard yet.
+    /// An earlier owner placed the run, and the worker has not reported yet.
     Inherited,
-    /// A stop is wanted; the time of the last order, if one is under way.
+    /// The run is to be stopped; the time when the stop was sent, if one is in flight.
     Stopping(Option<u64>),
-    /// Its worker said at this time that it ends, or will never begin.
+    /// The worker confirmed at this time that the run is ending, or will never start.
     StopConfirmed(u64),
 }
 
 /// A run of a task.
 #[derive(Debug, Clone)]
 pub(crate) struct Run {
-    /// Its worker's slot.
+    /// Slot of the worker.
     pub(crate) worker: u32,
-    /// Where it stands.
     pub(crate) stage: Stage,
-    /// When its place was chosen.
+    /// When the run was placed.
     pub(crate) placed_at: u64,
-    /// When its start was sent; nothing before, and of one that an earlier owner sent.
+    /// When the start was sent; `None` before, and if an earlier owner sent it.
     pub(crate) sent_at: Option<u64>,
-    /// Whether its start was answered, so that it can't be carried out any more.
+    /// Whether the start was answered, so that it can't be carried out later.
     pub(crate) answered: bool,
-    /// Whether an answer to its start tells which life of its worker's name has it, or that none
-    /// does.
+    /// Whether the answer to the start shows which incarnation of the worker has the run, or
+    /// that none does.
     pub(crate) attributed: bool,
-    /// Progress in percent, as last listed.
+    /// Last reported progress in percent.
     pub(crate) percent: u32,
-    /// When it was first listed, on the worker's clock.
+    /// When the run was first reported, on the worker's clock.
     pub(crate) reported_at: Option<u64>,
-    /// When the progress last changed, on the worker's clock; nothing before it was listed.
+    /// When the progress last changed, on the worker's clock; `None` before the first report.
     pub(crate) progressed_at: Option<u64>,
-    /// Share of its pace that its worker was told, in percent, or [`UNKNOWN_PACE`].
+    /// Pace in percent that the worker last confirmed, or [`UNKNOWN_PACE`].
     pub(crate) pace: u32,
-    /// Share of its pace that is wanted.
+    /// Wanted pace in percent.
     pub(crate) wanted_pace: u32,
-    /// Whether its time tells nothing of the task: it was slowed, went on from saved
-    /// progress, or began under an earlier owner.
+    /// Whether the time of the run is not representative of the task, because the run was
+    /// slowed, resumed from a checkpoint, or began under an earlier owner.
     pub(crate) partial: bool,
-    /// No order for its pace before this time; [`u64::MAX`] while one is under way.
+    /// No change of pace is sent before this time; [`u64::MAX`] while one is in flight.
     pub(crate) next_pace_at: u64,
-    /// Since when it is slowed much.
+    /// Since when the run has been slowed strongly.
     pub(crate) slowed_since: Option<u64>,
-    /// For a task that serves: since when its tail is over its target.
+    /// For a serving task: since when the tail latency has been over its target.
     pub(crate) over_since: Option<u64>,
-    /// Whether its last figure was not over its target.
+    /// Whether the last tail latency was below its target.
     was_below: bool,
 }
 
 impl Run {
     pub(crate) fn new(worker: u32, stage: Stage, now: u64) -> Run {
-        // One that is there already may have been slowed by an earlier owner.
+        // An earlier owner may have slowed a run that it placed.
         let pace = match stage {
             Stage::Planned => 100,
             _ => UNKNOWN_PACE,
@@ -104,26 +103,25 @@
         }
     }
 
-    /// Returns for how long its progress has stood still when its worker's clock showed
-    /// `clock`, in milliseconds.
+    /// Returns the time without progress in milliseconds, at `clock` on the worker's clock.
     pub(crate) fn stalled_for(&self, clock: u64) -> u64 {
         self.progressed_at
             .map_or(0, |progressed_at| clock.saturating_sub(progressed_at))
     }
 
-    /// Takes a tail as a share of its target; `worst` is the headroom that the tasks of its
-    /// step had of late at the least, less what fills beside it.
+    /// Records a tail latency as a share of its target. `min_headroom` is the lowest recent
+    /// headroom of the tasks of the step, less the interference from best-effort runs.
     ///
-    /// Figures are off by a quarter at times. So one that is over the target counts at once,
-    /// and one below it among others over it ends nothing: the users count on. But what is
-    /// below it twice in a row is not over it, however close: at the peak of a load tails are
-    /// at four fifths of their targets for seconds, and all that fills would be halted. Where
-    /// figures counted from 0.9 of the target on, and until one was below 0.75, half of the
-    /// workers took nothing to fill for half of the time.
+    /// A measured tail is off by up to a quarter. So a single value over the target counts, and
+    /// a single value below it among others over it does not end the violation, which goes on
+    /// for the users. Two values in a row below the target do end it, however close to the
+    /// target: at the peak of a load, tails stay at four fifths of their targets for seconds,
+    /// which must not stop all best-effort runs. With a threshold of 0.9 of the target, and a
+    /// violation that lasted until a value below 0.75, half of the workers took no best-effort
+    /// runs for half of the time.
     ///
-    /// The other tasks of the step tell as well: where they were well below their targets all
-    /// the while, one clearly lower figure is enough (filling jobs earn 0.75 of their worth so,
-    /// 0.72 without, on 350 full workers, 15 days with trouble).
+    /// Where the other tasks of the step have stayed well below their targets, a single value
+    /// clearly below the target is enough.
     pub(crate) fn record_latency(&mut self, share: f64, min_headroom: f64, now: u64) {
         let is_below = share < 1.0;
         let expected = share < CLEARLY_BELOW_TARGET && min_headroom > 1.0 / CLEARLY_BELOW_TARGET;
@@ -135,7 +133,8 @@
         self.was_below = is_below;
     }
 
-    /// Takes note that there is no tail, since nobody was served in the last half second.
+    /// Records that there is no tail latency because no request was served in the last half
+    /// second.
     pub(crate) fn record_no_latency(&mut self) {
         if self.was_below {
             self.over_since = None;
@@ -143,13 +142,14 @@
         self.was_below = true;
     }
 
-    /// Returns when its start was sent, if its worker has not listed it: it may not have begun
-    /// yet, or in another life than the one that was meant. An answer does not say which.
+    /// Returns when the start was sent, if the worker has not reported the run. The run may not
+    /// have begun yet, or may have begun in another incarnation than intended; the answer to the
+    /// start does not show which.
     pub(crate) fn unreported_since(&self) -> Option<u64> {
         self.sent_at.filter(|_| self.reported_at.is_none())
     }
 
-    /// Tells whether the run is wanted to go on.
+    /// Returns whether the run is to go on.
     pub(crate) fn is_wanted(&self) -> bool {
         !matches!(self.stage, Stage::Stopping(_) | Stage::StopConfirmed(_))
     }
@@ -158,50 +158,49 @@
 /// A task.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Task {
-    /// Whether it is done.
     pub(crate) done: bool,
     /// Number of the last run; 0 before the first.
     pub(crate) last_run: u32,
-    /// The run that may be there; apart, since most tasks of waiting jobs have none.
+    /// The run that may exist. Boxed, since most tasks of waiting jobs have none.
     pub(crate) run: Option<Box<Run>>,
     /// Numbers of the runs that failed.
     pub(crate) failed_runs: Vec<u32>,
-    /// Workers that crashed under its runs.
+    /// Crashes of workers under the runs of the task.
     pub(crate) crashes: Crashes,
-    /// What its next run goes on from; apart, since most tasks have none.
+    /// The checkpoint for the next run. Boxed, since most tasks have none.
     pub(crate) checkpoint: Option<Box<Checkpoint>>,
-    /// No new run before this time, after a failure.
+    /// After a failure: no new run before this time.
     pub(crate) retry_at: u64,
     /// Worker on which the last run failed.
     pub(crate) failed_worker: Option<u32>,
-    /// When it last lost its run; 0 if it had none.
+    /// When the task last lost its run; 0 if it had none.
     pub(crate) idle_since: u64,
-    /// What the log tells of it; apart, since most tasks of waiting jobs never ran.
+    /// The logged state. Boxed, since most tasks of waiting jobs never ran.
     pub(crate) logged: Option<Box<Logged>>,
-    /// The row of the log that does.
+    /// The row of the log that holds the logged state.
     pub(crate) logged_row: RowNumber,
 }
 
-/// What the log tells of a task, as far as it is needed to see that the task has changed since.
+/// The logged state of a task, as far as it is needed to detect later changes.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Logged {
     done: bool,
     run: u32,
     /// The slot of the run's worker.
     worker: Option<u32>,
-    /// How many of its runs failed.
+    /// Number of failed runs.
     failed: u32,
     checkpoint: Option<Arc<str>>,
     crashes: Option<Box<Crashes>>,
 }
 
 impl Task {
-    /// Tells whether the task needs a run now.
+    /// Returns whether the task needs a run now.
     pub(crate) fn is_waiting(&self, now: u64) -> bool {
         !self.done && self.run.is_none() && self.retry_at <= now
     }
 
-    /// Tells whether it has changed since it was logged.
+    /// Returns whether the task has changed since it was logged.
     pub(crate) fn has_changed(&self) -> bool {
         let unchanged = self.logged.as_ref().is_some_and(|l| {
             let crashes = l.crashes.as_deref();
@@ -215,7 +214,7 @@
         !unchanged
     }
 
-    /// Takes note that a row of the log tells of it as it is now.
+    /// Notes that a row of the log holds the current state.
     pub(crate) fn note_logged(&mut self, row: RowNumber) {
         let crashes = Some(&self.crashes).filter(|c| !c.is_empty());
         self.logged_row = row;
@@ -229,7 +228,7 @@
         }));
     }
 
-    /// Returns what is kept of it; `name` gives the name of a worker's slot.
+    /// Returns the record of the task; `name` returns the name of a worker by its slot.
     pub(crate) fn record(&self, at: (u32, u32, u32), name: impl Fn(u32) -> Arc<str>) -> TaskRecord {
         TaskRecord {
             at,
@@ -242,13 +241,13 @@
         }
     }
 
-    /// Returns the text that its next run goes on from; empty for none.
+    /// Returns the text of the checkpoint for the next run; empty for none.
     pub(crate) fn checkpoint_text(&self) -> Arc<str> {
         let text = self.checkpoint.as_ref().map(|c| c.text.clone());
         text.unwrap_or_default()
     }
 
-    /// Takes over a checkpoint that a run of it listed; an empty text is none.
+    /// Saves a checkpoint that a run of the task reported; an empty text is ignored.
     pub(crate) fn save_checkpoint(&mut self, text: &Arc<str>, origin: Origin) {
         let known = self.checkpoint.as_ref().is_some_and(|c| c.text == *text);
         if text.is_empty() || known {
--- a/crates/jobs/src/model/task_tests.rs
+++ b/crates/jobs/src/model/task_tests.rs
@@ -1,15 +1,16 @@
-//! When a tail counts as over its target.
+//! Tests of when a tail latency counts as over its target.
 
 use test_case::test_case;
 
 use crate::model::task::{Run, Stage};
 
-/// Headroom of a step whose tasks are well below their targets, and of one at the peak of
-/// its load.
+/// Headroom of a step whose tasks are well below their targets.
 const HIGH_HEADROOM: f64 = 2.0;
+/// Headroom of a step at the peak of its load.
 const LOW_HEADROOM: f64 = 1.05;
 
-/// Takes figures, one a second, and returns whether the tail counts as over its target.
+/// Records tail latencies in percent of the target, one per second, and returns whether the tail
+/// counts as over its target.
 fn is_over_target(min_headroom: f64, percents: &[u32]) -> bool {
     let mut run = Run::new(0, Stage::Planned, 0);
     for (at, &percent) in (1..).zip(percents) {
--- a/crates/jobs/src/runs/fleet.rs
+++ b/crates/jobs/src/runs/fleet.rs
@@ -1,4 +1,4 @@
-//! The workers.
+//! The set of workers.
 
 use std::{cmp::Reverse, collections::BinaryHeap, sync::Arc};
 
@@ -11,28 +11,29 @@
     sorted_map::SortedMap,
 };
 
-/// The workers by slot, one for each life; a slot is never used again.
+/// The workers by slot. Each incarnation has a slot of its own, which is never reused.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     pub(crate) workers: Vec<Worker>,
-    /// The lives of each name.
+    /// The incarnations by the name of the worker.
     pub(super) incarnations: SortedMap<Arc<str>, Incarnations>,
-    /// When leases of an earlier owner are over everywhere.
+    /// When every lease from earlier owners has expired on all workers.
     pub(super) prior_leases_end: u64,
-    /// Workers that changed since they were last asked for.
+    /// Workers that changed since the last [`Fleet::take_due`].
     changed: Vec<u32>,
-    /// Workers to be seen to at a time.
+    /// Timers, as due time and slot of the worker.
     timers: BinaryHeap<Reverse<(u64, u32)>>,
-    /// Names of services, each once.
+    /// Interned names of services, sorted.
     services: Vec<Arc<str>>,
-    /// When the announcements were asked for that are all known.
+    /// When the last complete set of announcements was requested.
     synced_at: u64,
-    /// Availability zones whose workers get nothing new, sorted.
+    /// Evacuated availability zones, sorted. Their workers get no new runs.
     evacuated: Arc<[Arc<str>]>,
 }
 
 impl Fleet {
-    /// Makes a fleet without workers; leases of an earlier owner are over at `inherited`.
+    /// Makes a fleet without workers; all leases from earlier owners have expired at
+    /// `prior_leases_end`.
     pub(crate) fn new(prior_leases_end: u64) -> Fleet {
         Fleet {
             workers: Vec::new(),
@@ -46,9 +47,10 @@
         }
     }
 
-    /// Takes what a worker announced; true if that is new.
+    /// Registers the announcement of a worker. Returns whether the announcement is new.
     ///
-    /// Workers repeat themselves every other second, which is not worth a pass of placement.
+    /// Workers repeat their announcements every other second, which must not trigger a pass of
+    /// placement.
     pub(crate) fn register(&mut self, mut info: WorkerInfo, now: u64) -> bool {
         info.service = self.service(&info.service);
         let Some(slot) = self.registering_slot(&info) else {
@@ -78,7 +80,7 @@
         true
     }
 
-    /// Takes over which availability zones get nothing new.
+    /// Sets the evacuated availability zones.
     pub(crate) fn evacuate(&mut self, zones: Arc<[Arc<str>]>) {
         self.evacuated = zones;
         for slot in 0..self.workers.len() as u32 {
@@ -91,22 +93,22 @@
         info.is_some_and(|i| self.evacuated.binary_search(&i.zone).is_ok())
     }
 
-    /// Takes note that all announcements of a time are known.
+    /// Notes that all announcements as of `asked_at` are known.
     pub(crate) fn note_synced(&mut self, asked_at: u64) {
         self.synced_at = self.synced_at.max(asked_at);
     }
 
-    /// Returns how old what is known of the workers' announcements is, in milliseconds.
+    /// Returns the age of the known announcements, in milliseconds.
     pub(crate) fn age(&self, now: u64) -> u64 {
         now.saturating_sub(self.synced_at)
     }
 
-    /// Tells whether enough is known of the workers' announcements for something to begin.
+    /// Returns whether the known announcements are recent enough to place runs.
     pub(crate) fn is_fresh(&self, now: u64, settings: &Settings) -> bool {
         self.age(now) <= settings.max_staleness
     }
 
-    /// Takes note that a worker's announcement is gone.
+    /// Notes that the announcement of a worker was removed.
     pub(crate) fn deregister(&mut self, id: &Arc<str>) {
         for slot in self.incarnations(id).to_vec() {
             self.get_mut(slot).registered = false;
@@ -117,7 +119,7 @@
         &self.workers[slot as usize]
     }
 
-    /// Returns a worker to be changed, which [`Fleet::take_due`] then tells of.
+    /// Returns a mutable reference to a worker, which [`Fleet::take_due`] then returns.
     pub(crate) fn get_mut(&mut self, slot: u32) -> &mut Worker {
         let worker = &mut self.workers[slot as usize];
         if !worker.changed {
@@ -127,15 +129,15 @@
         worker
     }
 
-    /// Has a worker seen to at a time.
+    /// Sets a timer, after which [`Fleet::take_due`] returns the worker.
     pub(crate) fn set_timer(&mut self, slot: u32, at: u64) {
         self.timers.push(Reverse((at, slot)));
     }
 
-    /// Returns the workers that changed, and those whose time has come.
+    /// Returns the workers that changed or whose timer is due.
     ///
-    /// Going through all workers at each wake-up cost a third of an owner's time with
-    /// 1,100 of them.
+    /// Checking all workers at each wake-up instead takes a third of an owner's time with 1,100
+    /// workers.
     pub(crate) fn take_due(&mut self, now: u64) -> Vec<u32> {
         while let Some(Reverse((at, slot))) = self.timers.peek().copied()
             && at <= now
@@ -150,7 +152,7 @@
         due
     }
 
-    /// Returns the one copy of a service's name: equal names are the same place in memory.
+    /// Interns the name of a service: equal names share one allocation.
     pub(crate) fn service(&mut self, name: &Arc<str>) -> Arc<str> {
         match self.services.binary_search(name) {
             Ok(at) => self.services[at].clone(),
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -1,4 +1,4 @@
-//! What is known of one worker.
+//! The state of one worker.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -9,15 +9,15 @@
     share::{own_load::OwnLoad, slack::Slack, spare_cpu::unused_cpu},
 };
 
-/// A look without an answer tells something for this long after it was sent, in
-/// milliseconds: its time limit with the longest wait of a worker that has runs, and a
-/// late wake-up. One from before a pause of the process tells nothing.
+/// How long after it was sent an unanswered poll counts as evidence of a lost worker: the timeout
+/// of a poll with the longest wait of a worker that has runs, and a late wake-up. A poll from
+/// before a pause of the own process is no evidence.
 const UNANSWERED_POLL_VALID_MS: u64 = 2000;
 
-/// What a worker can hold, or a task asks for.
+/// Resources that a worker has or that a task requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Capacity {
-    /// Thousandths of a core.
+    /// CPU in thousandths of a core.
     pub cpu: u64,
     /// Memory in MB.
     pub memory: u64,
@@ -26,21 +26,21 @@
 }
 
 impl Capacity {
-    /// Adds another one.
+    /// Adds another capacity.
     pub(crate) fn add(&mut self, other: Capacity) {
         self.cpu += other.cpu;
         self.memory += other.memory;
         self.gpu += other.gpu;
     }
 
-    /// Tells whether it has room for another one beside what is `used` of it.
+    /// Returns whether `other` fits in addition to what is `used`.
     pub(crate) fn has_room(&self, used: Capacity, other: Capacity) -> bool {
         self.cpu >= used.cpu + other.cpu
             && self.memory >= used.memory + other.memory
             && self.gpu >= used.gpu + other.gpu
     }
 
-    /// Takes another one off; stops at zero.
+    /// Subtracts another capacity, saturating at zero.
     pub(crate) fn subtract(&mut self, other: Capacity) {
         self.cpu -= other.cpu.min(self.cpu);
         self.memory -= other.memory.min(self.memory);
@@ -48,132 +48,135 @@
     }
 }
 
-/// What a worker announces.
+/// The announcement of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerInfo {
-    /// Its name; other lives may have the same one if they say when they began.
+    /// Name of the worker. Other incarnations may have the same name if they report their start
+    /// times.
     pub id: Arc<str>,
-    /// When this life began, in milliseconds since 1970, if it says so.
+    /// Start time of the incarnation in milliseconds since the Unix epoch, if the worker reports
+    /// one.
     pub start_time: Option<u64>,
-    /// Where it listens.
+    /// Address that the worker listens on.
     pub addr: SocketAddr,
-    /// The service whose tasks it runs.
+    /// The service whose tasks the worker runs.
     pub service: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the worker.
     pub zone: Arc<str>,
-    /// Its labels.
+    /// Labels of the worker.
     pub labels: Vec<Arc<str>>,
-    /// Its rack.
+    /// Rack of the worker.
     pub rack: Arc<str>,
-    /// What it can hold.
+    /// Total capacity.
     pub capacity: Capacity,
-    /// Whether it takes new work; else it is about to leave.
+    /// Whether the worker takes new runs; otherwise it is about to leave.
     pub ready: bool,
-    /// While it leaves: milliseconds until everything on it dies, at least.
+    /// While the worker is leaving: least time in milliseconds until all its runs are killed.
     pub remaining_ms: u64,
 }
 
-/// A worker in one of its lives.
+/// One incarnation of a worker.
 #[derive(Debug, Clone)]
 pub(crate) struct Worker {
-    /// Its name, which it may share with other lives.
+    /// Name of the worker, which other incarnations may share.
     pub(crate) id: Arc<str>,
-    /// When this life began, if it says so.
+    /// Start time, if the worker reports one.
     pub(crate) start_time: Option<u64>,
-    /// This life's own name.
+    /// Name of this incarnation.
     pub(crate) incarnation_name: Arc<str>,
-    /// When this life was first announced; 0 if it was not.
+    /// When this incarnation was first announced; 0 if it was not.
     pub(crate) registered_at: u64,
-    /// Whether another life of its name may be there instead: nothing new begins meanwhile.
+    /// Whether another incarnation may have replaced this one. No new run begins meanwhile.
     pub(crate) contested: bool,
-    /// What it announced; nothing if only records name it.
+    /// The announcement; `None` if only records name the worker.
     pub(crate) info: Option<WorkerInfo>,
-    /// Whether its announcement is still there.
+    /// Whether the announcement still exists.
     pub(crate) registered: bool,
-    /// Whether its availability zone is evacuated: it gets nothing new.
+    /// Whether the availability zone is evacuated, so that no new run begins.
     pub(crate) evacuated: bool,
-    /// Whether its life has ended.
+    /// Whether the incarnation has ended.
     pub(crate) dead: bool,
-    /// Whether it is among those that changed.
+    /// Whether the worker is in the list of changed workers.
     pub(crate) changed: bool,
-    /// Its clock's last reading and when that arrived.
+    /// The last reading of the worker's clock, and when it arrived on the local clock.
     pub(crate) clock: Option<(u64, u64)>,
-    /// The latest end of a lease that was sent, on its clock.
+    /// The latest end of a lease that was sent, on the worker's clock.
     pub(crate) granted_until: u64,
-    /// When leases of earlier owners are over on it.
+    /// When every lease from earlier owners has expired.
     pub(crate) prior_leases_end: u64,
-    /// When leases are over that it took from orders meant for an earlier life.
+    /// When every lease has expired that this incarnation may have taken from orders for an
+    /// earlier one.
     pub(crate) misdirected_lease_end: u64,
-    /// When leases are over that a later life of its name may have taken from orders for this
+    /// When every lease has expired that a later incarnation may have taken from orders for this
     /// one.
     pub(crate) successor_lease_end: u64,
-    /// Highest end that was counted.
+    /// Highest number of an end that was counted.
     pub(crate) counted_end: u64,
-    /// Highest end whose count is durable.
+    /// Highest number of an end whose count is durable.
     pub(crate) durable_end: u64,
-    /// The first end that it listed last.
+    /// Lowest number of an end in the last report.
     pub(crate) first_end: Option<u64>,
-    /// Whether a look is under way.
+    /// Whether a poll is in flight.
     pub(crate) poll_in_flight: bool,
-    /// When the last look was sent.
+    /// When the last poll was sent.
     pub(crate) polled_at: u64,
-    /// No look before this time.
+    /// No poll is sent before this time.
     pub(crate) next_poll_at: u64,
-    /// In how many milliseconds a run here has stood still for too long, if none moves.
+    /// In how many milliseconds the first run counts as stalled, if it makes no progress.
     pub(crate) stall_due: Option<u64>,
-    /// The latest time for which a reminder is set.
+    /// The time for which a timer was last set.
     pub(crate) timer_at: u64,
-    /// Since when it has not answered.
+    /// Since when the worker has not answered.
     pub(crate) silent_since: Option<u64>,
-    /// Whether its machine has refused a connection since: its process has ended.
+    /// Whether the machine has refused a connection since, so that the process has ended.
     pub(crate) process_ended: bool,
-    /// Whether that was taken note of for the tasks there.
+    /// Whether the crash was recorded for the tasks on the worker.
     pub(crate) crash_recorded: bool,
-    /// When the last look was sent that got no answer.
+    /// When the last unanswered poll was sent.
     pub(crate) unanswered_poll: Option<u64>,
-    /// When it began to leave.
+    /// When the worker began to leave.
     pub(crate) leaving_since: Option<u64>,
-    /// Runs on it, sorted.
+    /// Tasks with a run on the worker, sorted.
     pub(crate) runs: Vec<TaskId>,
-    /// The suspect that runs on it apart: nothing else begins there meanwhile.
+    /// The suspect that runs here in isolation. No other run begins meanwhile.
     pub(crate) isolated_task: Option<TaskId>,
-    /// Runs on it that nobody wants.
+    /// Runs on the worker that are not wanted.
     pub(crate) orphans: Vec<Orphan>,
-    /// Starts that may still be carried out, by this life or the next, whose runs were given up.
+    /// Starts of abandoned runs that this incarnation or the next one may still carry out.
     pub(crate) late_starts: Vec<LateStart>,
-    /// Room that is taken; `cpu` without tasks that fill.
+    /// Used capacity; `cpu` excludes best-effort tasks.
     pub(crate) used: Capacity,
-    /// Thousandths of a core that its filling tasks ask for.
+    /// CPU that best-effort tasks request, in thousandths of a core.
     pub(crate) best_effort_cpu: u64,
-    /// Tasks on it that serve under a target.
+    /// Number of serving tasks.
     pub(crate) serving_tasks: u32,
-    /// Tasks on it that last.
+    /// Number of long-running tasks.
     pub(crate) long_running_tasks: u32,
-    /// Room that these take up.
+    /// Capacity that long-running tasks use.
     pub(crate) long_running_size: Capacity,
-    /// Runs that failed or hung on it since one did well.
+    /// Number of runs that failed or stalled since the last one that succeeded.
     pub(crate) failures: u32,
-    /// When the last of them did.
+    /// When the last of them failed or stalled.
     pub(crate) failed_at: u64,
-    /// Runs placed on it since then.
+    /// Number of runs placed since then.
     pub(crate) probes: u32,
-    /// When the last of these was placed.
+    /// When the last of them was placed.
     pub(crate) probed_at: u64,
-    /// No new runs before this time.
+    /// No new run is placed before this time.
     pub(crate) closed_until: u64,
-    /// Time that its tasks take against their estimate, in percent, averaged.
+    /// Average time of tasks in percent of their estimate.
     pub(crate) slowness: u64,
-    /// Thousandths of a core that its serving tasks ask for.
+    /// CPU that serving tasks request, in thousandths of a core.
     pub(crate) serving_cpu: u64,
-    /// Thousandths of a core that its serving tasks are thought to leave.
+    /// CPU that serving tasks are expected to leave unused, in thousandths of a core.
     pub(crate) spare_cpu: u64,
-    /// When its figures were last used.
+    /// When reported metrics were last used.
     pub(crate) metrics_at: u64,
-    /// Whether a tail on it was over its target then, and something filled.
+    /// Whether a tail latency was over its target then while a best-effort task ran.
     pub(crate) is_over_target: bool,
-    /// What its figures tell of the load of what serves there.
+    /// Tracks the serving tasks' own load from the reported metrics.
     pub(crate) own_load: OwnLoad,
-    /// What its serving tasks bear; nothing if that has to be worked out anew.
+    /// The interference that serving tasks can still bear; `None` if it has to be computed again.
     pub(crate) slack: Option<Slack>,
 }
 
@@ -232,55 +235,56 @@
         }
     }
 
-    /// Returns what it can hold.
+    /// Returns the total capacity; zero without an announcement.
     pub(crate) fn capacity(&self) -> Capacity {
         self.info.as_ref().map(|i| i.capacity).unwrap_or_default()
     }
 
-    /// Tells whether it has more than it can hold, since its room has shrunk.
+    /// Returns whether more capacity is used than the worker has, after its capacity has shrunk.
     pub(crate) fn is_overcommitted(&self) -> bool {
         let (capacity, used) = (self.capacity(), self.used);
         used.cpu > capacity.cpu || used.memory > capacity.memory || used.gpu > capacity.gpu
     }
 
-    /// Returns what share of its processors so many thousandths of a core are.
+    /// Returns `cpu`, in thousandths of a core, as a share of the worker's CPU capacity.
     pub(crate) fn cpu_share(&self, cpu: u64) -> f64 {
         cpu as f64 / self.capacity().cpu.max(1) as f64
     }
 
-    /// Tells whether new runs may be placed here.
+    /// Returns whether new runs may be placed on the worker.
     pub(crate) fn accepts_runs(&self, now: u64) -> bool {
         let ready = self.info.as_ref().is_some_and(|i| i.ready);
         ready && !self.evacuated && !self.contested && self.is_live() && self.closed_until <= now
     }
 
-    /// Tells whether it is listed and answers.
+    /// Returns whether the worker is announced and answers.
     pub(crate) fn is_live(&self) -> bool {
         self.registered && !self.dead && self.silent_since.is_none() && self.clock.is_some()
     }
 
-    /// Tells whether a suspect runs on it apart.
+    /// Returns whether a suspect runs here in isolation.
     pub(crate) fn is_isolating(&self) -> bool {
         self.isolated_task.is_some() && self.is_live()
     }
 
-    /// Tells whether it may be sent orders: it has been heard, and its life has not ended.
+    /// Returns whether orders may be sent: the worker has reported, and the incarnation has not
+    /// ended.
     pub(crate) fn can_take_orders(&self) -> bool {
         !self.dead && self.info.is_some() && self.clock.is_some()
     }
 
-    /// Returns the end of a lease that is granted now, on the worker's clock, by an owner
-    /// with this last contact with the store; nothing if that was too long ago.
+    /// Returns the end of a lease that is granted now, on the worker's clock, or `None` if the
+    /// last contact with the store was too long ago.
     ///
-    /// It counts from a reading of that clock that is already past, so that a
-    /// delayed order grants no more than its sender knows of.
+    /// The lease counts from the last known reading of the worker's clock, so that a delayed
+    /// order grants no more than its sender accounts for.
     pub(crate) fn deadline(&self, settings: &Settings, store_contact: u64) -> Option<u64> {
         let (reading, at) = self.clock?;
         let remaining = (store_contact + settings.store_grace).saturating_sub(at);
         (remaining > 0).then_some(reading + settings.lease.min(remaining))
     }
 
-    /// Returns when every lease that any owner granted here is over, on our clock.
+    /// Returns when every lease that any owner granted has expired, on the local clock.
     pub(crate) fn leases_end(&self) -> u64 {
         let others = self.prior_leases_end.max(self.misdirected_lease_end);
         let Some((reading, at)) = self.clock else {
@@ -291,11 +295,11 @@
         own.max(others)
     }
 
-    /// Takes note of an answer that showed `reading` on its clock.
+    /// Records the reading of the worker's clock in an answer.
     ///
-    /// From the first one on it refuses earlier owners; what they granted before is a lease
-    /// from then on at the most. An owner whose last contact with the store is long past
-    /// promises less than that.
+    /// From its first answer on, the worker refuses orders of earlier owners. So a lease that
+    /// they granted lasts at most one lease duration from that answer, and less if their last
+    /// contact with the store was long ago.
     pub(crate) fn note_clock(&mut self, reading: u64, now: u64, settings: &Settings) {
         if self.clock.is_none() {
             let latest = now + lease_upper_bound(settings.lease);
@@ -304,12 +308,12 @@
         self.clock = Some((reading, now));
     }
 
-    /// Tells whether its runs are over without its word: its life's leases are, and it was
-    /// asked just before and gave no answer.
+    /// Returns whether the runs are lost without a report: all leases have expired, and a recent
+    /// poll got no answer.
     ///
-    /// Time alone tells nothing: a worker that an owner had not asked yet listed runs
-    /// that were done, and these were started again. One that only records name can't
-    /// be asked.
+    /// Expired leases alone are not enough: a worker that the owner has not polled yet may report
+    /// runs as done, which would have been started again. A worker that only records name can't
+    /// be polled.
     pub(crate) fn is_lost(&self, now: u64) -> bool {
         let is_unanswered = self
             .unanswered_poll
@@ -319,7 +323,7 @@
         (is_silent || is_unannounced) && now > self.leases_end()
     }
 
-    /// Takes up room for a run of a step.
+    /// Reserves capacity for a run of a step.
     pub(crate) fn reserve(&mut self, task: TaskId, step: &Step) {
         if let Err(at) = self.runs.binary_search(&task) {
             self.runs.insert(at, task);
@@ -336,7 +340,7 @@
         self.spare_cpu += unused_cpu(step);
     }
 
-    /// Gives back the room of a run of a step.
+    /// Releases the capacity of a run of a step.
     pub(crate) fn release(&mut self, task: TaskId, step: &Step) {
         let Ok(at) = self.runs.binary_search(&task) else {
             return;
@@ -354,13 +358,13 @@
         self.spare_cpu -= unused_cpu(step).min(self.spare_cpu);
     }
 
-    /// Takes up room for a run that is not wanted.
+    /// Adds an orphan and reserves its capacity.
     pub(crate) fn add_orphan(&mut self, orphan: Orphan) {
         self.used.add(orphan.size);
         self.orphans.push(orphan);
     }
 
-    /// Gives back the room of runs that are not wanted and gone.
+    /// Removes orphans that are gone and releases their capacity.
     pub(crate) fn drop_orphans(&mut self, is_gone: impl Fn(&Orphan) -> bool) {
         let mut at = 0;
         while at < self.orphans.len() {
@@ -374,7 +378,7 @@
     }
 }
 
-/// Returns the room that a task of a step takes up.
+/// Returns the capacity that a task of a step uses. Best-effort tasks use no reserved CPU.
 pub(crate) fn demand(step: &Step) -> Capacity {
     Capacity {
         cpu: if step.best_effort { 0 } else { step.cpu },
--- a/crates/jobs/src/settings.rs
+++ b/crates/jobs/src/settings.rs
@@ -1,54 +1,56 @@
-//! Limits and times of the decisions.
+//! Limits and durations that the machine works with.
 
-/// Limits and times, all in milliseconds of a steady clock unless said otherwise.
+/// Limits and durations. Durations are milliseconds on a monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// Length of a lease on what a worker runs. A takeover has to fit in, a
-    /// worker that vanished holds its tasks for as long.
+    /// Length of a lease on the runs of a worker. A takeover has to fit into a lease, and
+    /// the tasks of a worker that vanished can't be placed again for as long.
     pub lease: u64,
-    /// No lease on what a worker runs reaches further than this beyond the owner's last
-    /// contact with the store. A successor that can't ask a worker waits for as long; work
-    /// outlasts a silent store for three seconds less, by the looks that are under way.
+    /// Longest time after the owner's last contact with the store for which a lease on the
+    /// runs of a worker is granted. A successor that can't poll a worker waits for as long.
+    /// Runs outlast a store outage for three seconds less because of the polls in flight.
     pub store_grace: u64,
-    /// Longest lease that a worker grants, whatever it is asked for. An order that was meant
-    /// for an earlier life of a worker asks for too much, since that one's clock was ahead.
+    /// Longest lease that a worker accepts, whatever the order says. An order that was meant
+    /// for an earlier incarnation asks for too much because that incarnation's clock was ahead.
     pub max_lease: u64,
-    /// How long a look waits at a worker for an end.
+    /// How long a worker may hold a poll while it waits for a run to end.
     pub poll_wait: u64,
-    /// Between looks while ends wait to become durable.
+    /// Delay between polls while reported ends are not durable yet.
     pub repoll_delay: u64,
-    /// A look without an answer for this long, beyond its wait, has failed.
+    /// A poll fails without an answer within this time, beyond the time that the worker may
+    /// hold it.
     pub poll_timeout: u64,
-    /// A run whose progress stands still for this long hangs.
+    /// A run without progress for this long counts as stalled.
     pub stall_limit: u64,
-    /// First time that a worker which fails everything gets no work.
+    /// First quarantine of a worker on which every run fails.
     pub quarantine: u64,
-    /// Longest such time.
+    /// Longest quarantine.
     pub max_quarantine: u64,
-    /// Nothing is placed while the workers' announcements are known less recently than
-    /// this: one of them may leave.
+    /// Nothing is placed while the last complete read of the workers' announcements is older
+    /// than this, since a worker may be about to leave.
     pub max_staleness: u64,
-    /// Records that one commit carries beside rows of the log; a transaction holds 100 entries.
+    /// Maximum number of records in one commit, which also carries rows of the log: a
+    /// transaction of the store holds 100 entries.
     pub batch_records: usize,
-    /// Rows of the log beyond which its oldest ones are dropped.
+    /// Number of rows of the log above which the oldest ones are deleted.
     pub log_rows: usize,
 }
 
-/// Slowest rate of a worker's clock against ours, in percent.
+/// Lowest rate of a worker's clock relative to the local one.
 const MIN_CLOCK_RATE_PERCENT: u64 = 98;
 
-/// Added to a computed end of a lease: a reading is in whole milliseconds and
-/// timers are late.
+/// Margin on a computed end of a lease: clock readings are rounded to milliseconds and
+/// timers fire late.
 const LEASE_MARGIN_MS: u64 = 60;
 
-/// Returns how much a worker's clock goes on at least while ours goes on by `ms`, both in
-/// milliseconds.
+/// Returns the least time in milliseconds by which a worker's clock advances while the local
+/// clock advances by `ms` milliseconds.
 pub(crate) fn min_clock_advance(ms: u64) -> u64 {
     ms * MIN_CLOCK_RATE_PERCENT / 100
 }
 
-/// Returns how long a lease may last by our clock that lasts `ms` by a worker's, both in
-/// milliseconds.
+/// Returns the longest time in milliseconds on the local clock for which a lease of `ms`
+/// milliseconds on a worker's clock may last.
 pub fn lease_upper_bound(ms: u64) -> u64 {
     ms * 100 / MIN_CLOCK_RATE_PERCENT + LEASE_MARGIN_MS
 }
@@ -57,9 +59,9 @@
     fn default() -> Settings {
         Settings {
             lease: 6000,
-            // The users allow a lasting task to be away for 10 s after the last trouble. With
-            // the slowest clock, renewals and a restart this makes 9.5 s. Two tasks were lost
-            // that were away for 14.5 s, since their worker could not be asked.
+            // A long-running task may be away for at most 10 s after the last fault. With the
+            // slowest clock, renewals and a restart, this value makes 9.5 s. Tasks on a worker
+            // that could not be polled exceeded the limit when they were away for 14.5 s.
             store_grace: 8500,
             max_lease: 10_000,
             poll_wait: 1000,
@@ -68,11 +70,11 @@
             stall_limit: 1300,
             quarantine: 2000,
             max_quarantine: 4000,
-            // The users allow 3 s from the announcement to the last start; a start is given
-            // up after 0.7 s.
+            // The last start may reach a worker at most 3 s after it announced to leave, and a
+            // start is given up after 0.7 s.
             max_staleness: 2000,
             batch_records: 75,
-            // One page of the users' store holds them.
+            // A page of the store holds this many rows.
             log_rows: 400,
         }
     }
--- a/crates/jobs/src/sorted_map.rs
+++ b/crates/jobs/src/sorted_map.rs
@@ -1,9 +1,9 @@
-//! A map as a sorted vector.
+//! A map backed by sorted vectors.
 
-/// Entries by key, found by binary search.
+/// A map that finds entries by binary search.
 ///
-/// The keys lie side by side: a search among thousands of large entries touches a few
-/// lines of memory only.
+/// The keys are stored contiguously, apart from the values, so that a search among thousands
+/// of large entries touches only a few cache lines. Inserting and removing take linear time.
 #[derive(Debug, Clone)]
 pub struct SortedMap<K, V> {
     keys: Vec<K>,
@@ -20,7 +20,7 @@
 }
 
 impl<K: Ord, V> SortedMap<K, V> {
-    /// Returns the entry of a key.
+    /// Returns the value of a key.
     pub fn get<Q: Ord + ?Sized>(&self, key: &Q) -> Option<&V>
     where
         K: std::borrow::Borrow<Q>,
@@ -29,7 +29,7 @@
         Some(&self.values[at])
     }
 
-    /// Returns the entry of a key, to be changed.
+    /// Returns a mutable reference to the value of a key.
     pub fn get_mut<Q: Ord + ?Sized>(&mut self, key: &Q) -> Option<&mut V>
     where
         K: std::borrow::Borrow<Q>,
@@ -38,7 +38,7 @@
         Some(&mut self.values[at])
     }
 
-    /// Returns the entry of a key, made with its default if there is none.
+    /// Returns the value of a key, inserting the default value if the key is missing.
     pub fn or_default(&mut self, key: &K) -> &mut V
     where
         K: Clone,
@@ -55,7 +55,7 @@
         &mut self.values[at]
     }
 
-    /// Sets the entry of a key and returns the one it replaces.
+    /// Sets the value of a key and returns the previous value.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         match self.find(&key) {
             Ok(at) => Some(std::mem::replace(&mut self.values[at], value)),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Removes the entry of a key.
+    /// Removes a key and returns its value.
     pub fn remove<Q: Ord + ?Sized>(&mut self, key: &Q) -> Option<V>
     where
         K: std::borrow::Borrow<Q>,
@@ -77,12 +77,12 @@
         Some(self.values.remove(at))
     }
 
-    /// Returns the entries in the order of their keys.
+    /// Returns the entries in key order.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.keys.iter().zip(&self.values)
     }
 
-    /// Returns the entries in the order of their keys, to be changed.
+    /// Returns the entries in key order, with mutable values.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&K, &mut V)> {
         self.keys.iter().zip(&mut self.values)
     }
@@ -92,7 +92,7 @@
         self.keys.len()
     }
 
-    /// Tells whether there is no entry.
+    /// Returns whether the map has no entries.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
--- a/crates/jobs/src/stats.rs
+++ b/crates/jobs/src/stats.rs
@@ -1,53 +1,54 @@
-//! Figures for operators.
+//! Statistics for operators.
 
-/// What the machine counts.
+/// Counters and gauges of the machine. Counters cover the time since the takeover.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Jobs that are not finished.
     pub open_jobs: u64,
-    /// Tasks that are kept in memory, of finished jobs as well.
+    /// Tasks in memory, including those of finished jobs.
     pub tasks: u64,
-    /// Starts that were sent.
+    /// Starts sent.
     pub starts: u64,
-    /// Runs that did their work.
+    /// Runs that completed their work.
     pub done: u64,
     /// Runs that failed.
     pub failed: u64,
-    /// Runs that ended otherwise.
+    /// Runs that ended in any other way.
     pub stopped: u64,
-    /// Starts that workers refused, rejected ones included.
+    /// Starts that workers refused, including rejected ones.
     pub refused: u64,
-    /// Starts that workers rejected for the checkpoint that they brought.
+    /// Starts that workers rejected because of their checkpoint.
     pub rejected: u64,
     /// Starts without an answer.
     pub unanswered_starts: u64,
-    /// Runs given up since their leases were over.
+    /// Runs given up because their leases had expired.
     pub lapsed: u64,
-    /// Runs lost with their workers, for whatever cause; those whose leases were over as well.
+    /// Runs lost with their workers for any reason, including expired leases.
     pub lost: u64,
-    /// Jobs given up since a task of theirs crashed its workers.
+    /// Jobs that failed because one of their tasks crashed its workers.
     pub jobs_given_up: u64,
-    /// Runs of earlier owners on workers that were not heard yet; they hold their tasks.
+    /// Runs of earlier owners on workers that have not reported yet. Their tasks are not placed
+    /// again.
     pub unverified_runs: u64,
-    /// Jobs of which nothing has run for seconds though a task could.
+    /// Jobs that have had no run for seconds although one of their tasks could run.
     pub starved_jobs: u64,
-    /// Tasks that have a run. None beside jobs that stand still: a guard keeps work from all
-    /// workers.
+    /// Tasks that have a run. Zero together with starved jobs means that a safety check
+    /// excludes all workers.
     pub running: u64,
-    /// Looks that were sent.
+    /// Polls sent.
     pub polls: u64,
     /// Passes of placement over the open jobs.
     pub passes: u64,
-    /// Workers that were rated for a step, in all passes.
+    /// Ratings of a worker for a step, over all passes.
     pub ratings: u64,
-    /// Passes that left steps to the next one.
+    /// Passes that left steps to the next pass.
     pub truncated_passes: u64,
-    /// Passes that were held back, since starts were answered late.
+    /// Passes that were throttled because starts were answered late.
     pub throttled_passes: u64,
-    /// Passes that placed nothing, since too little was known of the workers.
+    /// Passes that placed nothing because too little was known about the workers.
     pub skipped_passes: u64,
-    /// How old what is known of the workers' announcements is, in milliseconds.
+    /// Age of the last complete read of the workers' announcements, in milliseconds.
     pub workers_age_ms: u64,
-    /// Batches that were sent to be committed.
+    /// Batches sent to be committed.
     pub commits: u64,
 }
--- a/crates/jobs/src/summary.rs
+++ b/crates/jobs/src/summary.rs
@@ -1,12 +1,11 @@
-//! A line a second that tells how full the workers are.
+//! A periodic log line with the load of the workers.
 
 use crate::{machine::Machine, runs::worker::Capacity};
 
-/// Milliseconds from one line to the next.
 const LOG_PERIOD_MS: u64 = 1000;
 
 impl Machine {
-    /// Logs how full the workers are, and what waits.
+    /// Logs the load of the workers and the numbers of waiting and running tasks.
     pub(crate) fn log_load(&mut self) {
         if self.now < self.last_load_log + LOG_PERIOD_MS {
             return;
--- a/crates/jobs/src/takeover.rs
+++ b/crates/jobs/src/takeover.rs
@@ -1,12 +1,11 @@
-//! What a new owner knows of the time before its own.
+//! The state that a new owner starts from.
 
-/// What a new owner knows of the time before its own; both on its steady clock, in
-/// milliseconds.
+/// When a new owner took over. Both times are milliseconds on the owner's monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Takeover {
-    /// When it asked for the lease on the jobs that it was given: its first contact with the
-    /// store. A successor counts from when that was done, however late the answer was read.
+    /// When the owner requested the lease on the jobs: its first contact with the store. A
+    /// successor counts from the time of the grant, however late the answer was read.
     pub asked_at: u64,
-    /// When all leases of workers are over that earlier owners may have granted.
+    /// When every lease on a worker that earlier owners may have granted has expired.
     pub prior_leases_end: u64,
 }
