--- a/crates/jobs/src/model/crash_tests.rs
+++ b/crates/jobs/src/model/crash_tests.rs
@@ -8,27 +8,27 @@
 };
 
 fn crashes(blames: &[Blame]) -> Crashes {
-    let mut out = Crashes::default();
+    let mut crashes = Crashes::default();
     for (at, &blame) in blames.iter().enumerate() {
-        out.add(&format!("w{at}").into(), blame);
+        crashes.add(&format!("w{at}").into(), blame);
     }
-    out
+    crashes
 }
 
 #[test]
-fn a_life_of_a_worker_counts_once() {
-    let mut some = crashes(&[Blame::Own, Blame::Own]);
-    some.add(&"w0".into(), Blame::Own);
-    assert_eq!(some.count(), 2);
-    assert!(!some.is_proven_cause());
-    some.add(&"w9".into(), Blame::Shared);
-    assert!(!some.is_proven_cause());
-    some.add(&"w8".into(), Blame::Close);
-    assert!(some.is_proven_cause());
+fn an_incarnation_of_a_worker_counts_once() {
+    let mut crashes = crashes(&[Blame::Own, Blame::Own]);
+    crashes.add(&"w0".into(), Blame::Own);
+    assert_eq!(crashes.count(), 2);
+    assert!(!crashes.is_proven_cause());
+    crashes.add(&"w9".into(), Blame::Shared);
+    assert!(!crashes.is_proven_cause());
+    crashes.add(&"w8".into(), Blame::Close);
+    assert!(crashes.is_proven_cause());
 }
 
 #[test]
-fn what_others_may_have_caused_proves_nothing() {
+fn crashes_that_others_may_have_caused_prove_nothing() {
     assert!(!crashes(&[Blame::Shared; 9]).is_proven_cause());
     assert!(!crashes(&[Blame::Close; 9]).is_proven_cause());
     assert!(!crashes(&[Blame::Close, Blame::Close, Blame::Own]).is_proven_cause());
@@ -40,7 +40,7 @@
 /// Guards against giving up a task that happened to run on workers which other tasks crashed:
 /// two crashes of blame `Own` after such a history may still be a coincidence.
 #[test]
-fn more_is_needed_where_others_may_have_caused_the_first() {
+fn more_evidence_is_needed_after_crashes_that_others_may_have_caused() {
     let mut blames = vec![Blame::Shared, Blame::Shared, Blame::Own, Blame::Own];
     assert!(!crashes(&blames).is_proven_cause());
     blames.push(Blame::Shared);
@@ -49,7 +49,7 @@
 
 /// After five crashes weaker evidence is enough, since a sixth start is not allowed.
 #[test]
-fn five_crashes_need_less() {
+fn less_evidence_is_needed_after_five_crashes() {
     let mut blames = vec![Blame::Shared, Blame::Close, Blame::Shared, Blame::Own];
     assert!(!crashes(&blames).is_proven_cause());
     blames.push(Blame::Shared);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn one_crash_makes_a_suspect_only_of_what_had_just_begun() {
+fn a_single_crash_makes_a_suspect_only_of_a_task_that_had_just_begun() {
     assert!(!crashes(&[Blame::Shared]).is_suspect());
     assert!(crashes(&[Blame::Shared, Blame::Shared]).is_suspect());
     assert!(!crashes(&[Blame::Shared, Blame::Shared]).is_likely_cause());
@@ -85,15 +85,15 @@
 }
 
 #[test]
-fn a_record_holds_them() {
-    let kept = record(crashes(&[Blame::Close, Blame::Own]));
-    let read = Record::decode(&kept.encode()).expect("own record");
-    assert_eq!(read, kept);
+fn a_record_with_crashes_round_trips() {
+    let written = record(crashes(&[Blame::Close, Blame::Own]));
+    let read = Record::decode(&written.encode()).expect("own record");
+    assert_eq!(read, written);
 }
 
 /// Records without crashes keep the encoding of versions that did not store crashes.
 #[test]
-fn a_record_without_them_is_read() {
+fn a_record_without_crashes_keeps_the_old_encoding() {
     type Old = (Outcome, Vec<(u32, u32)>, Vec<OldTask>);
     type OldTask = (
         (u32, u32, u32),
@@ -106,7 +106,7 @@
     let task: OldTask = ((0, 0, 1), false, 2, Some("w1".into()), vec![1], "".into());
     let old: Old = (Outcome::Active, Vec::new(), vec![task]);
     let bytes = rmp_serde::to_vec(&old).expect("plain data");
-    let kept = record(Crashes::default());
-    assert_eq!(kept.encode(), bytes);
-    assert_eq!(Record::decode(&bytes).expect("an old record"), kept);
+    let written = record(Crashes::default());
+    assert_eq!(written.encode(), bytes);
+    assert_eq!(Record::decode(&bytes).expect("an old record"), written);
 }
--- a/crates/jobs/src/model/task.rs
+++ b/crates/jobs/src/model/task.rs
@@ -124,10 +124,10 @@
     /// clearly below the target is enough.
     pub(crate) fn record_latency(&mut self, share: f64, min_headroom: f64, now: u64) {
         let is_below = share < 1.0;
-        let expected = share < CLEARLY_BELOW_TARGET && min_headroom > 1.0 / CLEARLY_BELOW_TARGET;
+        let step_agrees = share < CLEARLY_BELOW_TARGET && min_headroom > 1.0 / CLEARLY_BELOW_TARGET;
         if !is_below {
             self.over_since = self.over_since.or(Some(now));
-        } else if self.was_below || share < FAR_BELOW_TARGET || expected {
+        } else if self.was_below || share < FAR_BELOW_TARGET || step_agrees {
             self.over_since = None;
         }
         self.was_below = is_below;
--- a/crates/jobs/src/model/task_tests.rs
+++ b/crates/jobs/src/model/task_tests.rs
@@ -20,13 +20,13 @@
 }
 
 #[test_case(HIGH_HEADROOM, &[80, 92, 99] => false; "below the target")]
-#[test_case(HIGH_HEADROOM, &[80, 101] => true; "once above it")]
-#[test_case(HIGH_HEADROOM, &[105, 85] => false; "clearly lower once, as the step")]
-#[test_case(LOW_HEADROOM, &[105, 85] => true; "lower once, at the peak of the step")]
-#[test_case(HIGH_HEADROOM, &[105, 95] => true; "hardly lower once")]
-#[test_case(LOW_HEADROOM, &[105, 95, 97] => false; "lower twice in a row")]
-#[test_case(LOW_HEADROOM, &[105, 102, 76, 104] => true; "one low figure among high ones")]
-#[test_case(LOW_HEADROOM, &[105, 50] => false; "far lower once")]
-fn a_tail_counts_as_over_its_target(min_headroom: f64, percents: &[u32]) -> bool {
+#[test_case(HIGH_HEADROOM, &[80, 101] => true; "above the target once")]
+#[test_case(HIGH_HEADROOM, &[105, 85] => false; "clearly below once, like the step")]
+#[test_case(LOW_HEADROOM, &[105, 85] => true; "below once, at the peak of the step")]
+#[test_case(HIGH_HEADROOM, &[105, 95] => true; "just below once")]
+#[test_case(LOW_HEADROOM, &[105, 95, 97] => false; "below twice in a row")]
+#[test_case(LOW_HEADROOM, &[105, 102, 76, 104] => true; "a single low value among high ones")]
+#[test_case(LOW_HEADROOM, &[105, 50] => false; "far below once")]
+fn detects_a_tail_latency_over_its_target(min_headroom: f64, percents: &[u32]) -> bool {
     is_over_target(min_headroom, percents)
 }
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -315,10 +315,10 @@
     /// runs as done, which would have been started again. A worker that only records name can't
     /// be polled.
     pub(crate) fn is_lost(&self, now: u64) -> bool {
-        let is_unanswered = self
+        let missed_recently = self
             .unanswered_poll
             .is_some_and(|at| now <= at + UNANSWERED_POLL_VALID_MS);
-        let is_silent = self.silent_since.is_some() && is_unanswered;
+        let is_silent = self.silent_since.is_some() && missed_recently;
         let is_unannounced = self.info.is_none();
         (is_silent || is_unannounced) && now > self.leases_end()
     }
