--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -31,7 +31,7 @@
     pub(crate) observed: Vec<(u32, u64)>,
 }
 
-/// The state machine that schedules all jobs of a shard. Only the owner of the lease runs it.
+/// The state machine that schedules all jobs. Only the owner of the lease on the jobs runs it.
 #[derive(Debug)]
 pub struct Machine {
     pub(crate) settings: Settings,
--- a/crates/jobs/src/model/task.rs
+++ b/crates/jobs/src/model/task.rs
@@ -59,7 +59,7 @@
     pub(crate) reported_at: Option<u64>,
     /// When the progress last changed, on the worker's clock; `None` before the first report.
     pub(crate) progressed_at: Option<u64>,
-    /// Pace in percent that the worker last confirmed, or [`UNKNOWN_PACE`].
+    /// Pace in percent that was last sent to the worker, or [`UNKNOWN_PACE`].
     pub(crate) pace: u32,
     /// Wanted pace in percent.
     pub(crate) wanted_pace: u32,
