--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -128,7 +128,7 @@
     pub(crate) timer_at: u64,
     /// Since when the worker has not answered.
     pub(crate) silent_since: Option<u64>,
-    /// Whether the machine has refused a connection since, so that the process has ended.
+    /// Whether the worker's machine has refused a connection since, so that the process has ended.
     pub(crate) process_ended: bool,
     /// Whether the crash was recorded for the tasks on the worker.
     pub(crate) crash_recorded: bool,
@@ -312,8 +312,8 @@
     /// poll got no answer.
     ///
     /// Expired leases alone are not enough: a worker that the owner has not polled yet may report
-    /// runs as done, which would have been started again. A worker that only records name can't
-    /// be polled.
+    /// runs as done, and these would be started again. A worker that only records name can't be
+    /// polled.
     pub(crate) fn is_lost(&self, now: u64) -> bool {
         let missed_recently = self
             .unanswered_poll
