--- a/crates/jobs/src/model/ids.rs
+++ b/crates/jobs/src/model/ids.rs
@@ -1,21 +1,20 @@
-//! Names of jobs and tasks.
+//! Identifiers of jobs and tasks.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, Snafu};
 
-/// Digits of a job's name.
-const DIGITS: usize = 16;
+const JOB_ID_DIGITS: usize = 16;
 
-/// Why a text is no name.
+/// The error for a text that is not an identifier of a job or a task.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("not a name of a job or task: {text}"))]
+#[snafu(display("invalid job or task ID: {text}"))]
 pub struct IdError {
     text: String,
 }
 
-/// A job's name: 16 hexadecimal digits in lower case, chosen by its caller.
+/// Identifier of a job, chosen by the caller and written as 16 lower-case hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
@@ -30,7 +29,7 @@
 
     fn from_str(text: &str) -> Result<JobId, IdError> {
         let context = IdSnafu { text };
-        let digits = text.len() == DIGITS && text.bytes().all(is_digit);
+        let digits = text.len() == JOB_ID_DIGITS && text.bytes().all(is_digit);
         let value = digits.then(|| u64::from_str_radix(text, 16).ok()).flatten();
         Ok(JobId(value.context(context)?))
     }
@@ -40,7 +39,7 @@
     matches!(byte, b'0'..=b'9' | b'a'..=b'f')
 }
 
-/// A task's name, written `job.time.step.index`.
+/// Identifier of a task, written as `job.repetition.step.index`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskId {
     /// The job.
@@ -70,10 +69,10 @@
         let mut parts = text.split('.');
         let job = parts.next().context(IdSnafu { text })?.parse()?;
         let mut number = || parts.next()?.parse().ok();
-        let (time, step, index) = (number(), number(), number());
+        let (repetition, step, index) = (number(), number(), number());
         let id = TaskId {
             job,
-            repetition: time.context(IdSnafu { text })?,
+            repetition: repetition.context(IdSnafu { text })?,
             step: step.context(IdSnafu { text })?,
             index: index.context(IdSnafu { text })?,
         };
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -183,7 +183,7 @@
         let Some(task) = task else {
             return;
         };
-        let first_listed = task.run.as_ref().and_then(|r| r.listed);
+        let first_listed = task.run.as_ref().and_then(|r| r.reported_at);
         let listed_ms = first_listed.map_or(0, |at| clock.saturating_sub(at));
         if listed_ms > task.crashes.isolation_ms() && self.fleet.get(slot).isolated_task == Some(id)
         {
--- a/crates/jobs/src/runs/reported.rs
+++ b/crates/jobs/src/runs/reported.rs
@@ -81,7 +81,7 @@
         }
         let is_settled = now > run.placed_at + SETTLED_MS && reported.percent == 100;
         let placed_at = run.placed_at;
-        run.listed.get_or_insert(clock);
+        run.reported_at.get_or_insert(clock);
         let worker = self.fleet.get(slot);
         if is_settled && worker.failures > 0 && placed_at > worker.failed_at {
             self.fleet.get_mut(slot).note_success();
