--- a/crates/core/src/config/configs.rs
+++ b/crates/core/src/config/configs.rs
@@ -75,8 +75,8 @@
         let mut out = Vec::new();
         for e in &self.entries {
             let found = known.binary_search_by(|k| k.org.cmp(&e.template.name));
-            let had = found.map_or(0, |i| known[i].version);
-            if e.version > had {
+            let known_version = found.map_or(0, |i| known[i].version);
+            if e.version > known_version {
                 out.push(e.clone());
             }
         }
--- a/crates/core/src/hashing.rs
+++ b/crates/core/src/hashing.rs
@@ -5,10 +5,10 @@
 use siphasher::sip::SipHasher13;
 
 /// Keys of the hash; changing them moves every shard.
-const KEYS: (u64, u64) = (0x67_6f72_7365, 0x7370_7572);
+const SIPHASH_KEYS: (u64, u64) = (0x67_6f72_7365, 0x7370_7572);
 
 /// Ends each part; not a byte of UTF-8 text.
-const END: u8 = 0xff;
+const PART_END: u8 = 0xff;
 
 /// A hasher that is the same in every process and release.
 #[derive(Debug, Clone)]
@@ -20,7 +20,7 @@
     /// Returns an empty hasher.
     pub fn new() -> StableHasher {
         StableHasher {
-            inner: SipHasher13::new_with_keys(KEYS.0, KEYS.1),
+            inner: SipHasher13::new_with_keys(SIPHASH_KEYS.0, SIPHASH_KEYS.1),
         }
     }
 }
@@ -43,12 +43,12 @@
 
 /// Returns a hash of the parts that is stable across processes and releases.
 pub fn stable_hash(parts: &[&str]) -> u64 {
-    let mut h = StableHasher::new();
+    let mut hasher = StableHasher::new();
     for part in parts {
-        h.write(part.as_bytes());
-        h.write(&[END]);
+        hasher.write(part.as_bytes());
+        hasher.write(&[PART_END]);
     }
-    h.finish()
+    hasher.finish()
 }
 
 /// Returns the candidate with the highest weight for `key`.
--- a/crates/core/src/member/peers.rs
+++ b/crates/core/src/member/peers.rs
@@ -35,7 +35,7 @@
 }
 
 /// Factor on the time limit for instances of other zones.
-const FAR: Millis = 4;
+const OTHER_ZONE_FACTOR: Millis = 4;
 
 /// Known instances, sorted by id.
 #[derive(Debug, Clone)]
@@ -58,11 +58,11 @@
     /// Takes note of a heartbeat; late and repeated ones change nothing.
     ///
     /// Returns whether it was news.
-    pub fn record_heartbeat(&mut self, now: Millis, beat: Heartbeat) -> bool {
-        let limit = self.limit(&beat.zone);
-        let addr = beat.addr;
+    pub fn record_heartbeat(&mut self, now: Millis, heartbeat: Heartbeat) -> bool {
+        let dead_after = self.dead_after(&heartbeat.zone);
+        let addr = heartbeat.addr;
         let peer = Peer {
-            heartbeat: beat,
+            heartbeat,
             addr,
             heartbeat_at: now,
             steady_since: now,
@@ -81,11 +81,15 @@
                 if order(&peer.heartbeat) <= order(&old.heartbeat) {
                     return false;
                 }
-                let gap = now.saturating_sub(old.heartbeat_at) > limit;
-                let reborn = peer.heartbeat.incarnation != old.heartbeat.incarnation;
-                let steady = if gap || reborn { now } else { old.steady_since };
+                let gap = now.saturating_sub(old.heartbeat_at) > dead_after;
+                let restarted = peer.heartbeat.incarnation != old.heartbeat.incarnation;
+                let steady_since = if gap || restarted {
+                    now
+                } else {
+                    old.steady_since
+                };
                 *old = Peer {
-                    steady_since: steady,
+                    steady_since,
                     ..peer
                 };
                 true
@@ -95,26 +99,26 @@
 
     /// Returns the time without a heartbeat after which an instance of `zone`
     /// counts as dead; those of other zones reach only some contacts here.
-    fn limit(&self, zone: &str) -> Millis {
+    fn dead_after(&self, zone: &str) -> Millis {
         if *zone == *self.zone {
             self.settings.dead_after
         } else {
-            self.settings.dead_after * FAR
+            self.settings.dead_after * OTHER_ZONE_FACTOR
         }
     }
 
     /// Forgets instances that have been dead for long.
     pub fn remove_dead(&mut self, now: Millis) {
-        let limit = self.settings.forget_after;
+        let forget_after = self.settings.forget_after;
         self.peers
-            .retain(|p| now.saturating_sub(p.heartbeat_at) < limit);
+            .retain(|p| now.saturating_sub(p.heartbeat_at) < forget_after);
     }
 
     /// Returns the instances that are alive, leaving ones included.
     pub fn live(&self, now: Millis) -> Vec<&Peer> {
         let mut out = Vec::new();
         for p in &self.peers {
-            if now.saturating_sub(p.heartbeat_at) <= self.limit(&p.heartbeat.zone) {
+            if now.saturating_sub(p.heartbeat_at) <= self.dead_after(&p.heartbeat.zone) {
                 out.push(p);
             }
         }
@@ -148,9 +152,9 @@
     pub fn owner_of(&self, now: Millis, shard: u32) -> Option<&Peer> {
         let mut best: Option<(u64, &Peer)> = None;
         for p in self.live(now) {
-            for c in &p.heartbeat.shards {
-                if c.shard == shard && best.is_none_or(|b| c.epoch > b.0) {
-                    best = Some((c.epoch, p));
+            for s in &p.heartbeat.shards {
+                if s.shard == shard && best.is_none_or(|b| s.epoch > b.0) {
+                    best = Some((s.epoch, p));
                 }
             }
         }
--- a/crates/core/src/owner/lease.rs
+++ b/crates/core/src/owner/lease.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone)]
 pub struct OwnerLease {
     lease: Millis,
-    proved: Millis,
-    ticked: Millis,
-    doubtful: bool,
+    confirmed_at: Millis,
+    ticked_at: Millis,
+    suspended: bool,
 }
 
 impl OwnerLease {
@@ -16,16 +16,16 @@
     pub fn new(lease: Millis, now: Millis) -> OwnerLease {
         OwnerLease {
             lease,
-            proved: now,
-            ticked: now,
-            doubtful: false,
+            confirmed_at: now,
+            ticked_at: now,
+            suspended: false,
         }
     }
 
     /// Takes note of a write that was sent at `sent` and took effect.
-    pub fn confirm(&mut self, sent: Millis) {
-        self.proved = self.proved.max(sent);
-        self.doubtful = false;
+    pub fn confirm(&mut self, sent_at: Millis) {
+        self.confirmed_at = self.confirmed_at.max(sent_at);
+        self.suspended = false;
     }
 
     /// Takes note that the owner runs at `now`.
@@ -33,10 +33,11 @@
     /// A gap of a lease between two notes means that the process was paused
     /// while another may have become the owner.
     pub fn tick(&mut self, now: Millis) {
-        if now.saturating_sub(self.ticked) >= self.lease && now >= self.proved + self.lease {
-            self.doubtful = true;
+        if now.saturating_sub(self.ticked_at) >= self.lease && now >= self.confirmed_at + self.lease
+        {
+            self.suspended = true;
         }
-        self.ticked = now;
+        self.ticked_at = now;
     }
 
     /// Tells whether the owner may command workers.
@@ -45,11 +46,11 @@
     /// runs, and starts nothing since starts need the journal. One that was
     /// paused across its lease may not before it proved its epoch again.
     pub fn can_act(&self) -> bool {
-        !self.doubtful
+        !self.suspended
     }
 
     /// Returns the time since the ownership was proved.
     pub fn age(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.proved)
+        now.saturating_sub(self.confirmed_at)
     }
 }
--- a/crates/core/src/owner/lease_watch.rs
+++ b/crates/core/src/owner/lease_watch.rs
@@ -8,8 +8,8 @@
 pub struct LeaseWatch {
     lease: Millis,
     version: Option<u64>,
-    since: Millis,
-    free: bool,
+    unchanged_since: Millis,
+    unowned: bool,
 }
 
 impl LeaseWatch {
@@ -18,8 +18,8 @@
         LeaseWatch {
             lease,
             version: None,
-            since: 0,
-            free: false,
+            unchanged_since: 0,
+            unowned: false,
         }
     }
 
@@ -27,26 +27,26 @@
     pub fn observe(&mut self, now: Millis, row: Option<&ShardRow>, version: u64) {
         if self.version != Some(version) {
             self.version = Some(version);
-            self.since = now;
+            self.unchanged_since = now;
         }
-        self.free = row.is_none_or(|r| r.owner.is_none());
+        self.unowned = row.is_none_or(|r| r.owner.is_none());
     }
 
     /// Tells whether the shard may be taken: it is free, or its owner did not
     /// renew for a lease.
     pub fn can_acquire(&self, now: Millis) -> bool {
-        let seen = self.version.is_some();
-        seen && (self.free || now >= self.since + self.lease)
+        let observed = self.version.is_some();
+        observed && (self.unowned || now >= self.unchanged_since + self.lease)
     }
 
     /// Tells whether the row has been as it is for at least `time`.
     pub fn is_unchanged_for(&self, now: Millis, time: Millis) -> bool {
-        now >= self.since + time
+        now >= self.unchanged_since + time
     }
 
     /// Forgets what was seen, for example after a pause of this process.
     pub fn reset(&mut self) {
         self.version = None;
-        self.free = false;
+        self.unowned = false;
     }
 }
--- a/crates/core/src/owner/resolve.rs
+++ b/crates/core/src/owner/resolve.rs
@@ -15,11 +15,16 @@
 }
 
 /// Resolves a write with `token` that expected `version`.
-pub fn resolve_write(token: u64, version: u64, row: Option<&ShardRow>, found: u64) -> WriteOutcome {
+pub fn resolve_write(
+    token: u64,
+    expected_version: u64,
+    row: Option<&ShardRow>,
+    found_version: u64,
+) -> WriteOutcome {
     if row.is_some_and(|r| r.token == token) {
-        return WriteOutcome::Applied(found);
+        return WriteOutcome::Applied(found_version);
     }
-    if found == version {
+    if found_version == expected_version {
         return WriteOutcome::Repeat;
     }
     WriteOutcome::Lost
--- a/crates/core/src/retry/backoff.rs
+++ b/crates/core/src/retry/backoff.rs
@@ -7,32 +7,32 @@
 /// Delays that double up to a bound; each is drawn from its upper half.
 #[derive(Debug, Clone)]
 pub struct Backoff {
-    first: Millis,
-    most: Millis,
-    tries: u32,
+    initial: Millis,
+    max: Millis,
+    attempts: u32,
     rng: SmallRng,
 }
 
 impl Backoff {
     /// Returns a backoff from `first` to `most`.
-    pub fn new(first: Millis, most: Millis, seed: u64) -> Backoff {
+    pub fn new(initial: Millis, max: Millis, seed: u64) -> Backoff {
         Backoff {
-            first: first.max(1),
-            most: most.max(1),
-            tries: 0,
+            initial: initial.max(1),
+            max: max.max(1),
+            attempts: 0,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
     /// Returns the next delay.
     pub fn next_delay(&mut self) -> Millis {
-        let full = (self.first << self.tries.min(20)).min(self.most);
-        self.tries += 1;
-        self.rng.random_range(full / 2..=full)
+        let delay = (self.initial << self.attempts.min(20)).min(self.max);
+        self.attempts += 1;
+        self.rng.random_range(delay / 2..=delay)
     }
 
     /// Starts over after a success.
     pub fn reset(&mut self) {
-        self.tries = 0;
+        self.attempts = 0;
     }
 }
--- a/crates/core/src/retry/breaker.rs
+++ b/crates/core/src/retry/breaker.rs
@@ -5,32 +5,32 @@
 /// Refuses calls for a while after failures in a row, then lets one through.
 #[derive(Debug, Clone)]
 pub struct CircuitBreaker {
-    limit: u32,
-    pause: Millis,
+    failure_threshold: u32,
+    open_time: Millis,
     failures: u32,
-    until: Millis,
+    open_until: Millis,
 }
 
 impl CircuitBreaker {
     /// Opens for `pause` after `limit` failures in a row.
-    pub fn new(limit: u32, pause: Millis) -> CircuitBreaker {
+    pub fn new(failure_threshold: u32, open_time: Millis) -> CircuitBreaker {
         CircuitBreaker {
-            limit,
-            pause,
+            failure_threshold,
+            open_time,
             failures: 0,
-            until: 0,
+            open_until: 0,
         }
     }
 
     /// Tells whether a call may be made; an open breaker lets one through each pause.
     pub fn allow(&mut self, now: Millis) -> bool {
-        if self.failures < self.limit {
+        if self.failures < self.failure_threshold {
             return true;
         }
-        if now < self.until {
+        if now < self.open_until {
             return false;
         }
-        self.until = now + self.pause;
+        self.open_until = now + self.open_time;
         true
     }
 
@@ -41,8 +41,8 @@
             return;
         }
         self.failures = self.failures.saturating_add(1);
-        if self.failures >= self.limit {
-            self.until = now + self.pause;
+        if self.failures >= self.failure_threshold {
+            self.open_until = now + self.open_time;
         }
     }
 }
--- a/crates/core/src/route/admit.rs
+++ b/crates/core/src/route/admit.rs
@@ -3,7 +3,7 @@
 use super::{
     Arrival, AttemptOutcome, Refusal, RoutePolicy, Router,
     request::{QueueEntry, Request},
-    router::RETRY_AFTER,
+    router::RETRY_AFTER_MS,
 };
 use crate::{
     Millis,
@@ -12,28 +12,28 @@
 
 /// Share of the deadline that must be left for a retry to make sense: the
 /// service's mean time times this.
-const ROOM: f64 = 1.0;
+const MIN_TIME_FACTOR: f64 = 1.0;
 
 /// Shares of a retry are counted in thousandths, templates in hundredths.
-const TENFOLD: u32 = 10;
+const PERMILLE_PER_PERCENT: u32 = 10;
 
 impl Router {
     pub(super) fn admit(&mut self, now: Millis, a: &Arrival) {
         self.counts.requests += 1;
-        let share = self.settings.max_org_requests;
-        let hedges = self.settings.hedge_permille;
+        let max_requests = self.settings.max_org_requests;
+        let hedge_permille = self.settings.hedge_permille;
         let org = self.org_usage(&a.org);
-        org.retries.deposit(a.retry_percent * TENFOLD);
-        org.hedges.deposit(hedges);
-        let (here, waiting) = (org.open_requests, org.queued);
+        org.retries.deposit(a.retry_percent * PERMILLE_PER_PERCENT);
+        org.hedges.deposit(hedge_permille);
+        let (open, queued) = (org.open_requests, org.queued);
         let Some(service) = self.service_index(&a.org, &a.service) else {
-            return self.turn_away(a.req, Refusal::NoTarget);
+            return self.refuse_arrival(a.req, Refusal::NoTarget);
         };
         if self.services[service].targets.iter().all(|t| t.leaving) {
-            return self.turn_away(a.req, Refusal::NoTarget);
+            return self.refuse_arrival(a.req, Refusal::NoTarget);
         }
-        if here >= share {
-            return self.turn_away(a.req, Refusal::OverShare);
+        if open >= max_requests {
+            return self.refuse_arrival(a.req, Refusal::OverShare);
         }
         let request = Request {
             req: a.req,
@@ -47,16 +47,16 @@
             may_have_run: false,
         };
         let Err(i) = self.requests.binary_search_by_key(&a.req, |r| r.req) else {
-            return self.turn_away(a.req, Refusal::QueueFull);
+            return self.refuse_arrival(a.req, Refusal::QueueFull);
         };
         self.requests.insert(i, request);
         self.org_usage(&a.org).open_requests += 1;
-        let first = self.services[service].queued.is_empty();
-        let ahead = self.ahead(service, a.priority);
-        if (first || ahead == 0) && self.send(now, i) {
+        let queue_is_empty = self.services[service].queued.is_empty();
+        let ahead = self.queued_ahead(service, a.priority);
+        if (queue_is_empty || ahead == 0) && self.send(now, i) {
             return;
         }
-        if waiting >= a.max_queued as usize && !self.displace(service, a) {
+        if queued >= a.max_queued as usize && !self.displace(service, a) {
             return self.refuse(i, Refusal::QueueFull);
         }
         let Ok(i) = self.requests.binary_search_by_key(&a.req, |r| r.req) else {
@@ -66,24 +66,24 @@
         if now as f64 + wait > a.deadline as f64 {
             return self.refuse(i, Refusal::TooLate);
         }
-        self.wait(i);
+        self.enqueue(i);
     }
 
     /// Refuses a request that was not taken on the books.
-    fn turn_away(&mut self, req: u64, why: Refusal) {
+    fn refuse_arrival(&mut self, req: u64, why: Refusal) {
         self.counts.refused += 1;
         self.actions.push(RouteAction::Refuse {
             req,
             outcome: Outcome::NotRun,
             why,
-            after: RETRY_AFTER,
+            after: RETRY_AFTER_MS,
         });
     }
 
     /// Returns how many waiting requests go before a new one of `priority`.
-    fn ahead(&self, service: usize, priority: crate::template::Priority) -> usize {
-        let waiting = &self.services[service].queued;
-        waiting.partition_point(|t| t.priority <= priority)
+    fn queued_ahead(&self, service: usize, priority: crate::template::Priority) -> usize {
+        let queued = &self.services[service].queued;
+        queued.partition_point(|e| e.priority <= priority)
     }
 
     /// Refuses the last waiting request if it is of a lower priority than `a`.
@@ -115,25 +115,25 @@
         s.mean_latency * (1.0 + rounds)
     }
 
-    fn wait(&mut self, i: usize) {
+    fn enqueue(&mut self, i: usize) {
         let r = &self.requests[i];
-        let turn = QueueEntry {
+        let entry = QueueEntry {
             priority: r.priority,
             deadline: r.deadline,
             req: r.req,
         };
         let s = &mut self.services[r.service];
-        let Err(k) = s.queued.binary_search(&turn) else {
+        let Err(k) = s.queued.binary_search(&entry) else {
             return;
         };
-        s.queued.insert(k, turn);
+        s.queued.insert(k, entry);
         let org = s.org.clone();
         self.org_usage(&org).queued += 1;
     }
 
-    pub(super) fn dequeue(&mut self, service: usize, turn: QueueEntry) {
+    pub(super) fn dequeue(&mut self, service: usize, entry: QueueEntry) {
         let s = &mut self.services[service];
-        let Ok(k) = s.queued.binary_search(&turn) else {
+        let Ok(k) = s.queued.binary_search(&entry) else {
             return;
         };
         s.queued.remove(k);
@@ -144,31 +144,31 @@
 
     /// Sends waiting requests while there are targets for them.
     pub(super) fn dispatch(&mut self, now: Millis, service: usize) {
-        while let Some(turn) = self.services[service].queued.first().copied() {
-            let Ok(i) = self.requests.binary_search_by_key(&turn.req, |r| r.req) else {
-                self.dequeue(service, turn);
+        while let Some(entry) = self.services[service].queued.first().copied() {
+            let Ok(i) = self.requests.binary_search_by_key(&entry.req, |r| r.req) else {
+                self.dequeue(service, entry);
                 continue;
             };
             if !self.send(now, i) {
                 return;
             }
-            self.dequeue(service, turn);
+            self.dequeue(service, entry);
         }
     }
 
     /// Refuses waiting requests that can't be answered in time any more.
     pub(super) fn expire(&mut self, now: Millis, service: usize) {
         let mean = self.services[service].mean_latency;
-        let late = |t: &QueueEntry| now as f64 + mean * ROOM > t.deadline as f64;
-        let mut gone = Vec::new();
-        for turn in &self.services[service].queued {
-            if late(turn) {
-                gone.push(*turn);
+        let late = |e: &QueueEntry| now as f64 + mean * MIN_TIME_FACTOR > e.deadline as f64;
+        let mut expired = Vec::new();
+        for entry in &self.services[service].queued {
+            if late(entry) {
+                expired.push(*entry);
             }
         }
-        for turn in gone {
-            self.dequeue(service, turn);
-            if let Ok(i) = self.requests.binary_search_by_key(&turn.req, |r| r.req) {
+        for entry in expired {
+            self.dequeue(service, entry);
+            if let Ok(i) = self.requests.binary_search_by_key(&entry.req, |r| r.req) {
                 self.refuse(i, Refusal::TooLate);
             }
         }
@@ -183,19 +183,20 @@
             }
             return;
         }
-        let safe = !r.may_have_run || r.repeatable;
-        let late = now as f64 + self.services[r.service].mean_latency * ROOM > r.deadline as f64;
-        if !safe || r.attempts >= self.settings.max_attempts || late {
+        let can_repeat = !r.may_have_run || r.repeatable;
+        let late = now as f64 + self.services[r.service].mean_latency * MIN_TIME_FACTOR
+            > r.deadline as f64;
+        if !can_repeat || r.attempts >= self.settings.max_attempts || late {
             return self.refuse(i, Refusal::Failed);
         }
-        let full = matches!(end, AttemptOutcome::Declined { busy: Some(_), .. });
-        let free = full || self.settings.policy == RoutePolicy::RoundRobin;
+        let target_was_full = matches!(end, AttemptOutcome::Declined { busy: Some(_), .. });
+        let skips_budget = target_was_full || self.settings.policy == RoutePolicy::RoundRobin;
         let org = self.services[r.service].org.clone();
-        if !free && !self.org_usage(&org).retries.try_withdraw() {
+        if !skips_budget && !self.org_usage(&org).retries.try_withdraw() {
             return self.refuse(i, Refusal::Failed);
         }
         if !self.send(now, i) {
-            self.wait(i);
+            self.enqueue(i);
         }
     }
 
@@ -205,8 +206,8 @@
             return;
         };
         let r = &self.requests[i];
-        let one = r.in_flight.len() == 1 && r.deadline > now;
-        if !one || !r.repeatable || r.attempts >= self.settings.max_attempts {
+        let single_attempt = r.in_flight.len() == 1 && r.deadline > now;
+        if !single_attempt || !r.repeatable || r.attempts >= self.settings.max_attempts {
             return;
         }
         let service = r.service;
--- a/crates/core/src/route/choose.rs
+++ b/crates/core/src/route/choose.rs
@@ -6,23 +6,23 @@
 use crate::{Millis, name::Name};
 
 /// Random targets that are looked at before all are.
-const PROBES: usize = 6;
+const MAX_PROBES: usize = 6;
 
 /// A second try is asked for after the service's mean time times this.
-const HEDGE: f64 = 4.0;
+const HEDGE_FACTOR: f64 = 4.0;
 
 /// Least time before a second try.
-const MIN_HEDGE: Millis = 20;
+const MIN_HEDGE_MS: Millis = 20;
 
 impl Router {
     /// Sends a request if a target can take it.
     pub(super) fn send(&mut self, now: Millis, i: usize) -> bool {
         let service = self.requests[i].service;
-        let found = match self.settings.policy {
-            RoutePolicy::RoundRobin => self.next_in_turn(service),
+        let chosen = match self.settings.policy {
+            RoutePolicy::RoundRobin => self.next_round_robin(service),
             RoutePolicy::TwoChoices => self.better_of_two(now, i),
         };
-        let Some(t) = found else { return false };
+        let Some(t) = chosen else { return false };
         let hedge = self.hedge_after(i);
         let target = &mut self.services[service].targets[t];
         target.in_flight += 1;
@@ -47,10 +47,10 @@
             return 0;
         }
         let mean = self.services[r.service].mean_latency;
-        ((mean * HEDGE) as Millis).max(MIN_HEDGE)
+        ((mean * HEDGE_FACTOR) as Millis).max(MIN_HEDGE_MS)
     }
 
-    fn next_in_turn(&mut self, service: usize) -> Option<usize> {
+    fn next_round_robin(&mut self, service: usize) -> Option<usize> {
         let s = &mut self.services[service];
         let n = s.targets.len();
         for _ in 0..n {
@@ -65,15 +65,17 @@
     /// Returns the better of two usable targets: near ones first, and others
     /// only when none of the near ones can take the request.
     fn better_of_two(&mut self, now: Millis, i: usize) -> Option<usize> {
-        for near in [true, false] {
-            let mut two = Vec::with_capacity(2);
-            self.probe(now, i, near, &mut two);
-            if two.len() < 2 {
-                two = self.scan(now, i, near);
+        for same_zone in [true, false] {
+            let mut picked = Vec::with_capacity(2);
+            self.probe(now, i, same_zone, &mut picked);
+            if picked.len() < 2 {
+                picked = self.scan(now, i, same_zone);
             }
             let targets = &self.services[self.requests[i].service].targets;
             let score = |t: &usize| targets[*t].expected_latency(now, &self.settings);
-            let best = two.into_iter().min_by(|a, b| score(a).total_cmp(&score(b)));
+            let best = picked
+                .into_iter()
+                .min_by(|a, b| score(a).total_cmp(&score(b)));
             if best.is_some() {
                 return best;
             }
@@ -81,39 +83,39 @@
         None
     }
 
-    fn can_take(&self, now: Millis, i: usize, t: usize, near: bool) -> bool {
+    fn can_take(&self, now: Millis, i: usize, t: usize, same_zone: bool) -> bool {
         let r = &self.requests[i];
         let target = &self.services[r.service].targets[t];
         let tried = |w: &Name| *w == target.worker;
-        target.same_zone == near
+        target.same_zone == same_zone
             && target.is_usable(now, self.share, &self.settings)
             && !r.failed_on.iter().any(tried)
             && !r.in_flight.iter().any(|o| tried(&o.1))
     }
 
-    fn probe(&mut self, now: Millis, i: usize, near: bool, two: &mut Vec<usize>) {
+    fn probe(&mut self, now: Millis, i: usize, same_zone: bool, picked: &mut Vec<usize>) {
         let n = self.services[self.requests[i].service].targets.len();
         if n == 0 {
             return;
         }
-        for _ in 0..PROBES {
+        for _ in 0..MAX_PROBES {
             let t = self.rng.random_range(0..n);
-            if two.contains(&t) || !self.can_take(now, i, t, near) {
+            if picked.contains(&t) || !self.can_take(now, i, t, same_zone) {
                 continue;
             }
-            two.push(t);
-            if two.len() == 2 {
+            picked.push(t);
+            if picked.len() == 2 {
                 return;
             }
         }
     }
 
     /// Returns two random ones of all usable targets.
-    fn scan(&mut self, now: Millis, i: usize, near: bool) -> Vec<usize> {
+    fn scan(&mut self, now: Millis, i: usize, same_zone: bool) -> Vec<usize> {
         let n = self.services[self.requests[i].service].targets.len();
         let mut usable = Vec::new();
         for t in 0..n {
-            if self.can_take(now, i, t, near) {
+            if self.can_take(now, i, t, same_zone) {
                 usable.push(t);
             }
         }
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -11,10 +11,10 @@
 use crate::{Millis, name::Name};
 
 /// Time after which a refused caller may come again.
-pub(super) const RETRY_AFTER: Millis = 1_000;
+pub(super) const RETRY_AFTER_MS: Millis = 1_000;
 
 /// Share of a new time in a service's running mean.
-const SHARE: f64 = 0.05;
+const LATENCY_SMOOTHING: f64 = 0.05;
 
 /// Targets and waiting requests of one service.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
 
 /// A shard's list that was taken over.
 #[derive(Debug)]
-struct Known {
+struct ListVersion {
     shard: u32,
     epoch: u64,
     version: u64,
@@ -76,8 +76,8 @@
     pub(super) share: Share,
     pub(super) actions: Vec<RouteAction>,
     pub(super) counts: RouteCounts,
-    known: Vec<Known>,
-    leaving: Vec<Name>,
+    list_versions: Vec<ListVersion>,
+    leaving_workers: Vec<Name>,
 }
 
 impl Router {
@@ -95,8 +95,8 @@
             },
             actions: Vec::new(),
             counts: RouteCounts::default(),
-            known: Vec::new(),
-            leaving: Vec::new(),
+            list_versions: Vec::new(),
+            leaving_workers: Vec::new(),
         }
     }
 
@@ -104,9 +104,9 @@
     pub fn step(&mut self, now: Millis, event: &RouteEvent) -> Vec<RouteAction> {
         match event {
             RouteEvent::Arrive(a) => self.admit(now, a),
-            RouteEvent::Ended { req, attempt, end } => self.ended(now, *req, *attempt, *end),
+            RouteEvent::Ended { req, attempt, end } => self.end_attempt(now, *req, *attempt, *end),
             RouteEvent::Hedge { req } => self.hedge(now, *req),
-            RouteEvent::Targets(list) => self.take_list(now, list),
+            RouteEvent::Targets(list) => self.update_targets(now, list),
             RouteEvent::Leaving(names) => self.set_leaving(names),
             RouteEvent::Entries(share) => self.share = *share,
             RouteEvent::Tick => self.tick(now),
@@ -131,8 +131,11 @@
 
     /// Returns the epoch and version of the list known of a shard.
     pub fn list_version(&self, shard: u32) -> Option<(u64, u64)> {
-        let i = self.known.binary_search_by_key(&shard, |k| k.shard).ok()?;
-        Some((self.known[i].epoch, self.known[i].version))
+        let i = self
+            .list_versions
+            .binary_search_by_key(&shard, |k| k.shard)
+            .ok()?;
+        Some((self.list_versions[i].epoch, self.list_versions[i].version))
     }
 
     /// Returns the targets of a service, sorted by worker.
@@ -150,7 +153,7 @@
             .ok()
     }
 
-    fn make_service(&mut self, org: &Name, name: &Name) -> usize {
+    fn find_or_add_service(&mut self, org: &Name, name: &Name) -> usize {
         let found = self
             .services
             .binary_search_by(|s| (&*s.org, &*s.name).cmp(&(&**org, &**name)));
@@ -190,21 +193,24 @@
         &mut self.orgs[i]
     }
 
-    fn take_list(&mut self, now: Millis, list: &TargetList) {
-        let new = Known {
+    fn update_targets(&mut self, now: Millis, list: &TargetList) {
+        let new = ListVersion {
             shard: list.shard,
             epoch: list.epoch,
             version: list.version,
         };
-        match self.known.binary_search_by_key(&list.shard, |k| k.shard) {
+        match self
+            .list_versions
+            .binary_search_by_key(&list.shard, |k| k.shard)
+        {
             Ok(i) => {
-                let old = &self.known[i];
+                let old = &self.list_versions[i];
                 if (old.epoch, old.version) >= (new.epoch, new.version) {
                     return;
                 }
-                self.known[i] = new;
+                self.list_versions[i] = new;
             }
-            Err(i) => self.known.insert(i, new),
+            Err(i) => self.list_versions.insert(i, new),
         }
         for s in &mut self.services {
             s.targets.retain(|t| {
@@ -218,18 +224,18 @@
             });
         }
         for info in &list.targets {
-            let s = self.make_service(&info.org, &info.service);
-            let left = self.leaving.binary_search(&info.worker).is_ok();
+            let s = self.find_or_add_service(&info.org, &info.service);
+            let leaving = self.leaving_workers.binary_search(&info.worker).is_ok();
             let targets = &mut self.services[s].targets;
             match targets.binary_search_by(|t| t.worker.cmp(&info.worker)) {
                 Ok(i) => {
                     targets[i].slots = info.slots;
                     targets[i].connections = info.connections;
-                    targets[i].leaving = info.leaving || left;
+                    targets[i].leaving = info.leaving || leaving;
                 }
                 Err(i) => {
                     let mut target = Target::new(info, list.shard, list.same_zone, now);
-                    target.leaving |= left;
+                    target.leaving |= leaving;
                     targets.insert(i, target);
                 }
             }
@@ -238,16 +244,16 @@
     }
 
     fn set_leaving(&mut self, names: &[Name]) {
-        self.leaving = names.to_vec();
-        self.leaving.sort();
+        self.leaving_workers = names.to_vec();
+        self.leaving_workers.sort();
         for s in &mut self.services {
             for t in &mut s.targets {
-                t.leaving |= self.leaving.binary_search(&t.worker).is_ok();
+                t.leaving |= self.leaving_workers.binary_search(&t.worker).is_ok();
             }
         }
     }
 
-    fn ended(&mut self, now: Millis, req: u64, attempt: u32, end: AttemptOutcome) {
+    fn end_attempt(&mut self, now: Millis, req: u64, attempt: u32, end: AttemptOutcome) {
         let Ok(i) = self.requests.binary_search_by_key(&req, |r| r.req) else {
             return;
         };
@@ -257,9 +263,9 @@
         };
         let (_, worker) = r.in_flight.swap_remove(k);
         let service = r.service;
-        self.note_end(now, service, &worker, end);
+        self.record_attempt_end(now, service, &worker, end);
         match end {
-            AttemptOutcome::Answered { .. } => self.settle(i),
+            AttemptOutcome::Answered { .. } => self.close_request(i),
             AttemptOutcome::NotSent | AttemptOutcome::Declined { .. } => {
                 self.requests[i].failed_on.push(worker);
                 self.retry(now, i, end);
@@ -273,8 +279,14 @@
         self.dispatch(now, service);
     }
 
-    fn note_end(&mut self, now: Millis, service: usize, worker: &Name, end: AttemptOutcome) {
-        let may = self.may_eject(now, service);
+    fn record_attempt_end(
+        &mut self,
+        now: Millis,
+        service: usize,
+        worker: &Name,
+        end: AttemptOutcome,
+    ) {
+        let can_eject = self.can_eject(now, service);
         let settings = &self.settings;
         let s = &mut self.services[service];
         let Ok(t) = s.targets.binary_search_by(|t| t.worker.cmp(worker)) else {
@@ -285,36 +297,36 @@
         match end {
             AttemptOutcome::Answered { took, busy } => {
                 t.record_answer(now, took, busy);
-                s.mean_latency += SHARE * (took as f64 - s.mean_latency);
+                s.mean_latency += LATENCY_SMOOTHING * (took as f64 - s.mean_latency);
             }
             AttemptOutcome::Declined { busy, leaving } => {
                 t.update_load(now, busy);
                 t.leaving |= leaving;
                 if busy.is_none() && !leaving {
-                    t.record_failure(now, settings, may);
+                    t.record_failure(now, settings, can_eject);
                 }
             }
             AttemptOutcome::NotSent | AttemptOutcome::Failed => {
                 let before = t.ejections;
-                t.record_failure(now, settings, may);
+                t.record_failure(now, settings, can_eject);
                 self.counts.ejections += u64::from(t.ejections > before);
             }
         }
     }
 
     /// Tells whether one more target of a service may be ejected.
-    fn may_eject(&self, now: Millis, service: usize) -> bool {
+    fn can_eject(&self, now: Millis, service: usize) -> bool {
         let targets = &self.services[service].targets;
-        let near = targets.iter().filter(|t| t.same_zone).count();
-        let out = targets
+        let in_zone = targets.iter().filter(|t| t.same_zone).count();
+        let ejected = targets
             .iter()
             .filter(|t| t.same_zone && t.ejected_until > now)
             .count();
-        (out + 1) * 100 <= near * self.settings.max_ejected_percent as usize
+        (ejected + 1) * 100 <= in_zone * self.settings.max_ejected_percent as usize
     }
 
     /// Takes a request off the books once no try is under way.
-    fn settle(&mut self, i: usize) {
+    fn close_request(&mut self, i: usize) {
         let r = &mut self.requests[i];
         r.deadline = 0;
         if r.in_flight.is_empty() {
@@ -342,9 +354,9 @@
             req: r.req,
             outcome,
             why,
-            after: RETRY_AFTER,
+            after: RETRY_AFTER_MS,
         });
-        self.settle(i);
+        self.close_request(i);
     }
 
     fn tick(&mut self, now: Millis) {
--- a/crates/core/src/route/target.rs
+++ b/crates/core/src/route/target.rs
@@ -6,16 +6,16 @@
 use crate::{Millis, hashing::stable_hash, name::Name, shard::TargetInfo};
 
 /// Share of a new time in the running mean.
-const SHARE: f64 = 0.2;
+const LATENCY_SMOOTHING: f64 = 0.2;
 
 /// Time taken for a target that has not answered yet, in milliseconds.
-const FIRST: f64 = 5.0;
+const INITIAL_LATENCY_MS: f64 = 5.0;
 
 /// Turns that targets are spread over.
-const TURNS: u64 = 1_024;
+const SHARE_OFFSETS: u64 = 1_024;
 
 /// Factor by which a returning target looks slower at first.
-const COLD: f64 = 4.0;
+const SLOW_START_PENALTY: f64 = 4.0;
 
 /// A target and what this entry knows of it.
 #[derive(Debug, Clone)]
@@ -56,20 +56,20 @@
 
 impl Target {
     /// Returns a target that has not been used.
-    pub fn new(info: &TargetInfo, shard: u32, near: bool, now: Millis) -> Target {
+    pub fn new(info: &TargetInfo, shard: u32, same_zone: bool, now: Millis) -> Target {
         Target {
             worker: info.worker.clone(),
             addr: info.addr,
             shard,
-            same_zone: near,
+            same_zone,
             slots: info.slots,
             connections: info.connections,
-            share_offset: (stable_hash(&[&info.worker]) % TURNS) as u32,
+            share_offset: (stable_hash(&[&info.worker]) % SHARE_OFFSETS) as u32,
             leaving: info.leaving,
             in_flight: 0,
             others_in_flight: 0,
             reported_at: 0,
-            mean_latency: FIRST,
+            mean_latency: INITIAL_LATENCY_MS,
             failures: 0,
             ejections: 0,
             ejected_until: 0,
@@ -81,43 +81,47 @@
     ///
     /// The fair shares of all entries sum to the slots. Which entries have one
     /// more than others differs from target to target.
-    pub fn request_limit(&self, now: Millis, share: Share, set: &RouteSettings) -> u32 {
+    pub fn request_limit(&self, now: Millis, share: Share, settings: &RouteSettings) -> u32 {
         let entries = share.entries.max(1);
-        let most = (self.connections / entries).max(1);
-        let turn = (share.rank + self.share_offset) % entries;
+        let max_requests = (self.connections / entries).max(1);
+        let offset = (share.rank + self.share_offset) % entries;
         let fair = match self.same_zone {
-            true => self.slots / entries + u32::from(turn < self.slots % entries),
+            true => self.slots / entries + u32::from(offset < self.slots % entries),
             false => 1,
         };
-        let fresh = self.reported_at > 0 && now.saturating_sub(self.reported_at) <= set.report_ttl;
+        let fresh =
+            self.reported_at > 0 && now.saturating_sub(self.reported_at) <= settings.report_ttl;
         let free = if fresh {
             self.slots.saturating_sub(self.others_in_flight)
         } else {
             0
         };
-        fair.max(free).min(most)
+        fair.max(free).min(max_requests)
     }
 
     /// Tells whether it can take one more request.
-    pub fn is_usable(&self, now: Millis, share: Share, set: &RouteSettings) -> bool {
-        let back = self.ejected_until <= now;
+    pub fn is_usable(&self, now: Millis, share: Share, settings: &RouteSettings) -> bool {
+        let readmitted = self.ejected_until <= now;
         let probing = self.ejections > 0 && self.in_flight > 0;
-        back && !probing && !self.leaving && self.in_flight < self.request_limit(now, share, set)
+        readmitted
+            && !probing
+            && !self.leaving
+            && self.in_flight < self.request_limit(now, share, settings)
     }
 
     /// Returns the expected time of one more request; lower is better.
-    pub fn expected_latency(&self, now: Millis, set: &RouteSettings) -> f64 {
-        let fresh = now.saturating_sub(self.reported_at) <= set.report_ttl;
+    pub fn expected_latency(&self, now: Millis, settings: &RouteSettings) -> f64 {
+        let fresh = now.saturating_sub(self.reported_at) <= settings.report_ttl;
         let others = if fresh { self.others_in_flight } else { 0 };
         let load = f64::from(self.in_flight + others + 1) / f64::from(self.slots.max(1));
         let age = now.saturating_sub(self.active_since) as f64;
-        let warm = (age / set.slow_start.max(1) as f64).min(1.0);
-        let cold = if self.ejections > 0 {
-            COLD - (COLD - 1.0) * warm
+        let warm = (age / settings.slow_start.max(1) as f64).min(1.0);
+        let penalty = if self.ejections > 0 {
+            SLOW_START_PENALTY - (SLOW_START_PENALTY - 1.0) * warm
         } else {
             1.0
         };
-        self.mean_latency * (0.25 + load) * cold
+        self.mean_latency * (0.25 + load) * penalty
     }
 
     /// Takes note of a whole answer.
@@ -128,7 +132,7 @@
         }
         self.ejections = 0;
         let took = (took as f64).max(0.5);
-        self.mean_latency += SHARE * (took - self.mean_latency);
+        self.mean_latency += LATENCY_SMOOTHING * (took - self.mean_latency);
         self.update_load(now, busy.map(|b| b.saturating_sub(1)));
     }
 
@@ -141,14 +145,14 @@
     }
 
     /// Takes note of a failure; ejects after enough in a row if `may`.
-    pub fn record_failure(&mut self, now: Millis, set: &RouteSettings, may: bool) {
+    pub fn record_failure(&mut self, now: Millis, settings: &RouteSettings, can_eject: bool) {
         self.failures += 1;
         let probing = self.ejections > 0;
-        if !may || (self.failures < set.ejection_threshold && !probing) {
+        if !can_eject || (self.failures < settings.ejection_threshold && !probing) {
             return;
         }
-        let length = (set.ejection << self.ejections.min(16)).min(set.max_ejection);
-        self.ejected_until = now + length;
+        let duration = (settings.ejection << self.ejections.min(16)).min(settings.max_ejection);
+        self.ejected_until = now + duration;
         self.ejections += 1;
         self.failures = 0;
         self.active_since = self.ejected_until;
--- a/crates/core/src/size.rs
+++ b/crates/core/src/size.rs
@@ -35,8 +35,8 @@
     }
 
     /// Tells whether `self` fits into `room` in every dimension.
-    pub fn fits_in(&self, room: &Size) -> bool {
-        self.cpu <= room.cpu && self.memory <= room.memory && self.accels <= room.accels
+    pub fn fits_in(&self, capacity: &Size) -> bool {
+        self.cpu <= capacity.cpu && self.memory <= capacity.memory && self.accels <= capacity.accels
     }
 
     /// Adds; saturates at the largest value.
@@ -87,10 +87,10 @@
 
     /// Returns the largest used fraction of any dimension of `total`.
     pub fn load(&self, total: &Size) -> f64 {
-        let part = |a: u64, b: u64| if b == 0 { 0.0 } else { a as f64 / b as f64 };
-        part(self.cpu, total.cpu)
-            .max(part(self.memory, total.memory))
-            .max(part(self.accels.into(), total.accels.into()))
+        let fraction = |a: u64, b: u64| if b == 0 { 0.0 } else { a as f64 / b as f64 };
+        fraction(self.cpu, total.cpu)
+            .max(fraction(self.memory, total.memory))
+            .max(fraction(self.accels.into(), total.accels.into()))
     }
 }
 
@@ -114,11 +114,11 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Size, A::Error> {
-        let short = |n| A::Error::invalid_length(n, &"three numbers");
+        let too_short = |n| A::Error::invalid_length(n, &"three numbers");
         Ok(Size {
-            cpu: seq.next_element()?.ok_or_else(|| short(0))?,
-            memory: seq.next_element()?.ok_or_else(|| short(1))?,
-            accels: seq.next_element()?.ok_or_else(|| short(2))?,
+            cpu: seq.next_element()?.ok_or_else(|| too_short(0))?,
+            memory: seq.next_element()?.ok_or_else(|| too_short(1))?,
+            accels: seq.next_element()?.ok_or_else(|| too_short(2))?,
         })
     }
 }
--- a/crates/core/src/template/check.rs
+++ b/crates/core/src/template/check.rs
@@ -21,7 +21,7 @@
 const MAX_ACCELS: i64 = 1_000_000;
 
 /// Longest time in milliseconds: 30 days.
-const MAX_MS: i64 = 30 * 24 * 3600 * 1000;
+const MAX_RUN_MS: i64 = 30 * 24 * 3600 * 1000;
 
 /// Checks a template as a whole; the error lists every problem with its path.
 pub fn check(raw: &RawTemplate) -> Result<Organisation, Problems> {
@@ -59,12 +59,12 @@
         );
         jobs.push(job(j, &path, &mut p));
     }
-    unique("teams", teams.iter().map(|t| &t.name), &mut p);
+    check_unique("teams", teams.iter().map(|t| &t.name), &mut p);
     let workloads = services
         .iter()
         .map(|s| &s.name)
         .chain(jobs.iter().map(|j| &j.name));
-    unique("services and jobs", workloads, &mut p);
+    check_unique("services and jobs", workloads, &mut p);
     teams.sort_by(|a, b| a.name.cmp(&b.name));
     services.sort_by(|a, b| a.name.cmp(&b.name));
     jobs.sort_by(|a, b| a.name.cmp(&b.name));
@@ -85,7 +85,7 @@
     Arc::from(text)
 }
 
-fn unique<'a>(path: &str, names: impl Iterator<Item = &'a Name>, p: &mut Problems) {
+fn check_unique<'a>(path: &str, names: impl Iterator<Item = &'a Name>, p: &mut Problems) {
     let mut sorted: Vec<&Name> = names.collect();
     sorted.sort();
     for pair in sorted.windows(2) {
@@ -97,10 +97,10 @@
     }
 }
 
-fn whole(value: i64, least: i64, most: i64, path: String, p: &mut Problems) -> u64 {
-    let ok = (least..=most).contains(&value);
-    p.require(ok, path, format!("{value} is not from {least} to {most}"));
-    value.clamp(least, most) as u64
+fn check_range(value: i64, min: i64, max: i64, path: String, p: &mut Problems) -> u64 {
+    let ok = (min..=max).contains(&value);
+    p.require(ok, path, format!("{value} is not from {min} to {max}"));
+    value.clamp(min, max) as u64
 }
 
 fn weights(raw: &RawWeights, p: &mut Problems) -> Weights {
@@ -125,11 +125,12 @@
 fn limits(raw: &RawLimits, p: &mut Problems) -> OrgLimits {
     let at = |field: &str| format!("limits.{field}");
     OrgLimits {
-        open_jobs: whole(raw.open_jobs, 1, 1_000_000, at("open_jobs"), p) as u32,
-        queued_requests: whole(raw.queued_requests, 0, 10_000, at("queued_requests"), p) as u32,
-        retry_percent: whole(raw.retry_percent, 0, 100, at("retry_percent"), p) as u32,
-        task_evictions: whole(raw.task_evictions, 0, 1_000, at("task_evictions"), p) as u32,
-        hold: whole(raw.hold_seconds, 1, 86_400, at("hold_seconds"), p) * 1_000,
+        open_jobs: check_range(raw.open_jobs, 1, 1_000_000, at("open_jobs"), p) as u32,
+        queued_requests: check_range(raw.queued_requests, 0, 10_000, at("queued_requests"), p)
+            as u32,
+        retry_percent: check_range(raw.retry_percent, 0, 100, at("retry_percent"), p) as u32,
+        task_evictions: check_range(raw.task_evictions, 0, 1_000, at("task_evictions"), p) as u32,
+        hold: check_range(raw.hold_seconds, 1, 86_400, at("hold_seconds"), p) * 1_000,
     }
 }
 
@@ -141,8 +142,8 @@
         format!("{path}.cores"),
         format!("{cores} is not from 0 to {MAX_CORES}"),
     );
-    let mib = whole(raw.memory_mib, 0, MAX_MIB, format!("{path}.memory_mib"), p);
-    let accels = whole(
+    let mib = check_range(raw.memory_mib, 0, MAX_MIB, format!("{path}.memory_mib"), p);
+    let accels = check_range(
         raw.accelerators,
         0,
         MAX_ACCELS,
@@ -183,11 +184,11 @@
     let at = |field: &str| format!("{path}.{field}");
     Service {
         name: name(&raw.name, &at("name"), p),
-        replicas: whole(raw.replicas, 0, 1_000_000, at("replicas"), p) as u32,
+        replicas: check_range(raw.replicas, 0, 1_000_000, at("replicas"), p) as u32,
         size: task_size(&raw.size, &at("size"), p),
-        slots: whole(raw.slots, 1, 10_000, at("slots"), p) as u32,
-        connections: whole(raw.connections, 1, 100_000, at("connections"), p) as u32,
-        deadline: whole(raw.deadline_ms, 1, 600_000, at("deadline_ms"), p),
+        slots: check_range(raw.slots, 1, 10_000, at("slots"), p) as u32,
+        connections: check_range(raw.connections, 1, 100_000, at("connections"), p) as u32,
+        deadline: check_range(raw.deadline_ms, 1, 600_000, at("deadline_ms"), p),
     }
 }
 
@@ -197,10 +198,10 @@
         name: name(&raw.name, &at("name"), p),
         team: name(&raw.team, &at("team"), p),
         size: task_size(&raw.size, &at("size"), p),
-        max_tasks: whole(raw.max_tasks, 1, 100_000, at("max_tasks"), p) as u32,
-        run: whole(raw.run_ms, 0, MAX_MS, at("run_ms"), p),
+        max_tasks: check_range(raw.max_tasks, 1, 100_000, at("max_tasks"), p) as u32,
+        run: check_range(raw.run_ms, 0, MAX_RUN_MS, at("run_ms"), p),
         priority: raw.priority,
         checkpoint: raw.checkpoint,
-        attempts: whole(raw.attempts, 1, 100, at("attempts"), p) as u32,
+        attempts: check_range(raw.attempts, 1, 100, at("attempts"), p) as u32,
     }
 }
