--- a/crates/core/src/config/configs.rs
+++ b/crates/core/src/config/configs.rs
@@ -1,11 +1,11 @@
-//! The set of templates in force.
+//! The set of templates that an instance has applied.
 
 use std::sync::Arc;
 
 use super::{ConfigEntry, ConfigVersion};
 use crate::template::Organisation;
 
-/// Templates by organisation.
+/// The newest known template of each organisation.
 #[derive(Debug, Clone, Default)]
 pub struct Configs {
     entries: Vec<ConfigEntry>,
@@ -13,7 +13,9 @@
 }
 
 impl Configs {
-    /// Takes over an entry if it is newer than the one in force.
+    /// Applies an entry if it is newer than the current one of its organisation.
+    ///
+    /// Returns whether the entry was applied.
     pub fn update(&mut self, entry: &ConfigEntry) -> bool {
         let name = &entry.template.name;
         match self.entries.binary_search_by(|e| e.template.name.cmp(name)) {
@@ -29,7 +31,7 @@
         }
     }
 
-    /// Returns the template of an organisation.
+    /// Returns the current entry of an organisation.
     pub fn get(&self, org: &str) -> Option<&ConfigEntry> {
         let i = self
             .entries
@@ -38,27 +40,27 @@
         Some(&self.entries[i])
     }
 
-    /// Returns every entry, sorted by organisation.
+    /// Returns all entries, sorted by organisation.
     pub fn entries(&self) -> &[ConfigEntry] {
         &self.entries
     }
 
-    /// Returns every template.
+    /// Returns all templates, sorted by organisation.
     pub fn templates(&self) -> Vec<Arc<Organisation>> {
         self.entries.iter().map(|e| e.template.clone()).collect()
     }
 
-    /// Returns the number of the last change that is wholly in force here.
+    /// Returns the number of the last configuration change that is fully applied.
     pub fn head(&self) -> u64 {
         self.head
     }
 
-    /// Takes note that every change up to `head` was offered.
+    /// Records that all changes up to `head` are applied; an older `head` changes nothing.
     pub fn advance_head(&mut self, head: u64) {
         self.head = self.head.max(head);
     }
 
-    /// Returns the versions in force.
+    /// Returns the current version of each organisation, sorted by organisation.
     pub fn versions(&self) -> Vec<ConfigVersion> {
         let mut out = Vec::with_capacity(self.entries.len());
         for e in &self.entries {
@@ -70,7 +72,7 @@
         out
     }
 
-    /// Returns the entries that are newer than `known`, which is sorted by organisation.
+    /// Returns the entries that are newer than in `known`, which must be sorted by organisation.
     pub fn newer_than(&self, known: &[ConfigVersion]) -> Vec<ConfigEntry> {
         let mut out = Vec::new();
         for e in &self.entries {
--- a/crates/core/src/config/entry.rs
+++ b/crates/core/src/config/entry.rs
@@ -1,4 +1,4 @@
-//! A template in force and its version.
+//! A versioned template.
 
 use std::sync::Arc;
 
@@ -9,17 +9,17 @@
 /// An organisation and the version of its template.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigVersion {
-    /// Organisation.
+    /// Name of the organisation.
     pub org: Name,
-    /// Version; only grows.
+    /// Version; never decreases.
     pub version: u64,
 }
 
 /// A template and its version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigEntry {
-    /// Version; only grows.
+    /// Version; never decreases.
     pub version: u64,
-    /// The checked template.
+    /// The validated template.
     pub template: Arc<Organisation>,
 }
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,6 +1,7 @@
-//! Templates in force on an instance.
+//! The configuration that an instance has applied: one template per organisation.
 //!
-//! A version never goes back, whatever order polls and messages come in.
+//! The version of a template never decreases, whatever the order in which poll
+//! results and messages arrive.
 
 mod configs;
 mod entry;
--- a/crates/core/src/hashing.rs
+++ b/crates/core/src/hashing.rs
@@ -1,16 +1,19 @@
-//! Rendezvous hashing with a hash that is the same in every process.
+//! Rendezvous hashing.
+//!
+//! All processes and releases must map a name to the same shard, so the hash
+//! has fixed keys.
 
 use std::hash::Hasher;
 
 use siphasher::sip::SipHasher13;
 
-/// Keys of the hash; changing them moves every shard.
+/// SipHash keys; changing them reassigns every name to another shard.
 const SIPHASH_KEYS: (u64, u64) = (0x67_6f72_7365, 0x7370_7572);
 
-/// Ends each part; not a byte of UTF-8 text.
+/// Terminates each hashed part; this byte never occurs in UTF-8 text.
 const PART_END: u8 = 0xff;
 
-/// A hasher that is the same in every process and release.
+/// A hasher that gives the same result in every process and release.
 #[derive(Debug, Clone)]
 pub struct StableHasher {
     inner: SipHasher13,
@@ -41,7 +44,9 @@
     }
 }
 
-/// Returns a hash of the parts that is stable across processes and releases.
+/// Returns a hash of `parts` that is the same in every process and release.
+///
+/// The boundaries between parts count: `["ab"]` and `["a", "b"]` differ.
 pub fn stable_hash(parts: &[&str]) -> u64 {
     let mut hasher = StableHasher::new();
     for part in parts {
@@ -51,7 +56,7 @@
     hasher.finish()
 }
 
-/// Returns the candidate with the highest weight for `key`.
+/// Returns the candidate with the highest weight for `key`, or `None` without candidates.
 pub fn highest_weight<'a, I>(key: &str, candidates: I) -> Option<&'a str>
 where
     I: IntoIterator<Item = &'a str>,
@@ -61,7 +66,7 @@
         .max_by_key(|c| (stable_hash(&[key, c]), *c))
 }
 
-/// Returns the shard of `count` that `name` belongs to.
+/// Returns the index of the shard that `name` belongs to, out of `count` shards.
 pub fn shard_of(name: &str, count: u32) -> u32 {
     (stable_hash(&["shard", name]) % u64::from(count.max(1))) as u32
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of gorsespur, without I/O, clocks or threads.
+//! The decision logic of gorsespur, free of I/O, clocks and threads.
 //!
-//! Each part is a deterministic state machine: time comes in with the event,
-//! randomness from one seeded generator, and collections iterate in a fixed
-//! order. The programs put threads around the machines; tests and the replay
-//! program drive them directly.
+//! Each part is a deterministic state machine: every event carries its time,
+//! randomness comes from one seeded generator, and collections iterate in a
+//! fixed order. The programs drive these state machines from threads; tests
+//! and the replay program call them directly.
 
 pub mod config;
 pub mod hashing;
@@ -18,5 +18,5 @@
 pub mod size;
 pub mod template;
 
-/// Milliseconds on a process's monotonic clock.
+/// A time or duration in milliseconds on the monotonic clock of a process.
 pub type Millis = u64;
--- a/crates/core/src/member/heartbeat.rs
+++ b/crates/core/src/member/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats.
+//! The heartbeat message between instances.
 
 use std::net::SocketAddr;
 
@@ -10,44 +10,44 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts requests from callers.
     Entry,
-    /// Owns shards.
+    /// Owns shards and schedules their jobs.
     Sched,
 }
 
-/// A shard that its sender owns.
+/// A shard that the sender of a heartbeat owns.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardOwnership {
     /// Index of the shard among all shards.
     pub shard: u32,
-    /// Epoch of the ownership.
+    /// Epoch of the sender's ownership.
     pub epoch: u64,
-    /// Version of the list of targets.
+    /// Version of the shard's target list.
     #[serde(rename = "targets")]
     pub targets_version: u64,
 }
 
-/// What an instance tells the others at a constant rate.
+/// The state that an instance sends to its peers at a constant rate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Sender.
+    /// Id of the sender.
     pub id: Name,
-    /// Its role.
+    /// Role of the sender.
     pub role: Role,
-    /// Its availability zone.
+    /// Availability zone of the sender.
     pub zone: Name,
-    /// Grows with each start of the sender.
+    /// Incarnation of the sender; increases with each start.
     pub incarnation: u64,
-    /// Grows with each heartbeat.
+    /// Sequence number within the incarnation; increases with each heartbeat.
     pub seq: u64,
-    /// Where its peers reach it.
+    /// Address at which peers reach the sender.
     pub addr: SocketAddr,
-    /// Whether it is about to leave.
+    /// Whether the sender is about to leave.
     pub leaving: bool,
-    /// Last configuration change that is in force on it.
+    /// Number of the last configuration change that the sender has applied.
     #[serde(rename = "config")]
     pub config_head: u64,
-    /// Shards that it owns.
+    /// Shards that the sender owns.
     pub shards: Vec<ShardOwnership>,
 }
--- a/crates/core/src/member/mod.rs
+++ b/crates/core/src/member/mod.rs
@@ -1,9 +1,10 @@
-//! Membership: the platform's lagging list joined with heartbeats.
+//! Membership: which instances exist and which of them are alive.
 //!
-//! The list says who may exist; liveness comes from the instances' own
-//! heartbeats. Each instance sends them at a constant rate to everyone in its
-//! zone and to a few contacts in each other zone, so that the cost does not
-//! grow with failures.
+//! The platform's membership list lags behind, so it only determines which
+//! instances may exist; liveness comes from the heartbeats of the instances.
+//! Each instance sends heartbeats at a constant rate to all instances of its
+//! zone and to a few contacts in each other zone, so that the load does not
+//! increase during failures.
 
 mod heartbeat;
 mod peer;
--- a/crates/core/src/member/peer.rs
+++ b/crates/core/src/member/peer.rs
@@ -1,19 +1,19 @@
-//! What is known of another instance.
+//! The state that is kept for another instance.
 
 use std::net::SocketAddr;
 
 use super::Heartbeat;
 use crate::Millis;
 
-/// Another instance.
+/// Another instance, as seen through its heartbeats.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Its last heartbeat.
+    /// Newest heartbeat received.
     pub heartbeat: Heartbeat,
-    /// Address that the heartbeat came from or that it names.
+    /// Address at which to reach the instance, taken from its heartbeat.
     pub addr: SocketAddr,
-    /// When it was last heard.
+    /// Time at which the newest heartbeat was received.
     pub heartbeat_at: Millis,
-    /// Since when it has been heard without a gap.
+    /// Time since which heartbeats have arrived without a gap or a restart.
     pub steady_since: Millis,
 }
--- a/crates/core/src/member/peers.rs
+++ b/crates/core/src/member/peers.rs
@@ -1,24 +1,24 @@
-//! The set of known instances.
+//! The set of known instances and their liveness.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Heartbeat, Peer, Role};
 use crate::{Millis, name::Name};
 
-/// Times of the membership; in milliseconds.
+/// Settings of the membership; times in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MemberSettings {
     /// Time between heartbeats.
     #[serde(rename = "beat")]
     pub heartbeat_interval: Millis,
-    /// Time without a heartbeat after which an instance counts as dead.
+    /// Time without a heartbeat after which an instance of the own zone is dead.
     #[serde(rename = "dead")]
     pub dead_after: Millis,
-    /// Time after which a dead instance is forgotten.
+    /// Time without a heartbeat after which an instance is removed.
     #[serde(rename = "forget")]
     pub forget_after: Millis,
-    /// Contacts in each other zone.
+    /// Number of instances in each other zone that receive heartbeats.
     #[serde(rename = "contacts")]
     pub contacts_per_zone: usize,
 }
@@ -34,10 +34,11 @@
     }
 }
 
-/// Factor on the time limit for instances of other zones.
+/// Factor on [`MemberSettings::dead_after`] for instances of other zones, which send heartbeats
+/// to only some instances of this zone.
 const OTHER_ZONE_FACTOR: Millis = 4;
 
-/// Known instances, sorted by id.
+/// The known instances, sorted by id.
 #[derive(Debug, Clone)]
 pub struct Peers {
     settings: MemberSettings,
@@ -46,7 +47,7 @@
 }
 
 impl Peers {
-    /// Returns an empty set, as seen from an instance in `zone`.
+    /// Creates an empty set for an instance in `zone`.
     pub fn new(settings: MemberSettings, zone: Name) -> Peers {
         Peers {
             settings,
@@ -55,9 +56,9 @@
         }
     }
 
-    /// Takes note of a heartbeat; late and repeated ones change nothing.
+    /// Records a heartbeat, ignoring it if it is not newer than the last one of its sender.
     ///
-    /// Returns whether it was news.
+    /// Returns whether the heartbeat was recorded.
     pub fn record_heartbeat(&mut self, now: Millis, heartbeat: Heartbeat) -> bool {
         let dead_after = self.dead_after(&heartbeat.zone);
         let addr = heartbeat.addr;
@@ -97,8 +98,7 @@
         }
     }
 
-    /// Returns the time without a heartbeat after which an instance of `zone`
-    /// counts as dead; those of other zones reach only some contacts here.
+    /// Returns the time without a heartbeat after which an instance of `zone` is dead.
     fn dead_after(&self, zone: &str) -> Millis {
         if *zone == *self.zone {
             self.settings.dead_after
@@ -107,14 +107,14 @@
         }
     }
 
-    /// Forgets instances that have been dead for long.
+    /// Removes instances without a heartbeat for [`MemberSettings::forget_after`].
     pub fn remove_dead(&mut self, now: Millis) {
         let forget_after = self.settings.forget_after;
         self.peers
             .retain(|p| now.saturating_sub(p.heartbeat_at) < forget_after);
     }
 
-    /// Returns the instances that are alive, leaving ones included.
+    /// Returns the live instances, including those that are leaving.
     pub fn live(&self, now: Millis) -> Vec<&Peer> {
         let mut out = Vec::new();
         for p in &self.peers {
@@ -125,7 +125,7 @@
         out
     }
 
-    /// Returns the live instances of a role in a zone that are not leaving.
+    /// Returns the live instances with `role` in `zone` that are not leaving.
     pub fn available(&self, now: Millis, role: Role, zone: &str) -> Vec<&Peer> {
         let mut out = self.live(now);
         out.retain(|p| {
@@ -134,12 +134,12 @@
         out
     }
 
-    /// Returns every known instance.
+    /// Returns all known instances, sorted by id.
     pub fn all(&self) -> &[Peer] {
         &self.peers
     }
 
-    /// Returns the instance with this id.
+    /// Returns the known instance with this id, dead or alive.
     pub fn get(&self, id: &str) -> Option<&Peer> {
         let i = self
             .peers
@@ -148,7 +148,7 @@
         Some(&self.peers[i])
     }
 
-    /// Returns the live owner of a shard with the newest epoch.
+    /// Returns the live instance that claims `shard` with the newest epoch.
     pub fn owner_of(&self, now: Millis, shard: u32) -> Option<&Peer> {
         let mut best: Option<(u64, &Peer)> = None;
         for p in self.live(now) {
--- a/crates/core/src/name.rs
+++ b/crates/core/src/name.rs
@@ -4,30 +4,30 @@
 
 use snafu::{Snafu, ensure};
 
-/// A name of an organisation, job, worker, zone and the like.
+/// The name of an organisation, job, worker, zone or similar object.
 pub type Name = Arc<str>;
 
-/// Longest name in bytes.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Why a text can't be a name.
+/// The reason a text is not a valid name.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum NameError {
-    /// The text is empty or longer than [`MAX_NAME`] bytes.
+    /// The text is empty or longer than [`MAX_NAME_BYTES`] bytes.
     #[snafu(display("has {len} bytes, not 1 to {MAX_NAME_BYTES}"))]
     Length {
-        /// Its length in bytes.
+        /// Length of the text in bytes.
         len: usize,
     },
-    /// A character is not allowed.
+    /// The text contains a character that is not allowed.
     #[snafu(display("character {found:?} is not a letter, digit, '.', '_' or '-'"))]
     Character {
-        /// The first such character.
+        /// The first character that is not allowed.
         found: char,
     },
 }
 
-/// Checks that `text` is 1 to 128 ASCII letters, digits, `.`, `_` or `-`.
+/// Checks that `text` consists of 1 to [`MAX_NAME_BYTES`] ASCII letters, digits, `.`, `_` or `-`.
 pub fn check_name(text: &str) -> Result<(), NameError> {
     let len = text.len();
     ensure!((1..=MAX_NAME_BYTES).contains(&len), LengthSnafu { len });
--- a/crates/core/src/owner/lease.rs
+++ b/crates/core/src/owner/lease.rs
@@ -1,8 +1,8 @@
-//! How long an owner may act.
+//! An owner's view of its own lease.
 
 use crate::Millis;
 
-/// An owner's own view of its lease.
+/// Decides whether an owner may still send requests to workers.
 #[derive(Debug, Clone)]
 pub struct OwnerLease {
     lease: Millis,
@@ -12,7 +12,7 @@
 }
 
 impl OwnerLease {
-    /// Starts a tenure that was proved by a write sent at `now`.
+    /// Creates a lease of length `lease` that a write sent at `now` confirmed.
     pub fn new(lease: Millis, now: Millis) -> OwnerLease {
         OwnerLease {
             lease,
@@ -22,16 +22,16 @@
         }
     }
 
-    /// Takes note of a write that was sent at `sent` and took effect.
+    /// Records that a write sent at `sent_at` was applied, which confirms the ownership.
     pub fn confirm(&mut self, sent_at: Millis) {
         self.confirmed_at = self.confirmed_at.max(sent_at);
         self.suspended = false;
     }
 
-    /// Takes note that the owner runs at `now`.
+    /// Records that the owner is running at `now`.
     ///
-    /// A gap of a lease between two notes means that the process was paused
-    /// while another may have become the owner.
+    /// A gap of a whole lease between two calls means that the process was
+    /// paused and that another instance may have become the owner meanwhile.
     pub fn tick(&mut self, now: Millis) {
         if now.saturating_sub(self.ticked_at) >= self.lease && now >= self.confirmed_at + self.lease
         {
@@ -40,16 +40,17 @@
         self.ticked_at = now;
     }
 
-    /// Tells whether the owner may command workers.
+    /// Returns whether the owner may send requests to workers.
     ///
-    /// An owner that merely can't reach the table service may: it renews what
-    /// runs, and starts nothing since starts need the journal. One that was
-    /// paused across its lease may not before it proved its epoch again.
+    /// An owner that only can't reach the table service may: it renews leases
+    /// of running tasks, and can't start any since starts need the journal. An
+    /// owner that was paused beyond its lease may not until a write confirms
+    /// its epoch again.
     pub fn can_act(&self) -> bool {
         !self.suspended
     }
 
-    /// Returns the time since the ownership was proved.
+    /// Returns the time since the ownership was last confirmed.
     pub fn age(&self, now: Millis) -> Millis {
         now.saturating_sub(self.confirmed_at)
     }
--- a/crates/core/src/owner/lease_watch.rs
+++ b/crates/core/src/owner/lease_watch.rs
@@ -1,9 +1,9 @@
-//! When a shard may be taken.
+//! A contender's view of a shard's lease.
 
 use super::ShardRow;
 use crate::Millis;
 
-/// What a contender saw of a shard's row.
+/// Decides from the observed versions of a shard's row whether its lease is over.
 #[derive(Debug, Clone)]
 pub struct LeaseWatch {
     lease: Millis,
@@ -13,7 +13,7 @@
 }
 
 impl LeaseWatch {
-    /// Returns a claim that saw nothing yet.
+    /// Creates a watch that has not observed the row yet.
     pub fn new(lease: Millis) -> LeaseWatch {
         LeaseWatch {
             lease,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Takes note of the row as read at `now`; version 0 stands for no row.
+    /// Records the row and its version as read at `now`; version 0 stands for no row.
     pub fn observe(&mut self, now: Millis, row: Option<&ShardRow>, version: u64) {
         if self.version != Some(version) {
             self.version = Some(version);
@@ -32,19 +32,19 @@
         self.unowned = row.is_none_or(|r| r.owner.is_none());
     }
 
-    /// Tells whether the shard may be taken: it is free, or its owner did not
-    /// renew for a lease.
+    /// Returns whether the shard may be acquired: it has no owner, or its row
+    /// has not changed for a whole lease.
     pub fn can_acquire(&self, now: Millis) -> bool {
         let observed = self.version.is_some();
         observed && (self.unowned || now >= self.unchanged_since + self.lease)
     }
 
-    /// Tells whether the row has been as it is for at least `time`.
+    /// Returns whether the row has not changed for at least `time`.
     pub fn is_unchanged_for(&self, now: Millis, time: Millis) -> bool {
         now >= self.unchanged_since + time
     }
 
-    /// Forgets what was seen, for example after a pause of this process.
+    /// Discards the observations, for example after this process was paused.
     pub fn reset(&mut self) {
         self.version = None;
         self.unowned = false;
--- a/crates/core/src/owner/resolve.rs
+++ b/crates/core/src/owner/resolve.rs
@@ -1,20 +1,21 @@
-//! What became of a write whose answer was lost.
+//! Resolution of a conditional write whose response was lost.
 
 use super::ShardRow;
 
-/// Outcome of a conditional write of a shard's row, by reading it back.
+/// Outcome of a conditional write of a shard's row, determined by reading the row back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect; the row now has this version.
+    /// The write was applied; the row now has this version.
     Applied(u64),
-    /// It did not take effect yet: repeat it unchanged, with the same token, so
-    /// that it can take effect once at most.
+    /// The write has not been applied yet: repeat it unchanged, with the same
+    /// token, so that it is applied at most once.
     Repeat,
     /// Another writer changed the row.
     Lost,
 }
 
-/// Resolves a write with `token` that expected `version`.
+/// Resolves a write with `token` that expected `expected_version`, given the row that was read
+/// back and its version.
 pub fn resolve_write(
     token: u64,
     expected_version: u64,
--- a/crates/core/src/problem.rs
+++ b/crates/core/src/problem.rs
@@ -1,20 +1,20 @@
-//! Problems found while checking what a user wrote.
+//! Validation problems of documents that users write.
 
 use std::fmt;
 
-/// One problem and the path of the field it concerns.
+/// A problem and the path of the field that has it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Path in the document, for example `services[0].size.memory`.
+    /// Path of the field in the document, for example `services[0].size.memory`.
     pub path: String,
-    /// What is wrong with the value, and what would be right.
+    /// What is wrong with the value, and which values are valid.
     pub message: String,
 }
 
-/// All the problems of one document.
+/// All problems of one document.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Problems {
-    /// The problems in the order in which they were found.
+    /// The problems, in the order in which they were found.
     pub items: Vec<Problem>,
 }
 
@@ -27,14 +27,14 @@
         });
     }
 
-    /// Adds a problem unless `ok` holds.
+    /// Adds a problem unless `ok` is true.
     pub fn require(&mut self, ok: bool, path: impl Into<String>, message: impl Into<String>) {
         if !ok {
             self.add(path, message);
         }
     }
 
-    /// Returns `value` if there is no problem.
+    /// Returns `value` if there are no problems, otherwise the problems as the error.
     pub fn into_result<T>(self, value: T) -> Result<T, Problems> {
         match self.items.is_empty() {
             true => Ok(value),
--- a/crates/core/src/retry/breaker.rs
+++ b/crates/core/src/retry/breaker.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 
-/// Refuses calls for a while after failures in a row, then lets one through.
+/// Rejects calls after consecutive failures, except for one probe per open time.
 #[derive(Debug, Clone)]
 pub struct CircuitBreaker {
     failure_threshold: u32,
@@ -12,7 +12,7 @@
 }
 
 impl CircuitBreaker {
-    /// Opens for `pause` after `limit` failures in a row.
+    /// Creates a breaker that opens for `open_time` after `failure_threshold` consecutive failures.
     pub fn new(failure_threshold: u32, open_time: Millis) -> CircuitBreaker {
         CircuitBreaker {
             failure_threshold,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Tells whether a call may be made; an open breaker lets one through each pause.
+    /// Returns whether a call may be made; an open breaker allows one call per open time.
     pub fn allow(&mut self, now: Millis) -> bool {
         if self.failures < self.failure_threshold {
             return true;
@@ -34,7 +34,7 @@
         true
     }
 
-    /// Takes note of a call's result.
+    /// Records the result of a call.
     pub fn record(&mut self, now: Millis, ok: bool) {
         if ok {
             self.failures = 0;
--- a/crates/core/src/route/action.rs
+++ b/crates/core/src/route/action.rs
@@ -1,4 +1,4 @@
-//! What a router wants done.
+//! Actions that a router requests.
 
 use std::net::SocketAddr;
 
@@ -7,24 +7,24 @@
 use super::Outcome;
 use crate::{Millis, name::Name};
 
-/// Why a request is not served.
+/// The reason a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// No such service has targets.
+    /// The service is unknown or all its targets are leaving.
     NoTarget,
-    /// Too many requests wait.
+    /// The request queue is full.
     QueueFull,
-    /// The organisation has its share of this instance.
+    /// The organisation has reached its maximum number of requests on this instance.
     OverShare,
-    /// It can't be answered before its deadline.
+    /// The request can't be answered before its deadline.
     TooLate,
-    /// Every allowed try failed.
+    /// Every allowed attempt failed.
     Failed,
 }
 
 impl Refusal {
-    /// Returns the name that callers and logs see.
+    /// Returns the name that is sent to callers and written to logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Refusal::NoTarget => "no-target",
@@ -36,31 +36,31 @@
     }
 }
 
-/// An action of a router.
+/// An action that a router requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RouteAction {
     /// Send the request to a target.
     Send {
         /// The request.
         req: u64,
-        /// Number of the try, from 1.
+        /// Number of the attempt, from 1.
         attempt: u32,
-        /// The worker.
+        /// Worker of the target.
         worker: Name,
-        /// Its address.
+        /// Address of the target.
         addr: SocketAddr,
-        /// Time after which a second try may be asked for; 0 for never.
+        /// Time without an answer after which a hedged attempt may be requested; 0 for never.
         hedge: Millis,
     },
-    /// Give the request up at once.
+    /// Refuse the request immediately.
     Refuse {
         /// The request.
         req: u64,
-        /// Whether it may have run.
+        /// Whether the request may have run.
         outcome: Outcome,
-        /// Why.
+        /// Reason of the refusal.
         why: Refusal,
-        /// When the caller may come again.
+        /// Time after which the caller may retry.
         after: Millis,
     },
 }
--- a/crates/core/src/route/admit.rs
+++ b/crates/core/src/route/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: send, wait, retry, or refuse at once.
+//! Admission control: whether a request is sent, queued, retried or refused.
 
 use super::{
     Arrival, AttemptOutcome, Refusal, RoutePolicy, Router,
@@ -10,11 +10,11 @@
     route::{Outcome, RouteAction},
 };
 
-/// Share of the deadline that must be left for a retry to make sense: the
-/// service's mean time times this.
+/// Factor on the mean latency of a service; a request with less time left before its deadline is
+/// neither kept in the queue nor retried.
 const MIN_TIME_FACTOR: f64 = 1.0;
 
-/// Shares of a retry are counted in thousandths, templates in hundredths.
+/// Converts retry percentages of templates to the thousandths that budgets use.
 const PERMILLE_PER_PERCENT: u32 = 10;
 
 impl Router {
@@ -69,7 +69,7 @@
         self.enqueue(i);
     }
 
-    /// Refuses a request that was not taken on the books.
+    /// Refuses a request that is not recorded as open.
     fn refuse_arrival(&mut self, req: u64, why: Refusal) {
         self.counts.refused += 1;
         self.actions.push(RouteAction::Refuse {
@@ -80,13 +80,13 @@
         });
     }
 
-    /// Returns how many waiting requests go before a new one of `priority`.
+    /// Returns the number of queued requests that precede a new one of `priority`.
     fn queued_ahead(&self, service: usize, priority: crate::template::Priority) -> usize {
         let queued = &self.services[service].queued;
         queued.partition_point(|e| e.priority <= priority)
     }
 
-    /// Refuses the last waiting request if it is of a lower priority than `a`.
+    /// Refuses the last queued request if its priority is lower than that of `a`.
     fn displace(&mut self, service: usize, a: &Arrival) -> bool {
         let Some(last) = self.services[service].queued.last().copied() else {
             return false;
@@ -102,7 +102,7 @@
         true
     }
 
-    /// Returns the time until a request behind `ahead` others is answered.
+    /// Returns the expected time until a request behind `ahead` others is answered.
     fn expected_wait(&self, now: Millis, service: usize, ahead: usize) -> f64 {
         let s = &self.services[service];
         let mut capacity = 0;
@@ -142,7 +142,7 @@
         o.queued = o.queued.saturating_sub(1);
     }
 
-    /// Sends waiting requests while there are targets for them.
+    /// Sends queued requests while there are targets for them.
     pub(super) fn dispatch(&mut self, now: Millis, service: usize) {
         while let Some(entry) = self.services[service].queued.first().copied() {
             let Ok(i) = self.requests.binary_search_by_key(&entry.req, |r| r.req) else {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Refuses waiting requests that can't be answered in time any more.
+    /// Refuses queued requests that can no longer be answered before their deadline.
     pub(super) fn expire(&mut self, now: Millis, service: usize) {
         let mean = self.services[service].mean_latency;
         let late = |e: &QueueEntry| now as f64 + mean * MIN_TIME_FACTOR > e.deadline as f64;
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Decides what becomes of a request after a try that did not answer it.
+    /// Retries or refuses a request after an attempt that did not answer it.
     pub(super) fn retry(&mut self, now: Millis, i: usize, end: AttemptOutcome) {
         let r = &self.requests[i];
         if r.deadline == 0 || !r.in_flight.is_empty() {
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Sends a second try beside the first, within the budget.
+    /// Sends a hedged attempt beside the first one, within the hedging budget.
     pub(super) fn hedge(&mut self, now: Millis, req: u64) {
         let Ok(i) = self.requests.binary_search_by_key(&req, |r| r.req) else {
             return;
--- a/crates/core/src/route/budget.rs
+++ b/crates/core/src/route/budget.rs
@@ -1,12 +1,13 @@
-//! Budgets that grow with requests.
+//! Budgets that limit retries and hedged attempts to a share of the requests.
 
-/// Most units that can be saved up.
+/// Maximum number of units in a budget.
 const MAX_UNITS: u64 = 10_000;
 
-/// Units that one use costs.
+/// Units withdrawn by one use.
 const UNITS_PER_USE: u64 = 1_000;
 
-/// A budget: each request adds a share of a use; uses are refused when it is empty.
+/// A token bucket: each request deposits a fraction of a use, and uses are refused when it is
+/// empty.
 #[derive(Debug, Clone)]
 pub struct Budget {
     units: u64,
@@ -19,12 +20,12 @@
 }
 
 impl Budget {
-    /// Adds the share of one request, in thousandths of a use.
+    /// Deposits the share of one request, in thousandths of a use.
     pub fn deposit(&mut self, permille: u32) {
         self.units = (self.units + u64::from(permille)).min(MAX_UNITS);
     }
 
-    /// Takes one use, if there is one.
+    /// Withdraws one use if the budget has one left; returns whether it had.
     pub fn try_withdraw(&mut self) -> bool {
         if self.units < UNITS_PER_USE {
             return false;
--- a/crates/core/src/route/choose.rs
+++ b/crates/core/src/route/choose.rs
@@ -1,21 +1,21 @@
-//! Choice of a target.
+//! Target selection.
 
 use rand::Rng;
 
 use super::{RouteAction, RoutePolicy, Router};
 use crate::{Millis, name::Name};
 
-/// Random targets that are looked at before all are.
+/// Number of random targets that are probed before all targets are scanned.
 const MAX_PROBES: usize = 6;
 
-/// A second try is asked for after the service's mean time times this.
+/// Factor on the mean latency of a service after which a hedged attempt is requested.
 const HEDGE_FACTOR: f64 = 4.0;
 
-/// Least time before a second try.
+/// Minimum time before a hedged attempt.
 const MIN_HEDGE_MS: Millis = 20;
 
 impl Router {
-    /// Sends a request if a target can take it.
+    /// Sends a request if a target can take it; returns whether it was sent.
     pub(super) fn send(&mut self, now: Millis, i: usize) -> bool {
         let service = self.requests[i].service;
         let chosen = match self.settings.policy {
@@ -62,8 +62,8 @@
         None
     }
 
-    /// Returns the better of two usable targets: near ones first, and others
-    /// only when none of the near ones can take the request.
+    /// Returns the better of two usable targets; targets of other zones are used
+    /// only when no target of this zone can take the request.
     fn better_of_two(&mut self, now: Millis, i: usize) -> Option<usize> {
         for same_zone in [true, false] {
             let mut picked = Vec::with_capacity(2);
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns two random ones of all usable targets.
+    /// Returns two targets picked at random from all usable ones.
     fn scan(&mut self, now: Millis, i: usize, same_zone: bool) -> Vec<usize> {
         let n = self.services[self.requests[i].service].targets.len();
         let mut usable = Vec::new();
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -1,83 +1,83 @@
-//! What a router is told.
+//! Events that a router handles.
 
 use serde::{Deserialize, Serialize};
 
 use super::AttemptOutcome;
 use crate::{Millis, name::Name, shard::TargetInfo, template::Priority};
 
-/// A request that a caller sent.
+/// A request that arrived from a caller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Number of the request on this instance.
+    /// Number of the request, unique on this instance.
     pub req: u64,
-    /// Organisation.
+    /// Organisation of the service.
     pub org: Name,
-    /// Service.
+    /// Name of the service.
     pub service: Name,
-    /// Priority.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Time by which the answer is wanted.
+    /// Time by which the request must be answered.
     pub deadline: Millis,
-    /// Whether it may run more than once.
+    /// Whether the request is idempotent, so that it may run more than once.
     pub repeatable: bool,
-    /// Most requests of the organisation that may wait here.
+    /// Maximum number of queued requests of the organisation on this instance.
     #[serde(rename = "queue")]
     pub max_queued: u32,
-    /// Share of recent requests that may be sent again, in hundredths.
+    /// Retries as a percentage of recent requests of the organisation.
     #[serde(rename = "retries")]
     pub retry_percent: u32,
 }
 
-/// The targets that one shard's owner announced.
+/// The targets that the owner of a shard announced.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetList {
     /// Index of the shard.
     pub shard: u32,
-    /// Epoch of its owner.
+    /// Epoch of the owner.
     pub epoch: u64,
-    /// Version within the epoch.
+    /// Version of the list within the epoch.
     pub version: u64,
-    /// Whether the shard is of this instance's zone.
+    /// Whether the shard belongs to the zone of this instance.
     #[serde(rename = "near")]
     pub same_zone: bool,
-    /// Its targets.
+    /// Targets of the shard.
     pub targets: Vec<TargetInfo>,
 }
 
-/// An entry's part in the use of the near targets.
+/// The share of an entry instance in the targets of its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// Number of entries that share the targets.
+    /// Number of entry instances that share the targets.
     pub entries: u32,
-    /// Place of this entry among them, from 0.
+    /// Index of this instance among them, from 0.
     pub rank: u32,
 }
 
 /// An event for a router.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RouteEvent {
-    /// A request came.
+    /// A request arrived.
     Arrive(Arrival),
-    /// A try ended.
+    /// An attempt ended.
     Ended {
         /// The request.
         req: u64,
-        /// The try.
+        /// Number of the attempt.
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt.
         end: AttemptOutcome,
     },
-    /// The caller's answer is late enough for a second try beside the first.
+    /// The answer is late enough for a hedged attempt beside the first one.
     Hedge {
         /// The request.
         req: u64,
     },
     /// A shard's owner announced its targets.
     Targets(TargetList),
-    /// Workers that are about to leave, by the membership list.
+    /// Workers that are about to leave, according to the membership list.
     Leaving(Vec<Name>),
-    /// The entries that share the near targets.
+    /// The share of this instance in the targets of its zone changed.
     Entries(Share),
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,11 +1,12 @@
-//! Routing of requests: admission, choice of target, retries, ejection.
+//! Routing of requests: admission, target selection, retries, hedging and ejection.
 //!
-//! Slots of a target are shared by all entries without coordination. An entry
-//! may always use its fair share of a target's slots; beyond that only what
-//! the target's last answer showed to be free, while that report is fresh.
+//! All entry instances share the slots of a target without coordination. An
+//! entry may always use its fair share of the slots; beyond that it may use
+//! only the slots that the last report of the target showed as free, while
+//! that report is fresh.
 //!
-//! A request that can't be met in time is refused at once as not run, so that
-//! its caller can go elsewhere; nothing is held back until its deadline.
+//! A request that can't be answered before its deadline is refused immediately
+//! as not run instead of being queued, so that its caller can go elsewhere.
 
 mod action;
 mod admit;
--- a/crates/core/src/route/outcome.rs
+++ b/crates/core/src/route/outcome.rs
@@ -1,18 +1,18 @@
-//! Outcomes of requests and of single tries.
+//! Outcomes of requests and of single attempts.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 
-/// What a caller is told of its request.
+/// The outcome of a request, as reported to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It ran, and the answer is the target's.
+    /// The request ran, and the answer is from the target.
     Ran,
-    /// It truly did not run.
+    /// The request certainly did not run.
     NotRun,
-    /// It may or may not have run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Reads the value of the header field.
+    /// Parses the value of the header field.
     pub fn parse(text: &str) -> Option<Outcome> {
         match text {
             "ran" => Some(Outcome::Ran),
@@ -37,23 +37,23 @@
     }
 }
 
-/// How one try at a target ended.
+/// The outcome of one attempt at a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// A whole answer came.
+    /// A complete answer arrived.
     Answered {
-        /// Time it took.
+        /// Duration of the attempt.
         took: Millis,
-        /// Slots in use, as the target reported; none if it did not.
+        /// Slots in use as reported by the target, if it reported them.
         busy: Option<u32>,
     },
-    /// Nothing was sent: the target can't be reached.
+    /// Nothing was sent because the target can't be reached.
     NotSent,
-    /// The target said that it did not run the request.
+    /// The target reported that it did not run the request.
     Declined {
-        /// Slots in use, as the target reported; none if it did not.
+        /// Slots in use as reported by the target, if it reported them.
         busy: Option<u32>,
-        /// Whether it is about to leave.
+        /// Whether the target is about to leave.
         leaving: bool,
     },
     /// The request may have run.
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -1,8 +1,8 @@
-//! Requests that wait for a target.
+//! Open requests and their order in the queue.
 
 use crate::{Millis, template::Priority};
 
-/// A request under way or waiting on this entry.
+/// An open request on this entry instance, queued or in flight.
 #[derive(Debug, Clone)]
 pub(super) struct Request {
     pub req: u64,
@@ -10,17 +10,17 @@
     pub priority: Priority,
     pub deadline: Millis,
     pub repeatable: bool,
-    /// Tries so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// Workers of the tries under way, by number of the try.
+    /// Attempts in flight: their numbers and workers.
     pub in_flight: Vec<(u32, crate::name::Name)>,
-    /// Workers that failed it.
+    /// Workers on which an attempt of the request failed.
     pub failed_on: Vec<crate::name::Name>,
-    /// Whether a try ended without proof that it did not run.
+    /// Whether an attempt ended without proof that it did not run.
     pub may_have_run: bool,
 }
 
-/// Order in which waiting requests are served.
+/// Position of a queued request; the order of the fields is the order of service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueEntry {
     pub priority: Priority,
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -1,4 +1,4 @@
-//! The router's state machine.
+//! The state machine of the router.
 
 use rand::{SeedableRng, rngs::SmallRng};
 use serde::{Deserialize, Serialize};
@@ -10,28 +10,28 @@
 };
 use crate::{Millis, name::Name};
 
-/// Time after which a refused caller may come again.
+/// Time after which a caller may retry a refused request.
 pub(super) const RETRY_AFTER_MS: Millis = 1_000;
 
-/// Share of a new time in a service's running mean.
+/// Weight of a new value in the moving average of a service's latency.
 const LATENCY_SMOOTHING: f64 = 0.05;
 
-/// Targets and waiting requests of one service.
+/// Targets and queued requests of a service.
 #[derive(Debug)]
 pub(super) struct Service {
     pub org: Name,
     pub name: Name,
     /// Sorted by worker.
     pub targets: Vec<Target>,
-    /// Sorted; the first is served next.
+    /// Sorted in the order of service.
     pub queued: Vec<QueueEntry>,
-    /// Running mean of the time of an answer.
+    /// Moving average of the latency of answers, in milliseconds.
     pub mean_latency: f64,
-    /// Next target of the round-robin baseline.
+    /// Index of the last target that the round-robin policy chose.
     pub next_target: usize,
 }
 
-/// What an organisation uses of this instance.
+/// Usage of this instance by an organisation.
 #[derive(Debug)]
 pub(super) struct OrgUsage {
     pub org: Name,
@@ -41,7 +41,7 @@
     pub hedges: Budget,
 }
 
-/// A shard's list that was taken over.
+/// Epoch and version of the target list that was last applied for a shard.
 #[derive(Debug)]
 struct ListVersion {
     shard: u32,
@@ -49,17 +49,17 @@
     version: u64,
 }
 
-/// Counts since the start.
+/// Counters since the start of the router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteCounts {
-    /// Requests that came.
+    /// Requests that arrived.
     pub requests: u64,
-    /// Tries that were sent.
+    /// Attempts that were sent.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Requests that were refused or given up.
+    /// Requests that were refused.
     pub refused: u64,
-    /// Second tries beside the first.
+    /// Hedged attempts that were sent.
     pub hedges: u64,
     /// Ejections of targets.
     pub ejections: u64,
@@ -81,7 +81,7 @@
 }
 
 impl Router {
-    /// Returns a router without targets.
+    /// Creates a router without targets; `seed` seeds its random choices.
     pub fn new(settings: RouteSettings, seed: u64) -> Router {
         Router {
             settings,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Handles one event and returns what is to be done.
+    /// Handles an event and returns the resulting actions.
     pub fn step(&mut self, now: Millis, event: &RouteEvent) -> Vec<RouteAction> {
         match event {
             RouteEvent::Arrive(a) => self.admit(now, a),
@@ -114,22 +114,22 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the counts since the start.
+    /// Returns the counters since the start of the router.
     pub fn counts(&self) -> RouteCounts {
         self.counts
     }
 
-    /// Returns the number of requests that wait for a target.
+    /// Returns the number of queued requests.
     pub fn waiting_requests(&self) -> usize {
         self.services.iter().map(|s| s.queued.len()).sum()
     }
 
-    /// Returns the number of requests that are not settled.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Returns the epoch and version of the list known of a shard.
+    /// Returns the epoch and version of the target list applied for a shard.
     pub fn list_version(&self, shard: u32) -> Option<(u64, u64)> {
         let i = self
             .list_versions
@@ -314,7 +314,7 @@
         }
     }
 
-    /// Tells whether one more target of a service may be ejected.
+    /// Returns whether one more target of a service may be ejected.
     fn can_eject(&self, now: Millis, service: usize) -> bool {
         let targets = &self.services[service].targets;
         let in_zone = targets.iter().filter(|t| t.same_zone).count();
@@ -325,7 +325,7 @@
         (ejected + 1) * 100 <= in_zone * self.settings.max_ejected_percent as usize
     }
 
-    /// Takes a request off the books once no try is under way.
+    /// Closes a request; it is dropped once no attempt is in flight.
     fn close_request(&mut self, i: usize) {
         let r = &mut self.requests[i];
         r.deadline = 0;
@@ -341,7 +341,7 @@
         o.open_requests = o.open_requests.saturating_sub(1);
     }
 
-    /// Gives a request up at once; it is never held back.
+    /// Refuses an open request immediately.
     pub(super) fn refuse(&mut self, i: usize, why: Refusal) {
         let r = &self.requests[i];
         let outcome = if r.may_have_run {
--- a/crates/core/src/route/settings.rs
+++ b/crates/core/src/route/settings.rs
@@ -8,9 +8,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RoutePolicy {
-    /// In turn, without budgets, ejection or early refusal; a baseline.
+    /// Targets in turn, without retry budget, ejection or early refusal; a baseline.
     RoundRobin,
-    /// The better of two random targets by expected time, with budgets.
+    /// The better of two random targets by expected latency, with retry budgets.
     #[default]
     TwoChoices,
 }
@@ -21,30 +21,30 @@
 pub struct RouteSettings {
     /// How targets are chosen.
     pub policy: RoutePolicy,
-    /// Time for which a target's report of its load is trusted.
+    /// Time for which the load report of a target is used.
     #[serde(rename = "fresh")]
     pub report_ttl: Millis,
-    /// Failures in a row after which a target is ejected.
+    /// Number of consecutive failures after which a target is ejected.
     #[serde(rename = "failures")]
     pub ejection_threshold: u32,
-    /// Length of the first ejection; doubles each time.
+    /// Duration of the first ejection; doubles with each further one.
     #[serde(rename = "eject")]
     pub ejection: Millis,
-    /// Longest ejection.
+    /// Maximum duration of an ejection.
     #[serde(rename = "max_eject")]
     pub max_ejection: Millis,
-    /// Most targets of a zone that may be ejected, in hundredths.
+    /// Maximum percentage of the targets of a zone that may be ejected at one time.
     #[serde(rename = "max_ejected")]
     pub max_ejected_percent: u32,
-    /// Time over which a returning target gets back its full share.
+    /// Time over which a target regains its full share after an ejection.
     pub slow_start: Millis,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of a request.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
-    /// Share of requests that may be hedged, in thousandths; 0 switches it off.
+    /// Share of requests that may be hedged, in thousandths; 0 disables hedging.
     #[serde(rename = "hedges")]
     pub hedge_permille: u32,
-    /// Most requests that one organisation may have here at one time.
+    /// Maximum number of open requests of an organisation on this instance.
     #[serde(rename = "share")]
     pub max_org_requests: usize,
 }
--- a/crates/core/src/route/target.rs
+++ b/crates/core/src/route/target.rs
@@ -1,61 +1,61 @@
-//! An entry's view of a target.
+//! An entry instance's view of a target.
 
 use std::net::SocketAddr;
 
 use super::{RouteSettings, Share};
 use crate::{Millis, hashing::stable_hash, name::Name, shard::TargetInfo};
 
-/// Share of a new time in the running mean.
+/// Weight of a new value in the moving average of a target's latency.
 const LATENCY_SMOOTHING: f64 = 0.2;
 
-/// Time taken for a target that has not answered yet, in milliseconds.
+/// Assumed latency of a target that has not answered yet.
 const INITIAL_LATENCY_MS: f64 = 5.0;
 
-/// Turns that targets are spread over.
+/// Number of different share offsets of targets.
 const SHARE_OFFSETS: u64 = 1_024;
 
-/// Factor by which a returning target looks slower at first.
+/// Factor on the expected latency of a target right after its ejection.
 const SLOW_START_PENALTY: f64 = 4.0;
 
-/// A target and what this entry knows of it.
+/// A target and its load and health as this entry instance observes them.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Worker that it is on.
+    /// Worker that runs the target.
     pub worker: Name,
-    /// Address.
+    /// Address of the target.
     pub addr: SocketAddr,
-    /// Shard that announced it.
+    /// Index of the shard that announced the target.
     pub shard: u32,
-    /// Whether it is in this entry's zone.
+    /// Whether the target is in the zone of this entry instance.
     pub same_zone: bool,
-    /// Requests that it runs at one time.
+    /// Maximum number of requests that the target handles at one time.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Maximum number of connections that the target accepts.
     pub connections: u32,
-    /// Shifts which entries may use one slot more than others.
+    /// Shifts which entry instances may use one slot more than others.
     pub share_offset: u32,
-    /// Whether it is about to leave.
+    /// Whether the target is about to leave.
     pub leaving: bool,
-    /// Requests that this entry has under way there.
+    /// Number of requests of this entry instance in flight at the target.
     pub in_flight: u32,
-    /// Slots that others used at the last report.
+    /// Slots that other entry instances used at the last report.
     pub others_in_flight: u32,
-    /// When that was; 0 for never.
+    /// Time of the last report; 0 without one.
     pub reported_at: Millis,
-    /// Running mean of its times.
+    /// Moving average of the latency, in milliseconds.
     pub mean_latency: f64,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub failures: u32,
-    /// Ejections in a row.
+    /// Number of consecutive ejections.
     pub ejections: u32,
-    /// End of the ejection.
+    /// Time at which the last ejection ends; 0 without one.
     pub ejected_until: Millis,
-    /// When it came back or was first seen.
+    /// Time at which the target was first announced or returned from an ejection.
     pub active_since: Millis,
 }
 
 impl Target {
-    /// Returns a target that has not been used.
+    /// Creates a target that has not been used yet.
     pub fn new(info: &TargetInfo, shard: u32, same_zone: bool, now: Millis) -> Target {
         Target {
             worker: info.worker.clone(),
@@ -77,10 +77,11 @@
         }
     }
 
-    /// Returns how many requests this entry may have there now.
+    /// Returns the maximum number of requests that this entry instance may have
+    /// in flight at the target.
     ///
-    /// The fair shares of all entries sum to the slots. Which entries have one
-    /// more than others differs from target to target.
+    /// The fair shares of all entry instances of the zone sum to the slots of
+    /// the target. Which of them get one slot more differs between targets.
     pub fn request_limit(&self, now: Millis, share: Share, settings: &RouteSettings) -> u32 {
         let entries = share.entries.max(1);
         let max_requests = (self.connections / entries).max(1);
@@ -99,7 +100,9 @@
         fair.max(free).min(max_requests)
     }
 
-    /// Tells whether it can take one more request.
+    /// Returns whether the target can take one more request.
+    ///
+    /// After an ejection it takes one request at a time until one is answered.
     pub fn is_usable(&self, now: Millis, share: Share, settings: &RouteSettings) -> bool {
         let readmitted = self.ejected_until <= now;
         let probing = self.ejections > 0 && self.in_flight > 0;
@@ -109,7 +112,7 @@
             && self.in_flight < self.request_limit(now, share, settings)
     }
 
-    /// Returns the expected time of one more request; lower is better.
+    /// Returns a score for the expected latency of one more request; lower is better.
     pub fn expected_latency(&self, now: Millis, settings: &RouteSettings) -> f64 {
         let fresh = now.saturating_sub(self.reported_at) <= settings.report_ttl;
         let others = if fresh { self.others_in_flight } else { 0 };
@@ -124,7 +127,7 @@
         self.mean_latency * (0.25 + load) * penalty
     }
 
-    /// Takes note of a whole answer.
+    /// Records a complete answer.
     pub fn record_answer(&mut self, now: Millis, took: Millis, busy: Option<u32>) {
         self.failures = 0;
         if self.ejections > 0 {
@@ -136,15 +139,15 @@
         self.update_load(now, busy.map(|b| b.saturating_sub(1)));
     }
 
-    /// Takes note of the slots that the target reported in use by requests
-    /// other than the one that just ended.
+    /// Records the slots that the target reported as used by requests other
+    /// than the one that just ended.
     pub fn update_load(&mut self, now: Millis, busy: Option<u32>) {
         let Some(busy) = busy else { return };
         self.others_in_flight = busy.saturating_sub(self.in_flight);
         self.reported_at = now;
     }
 
-    /// Takes note of a failure; ejects after enough in a row if `may`.
+    /// Records a failure, and ejects the target after enough consecutive ones if `can_eject`.
     pub fn record_failure(&mut self, now: Millis, settings: &RouteSettings, can_eject: bool) {
         self.failures += 1;
         let probing = self.ejections > 0;
--- a/crates/core/src/size.rs
+++ b/crates/core/src/size.rs
@@ -1,4 +1,4 @@
-//! Amounts of a worker's processors, memory and accelerators.
+//! Resource sizes: CPU, memory and accelerators.
 
 use std::fmt;
 
@@ -8,24 +8,26 @@
     ser::SerializeTuple,
 };
 
-/// Number of dimensions.
+/// Number of resource dimensions.
 const DIMENSIONS: usize = 3;
 
-/// Processors, memory and accelerators, as integers so that sums don't drift.
+/// An amount of CPU, memory and accelerators.
 ///
-/// Written as a tuple of its fields, since it stands in every start.
+/// The fields are integers so that repeated additions and subtractions are
+/// exact. A size is serialized as a tuple without field names because every
+/// start request contains one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Size {
-    /// Processors in thousandths of a core.
+    /// CPU in thousandths of a core.
     pub cpu: u64,
     /// Memory in bytes.
     pub memory: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accels: u32,
 }
 
 impl Size {
-    /// Returns a size.
+    /// Creates a size from thousandths of a core, bytes and a number of accelerators.
     pub const fn new(cpu: u64, memory: u64, accels: u32) -> Size {
         Size {
             cpu,
@@ -34,12 +36,12 @@
         }
     }
 
-    /// Tells whether `self` fits into `room` in every dimension.
+    /// Returns whether `self` is at most `capacity` in every dimension.
     pub fn fits_in(&self, capacity: &Size) -> bool {
         self.cpu <= capacity.cpu && self.memory <= capacity.memory && self.accels <= capacity.accels
     }
 
-    /// Adds; saturates at the largest value.
+    /// Adds each dimension, saturating at the largest value.
     pub fn saturating_add(&self, other: &Size) -> Size {
         Size {
             cpu: self.cpu.saturating_add(other.cpu),
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Subtracts; stops at zero.
+    /// Subtracts each dimension, saturating at zero.
     pub fn saturating_sub(&self, other: &Size) -> Size {
         Size {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Divides by `n`, rounding down.
+    /// Divides each dimension by `n`, rounding down; 0 counts as 1.
     pub fn divide(&self, n: u64) -> Size {
         let n = n.max(1);
         Size {
@@ -85,7 +87,9 @@
         }
     }
 
-    /// Returns the largest used fraction of any dimension of `total`.
+    /// Returns the largest fraction of `total` that `self` takes in any dimension.
+    ///
+    /// Dimensions of which `total` has none count as 0.
     pub fn load(&self, total: &Size) -> f64 {
         let fraction = |a: u64, b: u64| if b == 0 { 0.0 } else { a as f64 / b as f64 };
         fraction(self.cpu, total.cpu)
--- a/crates/core/src/template/check.rs
+++ b/crates/core/src/template/check.rs
@@ -1,4 +1,4 @@
-//! From the written to the checked form.
+//! Validation of raw templates.
 
 use std::sync::Arc;
 
@@ -12,18 +12,24 @@
     size::Size,
 };
 
-/// Most entries of each list.
+/// Maximum length of each list of a template.
 const MAX_ENTRIES: usize = 1_000;
 
-/// Most cores, MiB of memory and accelerators of any size.
+/// Maximum CPU of any size, in cores.
 const MAX_CORES: f64 = 10_000_000.0;
+/// Maximum memory of any size, in MiB.
 const MAX_MIB: i64 = 100_000_000_000;
+/// Maximum number of accelerators of any size.
 const MAX_ACCELS: i64 = 1_000_000;
 
-/// Longest time in milliseconds: 30 days.
+/// Maximum declared run time in milliseconds: 30 days.
 const MAX_RUN_MS: i64 = 30 * 24 * 3600 * 1000;
 
-/// Checks a template as a whole; the error lists every problem with its path.
+/// Validates a template.
+///
+/// # Errors
+///
+/// Returns all problems of the template, each with the path of its field.
 pub fn check(raw: &RawTemplate) -> Result<Organisation, Problems> {
     let mut p = Problems::default();
     let name = name(&raw.organisation, "organisation", &mut p);
@@ -55,7 +61,7 @@
         p.require(
             known,
             format!("{path}.team"),
-            format!("no team is called {:?}", j.team),
+            format!("there is no team with the name {:?}", j.team),
         );
         jobs.push(job(j, &path, &mut p));
     }
@@ -92,7 +98,7 @@
         p.require(
             pair[0] != pair[1],
             path,
-            format!("the name {:?} stands twice", pair[0]),
+            format!("the name {:?} is used more than once", pair[0]),
         );
     }
 }
--- a/crates/core/src/template/job.rs
+++ b/crates/core/src/template/job.rs
@@ -1,4 +1,4 @@
-//! Kinds of batch jobs and long-running tasks.
+//! Job templates for batch jobs and long-running tasks.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,21 +8,21 @@
 /// A kind of job that callers may submit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobTemplate {
-    /// Name, unique among the organisation's services and jobs.
+    /// Name, unique among the services and job templates of the organisation.
     pub name: Name,
     /// Team whose quota the tasks use.
     pub team: Name,
     /// Declared size of a task.
     pub size: Size,
-    /// Most tasks a job may have.
+    /// Maximum number of tasks of a job.
     #[serde(rename = "tasks")]
     pub max_tasks: u32,
-    /// Declared run time of a task; 0 runs until it is cancelled.
+    /// Declared run time of a task; with 0 it runs until it is cancelled.
     pub run: Millis,
     /// Priority of the tasks.
     pub priority: Priority,
     /// Whether tasks can write checkpoints and resume from them.
     pub checkpoint: bool,
-    /// Failures after which a task has failed for good.
+    /// Number of failures after which a task fails permanently.
     pub attempts: u32,
 }
--- a/crates/core/src/template/limits.rs
+++ b/crates/core/src/template/limits.rs
@@ -4,21 +4,21 @@
 
 use crate::Millis;
 
-/// Limits on what an organisation may ask for.
+/// Limits on the resources that an organisation may use.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OrgLimits {
-    /// Most open jobs in a shard.
+    /// Maximum number of open jobs in a shard.
     #[serde(rename = "jobs")]
     pub open_jobs: u32,
-    /// Most requests waiting at one entry instance.
+    /// Maximum number of queued requests on an entry instance.
     #[serde(rename = "queue")]
     pub queued_requests: u32,
-    /// Share of recent requests that may be sent again, in hundredths.
+    /// Retries as a percentage of recent requests.
     #[serde(rename = "retries")]
     pub retry_percent: u32,
-    /// Most evictions of one task.
+    /// Maximum number of evictions of a task.
     #[serde(rename = "evictions")]
     pub task_evictions: u32,
-    /// How long tasks go on without the table service.
+    /// How long tasks keep running without the table service.
     pub hold: Millis,
 }
--- a/crates/core/src/template/mod.rs
+++ b/crates/core/src/template/mod.rs
@@ -1,8 +1,8 @@
-//! Organisation templates: what operators write, and its checked form.
+//! Organisation templates, in their raw and their validated form.
 //!
-//! The written form keeps units that people like; the checked form keeps
-//! integers in milli-cores, bytes and milliseconds. Checking reports every
-//! problem at once, each with its path.
+//! The raw form, which operators write, has convenient units such as cores and
+//! MiB; the validated form has integers in thousandths of a core, bytes and
+//! milliseconds. Validation reports all problems at once, each with its path.
 
 mod check;
 mod job;
--- a/crates/core/src/template/organisation.rs
+++ b/crates/core/src/template/organisation.rs
@@ -1,35 +1,35 @@
-//! An organisation's checked template.
+//! The validated template of an organisation.
 
 use serde::{Deserialize, Serialize};
 
 use super::{JobTemplate, OrgLimits, Service, Team, Weights};
 use crate::name::Name;
 
-/// A checked template; teams, services and jobs are sorted by name.
+/// A validated template; teams, services and jobs are sorted by name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
     /// Name of the organisation.
     pub name: Name,
-    /// What it cares about.
+    /// Weights of the placement objectives.
     pub weights: Weights,
-    /// Its limits.
+    /// Limits of the organisation.
     pub limits: OrgLimits,
-    /// Its teams.
+    /// Teams, sorted by name.
     pub teams: Vec<Team>,
-    /// Its services.
+    /// Services, sorted by name.
     pub services: Vec<Service>,
-    /// Its kinds of jobs.
+    /// Job templates, sorted by name.
     pub jobs: Vec<JobTemplate>,
 }
 
 impl Organisation {
-    /// Returns the team called `name`.
+    /// Returns the team with this name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         let i = self.teams.binary_search_by(|t| (*t.name).cmp(name)).ok()?;
         Some(&self.teams[i])
     }
 
-    /// Returns the service called `name`.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         let i = self
             .services
@@ -38,7 +38,7 @@
         Some(&self.services[i])
     }
 
-    /// Returns the kind of job called `name`.
+    /// Returns the job template with this name.
     pub fn job(&self, name: &str) -> Option<&JobTemplate> {
         let i = self.jobs.binary_search_by(|j| (*j.name).cmp(name)).ok()?;
         Some(&self.jobs[i])
--- a/crates/core/src/template/priority.rs
+++ b/crates/core/src/template/priority.rs
@@ -2,24 +2,24 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Urgent goes before normal, normal before bulk.
+/// Priority of a request or task; the variants are in the order of service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// First; tasks may preempt others.
+    /// Served first; tasks may preempt tasks of lower priority.
     Urgent,
-    /// The usual one.
+    /// The default.
     #[default]
     Normal,
-    /// Last; first to be refused, throttled or evicted.
+    /// Served last, and the first to be refused, throttled or evicted.
     Bulk,
 }
 
 impl Priority {
-    /// All priorities, the first one first.
+    /// All priorities, from the first to the last served.
     pub const ALL: [Priority; 3] = [Priority::Urgent, Priority::Normal, Priority::Bulk];
 
-    /// Reads a priority from its lower-case name.
+    /// Parses the lower-case name of a priority.
     pub fn parse(text: &str) -> Option<Priority> {
         match text {
             "urgent" => Some(Priority::Urgent),
--- a/crates/core/src/template/raw.rs
+++ b/crates/core/src/template/raw.rs
@@ -1,19 +1,19 @@
-//! The written form of a template; unknown keys are refused.
+//! The raw form of a template, as operators write it; unknown keys are rejected.
 
 use serde::{Deserialize, Serialize};
 
 use super::Priority;
 
-/// A template as an operator writes it.
+/// A template as written.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawTemplate {
     /// Name of the organisation.
     pub organisation: String,
-    /// Weights of the three measures; any positive scale.
+    /// Weights of the placement objectives, on any positive scale.
     #[serde(default)]
     pub weights: RawWeights,
-    /// Limits.
+    /// Limits of the organisation.
     #[serde(default)]
     pub limits: RawLimits,
     /// Teams.
@@ -22,20 +22,20 @@
     /// Services.
     #[serde(default)]
     pub services: Vec<RawService>,
-    /// Kinds of jobs.
+    /// Job templates.
     #[serde(default)]
     pub jobs: Vec<RawJob>,
 }
 
-/// Weights as written.
+/// Weights of the placement objectives as written.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RawWeights {
-    /// Tail latency of services.
+    /// Weight of the tail latency of services.
     pub tail_latency: f64,
-    /// Batch throughput.
+    /// Weight of the batch throughput.
     pub throughput: f64,
-    /// Evictions.
+    /// Weight of evictions.
     pub evictions: f64,
 }
 
@@ -49,19 +49,19 @@
     }
 }
 
-/// Limits as written.
+/// Limits of an organisation as written.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RawLimits {
-    /// Most open jobs in a shard.
+    /// Maximum number of open jobs in a shard.
     pub open_jobs: i64,
-    /// Most requests waiting at one entry instance.
+    /// Maximum number of queued requests on an entry instance.
     pub queued_requests: i64,
-    /// Share of recent requests that may be sent again, in percent.
+    /// Retries as a percentage of recent requests.
     pub retry_percent: i64,
-    /// Most evictions of one task.
+    /// Maximum number of evictions of a task.
     pub task_evictions: i64,
-    /// How long tasks go on without the table service, in seconds.
+    /// How long tasks keep running without the table service, in seconds.
     pub hold_seconds: i64,
 }
 
@@ -81,11 +81,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawSize {
-    /// Cores; fractions down to a thousandth.
+    /// CPU in cores; rounded up to a thousandth.
     pub cores: f64,
     /// Memory in MiB.
     pub memory_mib: i64,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: i64,
 }
@@ -96,7 +96,7 @@
 pub struct RawTeam {
     /// Name.
     pub name: String,
-    /// Most that its tasks may hold at one time.
+    /// Maximum total size of the tasks that run at one time.
     pub quota: RawSize,
 }
 
@@ -106,14 +106,14 @@
 pub struct RawService {
     /// Name.
     pub name: String,
-    /// Replicas over all zones.
+    /// Number of replicas over all zones.
     pub replicas: i64,
     /// Size of a replica.
     pub size: RawSize,
-    /// Requests that a replica runs at one time.
+    /// Maximum number of requests that a replica handles at one time.
     #[serde(default = "default_slots")]
     pub slots: i64,
-    /// Connections that a replica accepts.
+    /// Maximum number of connections that a replica accepts.
     #[serde(default = "default_connections")]
     pub connections: i64,
     /// Default time limit of a request in milliseconds.
@@ -133,7 +133,7 @@
     1_000
 }
 
-/// A kind of job as written.
+/// A job template as written.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawJob {
@@ -143,18 +143,18 @@
     pub team: String,
     /// Declared size of a task.
     pub size: RawSize,
-    /// Most tasks a job may have.
+    /// Maximum number of tasks of a job.
     #[serde(default = "default_tasks")]
     pub max_tasks: i64,
-    /// Declared run time of a task in milliseconds; 0 runs until cancelled.
+    /// Declared run time of a task in milliseconds; with 0 it runs until it is cancelled.
     pub run_ms: i64,
-    /// Priority.
+    /// Priority of the tasks.
     #[serde(default)]
     pub priority: Priority,
-    /// Whether tasks can write checkpoints.
+    /// Whether tasks can write checkpoints and resume from them.
     #[serde(default)]
     pub checkpoint: bool,
-    /// Failures after which a task has failed for good.
+    /// Number of failures after which a task fails permanently.
     #[serde(default = "default_attempts")]
     pub attempts: i64,
 }
--- a/crates/core/src/template/service.rs
+++ b/crates/core/src/template/service.rs
@@ -1,4 +1,4 @@
-//! Services: replicas that answer requests.
+//! Services, whose replicas answer requests.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,15 +7,15 @@
 /// A latency-critical service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Name, unique among the organisation's services and jobs.
+    /// Name, unique among the services and job templates of the organisation.
     pub name: Name,
-    /// Replicas over all zones.
+    /// Number of replicas over all zones.
     pub replicas: u32,
     /// Size of a replica.
     pub size: Size,
-    /// Requests that a replica runs at one time.
+    /// Maximum number of requests that a replica handles at one time.
     pub slots: u32,
-    /// Connections that a replica accepts.
+    /// Maximum number of connections that a replica accepts.
     pub connections: u32,
     /// Default time limit of a request.
     pub deadline: Millis,
--- a/crates/core/src/template/team.rs
+++ b/crates/core/src/template/team.rs
@@ -9,6 +9,6 @@
 pub struct Team {
     /// Name, unique in the organisation.
     pub name: Name,
-    /// Most that its tasks may hold at one time, over all zones.
+    /// Maximum total size of the tasks that run at one time, over all zones.
     pub quota: Size,
 }
--- a/crates/core/src/template/weights.rs
+++ b/crates/core/src/template/weights.rs
@@ -1,16 +1,16 @@
-//! What an organisation cares about.
+//! Weights of the placement objectives of an organisation.
 
 use serde::{Deserialize, Serialize};
 
-/// Shares of the three measures in placement; they sum to 1.
+/// Relative weights of the placement objectives; they sum to 1.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Weights {
-    /// Tail latency of services.
+    /// Weight of the tail latency of services.
     #[serde(rename = "tail")]
     pub tail_latency: f64,
-    /// Batch throughput.
+    /// Weight of the batch throughput.
     pub throughput: f64,
-    /// Evictions.
+    /// Weight of evictions.
     pub evictions: f64,
 }
 
