--- a/crates/core/src/route/choose.rs
+++ b/crates/core/src/route/choose.rs
@@ -54,9 +54,9 @@
         let s = &mut self.services[service];
         let n = s.targets.len();
         for _ in 0..n {
-            s.next_target = (s.next_target + 1) % n;
-            if s.targets[s.next_target].same_zone && !s.targets[s.next_target].leaving {
-                return Some(s.next_target);
+            s.last_target = (s.last_target + 1) % n;
+            if s.targets[s.last_target].same_zone && !s.targets[s.last_target].leaving {
+                return Some(s.last_target);
             }
         }
         None
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -28,7 +28,7 @@
     /// Moving average of the latency of answers, in milliseconds.
     pub mean_latency: f64,
     /// Index of the last target that the round-robin policy chose.
-    pub next_target: usize,
+    pub last_target: usize,
 }
 
 /// Usage of this instance by an organisation.
@@ -166,7 +166,7 @@
             targets: Vec::new(),
             queued: Vec::new(),
             mean_latency: 5.0,
-            next_target: 0,
+            last_target: 0,
         };
         self.services.insert(i, service);
         for r in &mut self.requests {
