--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -6,12 +6,12 @@
 
 #![expect(dead_code, reason = "each test file uses a part")]
 
+pub mod checks;
 mod fault;
-pub mod judge;
+mod injection;
 mod owner;
-mod strikes;
 pub mod world;
 
+pub use checks::check_promises;
 pub use fault::Fault;
-pub use judge::check_promises;
 pub use world::{World, WorldSettings, spec};
--- a/crates/core/tests/promises.rs
+++ b/crates/core/tests/promises.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{Fault, World, WorldSettings, check_promises, judge::done_counts, spec};
+use common::{Fault, World, WorldSettings, check_promises, checks::done_counts, spec};
 use gorsespur_core::template::Priority;
 use proptest::{
     prelude::*,
