--- a/crates/core/tests/common/checks.rs
+++ b/crates/core/tests/common/checks.rs
@@ -55,8 +55,8 @@
         for b in &runs[i + 1..] {
             let overlap = a.name == b.name && b.from < a.to.unwrap_or(u64::MAX);
             let of = |e: &&Entry| e.worker == a.worker && e.name == a.name;
-            let about: Vec<&Entry> = ledger.iter().filter(of).collect();
-            assert!(!overlap, "doubled: {a:?} and {b:?}; {about:?}");
+            let entries: Vec<&Entry> = ledger.iter().filter(of).collect();
+            assert!(!overlap, "doubled: {a:?} and {b:?}; {entries:?}");
         }
     }
     for e in &ledger {
--- a/crates/core/tests/common/injection.rs
+++ b/crates/core/tests/common/injection.rs
@@ -7,26 +7,28 @@
     Fault, World,
     owner::Owner,
     spec,
-    world::{LASTS, Later, Undo},
+    world::{FAULT_MS, ScheduledUndo, Undo},
 };
 
 impl World {
     /// Lets a fault happen; `pick` says to whom.
-    pub fn strike(&mut self, fault: Fault, pick: usize) {
+    pub fn inject(&mut self, fault: Fault, pick: usize) {
         let w = pick % self.nodes.len();
-        let end = self.now + LASTS;
+        let end = self.now + FAULT_MS;
         match fault {
             Fault::OwnerDies => {
                 for o in &mut self.owners {
                     o.dead = true;
                 }
             }
-            Fault::OwnerPaused => self.on_owner(end, |o| o.paused = true, Undo::Owner),
+            Fault::OwnerPaused => self.inject_at_owner(end, |o| o.paused = true, Undo::Owner),
             Fault::StoreDown => {
                 self.store_down = true;
                 self.undo_at(end, Undo::Store);
             }
-            Fault::OwnerCutFromStore => self.on_owner(end, |o| o.store_cut = true, Undo::StoreLink),
+            Fault::OwnerCutFromStore => {
+                self.inject_at_owner(end, |o| o.store_unreachable = true, Undo::StoreLink)
+            }
             Fault::WorkerDies => {
                 let live = self.nodes.iter().filter(|n| n.sim.is_some()).count();
                 if live > 2 {
@@ -54,29 +56,29 @@
                 self.nodes.swap(w, last);
             }
             Fault::WorkerCut => {
-                self.nodes[w].cut = true;
-                self.undo_at(self.now + 4 * LASTS, Undo::Worker(w));
+                self.nodes[w].unreachable = true;
+                self.undo_at(self.now + 4 * FAULT_MS, Undo::Worker(w));
             }
             Fault::WorkerKeepsOwner => {
                 let epoch = self.row.epoch;
                 let owner = self.owners.iter().position(|o| o.epoch == epoch);
-                self.nodes[w].only = owner;
-                self.undo_at(self.now + 4 * LASTS, Undo::Worker(w));
+                self.nodes[w].only_owner = owner;
+                self.undo_at(self.now + 4 * FAULT_MS, Undo::Worker(w));
             }
             Fault::WorkerPaused => {
                 self.nodes[w].paused = true;
-                self.undo_at(self.now + 4 * LASTS, Undo::Worker(w));
+                self.undo_at(self.now + 4 * FAULT_MS, Undo::Worker(w));
             }
             Fault::AnswersLost => {
-                self.nodes[w].lose = true;
+                self.nodes[w].loses_answers = true;
                 self.undo_at(end, Undo::Worker(w));
             }
             Fault::RequestsLate => {
-                self.nodes[w].late = true;
-                self.undo_at(self.now + 4 * LASTS, Undo::Worker(w));
+                self.nodes[w].delays_requests = true;
+                self.undo_at(self.now + 4 * FAULT_MS, Undo::Worker(w));
             }
             Fault::RequestsTwice => {
-                self.nodes[w].twice = true;
+                self.nodes[w].duplicates_requests = true;
                 self.undo_at(end, Undo::Worker(w));
             }
             Fault::WorkerFailsAll => {
@@ -100,14 +102,14 @@
             }
             Fault::Cancels => self.cancel_some(pick),
             Fault::UrgentComes => {
-                self.count += 1;
-                let id = format!("urgent{}", self.count);
+                self.urgent_count += 1;
+                let id = format!("urgent{}", self.urgent_count);
                 self.submit(spec(&id, 1, 500, Priority::Urgent));
             }
         }
     }
 
-    fn on_owner(&mut self, end: Millis, f: impl Fn(&mut Owner), undo: fn(usize) -> Undo) {
+    fn inject_at_owner(&mut self, end: Millis, f: impl Fn(&mut Owner), undo: fn(usize) -> Undo) {
         let epoch = self.row.epoch;
         let Some(i) = self.owners.iter().position(|o| o.epoch == epoch && !o.dead) else {
             return;
@@ -117,22 +119,22 @@
     }
 
     fn undo_at(&mut self, at: Millis, what: Undo) {
-        self.later.push(Later { at, what });
+        self.scheduled_undos.push(ScheduledUndo { at, what });
     }
 
     pub fn undo(&mut self, what: Undo) {
         match what {
             Undo::Owner(i) => self.owners[i].paused = false,
             Undo::Store => self.store_down = false,
-            Undo::StoreLink(i) => self.owners[i].store_cut = false,
+            Undo::StoreLink(i) => self.owners[i].store_unreachable = false,
             Undo::Worker(w) => {
                 let node = &mut self.nodes[w];
-                node.cut = false;
-                node.only = None;
+                node.unreachable = false;
+                node.only_owner = None;
                 node.paused = false;
-                node.lose = false;
-                node.late = false;
-                node.twice = false;
+                node.loses_answers = false;
+                node.delays_requests = false;
+                node.duplicates_requests = false;
             }
             Undo::Fails(w) => {
                 if let Some(sim) = &mut self.nodes[w].sim {
@@ -170,7 +172,7 @@
         }
         let epoch = self.row.epoch;
         if let Some(i) = self.owners.iter().position(|o| o.epoch == epoch && !o.dead) {
-            self.feed(i, &Event::Cancel(keys));
+            self.handle_event(i, &Event::Cancel(keys));
         }
     }
 }
--- a/crates/core/tests/common/owner.rs
+++ b/crates/core/tests/common/owner.rs
@@ -9,15 +9,15 @@
 
 /// An instance that owns the shard, or believes so.
 pub struct Owner {
-    pub machine: ShardScheduler,
-    pub tenure: OwnerLease,
+    pub scheduler: ShardScheduler,
+    pub lease: OwnerLease,
     pub epoch: u64,
     /// Version of the row that its next write expects.
     pub version: u64,
     pub backlog: VecDeque<Record>,
-    pub renewed: u64,
+    pub renewed_at: u64,
     pub paused: bool,
     pub dead: bool,
-    pub store_cut: bool,
-    pub orgs_known: bool,
+    pub store_unreachable: bool,
+    pub has_orgs: bool,
 }
--- a/crates/core/tests/common/world.rs
+++ b/crates/core/tests/common/world.rs
@@ -18,23 +18,23 @@
 use super::owner::Owner;
 
 /// Virtual time of one step.
-const STEP: Millis = 20;
+const STEP_MS: Millis = 20;
 
 /// Lease of the shard and time between renewals.
-const LEASE: Millis = 4_000;
-const RENEW: Millis = 1_000;
+const LEASE_MS: Millis = 4_000;
+const RENEW_INTERVAL_MS: Millis = 1_000;
 
 /// Time limit of an exchange.
-const TIMEOUT: Millis = 800;
+const EXCHANGE_TIMEOUT_MS: Millis = 800;
 
 /// Length of a fault that lasts.
-pub const LASTS: Millis = 9_000;
+pub const FAULT_MS: Millis = 9_000;
 
 /// Rates of the workers' clocks in thousandths; leases allow for a hundredth.
-const RATES: [u64; 3] = [1_000, 992, 1_008];
+const CLOCK_RATES_PERMILLE: [u64; 3] = [1_000, 992, 1_008];
 
 /// How late a delayed request arrives.
-const LATE: Millis = 18_000;
+const DELAY_MS: Millis = 18_000;
 
 /// Settings of a world.
 #[derive(Debug, Clone)]
@@ -66,38 +66,38 @@
 pub struct Node {
     pub name: Name,
     pub sim: Option<SimWorker>,
-    pub cut: bool,
+    pub unreachable: bool,
     /// The only owner that reaches it, if not all do.
-    pub only: Option<usize>,
+    pub only_owner: Option<usize>,
     pub paused: bool,
-    pub lose: bool,
-    pub late: bool,
-    pub twice: bool,
+    pub loses_answers: bool,
+    pub delays_requests: bool,
+    pub duplicates_requests: bool,
     pub leaving: bool,
     pub listed: bool,
     /// Rate of its clock in thousandths.
-    rate: u64,
+    clock_rate_permille: u64,
     boot: u64,
 }
 
 impl Node {
     /// Returns its clock's reading.
     pub fn clock(&self, now: Millis) -> Millis {
-        now * self.rate / 1_000
+        now * self.clock_rate_permille / 1_000
     }
 }
 
 /// A request on its way.
-struct Flight {
+struct Delivery {
     at: Millis,
     owner: usize,
     worker: usize,
     request: WorkerRequest,
-    answered: bool,
+    expects_answer: bool,
 }
 
 /// Something that happens later.
-pub struct Later {
+pub struct ScheduledUndo {
     pub at: Millis,
     pub what: Undo,
 }
@@ -122,13 +122,13 @@
     pub store_down: bool,
     pub row: ShardRow,
     version: u64,
-    claim: LeaseWatch,
+    lease_watch: LeaseWatch,
     inbox: Vec<JobSpec>,
-    flights: Vec<Flight>,
+    deliveries: Vec<Delivery>,
     no_answers: Vec<(Millis, usize, Name, u64)>,
-    pub later: Vec<Later>,
+    pub scheduled_undos: Vec<ScheduledUndo>,
     checkpoints: Arc<MemoryCheckpoints>,
-    pub count: u64,
+    pub urgent_count: u64,
 }
 
 /// Returns an organisation with one service.
@@ -203,28 +203,28 @@
                 settled: true,
             },
             version: 1,
-            claim: LeaseWatch::new(LEASE),
+            lease_watch: LeaseWatch::new(LEASE_MS),
             inbox: Vec::new(),
-            flights: Vec::new(),
+            deliveries: Vec::new(),
             no_answers: Vec::new(),
-            later: Vec::new(),
+            scheduled_undos: Vec::new(),
             checkpoints: Arc::new(MemoryCheckpoints::default()),
-            count: 0,
+            urgent_count: 0,
             settings,
         };
         for i in 0..world.settings.workers {
             let mut node = Node {
                 name: format!("w{i:02}").into(),
                 sim: None,
-                cut: false,
-                only: None,
+                unreachable: false,
+                only_owner: None,
                 paused: false,
-                lose: false,
-                late: false,
-                twice: false,
+                loses_answers: false,
+                delays_requests: false,
+                duplicates_requests: false,
                 leaving: false,
                 listed: true,
-                rate: RATES[i % RATES.len()],
+                clock_rate_permille: CLOCK_RATES_PERMILLE[i % CLOCK_RATES_PERMILLE.len()],
                 boot: 0,
             };
             world.boot(&mut node);
@@ -261,22 +261,22 @@
 
     /// Returns the state of a job by the journal.
     pub fn status(&self, key: &JobKey) -> Option<JobStatus> {
-        let mut book = ShardState::default();
+        let mut state = ShardState::default();
         for record in &self.journal {
-            book.apply(record);
+            state.apply(record);
         }
-        book.find(key).map(JobStatus::of)
+        state.find(key).map(JobStatus::of)
     }
 
     /// Tells whether every submitted job has ended.
-    pub fn finished(&self) -> bool {
-        let mut book = ShardState::default();
+    pub fn is_finished(&self) -> bool {
+        let mut state = ShardState::default();
         for record in &self.journal {
-            book.apply(record);
+            state.apply(record);
         }
         self.submitted
             .iter()
-            .all(|(k, _)| book.find(k).is_some_and(|j| j.open_tasks == 0))
+            .all(|(k, _)| state.find(k).is_some_and(|j| j.open_tasks == 0))
     }
 
     /// Returns the owner that the row names.
@@ -299,7 +299,7 @@
         let end = self.now + limit;
         while self.now < end {
             self.run(500);
-            if self.finished() {
+            if self.is_finished() {
                 return true;
             }
         }
@@ -307,32 +307,32 @@
     }
 
     /// Ends every fault that can end.
-    pub fn heal(&mut self) {
+    pub fn end_faults(&mut self) {
         self.store_down = false;
-        for later in std::mem::take(&mut self.later) {
-            self.undo(later.what);
+        for undo in std::mem::take(&mut self.scheduled_undos) {
+            self.undo(undo.what);
         }
         for node in &mut self.nodes {
-            node.cut = false;
-            node.only = None;
+            node.unreachable = false;
+            node.only_owner = None;
             node.paused = false;
-            node.lose = false;
-            node.late = false;
-            node.twice = false;
+            node.loses_answers = false;
+            node.delays_requests = false;
+            node.duplicates_requests = false;
         }
     }
 
     fn step(&mut self) {
-        self.now += STEP;
-        let due: Vec<Later> = {
+        self.now += STEP_MS;
+        let due: Vec<ScheduledUndo> = {
             let now = self.now;
-            let all = std::mem::take(&mut self.later);
+            let all = std::mem::take(&mut self.scheduled_undos);
             let (due, rest) = all.into_iter().partition(|l| l.at <= now);
-            self.later = rest;
+            self.scheduled_undos = rest;
             due
         };
-        for later in due {
-            self.undo(later.what);
+        for undo in due {
+            self.undo(undo.what);
         }
         self.take_over();
         self.ledger.set_time(self.now);
@@ -353,45 +353,46 @@
         if self.store_down {
             return;
         }
-        self.claim.observe(self.now, Some(&self.row), self.version);
-        if !self.claim.can_acquire(self.now) {
+        self.lease_watch
+            .observe(self.now, Some(&self.row), self.version);
+        if !self.lease_watch.can_acquire(self.now) {
             return;
         }
-        let inherited = self.row.hold;
+        let inherited_hold = self.row.hold;
         self.row.epoch += 1;
         self.row.owner = Some("sched".into());
-        self.row.hold = self.settings.hold.max(inherited);
+        self.row.hold = self.settings.hold.max(inherited_hold);
         self.version += 1;
-        let mut book = ShardState::default();
+        let mut state = ShardState::default();
         for record in &self.journal {
-            book.apply(record);
+            state.apply(record);
         }
         let takeover = Takeover {
             epoch: self.row.epoch,
-            state: book,
+            state,
             next_record: self.journal.len() as u64,
             inherited_hold: self.row.hold,
             settled: false,
         };
-        let place = ShardId {
+        let id = ShardId {
             name: "zone.0".into(),
             index: 0,
             count: 1,
         };
         let seed = self.settings.seed + self.row.epoch;
-        let machine =
-            ShardScheduler::new(place, self.settings.shard.clone(), seed, takeover, self.now);
+        let scheduler =
+            ShardScheduler::new(id, self.settings.shard.clone(), seed, takeover, self.now);
         self.owners.push(Owner {
-            machine,
-            tenure: OwnerLease::new(LEASE, self.now),
+            scheduler,
+            lease: OwnerLease::new(LEASE_MS, self.now),
             epoch: self.row.epoch,
             version: self.version,
             backlog: VecDeque::new(),
-            renewed: self.now,
+            renewed_at: self.now,
             paused: false,
             dead: false,
-            store_cut: false,
-            orgs_known: false,
+            store_unreachable: false,
+            has_orgs: false,
         });
     }
 
@@ -400,33 +401,33 @@
         if self.owners[i].dead || self.owners[i].paused {
             return;
         }
-        self.owners[i].tenure.tick(now);
+        self.owners[i].lease.tick(now);
         self.write(i);
         if self.owners[i].dead {
             return;
         }
         let mut events = Vec::new();
-        if !self.owners[i].orgs_known {
-            self.owners[i].orgs_known = true;
+        if !self.owners[i].has_orgs {
+            self.owners[i].has_orgs = true;
             let org = org(self.settings.hold, self.settings.replicas);
             events.push(Event::Organisations(vec![org]));
         }
-        if now.is_multiple_of(500) || self.owners[i].machine.workers().is_empty() {
-            events.push(self.list());
+        if now.is_multiple_of(500) || self.owners[i].scheduler.workers().is_empty() {
+            events.push(self.workers_event());
         }
-        let reads = !self.store_down && !self.owners[i].store_cut;
+        let reads = !self.store_down && !self.owners[i].store_unreachable;
         if !self.inbox.is_empty() && reads && self.owners[i].epoch == self.row.epoch {
             events.push(Event::Submit(self.inbox.clone()));
         }
-        if self.owners[i].tenure.can_act() {
+        if self.owners[i].lease.can_act() {
             events.push(Event::Tick);
         }
         for event in events {
-            self.feed(i, &event);
+            self.handle_event(i, &event);
         }
     }
 
-    fn list(&self) -> Event {
+    fn workers_event(&self) -> Event {
         let mut list = Vec::new();
         for (i, node) in self.nodes.iter().enumerate() {
             if !node.listed {
@@ -448,15 +449,15 @@
     }
 
     /// Feeds an event to an owner and does what it wants.
-    pub fn feed(&mut self, i: usize, event: &Event) {
-        let actions = self.owners[i].machine.step(self.now, event);
+    pub fn handle_event(&mut self, i: usize, event: &Event) {
+        let actions = self.owners[i].scheduler.step(self.now, event);
         for action in actions {
             match action {
                 Action::Append { records, .. } => self.owners[i].backlog.extend(records),
                 Action::Exchange {
                     worker, request, ..
                 } => self.send(i, &worker, request),
-                Action::Fenced { .. } => self.owners[i].renewed = 0,
+                Action::Fenced { .. } => self.owners[i].renewed_at = 0,
             }
         }
     }
@@ -466,51 +467,55 @@
         let Some(w) = found else { return };
         let (now, node) = (self.now, &self.nodes[w]);
         let seq = request.seq;
-        let flight = |at: Millis, answered: bool| Flight {
+        let delivery = |at: Millis, expects_answer: bool| Delivery {
             at,
             owner,
             worker: w,
             request: request.clone(),
-            answered,
+            expects_answer,
         };
-        let other = node.only.is_some_and(|o| o != owner);
-        if node.cut || other || node.sim.is_none() {
+        let other = node.only_owner.is_some_and(|o| o != owner);
+        if node.unreachable || other || node.sim.is_none() {
             self.no_answers
-                .push((now + TIMEOUT, owner, worker.clone(), seq));
+                .push((now + EXCHANGE_TIMEOUT_MS, owner, worker.clone(), seq));
             return;
         }
-        if node.late {
-            self.flights.push(flight(now + LATE, false));
+        if node.delays_requests {
+            self.deliveries.push(delivery(now + DELAY_MS, false));
             self.no_answers
-                .push((now + TIMEOUT, owner, worker.clone(), seq));
+                .push((now + EXCHANGE_TIMEOUT_MS, owner, worker.clone(), seq));
             return;
         }
-        if node.twice {
-            self.flights.push(flight(now + 400, false));
-            self.flights.push(flight(now + 2_500, false));
-            self.flights.push(flight(now + LATE, false));
+        if node.duplicates_requests {
+            self.deliveries.push(delivery(now + 400, false));
+            self.deliveries.push(delivery(now + 2_500, false));
+            self.deliveries.push(delivery(now + DELAY_MS, false));
         }
-        self.flights.push(flight(now + STEP, true));
+        self.deliveries.push(delivery(now + STEP_MS, true));
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let all = std::mem::take(&mut self.flights);
+        let all = std::mem::take(&mut self.deliveries);
         let mut answers = Vec::new();
         for mut f in all {
             let node = &mut self.nodes[f.worker];
             if f.at > now {
-                self.flights.push(f);
+                self.deliveries.push(f);
                 continue;
             }
             if node.paused {
-                if f.answered {
+                if f.expects_answer {
                     let seq = f.request.seq;
-                    self.no_answers
-                        .push((now + TIMEOUT, f.owner, node.name.clone(), seq));
+                    self.no_answers.push((
+                        now + EXCHANGE_TIMEOUT_MS,
+                        f.owner,
+                        node.name.clone(),
+                        seq,
+                    ));
                 }
-                f.answered = false;
-                self.flights.push(f);
+                f.expects_answer = false;
+                self.deliveries.push(f);
                 continue;
             }
             let clock = node.clock(now);
@@ -519,12 +524,12 @@
             };
             let answer: WorkerAnswer = sim.exchange(clock, &f.request);
             let seq = f.request.seq;
-            if !f.answered {
+            if !f.expects_answer {
                 continue;
             }
-            if node.lose || node.cut {
+            if node.loses_answers || node.unreachable {
                 self.no_answers
-                    .push((now + TIMEOUT, f.owner, node.name.clone(), seq));
+                    .push((now + EXCHANGE_TIMEOUT_MS, f.owner, node.name.clone(), seq));
                 continue;
             }
             answers.push((
@@ -548,7 +553,7 @@
             if self.owners[owner].dead || self.owners[owner].paused {
                 continue;
             }
-            self.feed(owner, &event);
+            self.handle_event(owner, &event);
         }
     }
 
@@ -556,8 +561,8 @@
     fn write(&mut self, i: usize) {
         let now = self.now;
         let o = &mut self.owners[i];
-        let due = !o.backlog.is_empty() || now >= o.renewed + RENEW;
-        if !due || self.store_down || o.store_cut {
+        let due = !o.backlog.is_empty() || now >= o.renewed_at + RENEW_INTERVAL_MS;
+        if !due || self.store_down || o.store_unreachable {
             return;
         }
         if o.version != self.version {
@@ -566,8 +571,8 @@
         }
         self.version += 1;
         o.version = self.version;
-        o.renewed = now;
-        o.tenure.confirm(now);
+        o.renewed_at = now;
+        o.lease.confirm(now);
         for record in o.backlog.drain(..) {
             if let Record::Submitted(spec) = &record {
                 self.inbox.retain(|s| s.key != spec.key);
@@ -575,7 +580,7 @@
             self.journal.push(record);
         }
         let committed = self.journal.len() as u64;
-        self.feed(i, &Event::StoreSeen(self.settings.hold));
-        self.feed(i, &Event::Committed(committed));
+        self.handle_event(i, &Event::StoreSeen(self.settings.hold));
+        self.handle_event(i, &Event::Committed(committed));
     }
 }
--- a/crates/core/tests/configs.rs
+++ b/crates/core/tests/configs.rs
@@ -12,7 +12,7 @@
     test_runner::{Config, RngSeed},
 };
 
-const NOW: u64 = 1_000_000;
+const NOW_MS: u64 = 1_000_000;
 
 fn entry(org: &str, version: u64) -> ConfigEntry {
     ConfigEntry {
@@ -34,7 +34,7 @@
     }
 }
 
-fn beat(id: &str, incarnation: u64, seq: u64) -> Heartbeat {
+fn heartbeat(id: &str, incarnation: u64, seq: u64) -> Heartbeat {
     Heartbeat {
         id: id.into(),
         role: Role::Sched,
@@ -62,8 +62,8 @@
         let mut configs = Configs::default();
         let mut newest = [0; 3];
         for (org, version) in offers {
-            let taken = configs.update(&entry(orgs[org], version));
-            prop_assert_eq!(taken, version > newest[org]);
+            let applied = configs.update(&entry(orgs[org], version));
+            prop_assert_eq!(applied, version > newest[org]);
             newest[org] = newest[org].max(version);
             let found = configs.get(orgs[org]).expect("offered");
             prop_assert_eq!(found.version, newest[org]);
@@ -116,15 +116,15 @@
 #[test]
 fn a_late_heartbeat_changes_nothing() {
     let mut peers = Peers::new(MemberSettings::default(), "here".into());
-    assert!(peers.record_heartbeat(NOW, beat("a", 1, 5)));
-    assert!(!peers.record_heartbeat(NOW + 10, beat("a", 1, 4)));
-    assert!(!peers.record_heartbeat(NOW + 10, beat("a", 1, 5)));
+    assert!(peers.record_heartbeat(NOW_MS, heartbeat("a", 1, 5)));
+    assert!(!peers.record_heartbeat(NOW_MS + 10, heartbeat("a", 1, 4)));
+    assert!(!peers.record_heartbeat(NOW_MS + 10, heartbeat("a", 1, 5)));
     assert!(
-        peers.record_heartbeat(NOW + 10, beat("a", 2, 1)),
+        peers.record_heartbeat(NOW_MS + 10, heartbeat("a", 2, 1)),
         "a new start counts"
     );
     assert!(
-        !peers.record_heartbeat(NOW + 20, beat("a", 1, 99)),
+        !peers.record_heartbeat(NOW_MS + 20, heartbeat("a", 1, 99)),
         "an earlier one does not"
     );
 }
@@ -132,19 +132,19 @@
 #[test]
 fn a_flapping_instance_is_not_steady() {
     let mut peers = Peers::new(MemberSettings::default(), "here".into());
-    peers.record_heartbeat(NOW, beat("a", 1, 1));
-    peers.record_heartbeat(NOW + 1_000, beat("a", 1, 2));
-    assert_eq!(peers.get("a").expect("known").steady_since, NOW);
-    peers.record_heartbeat(NOW + 9_000, beat("a", 1, 3));
+    peers.record_heartbeat(NOW_MS, heartbeat("a", 1, 1));
+    peers.record_heartbeat(NOW_MS + 1_000, heartbeat("a", 1, 2));
+    assert_eq!(peers.get("a").expect("known").steady_since, NOW_MS);
+    peers.record_heartbeat(NOW_MS + 9_000, heartbeat("a", 1, 3));
     assert_eq!(
         peers.get("a").expect("known").steady_since,
-        NOW + 9_000,
+        NOW_MS + 9_000,
         "a gap"
     );
-    peers.record_heartbeat(NOW + 9_500, beat("a", 2, 1));
+    peers.record_heartbeat(NOW_MS + 9_500, heartbeat("a", 2, 1));
     assert_eq!(
         peers.get("a").expect("known").steady_since,
-        NOW + 9_500,
+        NOW_MS + 9_500,
         "a restart"
     );
 }
@@ -152,41 +152,44 @@
 #[test]
 fn an_instance_of_another_zone_is_given_more_time() {
     let mut peers = Peers::new(MemberSettings::default(), "here".into());
-    peers.record_heartbeat(NOW, beat("near", 1, 1));
-    let mut far = beat("far", 1, 1);
+    peers.record_heartbeat(NOW_MS, heartbeat("near", 1, 1));
+    let mut far = heartbeat("far", 1, 1);
     far.zone = "there".into();
-    peers.record_heartbeat(NOW, far);
+    peers.record_heartbeat(NOW_MS, far);
     let ids: Vec<&str> = peers
-        .live(NOW + 5_000)
+        .live(NOW_MS + 5_000)
         .iter()
         .map(|p| &*p.heartbeat.id)
         .collect();
     assert_eq!(ids, ["far"]);
-    assert!(peers.live(NOW + 11_000).is_empty());
+    assert!(peers.live(NOW_MS + 11_000).is_empty());
 }
 
 #[test]
 fn a_leaving_instance_does_not_stay() {
     let mut peers = Peers::new(MemberSettings::default(), "here".into());
-    let mut leaving = beat("a", 1, 1);
+    let mut leaving = heartbeat("a", 1, 1);
     leaving.leaving = true;
-    peers.record_heartbeat(NOW, leaving);
-    assert_eq!(peers.live(NOW).len(), 1);
-    assert!(peers.available(NOW, Role::Sched, "here").is_empty());
+    peers.record_heartbeat(NOW_MS, leaving);
+    assert_eq!(peers.live(NOW_MS).len(), 1);
+    assert!(peers.available(NOW_MS, Role::Sched, "here").is_empty());
 }
 
 #[test]
 fn of_two_that_claim_a_shard_the_newer_epoch_counts() {
     let mut peers = Peers::new(MemberSettings::default(), "here".into());
     for (id, epoch) in [("a", 4), ("b", 5)] {
-        let mut b = beat(id, 1, 1);
+        let mut b = heartbeat(id, 1, 1);
         b.shards.push(ShardOwnership {
             shard: 2,
             epoch,
             targets_version: 1,
         });
-        peers.record_heartbeat(NOW, b);
+        peers.record_heartbeat(NOW_MS, b);
     }
-    assert_eq!(&*peers.owner_of(NOW, 2).expect("claimed").heartbeat.id, "b");
-    assert!(peers.owner_of(NOW, 3).is_none());
+    assert_eq!(
+        &*peers.owner_of(NOW_MS, 2).expect("claimed").heartbeat.id,
+        "b"
+    );
+    assert!(peers.owner_of(NOW_MS, 3).is_none());
 }
--- a/crates/core/tests/faults.rs
+++ b/crates/core/tests/faults.rs
@@ -7,10 +7,10 @@
 use test_case::test_case;
 
 /// Time between two faults.
-const GAPS: [u64; 3] = [0, 700, 5_000];
+const GAPS_MS: [u64; 3] = [0, 700, 5_000];
 
 /// Longest virtual time for everything to end after the last fault.
-const LIMIT: u64 = 500_000;
+const LIMIT_MS: u64 = 500_000;
 
 fn busy_world(seed: u64) -> World {
     let mut world = World::new(WorldSettings {
@@ -29,14 +29,14 @@
     world
 }
 
-fn survive(faults: &[Fault], gap: u64) {
+fn check_faults(faults: &[Fault], gap: u64) {
     let mut world = busy_world(gap + faults.len() as u64);
     for (i, fault) in faults.iter().enumerate() {
-        world.strike(*fault, i + 1);
+        world.inject(*fault, i + 1);
         world.run(gap);
     }
-    let finished = world.run_until_finished(LIMIT);
-    world.heal();
+    let finished = world.run_until_finished(LIMIT_MS);
+    world.end_faults();
     world.run(3_000);
     check_promises(&world);
     assert!(finished, "not finished after {faults:?} with gap {gap}");
@@ -61,11 +61,11 @@
 #[test_case(Fault::Cancels)]
 #[test_case(Fault::UrgentComes)]
 fn alone_twice_and_with_every_other(fault: Fault) {
-    survive(&[fault], 0);
-    for gap in GAPS {
-        survive(&[fault, fault], gap);
+    check_faults(&[fault], 0);
+    for gap in GAPS_MS {
+        check_faults(&[fault, fault], gap);
         for other in Fault::ALL {
-            survive(&[fault, other], gap);
+            check_faults(&[fault, other], gap);
         }
     }
 }
--- a/crates/core/tests/guards.rs
+++ b/crates/core/tests/guards.rs
@@ -15,8 +15,8 @@
 use gorsespur_stand::What;
 use test_case::test_case;
 
-const NOW: u64 = 1_000_000;
-const HOLD: u64 = 10_000;
+const NOW_MS: u64 = 1_000_000;
+const HOLD_MS: u64 = 10_000;
 
 /// Returns the worker as the membership list has it.
 fn worker() -> WorkerInfo {
@@ -33,8 +33,8 @@
 }
 
 /// A machine with one worker that has answered.
-fn machine() -> ShardScheduler {
-    let place = ShardId {
+fn scheduler() -> ShardScheduler {
+    let id = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
@@ -43,19 +43,19 @@
         epoch: 1,
         state: ShardState::default(),
         next_record: 0,
-        inherited_hold: HOLD,
+        inherited_hold: HOLD_MS,
         settled: false,
     };
-    let mut m = ShardScheduler::new(place, ShardSettings::default(), 1, takeover, NOW);
+    let mut m = ShardScheduler::new(id, ShardSettings::default(), 1, takeover, NOW_MS);
     let event = Event::Workers {
         list: vec![worker()],
         counts: vec![1],
     };
-    let org = common::world::org(HOLD, 0);
-    m.step(NOW, &Event::Organisations(vec![org]));
-    m.step(NOW, &event);
-    m.step(NOW, &Event::Tick);
-    m.step(NOW, &answer(NOW, 1));
+    let org = common::world::org(HOLD_MS, 0);
+    m.step(NOW_MS, &Event::Organisations(vec![org]));
+    m.step(NOW_MS, &event);
+    m.step(NOW_MS, &Event::Tick);
+    m.step(NOW_MS, &answer(NOW_MS, 1));
     m
 }
 
@@ -86,38 +86,38 @@
 
 #[test]
 fn a_start_is_sent_only_after_its_record_is_in_the_journal() {
-    let mut m = machine();
+    let mut m = scheduler();
     m.step(
-        NOW,
+        NOW_MS,
         &Event::Submit(vec![spec("job", 1, 1_000, Priority::Normal)]),
     );
-    let sent = request(m.step(NOW + 20, &Event::Tick)).expect("an exchange");
+    let sent = request(m.step(NOW_MS + 20, &Event::Tick)).expect("an exchange");
     assert!(sent.starts.is_empty(), "sent before the commit");
-    m.step(NOW + 30, &answer(NOW + 30, sent.seq));
-    m.step(NOW + 30, &Event::Committed(m.next_record()));
-    let sent = request(m.step(NOW + 50, &Event::Tick)).expect("an exchange");
+    m.step(NOW_MS + 30, &answer(NOW_MS + 30, sent.seq));
+    m.step(NOW_MS + 30, &Event::Committed(m.next_record()));
+    let sent = request(m.step(NOW_MS + 50, &Event::Tick)).expect("an exchange");
     assert_eq!(sent.starts.len(), 1);
 }
 
 #[test]
 fn after_the_hold_nothing_is_started_and_leases_lapse() {
-    let mut m = machine();
+    let mut m = scheduler();
     m.step(
-        NOW,
+        NOW_MS,
         &Event::Submit(vec![spec("job", 1, 1_000, Priority::Normal)]),
     );
-    m.step(NOW + 20, &Event::Tick);
-    m.step(NOW + 20, &Event::Committed(m.next_record()));
-    m.step(NOW + 20 + HOLD, &answer(NOW + 20 + HOLD, 2));
-    let sent = request(m.step(NOW + 40 + HOLD, &Event::Tick)).expect("an exchange");
+    m.step(NOW_MS + 20, &Event::Tick);
+    m.step(NOW_MS + 20, &Event::Committed(m.next_record()));
+    m.step(NOW_MS + 20 + HOLD_MS, &answer(NOW_MS + 20 + HOLD_MS, 2));
+    let sent = request(m.step(NOW_MS + 40 + HOLD_MS, &Event::Tick)).expect("an exchange");
     assert!(sent.starts.is_empty());
     assert_eq!(sent.lapse.len(), 1);
 }
 
 #[test]
 fn a_silent_workers_leases_are_not_renewed() {
-    let mut m = machine();
-    let late = NOW + ShardSettings::default().silent_after + 10;
+    let mut m = scheduler();
+    let late = NOW_MS + ShardSettings::default().silent_after + 10;
     m.step(late, &Event::Tick);
     let sent = request(m.step(late + 4_000, &Event::Tick)).expect("a probe");
     assert!(!sent.renew);
@@ -125,13 +125,13 @@
 
 #[test]
 fn a_worker_that_knows_a_newer_epoch_is_reported() {
-    let mut m = machine();
-    let Event::Answer { worker, mut answer } = answer(NOW, 1) else {
+    let mut m = scheduler();
+    let Event::Answer { worker, mut answer } = answer(NOW_MS, 1) else {
         unreachable!()
     };
     answer.refused = Some(gorsespur_core::shard::ExchangeRefusal::OldEpoch);
     answer.epoch = 9;
-    let out = m.step(NOW, &Event::Answer { worker, answer });
+    let out = m.step(NOW_MS, &Event::Answer { worker, answer });
     assert_eq!(out, [Action::Fenced { epoch: 9 }]);
 }
 
@@ -148,10 +148,10 @@
             world.submit(spec(&format!("job{i}"), 2, 60_000, Priority::Normal));
         }
         world.run(2_000);
-        world.strike(Fault::WorkerKeepsOwner, pick);
-        world.strike(Fault::OwnerCutFromStore, pick);
+        world.inject(Fault::WorkerKeepsOwner, pick);
+        world.inject(Fault::OwnerCutFromStore, pick);
         world.run(60_000);
-        world.heal();
+        world.end_faults();
         assert!(world.run_until_finished(300_000));
         check_promises(&world);
     }
@@ -159,14 +159,14 @@
 
 /// Takes a shard over whose only worker can't be reached, and returns when its
 /// task is given up.
-fn given_up_after(settled: bool, told_at: Option<u64>) -> u64 {
-    let mut old = machine();
+fn lost_after(settled: bool, settled_at: Option<u64>) -> u64 {
+    let mut old = scheduler();
     old.step(
-        NOW,
+        NOW_MS,
         &Event::Submit(vec![spec("job", 1, 1_000, Priority::Normal)]),
     );
-    old.step(NOW + 20, &Event::Tick);
-    let place = ShardId {
+    old.step(NOW_MS + 20, &Event::Tick);
+    let id = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
@@ -175,25 +175,25 @@
         epoch: 2,
         state: old.state().clone(),
         next_record: old.next_record(),
-        inherited_hold: HOLD,
+        inherited_hold: HOLD_MS,
         settled,
     };
-    let mut new = ShardScheduler::new(place, ShardSettings::default(), 1, takeover, NOW);
+    let mut new = ShardScheduler::new(id, ShardSettings::default(), 1, takeover, NOW_MS);
     let list = vec![worker()];
     new.step(
-        NOW,
+        NOW_MS,
         &Event::Workers {
             list,
             counts: vec![1],
         },
     );
-    for now in (NOW..NOW + 100_000).step_by(100) {
-        if told_at.is_some_and(|t| NOW + t == now) {
+    for now in (NOW_MS..NOW_MS + 100_000).step_by(100) {
+        if settled_at.is_some_and(|t| NOW_MS + t == now) {
             new.step(now, &Event::Settled);
         }
         new.step(now, &Event::Tick);
         if new.workers()[0].allocations.is_empty() {
-            return now - NOW;
+            return now - NOW_MS;
         }
     }
     panic!("never given up");
@@ -203,10 +203,10 @@
 fn an_unreachable_workers_task_waits_for_the_hold_unless_no_owner_renews() {
     let s = ShardSettings::default();
     let lease = s.lease + s.lease / 100 + s.lease_margin;
-    let near = |found: u64, wanted: u64| (wanted..=wanted + 200).contains(&found);
-    assert!(near(given_up_after(false, None), lease + HOLD));
-    assert!(near(given_up_after(true, None), lease));
-    assert!(near(given_up_after(false, Some(2_000)), lease + 2_000));
+    let is_close = |found: u64, expected: u64| (expected..=expected + 200).contains(&found);
+    assert!(is_close(lost_after(false, None), lease + HOLD_MS));
+    assert!(is_close(lost_after(true, None), lease));
+    assert!(is_close(lost_after(false, Some(2_000)), lease + 2_000));
 }
 
 /// The workers' clocks differ by up to eight thousandths from the owner's.
@@ -220,7 +220,7 @@
             world.submit(spec(&format!("job{i}"), 2, 90_000, Priority::Normal));
         }
         world.run(3_000);
-        world.strike(Fault::WorkerCut, pick);
+        world.inject(Fault::WorkerCut, pick);
         world.run(60_000);
         assert!(world.run_until_finished(400_000));
         check_promises(&world);
@@ -267,7 +267,7 @@
     });
     world.submit(spec("old", 4, 30_000, Priority::Normal));
     world.run(2_000);
-    world.strike(Fault::OwnerCutFromStore, 0);
+    world.inject(Fault::OwnerCutFromStore, 0);
     world.run(6_000);
     world.submit(spec("new", 4, 30_000, Priority::Normal));
     assert!(world.run_until_finished(200_000));
@@ -280,24 +280,24 @@
 
 #[test]
 fn a_pause_across_the_lease_needs_a_new_proof() {
-    let mut tenure = OwnerLease::new(4_000, NOW);
-    tenure.tick(NOW + 3_900);
-    assert!(tenure.can_act());
-    tenure.tick(NOW + 9_000);
-    assert!(!tenure.can_act());
-    tenure.tick(NOW + 9_020);
-    assert!(!tenure.can_act(), "time alone proves nothing");
-    tenure.confirm(NOW + 9_030);
-    assert!(tenure.can_act());
+    let mut lease = OwnerLease::new(4_000, NOW_MS);
+    lease.tick(NOW_MS + 3_900);
+    assert!(lease.can_act());
+    lease.tick(NOW_MS + 9_000);
+    assert!(!lease.can_act());
+    lease.tick(NOW_MS + 9_020);
+    assert!(!lease.can_act(), "time alone proves nothing");
+    lease.confirm(NOW_MS + 9_030);
+    assert!(lease.can_act());
 }
 
 #[test]
 fn an_owner_that_only_lacks_the_table_service_may_act() {
-    let mut tenure = OwnerLease::new(4_000, NOW);
+    let mut lease = OwnerLease::new(4_000, NOW_MS);
     for i in 0..1_000 {
-        tenure.tick(NOW + i * 20);
+        lease.tick(NOW_MS + i * 20);
     }
-    assert!(tenure.can_act());
+    assert!(lease.can_act());
 }
 
 fn row(token: u64, owner: Option<&str>) -> ShardRow {
@@ -324,32 +324,32 @@
     version: u64,
     found: Option<u64>,
     at: u64,
-    wanted: WriteOutcome,
+    expected: WriteOutcome,
 ) {
     let row = found.map(|t| row(t, Some("a")));
-    assert_eq!(resolve_write(token, version, row.as_ref(), at), wanted);
+    assert_eq!(resolve_write(token, version, row.as_ref(), at), expected);
 }
 
 #[test]
 fn a_renewed_row_is_not_taken_and_a_still_one_is() {
-    let mut claim = LeaseWatch::new(4_000);
+    let mut watch = LeaseWatch::new(4_000);
     let owned = row(1, Some("a"));
     for i in 0..20 {
-        claim.observe(NOW + i * 1_000, Some(&owned), 10 + i);
-        assert!(!claim.can_acquire(NOW + i * 1_000));
+        watch.observe(NOW_MS + i * 1_000, Some(&owned), 10 + i);
+        assert!(!watch.can_acquire(NOW_MS + i * 1_000));
     }
-    claim.observe(NOW + 22_000, Some(&owned), 29);
-    assert!(!claim.can_acquire(NOW + 22_000));
-    claim.observe(NOW + 23_000, Some(&owned), 29);
-    assert!(claim.can_acquire(NOW + 23_000));
+    watch.observe(NOW_MS + 22_000, Some(&owned), 29);
+    assert!(!watch.can_acquire(NOW_MS + 22_000));
+    watch.observe(NOW_MS + 23_000, Some(&owned), 29);
+    assert!(watch.can_acquire(NOW_MS + 23_000));
 }
 
 #[test]
 fn a_released_row_is_taken_at_once_and_nothing_unseen_is() {
-    let mut claim = LeaseWatch::new(4_000);
-    assert!(!claim.can_acquire(NOW + 99_000));
-    claim.observe(NOW, Some(&row(1, None)), 3);
-    assert!(claim.can_acquire(NOW));
-    claim.reset();
-    assert!(!claim.can_acquire(NOW + 99_000));
+    let mut watch = LeaseWatch::new(4_000);
+    assert!(!watch.can_acquire(NOW_MS + 99_000));
+    watch.observe(NOW_MS, Some(&row(1, None)), 3);
+    assert!(watch.can_acquire(NOW_MS));
+    watch.reset();
+    assert!(!watch.can_acquire(NOW_MS + 99_000));
 }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -64,7 +64,7 @@
 fn replicas_of_a_service_are_on_different_workers_and_racks() {
     let w = world(PlacementPolicy::Interference);
     let mut racks = Vec::new();
-    for worker in w.owners[0].machine.workers() {
+    for worker in w.owners[0].scheduler.workers() {
         let replicas = worker.allocations.iter().filter(|r| r.service).count();
         assert!(replicas <= 1);
         if replicas == 1 {
@@ -105,14 +105,14 @@
         w.submit(spec(&format!("urgent{i}"), 2, 300, Priority::Urgent));
         w.run(1_000);
     }
-    let book = w.owners[0].machine.state();
-    let most = book
+    let state = w.owners[0].scheduler.state();
+    let max = state
         .jobs()
         .iter()
         .flat_map(|j| &j.tasks)
         .map(|t| t.evictions)
         .max();
-    assert!(most <= Some(5), "{most:?}");
+    assert!(max <= Some(5), "{max:?}");
 }
 
 #[test]
@@ -131,7 +131,7 @@
 #[test]
 fn a_failing_worker_is_quarantined_and_costs_few_tries() {
     let mut w = world(PlacementPolicy::LeastLoaded);
-    w.strike(Fault::WorkerFailsAll, 1);
+    w.inject(Fault::WorkerFailsAll, 1);
     for i in 0..20 {
         w.submit(spec(&format!("job{i}"), 1, 500, Priority::Normal));
     }
@@ -161,43 +161,43 @@
     }
     w.run(2_000);
     for pick in 0..4 {
-        w.strike(Fault::Cancels, pick);
+        w.inject(Fault::Cancels, pick);
     }
     assert!(w.run_until_finished(30_000));
     check_promises(&w);
-    for worker in w.owners[0].machine.workers() {
+    for worker in w.owners[0].scheduler.workers() {
         assert!(worker.allocations.iter().all(|r| r.service));
     }
 }
 
 #[test]
 fn urgent_lanes_come_first_and_stale_entries_are_the_callers_to_skip() {
-    let mut q = Queue::default();
+    let mut queue = Queue::default();
     let task = |job| TaskRef { job, task: 0 };
-    q.push(Priority::Bulk, 0, task(1), 5);
-    q.push(Priority::Urgent, 1, task(2), 6);
-    q.push_delayed(50, Priority::Urgent, 1, task(3));
-    assert_eq!((q.len(), q.teams(Priority::Urgent)), (3, vec![1]));
-    q.promote_delayed(49);
-    assert_eq!(q.pop(Priority::Urgent, 1).expect("ready").task, task(2));
-    assert!(q.pop(Priority::Urgent, 1).is_none(), "not yet");
-    q.promote_delayed(50);
-    assert_eq!(q.pop(Priority::Urgent, 1).expect("ready").since, 50);
-    assert!(!q.is_empty());
+    queue.push(Priority::Bulk, 0, task(1), 5);
+    queue.push(Priority::Urgent, 1, task(2), 6);
+    queue.push_delayed(50, Priority::Urgent, 1, task(3));
+    assert_eq!((queue.len(), queue.teams(Priority::Urgent)), (3, vec![1]));
+    queue.promote_delayed(49);
+    assert_eq!(queue.pop(Priority::Urgent, 1).expect("ready").task, task(2));
+    assert!(queue.pop(Priority::Urgent, 1).is_none(), "not yet");
+    queue.promote_delayed(50);
+    assert_eq!(queue.pop(Priority::Urgent, 1).expect("ready").since, 50);
+    assert!(!queue.is_empty());
 }
 
 #[test]
 fn a_late_sample_is_matched_with_what_ran_then() {
-    let mut h = History::default();
+    let mut history = History::default();
     let runner = |job, class| CoRunner {
         attempt: attempt(job),
         class,
     };
-    h.begin(runner(1, 0), 1_000);
-    h.begin(runner(2, 1), 2_000);
-    h.end(attempt(2), 3_000);
-    h.begin(runner(3, 2), 4_000);
-    let classes = |at| -> Vec<u16> { h.running_at(at).iter().map(|c| c.class).collect() };
+    history.begin(runner(1, 0), 1_000);
+    history.begin(runner(2, 1), 2_000);
+    history.end(attempt(2), 3_000);
+    history.begin(runner(3, 2), 4_000);
+    let classes = |at| -> Vec<u16> { history.running_at(at).iter().map(|c| c.class).collect() };
     assert_eq!(classes(500), Vec::<u16>::new());
     assert_eq!(classes(2_500), [0, 1]);
     assert_eq!(classes(3_000), [0]);
@@ -206,40 +206,40 @@
 
 #[test]
 fn the_guilty_neighbour_is_learned_and_a_shift_is_followed() {
-    let mut pairs = InterferenceModel::default();
-    pairs.grow(3);
+    let mut model = InterferenceModel::default();
+    model.grow(3);
     let band = Band::of(0.7);
-    assert!(!pairs.estimate(0, 1, band).known);
+    assert!(!model.estimate(0, 1, band).known);
     for i in 0..200 {
-        pairs.learn(0, &[1, 2], band, 1.8, i * 100);
-        pairs.learn(0, &[2], band, 1.0, i * 100);
+        model.learn(0, &[1, 2], band, 1.8, i * 100);
+        model.learn(0, &[2], band, 1.0, i * 100);
     }
-    let (noisy, quiet) = (pairs.estimate(0, 1, band), pairs.estimate(0, 2, band));
+    let (noisy, quiet) = (model.estimate(0, 1, band), model.estimate(0, 2, band));
     assert!(noisy.known && noisy.added_slowdown > 0.6, "{noisy:?}");
     assert!(quiet.known && quiet.added_slowdown < 0.2, "{quiet:?}");
     for i in 200..400 {
-        pairs.learn(0, &[1], band, 1.0, i * 100);
-        pairs.learn(0, &[2], band, 1.8, i * 100);
+        model.learn(0, &[1], band, 1.0, i * 100);
+        model.learn(0, &[2], band, 1.8, i * 100);
     }
-    assert!(pairs.estimate(0, 1, band).added_slowdown < 0.1);
-    assert!(pairs.estimate(0, 2, band).added_slowdown > 0.6);
+    assert!(model.estimate(0, 1, band).added_slowdown < 0.1);
+    assert!(model.estimate(0, 2, band).added_slowdown > 0.6);
 }
 
 #[test]
 fn what_is_unknown_in_one_band_is_taken_from_another() {
-    let mut pairs = InterferenceModel::default();
-    pairs.grow(2);
-    pairs.learn(0, &[1], Band::of(0.9), 2.0, 0);
-    let low = pairs.estimate(0, 1, Band::of(0.1));
+    let mut model = InterferenceModel::default();
+    model.grow(2);
+    model.learn(0, &[1], Band::of(0.9), 2.0, 0);
+    let low = model.estimate(0, 1, Band::of(0.1));
     assert!(low.known && low.added_slowdown > 0.2, "{low:?}");
-    pairs.grow(5);
+    model.grow(5);
     assert_eq!(
-        pairs.estimate(0, 1, Band::of(0.1)),
+        model.estimate(0, 1, Band::of(0.1)),
         low,
         "kept when the table grows"
     );
     assert!(
-        !pairs.estimate(1, 0, Band::of(0.1)).known,
+        !model.estimate(1, 0, Band::of(0.1)).known,
         "pairs are ordered"
     );
 }
@@ -249,10 +249,10 @@
 #[test_case(-5.0; "negative")]
 #[test_case(1e9; "absurd")]
 fn an_absurd_sample_does_no_lasting_harm(slow: f32) {
-    let mut pairs = InterferenceModel::default();
-    pairs.grow(2);
-    pairs.learn(0, &[1], Band(0), slow, 0);
-    let e = pairs.estimate(0, 1, Band(0));
+    let mut model = InterferenceModel::default();
+    model.grow(2);
+    model.learn(0, &[1], Band(0), slow, 0);
+    let e = model.estimate(0, 1, Band(0));
     assert!(
         e.added_slowdown.is_finite() && (0.0..=4.0).contains(&e.added_slowdown),
         "{e:?}"
--- a/crates/core/tests/promises.rs
+++ b/crates/core/tests/promises.rs
@@ -16,11 +16,11 @@
 const CASES: u32 = 64;
 
 /// Longest virtual time for everything to end after the last fault.
-const LIMIT: u64 = 1_500_000;
+const LIMIT_MS: u64 = 1_500_000;
 
 #[derive(Debug, Clone)]
 enum Op {
-    Strike(Fault, usize),
+    Inject(Fault, usize),
     Submit(u32, u64, bool),
     Wait(u64),
 }
@@ -28,7 +28,7 @@
 fn op() -> impl Strategy<Value = Op> {
     let fault = prop::sample::select(Fault::ALL.to_vec());
     prop_oneof![
-        4 => (fault, 0..8usize).prop_map(|(f, p)| Op::Strike(f, p)),
+        4 => (fault, 0..8usize).prop_map(|(f, p)| Op::Inject(f, p)),
         2 => (1..4u32, 200..40_000u64, any::<bool>()).prop_map(|(t, r, u)| Op::Submit(t, r, u)),
         4 => (20..8_000u64).prop_map(Op::Wait),
     ]
@@ -64,7 +64,7 @@
         world.run(2_000);
         for (i, op) in ops.iter().enumerate() {
             match op {
-                Op::Strike(fault, pick) => world.strike(*fault, *pick),
+                Op::Inject(fault, pick) => world.inject(*fault, *pick),
                 Op::Submit(tasks, run, urgent) => {
                     let priority = if *urgent { Priority::Urgent } else { Priority::Normal };
                     world.submit(spec(&format!("job{i}"), *tasks, *run, priority));
@@ -73,8 +73,8 @@
             }
         }
         world.run(1_000);
-        let finished = world.run_until_finished(LIMIT);
-        world.heal();
+        let finished = world.run_until_finished(LIMIT_MS);
+        world.end_faults();
         world.run(3_000);
         check_promises(&world);
         prop_assert!(finished, "not finished");
--- a/crates/core/tests/regression.rs
+++ b/crates/core/tests/regression.rs
@@ -18,8 +18,8 @@
     let mut world = World::new(WorldSettings::default());
     world.submit(spec("job", 3, 3_000, Priority::Normal));
     world.run(500);
-    world.strike(Fault::StoreDown, 0);
-    world.strike(Fault::OwnerPaused, 0);
+    world.inject(Fault::StoreDown, 0);
+    world.inject(Fault::OwnerPaused, 0);
     assert!(world.run_until_finished(120_000));
     check_promises(&world);
 }
@@ -41,11 +41,11 @@
         world.submit(spec(&format!("long{i}"), 1, 40_000, Priority::Normal));
     }
     world.run(1_000);
-    world.strike(Fault::WorkerFailsAll, 2);
+    world.inject(Fault::WorkerFailsAll, 2);
     world.submit(spec("one", 1, 1_000, Priority::Normal));
     for _ in 0..10 {
         world.run(8_500);
-        world.strike(Fault::WorkerFailsAll, 2);
+        world.inject(Fault::WorkerFailsAll, 2);
     }
     assert!(world.run_until_finished(300_000));
     for (key, _) in &world.submitted {
@@ -66,7 +66,7 @@
     });
     world.submit(spec("job", 8, 20_000, Priority::Normal));
     world.run(2_000);
-    world.strike(Fault::OwnerDies, 0);
+    world.inject(Fault::OwnerDies, 0);
     world.kill_worker(1);
     assert!(world.run_until_finished(120_000));
     check_promises(&world);
@@ -116,7 +116,7 @@
         replicas: 1,
         ..WorldSettings::default()
     });
-    world.strike(Fault::WorkerFailsAll, 0);
+    world.inject(Fault::WorkerFailsAll, 0);
     for i in 0..4 {
         world.submit(spec(&format!("job{i}"), 1, 1_000, Priority::Normal));
     }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -15,7 +15,7 @@
 use test_case::test_case;
 
 /// Start of virtual time.
-const START: u64 = 1_000_000;
+const START_MS: u64 = 1_000_000;
 
 fn target(i: usize) -> TargetInfo {
     TargetInfo {
@@ -29,12 +29,12 @@
     }
 }
 
-fn list(version: u64, near: bool, targets: Vec<TargetInfo>) -> RouteEvent {
+fn list(version: u64, same_zone: bool, targets: Vec<TargetInfo>) -> RouteEvent {
     RouteEvent::Targets(TargetList {
-        shard: u32::from(!near),
+        shard: u32::from(!same_zone),
         epoch: 1,
         version,
-        same_zone: near,
+        same_zone,
         targets,
     })
 }
@@ -55,7 +55,7 @@
 fn router(targets: usize) -> Router {
     let mut router = Router::new(RouteSettings::default(), 1);
     let all = (0..targets).map(target).collect();
-    router.step(START, &list(1, true, all));
+    router.step(START_MS, &list(1, true, all));
     router
 }
 
@@ -88,11 +88,11 @@
     out
 }
 
-fn ended(req: u64, attempt: u32, end: AttemptOutcome) -> RouteEvent {
+fn attempt_ended(req: u64, attempt: u32, end: AttemptOutcome) -> RouteEvent {
     RouteEvent::Ended { req, attempt, end }
 }
 
-const OK: AttemptOutcome = AttemptOutcome::Answered {
+const ANSWERED: AttemptOutcome = AttemptOutcome::Answered {
     took: 5,
     busy: Some(1),
 };
@@ -100,7 +100,7 @@
 #[test]
 fn without_targets_a_request_is_refused_as_not_run() {
     let mut router = Router::new(RouteSettings::default(), 1);
-    let out = router.step(START, &RouteEvent::Arrive(arrival(1, START)));
+    let out = router.step(START_MS, &RouteEvent::Arrive(arrival(1, START_MS)));
     assert_eq!(refused(&out), [(1, Outcome::NotRun, Refusal::NoTarget)]);
 }
 
@@ -111,31 +111,37 @@
 fn what_a_caller_is_told_when_every_try_ends_so(
     repeatable: bool,
     end: AttemptOutcome,
-    told: Option<Outcome>,
+    expected: Option<Outcome>,
 ) {
     let mut router = router(8);
-    let mut a = arrival(1, START);
+    let mut a = arrival(1, START_MS);
     a.repeatable = repeatable;
-    let mut out = router.step(START, &RouteEvent::Arrive(a));
-    let mut tries = 0;
+    let mut out = router.step(START_MS, &RouteEvent::Arrive(a));
+    let mut attempts = 0;
     while let Some((req, attempt, _)) = sent(&out).first().cloned() {
-        tries += 1;
-        out = router.step(START + 1, &ended(req, attempt, end));
+        attempts += 1;
+        out = router.step(START_MS + 1, &attempt_ended(req, attempt, end));
     }
     let got = refused(&out).first().map(|r| r.1);
-    assert_eq!(got, told);
-    let safe = repeatable || end == AttemptOutcome::NotSent;
-    assert_eq!(tries, if safe { 3 } else { 1 });
+    assert_eq!(got, expected);
+    let can_repeat = repeatable || end == AttemptOutcome::NotSent;
+    assert_eq!(attempts, if can_repeat { 3 } else { 1 });
 }
 
 #[test]
 fn a_try_that_failed_makes_later_proofs_worthless() {
     let mut router = router(8);
-    let out = router.step(START, &RouteEvent::Arrive(arrival(1, START)));
+    let out = router.step(START_MS, &RouteEvent::Arrive(arrival(1, START_MS)));
     let (req, attempt, _) = sent(&out)[0].clone();
-    let mut out = router.step(START, &ended(req, attempt, AttemptOutcome::Failed));
+    let mut out = router.step(
+        START_MS,
+        &attempt_ended(req, attempt, AttemptOutcome::Failed),
+    );
     while let Some((req, attempt, _)) = sent(&out).first().cloned() {
-        out = router.step(START, &ended(req, attempt, AttemptOutcome::NotSent));
+        out = router.step(
+            START_MS,
+            &attempt_ended(req, attempt, AttemptOutcome::NotSent),
+        );
     }
     assert_eq!(refused(&out)[0].1, Outcome::Unknown);
 }
@@ -143,21 +149,24 @@
 #[test]
 fn a_retry_goes_to_another_target() {
     let mut router = router(2);
-    let out = router.step(START, &RouteEvent::Arrive(arrival(1, START)));
+    let out = router.step(START_MS, &RouteEvent::Arrive(arrival(1, START_MS)));
     let first = sent(&out)[0].clone();
-    let out = router.step(START, &ended(1, first.1, AttemptOutcome::NotSent));
+    let out = router.step(
+        START_MS,
+        &attempt_ended(1, first.1, AttemptOutcome::NotSent),
+    );
     assert_ne!(sent(&out)[0].2, first.2);
 }
 
 #[test]
 fn a_leaving_target_gets_nothing_new() {
     let mut router = router(3);
-    router.step(START, &RouteEvent::Leaving(vec!["w01".into()]));
+    router.step(START_MS, &RouteEvent::Leaving(vec!["w01".into()]));
     for req in 0..50 {
-        let out = router.step(START, &RouteEvent::Arrive(arrival(req, START)));
+        let out = router.step(START_MS, &RouteEvent::Arrive(arrival(req, START_MS)));
         for (req, attempt, worker) in sent(&out) {
             assert_ne!(worker, "w01");
-            router.step(START, &ended(req, attempt, OK));
+            router.step(START_MS, &attempt_ended(req, attempt, ANSWERED));
         }
     }
 }
@@ -165,18 +174,18 @@
 #[test]
 fn a_target_that_says_it_leaves_gets_nothing_new() {
     let mut router = router(2);
-    let out = router.step(START, &RouteEvent::Arrive(arrival(0, START)));
-    let (req, attempt, gone) = sent(&out)[0].clone();
+    let out = router.step(START_MS, &RouteEvent::Arrive(arrival(0, START_MS)));
+    let (req, attempt, leaving_worker) = sent(&out)[0].clone();
     let end = AttemptOutcome::Declined {
         busy: None,
         leaving: true,
     };
-    router.step(START, &ended(req, attempt, end));
+    router.step(START_MS, &attempt_ended(req, attempt, end));
     for req in 1..30 {
-        let out = router.step(START, &RouteEvent::Arrive(arrival(req, START)));
+        let out = router.step(START_MS, &RouteEvent::Arrive(arrival(req, START_MS)));
         for (req, attempt, worker) in sent(&out) {
-            assert_ne!(worker, gone);
-            router.step(START, &ended(req, attempt, OK));
+            assert_ne!(worker, leaving_worker);
+            router.step(START_MS, &attempt_ended(req, attempt, ANSWERED));
         }
     }
 }
@@ -190,9 +199,9 @@
     let mut sent_to = vec![0; targets];
     for rank in 0..entries {
         let mut router = router(targets);
-        router.step(START, &RouteEvent::Entries(Share { entries, rank }));
+        router.step(START_MS, &RouteEvent::Entries(Share { entries, rank }));
         for req in 0..500 {
-            let out = router.step(START, &RouteEvent::Arrive(arrival(req, START)));
+            let out = router.step(START_MS, &RouteEvent::Arrive(arrival(req, START_MS)));
             for (_, _, worker) in sent(&out) {
                 sent_to[worker[1..].parse::<usize>().expect("a number")] += 1;
             }
@@ -208,17 +217,17 @@
 fn free_slots_are_used_while_their_report_is_fresh() {
     let mut router = router(1);
     router.step(
-        START,
+        START_MS,
         &RouteEvent::Entries(Share {
             entries: 3,
             rank: 0,
         }),
     );
-    let out = router.step(START, &RouteEvent::Arrive(arrival(0, START)));
-    router.step(START, &ended(0, sent(&out)[0].1, OK));
+    let out = router.step(START_MS, &RouteEvent::Arrive(arrival(0, START_MS)));
+    router.step(START_MS, &attempt_ended(0, sent(&out)[0].1, ANSWERED));
     let mut count = 0;
     for req in 1..40 {
-        let out = router.step(START, &RouteEvent::Arrive(arrival(req, START)));
+        let out = router.step(START_MS, &RouteEvent::Arrive(arrival(req, START_MS)));
         count += sent(&out).len();
     }
     assert_eq!(count, 8);
@@ -229,10 +238,10 @@
     let mut router = router(1);
     let mut far = target(7);
     far.worker = "far".into();
-    router.step(START, &list(1, false, vec![far]));
+    router.step(START_MS, &list(1, false, vec![far]));
     let mut workers = Vec::new();
     for req in 0..9 {
-        let out = router.step(START, &RouteEvent::Arrive(arrival(req, START)));
+        let out = router.step(START_MS, &RouteEvent::Arrive(arrival(req, START_MS)));
         workers.extend(sent(&out).into_iter().map(|s| s.2));
     }
     assert!(workers[..8].iter().all(|w| w == "w00"));
@@ -243,20 +252,20 @@
 fn urgent_goes_before_normal_before_bulk() {
     let mut router = router(1);
     for req in 0..8 {
-        router.step(START, &RouteEvent::Arrive(arrival(req, START)));
+        router.step(START_MS, &RouteEvent::Arrive(arrival(req, START_MS)));
     }
     for (req, priority) in [
         (10, Priority::Bulk),
         (11, Priority::Normal),
         (12, Priority::Urgent),
     ] {
-        let mut a = arrival(req, START);
+        let mut a = arrival(req, START_MS);
         a.priority = priority;
-        assert!(router.step(START, &RouteEvent::Arrive(a)).is_empty());
+        assert!(router.step(START_MS, &RouteEvent::Arrive(a)).is_empty());
     }
     let mut order = Vec::new();
     for req in 0..3 {
-        let out = router.step(START + 2, &ended(req, 1, OK));
+        let out = router.step(START_MS + 2, &attempt_ended(req, 1, ANSWERED));
         order.extend(sent(&out).into_iter().map(|s| s.0));
     }
     assert_eq!(order, [12, 11, 10]);
@@ -266,20 +275,20 @@
 fn a_full_queue_gives_up_the_lowest_priority() {
     let mut router = router(1);
     for req in 0..8 {
-        router.step(START, &RouteEvent::Arrive(arrival(req, START)));
+        router.step(START_MS, &RouteEvent::Arrive(arrival(req, START_MS)));
     }
-    let mut bulk = arrival(10, START);
+    let mut bulk = arrival(10, START_MS);
     bulk.priority = Priority::Bulk;
     bulk.max_queued = 1;
-    router.step(START, &RouteEvent::Arrive(bulk));
-    let mut urgent = arrival(11, START);
+    router.step(START_MS, &RouteEvent::Arrive(bulk));
+    let mut urgent = arrival(11, START_MS);
     urgent.priority = Priority::Urgent;
     urgent.max_queued = 1;
-    let out = router.step(START, &RouteEvent::Arrive(urgent));
+    let out = router.step(START_MS, &RouteEvent::Arrive(urgent));
     assert_eq!(refused(&out), [(10, Outcome::NotRun, Refusal::QueueFull)]);
-    let mut second = arrival(12, START);
+    let mut second = arrival(12, START_MS);
     second.max_queued = 1;
-    let out = router.step(START, &RouteEvent::Arrive(second));
+    let out = router.step(START_MS, &RouteEvent::Arrive(second));
     assert_eq!(refused(&out), [(12, Outcome::NotRun, Refusal::QueueFull)]);
 }
 
@@ -287,11 +296,11 @@
 fn what_can_not_be_met_in_time_is_refused_at_once() {
     let mut router = router(1);
     for req in 0..8 {
-        router.step(START, &RouteEvent::Arrive(arrival(req, START)));
+        router.step(START_MS, &RouteEvent::Arrive(arrival(req, START_MS)));
     }
-    let mut a = arrival(10, START);
-    a.deadline = START + 2;
-    let out = router.step(START, &RouteEvent::Arrive(a));
+    let mut a = arrival(10, START_MS);
+    a.deadline = START_MS + 2;
+    let out = router.step(START_MS, &RouteEvent::Arrive(a));
     assert_eq!(refused(&out), [(10, Outcome::NotRun, Refusal::TooLate)]);
 }
 
@@ -299,10 +308,10 @@
 fn a_waiting_request_is_given_up_when_its_time_runs_out() {
     let mut router = router(1);
     for req in 0..8 {
-        router.step(START, &RouteEvent::Arrive(arrival(req, START)));
+        router.step(START_MS, &RouteEvent::Arrive(arrival(req, START_MS)));
     }
-    router.step(START, &RouteEvent::Arrive(arrival(10, START)));
-    let out = router.step(START + 998, &RouteEvent::Tick);
+    router.step(START_MS, &RouteEvent::Arrive(arrival(10, START_MS)));
+    let out = router.step(START_MS + 998, &RouteEvent::Tick);
     assert_eq!(refused(&out), [(10, Outcome::NotRun, Refusal::TooLate)]);
 }
 
@@ -315,10 +324,10 @@
         },
         1,
     );
-    router.step(START, &list(1, true, (0..8).map(target).collect()));
+    router.step(START_MS, &list(1, true, (0..8).map(target).collect()));
     let mut over = 0;
     for req in 0..12 {
-        let out = router.step(START, &RouteEvent::Arrive(arrival(req, START)));
+        let out = router.step(START_MS, &RouteEvent::Arrive(arrival(req, START_MS)));
         over += refused(&out)
             .iter()
             .filter(|r| r.2 == Refusal::OverShare)
@@ -330,8 +339,8 @@
 #[test]
 fn an_older_list_changes_nothing() {
     let mut router = router(3);
-    router.step(START, &list(5, true, vec![target(0)]));
-    router.step(START, &list(4, true, vec![target(1), target(2)]));
+    router.step(START_MS, &list(5, true, vec![target(0)]));
+    router.step(START_MS, &list(4, true, vec![target(1), target(2)]));
     assert_eq!(router.targets("weld", "check").len(), 1);
 }
 
@@ -343,34 +352,37 @@
         ..RouteSettings::default()
     };
     let mut router = Router::new(settings, 3);
-    router.step(START, &list(1, true, (0..18).map(target).collect()));
-    let (mut tries, mut ok) = (0, 0);
+    router.step(START_MS, &list(1, true, (0..18).map(target).collect()));
+    let (mut attempts, mut ok) = (0, 0);
     for req in 0..requests {
-        let now = START + req * 2;
+        let now = START_MS + req * 2;
         router.step(now, &RouteEvent::Tick);
         let mut out = router.step(now, &RouteEvent::Arrive(arrival(req, now)));
         while let Some((req, attempt, worker)) = sent(&out).first().cloned() {
-            tries += 1;
+            attempts += 1;
             let number: usize = worker[1..].parse().expect("a number");
             let end = if number < 6 {
                 AttemptOutcome::Failed
             } else {
-                OK
+                ANSWERED
             };
             ok += u64::from(number >= 6);
-            out = router.step(now, &ended(req, attempt, end));
+            out = router.step(now, &attempt_ended(req, attempt, end));
         }
     }
-    (tries, ok)
+    (attempts, ok)
 }
 
 #[test]
 fn with_a_third_of_the_targets_failing_tries_stay_under_1_2_a_request() {
-    let (tries, ok) = run_with_failures(RoutePolicy::TwoChoices, 5_000);
-    assert!(tries * 10 < 5_000 * 12, "{tries} tries");
+    let (attempts, ok) = run_with_failures(RoutePolicy::TwoChoices, 5_000);
+    assert!(attempts * 10 < 5_000 * 12, "{attempts} attempts");
     assert!(ok * 100 >= 5_000 * 99, "{ok} answered");
-    let (plain, _) = run_with_failures(RoutePolicy::RoundRobin, 5_000);
-    assert!(plain > tries, "the baseline makes {plain} tries");
+    let (baseline, _) = run_with_failures(RoutePolicy::RoundRobin, 5_000);
+    assert!(
+        baseline > attempts,
+        "the baseline makes {baseline} attempts"
+    );
 }
 
 #[test]
@@ -378,14 +390,14 @@
     let mut router = router(18);
     let mut second = 0;
     for req in 0..2_000 {
-        let now = START + req;
+        let now = START_MS + req;
         let out = router.step(now, &RouteEvent::Arrive(arrival(req, now)));
         let first = sent(&out)[0].clone();
         let out = router.step(now, &RouteEvent::Hedge { req });
         second += sent(&out).len();
-        router.step(now, &ended(req, first.1, OK));
+        router.step(now, &attempt_ended(req, first.1, ANSWERED));
         for s in sent(&out) {
-            router.step(now, &ended(req, s.1, OK));
+            router.step(now, &attempt_ended(req, s.1, ANSWERED));
         }
     }
     assert!(
@@ -418,7 +430,7 @@
 
 fn end_of(kind: u8) -> AttemptOutcome {
     match kind {
-        0 | 1 => OK,
+        0 | 1 => ANSWERED,
         2 => AttemptOutcome::NotSent,
         3 => AttemptOutcome::Declined {
             busy: Some(8),
@@ -442,11 +454,11 @@
 
 /// What a test knows of a request.
 #[derive(Debug, Clone, Default)]
-struct Seen {
-    once: bool,
-    open: Vec<(u32, String)>,
+struct RequestRecord {
+    run_once: bool,
+    in_flight: Vec<(u32, String)>,
     may_have_run: bool,
-    told: Option<Outcome>,
+    reported: Option<Outcome>,
 }
 
 proptest! {
@@ -455,40 +467,40 @@
     #[test]
     fn requests_run_at_most_once_and_end_once(ops in prop::collection::vec(op(), 1..200)) {
         let mut router = router(4);
-        let mut now = START;
-        let mut seen: Vec<Seen> = Vec::new();
+        let mut now = START_MS;
+        let mut requests: Vec<RequestRecord> = Vec::new();
         let mut leaving: Vec<String> = Vec::new();
         for op in ops {
             let event = match op {
                 Op::Arrive(repeatable, priority, deadline) => {
-                    let mut a = arrival(seen.len() as u64, now);
+                    let mut a = arrival(requests.len() as u64, now);
                     a.repeatable = repeatable;
                     a.priority = Priority::ALL[usize::from(priority)];
                     a.deadline = now + deadline;
                     a.max_queued = 3;
-                    seen.push(Seen { once: !repeatable, ..Seen::default() });
+                    requests.push(RequestRecord { run_once: !repeatable, ..RequestRecord::default() });
                     RouteEvent::Arrive(a)
                 }
                 Op::End(i, kind) => {
                     let busy: Vec<usize> =
-                        (0..seen.len()).filter(|r| !seen[*r].open.is_empty()).collect();
+                        (0..requests.len()).filter(|r| !requests[*r].in_flight.is_empty()).collect();
                     if busy.is_empty() { continue }
                     let req = busy[i % busy.len()];
-                    let (attempt, _) = seen[req].open.remove(0);
+                    let (attempt, _) = requests[req].in_flight.remove(0);
                     let end = end_of(kind);
                     match end {
                         AttemptOutcome::Answered { .. } => {
-                            seen[req].may_have_run = true;
-                            seen[req].told.get_or_insert(Outcome::Ran);
+                            requests[req].may_have_run = true;
+                            requests[req].reported.get_or_insert(Outcome::Ran);
                         }
-                        AttemptOutcome::Failed => seen[req].may_have_run = true,
+                        AttemptOutcome::Failed => requests[req].may_have_run = true,
                         AttemptOutcome::NotSent | AttemptOutcome::Declined { .. } => {}
                     }
-                    ended(req as u64, attempt, end)
+                    attempt_ended(req as u64, attempt, end)
                 }
                 Op::Hedge(i) => {
-                    if seen.is_empty() { continue }
-                    RouteEvent::Hedge { req: (i % seen.len()) as u64 }
+                    if requests.is_empty() { continue }
+                    RouteEvent::Hedge { req: (i % requests.len()) as u64 }
                 }
                 Op::Wait(time) => { now += time; RouteEvent::Tick }
                 Op::Leave(w) => {
@@ -499,37 +511,37 @@
             };
             let out = router.step(now, &event);
             for (req, attempt, worker) in sent(&out) {
-                let s = &mut seen[req as usize];
+                let s = &mut requests[req as usize];
                 prop_assert!(!leaving.contains(&worker), "sent to a leaving target");
-                prop_assert!(s.told.is_none(), "sent after its end");
-                prop_assert!(!s.once || (!s.may_have_run && s.open.is_empty()), "may run twice");
-                s.open.push((attempt, worker));
+                prop_assert!(s.reported.is_none(), "sent after its end");
+                prop_assert!(!s.run_once || (!s.may_have_run && s.in_flight.is_empty()), "may run twice");
+                s.in_flight.push((attempt, worker));
             }
             for (req, outcome, _) in refused(&out) {
-                let s = &mut seen[req as usize];
-                prop_assert!(s.told.is_none(), "ended twice");
+                let s = &mut requests[req as usize];
+                prop_assert!(s.reported.is_none(), "ended twice");
                 prop_assert!(outcome != Outcome::NotRun || !s.may_have_run, "false not-run");
-                prop_assert!(outcome != Outcome::NotRun || s.open.is_empty(), "may still run");
-                s.told = Some(outcome);
+                prop_assert!(outcome != Outcome::NotRun || s.in_flight.is_empty(), "may still run");
+                s.reported = Some(outcome);
             }
         }
-        for req in 0..seen.len() {
-            while !seen[req].open.is_empty() {
-                let (attempt, _) = seen[req].open.remove(0);
-                let out = router.step(now, &ended(req as u64, attempt, OK));
-                seen[req].told.get_or_insert(Outcome::Ran);
+        for req in 0..requests.len() {
+            while !requests[req].in_flight.is_empty() {
+                let (attempt, _) = requests[req].in_flight.remove(0);
+                let out = router.step(now, &attempt_ended(req as u64, attempt, ANSWERED));
+                requests[req].reported.get_or_insert(Outcome::Ran);
                 for (r, a, w) in sent(&out) {
-                    seen[r as usize].open.push((a, w));
+                    requests[r as usize].in_flight.push((a, w));
                 }
                 for (r, outcome, _) in refused(&out) {
-                    seen[r as usize].told.get_or_insert(outcome);
+                    requests[r as usize].reported.get_or_insert(outcome);
                 }
             }
         }
-        for round in 0..seen.len() {
+        for round in 0..requests.len() {
             let out = router.step(now + 10_000 + round as u64, &RouteEvent::Tick);
             for (r, outcome, _) in refused(&out) {
-                seen[r as usize].told.get_or_insert(outcome);
+                requests[r as usize].reported.get_or_insert(outcome);
             }
         }
         prop_assert_eq!(router.waiting_requests(), 0);
--- a/crates/core/tests/waits.rs
+++ b/crates/core/tests/waits.rs
@@ -70,15 +70,18 @@
         queue.push_blocked(lane, team, ready, shapes[at]);
     }
     // The first of a shape was tried and is held again.
-    let first = queue.pop_oldest(lane, team, |_| false).expect("held");
+    let first = queue.pop_oldest(lane, team, |_| false).expect("blocked");
     assert_eq!(first.task.task, 0);
     queue.push_blocked(lane, team, first, shapes[0]);
-    let held = queue.first_blocked(lane, team, &shapes[0], 8);
-    assert_eq!(held.iter().map(|r| r.task.task).collect::<Vec<_>>(), [0, 2]);
+    let blocked = queue.first_blocked(lane, team, &shapes[0], 8);
+    assert_eq!(
+        blocked.iter().map(|r| r.task.task).collect::<Vec<_>>(),
+        [0, 2]
+    );
     assert_eq!((queue.len(), queue.teams(lane)), (6, vec![team]));
-    let passed = |s: &TaskShape| *s == shapes[0];
+    let is_excluded = |s: &TaskShape| *s == shapes[0];
     let mut taken = Vec::new();
-    while let Some(ready) = queue.pop_oldest(lane, team, passed) {
+    while let Some(ready) = queue.pop_oldest(lane, team, is_excluded) {
         taken.push(ready.task.task);
     }
     assert_eq!(taken, [1, 3, 4, 5]);
