--- a/crates/core/tests/common/checks.rs
+++ b/crates/core/tests/common/checks.rs
@@ -1,4 +1,4 @@
-//! Promises, judged by the workers' ledger.
+//! Checks of the promises against the ledger of the workers.
 
 use gorsespur_core::shard::{JobState, JobStatus};
 use gorsespur_stand::{Entry, What};
@@ -47,7 +47,7 @@
     out
 }
 
-/// Panics if a task ran in two places at once or a worker was overcommitted.
+/// Panics if a task ran in two places at the same time or a worker was overcommitted.
 pub fn check_promises(world: &World) {
     let ledger = world.ledger.entries();
     let runs = runs(&ledger);
@@ -64,8 +64,8 @@
     }
 }
 
-/// Returns how often each task of a finished job was done, and checks that the
-/// states that callers see agree with the ledger.
+/// Returns how often each task of the submitted jobs was completed, and checks that the states
+/// reported to callers agree with the ledger.
 pub fn done_counts(world: &World) -> Vec<(String, usize)> {
     let ledger = world.ledger.entries();
     let mut out = Vec::new();
@@ -78,7 +78,7 @@
                 .filter(|e| e.name == name && e.what == What::Done)
                 .count();
             if status.state == JobState::Done {
-                assert!(done > 0, "{name} is said to be done and never was");
+                assert!(done > 0, "{name} is reported as done but never completed");
             }
             out.push((name, done));
         }
--- a/crates/core/tests/common/fault.rs
+++ b/crates/core/tests/common/fault.rs
@@ -1,13 +1,13 @@
-//! Faults of the brief, as one-time events.
+//! The faults of the brief, as single events.
 
-/// A fault.
+/// A fault that [`World::inject`](super::World::inject) causes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// The owner's process dies.
     OwnerDies,
-    /// The owner is paused across its lease and goes on.
+    /// The owner is paused beyond its lease and resumes.
     OwnerPaused,
-    /// The table service is down for a while.
+    /// The table service is unavailable for a while.
     StoreDown,
     /// The owner alone can't reach the table service for a while.
     OwnerCutFromStore,
@@ -17,30 +17,30 @@
     RackDies,
     /// A worker reboots at once.
     WorkerReboots,
-    /// A worker can't be reached by anyone for a while.
+    /// A worker is unreachable for all owners for a while.
     WorkerCut,
-    /// A worker can be reached only by the owner of now, for a while.
+    /// A worker is reachable only for the current owner for a while.
     WorkerKeepsOwner,
-    /// A worker's process is paused and goes on.
+    /// The process of a worker is paused and resumes.
     WorkerPaused,
     /// Answers of a worker are lost for a while.
     AnswersLost,
-    /// Requests to a worker are delayed until much later.
+    /// Requests to a worker are delayed beyond the exchange timeout.
     RequestsLate,
-    /// Requests to a worker arrive twice.
+    /// Requests to a worker arrive more than once.
     RequestsTwice,
     /// A worker fails every task for a while.
     WorkerFailsAll,
     /// A worker is listed as leaving.
     WorkerLeaves,
-    /// Callers cancel some of their jobs.
+    /// Callers cancel a quarter of their jobs.
     Cancels,
-    /// An urgent job comes and needs room.
+    /// An urgent job is submitted.
     UrgentComes,
 }
 
 impl Fault {
-    /// Every fault.
+    /// All faults.
     pub const ALL: [Fault; 17] = [
         Fault::OwnerDies,
         Fault::OwnerPaused,
--- a/crates/core/tests/common/injection.rs
+++ b/crates/core/tests/common/injection.rs
@@ -1,4 +1,4 @@
-//! Faults that strike a world, and their ends.
+//! Injection of faults into the simulation, and their ends.
 
 use gorsespur_core::{Millis, shard::Event, template::Priority};
 use gorsespur_stand::{Entry, What, WorkerFaults};
@@ -11,7 +11,7 @@
 };
 
 impl World {
-    /// Lets a fault happen; `pick` says to whom.
+    /// Injects a fault; `pick` selects the worker or the jobs.
     pub fn inject(&mut self, fault: Fault, pick: usize) {
         let w = pick % self.nodes.len();
         let end = self.now + FAULT_MS;
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Kills a worker for good and takes it off the list.
+    /// Kills a worker permanently and removes it from the membership list.
     pub fn kill_worker(&mut self, w: usize) {
         let node = &mut self.nodes[w];
         let clock = node.clock(self.now);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! A shard with its owners, its journal and its workers, in no real time.
+//! Simulation of a shard with its owners, its journal and its workers, in virtual time.
 //!
-//! Owners are the real machines with the real lease logic; the journal is a
-//! list of records behind a row with a version; workers are the stand-ins,
-//! whose ledger is what promises are judged by.
+//! Owners run the real scheduler and lease logic; the journal is a list of
+//! records behind a versioned row; workers are simulated, and their ledger is
+//! the ground truth for checking the promises.
 
-#![expect(dead_code, reason = "each test file uses a part")]
+#![expect(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod checks;
 mod fault;
--- a/crates/core/tests/common/owner.rs
+++ b/crates/core/tests/common/owner.rs
@@ -1,4 +1,4 @@
-//! An owner: a machine, its lease and what it has not written yet.
+//! A simulated owner: its scheduler, its lease and the records that it has not written yet.
 
 use std::collections::VecDeque;
 
@@ -7,12 +7,12 @@
     shard::{Record, ShardScheduler},
 };
 
-/// An instance that owns the shard, or believes so.
+/// An instance that owns the shard, or that has lost the shard without noticing.
 pub struct Owner {
     pub scheduler: ShardScheduler,
     pub lease: OwnerLease,
     pub epoch: u64,
-    /// Version of the row that its next write expects.
+    /// Version of the row that the next write expects.
     pub version: u64,
     pub backlog: VecDeque<Record>,
     pub renewed_at: u64,
--- a/crates/core/tests/common/world.rs
+++ b/crates/core/tests/common/world.rs
@@ -1,4 +1,4 @@
-//! The world of one shard.
+//! The simulation of one shard.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -17,33 +17,35 @@
 
 use super::owner::Owner;
 
-/// Virtual time of one step.
+/// Virtual time of one simulation step.
 const STEP_MS: Millis = 20;
 
-/// Lease of the shard and time between renewals.
+/// Lease of the shard.
 const LEASE_MS: Millis = 4_000;
+
+/// Time between renewals of the lease.
 const RENEW_INTERVAL_MS: Millis = 1_000;
 
-/// Time limit of an exchange.
+/// Timeout of an exchange.
 const EXCHANGE_TIMEOUT_MS: Millis = 800;
 
-/// Length of a fault that lasts.
+/// Duration of a temporary fault.
 pub const FAULT_MS: Millis = 9_000;
 
-/// Rates of the workers' clocks in thousandths; leases allow for a hundredth.
+/// Rates of the workers' clocks in thousandths; leases tolerate a drift of one hundredth.
 const CLOCK_RATES_PERMILLE: [u64; 3] = [1_000, 992, 1_008];
 
-/// How late a delayed request arrives.
+/// Delay of a delayed request.
 const DELAY_MS: Millis = 18_000;
 
-/// Settings of a world.
+/// Settings of a simulation.
 #[derive(Debug, Clone)]
 pub struct WorldSettings {
     pub workers: usize,
     pub hold: Millis,
     pub shard: ShardSettings,
     pub seed: u64,
-    /// Replicas of a service.
+    /// Number of replicas of the service.
     pub replicas: u32,
 }
 
@@ -62,12 +64,12 @@
     }
 }
 
-/// A worker and the faults of its link.
+/// A simulated worker and the faults of its connection.
 pub struct Node {
     pub name: Name,
     pub sim: Option<SimWorker>,
     pub unreachable: bool,
-    /// The only owner that reaches it, if not all do.
+    /// The only owner that can reach the worker; `None` if all can.
     pub only_owner: Option<usize>,
     pub paused: bool,
     pub loses_answers: bool,
@@ -75,19 +77,19 @@
     pub duplicates_requests: bool,
     pub leaving: bool,
     pub listed: bool,
-    /// Rate of its clock in thousandths.
+    /// Rate of the worker's clock in thousandths.
     clock_rate_permille: u64,
     boot: u64,
 }
 
 impl Node {
-    /// Returns its clock's reading.
+    /// Returns the time of the worker's clock.
     pub fn clock(&self, now: Millis) -> Millis {
         now * self.clock_rate_permille / 1_000
     }
 }
 
-/// A request on its way.
+/// A request that is in flight to a worker.
 struct Delivery {
     at: Millis,
     owner: usize,
@@ -96,7 +98,7 @@
     expects_answer: bool,
 }
 
-/// Something that happens later.
+/// The scheduled end of a fault.
 pub struct ScheduledUndo {
     pub at: Millis,
     pub what: Undo,
@@ -110,7 +112,7 @@
     Fails(usize),
 }
 
-/// One shard with everything around it.
+/// A shard with its owners, store and workers.
 pub struct World {
     pub now: Millis,
     pub settings: WorldSettings,
@@ -131,7 +133,7 @@
     pub urgent_count: u64,
 }
 
-/// Returns an organisation with one service.
+/// Returns an organisation with one team and one service.
 pub fn org(hold: Millis, replicas: u32) -> Arc<Organisation> {
     let team = |name: &str| Team {
         name: name.into(),
@@ -160,7 +162,7 @@
     })
 }
 
-/// Returns a job of `tasks` tasks.
+/// Returns a job with `tasks` tasks.
 pub fn spec(id: &str, tasks: u32, run: Millis, priority: Priority) -> JobSpec {
     JobSpec {
         key: JobKey {
@@ -253,13 +255,13 @@
         node.sim = Some(sim);
     }
 
-    /// Submits a job; it is in the inbox from now on.
+    /// Submits a job to the inbox of the shard.
     pub fn submit(&mut self, spec: JobSpec) {
         self.submitted.push((spec.key.clone(), spec.tasks));
         self.inbox.push(spec);
     }
 
-    /// Returns the state of a job by the journal.
+    /// Returns the status of a job according to the journal.
     pub fn status(&self, key: &JobKey) -> Option<JobStatus> {
         let mut state = ShardState::default();
         for record in &self.journal {
@@ -268,7 +270,7 @@
         state.find(key).map(JobStatus::of)
     }
 
-    /// Tells whether every submitted job has ended.
+    /// Returns whether every submitted job has ended.
     pub fn is_finished(&self) -> bool {
         let mut state = ShardState::default();
         for record in &self.journal {
@@ -279,14 +281,14 @@
             .all(|(k, _)| state.find(k).is_some_and(|j| j.open_tasks == 0))
     }
 
-    /// Returns the owner that the row names.
+    /// Returns the live owner with the epoch of the row.
     pub fn current(&self) -> Option<&Owner> {
         self.owners
             .iter()
             .find(|o| o.epoch == self.row.epoch && !o.dead)
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for `time`.
     pub fn run(&mut self, time: Millis) {
         let end = self.now + time;
         while self.now < end {
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Runs until every job has ended, at most for `limit`; tells whether so.
+    /// Runs until every job has ended, for at most `limit`; returns whether every job has ended.
     pub fn run_until_finished(&mut self, limit: Millis) -> bool {
         let end = self.now + limit;
         while self.now < end {
@@ -306,7 +308,7 @@
         false
     }
 
-    /// Ends every fault that can end.
+    /// Ends all temporary faults.
     pub fn end_faults(&mut self) {
         self.store_down = false;
         for undo in std::mem::take(&mut self.scheduled_undos) {
@@ -348,7 +350,7 @@
         }
     }
 
-    /// A contender watches the row and takes the shard when it may.
+    /// Lets a contender watch the row and acquire the shard once its lease is over.
     fn take_over(&mut self) {
         if self.store_down {
             return;
@@ -448,7 +450,7 @@
         Event::Workers { list, counts }
     }
 
-    /// Feeds an event to an owner and does what it wants.
+    /// Passes an event to the scheduler of an owner and carries out the resulting actions.
     pub fn handle_event(&mut self, i: usize, event: &Event) {
         let actions = self.owners[i].scheduler.step(self.now, event);
         for action in actions {
@@ -557,7 +559,7 @@
         }
     }
 
-    /// Writes an owner's records, conditional on the row's version.
+    /// Writes the pending records of an owner, on condition that the row has the expected version.
     fn write(&mut self, i: usize) {
         let now = self.now;
         let o = &mut self.owners[i];
--- a/crates/core/tests/configs.rs
+++ b/crates/core/tests/configs.rs
@@ -1,4 +1,4 @@
-//! Configuration never goes back; membership does not flap.
+//! Configuration versions never decrease, and membership does not flap.
 
 use std::sync::Arc;
 
@@ -121,11 +121,11 @@
     assert!(!peers.record_heartbeat(NOW_MS + 10, heartbeat("a", 1, 5)));
     assert!(
         peers.record_heartbeat(NOW_MS + 10, heartbeat("a", 2, 1)),
-        "a new start counts"
+        "a new incarnation is recorded"
     );
     assert!(
         !peers.record_heartbeat(NOW_MS + 20, heartbeat("a", 1, 99)),
-        "an earlier one does not"
+        "an earlier incarnation is not"
     );
 }
 
@@ -139,13 +139,13 @@
     assert_eq!(
         peers.get("a").expect("known").steady_since,
         NOW_MS + 9_000,
-        "a gap"
+        "reset by a gap"
     );
     peers.record_heartbeat(NOW_MS + 9_500, heartbeat("a", 2, 1));
     assert_eq!(
         peers.get("a").expect("known").steady_since,
         NOW_MS + 9_500,
-        "a restart"
+        "reset by a restart"
     );
 }
 
--- a/crates/core/tests/faults.rs
+++ b/crates/core/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Each fault of the brief alone, twice in a row, and beside every other.
+//! Each fault of the brief alone, twice in succession, and together with every other fault.
 
 mod common;
 
@@ -6,10 +6,10 @@
 use gorsespur_core::template::Priority;
 use test_case::test_case;
 
-/// Time between two faults.
+/// Times between two faults.
 const GAPS_MS: [u64; 3] = [0, 700, 5_000];
 
-/// Longest virtual time for everything to end after the last fault.
+/// Maximum virtual time until every job has ended after the last fault.
 const LIMIT_MS: u64 = 500_000;
 
 fn busy_world(seed: u64) -> World {
--- a/crates/core/tests/guards.rs
+++ b/crates/core/tests/guards.rs
@@ -1,4 +1,4 @@
-//! One scenario for each guard; each fails if its guard is taken away.
+//! One scenario for each safety guard; each test fails if its guard is removed.
 
 mod common;
 
@@ -18,7 +18,7 @@
 const NOW_MS: u64 = 1_000_000;
 const HOLD_MS: u64 = 10_000;
 
-/// Returns the worker as the membership list has it.
+/// Returns the worker as listed in the membership.
 fn worker() -> WorkerInfo {
     let addr = ([127, 0, 0, 1], 9).into();
     WorkerInfo {
@@ -32,7 +32,7 @@
     }
 }
 
-/// A machine with one worker that has answered.
+/// Returns a scheduler with one worker that has answered.
 fn scheduler() -> ShardScheduler {
     let id = ShardId {
         name: "shard".into(),
@@ -135,7 +135,7 @@
     assert_eq!(out, [Action::Fenced { epoch: 9 }]);
 }
 
-/// The old owner can't reach the table service and goes on renewing the leases
+/// The old owner can't reach the table service and keeps renewing the leases
 /// of a worker that the new owner can't reach.
 #[test]
 fn a_new_owner_waits_for_the_hold_of_the_old_one() {
@@ -157,8 +157,8 @@
     }
 }
 
-/// Takes a shard over whose only worker can't be reached, and returns when its
-/// task is given up.
+/// Takes over a shard whose only worker is unreachable, and returns the time in milliseconds
+/// after which its task is given up.
 fn lost_after(settled: bool, settled_at: Option<u64>) -> u64 {
     let mut old = scheduler();
     old.step(
@@ -196,7 +196,7 @@
             return now - NOW_MS;
         }
     }
-    panic!("never given up");
+    panic!("the task is never given up");
 }
 
 #[test]
@@ -209,7 +209,7 @@
     assert!(is_close(lost_after(false, Some(2_000)), lease + 2_000));
 }
 
-/// The workers' clocks differ by up to eight thousandths from the owner's.
+/// The clocks of the workers drift by up to eight thousandths from the clock of the owner.
 #[test]
 fn a_lease_is_over_on_the_slowest_clock_before_its_end_is_presumed() {
     for pick in 0..4 {
@@ -227,8 +227,8 @@
     }
 }
 
-/// For an hour the table service is down: what runs goes on for the hold, and
-/// nothing is started, restarted or stopped; then the queue flows again.
+/// While the table service is down for an hour, running tasks continue within the hold and
+/// nothing is started, restarted or stopped; afterwards queued tasks start again.
 #[test]
 fn an_hour_without_the_table_service_stops_nothing_and_starts_nothing() {
     let mut world = World::new(WorldSettings {
@@ -246,9 +246,9 @@
     assert_eq!(
         world.ledger.entries().len(),
         before,
-        "something started or stopped"
+        "a task started or stopped"
     );
-    assert_eq!(world.owners.len(), 1, "nobody can take the shard over");
+    assert_eq!(world.owners.len(), 1, "no contender can acquire the shard");
     world.store_down = false;
     let later = world.submitted[1].0.clone();
     world.run(10_000);
@@ -258,7 +258,7 @@
     check_promises(&world);
 }
 
-/// An owner that lost its shard must not stop what the new owner started.
+/// An owner that lost its shard must not stop tasks that the new owner started.
 #[test]
 fn a_fenced_owner_stops_nothing() {
     let mut world = World::new(WorldSettings {
@@ -286,7 +286,10 @@
     lease.tick(NOW_MS + 9_000);
     assert!(!lease.can_act());
     lease.tick(NOW_MS + 9_020);
-    assert!(!lease.can_act(), "time alone proves nothing");
+    assert!(
+        !lease.can_act(),
+        "time alone does not confirm the ownership"
+    );
     lease.confirm(NOW_MS + 9_030);
     assert!(lease.can_act());
 }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: edges of each policy, and what is learned of interference.
+//! Placement: edge cases of each policy, and the learned interference model.
 
 mod common;
 
--- a/crates/core/tests/promises.rs
+++ b/crates/core/tests/promises.rs
@@ -1,7 +1,7 @@
-//! Random interleavings of faults, with the promises as invariants.
+//! Random interleavings of faults, checked against the promises as invariants.
 //!
 //! `PROPTEST_CASES=2000 cargo test --release -p gorsespur-core --test promises`
-//! runs for longer.
+//! runs more cases.
 
 mod common;
 
@@ -12,10 +12,10 @@
     test_runner::{Config, RngSeed},
 };
 
-/// Cases without `PROPTEST_CASES`.
+/// Number of cases without `PROPTEST_CASES`.
 const CASES: u32 = 64;
 
-/// Longest virtual time for everything to end after the last fault.
+/// Maximum virtual time until every job has ended after the last fault.
 const LIMIT_MS: u64 = 1_500_000;
 
 #[derive(Debug, Clone)]
@@ -77,7 +77,7 @@
         world.end_faults();
         world.run(3_000);
         check_promises(&world);
-        prop_assert!(finished, "not finished");
+        prop_assert!(finished, "jobs are still open");
         done_counts(&world);
     }
 }
--- a/crates/core/tests/regression.rs
+++ b/crates/core/tests/regression.rs
@@ -1,4 +1,4 @@
-//! Bugs that were found, each with its cause.
+//! Regression tests, each with the cause of its bug.
 
 mod common;
 
@@ -8,11 +8,11 @@
     template::Priority,
 };
 
-/// A worker whose answer went missing inside the owner was never asked again.
+/// A worker was never polled again after its answer was lost inside the owner.
 ///
-/// Cause: the machine waited for the result of each exchange, however long.
-/// Found by random interleavings: an owner that was paused together with an
-/// outage of the table service lost the answers that came meanwhile.
+/// The scheduler waited for the result of each exchange without a timeout. An
+/// owner that is paused during an outage of the table service loses the answers
+/// that arrive meanwhile.
 #[test]
 fn a_missing_answer_does_not_end_the_exchanges() {
     let mut world = World::new(WorldSettings::default());
@@ -24,12 +24,11 @@
     check_promises(&world);
 }
 
-/// A task failed for good although only one worker had failed it.
+/// A task failed permanently although its attempts had failed on one worker only.
 ///
-/// Cause: with the other workers full, the one that had failed a task was the
-/// only one with room and got it again and again, up to the limit. Found by the
-/// faults measurement: a renewal ended as failed beside a worker that fails
-/// every task.
+/// While the other workers were full, the worker on which a task had failed was
+/// the only one with free capacity and received the task again until the limit
+/// of attempts was reached.
 #[test]
 fn a_task_is_not_tried_again_where_it_failed() {
     let mut world = World::new(WorldSettings {
@@ -54,10 +53,10 @@
     }
 }
 
-/// Tasks on a worker that had left the list before a takeover stayed active.
+/// Tasks on a worker that had left the membership list before a takeover stayed active.
 ///
-/// Cause: such workers were looked for only when the list changed again. Found
-/// by the faults measurement: a worker was killed just before its shard moved.
+/// The new owner looked for such workers only when the list changed again. This
+/// happens if a worker is killed just before its shard moves.
 #[test]
 fn tasks_of_a_worker_that_left_the_list_before_a_takeover_run_again() {
     let mut world = World::new(WorldSettings {
@@ -72,11 +71,11 @@
     check_promises(&world);
 }
 
-/// A job that came before the templates failed at once.
+/// A job that arrived before the templates failed immediately.
 ///
-/// Cause: the quota of a team whose template is not known yet was taken as
-/// zero, and the job as too large for it. Found by the faults measurement: a
-/// new owner read its inbox before it was told the templates.
+/// The quota of a team without a known template was taken as zero, so the job
+/// was too large for it. This happens if a new owner reads its inbox before it
+/// receives the templates.
 #[test]
 fn a_job_that_comes_before_the_templates_is_kept() {
     let mut m = ShardScheduler::new(
@@ -104,11 +103,11 @@
     );
 }
 
-/// A worker that held a replica of a service never left its quarantine.
+/// A worker with a replica of a service never left its quarantine.
 ///
-/// Cause: after a quarantine a worker gets one task at a time, and "none yet"
-/// was taken as "no resident", but replicas stay through a quarantine. Found by
-/// random interleavings: with the other workers gone nothing ran any more.
+/// After a quarantine a worker receives one task at a time. It counted as free
+/// only without any allocation, but replicas stay allocated during a
+/// quarantine, so with the other workers gone no task ran any more.
 #[test]
 fn a_quarantined_worker_with_a_replica_is_tried_again() {
     let mut world = World::new(WorldSettings {
@@ -125,6 +124,6 @@
     world.submit(spec("after", 1, 1_000, Priority::Normal));
     assert!(
         world.run_until_finished(60_000),
-        "the worker is never tried again"
+        "the worker receives no task after its quarantine"
     );
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing: edges of the policy, and invariants over random interleavings.
+//! Routing: edge cases of the policy, and invariants over random interleavings.
 
 use gorsespur_core::{
     route::{
@@ -344,7 +344,9 @@
     assert_eq!(router.targets("weld", "check").len(), 1);
 }
 
-/// Runs requests one after another against targets of which `bad` always fail.
+/// Routes requests one after another to 18 targets of which the first 6 always fail.
+///
+/// Returns the numbers of attempts and of answered requests.
 fn run_with_failures(policy: RoutePolicy, requests: u64) -> (u64, u64) {
     let settings = RouteSettings {
         policy,
@@ -452,9 +454,9 @@
     }
 }
 
-/// What a test knows of a request.
+/// The observed state of a request.
 #[derive(Debug, Clone, Default)]
-struct RequestRecord {
+struct Observed {
     run_once: bool,
     in_flight: Vec<(u32, String)>,
     may_have_run: bool,
@@ -468,7 +470,7 @@
     fn requests_run_at_most_once_and_end_once(ops in prop::collection::vec(op(), 1..200)) {
         let mut router = router(4);
         let mut now = START_MS;
-        let mut requests: Vec<RequestRecord> = Vec::new();
+        let mut requests: Vec<Observed> = Vec::new();
         let mut leaving: Vec<String> = Vec::new();
         for op in ops {
             let event = match op {
@@ -478,12 +480,13 @@
                     a.priority = Priority::ALL[usize::from(priority)];
                     a.deadline = now + deadline;
                     a.max_queued = 3;
-                    requests.push(RequestRecord { run_once: !repeatable, ..RequestRecord::default() });
+                    requests.push(Observed { run_once: !repeatable, ..Observed::default() });
                     RouteEvent::Arrive(a)
                 }
                 Op::End(i, kind) => {
-                    let busy: Vec<usize> =
-                        (0..requests.len()).filter(|r| !requests[*r].in_flight.is_empty()).collect();
+                    let busy: Vec<usize> = (0..requests.len())
+                        .filter(|r| !requests[*r].in_flight.is_empty())
+                        .collect();
                     if busy.is_empty() { continue }
                     let req = busy[i % busy.len()];
                     let (attempt, _) = requests[req].in_flight.remove(0);
@@ -513,15 +516,21 @@
             for (req, attempt, worker) in sent(&out) {
                 let s = &mut requests[req as usize];
                 prop_assert!(!leaving.contains(&worker), "sent to a leaving target");
-                prop_assert!(s.reported.is_none(), "sent after its end");
-                prop_assert!(!s.run_once || (!s.may_have_run && s.in_flight.is_empty()), "may run twice");
+                prop_assert!(s.reported.is_none(), "sent after the request ended");
+                prop_assert!(
+                    !s.run_once || (!s.may_have_run && s.in_flight.is_empty()),
+                    "may run twice"
+                );
                 s.in_flight.push((attempt, worker));
             }
             for (req, outcome, _) in refused(&out) {
                 let s = &mut requests[req as usize];
-                prop_assert!(s.reported.is_none(), "ended twice");
-                prop_assert!(outcome != Outcome::NotRun || !s.may_have_run, "false not-run");
-                prop_assert!(outcome != Outcome::NotRun || s.in_flight.is_empty(), "may still run");
+                prop_assert!(s.reported.is_none(), "the request ended twice");
+                prop_assert!(outcome != Outcome::NotRun || !s.may_have_run, "it may have run");
+                prop_assert!(
+                    outcome != Outcome::NotRun || s.in_flight.is_empty(),
+                    "it may still run"
+                );
                 s.reported = Some(outcome);
             }
         }
--- a/crates/core/tests/template.rs
+++ b/crates/core/tests/template.rs
@@ -1,4 +1,4 @@
-//! Templates: every problem is named with its path.
+//! Validation of templates: every problem is reported with its path.
 
 use gorsespur_core::template::{Organisation, RawTemplate, check};
 use gorsespur_runtime::settings::parse_yaml;
--- a/crates/core/tests/waits.rs
+++ b/crates/core/tests/waits.rs
@@ -1,4 +1,4 @@
-//! Queued tasks go on, whatever holds others back.
+//! Tasks that can't be placed do not block other queued tasks.
 
 mod common;
 
@@ -11,7 +11,7 @@
 };
 use test_case::test_case;
 
-/// Tasks that are larger than what is free on any worker wait before a small one of the same team.
+/// Tasks that fit on no worker are queued ahead of a small task of the same team.
 #[test_case(7)]
 #[test_case(8)]
 fn tasks_that_fit_nowhere_hold_back_no_smaller_one(tasks: u32) {
@@ -31,8 +31,7 @@
     check_promises(&w);
 }
 
-/// Tasks of many sizes that are larger than what is free on any worker wait before a small one of
-/// the same team.
+/// Tasks of many sizes that fit on no worker are queued ahead of a small task of the same team.
 #[test]
 fn tasks_of_many_sizes_that_fit_nowhere_hold_back_no_smaller_one() {
     let mut settings = WorldSettings::default();
@@ -53,7 +52,7 @@
     check_promises(&w);
 }
 
-/// Tasks that were held up wait by shape, and in each shape and over all by age.
+/// Blocked tasks are queued by shape, and ordered by age within a shape and over all shapes.
 #[test]
 fn held_tasks_come_by_age() {
     let mut queue = Queue::default();
@@ -69,7 +68,7 @@
         let ready = queue.pop(lane, team).expect("ready");
         queue.push_blocked(lane, team, ready, shapes[at]);
     }
-    // The first of a shape was tried and is held again.
+    // The first task of a shape is tried and blocked again.
     let first = queue.pop_oldest(lane, team, |_| false).expect("blocked");
     assert_eq!(first.task.task, 0);
     queue.push_blocked(lane, team, first, shapes[0]);
