--- a/crates/core/src/hashing.rs
+++ b/crates/core/src/hashing.rs
@@ -7,7 +7,7 @@
 
 use siphasher::sip::SipHasher13;
 
-/// SipHash keys; changing them reassigns every name to another shard.
+/// SipHash keys; changing them changes the assignment of every name.
 const SIPHASH_KEYS: (u64, u64) = (0x67_6f72_7365, 0x7370_7572);
 
 /// Terminates each hashed part; this byte never occurs in UTF-8 text.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -5,8 +5,9 @@
 //! only the slots that the last report of the target showed as free, while
 //! that report is fresh.
 //!
-//! A request that can't be answered before its deadline is refused immediately
-//! as not run instead of being queued, so that its caller can go elsewhere.
+//! A request that can't be answered before its deadline is refused as not run
+//! as soon as this is known, so that its caller can go elsewhere; it is not kept
+//! until the deadline.
 
 mod action;
 mod admit;
