--- a/crates/core/src/route/action.rs
+++ b/crates/core/src/route/action.rs
@@ -50,7 +50,8 @@
         /// Address of the target.
         addr: SocketAddr,
         /// Time without an answer after which a hedged attempt may be requested; 0 for never.
-        hedge: Millis,
+        #[serde(rename = "hedge")]
+        hedge_after: Millis,
     },
     /// Refuse the request immediately.
     Refuse {
@@ -61,6 +62,7 @@
         /// Reason of the refusal.
         why: Refusal,
         /// Time after which the caller may retry.
-        after: Millis,
+        #[serde(rename = "after")]
+        retry_after: Millis,
     },
 }
--- a/crates/core/src/route/admit.rs
+++ b/crates/core/src/route/admit.rs
@@ -76,7 +76,7 @@
             req,
             outcome: Outcome::NotRun,
             why,
-            after: RETRY_AFTER_MS,
+            retry_after: RETRY_AFTER_MS,
         });
     }
 
--- a/crates/core/src/route/choose.rs
+++ b/crates/core/src/route/choose.rs
@@ -23,7 +23,7 @@
             RoutePolicy::TwoChoices => self.better_of_two(now, i),
         };
         let Some(t) = chosen else { return false };
-        let hedge = self.hedge_after(i);
+        let hedge_after = self.hedge_after(i);
         let target = &mut self.services[service].targets[t];
         target.in_flight += 1;
         let (worker, addr) = (target.worker.clone(), target.addr);
@@ -36,7 +36,7 @@
             attempt: r.attempts,
             worker,
             addr,
-            hedge,
+            hedge_after,
         });
         true
     }
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -354,7 +354,7 @@
             req: r.req,
             outcome,
             why,
-            after: RETRY_AFTER_MS,
+            retry_after: RETRY_AFTER_MS,
         });
         self.close_request(i);
     }
--- a/crates/core/src/template/check.rs
+++ b/crates/core/src/template/check.rs
@@ -205,7 +205,7 @@
         team: name(&raw.team, &at("team"), p),
         size: task_size(&raw.size, &at("size"), p),
         max_tasks: check_range(raw.max_tasks, 1, 100_000, at("max_tasks"), p) as u32,
-        run: check_range(raw.run_ms, 0, MAX_RUN_MS, at("run_ms"), p),
+        run_time: check_range(raw.run_ms, 0, MAX_RUN_MS, at("run_ms"), p),
         priority: raw.priority,
         checkpoint: raw.checkpoint,
         attempts: check_range(raw.attempts, 1, 100, at("attempts"), p) as u32,
--- a/crates/core/src/template/job.rs
+++ b/crates/core/src/template/job.rs
@@ -18,7 +18,8 @@
     #[serde(rename = "tasks")]
     pub max_tasks: u32,
     /// Declared run time of a task; with 0 it runs until it is cancelled.
-    pub run: Millis,
+    #[serde(rename = "run")]
+    pub run_time: Millis,
     /// Priority of the tasks.
     pub priority: Priority,
     /// Whether tasks can write checkpoints and resume from them.
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -137,7 +137,7 @@
                 Ok(ToHandler::Command(RouteAction::Send {
                     attempt,
                     addr,
-                    hedge: after,
+                    hedge_after: after,
                     ..
                 })) => {
                     tries = attempt;
@@ -168,7 +168,7 @@
                 Ok(ToHandler::Command(RouteAction::Refuse {
                     outcome,
                     why,
-                    after,
+                    retry_after: after,
                     ..
                 })) => {
                     let status = if outcome == Outcome::Unknown {
--- a/crates/entry/src/job_api.rs
+++ b/crates/entry/src/job_api.rs
@@ -106,7 +106,7 @@
             team: kind.team.clone(),
             tasks: json.tasks,
             size: kind.size,
-            run_time: kind.run,
+            run_time: kind.run_time,
             priority: kind.priority,
             checkpoint: kind.checkpoint,
             attempts: kind.attempts,
--- a/crates/load/src/measure/overload_run.rs
+++ b/crates/load/src/measure/overload_run.rs
@@ -337,7 +337,7 @@
                     req,
                     attempt,
                     worker,
-                    hedge,
+                    hedge_after: hedge,
                     ..
                 } => {
                     let target = worker[1..].parse().unwrap_or(0);
--- a/crates/load/src/measure/slopes_org.rs
+++ b/crates/load/src/measure/slopes_org.rs
@@ -21,7 +21,7 @@
             team: "team0".into(),
             size: Size::new(1_000, 2 << 30, 0),
             max_tasks: 1_000,
-            run: 60_000,
+            run_time: 60_000,
             priority: Priority::Normal,
             checkpoint: true,
             attempts: 3,
