--- a/crates/core/src/member/peers.rs
+++ b/crates/core/src/member/peers.rs
@@ -1,24 +1,24 @@
-//! The set of known instances.
+//! The set of known instances and their liveness.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Heartbeat, Peer, Role};
 use crate::{Millis, name::Name};
 
-/// Times of the membership; in milliseconds.
+/// Settings of the membership; times in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MemberSettings {
     /// Time between heartbeats.
     #[serde(rename = "beat")]
     pub heartbeat_interval: Millis,
-    /// Time without a heartbeat after which an instance counts as dead.
+    /// Time without a heartbeat after which an instance of the own zone is dead.
     #[serde(rename = "dead")]
     pub dead_after: Millis,
-    /// Time after which a dead instance is forgotten.
+    /// Time without a heartbeat after which an instance is removed.
     #[serde(rename = "forget")]
     pub forget_after: Millis,
-    /// Contacts in each other zone.
+    /// Number of instances in each other zone that receive heartbeats.
     #[serde(rename = "contacts")]
     pub contacts_per_zone: usize,
 }
@@ -34,10 +34,11 @@
     }
 }
 
-/// Factor on the time limit for instances of other zones.
-const FAR: Millis = 4;
+/// Factor on [`MemberSettings::dead_after`] for instances of other zones, which send heartbeats
+/// to only some instances of this zone.
+const OTHER_ZONE_FACTOR: Millis = 4;
 
-/// Known instances, sorted by id.
+/// The known instances, sorted by id.
 #[derive(Debug, Clone)]
 pub struct Peers {
     settings: MemberSettings,
@@ -46,7 +47,7 @@
 }
 
 impl Peers {
-    /// Returns an empty set, as seen from an instance in `zone`.
+    /// Creates an empty set for an instance in `zone`.
     pub fn new(settings: MemberSettings, zone: Name) -> Peers {
         Peers {
             settings,
@@ -55,14 +56,14 @@
         }
     }
 
-    /// Takes note of a heartbeat; late and repeated ones change nothing.
+    /// Records a heartbeat, ignoring it if it is not newer than the last one of its sender.
     ///
-    /// Returns whether it was news.
-    pub fn record_heartbeat(&mut self, now: Millis, beat: Heartbeat) -> bool {
-        let limit = self.limit(&beat.zone);
-        let addr = beat.addr;
+    /// Returns whether the heartbeat was recorded.
+    pub fn record_heartbeat(&mut self, now: Millis, heartbeat: Heartbeat) -> bool {
+        let dead_after = self.dead_after(&heartbeat.zone);
+        let addr = heartbeat.addr;
         let peer = Peer {
-            heartbeat: beat,
+            heartbeat,
             addr,
             heartbeat_at: now,
             steady_since: now,
@@ -81,11 +82,15 @@
                 if order(&peer.heartbeat) <= order(&old.heartbeat) {
                     return false;
                 }
-                let gap = now.saturating_sub(old.heartbeat_at) > limit;
-                let reborn = peer.heartbeat.incarnation != old.heartbeat.incarnation;
-                let steady = if gap || reborn { now } else { old.steady_since };
+                let gap = now.saturating_sub(old.heartbeat_at) > dead_after;
+                let restarted = peer.heartbeat.incarnation != old.heartbeat.incarnation;
+                let steady_since = if gap || restarted {
+                    now
+                } else {
+                    old.steady_since
+                };
                 *old = Peer {
-                    steady_since: steady,
+                    steady_since,
                     ..peer
                 };
                 true
@@ -93,35 +98,34 @@
         }
     }
 
-    /// Returns the time without a heartbeat after which an instance of `zone`
-    /// counts as dead; those of other zones reach only some contacts here.
-    fn limit(&self, zone: &str) -> Millis {
+    /// Returns the time without a heartbeat after which an instance of `zone` is dead.
+    fn dead_after(&self, zone: &str) -> Millis {
         if *zone == *self.zone {
             self.settings.dead_after
         } else {
-            self.settings.dead_after * FAR
+            self.settings.dead_after * OTHER_ZONE_FACTOR
         }
     }
 
-    /// Forgets instances that have been dead for long.
+    /// Removes instances without a heartbeat for [`MemberSettings::forget_after`].
     pub fn remove_dead(&mut self, now: Millis) {
-        let limit = self.settings.forget_after;
+        let forget_after = self.settings.forget_after;
         self.peers
-            .retain(|p| now.saturating_sub(p.heartbeat_at) < limit);
+            .retain(|p| now.saturating_sub(p.heartbeat_at) < forget_after);
     }
 
-    /// Returns the instances that are alive, leaving ones included.
+    /// Returns the live instances, including those that are leaving.
     pub fn live(&self, now: Millis) -> Vec<&Peer> {
         let mut out = Vec::new();
         for p in &self.peers {
-            if now.saturating_sub(p.heartbeat_at) <= self.limit(&p.heartbeat.zone) {
+            if now.saturating_sub(p.heartbeat_at) <= self.dead_after(&p.heartbeat.zone) {
                 out.push(p);
             }
         }
         out
     }
 
-    /// Returns the live instances of a role in a zone that are not leaving.
+    /// Returns the live instances with `role` in `zone` that are not leaving.
     pub fn available(&self, now: Millis, role: Role, zone: &str) -> Vec<&Peer> {
         let mut out = self.live(now);
         out.retain(|p| {
@@ -130,12 +134,12 @@
         out
     }
 
-    /// Returns every known instance.
+    /// Returns all known instances, sorted by id.
     pub fn all(&self) -> &[Peer] {
         &self.peers
     }
 
-    /// Returns the instance with this id.
+    /// Returns the known instance with this id, dead or alive.
     pub fn get(&self, id: &str) -> Option<&Peer> {
         let i = self
             .peers
@@ -144,13 +148,13 @@
         Some(&self.peers[i])
     }
 
-    /// Returns the live owner of a shard with the newest epoch.
+    /// Returns the live instance that claims `shard` with the newest epoch.
     pub fn owner_of(&self, now: Millis, shard: u32) -> Option<&Peer> {
         let mut best: Option<(u64, &Peer)> = None;
         for p in self.live(now) {
-            for c in &p.heartbeat.shards {
-                if c.shard == shard && best.is_none_or(|b| c.epoch > b.0) {
-                    best = Some((c.epoch, p));
+            for s in &p.heartbeat.shards {
+                if s.shard == shard && best.is_none_or(|b| s.epoch > b.0) {
+                    best = Some((s.epoch, p));
                 }
             }
         }
--- a/crates/core/src/route/budget.rs
+++ b/crates/core/src/route/budget.rs
@@ -1,12 +1,13 @@
-//! Budgets that grow with requests.
+//! Budgets that limit retries and hedged attempts to a share of the requests.
 
-/// Most units that can be saved up.
-const CAP: u64 = 10_000;
+/// Maximum number of units in a budget.
+const MAX_UNITS: u64 = 10_000;
 
-/// Units that one use costs.
-const COST: u64 = 1_000;
+/// Units withdrawn by one use.
+const UNITS_PER_USE: u64 = 1_000;
 
-/// A budget: each request adds a share of a use; uses are refused when it is empty.
+/// A token bucket: each request deposits a fraction of a use, and uses are refused when it is
+/// empty.
 #[derive(Debug, Clone)]
 pub struct Budget {
     units: u64,
@@ -14,22 +15,22 @@
 
 impl Default for Budget {
     fn default() -> Budget {
-        Budget { units: CAP }
+        Budget { units: MAX_UNITS }
     }
 }
 
 impl Budget {
-    /// Adds the share of one request, in thousandths of a use.
-    pub fn deposit(&mut self, thousandths: u32) {
-        self.units = (self.units + u64::from(thousandths)).min(CAP);
+    /// Deposits the share of one request, in thousandths of a use.
+    pub fn deposit(&mut self, permille: u32) {
+        self.units = (self.units + u64::from(permille)).min(MAX_UNITS);
     }
 
-    /// Takes one use, if there is one.
+    /// Withdraws one use if the budget has one left; returns whether it had.
     pub fn try_withdraw(&mut self) -> bool {
-        if self.units < COST {
+        if self.units < UNITS_PER_USE {
             return false;
         }
-        self.units -= COST;
+        self.units -= UNITS_PER_USE;
         true
     }
 }
--- a/crates/core/tests/common/world.rs
+++ b/crates/core/tests/common/world.rs
@@ -1,4 +1,4 @@
-//! The world of one shard.
+//! The simulation of one shard.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -17,33 +17,35 @@
 
 use super::owner::Owner;
 
-/// Virtual time of one step.
-const STEP: Millis = 20;
+/// Virtual time of one simulation step.
+const STEP_MS: Millis = 20;
 
-/// Lease of the shard and time between renewals.
-const LEASE: Millis = 4_000;
-const RENEW: Millis = 1_000;
+/// Lease of the shard.
+const LEASE_MS: Millis = 4_000;
 
-/// Time limit of an exchange.
-const TIMEOUT: Millis = 800;
+/// Time between renewals of the lease.
+const RENEW_INTERVAL_MS: Millis = 1_000;
 
-/// Length of a fault that lasts.
-pub const LASTS: Millis = 9_000;
+/// Timeout of an exchange.
+const EXCHANGE_TIMEOUT_MS: Millis = 800;
 
-/// Rates of the workers' clocks in thousandths; leases allow for a hundredth.
-const RATES: [u64; 3] = [1_000, 992, 1_008];
+/// Duration of a temporary fault.
+pub const FAULT_MS: Millis = 9_000;
 
-/// How late a delayed request arrives.
-const LATE: Millis = 18_000;
+/// Rates of the workers' clocks in thousandths; leases tolerate a drift of one hundredth.
+const CLOCK_RATES_PERMILLE: [u64; 3] = [1_000, 992, 1_008];
 
-/// Settings of a world.
+/// Delay of a delayed request.
+const DELAY_MS: Millis = 18_000;
+
+/// Settings of a simulation.
 #[derive(Debug, Clone)]
 pub struct WorldSettings {
     pub workers: usize,
     pub hold: Millis,
     pub shard: ShardSettings,
     pub seed: u64,
-    /// Replicas of a service.
+    /// Number of replicas of the service.
     pub replicas: u32,
 }
 
@@ -62,42 +64,42 @@
     }
 }
 
-/// A worker and the faults of its link.
+/// A simulated worker and the faults of its connection.
 pub struct Node {
     pub name: Name,
     pub sim: Option<SimWorker>,
-    pub cut: bool,
-    /// The only owner that reaches it, if not all do.
-    pub only: Option<usize>,
+    pub unreachable: bool,
+    /// The only owner that can reach the worker; `None` if all can.
+    pub only_owner: Option<usize>,
     pub paused: bool,
-    pub lose: bool,
-    pub late: bool,
-    pub twice: bool,
+    pub loses_answers: bool,
+    pub delays_requests: bool,
+    pub duplicates_requests: bool,
     pub leaving: bool,
     pub listed: bool,
-    /// Rate of its clock in thousandths.
-    rate: u64,
+    /// Rate of the worker's clock in thousandths.
+    clock_rate_permille: u64,
     boot: u64,
 }
 
 impl Node {
-    /// Returns its clock's reading.
+    /// Returns the time of the worker's clock.
     pub fn clock(&self, now: Millis) -> Millis {
-        now * self.rate / 1_000
+        now * self.clock_rate_permille / 1_000
     }
 }
 
-/// A request on its way.
-struct Flight {
+/// A request that is in flight to a worker.
+struct Delivery {
     at: Millis,
     owner: usize,
     worker: usize,
     request: WorkerRequest,
-    answered: bool,
+    expects_answer: bool,
 }
 
-/// Something that happens later.
-pub struct Later {
+/// The scheduled end of a fault.
+pub struct ScheduledUndo {
     pub at: Millis,
     pub what: Undo,
 }
@@ -110,7 +112,7 @@
     Fails(usize),
 }
 
-/// One shard with everything around it.
+/// A shard with its owners, store and workers.
 pub struct World {
     pub now: Millis,
     pub settings: WorldSettings,
@@ -122,16 +124,16 @@
     pub store_down: bool,
     pub row: ShardRow,
     version: u64,
-    claim: LeaseWatch,
+    lease_watch: LeaseWatch,
     inbox: Vec<JobSpec>,
-    flights: Vec<Flight>,
+    deliveries: Vec<Delivery>,
     no_answers: Vec<(Millis, usize, Name, u64)>,
-    pub later: Vec<Later>,
+    pub scheduled_undos: Vec<ScheduledUndo>,
     checkpoints: Arc<MemoryCheckpoints>,
-    pub count: u64,
+    pub urgent_count: u64,
 }
 
-/// Returns an organisation with one service.
+/// Returns an organisation with one team and one service.
 pub fn org(hold: Millis, replicas: u32) -> Arc<Organisation> {
     let team = |name: &str| Team {
         name: name.into(),
@@ -160,7 +162,7 @@
     })
 }
 
-/// Returns a job of `tasks` tasks.
+/// Returns a job with `tasks` tasks.
 pub fn spec(id: &str, tasks: u32, run: Millis, priority: Priority) -> JobSpec {
     JobSpec {
         key: JobKey {
@@ -203,28 +205,28 @@
                 settled: true,
             },
             version: 1,
-            claim: LeaseWatch::new(LEASE),
+            lease_watch: LeaseWatch::new(LEASE_MS),
             inbox: Vec::new(),
-            flights: Vec::new(),
+            deliveries: Vec::new(),
             no_answers: Vec::new(),
-            later: Vec::new(),
+            scheduled_undos: Vec::new(),
             checkpoints: Arc::new(MemoryCheckpoints::default()),
-            count: 0,
+            urgent_count: 0,
             settings,
         };
         for i in 0..world.settings.workers {
             let mut node = Node {
                 name: format!("w{i:02}").into(),
                 sim: None,
-                cut: false,
-                only: None,
+                unreachable: false,
+                only_owner: None,
                 paused: false,
-                lose: false,
-                late: false,
-                twice: false,
+                loses_answers: false,
+                delays_requests: false,
+                duplicates_requests: false,
                 leaving: false,
                 listed: true,
-                rate: RATES[i % RATES.len()],
+                clock_rate_permille: CLOCK_RATES_PERMILLE[i % CLOCK_RATES_PERMILLE.len()],
                 boot: 0,
             };
             world.boot(&mut node);
@@ -253,40 +255,40 @@
         node.sim = Some(sim);
     }
 
-    /// Submits a job; it is in the inbox from now on.
+    /// Submits a job to the inbox of the shard.
     pub fn submit(&mut self, spec: JobSpec) {
         self.submitted.push((spec.key.clone(), spec.tasks));
         self.inbox.push(spec);
     }
 
-    /// Returns the state of a job by the journal.
+    /// Returns the status of a job according to the journal.
     pub fn status(&self, key: &JobKey) -> Option<JobStatus> {
-        let mut book = ShardState::default();
+        let mut state = ShardState::default();
         for record in &self.journal {
-            book.apply(record);
+            state.apply(record);
         }
-        book.find(key).map(JobStatus::of)
+        state.find(key).map(JobStatus::of)
     }
 
-    /// Tells whether every submitted job has ended.
-    pub fn finished(&self) -> bool {
-        let mut book = ShardState::default();
+    /// Returns whether every submitted job has ended.
+    pub fn is_finished(&self) -> bool {
+        let mut state = ShardState::default();
         for record in &self.journal {
-            book.apply(record);
+            state.apply(record);
         }
         self.submitted
             .iter()
-            .all(|(k, _)| book.find(k).is_some_and(|j| j.open_tasks == 0))
+            .all(|(k, _)| state.find(k).is_some_and(|j| j.open_tasks == 0))
     }
 
-    /// Returns the owner that the row names.
+    /// Returns the live owner with the epoch of the row.
     pub fn current(&self) -> Option<&Owner> {
         self.owners
             .iter()
             .find(|o| o.epoch == self.row.epoch && !o.dead)
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for `time`.
     pub fn run(&mut self, time: Millis) {
         let end = self.now + time;
         while self.now < end {
@@ -294,45 +296,45 @@
         }
     }
 
-    /// Runs until every job has ended, at most for `limit`; tells whether so.
+    /// Runs until every job has ended, for at most `limit`; returns whether every job has ended.
     pub fn run_until_finished(&mut self, limit: Millis) -> bool {
         let end = self.now + limit;
         while self.now < end {
             self.run(500);
-            if self.finished() {
+            if self.is_finished() {
                 return true;
             }
         }
         false
     }
 
-    /// Ends every fault that can end.
-    pub fn heal(&mut self) {
+    /// Ends all temporary faults.
+    pub fn end_faults(&mut self) {
         self.store_down = false;
-        for later in std::mem::take(&mut self.later) {
-            self.undo(later.what);
+        for undo in std::mem::take(&mut self.scheduled_undos) {
+            self.undo(undo.what);
         }
         for node in &mut self.nodes {
-            node.cut = false;
-            node.only = None;
+            node.unreachable = false;
+            node.only_owner = None;
             node.paused = false;
-            node.lose = false;
-            node.late = false;
-            node.twice = false;
+            node.loses_answers = false;
+            node.delays_requests = false;
+            node.duplicates_requests = false;
         }
     }
 
     fn step(&mut self) {
-        self.now += STEP;
-        let due: Vec<Later> = {
+        self.now += STEP_MS;
+        let due: Vec<ScheduledUndo> = {
             let now = self.now;
-            let all = std::mem::take(&mut self.later);
+            let all = std::mem::take(&mut self.scheduled_undos);
             let (due, rest) = all.into_iter().partition(|l| l.at <= now);
-            self.later = rest;
+            self.scheduled_undos = rest;
             due
         };
-        for later in due {
-            self.undo(later.what);
+        for undo in due {
+            self.undo(undo.what);
         }
         self.take_over();
         self.ledger.set_time(self.now);
@@ -348,50 +350,51 @@
         }
     }
 
-    /// A contender watches the row and takes the shard when it may.
+    /// Lets a contender watch the row and acquire the shard once its lease is over.
     fn take_over(&mut self) {
         if self.store_down {
             return;
         }
-        self.claim.observe(self.now, Some(&self.row), self.version);
-        if !self.claim.can_acquire(self.now) {
+        self.lease_watch
+            .observe(self.now, Some(&self.row), self.version);
+        if !self.lease_watch.can_acquire(self.now) {
             return;
         }
-        let inherited = self.row.hold;
+        let inherited_hold = self.row.hold;
         self.row.epoch += 1;
         self.row.owner = Some("sched".into());
-        self.row.hold = self.settings.hold.max(inherited);
+        self.row.hold = self.settings.hold.max(inherited_hold);
         self.version += 1;
-        let mut book = ShardState::default();
+        let mut state = ShardState::default();
         for record in &self.journal {
-            book.apply(record);
+            state.apply(record);
         }
         let takeover = Takeover {
             epoch: self.row.epoch,
-            state: book,
+            state,
             next_record: self.journal.len() as u64,
             inherited_hold: self.row.hold,
             settled: false,
         };
-        let place = ShardId {
+        let id = ShardId {
             name: "zone.0".into(),
             index: 0,
             count: 1,
         };
         let seed = self.settings.seed + self.row.epoch;
-        let machine =
-            ShardScheduler::new(place, self.settings.shard.clone(), seed, takeover, self.now);
+        let scheduler =
+            ShardScheduler::new(id, self.settings.shard.clone(), seed, takeover, self.now);
         self.owners.push(Owner {
-            machine,
-            tenure: OwnerLease::new(LEASE, self.now),
+            scheduler,
+            lease: OwnerLease::new(LEASE_MS, self.now),
             epoch: self.row.epoch,
             version: self.version,
             backlog: VecDeque::new(),
-            renewed: self.now,
+            renewed_at: self.now,
             paused: false,
             dead: false,
-            store_cut: false,
-            orgs_known: false,
+            store_unreachable: false,
+            has_orgs: false,
         });
     }
 
@@ -400,33 +403,33 @@
         if self.owners[i].dead || self.owners[i].paused {
             return;
         }
-        self.owners[i].tenure.tick(now);
+        self.owners[i].lease.tick(now);
         self.write(i);
         if self.owners[i].dead {
             return;
         }
         let mut events = Vec::new();
-        if !self.owners[i].orgs_known {
-            self.owners[i].orgs_known = true;
+        if !self.owners[i].has_orgs {
+            self.owners[i].has_orgs = true;
             let org = org(self.settings.hold, self.settings.replicas);
             events.push(Event::Organisations(vec![org]));
         }
-        if now.is_multiple_of(500) || self.owners[i].machine.workers().is_empty() {
-            events.push(self.list());
+        if now.is_multiple_of(500) || self.owners[i].scheduler.workers().is_empty() {
+            events.push(self.workers_event());
         }
-        let reads = !self.store_down && !self.owners[i].store_cut;
+        let reads = !self.store_down && !self.owners[i].store_unreachable;
         if !self.inbox.is_empty() && reads && self.owners[i].epoch == self.row.epoch {
             events.push(Event::Submit(self.inbox.clone()));
         }
-        if self.owners[i].tenure.can_act() {
+        if self.owners[i].lease.can_act() {
             events.push(Event::Tick);
         }
         for event in events {
-            self.feed(i, &event);
+            self.handle_event(i, &event);
         }
     }
 
-    fn list(&self) -> Event {
+    fn workers_event(&self) -> Event {
         let mut list = Vec::new();
         for (i, node) in self.nodes.iter().enumerate() {
             if !node.listed {
@@ -447,16 +450,16 @@
         Event::Workers { list, counts }
     }
 
-    /// Feeds an event to an owner and does what it wants.
-    pub fn feed(&mut self, i: usize, event: &Event) {
-        let actions = self.owners[i].machine.step(self.now, event);
+    /// Passes an event to the scheduler of an owner and carries out the resulting actions.
+    pub fn handle_event(&mut self, i: usize, event: &Event) {
+        let actions = self.owners[i].scheduler.step(self.now, event);
         for action in actions {
             match action {
                 Action::Append { records, .. } => self.owners[i].backlog.extend(records),
                 Action::Exchange {
                     worker, request, ..
                 } => self.send(i, &worker, request),
-                Action::Fenced { .. } => self.owners[i].renewed = 0,
+                Action::Fenced { .. } => self.owners[i].renewed_at = 0,
             }
         }
     }
@@ -466,51 +469,55 @@
         let Some(w) = found else { return };
         let (now, node) = (self.now, &self.nodes[w]);
         let seq = request.seq;
-        let flight = |at: Millis, answered: bool| Flight {
+        let delivery = |at: Millis, expects_answer: bool| Delivery {
             at,
             owner,
             worker: w,
             request: request.clone(),
-            answered,
+            expects_answer,
         };
-        let other = node.only.is_some_and(|o| o != owner);
-        if node.cut || other || node.sim.is_none() {
+        let other = node.only_owner.is_some_and(|o| o != owner);
+        if node.unreachable || other || node.sim.is_none() {
             self.no_answers
-                .push((now + TIMEOUT, owner, worker.clone(), seq));
+                .push((now + EXCHANGE_TIMEOUT_MS, owner, worker.clone(), seq));
             return;
         }
-        if node.late {
-            self.flights.push(flight(now + LATE, false));
+        if node.delays_requests {
+            self.deliveries.push(delivery(now + DELAY_MS, false));
             self.no_answers
-                .push((now + TIMEOUT, owner, worker.clone(), seq));
+                .push((now + EXCHANGE_TIMEOUT_MS, owner, worker.clone(), seq));
             return;
         }
-        if node.twice {
-            self.flights.push(flight(now + 400, false));
-            self.flights.push(flight(now + 2_500, false));
-            self.flights.push(flight(now + LATE, false));
+        if node.duplicates_requests {
+            self.deliveries.push(delivery(now + 400, false));
+            self.deliveries.push(delivery(now + 2_500, false));
+            self.deliveries.push(delivery(now + DELAY_MS, false));
         }
-        self.flights.push(flight(now + STEP, true));
+        self.deliveries.push(delivery(now + STEP_MS, true));
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let all = std::mem::take(&mut self.flights);
+        let all = std::mem::take(&mut self.deliveries);
         let mut answers = Vec::new();
         for mut f in all {
             let node = &mut self.nodes[f.worker];
             if f.at > now {
-                self.flights.push(f);
+                self.deliveries.push(f);
                 continue;
             }
             if node.paused {
-                if f.answered {
+                if f.expects_answer {
                     let seq = f.request.seq;
-                    self.no_answers
-                        .push((now + TIMEOUT, f.owner, node.name.clone(), seq));
+                    self.no_answers.push((
+                        now + EXCHANGE_TIMEOUT_MS,
+                        f.owner,
+                        node.name.clone(),
+                        seq,
+                    ));
                 }
-                f.answered = false;
-                self.flights.push(f);
+                f.expects_answer = false;
+                self.deliveries.push(f);
                 continue;
             }
             let clock = node.clock(now);
@@ -519,12 +526,12 @@
             };
             let answer: WorkerAnswer = sim.exchange(clock, &f.request);
             let seq = f.request.seq;
-            if !f.answered {
+            if !f.expects_answer {
                 continue;
             }
-            if node.lose || node.cut {
+            if node.loses_answers || node.unreachable {
                 self.no_answers
-                    .push((now + TIMEOUT, f.owner, node.name.clone(), seq));
+                    .push((now + EXCHANGE_TIMEOUT_MS, f.owner, node.name.clone(), seq));
                 continue;
             }
             answers.push((
@@ -548,16 +555,16 @@
             if self.owners[owner].dead || self.owners[owner].paused {
                 continue;
             }
-            self.feed(owner, &event);
+            self.handle_event(owner, &event);
         }
     }
 
-    /// Writes an owner's records, conditional on the row's version.
+    /// Writes the pending records of an owner, on condition that the row has the expected version.
     fn write(&mut self, i: usize) {
         let now = self.now;
         let o = &mut self.owners[i];
-        let due = !o.backlog.is_empty() || now >= o.renewed + RENEW;
-        if !due || self.store_down || o.store_cut {
+        let due = !o.backlog.is_empty() || now >= o.renewed_at + RENEW_INTERVAL_MS;
+        if !due || self.store_down || o.store_unreachable {
             return;
         }
         if o.version != self.version {
@@ -566,8 +573,8 @@
         }
         self.version += 1;
         o.version = self.version;
-        o.renewed = now;
-        o.tenure.confirm(now);
+        o.renewed_at = now;
+        o.lease.confirm(now);
         for record in o.backlog.drain(..) {
             if let Record::Submitted(spec) = &record {
                 self.inbox.retain(|s| s.key != spec.key);
@@ -575,7 +582,7 @@
             self.journal.push(record);
         }
         let committed = self.journal.len() as u64;
-        self.feed(i, &Event::StoreSeen(self.settings.hold));
-        self.feed(i, &Event::Committed(committed));
+        self.handle_event(i, &Event::StoreSeen(self.settings.hold));
+        self.handle_event(i, &Event::Committed(committed));
     }
 }
