--- a/crates/sched/src/collect.rs
+++ b/crates/sched/src/collect.rs
@@ -4,14 +4,14 @@
 
 use flume::{Receiver, RecvTimeoutError};
 
-use crate::{input::Upkeep, journal::Batch};
+use crate::{input::KeeperMessage, journal::Batch};
 
 /// Most records in one row of the journal.
-const MAX_RECORDS: usize = 5_000;
+const MAX_ROW_RECORDS: usize = 5_000;
 
 /// A snapshot to be written.
 #[derive(Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingSnapshot {
     /// Number of the first record after it.
     pub next: u64,
     /// The encoded snapshot.
@@ -24,45 +24,49 @@
     /// Records to append.
     pub batch: Batch,
     /// A snapshot to write after them.
-    pub snapshot: Option<Pending>,
+    pub snapshot: Option<PendingSnapshot>,
     /// Whether the ownership is to be proved now.
-    pub prove: bool,
+    pub renew: bool,
 }
 
 /// Collects what waits for the keeper: one batch, up to the next snapshot.
-pub(crate) fn collect(upkeeps: &Receiver<Upkeep>, wait: Duration, hold: &mut u64) -> Collected {
-    let mut out = Collected::default();
-    let mut next = match upkeeps.recv_timeout(wait) {
+pub(crate) fn collect(
+    messages: &Receiver<KeeperMessage>,
+    wait: Duration,
+    hold: &mut u64,
+) -> Collected {
+    let mut collected = Collected::default();
+    let mut next = match messages.recv_timeout(wait) {
         Ok(message) => Some(message),
-        Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => upkeeps.try_recv().ok(),
+        Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => messages.try_recv().ok(),
     };
     while let Some(message) = next {
         match message {
-            Upkeep::Append {
+            KeeperMessage::Append {
                 first,
                 records,
                 finished,
             } => {
-                if out.batch.records.is_empty() {
-                    out.batch.first = first;
+                if collected.batch.records.is_empty() {
+                    collected.batch.first = first;
                 }
-                out.batch.records.extend(records);
-                out.batch.finished.extend(finished);
+                collected.batch.records.extend(records);
+                collected.batch.finished.extend(finished);
             }
-            Upkeep::Snapshot { next, bytes } => {
-                out.snapshot = Some(Pending { next, bytes });
-                return out;
+            KeeperMessage::Snapshot { next, bytes } => {
+                collected.snapshot = Some(PendingSnapshot { next, bytes });
+                return collected;
             }
-            Upkeep::Hold(h) => {
-                out.prove |= *hold != h;
-                *hold = h;
+            KeeperMessage::Hold(new_hold) => {
+                collected.renew |= *hold != new_hold;
+                *hold = new_hold;
             }
-            Upkeep::Prove => out.prove = true,
+            KeeperMessage::Renew => collected.renew = true,
         }
-        if out.batch.records.len() >= MAX_RECORDS {
+        if collected.batch.records.len() >= MAX_ROW_RECORDS {
             break;
         }
-        next = upkeeps.try_recv().ok();
+        next = messages.try_recv().ok();
     }
-    out
+    collected
 }
--- a/crates/sched/src/exchanger.rs
+++ b/crates/sched/src/exchanger.rs
@@ -12,7 +12,7 @@
 use crate::input::Input;
 
 /// Exchanges that may wait for a thread.
-const WAITING: usize = 4_096;
+const QUEUE_CAPACITY: usize = 4_096;
 
 /// An exchange to be made.
 pub(crate) struct Exchange {
@@ -27,7 +27,7 @@
     workers: &Arc<dyn Workers>,
     threads: usize,
 ) -> std::io::Result<Sender<Exchange>> {
-    let (tx, rx) = flume::bounded(WAITING);
+    let (tx, rx) = flume::bounded(QUEUE_CAPACITY);
     for i in 0..threads {
         let (workers, rx) = (workers.clone(), rx.clone());
         thread::Builder::new()
@@ -38,13 +38,13 @@
 }
 
 fn run(workers: &dyn Workers, rx: &Receiver<Exchange>) {
-    for e in rx.iter() {
-        let seq = e.request.seq;
-        let worker = e.worker;
-        let event = match workers.exchange(e.addr, &e.request) {
+    for exchange in rx.iter() {
+        let seq = exchange.request.seq;
+        let worker = exchange.worker;
+        let event = match workers.exchange(exchange.addr, &exchange.request) {
             Ok(answer) => Event::Answer { worker, answer },
             Err(_) => Event::NoAnswer { worker, seq },
         };
-        let _ = e.reply.send(Input::Event(event));
+        let _ = exchange.reply.send(Input::Event(event));
     }
 }
--- a/crates/sched/src/inbox.rs
+++ b/crates/sched/src/inbox.rs
@@ -15,16 +15,16 @@
 use crate::input::Input;
 
 /// Time between two looks without a hint.
-const PAUSE: u64 = 1_000;
+const POLL_INTERVAL_MS: u64 = 1_000;
 
 /// Longest time between two looks while the table service fails.
-const MAX_PAUSE: u64 = 5_000;
+const MAX_POLL_INTERVAL_MS: u64 = 5_000;
 
 /// Rows of one read.
-const BATCH: u32 = 500;
+const SCAN_ROWS: u32 = 500;
 
 /// Least time between two looks.
-const GAP: Duration = Duration::from_millis(50);
+const MIN_POLL_GAP: Duration = Duration::from_millis(50);
 
 /// Hands jobs from a shard's inbox to its machine until `cancel`.
 ///
@@ -34,24 +34,24 @@
     table: &dyn Table,
     shard: &Name,
     input: &Sender<Input>,
-    look: &Receiver<()>,
+    wake: &Receiver<()>,
     seed: u64,
     cancel: &CancelToken,
 ) {
     let prefix = keys::inbox_rows(shard);
-    let mut backoff = Backoff::new(PAUSE, MAX_PAUSE, seed);
-    let mut handed: BTreeSet<Name> = BTreeSet::new();
+    let mut backoff = Backoff::new(POLL_INTERVAL_MS, MAX_POLL_INTERVAL_MS, seed);
+    let mut forwarded: BTreeSet<Name> = BTreeSet::new();
     while !cancel.is_cancelled() {
-        let pause = match read(table, &prefix, input, &mut handed) {
+        let delay_ms = match read(table, &prefix, input, &mut forwarded) {
             Ok(()) => {
                 backoff.reset();
-                PAUSE
+                POLL_INTERVAL_MS
             }
             Err(()) => backoff.next_delay(),
         };
-        let hinted = look.recv_timeout(Duration::from_millis(pause)).is_ok();
-        while look.try_recv().is_ok() {}
-        if hinted && cancel.wait(GAP) {
+        let is_woken = wake.recv_timeout(Duration::from_millis(delay_ms)).is_ok();
+        while wake.try_recv().is_ok() {}
+        if is_woken && cancel.wait(MIN_POLL_GAP) {
             return;
         }
     }
@@ -61,19 +61,19 @@
     table: &dyn Table,
     prefix: &Name,
     input: &Sender<Input>,
-    handed: &mut BTreeSet<Name>,
+    forwarded: &mut BTreeSet<Name>,
 ) -> Result<(), ()> {
     let mut after = None;
     let mut present = BTreeSet::new();
     loop {
-        let (rows, more) = table.scan(prefix, after, BATCH).map_err(|err| {
+        let (rows, has_more) = table.scan(prefix, after, SCAN_ROWS).map_err(|err| {
             log::debug!("inbox: {err}");
         })?;
         after = rows.last().map(|r| r.key.clone());
         let mut specs = Vec::new();
         for row in rows {
             present.insert(row.key.clone());
-            if handed.contains(&row.key) {
+            if forwarded.contains(&row.key) {
                 continue;
             }
             match decode::<JobSpec>(&row.value) {
@@ -84,10 +84,10 @@
         if !specs.is_empty() && input.send(Input::Event(Event::Submit(specs))).is_err() {
             return Ok(());
         }
-        if !more {
+        if !has_more {
             break;
         }
     }
-    *handed = present;
+    *forwarded = present;
     Ok(())
 }
--- a/crates/sched/src/input.rs
+++ b/crates/sched/src/input.rs
@@ -13,7 +13,7 @@
     /// An event of the machine.
     Event(Event),
     /// A write that was sent at this time took effect.
-    Proved {
+    Confirmed {
         /// When it was sent.
         sent: Millis,
         /// Records below this number are in the journal.
@@ -51,7 +51,7 @@
 
 /// A message for a shard's keeper thread.
 #[derive(Debug)]
-pub(crate) enum Upkeep {
+pub(crate) enum KeeperMessage {
     /// Append records to the journal.
     Append {
         /// Number of the first record.
@@ -71,5 +71,5 @@
     /// The longest hold of the templates in force.
     Hold(Millis),
     /// Prove the ownership now.
-    Prove,
+    Renew,
 }
--- a/crates/sched/src/inquiry.rs
+++ b/crates/sched/src/inquiry.rs
@@ -25,20 +25,20 @@
 use crate::input::Input;
 
 /// Time between two questions.
-const PAUSE: Duration = Duration::from_millis(1_000);
+const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Time limit of a question.
-const ASK: Duration = Duration::from_millis(500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// An inquiry about one shard.
 pub(crate) struct Inquiry {
     pub shard: Name,
     /// Address of the only owner that may still renew; none if there may be
     /// others, whose hold has to pass.
-    pub old: Option<SocketAddr>,
+    pub old_owner: Option<SocketAddr>,
     /// This instance's address; an earlier process there has ended, or this one
     /// has stopped its earlier ownership.
-    pub me: SocketAddr,
+    pub own_addr: SocketAddr,
     pub hold: Duration,
     pub input: Sender<Input>,
     pub settled: Arc<AtomicBool>,
@@ -48,9 +48,9 @@
 impl Inquiry {
     /// Runs until the matter is settled or the shard is given up.
     pub fn run(self) {
-        let began = Instant::now();
-        while began.elapsed() <= self.hold && !self.stopped() {
-            if self.cancel.wait(PAUSE) {
+        let started = Instant::now();
+        while started.elapsed() <= self.hold && !self.has_old_owner_stopped() {
+            if self.cancel.wait(POLL_INTERVAL) {
                 return;
             }
         }
@@ -60,13 +60,20 @@
     }
 
     /// Tells whether the old owner said that it has stopped.
-    fn stopped(&self) -> bool {
-        let Some(addr) = self.old else { return false };
-        if addr == self.me {
+    fn has_old_owner_stopped(&self) -> bool {
+        let Some(addr) = self.old_owner else {
+            return false;
+        };
+        if addr == self.own_addr {
             return true;
         }
         let shard = self.shard.clone();
-        let answer = post(addr, PEER_JOBS, &JobsRequest::Holds { shard }, ASK);
+        let answer = post(
+            addr,
+            PEER_JOBS,
+            &JobsRequest::Holds { shard },
+            REQUEST_TIMEOUT,
+        );
         matches!(answer, Ok(JobsAnswer::Holds(false)))
     }
 }
--- a/crates/sched/src/journal.rs
+++ b/crates/sched/src/journal.rs
@@ -28,8 +28,8 @@
 use snafu::{Snafu, ensure};
 
 /// First and longest delay before a write is repeated, in milliseconds.
-const FIRST_DELAY: u64 = 50;
-const MAX_DELAY: u64 = 2_000;
+const FIRST_DELAY_MS: u64 = 50;
+const MAX_DELAY_MS: u64 = 2_000;
 
 /// Why a write has no result.
 #[derive(Debug, Snafu, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     Fenced,
     /// The time to give up came first; what became of the write is not known.
     #[snafu(display("gave up"))]
-    GaveUp,
+    Cancelled,
     /// Records are missing before a batch.
     #[snafu(display("batch starts at record {first}, the journal ends before {next}"))]
     Gap {
@@ -66,7 +66,7 @@
 
 /// An instance that takes a shard.
 #[derive(Debug, Clone)]
-pub struct Taker {
+pub struct NewOwner {
     /// Its name.
     pub id: Name,
     /// Address at which its peers reach it.
@@ -92,19 +92,20 @@
     /// Takes over a shard whose row was read with `version`; 0 for no row.
     ///
     /// Errors: another instance was faster, or `cancel` came first.
-    pub fn take(
+    pub fn acquire(
         table: Arc<dyn Table>,
         shard: &Name,
         found: Option<&ShardRow>,
         version: u64,
-        me: &Taker,
+        owner: &NewOwner,
         cancel: &CancelToken,
     ) -> Result<Journal, JournalError> {
-        let seed = gorsespur_core::hashing::stable_hash(&[&me.id, shard]) ^ me.clock.now_micros();
+        let seed =
+            gorsespur_core::hashing::stable_hash(&[&owner.id, shard]) ^ owner.clock.now_micros();
         let old = found.cloned().unwrap_or(ShardRow {
             epoch: 0,
             owner: None,
-            addr: me.addr,
+            addr: owner.addr,
             token: 0,
             next_record: 0,
             first_record: 0,
@@ -116,9 +117,9 @@
         let new = ShardRow {
             settled: old.settled && old.owner.is_none(),
             epoch: old.epoch + 1,
-            owner: Some(me.id.clone()),
-            addr: me.addr,
-            hold: me.hold.max(old.hold),
+            owner: Some(owner.id.clone()),
+            addr: owner.addr,
+            hold: owner.hold.max(old.hold),
             ..old.clone()
         };
         let mut journal = Journal {
@@ -127,8 +128,8 @@
             row: old,
             version,
             rng: SmallRng::seed_from_u64(seed),
-            backoff: Backoff::new(FIRST_DELAY, MAX_DELAY, seed),
-            clock: me.clock,
+            backoff: Backoff::new(FIRST_DELAY_MS, MAX_DELAY_MS, seed),
+            clock: owner.clock,
         };
         journal.write(new, Tx::new(), cancel)?;
         Ok(journal)
@@ -185,16 +186,16 @@
             };
             let value = encode(&row).map_err(|_| JournalError::Encode)?;
             let hour = wall_hour();
-            let ended = EndedJob {
+            let ended_job = EndedJob {
                 key: job.spec.key.clone(),
                 hour,
                 no: job.number,
                 attempts: job.attempts.clone(),
             };
-            let listed = encode(&ended).map_err(|_| JournalError::Encode)?;
+            let entry = encode(&ended_job).map_err(|_| JournalError::Encode)?;
             tx = tx
                 .put(keys::job(&job.spec.key), value)
-                .put(keys::ended(&self.shard, hour, &job.spec.key), listed);
+                .put(keys::ended(&self.shard, hour, &job.spec.key), entry);
         }
         let row = ShardRow {
             next_record: batch.first + batch.records.len() as u64,
@@ -215,14 +216,19 @@
     /// that ends before record `next`; returns when that was sent.
     ///
     /// Every record before `next` must be in a row before `cut`.
-    pub fn cut(&mut self, next: u64, cut: u64, cancel: &CancelToken) -> Result<u64, JournalError> {
+    pub fn truncate(
+        &mut self,
+        next_record: u64,
+        first_row: u64,
+        cancel: &CancelToken,
+    ) -> Result<u64, JournalError> {
         let mut tx = Tx::new();
-        for row in self.row.first_row..cut {
+        for row in self.row.first_row..first_row {
             tx = tx.delete(keys::journal(&self.shard, row));
         }
         let row = ShardRow {
-            first_record: next,
-            first_row: cut,
+            first_record: next_record,
+            first_row,
             ..self.row.clone()
         };
         self.write(row, tx, cancel)
@@ -273,7 +279,7 @@
             }
             let delay = Duration::from_millis(self.backoff.next_delay());
             if cancel.wait(delay) {
-                return Err(JournalError::GaveUp);
+                return Err(JournalError::Cancelled);
             }
         }
     }
--- a/crates/sched/src/keep.rs
+++ b/crates/sched/src/keep.rs
@@ -22,9 +22,9 @@
 use gorsespur_wire::objects;
 
 use crate::{
-    collect::{Collected, Pending, collect},
+    collect::{Collected, PendingSnapshot, collect},
     inbox,
-    input::{Input, Upkeep},
+    input::{Input, KeeperMessage},
     inquiry::Inquiry,
     journal::{Journal, JournalError},
     keeper::Keeper,
@@ -34,36 +34,36 @@
 };
 
 /// Messages that may wait for a machine thread.
-const INPUTS: usize = 8_192;
+const INPUT_CAPACITY: usize = 8_192;
 
 /// Messages that may wait for a keeper.
-const UPKEEP: usize = 1_024;
+const KEEPER_CAPACITY: usize = 1_024;
 
 /// Time for which a stopping instance tries to release a shard.
-pub(crate) const RELEASE: Duration = Duration::from_millis(1_500);
+pub(crate) const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Longest time between two looks whether the program stops.
-const LOOK: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time between two looks whether another instance should own the shard.
-const BALANCE: Duration = Duration::from_secs(2);
+const BALANCE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Why an ownership ended.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Parted {
+pub(crate) enum EndReason {
     Stopped,
     Moved,
     Fenced,
 }
 
 /// A snapshot that is in the object store.
-struct Stored {
+struct StoredSnapshot {
     /// Number of the first record after it.
     next: u64,
     /// Row before which the journal may be cut.
-    cut: u64,
+    first_row: u64,
     /// Key of the snapshot before it.
-    old: Name,
+    old_snapshot: Name,
 }
 
 impl Keeper {
@@ -71,57 +71,60 @@
     ///
     /// `old` is the address of an owner that may still renew leases, the only
     /// one if it is known.
-    pub(crate) fn keep(
+    pub(crate) fn run_shard(
         &self,
         journal: &mut Journal,
         takeover: Takeover,
-        old: Option<SocketAddr>,
-    ) -> Parted {
+        old_owner: Option<SocketAddr>,
+    ) -> EndReason {
         let cancel = CancelToken::new();
-        let (input, inputs) = flume::bounded(INPUTS);
-        let (upkeep, upkeeps) = flume::bounded(UPKEEP);
-        let (look, looks) = flume::bounded(1);
-        let (hold, known) = (journal.row().hold, takeover.settled);
-        let machine = self.start_machine(takeover, &input, inputs, upkeep, &cancel);
-        let fetch = self.start_inbox(&input, looks, &cancel);
+        let (input, inputs) = flume::bounded(INPUT_CAPACITY);
+        let (keeper, messages) = flume::bounded(KEEPER_CAPACITY);
+        let (wake_inbox, wakes) = flume::bounded(1);
+        let (hold, is_settled) = (journal.row().hold, takeover.settled);
+        let shard_thread = self.start_scheduler(takeover, &input, inputs, keeper, &cancel);
+        let inbox_thread = self.start_inbox(&input, wakes, &cancel);
         let settled = Arc::new(AtomicBool::new(false));
-        let asking = if known {
+        let inquiry_thread = if is_settled {
             None
         } else {
-            self.start_inquiry(old, hold, &input, &settled, &cancel)
+            self.start_inquiry(old_owner, hold, &input, &settled, &cancel)
         };
-        let sweeping = self.start_sweep(&cancel);
+        let sweep_thread = self.start_sweep(&cancel);
         self.owned.add(OwnedShard {
             index: self.at.place.index,
             name: self.at.place.name.clone(),
             input: input.clone(),
-            look,
+            wake_inbox,
         });
-        let parted = self.write_all(journal, &upkeeps, &input, hold, &settled);
+        let reason = self.write_journal(journal, &messages, &input, hold, &settled);
         self.owned.remove(self.at.place.index);
         self.shared
             .claims()
             .retain(|c| c.shard != self.at.place.index);
         cancel.cancel();
         drop(input);
-        for thread in [machine, fetch, asking, sweeping].into_iter().flatten() {
+        for thread in [shard_thread, inbox_thread, inquiry_thread, sweep_thread]
+            .into_iter()
+            .flatten()
+        {
             let _ = thread.join();
         }
         self.shared
             .claims()
             .retain(|c| c.shard != self.at.place.index);
-        if parted != Parted::Fenced {
-            self.hand_over(journal, &upkeeps);
+        if reason != EndReason::Fenced {
+            self.release_shard(journal, &messages);
         }
-        parted
+        reason
     }
 
-    fn start_machine(
+    fn start_scheduler(
         &self,
         takeover: Takeover,
         input: &Sender<Input>,
         inputs: Receiver<Input>,
-        upkeep: Sender<Upkeep>,
+        keeper: Sender<KeeperMessage>,
         cancel: &CancelToken,
     ) -> Option<thread::JoinHandle<()>> {
         let now = self.shared.clock.now();
@@ -132,17 +135,17 @@
         let thread = ShardThread {
             at: self.at.clone(),
             shared: self.shared.clone(),
-            machine: ShardScheduler::new(
+            scheduler: ShardScheduler::new(
                 self.at.place.clone(),
                 self.settings.shards.clone(),
                 seed,
                 takeover,
                 now,
             ),
-            tenure: OwnerLease::new(self.settings.lease, now),
+            lease: OwnerLease::new(self.settings.lease_ms, now),
             input: inputs,
             reply: input.clone(),
-            upkeep,
+            keeper,
             exchanges: self.exchanges.clone(),
             metrics: self.metrics.clone(),
             recorder,
@@ -155,7 +158,7 @@
         let dir = self.record.as_ref()?;
         let (name, epoch) = (&self.at.place.name, takeover.epoch);
         let path = dir.join(format!("{name}.{epoch}.trace"));
-        let made = Recorder::create(
+        let created = Recorder::create(
             &path,
             &self.at.place,
             &self.settings.shards,
@@ -163,7 +166,7 @@
             takeover,
             now,
         );
-        match made {
+        match created {
             Ok(recorder) => Some(recorder),
             Err(err) => {
                 log::error!("shard {name}: can't record: {err}");
@@ -175,14 +178,14 @@
     fn start_inbox(
         &self,
         input: &Sender<Input>,
-        looks: Receiver<()>,
+        wakes: Receiver<()>,
         cancel: &CancelToken,
     ) -> Option<thread::JoinHandle<()>> {
         let (table, name) = (self.table.clone(), self.at.place.name.clone());
         let (input, cancel) = (input.clone(), cancel.clone());
         let seed = self.shared.incarnation;
         spawn(format!("inbox-{name}"), move || {
-            inbox::follow(table.as_ref(), &name, &input, &looks, seed, &cancel);
+            inbox::follow(table.as_ref(), &name, &input, &wakes, seed, &cancel);
         })
     }
 
@@ -191,8 +194,8 @@
             table: self.table.clone(),
             objects: self.objects.clone(),
             shard: self.at.place.name.clone(),
-            claims: self.at.place.index == 0,
-            retention: self.settings.retention,
+            include_claims: self.at.place.index == 0,
+            retention_hours: self.settings.retention_hours,
         };
         let cancel = cancel.clone();
         let name = &self.at.place.name;
@@ -202,7 +205,7 @@
     /// Learns when no earlier owner can still renew leases.
     fn start_inquiry(
         &self,
-        old: Option<SocketAddr>,
+        old_owner: Option<SocketAddr>,
         hold: u64,
         input: &Sender<Input>,
         settled: &Arc<AtomicBool>,
@@ -210,8 +213,8 @@
     ) -> Option<thread::JoinHandle<()>> {
         let inquiry = Inquiry {
             shard: self.at.place.name.clone(),
-            old,
-            me: self.shared.settings.listen,
+            old_owner,
+            own_addr: self.shared.settings.listen,
             hold: Duration::from_millis(hold),
             input: input.clone(),
             settled: settled.clone(),
@@ -222,27 +225,27 @@
     }
 
     /// Writes the journal until the shard is lost or to be given up.
-    fn write_all(
+    fn write_journal(
         &self,
         journal: &mut Journal,
-        upkeeps: &Receiver<Upkeep>,
+        messages: &Receiver<KeeperMessage>,
         input: &Sender<Input>,
         mut hold: u64,
         settled: &AtomicBool,
-    ) -> Parted {
+    ) -> EndReason {
         let mut rows = journal.row().next_row - journal.row().first_row;
-        let mut asked = false;
-        let (stored, stores) = flume::bounded(1);
-        let mut balanced = Instant::now();
-        let mut renewed = Instant::now();
+        let mut requested = false;
+        let (stored, results) = flume::bounded(1);
+        let mut last_balance = Instant::now();
+        let mut last_renewal = Instant::now();
         loop {
             if self.stop.is_cancelled() {
-                return Parted::Stopped;
+                return EndReason::Stopped;
             }
-            if balanced.elapsed() >= BALANCE {
-                balanced = Instant::now();
+            if last_balance.elapsed() >= BALANCE_INTERVAL {
+                last_balance = Instant::now();
                 if self.should_move() {
-                    return Parted::Moved;
+                    return EndReason::Moved;
                 }
             }
             if settled.load(Ordering::Acquire) {
@@ -250,19 +253,19 @@
             }
             let left = self
                 .settings
-                .renew
-                .saturating_sub(renewed.elapsed())
-                .min(LOOK);
+                .renew_interval
+                .saturating_sub(last_renewal.elapsed())
+                .min(STOP_POLL_INTERVAL);
             let Collected {
                 batch,
                 snapshot,
-                prove,
-            } = collect(upkeeps, left, &mut hold);
-            let due = prove || renewed.elapsed() >= self.settings.renew;
+                renew,
+            } = collect(messages, left, &mut hold);
+            let is_due = renew || last_renewal.elapsed() >= self.settings.renew_interval;
             let result = if !batch.records.is_empty() {
                 rows += 1;
                 journal.append(&batch, hold, &self.stop)
-            } else if due {
+            } else if is_due {
                 journal.renew(hold, &self.stop)
             } else {
                 Ok(0)
@@ -270,55 +273,64 @@
             match result {
                 Ok(0) => {}
                 Ok(sent) => {
-                    renewed = Instant::now();
+                    last_renewal = Instant::now();
                     self.metrics.count("commits", 1);
-                    let proved = Input::Proved {
+                    let confirmed = Input::Confirmed {
                         sent,
                         committed: journal.row().next_record,
                         hold,
                     };
-                    let _ = input.send(proved);
+                    let _ = input.send(confirmed);
                 }
-                Err(JournalError::Fenced) => return Parted::Fenced,
-                Err(JournalError::GaveUp) => return Parted::Stopped,
+                Err(JournalError::Fenced) => return EndReason::Fenced,
+                Err(JournalError::Cancelled) => return EndReason::Stopped,
                 Err(err @ (JournalError::Encode | JournalError::Gap { .. })) => {
                     log::error!("shard {}: {err}", self.at.place.name);
-                    return Parted::Fenced;
+                    return EndReason::Fenced;
                 }
             }
             if let Some(pending) = snapshot {
-                self.store(journal, pending, &stored);
+                self.store_snapshot(journal, pending, &stored);
             }
-            if let Ok(stored) = stores.try_recv() {
-                asked = false;
+            if let Ok(stored) = results.try_recv() {
+                requested = false;
                 rows = match stored {
-                    Some(Stored { next, cut, old }) => match journal.cut(next, cut, &self.stop) {
+                    Some(StoredSnapshot {
+                        next,
+                        first_row,
+                        old_snapshot,
+                    }) => match journal.truncate(next, first_row, &self.stop) {
                         Ok(_) => {
-                            self.delete_snapshot(old);
-                            journal.next_row() - cut
+                            self.delete_snapshot(old_snapshot);
+                            journal.next_row() - first_row
                         }
-                        Err(JournalError::Fenced) => return Parted::Fenced,
-                        Err(_) => return Parted::Stopped,
+                        Err(JournalError::Fenced) => return EndReason::Fenced,
+                        Err(_) => return EndReason::Stopped,
                     },
-                    None => self.settings.snapshot / 2,
+                    None => self.settings.snapshot_rows / 2,
                 };
             }
-            if rows >= self.settings.snapshot && !asked {
-                asked = input.send(Input::Snapshot).is_ok();
+            if rows >= self.settings.snapshot_rows && !requested {
+                requested = input.send(Input::Snapshot).is_ok();
             }
-            if !batch.records.is_empty() && !self.settings.commit.is_zero() {
-                self.stop.wait(self.settings.commit);
+            if !batch.records.is_empty() && !self.settings.commit_interval.is_zero() {
+                self.stop.wait(self.settings.commit_interval);
             }
         }
     }
 
     /// Puts a snapshot into the object store beside the journal's writes, which
     /// must not wait for it: they renew the lease.
-    fn store(&self, journal: &Journal, pending: Pending, done: &Sender<Option<Stored>>) {
-        let (next, cut) = (pending.next, journal.next_row());
+    fn store_snapshot(
+        &self,
+        journal: &Journal,
+        pending: PendingSnapshot,
+        done: &Sender<Option<StoredSnapshot>>,
+    ) {
+        let (next, first_row) = (pending.next, journal.next_row());
         let key = objects::snapshot(&self.at.place.name, next);
-        let old = journal.row().first_record;
-        let old = objects::snapshot(&self.at.place.name, old);
+        let old_snapshot = journal.row().first_record;
+        let old_snapshot = objects::snapshot(&self.at.place.name, old_snapshot);
         let (store, done) = (self.objects.clone(), done.clone());
         let name = self.at.place.name.clone();
         spawn(format!("snapshot-{name}"), move || {
@@ -326,7 +338,11 @@
             if let Err(err) = &put {
                 log::warn!("shard {name}: no snapshot: {err}");
             }
-            let _ = done.send(put.is_ok().then_some(Stored { next, cut, old }));
+            let _ = done.send(put.is_ok().then_some(StoredSnapshot {
+                next,
+                first_row,
+                old_snapshot,
+            }));
         });
     }
 
@@ -344,12 +360,12 @@
         let now = self.shared.clock.now();
         let name = &self.at.place.name;
         let mut best: (u64, bool) = (stable_hash(&[name, &s.id]), false);
-        for p in self.shared.peers().available(now, s.role, &s.zone) {
-            let weight = stable_hash(&[name, &p.heartbeat.id]);
+        for peer in self.shared.peers().available(now, s.role, &s.zone) {
+            let weight = stable_hash(&[name, &peer.heartbeat.id]);
             if weight > best.0 {
                 best = (
                     weight,
-                    now.saturating_sub(p.steady_since) >= self.settings.steady,
+                    now.saturating_sub(peer.steady_since) >= self.settings.steady_ms,
                 );
             }
         }
@@ -360,10 +376,10 @@
     ///
     /// Records behind a write that was given up are left out: nothing was done
     /// about them yet.
-    fn hand_over(&self, journal: &mut Journal, upkeeps: &Receiver<Upkeep>) {
-        let cancel = expire(RELEASE);
+    fn release_shard(&self, journal: &mut Journal, messages: &Receiver<KeeperMessage>) {
+        let cancel = cancel_after(RELEASE_TIMEOUT);
         let mut hold = journal.row().hold;
-        let batch = collect(upkeeps, Duration::ZERO, &mut hold).batch;
+        let batch = collect(messages, Duration::ZERO, &mut hold).batch;
         if !batch.records.is_empty() {
             match journal.append(&batch, hold, &cancel) {
                 Ok(_) | Err(JournalError::Gap { .. }) => {}
@@ -377,7 +393,7 @@
 }
 
 /// Returns a token that is cancelled after `limit`.
-pub(crate) fn expire(limit: Duration) -> CancelToken {
+pub(crate) fn cancel_after(limit: Duration) -> CancelToken {
     let cancel = CancelToken::new();
     let timer = cancel.clone();
     thread::spawn(move || {
--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -16,15 +16,15 @@
 
 use crate::{
     exchanger::Exchange,
-    journal::{Journal, Taker},
-    keep::{RELEASE, expire},
-    owned::Owned,
+    journal::{Journal, NewOwner},
+    keep::{RELEASE_TIMEOUT, cancel_after},
+    owned::OwnedShards,
     recover::recover,
     settings::SchedSettings,
 };
 
 /// Time by which the second in line lets the first go ahead, in milliseconds.
-const COURTESY: u64 = 500;
+const RANK_DELAY_MS: u64 = 500;
 
 /// What a keeper works with.
 pub(crate) struct Keeper {
@@ -33,7 +33,7 @@
     pub shared: Arc<AgentState>,
     pub table: Arc<dyn Table>,
     pub objects: Arc<dyn Objects>,
-    pub owned: Arc<Owned>,
+    pub owned: Arc<OwnedShards>,
     pub exchanges: Sender<Exchange>,
     pub metrics: Metrics,
     pub record: Option<PathBuf>,
@@ -43,14 +43,14 @@
 impl Keeper {
     /// Watches and keeps the shard until the program stops.
     pub fn run(self) {
-        let mut claim = LeaseWatch::new(self.settings.lease);
-        let mut looked = self.shared.clock.now();
-        while !self.stop.wait(self.settings.watch) {
+        let mut lease_watch = LeaseWatch::new(self.settings.lease_ms);
+        let mut last_poll = self.shared.clock.now();
+        while !self.stop.wait(self.settings.watch_interval) {
             let now = self.shared.clock.now();
-            if now - looked >= self.settings.lease {
-                claim.reset();
+            if now - last_poll >= self.settings.lease_ms {
+                lease_watch.reset();
             }
-            looked = now;
+            last_poll = now;
             let Some(rank) = self.rank() else { continue };
             if rank > 1 || !self.shared.is_loaded() {
                 continue;
@@ -59,23 +59,25 @@
                 continue;
             };
             let now = self.shared.clock.now();
-            claim.observe(now, row.as_ref(), version);
-            let patience = rank as u64 * COURTESY;
-            let due = claim.can_acquire(now.saturating_sub(patience));
-            if !due || !claim.is_unchanged_for(now, patience) {
+            lease_watch.observe(now, row.as_ref(), version);
+            let delay = rank as u64 * RANK_DELAY_MS;
+            let due = lease_watch.can_acquire(now.saturating_sub(delay));
+            if !due || !lease_watch.is_unchanged_for(now, delay) {
                 continue;
             }
-            self.take(row.as_ref(), version);
-            claim.reset();
+            self.acquire(row.as_ref(), version);
+            lease_watch.reset();
         }
     }
 
     /// Returns this instance's place in the line for the shard; 0 is first.
     fn rank(&self) -> Option<usize> {
-        let mut line = self.shared.same_role_ids();
+        let mut candidates = self.shared.same_role_ids();
         let name = &self.at.place.name;
-        line.sort_by_key(|id| std::cmp::Reverse(stable_hash(&[name, id])));
-        line.iter().position(|id| *id == self.shared.settings.id)
+        candidates.sort_by_key(|id| std::cmp::Reverse(stable_hash(&[name, id])));
+        candidates
+            .iter()
+            .position(|id| *id == self.shared.settings.id)
     }
 
     fn read(&self) -> Option<(Option<ShardRow>, u64)> {
@@ -95,46 +97,55 @@
 
     /// Takes the shard and keeps it; nothing of this process commands its
     /// workers before and after.
-    fn take(&self, row: Option<&ShardRow>, version: u64) {
+    fn acquire(&self, row: Option<&ShardRow>, version: u64) {
         let index = self.at.place.index;
-        self.owned.hold(index);
-        self.take_held(row, version);
-        self.owned.let_go(index);
+        self.owned.mark_active(index);
+        self.acquire_and_run(row, version);
+        self.owned.mark_inactive(index);
     }
 
-    fn take_held(&self, row: Option<&ShardRow>, version: u64) {
+    fn acquire_and_run(&self, row: Option<&ShardRow>, version: u64) {
         let name = &self.at.place.name;
         let s = &self.shared.settings;
-        let me = Taker {
+        let new_owner = NewOwner {
             id: s.id.clone(),
             addr: s.listen,
             hold: self.longest_hold(),
             clock: self.shared.clock,
         };
-        let journal = Journal::take(self.table.clone(), name, row, version, &me, &self.stop);
+        let journal = Journal::acquire(
+            self.table.clone(),
+            name,
+            row,
+            version,
+            &new_owner,
+            &self.stop,
+        );
         let Ok(mut journal) = journal else {
             log::debug!("shard {name}: another instance was faster");
             return;
         };
-        let began = Instant::now();
-        let Some(book) = self.recover(&mut journal) else {
+        let started = Instant::now();
+        let Some(state) = self.recover(&mut journal) else {
             return;
         };
         let epoch = journal.row().epoch;
-        let (jobs, ms) = (book.jobs().len(), began.elapsed().as_millis());
-        log::info!("shard {name}: owned with epoch {epoch}, {jobs} jobs recovered in {ms} ms");
+        let (jobs, recovery_ms) = (state.jobs().len(), started.elapsed().as_millis());
+        log::info!(
+            "shard {name}: owned with epoch {epoch}, {jobs} jobs recovered in {recovery_ms} ms"
+        );
         let takeover = Takeover {
             epoch,
-            state: book,
+            state: state,
             next_record: journal.row().next_record,
             inherited_hold: journal.row().hold,
             settled: journal.row().settled,
         };
-        let old = row
+        let old_owner = row
             .filter(|r| r.settled && r.owner.is_some())
             .map(|r| r.addr);
-        let parted = self.keep(&mut journal, takeover, old);
-        log::info!("shard {name}: epoch {epoch} ends, {parted:?}");
+        let reason = self.run_shard(&mut journal, takeover, old_owner);
+        log::info!("shard {name}: epoch {epoch} ends, {reason:?}");
     }
 
     fn longest_hold(&self) -> u64 {
@@ -149,11 +160,11 @@
         loop {
             let table = self.table.as_ref();
             match recover(table, self.objects.as_ref(), name, journal.row()) {
-                Ok(book) => return Some(book),
+                Ok(state) => return Some(state),
                 Err(err) => log::warn!("shard {name}: can't recover yet: {err}"),
             }
-            if self.stop.wait(self.settings.watch) {
-                let _ = journal.release(&expire(RELEASE));
+            if self.stop.wait(self.settings.watch_interval) {
+                let _ = journal.release(&cancel_after(RELEASE_TIMEOUT));
                 return None;
             }
             let hold = journal.row().hold;
--- a/crates/sched/src/owned.rs
+++ b/crates/sched/src/owned.rs
@@ -14,43 +14,43 @@
     pub name: Name,
     pub input: Sender<Input>,
     /// Wakes the thread that looks into the inbox.
-    pub look: Sender<()>,
+    pub wake_inbox: Sender<()>,
 }
 
 /// The owned shards, sorted by index.
 #[derive(Debug, Default)]
-pub(crate) struct Owned {
+pub(crate) struct OwnedShards {
     shards: Mutex<Vec<OwnedShard>>,
     /// Shards that this process may command workers of: from before it takes a
     /// shard until its machine thread has ended.
-    held: Mutex<Vec<u32>>,
+    active: Mutex<Vec<u32>>,
 }
 
-impl Owned {
+impl OwnedShards {
     fn lock(&self) -> MutexGuard<'_, Vec<OwnedShard>> {
         self.shards.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_held(&self) -> MutexGuard<'_, Vec<u32>> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_active(&self) -> MutexGuard<'_, Vec<u32>> {
+        self.active.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes that a shard is about to be taken.
-    pub fn hold(&self, index: u32) {
-        let mut held = self.lock_held();
-        if !held.contains(&index) {
-            held.push(index);
+    pub fn mark_active(&self, index: u32) {
+        let mut active = self.lock_active();
+        if !active.contains(&index) {
+            active.push(index);
         }
     }
 
     /// Notes that nothing of this process commands the shard's workers.
-    pub fn let_go(&self, index: u32) {
-        self.lock_held().retain(|h| *h != index);
+    pub fn mark_inactive(&self, index: u32) {
+        self.lock_active().retain(|i| *i != index);
     }
 
     /// Tells whether this process may command the shard's workers.
-    pub fn holds(&self, index: u32) -> bool {
-        self.lock_held().contains(&index)
+    pub fn is_active(&self, index: u32) -> bool {
+        self.lock_active().contains(&index)
     }
 
     pub fn add(&self, shard: OwnedShard) {
--- a/crates/sched/src/peer_api.rs
+++ b/crates/sched/src/peer_api.rs
@@ -12,18 +12,18 @@
 };
 use serde::Serialize;
 
-use crate::{input::Input, owned::Owned};
+use crate::{input::Input, owned::OwnedShards};
 
 /// Time limit of an answer from a machine thread.
-const ASK: Duration = Duration::from_millis(500);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time limit of a cancellation's way into the journal.
-const COMMIT: Duration = Duration::from_millis(3_000);
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Answers peers.
 pub(crate) struct PeerApi {
     pub shared: Arc<AgentState>,
-    pub owned: Arc<Owned>,
+    pub owned: Arc<OwnedShards>,
 }
 
 impl PeerApi {
@@ -47,9 +47,13 @@
         let Some(shard) = self.owned.get(request.shard) else {
             return Reply::text(404, "not the owner");
         };
-        let asked = ask(&shard.input, |reply| Input::Targets { reply }, ASK);
-        match asked {
-            Some(answer) => reply(&answer),
+        let answer = ask(
+            &shard.input,
+            |reply| Input::Targets { reply },
+            REPLY_TIMEOUT,
+        );
+        match answer {
+            Some(targets) => reply(&targets),
             None => Reply::text(503, "shard is busy"),
         }
     }
@@ -64,7 +68,7 @@
     fn run_jobs(&self, request: JobsRequest) -> JobsAnswer {
         if let JobsRequest::Holds { shard } = &request {
             let at = self.shared.settings.layout.find(shard);
-            return JobsAnswer::Holds(at.is_some_and(|a| self.owned.holds(a.place.index)));
+            return JobsAnswer::Holds(at.is_some_and(|a| self.owned.is_active(a.place.index)));
         }
         let (JobsRequest::Watch { shard, .. }
         | JobsRequest::Cancel { shard, .. }
@@ -75,22 +79,30 @@
         };
         match request {
             JobsRequest::Watch { keys, .. } => {
-                let asked = ask(&owned.input, |reply| Input::Watch { keys, reply }, ASK);
-                asked.map_or(JobsAnswer::Unavailable, JobsAnswer::States)
+                let answer = ask(
+                    &owned.input,
+                    |reply| Input::Watch { keys, reply },
+                    REPLY_TIMEOUT,
+                );
+                answer.map_or(JobsAnswer::Unavailable, JobsAnswer::States)
             }
             JobsRequest::Cancel { keys, .. } => {
-                let asked = ask(&owned.input, |reply| Input::Cancel { keys, reply }, COMMIT);
-                let Some(unknown) = asked else {
+                let answer = ask(
+                    &owned.input,
+                    |reply| Input::Cancel { keys, reply },
+                    COMMIT_TIMEOUT,
+                );
+                let Some(unknown) = answer else {
                     return JobsAnswer::Unavailable;
                 };
                 if !unknown.is_empty() {
-                    let _ = owned.look.try_send(());
+                    let _ = owned.wake_inbox.try_send(());
                 }
                 JobsAnswer::Cancelled(unknown)
             }
             JobsRequest::Holds { .. } => JobsAnswer::Holds(true),
             JobsRequest::Look { .. } => {
-                let _ = owned.look.try_send(());
+                let _ = owned.wake_inbox.try_send(());
                 JobsAnswer::Noted
             }
         }
@@ -99,7 +111,11 @@
     fn status(&self) -> InstanceStatus {
         let mut shards = Vec::new();
         for shard in self.owned.all() {
-            shards.extend(ask(&shard.input, |reply| Input::Status { reply }, ASK));
+            shards.extend(ask(
+                &shard.input,
+                |reply| Input::Status { reply },
+                REPLY_TIMEOUT,
+            ));
         }
         self.shared.status(shards, None)
     }
@@ -107,11 +123,11 @@
 
 fn ask<T>(
     input: &Sender<Input>,
-    make: impl FnOnce(Sender<T>) -> Input,
+    new_input: impl FnOnce(Sender<T>) -> Input,
     limit: Duration,
 ) -> Option<T> {
     let (tx, rx): (Sender<T>, Receiver<T>) = flume::bounded(1);
-    input.send_timeout(make(tx), limit).ok()?;
+    input.send_timeout(new_input(tx), limit).ok()?;
     rx.recv_timeout(limit).ok()
 }
 
--- a/crates/sched/src/program.rs
+++ b/crates/sched/src/program.rs
@@ -29,17 +29,17 @@
     },
     exchanger,
     keeper::{Keeper, thread_name},
-    owned::Owned,
+    owned::OwnedShards,
     peer_api::PeerApi,
     settings::{SchedSettings, check},
 };
 
 /// Time limit of a call to the object store; less than a shard's lease, which a
 /// new owner renews between its tries to read a snapshot.
-const OBJECTS: Duration = Duration::from_secs(2);
+const OBJECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for which a stopping instance answers its peers.
-const DRAIN: Duration = Duration::from_millis(1_000);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A running scheduler.
 pub struct Running {
@@ -78,13 +78,13 @@
     let metrics = Metrics::start(&instance.metrics, "sched").context(MetricSnafu)?;
     let end = CancelToken::new();
     let table: Arc<dyn Table> = Arc::new(HttpTable::new(instance.table, instance.timeout));
-    let objects: Arc<dyn Objects> = Arc::new(HttpObjects::new(instance.objects, OBJECTS));
+    let objects: Arc<dyn Objects> = Arc::new(HttpObjects::new(instance.objects, OBJECT_TIMEOUT));
     let members = Arc::new(HttpMembers::new(instance.members, instance.timeout));
-    let workers: Arc<dyn Workers> = Arc::new(HttpWorkers::new(settings.timeout));
-    let exchanges = exchanger::start(&workers, settings.threads).context(SystemSnafu)?;
+    let workers: Arc<dyn Workers> = Arc::new(HttpWorkers::new(settings.exchange_timeout));
+    let exchanges = exchanger::start(&workers, settings.exchange_threads).context(SystemSnafu)?;
     let agent = Agent::start(instance.clone(), table.clone(), members, &end).context(AgentSnafu)?;
     let shared = agent.state().clone();
-    let owned = Arc::new(Owned::default());
+    let owned = Arc::new(OwnedShards::default());
     let api = PeerApi {
         shared: shared.clone(),
         owned: owned.clone(),
@@ -134,6 +134,6 @@
             let _ = keeper.join();
         }
         self.end.cancel();
-        self.serving.wait_until_idle(DRAIN);
+        self.serving.wait_until_idle(DRAIN_TIMEOUT);
     }
 }
--- a/crates/sched/src/recover.rs
+++ b/crates/sched/src/recover.rs
@@ -10,7 +10,7 @@
 use snafu::{ResultExt, Snafu, ensure};
 
 /// Rows of one read.
-const BATCH: u32 = 200;
+const SCAN_ROWS: u32 = 200;
 
 /// Why a shard can't be recovered now.
 #[derive(Debug, Snafu)]
@@ -34,12 +34,12 @@
         source: CodecError,
     },
     /// The journal has a gap.
-    #[snafu(display("journal has record {found} where {wanted} should be"))]
+    #[snafu(display("journal has record {found} where {expected} should be"))]
     Gap {
         /// Number of the record found.
         found: u64,
         /// Number that should be there.
-        wanted: u64,
+        expected: u64,
     },
 }
 
@@ -52,13 +52,13 @@
     shard: &Name,
     row: &ShardRow,
 ) -> Result<ShardState, RecoverError> {
-    let mut book = ShardState::default();
+    let mut state = ShardState::default();
     let mut next = 0;
     if row.first_record > 0 {
         let key = objects::snapshot(shard, row.first_record);
         let bytes = store.get(&key).context(ObjectSnafu)?;
         let snapshot: Snapshot = decode(&bytes).context(CodecSnafu)?;
-        book = snapshot.book;
+        state = snapshot.book;
         next = snapshot.next;
     }
     let prefix = keys::journal_rows(shard);
@@ -67,22 +67,22 @@
         .checked_sub(1)
         .map(|r| keys::journal(shard, r));
     loop {
-        let (rows, more) = table.scan(&prefix, after, BATCH).context(TableSnafu)?;
+        let (rows, has_more) = table.scan(&prefix, after, SCAN_ROWS).context(TableSnafu)?;
         after = rows.last().map(|r| r.key.clone());
         for r in rows {
             let batch: JournalRow = decode(&r.value).context(CodecSnafu)?;
-            let (found, wanted) = (batch.first, next);
-            ensure!(found == wanted, GapSnafu { found, wanted });
+            let (found, expected) = (batch.first, next);
+            ensure!(found == expected, GapSnafu { found, expected });
             for record in &batch.records {
-                book.apply(record);
+                state.apply(record);
             }
             next += batch.records.len() as u64;
         }
-        if !more {
+        if !has_more {
             break;
         }
     }
-    let (found, wanted) = (next, row.next_record);
-    ensure!(found == wanted, GapSnafu { found, wanted });
-    Ok(book)
+    let (found, expected) = (next, row.next_record);
+    ensure!(found == expected, GapSnafu { found, expected });
+    Ok(state)
 }
--- a/crates/sched/src/settings.rs
+++ b/crates/sched/src/settings.rs
@@ -10,7 +10,7 @@
 const MAX_THREADS: usize = 256;
 
 /// Least and longest lease of a shard in milliseconds.
-const LEASES: std::ops::RangeInclusive<u64> = 1_000..=60_000;
+const LEASE_MS_RANGE: std::ops::RangeInclusive<u64> = 1_000..=60_000;
 
 /// Settings as written.
 #[derive(Debug, Clone, Deserialize)]
@@ -82,52 +82,52 @@
     /// Times and policy of shards.
     pub shards: ShardSettings,
     /// Time without a renewal after which a shard may be taken.
-    pub lease: u64,
+    pub lease_ms: u64,
     /// Time between renewals.
-    pub renew: Duration,
+    pub renew_interval: Duration,
     /// Time between two looks at a row that this instance may take.
-    pub watch: Duration,
+    pub watch_interval: Duration,
     /// Least time between two writes of a journal.
-    pub commit: Duration,
+    pub commit_interval: Duration,
     /// Journal rows after which a snapshot is written.
-    pub snapshot: u64,
+    pub snapshot_rows: u64,
     /// Time for which a better owner must be steady.
-    pub steady: u64,
+    pub steady_ms: u64,
     /// Hours for which finished jobs and claims are kept.
-    pub retention: u64,
+    pub retention_hours: u64,
     /// Threads that make exchanges.
-    pub threads: usize,
+    pub exchange_threads: usize,
     /// Time limit of an exchange.
-    pub timeout: Duration,
+    pub exchange_timeout: Duration,
 }
 
 /// Checks the settings as a whole.
 pub fn check(raw: RawSched) -> Result<SchedSettings, Problems> {
     let mut p = Problems::default();
-    let own = &raw.ownership;
-    let ok = LEASES.contains(&own.lease_ms);
+    let ownership = &raw.ownership;
+    let ok = LEASE_MS_RANGE.contains(&ownership.lease_ms);
     p.require(ok, "ownership.lease_ms", "must be from 1000 to 60000");
-    let ok = own.renew_ms >= 1 && own.renew_ms.saturating_mul(3) <= own.lease_ms;
+    let ok = ownership.renew_ms >= 1 && ownership.renew_ms.saturating_mul(3) <= ownership.lease_ms;
     p.require(
         ok,
         "ownership.renew_ms",
         "must be at most a third of lease_ms",
     );
-    let ok = (1..=100_000).contains(&own.retention_hours);
+    let ok = (1..=100_000).contains(&ownership.retention_hours);
     p.require(ok, "ownership.retention_hours", "must be from 1 to 100000");
-    let ok = (10..=own.lease_ms / 2).contains(&own.watch_ms);
+    let ok = (10..=ownership.lease_ms / 2).contains(&ownership.watch_ms);
     p.require(
         ok,
         "ownership.watch_ms",
         "must be from 10 to half of lease_ms",
     );
     p.require(
-        own.commit_ms <= 1_000,
+        ownership.commit_ms <= 1_000,
         "ownership.commit_ms",
         "must be at most 1000",
     );
     p.require(
-        own.snapshot_rows >= 10,
+        ownership.snapshot_rows >= 10,
         "ownership.snapshot_rows",
         "must be at least 10",
     );
@@ -150,7 +150,7 @@
         "shards.lease",
         "must be at least four times shards.exchange",
     );
-    let ok = s.lease > own.lease_ms.saturating_mul(2);
+    let ok = s.lease > ownership.lease_ms.saturating_mul(2);
     p.require(
         ok,
         "shards.lease",
@@ -166,14 +166,14 @@
     p.into_result(SchedSettings {
         instance,
         shards: raw.shards,
-        lease: raw.ownership.lease_ms,
-        renew: Duration::from_millis(raw.ownership.renew_ms),
-        watch: Duration::from_millis(raw.ownership.watch_ms),
-        commit: Duration::from_millis(raw.ownership.commit_ms),
-        snapshot: raw.ownership.snapshot_rows,
-        steady: raw.ownership.steady_ms,
-        retention: raw.ownership.retention_hours,
-        threads: raw.exchange_threads,
-        timeout: Duration::from_millis(raw.exchange_timeout_ms),
+        lease_ms: raw.ownership.lease_ms,
+        renew_interval: Duration::from_millis(raw.ownership.renew_ms),
+        watch_interval: Duration::from_millis(raw.ownership.watch_ms),
+        commit_interval: Duration::from_millis(raw.ownership.commit_ms),
+        snapshot_rows: raw.ownership.snapshot_rows,
+        steady_ms: raw.ownership.steady_ms,
+        retention_hours: raw.ownership.retention_hours,
+        exchange_threads: raw.exchange_threads,
+        exchange_timeout: Duration::from_millis(raw.exchange_timeout_ms),
     })
 }
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -16,24 +16,24 @@
 
 use crate::{
     exchanger::Exchange,
-    input::{Input, Upkeep},
+    input::{Input, KeeperMessage},
 };
 
 /// Time between two ticks without a message.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Messages that are handled before a tick.
-const BURST: usize = 512;
+const MAX_BURST: usize = 512;
 
 /// What the machine thread works with.
 pub(crate) struct ShardThread {
     pub at: ZoneShard,
     pub shared: Arc<AgentState>,
-    pub machine: ShardScheduler,
-    pub tenure: OwnerLease,
+    pub scheduler: ShardScheduler,
+    pub lease: OwnerLease,
     pub input: Receiver<Input>,
     pub reply: Sender<Input>,
-    pub upkeep: Sender<Upkeep>,
+    pub keeper: Sender<KeeperMessage>,
     pub exchanges: Sender<Exchange>,
     pub metrics: Metrics,
     pub recorder: Option<Recorder>,
@@ -41,7 +41,7 @@
 }
 
 /// A cancellation that waits for the journal.
-struct Waiter {
+struct PendingCancel {
     /// Number of the record before which everything must be in the journal.
     number: u64,
     unknown: Vec<JobKey>,
@@ -50,56 +50,56 @@
 
 /// State of the thread besides the machine.
 #[derive(Default)]
-struct Desk {
+struct LoopState {
     /// Messages for the keeper that did not fit into its queue.
-    backlog: VecDeque<Upkeep>,
+    backlog: VecDeque<KeeperMessage>,
     /// Cancellations that wait for the journal.
-    waiters: Vec<Waiter>,
-    configs: Option<u64>,
-    list: Option<u64>,
-    claimed: u64,
+    pending_cancels: Vec<PendingCancel>,
+    config_changes: Option<u64>,
+    list_changes: Option<u64>,
+    announced_version: u64,
 }
 
 impl ShardThread {
     /// Runs until the shard is lost or given up.
     pub fn run(mut self) {
-        let mut desk = Desk::default();
+        let mut state = LoopState::default();
         while !self.cancel.is_cancelled() {
-            let first = self.input.recv_timeout(TICK);
+            let first = self.input.recv_timeout(TICK_INTERVAL);
             let now = self.shared.clock.now();
-            self.tenure.tick(now);
+            self.lease.tick(now);
             if let Ok(input) = first {
-                self.handle(now, input, &mut desk);
+                self.handle(now, input, &mut state);
             }
-            for _ in 0..BURST {
+            for _ in 0..MAX_BURST {
                 let Ok(input) = self.input.try_recv() else {
                     break;
                 };
-                self.handle(now, input, &mut desk);
+                self.handle(now, input, &mut state);
             }
-            self.look_around(now, &mut desk);
-            if self.tenure.can_act() {
-                self.step(now, &Event::Tick, &mut desk);
+            self.apply_updates(now, &mut state);
+            if self.lease.can_act() {
+                self.step(now, &Event::Tick, &mut state);
             } else {
-                self.push(Upkeep::Prove, &mut desk);
+                self.push(KeeperMessage::Renew, &mut state);
             }
-            self.send_backlog(&mut desk);
-            self.claim(&mut desk);
+            self.send_backlog(&mut state);
+            self.announce(&mut state);
         }
     }
 
-    fn handle(&mut self, now: Millis, input: Input, desk: &mut Desk) {
+    fn handle(&mut self, now: Millis, input: Input, state: &mut LoopState) {
         match input {
-            Input::Event(event) => self.step(now, &event, desk),
-            Input::Proved {
+            Input::Event(event) => self.step(now, &event, state),
+            Input::Confirmed {
                 sent,
                 committed,
                 hold,
             } => {
-                self.tenure.confirm(sent);
-                self.step(now, &Event::StoreSeen(hold), desk);
-                self.step(now, &Event::Committed(committed), desk);
-                desk.waiters.retain(|w| {
+                self.lease.confirm(sent);
+                self.step(now, &Event::StoreSeen(hold), state);
+                self.step(now, &Event::Committed(committed), state);
+                state.pending_cancels.retain(|w| {
                     let done = w.number <= committed;
                     if done {
                         let _ = w.reply.send(w.unknown.clone());
@@ -109,44 +109,44 @@
             }
             Input::Cancel { keys, reply } => {
                 let mut unknown = keys.clone();
-                unknown.retain(|k| self.machine.state().find(k).is_none());
-                self.step(now, &Event::Cancel(keys), desk);
-                desk.waiters.push(Waiter {
-                    number: self.machine.next_record(),
+                unknown.retain(|k| self.scheduler.state().find(k).is_none());
+                self.step(now, &Event::Cancel(keys), state);
+                state.pending_cancels.push(PendingCancel {
+                    number: self.scheduler.next_record(),
                     unknown,
                     reply,
                 });
-                self.push(Upkeep::Prove, desk);
+                self.push(KeeperMessage::Renew, state);
             }
             Input::Watch { keys, reply } => {
-                let book = self.machine.state();
-                let states = keys.iter().map(|k| book.find(k).map(JobStatus::of));
+                let jobs = self.scheduler.state();
+                let states = keys.iter().map(|k| jobs.find(k).map(JobStatus::of));
                 let _ = reply.send(states.collect());
             }
             Input::Targets { reply } => {
                 let _ = reply.send(TargetsAnswer {
                     shard: self.at.place.index,
-                    epoch: self.machine.epoch(),
-                    version: self.machine.targets_version(),
-                    targets: self.machine.targets(),
-                    largest: self.machine.largest_worker(),
+                    epoch: self.scheduler.epoch(),
+                    version: self.scheduler.targets_version(),
+                    targets: self.scheduler.targets(),
+                    largest: self.scheduler.largest_worker(),
                 });
             }
             Input::Status { reply } => {
-                let _ = reply.send(self.machine.status(now));
+                let _ = reply.send(self.scheduler.status(now));
             }
-            Input::Snapshot => self.snapshot(desk),
+            Input::Snapshot => self.snapshot(state),
         }
     }
 
-    fn snapshot(&mut self, desk: &mut Desk) {
-        let next = self.machine.next_record();
+    fn snapshot(&mut self, state: &mut LoopState) {
+        let next = self.scheduler.next_record();
         let snapshot = Snapshot {
             next,
-            book: self.machine.state().clone(),
+            book: self.scheduler.state().clone(),
         };
         match encode(&snapshot) {
-            Ok(bytes) => self.push(Upkeep::Snapshot { next, bytes }, desk),
+            Ok(bytes) => self.push(KeeperMessage::Snapshot { next, bytes }, state),
             Err(err) => log::error!("shard {}: can't encode snapshot: {err}", self.at.place.name),
         }
     }
@@ -154,45 +154,45 @@
     /// Tells the machine of new templates and workers.
     ///
     /// Workers come after templates, since the longest hold depends on them.
-    fn look_around(&mut self, now: Millis, desk: &mut Desk) {
+    fn apply_updates(&mut self, now: Millis, state: &mut LoopState) {
         if !self.shared.is_loaded() {
             return;
         }
         let changes = self.shared.config_changes();
-        if desk.configs != Some(changes) {
-            desk.configs = Some(changes);
+        if state.config_changes != Some(changes) {
+            state.config_changes = Some(changes);
             let orgs = self.shared.configs().templates();
-            self.step(now, &Event::Organisations(orgs), desk);
-            self.push(Upkeep::Hold(self.machine.longest_hold()), desk);
+            self.step(now, &Event::Organisations(orgs), state);
+            self.push(KeeperMessage::Hold(self.scheduler.longest_hold()), state);
         }
         let changes = self.shared.list_changes();
-        if changes > 0 && desk.list != Some(changes) {
-            desk.list = Some(changes);
+        if changes > 0 && state.list_changes != Some(changes) {
+            state.list_changes = Some(changes);
             let event = self.workers();
-            self.step(now, &event, desk);
+            self.step(now, &event, state);
         }
     }
 
     /// Returns the workers of the shard, and how many each shard has.
     fn workers(&self) -> Event {
-        let known = self.shared.member_list();
+        let members = self.shared.member_list();
         let shards = self.shared.settings.layout.shards();
         let mut list = Vec::new();
         let mut counts = vec![0; shards.len()];
-        for w in &known.workers {
+        for w in &members.workers {
             if self.at.has_worker(&w.zone, &w.name) {
                 list.push(w.clone());
             }
-            let home = shards.iter().position(|s| s.has_worker(&w.zone, &w.name));
-            if let Some(i) = home.filter(|_| !w.leaving) {
+            let shard = shards.iter().position(|s| s.has_worker(&w.zone, &w.name));
+            if let Some(i) = shard.filter(|_| !w.leaving) {
                 counts[i] += 1;
             }
         }
         Event::Workers { list, counts }
     }
 
-    fn step(&mut self, now: Millis, event: &Event, desk: &mut Desk) {
-        let actions = self.machine.step(now, event);
+    fn step(&mut self, now: Millis, event: &Event, state: &mut LoopState) {
+        let actions = self.scheduler.step(now, event);
         if let Some(recorder) = &mut self.recorder
             && let Err(err) = recorder.add_step(now, event, &actions)
         {
@@ -200,11 +200,11 @@
             self.recorder = None;
         }
         for action in actions {
-            self.act(action, desk);
+            self.act(action, state);
         }
     }
 
-    fn act(&mut self, action: Action, desk: &mut Desk) {
+    fn act(&mut self, action: Action, state: &mut LoopState) {
         match action {
             Action::Append {
                 first,
@@ -212,12 +212,12 @@
                 finished,
             } => {
                 self.metrics.count("records", records.len() as i64);
-                let append = Upkeep::Append {
+                let append = KeeperMessage::Append {
                     first,
                     records,
                     finished,
                 };
-                self.push(append, desk);
+                self.push(append, state);
             }
             Action::Exchange {
                 worker,
@@ -235,7 +235,7 @@
             }
             Action::Fenced { epoch } => {
                 log::warn!("shard {}: a worker knows epoch {epoch}", self.at.place.name);
-                self.push(Upkeep::Prove, desk);
+                self.push(KeeperMessage::Renew, state);
             }
         }
     }
@@ -254,35 +254,35 @@
 
     /// Queues a message for the keeper, which may be busy while the table
     /// service is down; this thread goes on renewing leases meanwhile.
-    fn push(&self, message: Upkeep, desk: &mut Desk) {
-        if matches!(message, Upkeep::Prove) && !desk.backlog.is_empty() {
+    fn push(&self, message: KeeperMessage, state: &mut LoopState) {
+        if matches!(message, KeeperMessage::Renew) && !state.backlog.is_empty() {
             return;
         }
-        desk.backlog.push_back(message);
-        self.send_backlog(desk);
+        state.backlog.push_back(message);
+        self.send_backlog(state);
     }
 
-    fn send_backlog(&self, desk: &mut Desk) {
-        while let Some(message) = desk.backlog.pop_front() {
-            let Err(err) = self.upkeep.try_send(message) else {
+    fn send_backlog(&self, state: &mut LoopState) {
+        while let Some(message) = state.backlog.pop_front() {
+            let Err(err) = self.keeper.try_send(message) else {
                 continue;
             };
             let (TrySendError::Full(m) | TrySendError::Disconnected(m)) = err;
-            desk.backlog.push_front(m);
+            state.backlog.push_front(m);
             return;
         }
     }
 
     /// Puts the shard into the heartbeats.
-    fn claim(&self, desk: &mut Desk) {
-        let targets = self.machine.targets_version();
-        if desk.claimed == targets {
+    fn announce(&self, state: &mut LoopState) {
+        let targets = self.scheduler.targets_version();
+        if state.announced_version == targets {
             return;
         }
-        desk.claimed = targets;
+        state.announced_version = targets;
         let claim = ShardOwnership {
             shard: self.at.place.index,
-            epoch: self.machine.epoch(),
+            epoch: self.scheduler.epoch(),
             targets_version: targets,
         };
         let mut claims = self.shared.claims();
--- a/crates/sched/src/sweep.rs
+++ b/crates/sched/src/sweep.rs
@@ -19,10 +19,10 @@
 };
 
 /// Time between two sweeps.
-const PAUSE: Duration = Duration::from_secs(60);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Entries of one sweep; the list is sorted by age.
-const BATCH: u32 = 200;
+const SWEEP_ROWS: u32 = 200;
 
 /// Sweeps the lists of one shard.
 pub struct Sweep {
@@ -33,15 +33,15 @@
     /// Name of the shard.
     pub shard: Name,
     /// Whether to sweep the list of claims.
-    pub claims: bool,
+    pub include_claims: bool,
     /// Hours for which finished jobs and claims are kept.
-    pub retention: u64,
+    pub retention_hours: u64,
 }
 
 impl Sweep {
     /// Sweeps until `cancel`.
     pub fn run(self, cancel: &CancelToken) {
-        while !cancel.wait(PAUSE) {
+        while !cancel.wait(SWEEP_INTERVAL) {
             if let Err(err) = self.sweep(wall_hour()) {
                 log::debug!("sweep: {err}");
             }
@@ -50,24 +50,24 @@
 
     /// Deletes what is too old in `hour`; returns how many jobs and claims.
     pub fn sweep(&self, hour: u64) -> Result<usize, TableError> {
-        let limit = hour.saturating_sub(self.retention);
-        let mut count = self.sweep_jobs(limit)?;
-        if self.claims {
-            count += self.sweep_claims(limit)?;
+        let min_hour = hour.saturating_sub(self.retention_hours);
+        let mut count = self.sweep_jobs(min_hour)?;
+        if self.include_claims {
+            count += self.sweep_claims(min_hour)?;
         }
         Ok(count)
     }
 
-    fn sweep_jobs(&self, limit: u64) -> Result<usize, TableError> {
+    fn sweep_jobs(&self, min_hour: u64) -> Result<usize, TableError> {
         let mut count = 0;
         let (rows, _) = self
             .table
-            .scan(&keys::ended_rows(&self.shard), None, BATCH)?;
+            .scan(&keys::ended_rows(&self.shard), None, SWEEP_ROWS)?;
         for row in rows {
             let Ok(job) = decode::<EndedJob>(&row.value) else {
                 continue;
             };
-            if job.hour >= limit {
+            if job.hour >= min_hour {
                 break;
             }
             self.delete_checkpoints(&job);
@@ -75,7 +75,7 @@
                 .delete(keys::job(&job.key))
                 .delete(row.key.clone());
             let tx = tx.check(row.key, Expect::Version(row.version));
-            count += usize::from(deleted(self.table.tx(&tx))?);
+            count += usize::from(is_deleted(self.table.tx(&tx))?);
         }
         Ok(count)
     }
@@ -90,14 +90,16 @@
         }
     }
 
-    fn sweep_claims(&self, limit: u64) -> Result<usize, TableError> {
+    fn sweep_claims(&self, min_hour: u64) -> Result<usize, TableError> {
         let mut count = 0;
-        let (rows, _) = self.table.scan(&Name::from(keys::CLAIMED), None, BATCH)?;
+        let (rows, _) = self
+            .table
+            .scan(&Name::from(keys::CLAIMED), None, SWEEP_ROWS)?;
         for row in rows {
             let Ok(entry) = decode::<ClaimedKey>(&row.value) else {
                 continue;
             };
-            if entry.hour >= limit {
+            if entry.hour >= min_hour {
                 break;
             }
             let key = keys::claim(&entry.org, &entry.key);
@@ -108,12 +110,12 @@
                 .next()
                 .flatten();
             let mut tx = Tx::new().delete(row.key);
-            if let Some(claim) = found.filter(|r| as_old(r, &entry)) {
+            if let Some(claim) = found.filter(|r| is_listed_claim(r, &entry)) {
                 tx = tx
                     .check(key.clone(), Expect::Version(claim.version))
                     .delete(key);
             }
-            count += usize::from(deleted(self.table.tx(&tx))?);
+            count += usize::from(is_deleted(self.table.tx(&tx))?);
         }
         Ok(count)
     }
@@ -121,12 +123,12 @@
 
 /// Tells whether a claim is the one that its entry in the list stands for, and
 /// not a later one of the same key.
-fn as_old(row: &Row, entry: &ClaimedKey) -> bool {
+fn is_listed_claim(row: &Row, entry: &ClaimedKey) -> bool {
     decode::<Claim>(&row.value).is_ok_and(|c| c.hour <= entry.hour)
 }
 
 /// Passes over rows that changed meanwhile.
-fn deleted(result: Result<u64, TableError>) -> Result<bool, TableError> {
+fn is_deleted(result: Result<u64, TableError>) -> Result<bool, TableError> {
     match result {
         Ok(_) => Ok(true),
         Err(TableError::Conflict { .. }) => Ok(false),
--- a/crates/sched/tests/journal.rs
+++ b/crates/sched/tests/journal.rs
@@ -11,7 +11,7 @@
 };
 use gorsespur_runtime::{cancel::CancelToken, clock::Clock};
 use gorsespur_sched::{
-    journal::{Batch, Journal, JournalError, Taker},
+    journal::{Batch, Journal, JournalError, NewOwner},
     recover,
 };
 use gorsespur_services::{
@@ -29,8 +29,8 @@
     "zone.0".into()
 }
 
-fn taker(id: &str) -> Taker {
-    Taker {
+fn new_owner(id: &str) -> NewOwner {
+    NewOwner {
         id: id.into(),
         addr: ([127, 0, 0, 1], 1).into(),
         hold: 1_000,
@@ -73,19 +73,19 @@
     )
 }
 
-fn take(platform: &Arc<FakePlatform>, id: &str) -> Journal {
+fn acquire(platform: &Arc<FakePlatform>, id: &str) -> Journal {
     let rows = Table::get(platform.as_ref(), &[keys::shard(&shard())]).expect("the platform is up");
     let found = rows[0]
         .as_ref()
         .map(|r| decode::<ShardRow>(&r.value).expect("well-formed"));
     let version = rows[0].as_ref().map_or(0, |r| r.version);
     let table: Arc<dyn Table> = platform.clone();
-    let journal = Journal::take(
+    let journal = Journal::acquire(
         table,
         &shard(),
         found.as_ref(),
         version,
-        &taker(id),
+        &new_owner(id),
         &CancelToken::new(),
     );
     journal.expect("the shard is free to take")
@@ -108,7 +108,7 @@
 #[test_case(&[Fault::Down, Fault::LostAnswer]; "down, then answer lost")]
 fn an_append_takes_effect_once(faults: &[Fault]) {
     let platform = Arc::new(FakePlatform::new());
-    let mut journal = take(&platform, "a");
+    let mut journal = acquire(&platform, "a");
     platform.fail_next(faults);
     journal
         .append(&batch(0, &["one", "two"]), 1_000, &CancelToken::new())
@@ -117,16 +117,16 @@
         .append(&batch(2, &["three"]), 1_000, &CancelToken::new())
         .expect("appended");
     assert_eq!(platform.count("journal/"), 2);
-    let book = recovered(&platform);
-    let ids: Vec<&str> = book.jobs().iter().map(|j| &*j.spec.key.id).collect();
+    let state = recovered(&platform);
+    let ids: Vec<&str> = state.jobs().iter().map(|j| &*j.spec.key.id).collect();
     assert_eq!(ids, ["one", "two", "three"]);
 }
 
 #[test]
-fn a_stale_owner_can_not_append() {
+fn a_stale_owner_cannot_append() {
     let platform = Arc::new(FakePlatform::new());
-    let mut old = take(&platform, "a");
-    let mut new = take(&platform, "b");
+    let mut old = acquire(&platform, "a");
+    let mut new = acquire(&platform, "b");
     assert_eq!(new.row().epoch, old.row().epoch + 1);
     let lost = old.append(&batch(0, &["stale"]), 1_000, &CancelToken::new());
     assert_eq!(lost, Err(JournalError::Fenced));
@@ -138,26 +138,26 @@
 #[test]
 fn a_stale_owners_delayed_write_has_no_effect() {
     let platform = Arc::new(FakePlatform::new());
-    let mut old = take(&platform, "a");
+    let mut old = acquire(&platform, "a");
     platform.fail_next(&[Fault::Delayed]);
     let cancel = CancelToken::new();
     cancel.cancel();
-    let gave_up = old.append(&batch(0, &["late"]), 1_000, &cancel);
-    assert_eq!(gave_up, Err(JournalError::GaveUp));
+    let cancelled = old.append(&batch(0, &["late"]), 1_000, &cancel);
+    assert_eq!(cancelled, Err(JournalError::Cancelled));
     let (found, version) = row(&platform);
     // The delayed write takes effect just before the takeover, which then
     // expects a version that is gone, reads again and finds the record.
     let table: Arc<dyn Table> = platform.clone();
-    let beaten = Journal::take(
+    let fenced = Journal::acquire(
         table,
         &shard(),
         Some(&found),
         version,
-        &taker("b"),
+        &new_owner("b"),
         &CancelToken::new(),
     );
-    assert_eq!(beaten.err(), Some(JournalError::Fenced));
-    let mut new = take(&platform, "b");
+    assert_eq!(fenced.err(), Some(JournalError::Fenced));
+    let mut new = acquire(&platform, "b");
     assert_eq!(new.row().next_record, 1);
     new.append(&batch(1, &["next"]), 1_000, &CancelToken::new())
         .expect("appended");
@@ -165,25 +165,25 @@
 }
 
 #[test]
-fn one_of_two_takers_wins() {
+fn one_of_two_new_owners_wins() {
     let platform = Arc::new(FakePlatform::new());
-    drop(take(&platform, "a"));
+    drop(acquire(&platform, "a"));
     let (found, version) = row(&platform);
     let table: Arc<dyn Table> = platform.clone();
-    let first = Journal::take(
+    let first = Journal::acquire(
         table.clone(),
         &shard(),
         Some(&found),
         version,
-        &taker("b"),
+        &new_owner("b"),
         &CancelToken::new(),
     );
-    let second = Journal::take(
+    let second = Journal::acquire(
         table,
         &shard(),
         Some(&found),
         version,
-        &taker("c"),
+        &new_owner("c"),
         &CancelToken::new(),
     );
     assert!(first.is_ok());
@@ -193,15 +193,15 @@
 #[test]
 fn a_takeover_keeps_the_longer_hold() {
     let platform = Arc::new(FakePlatform::new());
-    let mut old = take(&platform, "a");
+    let mut old = acquire(&platform, "a");
     old.renew(9_000, &CancelToken::new()).expect("renewed");
-    assert_eq!(take(&platform, "b").row().hold, 9_000);
+    assert_eq!(acquire(&platform, "b").row().hold, 9_000);
 }
 
 #[test]
-fn a_snapshot_cuts_the_journal() {
+fn a_snapshot_truncates_the_journal() {
     let platform = Arc::new(FakePlatform::new());
-    let mut journal = take(&platform, "a");
+    let mut journal = acquire(&platform, "a");
     let cancel = CancelToken::new();
     journal
         .append(&batch(0, &["one", "two"]), 1_000, &cancel)
@@ -217,8 +217,8 @@
     let bytes = encode(&snapshot).expect("encodes");
     let key = objects::snapshot(&shard(), 3);
     platform.put(&key, &bytes).expect("stored");
-    let cut = journal.next_row();
-    journal.cut(3, cut, &cancel).expect("cut");
+    let first_row = journal.next_row();
+    journal.truncate(3, first_row, &cancel).expect("cut");
     assert_eq!(platform.count("journal/"), 0);
     assert_eq!(recovered(&platform), before);
     journal
@@ -232,12 +232,12 @@
 #[test]
 fn rows_written_while_a_snapshot_is_stored_stay() {
     let platform = Arc::new(FakePlatform::new());
-    let mut journal = take(&platform, "a");
+    let mut journal = acquire(&platform, "a");
     let cancel = CancelToken::new();
     journal
         .append(&batch(0, &["one"]), 1_000, &cancel)
         .expect("appended");
-    let cut = journal.next_row();
+    let first_row = journal.next_row();
     let snapshot = Snapshot {
         next: 1,
         book: recovered(&platform),
@@ -249,7 +249,7 @@
     platform
         .put(&objects::snapshot(&shard(), 1), &bytes)
         .expect("stored");
-    journal.cut(1, cut, &cancel).expect("cut");
+    journal.truncate(1, first_row, &cancel).expect("cut");
     assert_eq!(platform.count("journal/"), 1);
     assert_eq!(recovered(&platform).jobs().len(), 2);
 }
@@ -262,12 +262,12 @@
 #[test]
 fn a_batch_that_would_leave_a_gap_is_refused() {
     let platform = Arc::new(FakePlatform::new());
-    let mut journal = take(&platform, "a");
+    let mut journal = acquire(&platform, "a");
     platform.fail_next(&[Fault::Down]);
     let cancel = CancelToken::new();
     cancel.cancel();
-    let gave_up = journal.append(&batch(0, &["one"]), 1_000, &cancel);
-    assert_eq!(gave_up, Err(JournalError::GaveUp));
+    let cancelled = journal.append(&batch(0, &["one"]), 1_000, &cancel);
+    assert_eq!(cancelled, Err(JournalError::Cancelled));
     let gap = journal.append(&batch(1, &["two"]), 1_000, &CancelToken::new());
     assert_eq!(gap, Err(JournalError::Gap { first: 1, next: 0 }));
     journal.release(&CancelToken::new()).expect("released");
@@ -275,9 +275,9 @@
 }
 
 #[test]
-fn a_missing_row_is_noticed() {
+fn a_missing_row_fails_the_recovery() {
     let platform = Arc::new(FakePlatform::new());
-    let mut journal = take(&platform, "a");
+    let mut journal = acquire(&platform, "a");
     let cancel = CancelToken::new();
     journal
         .append(&batch(0, &["one"]), 1_000, &cancel)
@@ -292,9 +292,9 @@
 }
 
 #[test]
-fn an_append_takes_its_jobs_out_of_the_inbox() {
+fn an_append_removes_its_jobs_from_the_inbox() {
     let platform = Arc::new(FakePlatform::new());
-    let mut journal = take(&platform, "a");
+    let mut journal = acquire(&platform, "a");
     let key = keys::inbox(&shard(), &spec("one").key);
     let tx = gorsespur_wire::table::Tx::new().put(key, Vec::new());
     platform.tx(&tx).expect("written");
@@ -307,7 +307,7 @@
 #[test]
 fn a_released_shard_names_no_owner() {
     let platform = Arc::new(FakePlatform::new());
-    let mut journal = take(&platform, "a");
+    let mut journal = acquire(&platform, "a");
     journal.release(&CancelToken::new()).expect("released");
     assert_eq!(row(&platform).0.owner, None);
     assert!(platform.delete("x").is_ok());
--- a/crates/sched/tests/sweep.rs
+++ b/crates/sched/tests/sweep.rs
@@ -15,15 +15,15 @@
     table::Tx,
 };
 
-const RETENTION: u64 = 24;
+const RETENTION_HOURS: u64 = 24;
 
-fn sweep(platform: &Arc<FakePlatform>, claims: bool) -> Sweep {
+fn sweep(platform: &Arc<FakePlatform>, include_claims: bool) -> Sweep {
     Sweep {
         table: platform.clone(),
         objects: platform.clone(),
         shard: "zone.0".into(),
-        claims,
-        retention: RETENTION,
+        include_claims,
+        retention_hours: RETENTION_HOURS,
     }
 }
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn old_jobs_go_with_their_checkpoints() {
+fn old_jobs_are_deleted_with_their_checkpoints() {
     let platform = Arc::new(FakePlatform::new());
     end_job(&platform, "old", 100);
     end_job(&platform, "new", 120);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn old_claims_go_and_later_ones_of_the_same_key_stay() {
+fn old_claims_are_deleted_and_later_claims_of_the_same_key_stay() {
     let platform = Arc::new(FakePlatform::new());
     claim(&platform, "old", 100, 100);
     claim(&platform, "again", 124, 100);
