--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -17,8 +17,8 @@
 use crate::{
     exchanger::Exchange,
     journal::{Journal, NewOwner},
-    keep::{RELEASE_TIMEOUT, cancel_after},
     owned::OwnedShards,
+    ownership::{RELEASE_TIMEOUT, cancel_after},
     recover::recover,
     settings::SchedSettings,
 };
@@ -136,7 +136,7 @@
         );
         let takeover = Takeover {
             epoch,
-            state: state,
+            state,
             next_record: journal.row().next_record,
             inherited_hold: journal.row().hold,
             settled: journal.row().settled,
--- a/crates/sched/tests/journal.rs
+++ b/crates/sched/tests/journal.rs
@@ -218,7 +218,7 @@
     let key = objects::snapshot(&shard(), 3);
     platform.put(&key, &bytes).expect("stored");
     let first_row = journal.next_row();
-    journal.truncate(3, first_row, &cancel).expect("cut");
+    journal.truncate(3, first_row, &cancel).expect("truncated");
     assert_eq!(platform.count("journal/"), 0);
     assert_eq!(recovered(&platform), before);
     journal
@@ -249,7 +249,7 @@
     platform
         .put(&objects::snapshot(&shard(), 1), &bytes)
         .expect("stored");
-    journal.truncate(1, first_row, &cancel).expect("cut");
+    journal.truncate(1, first_row, &cancel).expect("truncated");
     assert_eq!(platform.count("journal/"), 1);
     assert_eq!(recovered(&platform).jobs().len(), 2);
 }
