--- a/crates/entry/src/tries.rs
+++ b/crates/entry/src/attempts.rs
@@ -21,11 +21,11 @@
 
 use crate::{
     head::Head,
-    router_thread::{ToHandler, ToRouter},
+    router_thread::{HandlerMessage, RouterMessage},
 };
 
 /// Fields that concern one connection only.
-const HOP: [&str; 9] = [
+const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
     "transfer-encoding",
@@ -38,62 +38,62 @@
 ];
 
 /// Tells whether a field is passed on.
-pub(crate) fn passes(name: &str) -> bool {
-    !HOP.contains(&name)
+pub(crate) fn is_forwarded(name: &str) -> bool {
+    !HOP_BY_HOP.contains(&name)
 }
 
 /// A try to be made.
-pub(crate) struct Try {
+pub(crate) struct Attempt {
     pub head: Arc<Head>,
     pub request: Arc<Incoming>,
     pub attempt: u32,
     pub addr: SocketAddr,
-    pub end: Instant,
-    pub max: usize,
-    pub router: Sender<ToRouter>,
-    pub reply: Sender<ToHandler>,
+    pub deadline: Instant,
+    pub max_answer_bytes: usize,
+    pub router: Sender<RouterMessage>,
+    pub reply: Sender<HandlerMessage>,
 }
 
 /// Starts the threads that make tries beside their handlers.
-pub(crate) fn start(threads: usize) -> io::Result<Sender<Try>> {
-    let (tx, rx): (Sender<Try>, Receiver<Try>) = flume::bounded(threads);
+pub(crate) fn start(threads: usize) -> io::Result<Sender<Attempt>> {
+    let (tx, rx): (Sender<Attempt>, Receiver<Attempt>) = flume::bounded(threads);
     for i in 0..threads {
         let rx = rx.clone();
         thread::Builder::new()
             .name(format!("try-{i}"))
             .spawn(move || {
-                for t in rx.iter() {
-                    t.run();
+                for attempt in rx.iter() {
+                    attempt.run();
                 }
             })?;
     }
     Ok(tx)
 }
 
-impl Try {
+impl Attempt {
     /// Makes the try, tells the router how it ended, and the handler the answer.
     pub fn run(self) {
-        let began = Instant::now();
-        let (end, answer) = self.send(began);
+        let started = Instant::now();
+        let (end, answer) = self.send(started);
         let event = RouteEvent::Ended {
             req: self.head.number,
             attempt: self.attempt,
             end,
         };
-        let whole = matches!(end, AttemptOutcome::Answered { .. });
+        let is_answered = matches!(end, AttemptOutcome::Answered { .. });
         let _ = self
             .reply
-            .try_send(ToHandler::Tried(answer.filter(|_| whole)));
-        let _ = self.router.send(ToRouter::Event(event));
+            .try_send(HandlerMessage::AttemptEnded(answer.filter(|_| is_answered)));
+        let _ = self.router.send(RouterMessage::Event(event));
     }
 
-    fn send(&self, began: Instant) -> (AttemptOutcome, Option<Box<Response>>) {
-        let left = self.end.saturating_duration_since(began);
+    fn send(&self, started: Instant) -> (AttemptOutcome, Option<Box<Response>>) {
+        let left = self.deadline.saturating_duration_since(started);
         if left.is_zero() {
             return (AttemptOutcome::NotSent, None);
         }
         match self.call(left).send() {
-            Ok(answer) => self.judge(began, answer),
+            Ok(answer) => self.classify(started, answer),
             Err(CallError::NotSent) => (AttemptOutcome::NotSent, None),
             Err(CallError::Timeout | CallError::Broken | CallError::TooLong) => {
                 (AttemptOutcome::Failed, None)
@@ -102,30 +102,34 @@
     }
 
     fn call(&self, left: Duration) -> Call {
-        let r = &self.request;
-        let path = match r.query.is_empty() {
-            true => r.path.clone(),
-            false => format!("{}?{}", r.path, r.query),
+        let request = &self.request;
+        let path = match request.query.is_empty() {
+            true => request.path.clone(),
+            false => format!("{}?{}", request.path, request.query),
         };
-        let mut call = Call::new(&r.method, self.addr, &path)
-            .body(r.body.clone())
+        let mut call = Call::new(&request.method, self.addr, &path)
+            .body(request.body.clone())
             .timeout(left)
-            .max_body(self.max)
+            .max_body(self.max_answer_bytes)
             .header(REQUEST_ID, self.head.id.clone())
             .header(DEADLINE, left.as_millis().max(1).to_string())
             .header(REPEATABLE, if self.head.repeatable { "yes" } else { "no" });
-        for f in &r.headers {
-            let own = [REQUEST_ID, DEADLINE, REPEATABLE].contains(&&*f.name);
-            if own || !passes(&f.name) || f.name == PRIORITY {
+        for field in &request.headers {
+            let is_own = [REQUEST_ID, DEADLINE, REPEATABLE].contains(&&*field.name);
+            if is_own || !is_forwarded(&field.name) || field.name == PRIORITY {
                 continue;
             }
-            call = call.header(&f.name, f.value.clone());
+            call = call.header(&field.name, field.value.clone());
         }
         call
     }
 
     /// Judges a whole answer: it must be the target's, and to this request.
-    fn judge(&self, began: Instant, answer: Response) -> (AttemptOutcome, Option<Box<Response>>) {
+    fn classify(
+        &self,
+        started: Instant,
+        answer: Response,
+    ) -> (AttemptOutcome, Option<Box<Response>>) {
         let busy = find_header(&answer.headers, BUSY).and_then(|b| b.parse().ok());
         let leaving = find_header(&answer.headers, LEAVING) == Some("yes");
         if find_header(&answer.headers, REQUEST_ID) != Some(&*self.head.id) {
@@ -135,7 +139,7 @@
         if outcome == Some(Outcome::NotRun) {
             return (AttemptOutcome::Declined { busy, leaving }, None);
         }
-        let took = began.elapsed().as_millis() as Millis;
+        let took = started.elapsed().as_millis() as Millis;
         (
             AttemptOutcome::Answered { took, busy },
             Some(Box::new(answer)),
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -6,12 +6,12 @@
 use gorsespur_peer::AgentState;
 use gorsespur_runtime::server::{Incoming, Reply};
 
-use crate::{forward::Forward, job_api::JobApi, reply::plain};
+use crate::{forward::Forwarder, job_api::JobApi, reply::error_reply};
 
 /// Serves callers.
 pub(crate) struct CallerApi {
     pub shared: Arc<AgentState>,
-    pub forward: Forward,
+    pub forwarder: Forwarder,
     pub jobs: JobApi,
 }
 
@@ -21,11 +21,11 @@
         let path = req.path.clone();
         let segments: Vec<&str> = path.split('/').filter(|s| !s.is_empty()).collect();
         match segments.as_slice() {
-            ["s", org, service, ..] => self.forward.serve(req, org, service),
+            ["s", org, service, ..] => self.forwarder.serve(req, org, service),
             ["v1", "orgs", org, rest @ ..] => self.jobs.serve(&req, org, rest),
             ["healthz"] => Reply::text(200, "ok"),
             ["readyz"] => self.ready(),
-            _ => plain(404, Outcome::NotRun, "no-path", "no such path"),
+            _ => error_reply(404, Outcome::NotRun, "no-path", "no such path"),
         }
     }
 
--- a/crates/entry/src/cancel_jobs.rs
+++ b/crates/entry/src/cancel_jobs.rs
@@ -18,31 +18,31 @@
 };
 
 use crate::{
-    job_api::{JobApi, json},
+    job_api::{JobApi, json_reply},
     job_json::{CancelJson, CancelledJson},
-    reply::{bad, later},
+    reply::{bad_request, retry_later},
 };
 
 /// Most ids of one cancellation.
 const MAX_IDS: usize = 10_000;
 
 /// Rows of one read.
-const READ: usize = 500;
+const ROWS_PER_READ: usize = 500;
 
 /// Ids of one message to an owner.
-const CHUNK: usize = 2_000;
+const KEYS_PER_REQUEST: usize = 2_000;
 
 /// Time limit of a message to an owner, who answers once it is in the journal.
-const ASK: Duration = Duration::from_millis(4_000);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 /// Tries to reach an owner, or one that took the job from its inbox.
-const TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 
 /// Delay between them.
-const DELAY: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// When a caller may come again, in milliseconds.
-const COME_AGAIN: u64 = 1_000;
+const RETRY_AFTER_MS: u64 = 1_000;
 
 /// Jobs of one shard.
 struct Group {
@@ -52,7 +52,7 @@
 
 /// What became of a cancellation.
 #[derive(Default)]
-struct Cancelled {
+struct CancelResult {
     done: usize,
     unknown: Vec<Name>,
     unreached: Vec<Name>,
@@ -60,30 +60,30 @@
 
 impl JobApi {
     pub(crate) fn cancel_one(&self, key: &JobKey) -> Reply {
-        let Some(c) = self.cancel(std::slice::from_ref(key)) else {
-            return later(503, Outcome::NotRun, "store-unavailable", COME_AGAIN);
+        let Some(result) = self.cancel(std::slice::from_ref(key)) else {
+            return retry_later(503, Outcome::NotRun, "store-unavailable", RETRY_AFTER_MS);
         };
-        if !c.unknown.is_empty() {
-            return bad(404, "id", "no such job");
+        if !result.unknown.is_empty() {
+            return bad_request(404, "id", "no such job");
         }
-        if !c.unreached.is_empty() {
-            return later(503, Outcome::Unknown, "owner-unreached", COME_AGAIN);
+        if !result.unreached.is_empty() {
+            return retry_later(503, Outcome::Unknown, "owner-unreached", RETRY_AFTER_MS);
         }
-        json(200, &answer(c))
+        json_reply(200, &to_json(result))
     }
 
     pub(crate) fn cancel_many(&self, req: &Incoming, org: &Name) -> Reply {
         let body: CancelJson = match serde_json::from_slice(&req.body) {
             Ok(body) => body,
-            Err(err) => return bad(400, "body", &err.to_string()),
+            Err(err) => return bad_request(400, "body", &err.to_string()),
         };
         if body.ids.len() > MAX_IDS {
-            return bad(413, "ids", &format!("more than {MAX_IDS}"));
+            return bad_request(413, "ids", &format!("more than {MAX_IDS}"));
         }
         let mut keys = Vec::with_capacity(body.ids.len());
         for (i, id) in body.ids.iter().enumerate() {
             if let Err(err) = check_name(id) {
-                return bad(400, &format!("ids[{i}]"), &err.to_string());
+                return bad_request(400, &format!("ids[{i}]"), &err.to_string());
             }
             keys.push(JobKey {
                 org: org.clone(),
@@ -93,26 +93,26 @@
         keys.sort();
         keys.dedup();
         match self.cancel(&keys) {
-            Some(c) => json(200, &answer(c)),
-            None => later(503, Outcome::NotRun, "store-unavailable", COME_AGAIN),
+            Some(result) => json_reply(200, &to_json(result)),
+            None => retry_later(503, Outcome::NotRun, "store-unavailable", RETRY_AFTER_MS),
         }
     }
 
     /// Cancels jobs; nothing if their rows can't be read.
-    fn cancel(&self, keys: &[JobKey]) -> Option<Cancelled> {
-        let mut out = Cancelled::default();
+    fn cancel(&self, keys: &[JobKey]) -> Option<CancelResult> {
+        let mut result = CancelResult::default();
         let mut groups: Vec<Group> = Vec::new();
-        for chunk in keys.chunks(READ) {
+        for chunk in keys.chunks(ROWS_PER_READ) {
             let rows: Vec<Name> = chunk.iter().map(keys::job).collect();
             let rows = self.table.get(&rows).ok()?;
             for (key, row) in chunk.iter().zip(rows) {
                 let row = row.and_then(|r| decode::<JobRow>(&r.value).ok());
                 let Some(row) = row else {
-                    out.unknown.push(key.id.clone());
+                    result.unknown.push(key.id.clone());
                     continue;
                 };
                 if row.ended.is_some() {
-                    out.done += 1;
+                    result.done += 1;
                     continue;
                 }
                 match groups.iter_mut().find(|g| g.shard == row.shard) {
@@ -125,37 +125,37 @@
             }
         }
         for group in groups {
-            for chunk in group.keys.chunks(CHUNK) {
-                self.cancel_chunk(&group.shard, chunk.to_vec(), &mut out);
+            for chunk in group.keys.chunks(KEYS_PER_REQUEST) {
+                self.cancel_chunk(&group.shard, chunk.to_vec(), &mut result);
             }
         }
-        Some(out)
+        Some(result)
     }
 
     /// Cancels jobs of one shard; those that its owner does not know yet are
     /// asked for again, since it first has to take them from its inbox.
-    fn cancel_chunk(&self, shard: &Name, mut keys: Vec<JobKey>, out: &mut Cancelled) {
-        for _ in 0..TRIES {
-            let left = self.cancel_once(shard, &keys);
-            out.done += keys.len() - left.len();
-            keys = left;
+    fn cancel_chunk(&self, shard: &Name, mut keys: Vec<JobKey>, result: &mut CancelResult) {
+        for _ in 0..MAX_ATTEMPTS {
+            let remaining = self.request_cancel(shard, &keys);
+            result.done += keys.len() - remaining.len();
+            keys = remaining;
             if keys.is_empty() {
                 return;
             }
-            thread::sleep(DELAY);
-            keys.retain(|k| match self.read(k) {
+            thread::sleep(RETRY_DELAY);
+            keys.retain(|k| match self.read_row(k) {
                 Ok(Some(row)) if row.ended.is_some() => {
-                    out.done += 1;
+                    result.done += 1;
                     false
                 }
                 _ => true,
             });
         }
-        out.unreached.extend(keys.into_iter().map(|k| k.id));
+        result.unreached.extend(keys.into_iter().map(|k| k.id));
     }
 
     /// Asks the owner once and returns the jobs that are not cancelled.
-    fn cancel_once(&self, shard: &Name, keys: &[JobKey]) -> Vec<JobKey> {
+    fn request_cancel(&self, shard: &Name, keys: &[JobKey]) -> Vec<JobKey> {
         let Some(addr) = self.owners.find(shard) else {
             return keys.to_vec();
         };
@@ -163,18 +163,18 @@
             shard: shard.clone(),
             keys: keys.to_vec(),
         };
-        match post(addr, PEER_JOBS, &request, ASK) {
+        match post(addr, PEER_JOBS, &request, REQUEST_TIMEOUT) {
             Ok(JobsAnswer::Cancelled(unknown)) => unknown,
             _ => keys.to_vec(),
         }
     }
 }
 
-fn answer(c: Cancelled) -> CancelledJson {
-    let text = |names: Vec<Name>| names.iter().map(|n| n.to_string()).collect();
+fn to_json(result: CancelResult) -> CancelledJson {
+    let strings = |names: Vec<Name>| names.iter().map(|n| n.to_string()).collect();
     CancelledJson {
-        cancelled: c.done,
-        unknown: text(c.unknown),
-        unreached: text(c.unreached),
+        cancelled: result.done,
+        unknown: strings(result.unknown),
+        unreached: strings(result.unreached),
     }
 }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -33,18 +33,18 @@
 use std::hash::Hasher;
 
 /// Longest answer that is kept with a claim, in bytes.
-const MAX_KEPT: usize = 64 << 10;
+const MAX_STORED_BYTES: usize = 64 << 10;
 
 /// First and longest delay between reads of a claim whose write is in doubt.
-const FIRST_DELAY: u64 = 10;
-const MAX_DELAY: u64 = 200;
+const FIRST_DELAY_MS: u64 = 10;
+const MAX_DELAY_MS: u64 = 200;
 
 /// Most tries to write the end of a claim.
-const FINISH: u32 = 3;
+const WRITE_ATTEMPTS: u32 = 3;
 
 /// A claim that this instance made.
 #[derive(Debug, Clone)]
-pub(crate) struct Mine {
+pub(crate) struct OwnClaim {
     claim: Claim,
     version: u64,
 }
@@ -52,13 +52,13 @@
 /// What became of an attempt to claim a key.
 pub(crate) enum Claimed {
     /// The key is claimed; the request may be sent.
-    Mine(Mine),
+    Own(OwnClaim),
     /// The request ran before; this was its answer.
-    Done(Reply),
+    Finished(Reply),
     /// The request was sent before, and its end is not known.
-    Open,
+    Unfinished,
     /// The key was used for another request.
-    Other,
+    KeyReused,
     /// The claim can't be recorded.
     Unavailable,
 }
@@ -84,7 +84,7 @@
     }
 
     /// Claims `key` for a request until `end`.
-    pub fn claim(&self, org: &Name, key: &str, req: &Incoming, end: Instant) -> Claimed {
+    pub fn claim(&self, org: &Name, key: &str, req: &Incoming, deadline: Instant) -> Claimed {
         let row = keys::claim(org, key);
         let claim = Claim {
             token: self.token(),
@@ -92,35 +92,35 @@
             request: fingerprint(req),
             ended: None,
         };
-        let entry = ClaimedKey {
+        let claimed_key = ClaimedKey {
             org: org.clone(),
             key: Name::from(key),
             hour: claim.hour,
         };
-        let (Ok(value), Ok(listed)) = (encode(&claim), encode(&entry)) else {
+        let (Ok(value), Ok(entry)) = (encode(&claim), encode(&claimed_key)) else {
             return Claimed::Unavailable;
         };
         let tx = Tx::new()
             .check(row.clone(), Expect::Absent)
             .put(row.clone(), value)
-            .put(keys::claimed(claim.hour, org, key), listed);
+            .put(keys::claimed(claim.hour, org, key), entry);
         match self.table.tx(&tx) {
-            Ok(version) => Claimed::Mine(Mine { claim, version }),
+            Ok(version) => Claimed::Own(OwnClaim { claim, version }),
             Err(TableError::Unavailable) => Claimed::Unavailable,
             Err(TableError::Conflict { .. } | TableError::Unknown) => {
-                self.read_back(&row, claim, end)
+                self.read_back(&row, claim, deadline)
             }
         }
     }
 
     /// Learns whose claim is recorded.
-    fn read_back(&self, key: &Name, claim: Claim, end: Instant) -> Claimed {
-        let mut backoff = Backoff::new(FIRST_DELAY, MAX_DELAY, claim.token);
-        while Instant::now() < end {
+    fn read_back(&self, key: &Name, claim: Claim, deadline: Instant) -> Claimed {
+        let mut backoff = Backoff::new(FIRST_DELAY_MS, MAX_DELAY_MS, claim.token);
+        while Instant::now() < deadline {
             if let Ok(rows) = self.table.get(std::slice::from_ref(key)) {
                 return match rows.into_iter().next().flatten() {
                     None => Claimed::Unavailable,
-                    Some(row) => judge(&row, claim),
+                    Some(row) => resolve(&row, claim),
                 };
             }
             thread::sleep(Duration::from_millis(backoff.next_delay()));
@@ -129,9 +129,9 @@
     }
 
     /// Records the answer of a request that ran.
-    pub fn finish(&self, org: &Name, key: &str, mine: &Mine, reply: &Reply) {
-        let whole = reply.body.len() <= MAX_KEPT;
-        let ended = ClaimEnd {
+    pub fn finish(&self, org: &Name, key: &str, own_claim: &OwnClaim, reply: &Reply) {
+        let whole = reply.body.len() <= MAX_STORED_BYTES;
+        let end = ClaimEnd {
             status: reply.status,
             kind: find_header(&reply.headers, "content-type")
                 .unwrap_or("")
@@ -144,29 +144,29 @@
             whole,
         };
         let claim = Claim {
-            ended: Some(ended),
-            ..mine.claim.clone()
+            ended: Some(end),
+            ..own_claim.claim.clone()
         };
         let Ok(value) = encode(&claim) else { return };
         let key = keys::claim(org, key);
         let tx = Tx::new()
-            .check(key.clone(), Expect::Version(mine.version))
+            .check(key.clone(), Expect::Version(own_claim.version))
             .put(key, value);
-        self.insist(&tx);
+        self.write_with_retries(&tx);
     }
 
     /// Takes back the claim of a request that truly did not run.
-    pub fn release(&self, org: &Name, key: &str, mine: &Mine) {
+    pub fn release(&self, org: &Name, key: &str, own_claim: &OwnClaim) {
         let key = keys::claim(org, key);
         let tx = Tx::new()
-            .check(key.clone(), Expect::Version(mine.version))
+            .check(key.clone(), Expect::Version(own_claim.version))
             .delete(key);
-        self.insist(&tx);
+        self.write_with_retries(&tx);
     }
 
-    fn insist(&self, tx: &Tx) {
-        let mut backoff = Backoff::new(FIRST_DELAY, MAX_DELAY, self.token());
-        for _ in 0..FINISH {
+    fn write_with_retries(&self, tx: &Tx) {
+        let mut backoff = Backoff::new(FIRST_DELAY_MS, MAX_DELAY_MS, self.token());
+        for _ in 0..WRITE_ATTEMPTS {
             match self.table.tx(tx) {
                 Ok(_) | Err(TableError::Conflict { .. }) => return,
                 Err(TableError::Unavailable | TableError::Unknown) => {}
@@ -177,32 +177,32 @@
     }
 }
 
-fn judge(row: &Row, claim: Claim) -> Claimed {
+fn resolve(row: &Row, claim: Claim) -> Claimed {
     let Ok(found) = decode::<Claim>(&row.value) else {
         return Claimed::Unavailable;
     };
     if found.token == claim.token {
         let version = row.version;
-        return Claimed::Mine(Mine { claim, version });
+        return Claimed::Own(OwnClaim { claim, version });
     }
     if found.request != claim.request {
-        return Claimed::Other;
+        return Claimed::KeyReused;
     }
-    let Some(ended) = found.ended else {
-        return Claimed::Open;
+    let Some(end) = found.ended else {
+        return Claimed::Unfinished;
     };
-    let status = if ended.whole { ended.status } else { 409 };
-    let mut reply = Reply::new(status, ended.body).header(OUTCOME, Outcome::Ran.as_str());
-    if !ended.kind.is_empty() {
-        reply = reply.header("content-type", &*ended.kind);
+    let status = if end.whole { end.status } else { 409 };
+    let mut reply = Reply::new(status, end.body).header(OUTCOME, Outcome::Ran.as_str());
+    if !end.kind.is_empty() {
+        reply = reply.header("content-type", &*end.kind);
     }
-    Claimed::Done(reply)
+    Claimed::Finished(reply)
 }
 
 /// Returns a hash of what makes a request the same request.
 fn fingerprint(req: &Incoming) -> u64 {
-    let mut h = StableHasher::new();
-    h.write_u64(stable_hash(&[&req.method, &req.path, &req.query]));
-    h.write(&req.body);
-    h.finish()
+    let mut hasher = StableHasher::new();
+    hasher.write_u64(stable_hash(&[&req.method, &req.path, &req.query]));
+    hasher.write(&req.body);
+    hasher.finish()
 }
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -16,32 +16,32 @@
 use gorsespur_wire::fields::{BUSY, LEAVING, OUTCOME, REQUEST_ID, TRIES};
 
 use crate::{
+    attempts::{Attempt, is_forwarded},
     claims::{Claimed, Claims},
     head::Head,
     ids::Ids,
-    reply::{bad, later, plain, with_id},
-    router_thread::{ToHandler, ToRouter},
-    tries::{Try, passes},
+    reply::{bad_request, error_reply, retry_later, with_id},
+    router_thread::{HandlerMessage, RouterMessage},
 };
 
 /// Messages that may wait for one handler.
-const MESSAGES: usize = 16;
+const HANDLER_QUEUE: usize = 16;
 
 /// Time by which a handler waits longer than the deadline for the last word.
-const GRACE: Duration = Duration::from_millis(50);
+const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
 /// When a caller may come again, in milliseconds.
-const COME_AGAIN: u64 = 1_000;
+const RETRY_AFTER_MS: u64 = 1_000;
 
 /// Forwards requests to targets.
-pub(crate) struct Forward {
+pub(crate) struct Forwarder {
     pub shared: Arc<AgentState>,
     pub ids: Ids,
-    pub router: Sender<ToRouter>,
-    pub tries: Sender<Try>,
+    pub router: Sender<RouterMessage>,
+    pub attempts: Sender<Attempt>,
     pub claims: Claims,
     pub metrics: Metrics,
-    pub max: usize,
+    pub max_answer_bytes: usize,
 }
 
 /// What became of a request.
@@ -50,22 +50,22 @@
     outcome: Outcome,
 }
 
-impl Forward {
+impl Forwarder {
     /// Serves a request to `/s/ORGANISATION/SERVICE/...`.
     pub fn serve(&self, req: Incoming, org: &str, service: &str) -> Reply {
         let entry = self.shared.configs().get(org).cloned();
         let Some(entry) = entry else {
-            return plain(
+            return error_reply(
                 404,
                 Outcome::NotRun,
                 "no-organisation",
                 "no such organisation",
             );
         };
-        let Some(found) = entry.template.service(service) else {
-            return plain(404, Outcome::NotRun, "no-service", "no such service");
+        let Some(service) = entry.template.service(service) else {
+            return error_reply(404, Outcome::NotRun, "no-service", "no such service");
         };
-        let head = match Head::check(&req, &entry.template, found, &self.ids) {
+        let head = match Head::check(&req, &entry.template, service, &self.ids) {
             Ok(head) => head,
             Err(reply) => return *reply,
         };
@@ -81,11 +81,11 @@
             retry_percent: limits.retry_percent,
         };
         let id = head.id.clone();
-        let began = Instant::now();
+        let started = Instant::now();
         let reply = self.serve_checked(req, head, arrival);
         self.metrics.count("requests", 1);
         self.metrics
-            .time("request", began.elapsed().as_millis() as u64);
+            .time("request", started.elapsed().as_millis() as u64);
         with_id(reply, &id)
     }
 
@@ -94,16 +94,18 @@
             return self.run(req, head, arrival).reply;
         };
         let org = head.org.clone();
-        let end = Instant::now() + head.limit;
-        let claim = match self.claims.claim(&org, &key, &req, end) {
-            Claimed::Mine(claim) => claim,
-            Claimed::Done(reply) => return reply,
-            Claimed::Open => return later(409, Outcome::Unknown, "in-progress", COME_AGAIN),
-            Claimed::Other => {
-                return bad(422, "idempotency-key", "was used for another request");
+        let deadline = Instant::now() + head.limit;
+        let claim = match self.claims.claim(&org, &key, &req, deadline) {
+            Claimed::Own(claim) => claim,
+            Claimed::Finished(reply) => return reply,
+            Claimed::Unfinished => {
+                return retry_later(409, Outcome::Unknown, "in-progress", RETRY_AFTER_MS);
+            }
+            Claimed::KeyReused => {
+                return bad_request(422, "idempotency-key", "was used for another request");
             }
             Claimed::Unavailable => {
-                return later(503, Outcome::NotRun, "claim-unavailable", COME_AGAIN);
+                return retry_later(503, Outcome::NotRun, "claim-unavailable", RETRY_AFTER_MS);
             }
         };
         let served = self.run(req, head, arrival);
@@ -117,55 +119,55 @@
 
     /// Runs a request: does what the router says until there is an answer.
     fn run(&self, req: Incoming, head: Head, arrival: Arrival) -> Served {
-        let (tx, rx) = flume::bounded(MESSAGES);
-        let end = Instant::now() + head.limit;
+        let (tx, rx) = flume::bounded(HANDLER_QUEUE);
+        let deadline = Instant::now() + head.limit;
         let (head, req) = (Arc::new(head), Arc::new(req));
-        let arrive = ToRouter::Arrive {
+        let arrive = RouterMessage::Arrive {
             arrival,
             reply: tx.clone(),
         };
         if self.router.try_send(arrive).is_err() {
-            return refused(503, Outcome::NotRun, "router-busy", COME_AGAIN);
+            return refuse(503, Outcome::NotRun, "router-busy", RETRY_AFTER_MS);
         }
-        let mut tries = 0;
-        let mut hedge = None;
+        let mut attempts = 0;
+        let mut hedge_at = None;
         loop {
-            let last = end + GRACE;
-            let wake = hedge.unwrap_or(last).min(last);
-            let left = wake.saturating_duration_since(Instant::now());
+            let give_up_at = deadline + DEADLINE_GRACE;
+            let wake_at = hedge_at.unwrap_or(give_up_at).min(give_up_at);
+            let left = wake_at.saturating_duration_since(Instant::now());
             match rx.recv_timeout(left) {
-                Ok(ToHandler::Command(RouteAction::Send {
+                Ok(HandlerMessage::Command(RouteAction::Send {
                     attempt,
                     addr,
-                    hedge: after,
+                    hedge: hedge_after,
                     ..
                 })) => {
-                    tries = attempt;
-                    let one = Try {
+                    attempts = attempt;
+                    let next_attempt = Attempt {
                         head: head.clone(),
                         request: req.clone(),
                         attempt,
                         addr,
-                        end,
-                        max: self.max,
+                        deadline,
+                        max_answer_bytes: self.max_answer_bytes,
                         router: self.router.clone(),
                         reply: tx.clone(),
                     };
-                    hedge = None;
-                    if after == 0 {
-                        one.run();
+                    hedge_at = None;
+                    if hedge_after == 0 {
+                        next_attempt.run();
                         continue;
                     }
                     if attempt == 1 {
-                        hedge = Some(Instant::now() + Duration::from_millis(after));
+                        hedge_at = Some(Instant::now() + Duration::from_millis(hedge_after));
                     }
-                    if let Err(err) = self.tries.try_send(one) {
-                        let (flume::TrySendError::Full(one)
-                        | flume::TrySendError::Disconnected(one)) = err;
-                        one.run();
+                    if let Err(err) = self.attempts.try_send(next_attempt) {
+                        let (flume::TrySendError::Full(next_attempt)
+                        | flume::TrySendError::Disconnected(next_attempt)) = err;
+                        next_attempt.run();
                     }
                 }
-                Ok(ToHandler::Command(RouteAction::Refuse {
+                Ok(HandlerMessage::Command(RouteAction::Refuse {
                     outcome,
                     why,
                     after,
@@ -176,47 +178,49 @@
                     } else {
                         503
                     };
-                    return refused(status, outcome, why.as_str(), after);
+                    return refuse(status, outcome, why.as_str(), after);
+                }
+                Ok(HandlerMessage::AttemptEnded(Some(answer))) => {
+                    return pass_answer(*answer, attempts);
                 }
-                Ok(ToHandler::Tried(Some(answer))) => return answered(*answer, tries),
-                Ok(ToHandler::Tried(None)) => {}
-                Err(RecvTimeoutError::Timeout) if hedge.take().is_some() => {
+                Ok(HandlerMessage::AttemptEnded(None)) => {}
+                Err(RecvTimeoutError::Timeout) if hedge_at.take().is_some() => {
                     let event = RouteEvent::Hedge { req: head.number };
-                    let _ = self.router.try_send(ToRouter::Event(event));
+                    let _ = self.router.try_send(RouterMessage::Event(event));
                 }
                 Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {
-                    let outcome = if tries > 0 {
+                    let outcome = if attempts > 0 {
                         Outcome::Unknown
                     } else {
                         Outcome::NotRun
                     };
-                    return refused(504, outcome, "deadline", COME_AGAIN);
+                    return refuse(504, outcome, "deadline", RETRY_AFTER_MS);
                 }
             }
         }
     }
 }
 
-fn refused(status: u16, outcome: Outcome, why: &str, after: u64) -> Served {
+fn refuse(status: u16, outcome: Outcome, why: &str, after: u64) -> Served {
     Served {
-        reply: later(status, outcome, why, after),
+        reply: retry_later(status, outcome, why, after),
         outcome,
     }
 }
 
 /// Passes a target's answer on.
-fn answered(answer: Response, tries: u32) -> Served {
+fn pass_answer(answer: Response, attempts: u32) -> Served {
     let mut reply = Reply::new(answer.status, answer.body);
-    for f in answer.headers {
-        let own = [OUTCOME, BUSY, LEAVING, TRIES, REQUEST_ID].contains(&&*f.name);
-        if own || !passes(&f.name) || f.name == "date" || f.name == "server" {
+    for field in answer.headers {
+        let is_own = [OUTCOME, BUSY, LEAVING, TRIES, REQUEST_ID].contains(&&*field.name);
+        if is_own || !is_forwarded(&field.name) || field.name == "date" || field.name == "server" {
             continue;
         }
-        reply.headers.push(f);
+        reply.headers.push(field);
     }
     let reply = reply
         .header(OUTCOME, Outcome::Ran.as_str())
-        .header(TRIES, tries.to_string());
+        .header(TRIES, attempts.to_string());
     Served {
         reply,
         outcome: Outcome::Ran,
--- a/crates/entry/src/head.rs
+++ b/crates/entry/src/head.rs
@@ -9,10 +9,10 @@
 use gorsespur_runtime::server::{Incoming, Reply};
 use gorsespur_wire::fields::{DEADLINE, IDEMPOTENCY_KEY, PRIORITY, REPEATABLE, REQUEST_ID};
 
-use crate::{ids::Ids, reply::bad};
+use crate::{ids::Ids, reply::bad_request};
 
 /// Longest time limit that a caller may set, in milliseconds.
-const MAX_DEADLINE: u64 = 600_000;
+const MAX_DEADLINE_MS: u64 = 600_000;
 
 /// A checked head of a request to a service.
 #[derive(Debug, Clone)]
@@ -35,18 +35,20 @@
         service: &Service,
         ids: &Ids,
     ) -> Result<Head, Box<Reply>> {
-        let number = ids.number();
+        let number = ids.next_number();
         let id = match req.header(REQUEST_ID) {
-            None => ids.text(number),
+            None => ids.format(number),
             Some(id) => {
-                check_name(id).map_err(|e| Box::new(bad(400, REQUEST_ID, &e.to_string())))?;
+                check_name(id)
+                    .map_err(|e| Box::new(bad_request(400, REQUEST_ID, &e.to_string())))?;
                 id.to_owned()
             }
         };
         let key = match req.header(IDEMPOTENCY_KEY) {
             None => None,
             Some(key) => {
-                check_name(key).map_err(|e| Box::new(bad(400, IDEMPOTENCY_KEY, &e.to_string())))?;
+                check_name(key)
+                    .map_err(|e| Box::new(bad_request(400, IDEMPOTENCY_KEY, &e.to_string())))?;
                 Some(key.to_owned())
             }
         };
@@ -68,10 +70,10 @@
         return Ok(Duration::from_millis(service.deadline));
     };
     match text.parse::<u64>() {
-        Ok(ms) if (1..=MAX_DEADLINE).contains(&ms) => Ok(Duration::from_millis(ms)),
+        Ok(ms) if (1..=MAX_DEADLINE_MS).contains(&ms) => Ok(Duration::from_millis(ms)),
         _ => {
-            let text = format!("must be from 1 to {MAX_DEADLINE}");
-            Err(Box::new(bad(400, DEADLINE, &text)))
+            let text = format!("must be from 1 to {MAX_DEADLINE_MS}");
+            Err(Box::new(bad_request(400, DEADLINE, &text)))
         }
     }
 }
@@ -81,7 +83,7 @@
         return Ok(Priority::Normal);
     };
     let found = Priority::parse(text);
-    found.ok_or_else(|| Box::new(bad(400, PRIORITY, "must be urgent, normal or bulk")))
+    found.ok_or_else(|| Box::new(bad_request(400, PRIORITY, "must be urgent, normal or bulk")))
 }
 
 /// Reads whether a request may run twice; by default only safe methods may.
@@ -90,6 +92,6 @@
         None => Ok(matches!(&*req.method, "GET" | "HEAD" | "OPTIONS")),
         Some("yes") => Ok(true),
         Some("no") => Ok(false),
-        Some(_) => Err(Box::new(bad(400, REPEATABLE, "must be yes or no"))),
+        Some(_) => Err(Box::new(bad_request(400, REPEATABLE, "must be yes or no"))),
     }
 }
--- a/crates/entry/src/hints.rs
+++ b/crates/entry/src/hints.rs
@@ -13,14 +13,14 @@
 use crate::owners::Owners;
 
 /// Hints that may wait; more are dropped, since owners look by themselves.
-const WAITING: usize = 64;
+const QUEUE_CAPACITY: usize = 64;
 
 /// Time limit of a hint.
-const ASK: Duration = Duration::from_millis(300);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Starts the thread; it ends when the sender is gone.
 pub(crate) fn start(owners: &Arc<Owners>) -> std::io::Result<Sender<Name>> {
-    let (tx, rx) = flume::bounded::<Name>(WAITING);
+    let (tx, rx) = flume::bounded::<Name>(QUEUE_CAPACITY);
     let owners = owners.clone();
     thread::Builder::new().name("hints".into()).spawn(move || {
         for first in rx.iter() {
@@ -33,7 +33,7 @@
                     continue;
                 };
                 let request = JobsRequest::Look { shard };
-                let _: Result<JobsAnswer, _> = post(addr, PEER_JOBS, &request, ASK);
+                let _: Result<JobsAnswer, _> = post(addr, PEER_JOBS, &request, REQUEST_TIMEOUT);
             }
         }
     })?;
--- a/crates/entry/src/ids.rs
+++ b/crates/entry/src/ids.rs
@@ -20,12 +20,12 @@
     }
 
     /// Returns the next number; it names a request towards the router.
-    pub fn number(&self) -> u64 {
+    pub fn next_number(&self) -> u64 {
         self.next.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Returns the id of a request without one.
-    pub fn text(&self, number: u64) -> String {
+    pub fn format(&self, number: u64) -> String {
         format!("{}.{number}", self.prefix)
     }
 }
--- a/crates/entry/src/job_api.rs
+++ b/crates/entry/src/job_api.rs
@@ -25,17 +25,17 @@
 use crate::{
     job_json::{JobJson, SubmitJson, state_name},
     owners::Owners,
-    reply::{bad, later, plain},
+    reply::{bad_request, error_reply, retry_later},
 };
 
 /// Time limit of asking an owner.
-const ASK: Duration = Duration::from_millis(800);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// When a caller may come again, in milliseconds.
-const COME_AGAIN: u64 = 1_000;
+const RETRY_AFTER_MS: u64 = 1_000;
 
 /// Tries to learn what became of a submission whose answer was lost.
-const READ_BACK: u32 = 3;
+const READ_BACK_ATTEMPTS: u32 = 3;
 
 /// Serves jobs.
 pub(crate) struct JobApi {
@@ -49,7 +49,7 @@
     /// Serves a request to `/v1/orgs/ORGANISATION/...`.
     pub fn serve(&self, req: &Incoming, org: &str, rest: &[&str]) -> Reply {
         let Some(entry) = self.shared.configs().get(org).cloned() else {
-            return plain(
+            return error_reply(
                 404,
                 Outcome::NotRun,
                 "no-organisation",
@@ -60,7 +60,7 @@
             ("POST", ["cancel"]) => self.cancel_many(req, &entry.template.name),
             (method, ["jobs", id]) => {
                 if let Err(err) = check_name(id) {
-                    return bad(400, "id", &err.to_string());
+                    return bad_request(400, "id", &err.to_string());
                 }
                 let key = JobKey {
                     org: entry.template.name.clone(),
@@ -68,25 +68,25 @@
                 };
                 match method {
                     "PUT" => self.submit(req, &entry.template, key),
-                    "GET" => self.watch(&key),
+                    "GET" => self.get_status(&key),
                     "DELETE" => self.cancel_one(&key),
-                    _ => bad(405, "method", "must be PUT, GET or DELETE"),
+                    _ => bad_request(405, "method", "must be PUT, GET or DELETE"),
                 }
             }
-            _ => bad(404, "path", "no such path"),
+            _ => bad_request(404, "path", "no such path"),
         }
     }
 
     fn submit(&self, req: &Incoming, org: &Organisation, key: JobKey) -> Reply {
-        let json: SubmitJson = match serde_json::from_slice(&req.body) {
-            Ok(json) => json,
-            Err(err) => return bad(400, "body", &err.to_string()),
+        let submission: SubmitJson = match serde_json::from_slice(&req.body) {
+            Ok(submission) => submission,
+            Err(err) => return bad_request(400, "body", &err.to_string()),
         };
-        let Some(kind) = org.job(&json.kind) else {
-            return bad(422, "kind", "the template has no such kind of job");
+        let Some(kind) = org.job(&submission.kind) else {
+            return bad_request(422, "kind", "the template has no such kind of job");
         };
-        if json.tasks == 0 || json.tasks > kind.max_tasks {
-            return bad(
+        if submission.tasks == 0 || submission.tasks > kind.max_tasks {
+            return bad_request(
                 422,
                 "tasks",
                 &format!("must be from 1 to {}", kind.max_tasks),
@@ -98,13 +98,13 @@
             .layout
             .shard_for_job(&self.shared.settings.zone, &key)
         else {
-            return later(503, Outcome::NotRun, "no-shard", COME_AGAIN);
+            return retry_later(503, Outcome::NotRun, "no-shard", RETRY_AFTER_MS);
         };
         let spec = JobSpec {
             key,
             kind: kind.name.clone(),
             team: kind.team.clone(),
-            tasks: json.tasks,
+            tasks: submission.tasks,
             size: kind.size,
             run_time: kind.run,
             priority: kind.priority,
@@ -112,11 +112,11 @@
             attempts: kind.attempts,
             service: false,
         };
-        if let Some(largest) = self.owners.largest(at.place.index)
+        if let Some(largest) = self.owners.largest_worker(at.place.index)
             && !spec.size.fits_in(&largest)
         {
             let text = format!("{} is larger than the largest worker, {largest}", spec.size);
-            return bad(422, "size", &text);
+            return bad_request(422, "size", &text);
         }
         self.record(at, spec)
     }
@@ -129,37 +129,39 @@
             ended: None,
         };
         let spec = &row.spec;
-        let (Ok(value), Ok(inboxed)) = (encode(&row), encode(spec)) else {
-            return plain(500, Outcome::NotRun, "encode", "can't encode the job");
+        let (Ok(value), Ok(inbox_value)) = (encode(&row), encode(spec)) else {
+            return error_reply(500, Outcome::NotRun, "encode", "can't encode the job");
         };
         let job = keys::job(&spec.key);
         let tx = Tx::new()
             .check(job.clone(), Expect::Absent)
             .put(job, value)
-            .put(keys::inbox(&at.place.name, &spec.key), inboxed);
+            .put(keys::inbox(&at.place.name, &spec.key), inbox_value);
         match self.table.tx(&tx) {
             Ok(_) => self.accepted(201, &row),
             Err(TableError::Unavailable) => {
-                later(503, Outcome::NotRun, "store-unavailable", COME_AGAIN)
+                retry_later(503, Outcome::NotRun, "store-unavailable", RETRY_AFTER_MS)
             }
-            Err(TableError::Conflict { .. }) => self.compare(&row),
+            Err(TableError::Conflict { .. }) => self.answer_existing(&row),
             Err(TableError::Unknown) => {
-                for _ in 0..READ_BACK {
-                    if let Ok(Some(_)) = self.read(&spec.key) {
-                        return self.compare(&row);
+                for _ in 0..READ_BACK_ATTEMPTS {
+                    if let Ok(Some(_)) = self.read_row(&spec.key) {
+                        return self.answer_existing(&row);
                     }
                 }
-                later(502, Outcome::Unknown, "store-unknown", COME_AGAIN)
+                retry_later(502, Outcome::Unknown, "store-unknown", RETRY_AFTER_MS)
             }
         }
     }
 
     /// Answers a submission under an id that is recorded.
-    fn compare(&self, row: &JobRow) -> Reply {
-        match self.read(&row.spec.key) {
-            Ok(Some(found)) if same(&found.spec, &row.spec) => self.accepted(200, &found),
-            Ok(Some(_)) => bad(409, "id", "another job has this id"),
-            Ok(None) | Err(_) => later(502, Outcome::Unknown, "store-unknown", COME_AGAIN),
+    fn answer_existing(&self, row: &JobRow) -> Reply {
+        match self.read_row(&row.spec.key) {
+            Ok(Some(found)) if is_same_job(&found.spec, &row.spec) => self.accepted(200, &found),
+            Ok(Some(_)) => bad_request(409, "id", "another job has this id"),
+            Ok(None) | Err(_) => {
+                retry_later(502, Outcome::Unknown, "store-unknown", RETRY_AFTER_MS)
+            }
         }
     }
 
@@ -170,7 +172,7 @@
     }
 
     /// Reads a job's row; nothing if there is none.
-    pub fn read(&self, key: &JobKey) -> Result<Option<JobRow>, TableError> {
+    pub fn read_row(&self, key: &JobKey) -> Result<Option<JobRow>, TableError> {
         let rows = self.table.get(&[keys::job(key)])?;
         let Some(row) = rows.into_iter().next().flatten() else {
             return Ok(None);
@@ -180,28 +182,30 @@
             .map_err(|_| TableError::Unavailable)
     }
 
-    fn watch(&self, key: &JobKey) -> Reply {
-        let row = match self.read(key) {
+    fn get_status(&self, key: &JobKey) -> Reply {
+        let row = match self.read_row(key) {
             Ok(Some(row)) => row,
-            Ok(None) => return bad(404, "id", "no such job"),
-            Err(_) => return later(503, Outcome::NotRun, "store-unavailable", COME_AGAIN),
+            Ok(None) => return bad_request(404, "id", "no such job"),
+            Err(_) => {
+                return retry_later(503, Outcome::NotRun, "store-unavailable", RETRY_AFTER_MS);
+            }
         };
         if let Some(status) = &row.ended {
             return job_reply(200, &row, state_name(status.state), Some(status));
         }
-        match self.ask(&row, key) {
+        match self.ask_owner(&row, key) {
             Some(status) => job_reply(200, &row, state_name(status.state), Some(&status)),
             None => job_reply(200, &row, "recorded", None),
         }
     }
 
-    fn ask(&self, row: &JobRow, key: &JobKey) -> Option<JobStatus> {
+    fn ask_owner(&self, row: &JobRow, key: &JobKey) -> Option<JobStatus> {
         let addr = self.owners.find(&row.shard)?;
         let request = JobsRequest::Watch {
             shard: row.shard.clone(),
             keys: vec![key.clone()],
         };
-        match post(addr, PEER_JOBS, &request, ASK) {
+        match post(addr, PEER_JOBS, &request, REQUEST_TIMEOUT) {
             Ok(JobsAnswer::States(states)) => states.into_iter().next().flatten(),
             _ => None,
         }
@@ -209,25 +213,25 @@
 }
 
 /// Tells whether two submissions ask for the same.
-fn same(a: &JobSpec, b: &JobSpec) -> bool {
+fn is_same_job(a: &JobSpec, b: &JobSpec) -> bool {
     a.key == b.key && a.kind == b.kind && a.tasks == b.tasks
 }
 
-fn job_reply(status: u16, row: &JobRow, state: &str, counts: Option<&JobStatus>) -> Reply {
-    json(
+fn job_reply(status: u16, row: &JobRow, state: &str, job_status: Option<&JobStatus>) -> Reply {
+    json_reply(
         status,
         &JobJson {
             id: &row.spec.key.id,
             kind: &row.spec.kind,
             shard: &row.shard,
             state,
-            status: counts,
+            status: job_status,
         },
     )
 }
 
 /// Returns an answer in JSON.
-pub(crate) fn json<T: Serialize>(status: u16, value: &T) -> Reply {
+pub(crate) fn json_reply<T: Serialize>(status: u16, value: &T) -> Reply {
     let body = serde_json::to_vec(value).unwrap_or_default();
     Reply::new(status, body)
         .header("content-type", "application/json")
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -6,6 +6,7 @@
 //! threads read, send and answer.
 
 pub mod args;
+mod attempts;
 mod caller;
 mod cancel_jobs;
 mod claims;
@@ -25,4 +26,3 @@
 mod router_thread_tests;
 pub mod settings;
 mod targets;
-mod tries;
--- a/crates/entry/src/owners.rs
+++ b/crates/entry/src/owners.rs
@@ -14,7 +14,7 @@
 pub(crate) struct Owners {
     shared: Arc<AgentState>,
     table: Arc<dyn Table>,
-    largest: Mutex<Vec<Size>>,
+    largest_workers: Mutex<Vec<Size>>,
 }
 
 impl Owners {
@@ -23,22 +23,28 @@
         Owners {
             shared,
             table,
-            largest: Mutex::new(vec![Size::default(); shards]),
+            largest_workers: Mutex::new(vec![Size::default(); shards]),
         }
     }
 
     /// Takes note of a shard's largest worker.
-    pub fn set_largest(&self, shard: usize, size: Size) {
-        let mut largest = self.largest.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(slot) = largest.get_mut(shard) {
+    pub fn set_largest_worker(&self, shard: usize, size: Size) {
+        let mut workers = self
+            .largest_workers
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some(slot) = workers.get_mut(shard) {
             *slot = size;
         }
     }
 
     /// Returns the largest worker of a shard; nothing if none is known.
-    pub fn largest(&self, shard: u32) -> Option<Size> {
-        let largest = self.largest.lock().unwrap_or_else(PoisonError::into_inner);
-        largest.get(shard as usize).copied().filter(|s| s.cpu > 0)
+    pub fn largest_worker(&self, shard: u32) -> Option<Size> {
+        let workers = self
+            .largest_workers
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        workers.get(shard as usize).copied().filter(|s| s.cpu > 0)
     }
 
     /// Returns the address of a shard's owner: by heartbeats, or else by the
@@ -46,15 +52,15 @@
     pub fn find(&self, shard: &Name) -> Option<SocketAddr> {
         let at = self.shared.settings.layout.find(shard)?;
         let now = self.shared.clock.now();
-        let known = self
+        let addr = self
             .shared
             .peers()
             .owner_of(now, at.place.index)
             .map(|p| p.addr);
-        known.or_else(|| self.by_row(shard))
+        addr.or_else(|| self.find_in_row(shard))
     }
 
-    fn by_row(&self, shard: &Name) -> Option<SocketAddr> {
+    fn find_in_row(&self, shard: &Name) -> Option<SocketAddr> {
         let rows = self.table.get(&[keys::shard(shard)]).ok()?;
         let row = rows.into_iter().next().flatten()?;
         let row: ShardRow = decode(&row.value).ok()?;
--- a/crates/entry/src/peer_api.rs
+++ b/crates/entry/src/peer_api.rs
@@ -11,15 +11,15 @@
     peer::InstanceStatus,
 };
 
-use crate::router_thread::ToRouter;
+use crate::router_thread::RouterMessage;
 
 /// Time limit of an answer from the router thread.
-const ASK: Duration = Duration::from_millis(300);
+const ROUTER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Answers peers.
 pub(crate) struct PeerApi {
     pub shared: Arc<AgentState>,
-    pub router: Sender<ToRouter>,
+    pub router: Sender<RouterMessage>,
 }
 
 impl PeerApi {
@@ -39,8 +39,12 @@
 
     fn status(&self) -> InstanceStatus {
         let (tx, rx) = flume::bounded(1);
-        let asked = self.router.send_timeout(ToRouter::Counts(tx), ASK);
-        let routed = asked.ok().and_then(|()| rx.recv_timeout(ASK).ok());
-        self.shared.status(Vec::new(), routed)
+        let sent = self
+            .router
+            .send_timeout(RouterMessage::Counts(tx), ROUTER_TIMEOUT);
+        let counts = sent
+            .ok()
+            .and_then(|()| rx.recv_timeout(ROUTER_TIMEOUT).ok());
+        self.shared.status(Vec::new(), counts)
     }
 }
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -17,12 +17,13 @@
 
 use crate::{
     args::EntryArgs,
+    attempts,
     caller::CallerApi,
     claims::Claims,
     error::{
         AgentSnafu, EntryError, LogSnafu, MetricSnafu, ServeSnafu, SettingsSnafu, SystemSnafu,
     },
-    forward::Forward,
+    forward::Forwarder,
     hints,
     ids::Ids,
     job_api::JobApi,
@@ -30,11 +31,11 @@
     peer_api::PeerApi,
     router_thread,
     settings::{EntrySettings, check},
-    targets, tries,
+    targets,
 };
 
 /// Longest time for which a stopping instance waits for requests in flight.
-const FLIGHT: Duration = Duration::from_secs(30);
+const IN_FLIGHT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A running entry.
 pub struct Running {
@@ -80,14 +81,14 @@
     targets::start(&shared, &owners, &router, &end).context(SystemSnafu)?;
     let api = CallerApi {
         shared: shared.clone(),
-        forward: Forward {
+        forwarder: Forwarder {
             shared: shared.clone(),
             ids: Ids::new(&instance.id, shared.incarnation),
             router: router.clone(),
-            tries: tries::start(settings.limits.handlers).context(SystemSnafu)?,
+            attempts: attempts::start(settings.limits.handlers).context(SystemSnafu)?,
             claims: Claims::new(table.clone(), &instance.id, shared.clock),
             metrics: metrics.clone(),
-            max: settings.answer,
+            max_answer_bytes: settings.max_answer_bytes,
         },
         jobs: JobApi {
             shared: shared.clone(),
@@ -123,7 +124,7 @@
         self.shared.start_leaving();
         thread::sleep(self.drain);
         self.accept.cancel();
-        if !self.serving.wait_until_idle(FLIGHT) {
+        if !self.serving.wait_until_idle(IN_FLIGHT_TIMEOUT) {
             log::warn!(
                 "entry: {} requests were still in flight",
                 self.serving.active()
--- a/crates/entry/src/router_thread.rs
+++ b/crates/entry/src/router_thread.rs
@@ -11,23 +11,23 @@
 use gorsespur_runtime::{cancel::CancelToken, client::Response, metrics::Metrics};
 
 /// Time between two ticks while no request waits.
-const IDLE: Duration = Duration::from_millis(100);
+const IDLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two ticks.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Messages that are handled before a tick.
-const BURST: usize = 256;
+const MAX_BURST: usize = 256;
 
 /// Messages that may wait for the router.
-const WAITING: usize = 8_192;
+const QUEUE_CAPACITY: usize = 8_192;
 
 /// A message for the router thread.
-pub(crate) enum ToRouter {
+pub(crate) enum RouterMessage {
     /// A request came; commands for it go to `reply`.
     Arrive {
         arrival: Arrival,
-        reply: Sender<ToHandler>,
+        reply: Sender<HandlerMessage>,
     },
     /// An event of the router.
     Event(RouteEvent),
@@ -36,17 +36,17 @@
 }
 
 /// A message for the thread that handles a request.
-pub(crate) enum ToHandler {
+pub(crate) enum HandlerMessage {
     /// What the router decided.
     Command(RouteAction),
     /// How a try ended.
-    Tried(Option<Box<Response>>),
+    AttemptEnded(Option<Box<Response>>),
 }
 
 /// A request that a handler waits for.
-pub(crate) struct Open {
+pub(crate) struct PendingRequest {
     pub req: u64,
-    pub reply: Sender<ToHandler>,
+    pub reply: Sender<HandlerMessage>,
 }
 
 /// Starts the thread; it ends with `cancel`.
@@ -55,8 +55,8 @@
     shared: &Arc<AgentState>,
     metrics: &Metrics,
     cancel: &CancelToken,
-) -> std::io::Result<Sender<ToRouter>> {
-    let (tx, rx) = flume::bounded(WAITING);
+) -> std::io::Result<Sender<RouterMessage>> {
+    let (tx, rx) = flume::bounded(QUEUE_CAPACITY);
     let router = Router::new(settings, shared.incarnation);
     let (shared, metrics, cancel) = (shared.clone(), metrics.clone(), cancel.clone());
     std::thread::Builder::new()
@@ -67,34 +67,34 @@
 
 fn run(
     mut router: Router,
-    rx: &Receiver<ToRouter>,
+    rx: &Receiver<RouterMessage>,
     shared: &AgentState,
     metrics: &Metrics,
     cancel: &CancelToken,
 ) {
-    let mut open: Vec<Open> = Vec::new();
-    let mut ticked = 0;
+    let mut pending: Vec<PendingRequest> = Vec::new();
+    let mut last_tick = 0;
     while !cancel.is_cancelled() {
-        let pause = if router.waiting_requests() > 0 {
-            TICK
+        let timeout = if router.waiting_requests() > 0 {
+            TICK_INTERVAL
         } else {
-            IDLE
+            IDLE_INTERVAL
         };
-        let first = rx.recv_timeout(pause);
+        let first = rx.recv_timeout(timeout);
         let now = shared.clock.now();
         if let Ok(message) = first {
-            handle(&mut router, now, message, &mut open, metrics);
+            handle(&mut router, now, message, &mut pending, metrics);
         }
-        for _ in 0..BURST {
+        for _ in 0..MAX_BURST {
             let Ok(message) = rx.try_recv() else { break };
-            handle(&mut router, now, message, &mut open, metrics);
+            handle(&mut router, now, message, &mut pending, metrics);
         }
-        if now >= ticked + TICK.as_millis() as Millis {
-            ticked = now;
+        if now >= last_tick + TICK_INTERVAL.as_millis() as Millis {
+            last_tick = now;
             let actions = router.step(now, &RouteEvent::Tick);
-            hand_out(&mut router, now, actions, &mut open, metrics);
+            dispatch(&mut router, now, actions, &mut pending, metrics);
             metrics.gauge("waiting", router.waiting_requests() as u64);
-            open.retain(|o| !o.reply.is_disconnected());
+            pending.retain(|p| !p.reply.is_disconnected());
         }
     }
 }
@@ -102,43 +102,43 @@
 pub(crate) fn handle(
     router: &mut Router,
     now: Millis,
-    message: ToRouter,
-    open: &mut Vec<Open>,
+    message: RouterMessage,
+    pending: &mut Vec<PendingRequest>,
     metrics: &Metrics,
 ) {
     let event = match message {
-        ToRouter::Arrive { arrival, reply } => {
+        RouterMessage::Arrive { arrival, reply } => {
             let req = arrival.req;
-            if let Err(i) = open.binary_search_by_key(&req, |o| o.req) {
-                open.insert(i, Open { req, reply });
+            if let Err(i) = pending.binary_search_by_key(&req, |p| p.req) {
+                pending.insert(i, PendingRequest { req, reply });
             }
             RouteEvent::Arrive(arrival)
         }
-        ToRouter::Event(event) => event,
-        ToRouter::Counts(reply) => {
+        RouterMessage::Event(event) => event,
+        RouterMessage::Counts(reply) => {
             let _ = reply.send(router.counts());
             return;
         }
     };
     let actions = router.step(now, &event);
-    hand_out(router, now, actions, open, metrics);
+    dispatch(router, now, actions, pending, metrics);
 }
 
 /// Hands the router's decisions to the handlers that wait for them.
 ///
 /// A try whose handler has left is told to the router as not sent, or its place
 /// at the target would stay taken.
-fn hand_out(
+fn dispatch(
     router: &mut Router,
     now: Millis,
     mut actions: Vec<RouteAction>,
-    open: &mut Vec<Open>,
+    pending: &mut Vec<PendingRequest>,
     metrics: &Metrics,
 ) {
     while !actions.is_empty() {
         let mut next = Vec::new();
         for action in actions {
-            let Some(event) = deliver(action, open, metrics) else {
+            let Some(event) = deliver(action, pending, metrics) else {
                 continue;
             };
             next.extend(router.step(now, &event));
@@ -148,18 +148,29 @@
 }
 
 /// Delivers one decision; returns what the router has to know if it can't.
-fn deliver(action: RouteAction, open: &mut Vec<Open>, metrics: &Metrics) -> Option<RouteEvent> {
+fn deliver(
+    action: RouteAction,
+    pending: &mut Vec<PendingRequest>,
+    metrics: &Metrics,
+) -> Option<RouteEvent> {
     match action {
         RouteAction::Refuse { req, .. } => {
             metrics.count("refused", 1);
-            let i = open.binary_search_by_key(&req, |o| o.req).ok()?;
-            let _ = open.remove(i).reply.try_send(ToHandler::Command(action));
+            let i = pending.binary_search_by_key(&req, |p| p.req).ok()?;
+            let _ = pending
+                .remove(i)
+                .reply
+                .try_send(HandlerMessage::Command(action));
             None
         }
         RouteAction::Send { req, attempt, .. } => {
-            let found = open.binary_search_by_key(&req, |o| o.req);
-            let sent =
-                found.is_ok_and(|i| open[i].reply.try_send(ToHandler::Command(action)).is_ok());
+            let found = pending.binary_search_by_key(&req, |p| p.req);
+            let sent = found.is_ok_and(|i| {
+                pending[i]
+                    .reply
+                    .try_send(HandlerMessage::Command(action))
+                    .is_ok()
+            });
             let end = AttemptOutcome::NotSent;
             (!sent).then_some(RouteEvent::Ended { req, attempt, end })
         }
--- a/crates/entry/src/router_thread_tests.rs
+++ b/crates/entry/src/router_thread_tests.rs
@@ -7,9 +7,9 @@
 };
 use gorsespur_runtime::metrics::{MetricSettings, Metrics};
 
-use crate::router_thread::{Open, ToRouter, handle};
+use crate::router_thread::{PendingRequest, RouterMessage, handle};
 
-const NOW: u64 = 1_000_000;
+const NOW_MS: u64 = 1_000_000;
 
 /// A try that no handler took kept its place at the target for ever.
 ///
@@ -17,7 +17,7 @@
 /// waited; the decision to send it was dropped, and no end was ever told. Found
 /// by reading.
 #[test]
-fn a_try_whose_handler_has_left_frees_its_place() {
+fn an_attempt_without_a_handler_frees_its_slot() {
     let mut router = Router::new(RouteSettings::default(), 1);
     let target = TargetInfo {
         org: "org".into(),
@@ -35,22 +35,22 @@
         same_zone: true,
         targets: vec![target],
     };
-    router.step(NOW, &RouteEvent::Targets(list));
+    router.step(NOW_MS, &RouteEvent::Targets(list));
     let metrics = Metrics::start(&MetricSettings::default(), "test").expect("no socket needed");
-    let mut open: Vec<Open> = Vec::new();
-    let (reply, left) = flume::bounded(16);
-    drop(left);
+    let mut pending: Vec<PendingRequest> = Vec::new();
+    let (reply, handler) = flume::bounded(16);
+    drop(handler);
     let arrival = Arrival {
         req: 1,
         org: "org".into(),
         service: "service".into(),
         priority: Priority::Normal,
-        deadline: NOW + 1_000,
+        deadline: NOW_MS + 1_000,
         repeatable: true,
         max_queued: 8,
         retry_percent: 10,
     };
-    let arrive = ToRouter::Arrive { arrival, reply };
-    handle(&mut router, NOW, arrive, &mut open, &metrics);
+    let arrive = RouterMessage::Arrive { arrival, reply };
+    handle(&mut router, NOW_MS, arrive, &mut pending, &metrics);
     assert_eq!(router.targets("org", "service")[0].in_flight, 0);
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -80,7 +80,7 @@
     /// Limits on callers.
     pub limits: Limits,
     /// Most bytes of an answer.
-    pub answer: usize,
+    pub max_answer_bytes: usize,
     /// Routing.
     pub route: RouteSettings,
     /// Time for which a stopping instance still takes requests.
@@ -142,13 +142,13 @@
         max_queued: l.waiting,
         max_connections: l.connections,
     };
-    let answer = l.answer_bytes;
+    let max_answer_bytes = l.answer_bytes;
     let instance = AgentSettings::check(raw.instance, Role::Entry, &mut p);
     p.into_result(EntrySettings {
         instance,
         callers: raw.callers,
         limits,
-        answer,
+        max_answer_bytes,
         route: raw.route,
         drain: Duration::from_millis(raw.drain_ms),
     })
--- a/crates/entry/src/targets.rs
+++ b/crates/entry/src/targets.rs
@@ -16,19 +16,19 @@
     peer::{TargetsAnswer, TargetsRequest},
 };
 
-use crate::{owners::Owners, router_thread::ToRouter};
+use crate::{owners::Owners, router_thread::RouterMessage};
 
 /// Time between two looks.
-const PAUSE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time limit of asking an owner.
-const ASK: Duration = Duration::from_millis(500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What the router was told.
 #[derive(Default)]
-struct Told {
+struct RouterView {
     /// Epoch and version by index of the shard.
-    lists: Vec<Option<(u64, u64)>>,
+    versions: Vec<Option<(u64, u64)>>,
     leaving: Vec<Name>,
     share: Option<Share>,
 }
@@ -37,7 +37,7 @@
 pub(crate) fn start(
     shared: &Arc<AgentState>,
     owners: &Arc<Owners>,
-    router: &Sender<ToRouter>,
+    router: &Sender<RouterMessage>,
     cancel: &CancelToken,
 ) -> std::io::Result<()> {
     let (shared, owners) = (shared.clone(), owners.clone());
@@ -45,31 +45,36 @@
     thread::Builder::new()
         .name("targets".into())
         .spawn(move || {
-            let mut told = Told::default();
-            told.lists
+            let mut view = RouterView::default();
+            view.versions
                 .resize(shared.settings.layout.shards().len(), None);
-            while !cancel.wait(PAUSE) {
-                follow(&shared, &owners, &router, &mut told);
+            while !cancel.wait(POLL_INTERVAL) {
+                poll_owners(&shared, &owners, &router, &mut view);
             }
         })?;
     Ok(())
 }
 
-fn follow(shared: &AgentState, owners: &Owners, router: &Sender<ToRouter>, told: &mut Told) {
+fn poll_owners(
+    shared: &AgentState,
+    owners: &Owners,
+    router: &Sender<RouterMessage>,
+    view: &mut RouterView,
+) {
     for (i, at) in shared.settings.layout.shards().iter().enumerate() {
-        let Some((addr, epoch, version)) = claim(shared, at.place.index) else {
+        let Some((addr, epoch, version)) = find_owner(shared, at.place.index) else {
             continue;
         };
-        if told.lists[i].is_some_and(|t| t >= (epoch, version)) {
+        if view.versions[i].is_some_and(|known| known >= (epoch, version)) {
             continue;
         }
         let request = TargetsRequest {
             shard: at.place.index,
         };
-        let answer: Result<TargetsAnswer, _> = post(addr, PEER_TARGETS, &request, ASK);
+        let answer: Result<TargetsAnswer, _> = post(addr, PEER_TARGETS, &request, REQUEST_TIMEOUT);
         let Ok(answer) = answer else { continue };
-        told.lists[i] = Some((answer.epoch, answer.version));
-        owners.set_largest(i, answer.largest);
+        view.versions[i] = Some((answer.epoch, answer.version));
+        owners.set_largest_worker(i, answer.largest);
         let list = TargetList {
             shard: answer.shard,
             epoch: answer.epoch,
@@ -77,13 +82,13 @@
             same_zone: at.zone == shared.settings.zone,
             targets: answer.targets,
         };
-        let _ = router.send(ToRouter::Event(RouteEvent::Targets(list)));
+        let _ = router.send(RouterMessage::Event(RouteEvent::Targets(list)));
     }
-    tell_members(shared, router, told);
+    send_members(shared, router, view);
 }
 
 /// Returns the live owner of a shard, its epoch and the version of its list.
-fn claim(shared: &AgentState, shard: u32) -> Option<(std::net::SocketAddr, u64, u64)> {
+fn find_owner(shared: &AgentState, shard: u32) -> Option<(std::net::SocketAddr, u64, u64)> {
     let now = shared.clock.now();
     let peers = shared.peers();
     let owner = peers.owner_of(now, shard)?;
@@ -91,7 +96,7 @@
     Some((owner.addr, claim.epoch, claim.targets_version))
 }
 
-fn tell_members(shared: &AgentState, router: &Sender<ToRouter>, told: &mut Told) {
+fn send_members(shared: &AgentState, router: &Sender<RouterMessage>, view: &mut RouterView) {
     let mut leaving = Vec::new();
     for w in &shared.member_list().workers {
         if w.leaving {
@@ -99,22 +104,22 @@
         }
     }
     leaving.sort();
-    if leaving != told.leaving {
-        told.leaving = leaving.clone();
-        let _ = router.send(ToRouter::Event(RouteEvent::Leaving(leaving)));
+    if leaving != view.leaving {
+        view.leaving = leaving.clone();
+        let _ = router.send(RouterMessage::Event(RouteEvent::Leaving(leaving)));
     }
-    let s = &shared.settings;
+    let settings = &shared.settings;
     let now = shared.clock.now();
     let mut ids: Vec<Name> = Vec::new();
-    for p in shared.peers().available(now, Role::Entry, &s.zone) {
-        ids.push(p.heartbeat.id.clone());
+    for peer in shared.peers().available(now, Role::Entry, &settings.zone) {
+        ids.push(peer.heartbeat.id.clone());
     }
     let share = Share {
         entries: ids.len() as u32 + 1,
-        rank: ids.iter().filter(|id| **id < s.id).count() as u32,
+        rank: ids.iter().filter(|id| **id < settings.id).count() as u32,
     };
-    if told.share != Some(share) {
-        told.share = Some(share);
-        let _ = router.send(ToRouter::Event(RouteEvent::Entries(share)));
+    if view.share != Some(share) {
+        view.share = Some(share);
+        let _ = router.send(RouterMessage::Event(RouteEvent::Entries(share)));
     }
 }
