--- a/crates/sched/src/args.rs
+++ b/crates/sched/src/args.rs
@@ -4,17 +4,17 @@
 
 use clap::Parser;
 
-/// Owns shards: places tasks on workers, renews leases, evicts, recovers.
+/// Owns shards: places tasks on workers, renews leases, evicts and recovers.
 #[derive(Debug, Parser)]
 #[command(name = "gorsespur-sched", version)]
 pub struct SchedArgs {
     /// Settings file in YAML.
     #[arg(long)]
     pub settings: PathBuf,
-    /// Directory to record each ownership's events in, for gorsespur-replay.
+    /// Directory for event recordings, one per ownership, that gorsespur-replay reads.
     #[arg(long)]
     pub record: Option<PathBuf>,
-    /// Check the settings and stop.
+    /// Check the settings and exit.
     #[arg(long)]
     pub check: bool,
 }
--- a/crates/sched/src/collect.rs
+++ b/crates/sched/src/collect.rs
@@ -1,4 +1,4 @@
-//! Collects what waits for a keeper.
+//! Collects the messages that are queued for a keeper into one unit of work.
 
 use std::time::Duration;
 
@@ -6,30 +6,33 @@
 
 use crate::{input::KeeperMessage, journal::Batch};
 
-/// Most records in one row of the journal.
+/// Maximum number of records in one row of the journal.
 const MAX_ROW_RECORDS: usize = 5_000;
 
-/// A snapshot to be written.
+/// An encoded snapshot that has to be stored.
 #[derive(Debug)]
 pub(crate) struct PendingSnapshot {
-    /// Number of the first record after it.
+    /// Number of the first record after the snapshot.
     pub next: u64,
     /// The encoded snapshot.
     pub bytes: Vec<u8>,
 }
 
-/// What is to be done next.
+/// The keeper's next unit of work.
 #[derive(Debug, Default)]
 pub(crate) struct Collected {
-    /// Records to append.
+    /// Records to append; may be empty.
     pub batch: Batch,
-    /// A snapshot to write after them.
+    /// A snapshot to store after the append.
     pub snapshot: Option<PendingSnapshot>,
-    /// Whether the ownership is to be proved now.
+    /// Whether to renew the lease now, even if its interval has not passed.
     pub renew: bool,
 }
 
-/// Collects what waits for the keeper: one batch, up to the next snapshot.
+/// Waits up to `wait` for a message, then drains the queue up to the next
+/// snapshot or a full row of records.
+///
+/// `hold` is updated to the longest hold, in milliseconds, that was received.
 pub(crate) fn collect(
     messages: &Receiver<KeeperMessage>,
     wait: Duration,
--- a/crates/sched/src/exchanger.rs
+++ b/crates/sched/src/exchanger.rs
@@ -1,4 +1,4 @@
-//! The pool of threads that make exchanges with workers.
+//! The thread pool for exchanges with workers, shared by all shards.
 
 use std::{net::SocketAddr, sync::Arc, thread};
 
@@ -11,10 +11,10 @@
 
 use crate::input::Input;
 
-/// Exchanges that may wait for a thread.
+/// Maximum number of exchanges that wait for a thread.
 const QUEUE_CAPACITY: usize = 4_096;
 
-/// An exchange to be made.
+/// A request to a worker; `reply` receives the answer or its failure.
 pub(crate) struct Exchange {
     pub worker: Name,
     pub addr: SocketAddr,
@@ -22,7 +22,7 @@
     pub reply: Sender<Input>,
 }
 
-/// Starts the pool; it ends when every sender is gone.
+/// Starts the pool, which ends when every sender is dropped.
 pub(crate) fn start(
     workers: &Arc<dyn Workers>,
     threads: usize,
--- a/crates/sched/src/inbox.rs
+++ b/crates/sched/src/inbox.rs
@@ -1,4 +1,4 @@
-//! Submitted jobs that wait in the table service.
+//! Reads submitted jobs from a shard's inbox in the table service.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -14,22 +14,23 @@
 
 use crate::input::Input;
 
-/// Time between two looks without a hint.
+/// Time between two polls of the inbox without a hint.
 const POLL_INTERVAL_MS: u64 = 1_000;
 
-/// Longest time between two looks while the table service fails.
+/// Longest time between two polls while the table service fails.
 const MAX_POLL_INTERVAL_MS: u64 = 5_000;
 
-/// Rows of one read.
+/// Rows per scan.
 const SCAN_ROWS: u32 = 500;
 
-/// Least time between two looks.
+/// Minimum delay after a hint, so that frequent hints share a poll.
 const MIN_POLL_GAP: Duration = Duration::from_millis(50);
 
-/// Hands jobs from a shard's inbox to its machine until `cancel`.
+/// Forwards jobs from a shard's inbox to its scheduler until `cancel`.
 ///
-/// A row stays in the inbox until the record of its job is in the journal, and
-/// may be read again before; the machine passes over jobs that it knows.
+/// A row stays in the inbox until the record of its job is in the journal, so a
+/// job may be forwarded more than once; the scheduler ignores jobs that it
+/// already has. A message on `wake` starts a poll early.
 pub(crate) fn follow(
     table: &dyn Table,
     shard: &Name,
@@ -67,7 +68,7 @@
     let mut present = BTreeSet::new();
     loop {
         let (rows, has_more) = table.scan(prefix, after, SCAN_ROWS).map_err(|err| {
-            log::debug!("inbox: {err}");
+            log::debug!("inbox: can't scan: {err}");
         })?;
         after = rows.last().map(|r| r.key.clone());
         let mut specs = Vec::new();
@@ -78,7 +79,7 @@
             }
             match decode::<JobSpec>(&row.value) {
                 Ok(spec) => specs.push(spec),
-                Err(err) => log::error!("inbox: row {} is malformed: {err}", row.key),
+                Err(err) => log::error!("inbox: malformed row {}: {err}", row.key),
             }
         }
         if !specs.is_empty() && input.send(Input::Event(Event::Submit(specs))).is_err() {
--- a/crates/sched/src/input.rs
+++ b/crates/sched/src/input.rs
@@ -1,4 +1,4 @@
-//! What the machine thread of a shard is sent.
+//! Messages to the threads of an owned shard.
 
 use flume::Sender;
 use gorsespur_core::{
@@ -7,49 +7,49 @@
 };
 use gorsespur_wire::peer::TargetsAnswer;
 
-/// A message for a shard's machine thread.
+/// A message to a shard's scheduler thread.
 #[derive(Debug)]
 pub(crate) enum Input {
-    /// An event of the machine.
+    /// An event for the scheduler.
     Event(Event),
-    /// A write that was sent at this time took effect.
+    /// A write of the shard's row took effect, which confirms the lease.
     Confirmed {
-        /// When it was sent.
+        /// Time at which the write was sent.
         sent: Millis,
-        /// Records below this number are in the journal.
+        /// Number of the first record that is not in the journal yet.
         committed: u64,
-        /// Hold that the shard's row states.
+        /// Hold that the shard's row contains.
         hold: Millis,
     },
-    /// Cancel jobs; the reply comes once that is in the journal.
+    /// Cancel jobs; the reply is sent once the cancellation is in the journal.
     Cancel {
         /// The jobs.
         keys: Vec<JobKey>,
-        /// Where the jobs go that are not known.
+        /// Receives the jobs that the shard doesn't have.
         reply: Sender<Vec<JobKey>>,
     },
-    /// Tell the states of jobs.
+    /// Return the status of jobs.
     Watch {
         /// The jobs.
         keys: Vec<JobKey>,
-        /// Where the reply goes.
+        /// Receives the status of each job, in the order of `keys`.
         reply: Sender<Vec<Option<JobStatus>>>,
     },
-    /// Tell the targets.
+    /// Return the targets of the shard's services.
     Targets {
-        /// Where the reply goes.
+        /// Receives the targets.
         reply: Sender<TargetsAnswer>,
     },
-    /// Tell operators.
+    /// Return the shard's status for operators.
     Status {
-        /// Where the reply goes.
+        /// Receives the status.
         reply: Sender<ShardStatus>,
     },
-    /// Hand over the book for a snapshot.
+    /// Encode a snapshot of the shard state and send it to the keeper.
     Snapshot,
 }
 
-/// A message for a shard's keeper thread.
+/// A message to a shard's keeper thread.
 #[derive(Debug)]
 pub(crate) enum KeeperMessage {
     /// Append records to the journal.
@@ -58,18 +58,18 @@
         first: u64,
         /// The records.
         records: Vec<Record>,
-        /// Jobs that they finish.
+        /// Jobs that these records finish.
         finished: Vec<FinishedJob>,
     },
-    /// Write a snapshot that ends before record `next`.
+    /// Store a snapshot of all records before `next`.
     Snapshot {
-        /// Number of the next record.
+        /// Number of the first record after the snapshot.
         next: u64,
         /// The encoded snapshot.
         bytes: Vec<u8>,
     },
-    /// The longest hold of the templates in force.
+    /// The longest hold of the active templates, in milliseconds.
     Hold(Millis),
-    /// Prove the ownership now.
+    /// Renew the lease now.
     Renew,
 }
--- a/crates/sched/src/inquiry.rs
+++ b/crates/sched/src/inquiry.rs
@@ -1,8 +1,9 @@
-//! Asks an earlier owner whether it may still renew leases.
+//! Finds out when an earlier owner of a shard can no longer renew leases.
 //!
-//! A worker that a new owner can't reach may still be renewed by the old one,
-//! for its hold. An answer from the old owner's address ends that wait: its
-//! process has stopped commanding the shard's workers, or is another process.
+//! The old owner may keep renewing the leases of a worker that the new owner
+//! can't reach, until the old owner's hold expires. An answer from the old
+//! owner's address ends that wait early: the process there has stopped
+//! commanding the shard's workers, or is a different process.
 
 use std::{
     net::SocketAddr,
@@ -24,20 +25,20 @@
 
 use crate::input::Input;
 
-/// Time between two questions.
+/// Time between two requests to the old owner.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time limit of a question.
+/// Timeout of a request to the old owner.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// An inquiry about one shard.
+/// The inquiry for one shard.
 pub(crate) struct Inquiry {
     pub shard: Name,
-    /// Address of the only owner that may still renew; none if there may be
-    /// others, whose hold has to pass.
+    /// Address of the old owner, if it is the only one that may still renew
+    /// leases. Otherwise the hold has to expire.
     pub old_owner: Option<SocketAddr>,
-    /// This instance's address; an earlier process there has ended, or this one
-    /// has stopped its earlier ownership.
+    /// Address of this instance. If the old owner has the same address, its
+    /// process has ended, or this process has stopped its earlier ownership.
     pub own_addr: SocketAddr,
     pub hold: Duration,
     pub input: Sender<Input>,
@@ -46,7 +47,7 @@
 }
 
 impl Inquiry {
-    /// Runs until the matter is settled or the shard is given up.
+    /// Runs until no earlier owner can renew leases or `cancel` is set.
     pub fn run(self) {
         let started = Instant::now();
         while started.elapsed() <= self.hold && !self.has_old_owner_stopped() {
@@ -56,10 +57,10 @@
         }
         self.settled.store(true, Ordering::Release);
         let _ = self.input.send(Input::Event(Event::Settled));
-        log::info!("shard {}: no earlier owner renews leases", self.shard);
+        log::info!("shard {}: no earlier owner can renew leases", self.shard);
     }
 
-    /// Tells whether the old owner said that it has stopped.
+    /// Returns whether the old owner has confirmed that it stopped.
     fn has_old_owner_stopped(&self) -> bool {
         let Some(addr) = self.old_owner else {
             return false;
--- a/crates/sched/src/journal.rs
+++ b/crates/sched/src/journal.rs
@@ -1,9 +1,9 @@
-//! A shard's row and journal, written by its owner.
+//! The journal and row of a shard, written by the shard's owner.
 //!
-//! Every write is conditional on the version of the shard's row. A write whose
-//! answer was lost is resolved by reading the row back; until that is done the
-//! same write is repeated with the same token, so that it can take effect once
-//! at most.
+//! Every write is conditional on the version of the shard's row, which fences
+//! off earlier owners. If the answer to a write is lost, the row is read back to
+//! find out whether the write took effect. Until that is clear, the same write
+//! is repeated with the same token, so that it takes effect at most once.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -27,21 +27,23 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use snafu::{Snafu, ensure};
 
-/// First and longest delay before a write is repeated, in milliseconds.
+/// Bounds of the backoff between attempts of a write.
 const FIRST_DELAY_MS: u64 = 50;
 const MAX_DELAY_MS: u64 = 2_000;
 
-/// Why a write has no result.
+/// A reason why a write was not confirmed.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum JournalError {
     /// Another instance owns the shard.
     #[snafu(display("another instance owns the shard"))]
     Fenced,
-    /// The time to give up came first; what became of the write is not known.
-    #[snafu(display("gave up"))]
+    /// The write was cancelled; whether it took effect is not known.
+    #[snafu(display("write was cancelled"))]
     Cancelled,
-    /// Records are missing before a batch.
-    #[snafu(display("batch starts at record {first}, the journal ends before {next}"))]
+    /// Records are missing between the journal and a batch.
+    #[snafu(display(
+        "batch starts at record {first}, but the next record of the journal is {next}"
+    ))]
     Gap {
         /// Number of the batch's first record.
         first: u64,
@@ -49,31 +51,32 @@
         next: u64,
     },
     /// A value can't be encoded.
-    #[snafu(display("a record can't be encoded"))]
+    #[snafu(display("can't encode a record"))]
     Encode,
 }
 
-/// Records that go into one row of the journal.
+/// Records for one row of the journal.
 #[derive(Debug, Default)]
 pub struct Batch {
     /// Number of the first record.
     pub first: u64,
     /// The records.
     pub records: Vec<Record>,
-    /// Jobs that they finish.
+    /// Jobs that these records finish.
     pub finished: Vec<FinishedJob>,
 }
 
-/// An instance that takes a shard.
+/// The instance that acquires a shard.
 #[derive(Debug, Clone)]
 pub struct NewOwner {
-    /// Its name.
+    /// Name of the instance.
     pub id: Name,
     /// Address at which its peers reach it.
     pub addr: SocketAddr,
-    /// Longest time for which it goes on without the table service.
+    /// Longest time, in milliseconds, for which the instance keeps renewing
+    /// leases without the table service.
     pub hold: u64,
-    /// Its clock.
+    /// Clock of the instance.
     pub clock: Clock,
 }
 
@@ -89,9 +92,10 @@
 }
 
 impl Journal {
-    /// Takes over a shard whose row was read with `version`; 0 for no row.
+    /// Acquires a shard whose row `found` was read with `version`, 0 if there
+    /// is no row.
     ///
-    /// Errors: another instance was faster, or `cancel` came first.
+    /// Fails if another instance acquires the shard first, or on `cancel`.
     pub fn acquire(
         table: Arc<dyn Table>,
         shard: &Name,
@@ -135,12 +139,13 @@
         Ok(journal)
     }
 
-    /// Returns the shard's row as last written.
+    /// Returns the shard's row as it was last written.
     pub fn row(&self) -> &ShardRow {
         &self.row
     }
 
-    /// Renews the lease and states the hold; returns when that was sent.
+    /// Renews the lease and records the hold, in milliseconds. Returns the time
+    /// at which the write was sent.
     pub fn renew(&mut self, hold: u64, cancel: &CancelToken) -> Result<u64, JournalError> {
         let row = ShardRow {
             hold,
@@ -149,12 +154,13 @@
         self.write(row, Tx::new(), cancel)
     }
 
-    /// States from the next write on that no earlier owner renews leases.
+    /// Records with the next write that no earlier owner can renew leases.
     pub fn settle(&mut self) {
         self.row.settled = true;
     }
 
-    /// Appends a batch, which renews the lease too; returns when it was sent.
+    /// Appends a batch, which also renews the lease. Returns the time at which
+    /// the write was sent.
     pub fn append(
         &mut self,
         batch: &Batch,
@@ -206,16 +212,18 @@
         self.write(row, tx, cancel)
     }
 
-    /// Returns the number of the next row: where a snapshot of all that is
-    /// written now would cut the journal.
+    /// Returns the number of the next row. After a snapshot of everything
+    /// written so far, the journal can be truncated up to this row.
     pub fn next_row(&self) -> u64 {
         self.row.next_row
     }
 
-    /// Cuts the journal before row `cut`, behind a snapshot in the object store
-    /// that ends before record `next`; returns when that was sent.
+    /// Deletes all rows before `first_row`, after a snapshot of the records
+    /// before `next_record` was put into the object store. Returns the time at
+    /// which the write was sent.
     ///
-    /// Every record before `next` must be in a row before `cut`.
+    /// The rows before `first_row` must not contain `next_record` or later
+    /// records.
     pub fn truncate(
         &mut self,
         next_record: u64,
@@ -234,7 +242,8 @@
         self.write(row, tx, cancel)
     }
 
-    /// Gives the shard up, so that another instance can take it at once.
+    /// Releases the shard, so that another instance can acquire it without
+    /// waiting for the lease to expire.
     pub fn release(&mut self, cancel: &CancelToken) -> Result<u64, JournalError> {
         let row = ShardRow {
             owner: None,
@@ -243,7 +252,8 @@
         self.write(row, Tx::new(), cancel)
     }
 
-    /// Writes the row and what goes with it; returns when the first try was sent.
+    /// Writes the row in one transaction with `tx`. Returns the time of the first
+    /// attempt.
     fn write(
         &mut self,
         mut row: ShardRow,
@@ -284,7 +294,7 @@
         }
     }
 
-    /// Reads the shard's row to learn what became of a write.
+    /// Reads the shard's row to find out whether a write took effect.
     fn read_back(&self, key: &Name, token: u64) -> Option<WriteOutcome> {
         let rows = self.table.get(std::slice::from_ref(key)).ok()?;
         let found = rows.first().and_then(|r| r.as_ref());
--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -1,4 +1,5 @@
-//! The thread that watches a shard's row and takes the shard when it may.
+//! The keeper thread of a shard: watches the shard's row, acquires the shard when
+//! its lease has expired, and recovers its state.
 
 use std::{path::PathBuf, sync::Arc, time::Instant};
 
@@ -23,10 +24,11 @@
     settings::SchedSettings,
 };
 
-/// Time by which the second in line lets the first go ahead, in milliseconds.
+/// Delay before the second-ranked instance tries to acquire a shard, which lets
+/// the first-ranked instance go ahead.
 const RANK_DELAY_MS: u64 = 500;
 
-/// What a keeper works with.
+/// State of a keeper thread.
 pub(crate) struct Keeper {
     pub at: ZoneShard,
     pub settings: SchedSettings,
@@ -41,7 +43,7 @@
 }
 
 impl Keeper {
-    /// Watches and keeps the shard until the program stops.
+    /// Watches the shard, and runs it while this instance owns it, until `stop`.
     pub fn run(self) {
         let mut lease_watch = LeaseWatch::new(self.settings.lease_ms);
         let mut last_poll = self.shared.clock.now();
@@ -70,7 +72,8 @@
         }
     }
 
-    /// Returns this instance's place in the line for the shard; 0 is first.
+    /// Returns this instance's rank among the candidates for the shard; 0 is the
+    /// preferred owner.
     fn rank(&self) -> Option<usize> {
         let mut candidates = self.shared.same_role_ids();
         let name = &self.at.place.name;
@@ -89,14 +92,16 @@
         match decode(&row.value) {
             Ok(value) => Some((Some(value), row.version)),
             Err(err) => {
-                log::error!("shard {}: row is malformed: {err}", self.at.place.name);
+                log::error!("shard {}: malformed row: {err}", self.at.place.name);
                 None
             }
         }
     }
 
-    /// Takes the shard and keeps it; nothing of this process commands its
-    /// workers before and after.
+    /// Acquires the shard and runs it until the ownership ends.
+    ///
+    /// The shard is marked active for that time; otherwise no thread of this
+    /// process commands its workers.
     fn acquire(&self, row: Option<&ShardRow>, version: u64) {
         let index = self.at.place.index;
         self.owned.mark_active(index);
@@ -122,7 +127,7 @@
             &self.stop,
         );
         let Ok(mut journal) = journal else {
-            log::debug!("shard {name}: another instance was faster");
+            log::debug!("shard {name}: not acquired; another instance was faster");
             return;
         };
         let started = Instant::now();
@@ -132,7 +137,7 @@
         let epoch = journal.row().epoch;
         let (jobs, recovery_ms) = (state.jobs().len(), started.elapsed().as_millis());
         log::info!(
-            "shard {name}: owned with epoch {epoch}, {jobs} jobs recovered in {recovery_ms} ms"
+            "shard {name}: acquired with epoch {epoch}; recovered {jobs} jobs in {recovery_ms} ms"
         );
         let takeover = Takeover {
             epoch,
@@ -145,7 +150,7 @@
             .filter(|r| r.settled && r.owner.is_some())
             .map(|r| r.addr);
         let reason = self.run_shard(&mut journal, takeover, old_owner);
-        log::info!("shard {name}: epoch {epoch} ends, {reason:?}");
+        log::info!("shard {name}: ownership of epoch {epoch} ended: {reason:?}");
     }
 
     fn longest_hold(&self) -> u64 {
@@ -154,14 +159,14 @@
         holds.max().unwrap_or(0)
     }
 
-    /// Recovers the book and renews the lease while that is tried.
+    /// Recovers the shard state, and renews the lease between attempts.
     fn recover(&self, journal: &mut Journal) -> Option<ShardState> {
         let name = &self.at.place.name;
         loop {
             let table = self.table.as_ref();
             match recover(table, self.objects.as_ref(), name, journal.row()) {
                 Ok(state) => return Some(state),
-                Err(err) => log::warn!("shard {name}: can't recover yet: {err}"),
+                Err(err) => log::warn!("shard {name}: can't recover; retrying: {err}"),
             }
             if self.stop.wait(self.settings.watch_interval) {
                 let _ = journal.release(&cancel_after(RELEASE_TIMEOUT));
@@ -173,7 +178,7 @@
     }
 }
 
-/// Names a keeper's thread.
+/// Returns the name of a shard's keeper thread.
 pub(crate) fn thread_name(shard: &Name) -> String {
     format!("keeper-{shard}")
 }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,9 +1,9 @@
-//! The scheduler: owns shards of its availability zone.
+//! The scheduler, which owns shards of its availability zone.
 //!
-//! For each shard of the zone a keeper thread watches the shard's row and, once
-//! it owns the shard, writes its journal. While it owns the shard, a machine
-//! thread takes the decisions, an inbox thread fetches submitted jobs, and a
-//! pool of threads shared by all shards makes the exchanges with workers.
+//! For each shard of the zone, a keeper thread watches the shard's row. Once it
+//! has acquired the shard, it writes the shard's journal. During an ownership, a
+//! shard thread runs the scheduler, an inbox thread reads submitted jobs, and a
+//! thread pool shared by all shards makes the exchanges with workers.
 
 pub mod args;
 mod collect;
--- a/crates/sched/src/main.rs
+++ b/crates/sched/src/main.rs
@@ -1,4 +1,5 @@
-//! Owns shards: places tasks on workers, renews leases, evicts, recovers.
+//! The scheduler program. It owns shards: places tasks on workers, renews leases,
+//! evicts and recovers.
 
 use std::process::ExitCode;
 
--- a/crates/sched/src/owned.rs
+++ b/crates/sched/src/owned.rs
@@ -1,4 +1,4 @@
-//! The shards that this instance owns now.
+//! The shards that this instance owns.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -7,13 +7,13 @@
 
 use crate::input::Input;
 
-/// A shard that is owned.
+/// An owned shard and the channels to its threads.
 #[derive(Debug, Clone)]
 pub(crate) struct OwnedShard {
     pub index: u32,
     pub name: Name,
     pub input: Sender<Input>,
-    /// Wakes the thread that looks into the inbox.
+    /// Makes the inbox thread poll at once.
     pub wake_inbox: Sender<()>,
 }
 
@@ -21,8 +21,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct OwnedShards {
     shards: Mutex<Vec<OwnedShard>>,
-    /// Shards that this process may command workers of: from before it takes a
-    /// shard until its machine thread has ended.
+    /// Shards whose workers this process may command: from before the shard is
+    /// acquired until its threads have ended.
     active: Mutex<Vec<u32>>,
 }
 
@@ -35,7 +35,7 @@
         self.active.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a shard is about to be taken.
+    /// Marks a shard as active before it is acquired.
     pub fn mark_active(&self, index: u32) {
         let mut active = self.lock_active();
         if !active.contains(&index) {
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Notes that nothing of this process commands the shard's workers.
+    /// Marks a shard as inactive: no thread of this process commands its workers.
     pub fn mark_inactive(&self, index: u32) {
         self.lock_active().retain(|i| *i != index);
     }
 
-    /// Tells whether this process may command the shard's workers.
+    /// Returns whether this process may command the shard's workers.
     pub fn is_active(&self, index: u32) -> bool {
         self.lock_active().contains(&index)
     }
--- a/crates/sched/src/ownership.rs
+++ b/crates/sched/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Keeping a shard while it is owned: its threads, its journal, its release.
+//! Runs a shard during an ownership: its threads, its journal and its release.
 
 use std::{
     net::SocketAddr,
@@ -33,22 +33,22 @@
     sweep::Sweep,
 };
 
-/// Messages that may wait for a machine thread.
+/// Maximum number of messages that wait for a shard thread.
 const INPUT_CAPACITY: usize = 8_192;
 
-/// Messages that may wait for a keeper.
+/// Maximum number of messages that wait for a keeper.
 const KEEPER_CAPACITY: usize = 1_024;
 
-/// Time for which a stopping instance tries to release a shard.
+/// Timeout of the release of a shard when the instance stops.
 pub(crate) const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest time between two looks whether the program stops.
+/// Longest time between two checks of the stop token.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two looks whether another instance should own the shard.
+/// Time between two checks whether another instance should own the shard.
 const BALANCE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Why an ownership ended.
+/// Reason why an ownership ended.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum EndReason {
     Stopped,
@@ -56,21 +56,21 @@
     Fenced,
 }
 
-/// A snapshot that is in the object store.
+/// A snapshot in the object store.
 struct StoredSnapshot {
-    /// Number of the first record after it.
+    /// Number of the first record after the snapshot.
     next: u64,
-    /// Row before which the journal may be cut.
+    /// Journal row up to which the journal may be truncated.
     first_row: u64,
-    /// Key of the snapshot before it.
+    /// Key of the previous snapshot.
     old_snapshot: Name,
 }
 
 impl Keeper {
-    /// Keeps the shard until it is lost or given up.
+    /// Runs the shard until it is fenced, moved or stopped.
     ///
-    /// `old` is the address of an owner that may still renew leases, the only
-    /// one if it is known.
+    /// `old_owner` is the address of the old owner, if it is the only one that
+    /// may still renew leases.
     pub(crate) fn run_shard(
         &self,
         journal: &mut Journal,
@@ -169,7 +169,7 @@
         match created {
             Ok(recorder) => Some(recorder),
             Err(err) => {
-                log::error!("shard {name}: can't record: {err}");
+                log::error!("shard {name}: can't start the recording: {err}");
                 None
             }
         }
@@ -202,7 +202,7 @@
         spawn(format!("sweep-{name}"), move || sweep.run(&cancel))
     }
 
-    /// Learns when no earlier owner can still renew leases.
+    /// Starts the thread that finds out when no earlier owner can renew leases.
     fn start_inquiry(
         &self,
         old_owner: Option<SocketAddr>,
@@ -224,7 +224,7 @@
         spawn(format!("inquiry-{name}"), move || inquiry.run())
     }
 
-    /// Writes the journal until the shard is lost or to be given up.
+    /// Writes the journal and renews the lease until the ownership ends.
     fn write_journal(
         &self,
         journal: &mut Journal,
@@ -319,8 +319,8 @@
         }
     }
 
-    /// Puts a snapshot into the object store beside the journal's writes, which
-    /// must not wait for it: they renew the lease.
+    /// Puts a snapshot into the object store on a separate thread. The journal's
+    /// writes must not wait for the object store, since they renew the lease.
     fn store_snapshot(
         &self,
         journal: &Journal,
@@ -336,7 +336,7 @@
         spawn(format!("snapshot-{name}"), move || {
             let put = store.put(&key, &pending.bytes);
             if let Err(err) = &put {
-                log::warn!("shard {name}: no snapshot: {err}");
+                log::warn!("shard {name}: can't store the snapshot: {err}");
             }
             let _ = done.send(put.is_ok().then_some(StoredSnapshot {
                 next,
@@ -346,7 +346,7 @@
         });
     }
 
-    /// Deletes the snapshot before the last, beside the journal's writes.
+    /// Deletes the previous snapshot on a separate thread.
     fn delete_snapshot(&self, key: Name) {
         let store = self.objects.clone();
         spawn(format!("snapshot-{}", self.at.place.name), move || {
@@ -354,7 +354,8 @@
         });
     }
 
-    /// Tells whether a steady colleague comes first in the line for the shard.
+    /// Returns whether the preferred owner is another instance that has been
+    /// steady for long enough.
     fn should_move(&self) -> bool {
         let s = &self.shared.settings;
         let now = self.shared.clock.now();
@@ -372,10 +373,10 @@
         best.1
     }
 
-    /// Writes what the machine still had to say and releases the shard.
+    /// Appends the scheduler's remaining records and releases the shard.
     ///
-    /// Records behind a write that was given up are left out: nothing was done
-    /// about them yet.
+    /// Records after a cancelled write are dropped, since they would leave a gap
+    /// in the journal. Nothing has been done yet that depends on them.
     fn release_shard(&self, journal: &mut Journal, messages: &Receiver<KeeperMessage>) {
         let cancel = cancel_after(RELEASE_TIMEOUT);
         let mut hold = journal.row().hold;
@@ -387,7 +388,7 @@
             }
         }
         if let Err(err) = journal.release(&cancel) {
-            log::warn!("shard {}: not released: {err}", self.at.place.name);
+            log::warn!("shard {}: can't release: {err}", self.at.place.name);
         }
     }
 }
--- a/crates/sched/src/peer_api.rs
+++ b/crates/sched/src/peer_api.rs
@@ -1,4 +1,4 @@
-//! What the scheduler answers its peers and operators.
+//! Requests of peers and operators.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,20 +14,20 @@
 
 use crate::{input::Input, owned::OwnedShards};
 
-/// Time limit of an answer from a machine thread.
+/// Timeout of an answer from a shard thread.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time limit of a cancellation's way into the journal.
+/// Timeout until a cancellation is in the journal.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Answers peers.
+/// Handles requests of peers and operators.
 pub(crate) struct PeerApi {
     pub shared: Arc<AgentState>,
     pub owned: Arc<OwnedShards>,
 }
 
 impl PeerApi {
-    /// Answers one request.
+    /// Handles one request.
     pub fn answer(&self, req: &Incoming) -> Reply {
         if let Some(reply) = self.shared.handle_request(req) {
             return reply;
--- a/crates/sched/src/program.rs
+++ b/crates/sched/src/program.rs
@@ -1,4 +1,4 @@
-//! Builds and runs the scheduler.
+//! Startup and shutdown of the scheduler.
 
 use std::{
     path::PathBuf,
@@ -34,11 +34,11 @@
     settings::{SchedSettings, check},
 };
 
-/// Time limit of a call to the object store; less than a shard's lease, which a
-/// new owner renews between its tries to read a snapshot.
+/// Timeout of a call to the object store. Must be shorter than a shard's lease,
+/// since a new owner renews the lease only between attempts to read a snapshot.
 const OBJECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for which a stopping instance answers its peers.
+/// Time for which a stopping instance finishes the requests of peers.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A running scheduler.
@@ -61,14 +61,16 @@
     let stop = CancelToken::new();
     cancel_on_signal(&stop).context(SystemSnafu)?;
     let running = start(&settings, args.record.clone(), &stop)?;
-    log::info!("sched: serves peers at {}", instance.listen);
+    log::info!("sched: serving peers at {}", instance.listen);
     while !stop.wait(Duration::from_secs(3600)) {}
     running.stop();
     log::info!("sched: stopped");
     Ok(())
 }
 
-/// Starts a scheduler; its shards are released when `stop` is cancelled.
+/// Starts a scheduler, which releases its shards when `stop` is cancelled.
+///
+/// Events are recorded into files in the directory `record`, if any.
 pub fn start(
     settings: &SchedSettings,
     record: Option<PathBuf>,
@@ -126,7 +128,7 @@
 }
 
 impl Running {
-    /// Releases the shards, tells the peers and ends.
+    /// Releases the shards, announces the exit to peers and stops.
     pub fn stop(self) {
         self.stop.cancel();
         self.shared.start_leaving();
--- a/crates/sched/src/recover.rs
+++ b/crates/sched/src/recover.rs
@@ -1,4 +1,4 @@
-//! Recovery of a shard's book: snapshot and the journal behind it.
+//! Recovery of a shard's state from its snapshot and the journal after it.
 
 use gorsespur_core::{name::Name, owner::ShardRow, shard::ShardState};
 use gorsespur_services::{ObjectError, Objects, Table, TableError};
@@ -9,10 +9,10 @@
 };
 use snafu::{ResultExt, Snafu, ensure};
 
-/// Rows of one read.
+/// Rows per scan.
 const SCAN_ROWS: u32 = 200;
 
-/// Why a shard can't be recovered now.
+/// A reason why a shard can't be recovered now.
 #[derive(Debug, Snafu)]
 pub enum RecoverError {
     /// The table service failed.
@@ -28,24 +28,24 @@
         source: ObjectError,
     },
     /// A row or the snapshot is malformed.
-    #[snafu(display("journal or snapshot is malformed"))]
+    #[snafu(display("malformed journal or snapshot"))]
     Codec {
         /// The reason.
         source: CodecError,
     },
     /// The journal has a gap.
-    #[snafu(display("journal has record {found} where {expected} should be"))]
+    #[snafu(display("journal has record {found} instead of {expected}"))]
     Gap {
         /// Number of the record found.
         found: u64,
-        /// Number that should be there.
+        /// Number of the record expected.
         expected: u64,
     },
 }
 
-/// Recovers the book of a shard whose row is `row`.
+/// Recovers the state of a shard whose row is `row`.
 ///
-/// The caller must own the shard, so that nothing is appended meanwhile.
+/// The caller must own the shard, so that nothing is appended in the meantime.
 pub fn recover(
     table: &dyn Table,
     store: &dyn Objects,
--- a/crates/sched/src/settings.rs
+++ b/crates/sched/src/settings.rs
@@ -6,28 +6,28 @@
 use gorsespur_peer::{AgentSettings, RawCommon};
 use serde::Deserialize;
 
-/// Most threads of the pool.
+/// Maximum number of exchange threads.
 const MAX_THREADS: usize = 256;
 
-/// Least and longest lease of a shard in milliseconds.
+/// Allowed values of a shard's lease.
 const LEASE_MS_RANGE: std::ops::RangeInclusive<u64> = 1_000..=60_000;
 
-/// Settings as written.
+/// The settings file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawSched {
     /// What every instance has.
     pub instance: RawCommon,
-    /// Times and policy of shards.
+    /// Timings and policy of shards.
     #[serde(default)]
     pub shards: ShardSettings,
-    /// Ownership.
+    /// Timings of ownership.
     #[serde(default)]
     pub ownership: RawOwnership,
     /// Threads that make exchanges with workers.
     #[serde(default = "default_threads")]
     pub exchange_threads: usize,
-    /// Time limit of an exchange in milliseconds.
+    /// Timeout of an exchange with a worker, in milliseconds.
     #[serde(default = "default_exchange")]
     pub exchange_timeout_ms: u64,
 }
@@ -40,21 +40,24 @@
     800
 }
 
-/// Times of ownership as written; in milliseconds.
+/// Timings of ownership in the settings file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RawOwnership {
-    /// Time without a renewal after which a shard may be taken.
+    /// Time without a renewal, in milliseconds, after which a shard may be
+    /// acquired.
     pub lease_ms: u64,
-    /// Time between renewals.
+    /// Time between renewals, in milliseconds.
     pub renew_ms: u64,
-    /// Time between two looks at a row that this instance may take.
+    /// Time between two reads of the row of a shard that this instance may
+    /// acquire, in milliseconds.
     pub watch_ms: u64,
-    /// Least time between two writes of a journal.
+    /// Minimum time between two writes of a journal, in milliseconds.
     pub commit_ms: u64,
     /// Journal rows after which a snapshot is written.
     pub snapshot_rows: u64,
-    /// Time for which a better owner must be steady before a shard is moved.
+    /// Time, in milliseconds, for which the preferred owner must be steady before
+    /// a shard moves there.
     pub steady_ms: u64,
     /// Hours for which finished jobs and claims of idempotency keys are kept.
     pub retention_hours: u64,
@@ -79,29 +82,32 @@
 pub struct SchedSettings {
     /// What every instance has.
     pub instance: AgentSettings,
-    /// Times and policy of shards.
+    /// Timings and policy of shards.
     pub shards: ShardSettings,
-    /// Time without a renewal after which a shard may be taken.
+    /// Time without a renewal, in milliseconds, after which a shard may be
+    /// acquired.
     pub lease_ms: u64,
     /// Time between renewals.
     pub renew_interval: Duration,
-    /// Time between two looks at a row that this instance may take.
+    /// Time between two reads of the row of a shard that this instance may
+    /// acquire.
     pub watch_interval: Duration,
-    /// Least time between two writes of a journal.
+    /// Minimum time between two writes of a journal.
     pub commit_interval: Duration,
     /// Journal rows after which a snapshot is written.
     pub snapshot_rows: u64,
-    /// Time for which a better owner must be steady.
+    /// Time, in milliseconds, for which the preferred owner must be steady before
+    /// a shard moves there.
     pub steady_ms: u64,
-    /// Hours for which finished jobs and claims are kept.
+    /// Hours for which finished jobs and claims of idempotency keys are kept.
     pub retention_hours: u64,
-    /// Threads that make exchanges.
+    /// Threads that make exchanges with workers.
     pub exchange_threads: usize,
-    /// Time limit of an exchange.
+    /// Timeout of an exchange with a worker.
     pub exchange_timeout: Duration,
 }
 
-/// Checks the settings as a whole.
+/// Checks the settings and returns all problems at once.
 pub fn check(raw: RawSched) -> Result<SchedSettings, Problems> {
     let mut p = Problems::default();
     let ownership = &raw.ownership;
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that runs a shard's machine.
+//! The thread that runs a shard's scheduler.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -19,13 +19,13 @@
     input::{Input, KeeperMessage},
 };
 
-/// Time between two ticks without a message.
+/// Longest time between two ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Messages that are handled before a tick.
+/// Maximum number of queued messages that are handled before a tick.
 const MAX_BURST: usize = 512;
 
-/// What the machine thread works with.
+/// The scheduler of a shard and its connections to other threads.
 pub(crate) struct ShardThread {
     pub at: ZoneShard,
     pub shared: Arc<AgentState>,
@@ -40,28 +40,30 @@
     pub cancel: CancelToken,
 }
 
-/// A cancellation that waits for the journal.
+/// A cancellation that is not in the journal yet.
 struct PendingCancel {
-    /// Number of the record before which everything must be in the journal.
+    /// The reply is due once all records before this number are in the journal.
     number: u64,
     unknown: Vec<JobKey>,
     reply: Sender<Vec<JobKey>>,
 }
 
-/// State of the thread besides the machine.
+/// State of the thread besides the scheduler.
 #[derive(Default)]
 struct LoopState {
-    /// Messages for the keeper that did not fit into its queue.
+    /// Messages that did not fit into the keeper's queue.
     backlog: VecDeque<KeeperMessage>,
-    /// Cancellations that wait for the journal.
     pending_cancels: Vec<PendingCancel>,
+    /// Change counter of the configurations that the scheduler has.
     config_changes: Option<u64>,
+    /// Change counter of the worker list that the scheduler has.
     list_changes: Option<u64>,
+    /// Version of the targets in the heartbeats.
     announced_version: u64,
 }
 
 impl ShardThread {
-    /// Runs until the shard is lost or given up.
+    /// Runs until `cancel`, when the ownership has ended.
     pub fn run(mut self) {
         let mut state = LoopState::default();
         while !self.cancel.is_cancelled() {
@@ -147,13 +149,16 @@
         };
         match encode(&snapshot) {
             Ok(bytes) => self.push(KeeperMessage::Snapshot { next, bytes }, state),
-            Err(err) => log::error!("shard {}: can't encode snapshot: {err}", self.at.place.name),
+            Err(err) => log::error!(
+                "shard {}: can't encode the snapshot: {err}",
+                self.at.place.name
+            ),
         }
     }
 
-    /// Tells the machine of new templates and workers.
+    /// Passes changed templates and workers to the scheduler.
     ///
-    /// Workers come after templates, since the longest hold depends on them.
+    /// Templates come first, since the longest hold depends on them.
     fn apply_updates(&mut self, now: Millis, state: &mut LoopState) {
         if !self.shared.is_loaded() {
             return;
@@ -173,7 +178,8 @@
         }
     }
 
-    /// Returns the workers of the shard, and how many each shard has.
+    /// Returns the workers of the shard, and the number of workers of each shard
+    /// that are not leaving.
     fn workers(&self) -> Event {
         let members = self.shared.member_list();
         let shards = self.shared.settings.layout.shards();
@@ -196,7 +202,7 @@
         if let Some(recorder) = &mut self.recorder
             && let Err(err) = recorder.add_step(now, event, &actions)
         {
-            log::error!("shard {}: recording ends: {err}", self.at.place.name);
+            log::error!("shard {}: recording stopped: {err}", self.at.place.name);
             self.recorder = None;
         }
         for action in actions {
@@ -234,7 +240,10 @@
                 self.send_exchange(exchange);
             }
             Action::Fenced { epoch } => {
-                log::warn!("shard {}: a worker knows epoch {epoch}", self.at.place.name);
+                log::warn!(
+                    "shard {}: a worker has seen the later epoch {epoch}",
+                    self.at.place.name
+                );
                 self.push(KeeperMessage::Renew, state);
             }
         }
@@ -252,8 +261,9 @@
         let _ = self.reply.try_send(Input::Event(event));
     }
 
-    /// Queues a message for the keeper, which may be busy while the table
-    /// service is down; this thread goes on renewing leases meanwhile.
+    /// Queues a message for the keeper without blocking. The keeper may be busy
+    /// while the table service is down, and this thread has to keep renewing
+    /// leases.
     fn push(&self, message: KeeperMessage, state: &mut LoopState) {
         if matches!(message, KeeperMessage::Renew) && !state.backlog.is_empty() {
             return;
@@ -273,7 +283,7 @@
         }
     }
 
-    /// Puts the shard into the heartbeats.
+    /// Announces the shard and the version of its targets in heartbeats.
     fn announce(&self, state: &mut LoopState) {
         let targets = self.scheduler.targets_version();
         if state.announced_version == targets {
--- a/crates/sched/src/sweep.rs
+++ b/crates/sched/src/sweep.rs
@@ -1,10 +1,10 @@
-//! Deletes what is older than the retention time.
+//! Deletes finished jobs and claims that are older than the retention time.
 //!
-//! Finished jobs and claims are listed by the hour. The owner of a shard sweeps
-//! its list of jobs, the owner of the first shard the list of claims too. What
-//! is deleted twice, or by an owner that has just lost its shard, does no harm:
-//! a row goes only with its entry in the list, and a claim only if it is as old
-//! as its entry.
+//! Finished jobs and claims of idempotency keys are listed by the hour. The owner
+//! of a shard sweeps the shard's list of jobs; the owner of the first shard also
+//! sweeps the list of claims. A sweep is safe to repeat, also by an owner that
+//! has just lost its shard: a row is deleted only together with its list entry,
+//! and a claim only if it is not newer than its entry.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,10 +21,10 @@
 /// Time between two sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Entries of one sweep; the list is sorted by age.
+/// Maximum number of list entries per sweep; the oldest entries come first.
 const SWEEP_ROWS: u32 = 200;
 
-/// Sweeps the lists of one shard.
+/// The sweep of one shard's lists.
 pub struct Sweep {
     /// The table service.
     pub table: Arc<dyn Table>,
@@ -32,14 +32,14 @@
     pub objects: Arc<dyn Objects>,
     /// Name of the shard.
     pub shard: Name,
-    /// Whether to sweep the list of claims.
+    /// Whether to sweep the list of claims of idempotency keys too.
     pub include_claims: bool,
     /// Hours for which finished jobs and claims are kept.
     pub retention_hours: u64,
 }
 
 impl Sweep {
-    /// Sweeps until `cancel`.
+    /// Sweeps at intervals until `cancel`.
     pub fn run(self, cancel: &CancelToken) {
         while !cancel.wait(SWEEP_INTERVAL) {
             if let Err(err) = self.sweep(wall_hour()) {
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Deletes what is too old in `hour`; returns how many jobs and claims.
+    /// Deletes jobs and claims whose retention time has passed in `hour`; returns
+    /// their number.
     pub fn sweep(&self, hour: u64) -> Result<usize, TableError> {
         let min_hour = hour.saturating_sub(self.retention_hours);
         let mut count = self.sweep_jobs(min_hour)?;
@@ -80,7 +81,8 @@
         Ok(count)
     }
 
-    /// Deletes checkpoints; those that can't be deleted now are left behind.
+    /// Deletes the checkpoints of a job. Failures are ignored, and the checkpoint
+    /// is left behind.
     fn delete_checkpoints(&self, job: &EndedJob) {
         for (task, attempts) in job.attempts.iter().enumerate() {
             for attempt in 1..=*attempts {
@@ -121,13 +123,14 @@
     }
 }
 
-/// Tells whether a claim is the one that its entry in the list stands for, and
-/// not a later one of the same key.
+/// Returns whether a claim is the one that its list entry was written for, not a
+/// later claim of the same key.
 fn is_listed_claim(row: &Row, entry: &ClaimedKey) -> bool {
     decode::<Claim>(&row.value).is_ok_and(|c| c.hour <= entry.hour)
 }
 
-/// Passes over rows that changed meanwhile.
+/// Returns whether the transaction deleted its rows; a conflict means that they
+/// changed in the meantime and is no error.
 fn is_deleted(result: Result<u64, TableError>) -> Result<bool, TableError> {
     match result {
         Ok(_) => Ok(true),
--- a/crates/sched/tests/journal.rs
+++ b/crates/sched/tests/journal.rs
@@ -1,4 +1,4 @@
-//! Contract of the journal: appended once, in order, by one owner.
+//! Tests that records are appended once, in order and by one owner only.
 
 use std::sync::Arc;
 
@@ -145,8 +145,9 @@
     let cancelled = old.append(&batch(0, &["late"]), 1_000, &cancel);
     assert_eq!(cancelled, Err(JournalError::Cancelled));
     let (found, version) = row(&platform);
-    // The delayed write takes effect just before the takeover, which then
-    // expects a version that is gone, reads again and finds the record.
+    // The delayed write takes effect just before the takeover. The first
+    // attempt then expects an outdated version and fails; the next one reads the
+    // row again and finds the record.
     let table: Arc<dyn Table> = platform.clone();
     let fenced = Journal::acquire(
         table,
@@ -227,8 +228,9 @@
     assert_eq!(recovered(&platform).jobs().len(), 4);
 }
 
-/// The lease is renewed by the journal's writes, so that they don't wait for
-/// the object store; a cut comes when more rows have been written.
+/// Guards against the loss of rows that are written while a snapshot is stored.
+/// Writes renew the lease and don't wait for the object store, so the journal is
+/// truncated only after further rows were written.
 #[test]
 fn rows_written_while_a_snapshot_is_stored_stay() {
     let platform = Arc::new(FakePlatform::new());
@@ -254,11 +256,9 @@
     assert_eq!(recovered(&platform).jobs().len(), 2);
 }
 
-/// A batch behind a write that was given up left a gap in the journal, which no
-/// new owner could recover.
-///
-/// Cause: a stopping owner appended what was left without looking whether the
-/// batch before had been written. Found by reading.
+/// Guards against a gap in the journal, which no new owner can recover from.
+/// A stopping owner appended the remaining batch without checking whether the
+/// batch before had been written or its write was cancelled.
 #[test]
 fn a_batch_that_would_leave_a_gap_is_refused() {
     let platform = Arc::new(FakePlatform::new());
--- a/crates/sched/tests/settings.rs
+++ b/crates/sched/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: checked as a whole, every problem with its path.
+//! Tests that the settings are checked as a whole and each problem has its path.
 
 use gorsespur_runtime::settings::parse_yaml;
 use gorsespur_sched::settings::{RawSched, check};
--- a/crates/sched/tests/sweep.rs
+++ b/crates/sched/tests/sweep.rs
@@ -1,4 +1,4 @@
-//! What is old is deleted, and nothing else.
+//! Tests that a sweep deletes expired jobs and claims, and nothing else.
 
 use std::sync::Arc;
 
