--- a/crates/entry/src/args.rs
+++ b/crates/entry/src/args.rs
@@ -4,14 +4,14 @@
 
 use clap::Parser;
 
-/// Takes callers' requests and jobs.
+/// Takes requests and jobs of callers.
 #[derive(Debug, Parser)]
 #[command(name = "gorsespur-entry", version)]
 pub struct EntryArgs {
     /// Settings file in YAML.
     #[arg(long)]
     pub settings: PathBuf,
-    /// Check the settings and stop.
+    /// Check the settings and exit.
     #[arg(long)]
     pub check: bool,
 }
--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Single tries at targets.
+//! Single attempts of a request at a target.
 
 use std::{
     io,
@@ -24,7 +24,7 @@
     router_thread::{HandlerMessage, RouterMessage},
 };
 
-/// Fields that concern one connection only.
+/// Hop-by-hop header fields, which concern one connection only.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -37,12 +37,12 @@
     "host",
 ];
 
-/// Tells whether a field is passed on.
+/// Returns whether a header field is forwarded.
 pub(crate) fn is_forwarded(name: &str) -> bool {
     !HOP_BY_HOP.contains(&name)
 }
 
-/// A try to be made.
+/// An attempt to send a request to the target at `addr`.
 pub(crate) struct Attempt {
     pub head: Arc<Head>,
     pub request: Arc<Incoming>,
@@ -54,7 +54,7 @@
     pub reply: Sender<HandlerMessage>,
 }
 
-/// Starts the threads that make tries beside their handlers.
+/// Starts the threads that make attempts while their handlers wait.
 pub(crate) fn start(threads: usize) -> io::Result<Sender<Attempt>> {
     let (tx, rx): (Sender<Attempt>, Receiver<Attempt>) = flume::bounded(threads);
     for i in 0..threads {
@@ -71,7 +71,8 @@
 }
 
 impl Attempt {
-    /// Makes the try, tells the router how it ended, and the handler the answer.
+    /// Makes the attempt, then sends the answer to the handler and the outcome to
+    /// the router.
     pub fn run(self) {
         let started = Instant::now();
         let (end, answer) = self.send(started);
@@ -124,7 +125,10 @@
         call
     }
 
-    /// Judges a whole answer: it must be the target's, and to this request.
+    /// Classifies a complete answer.
+    ///
+    /// An answer without this request's id counts as a failure, since it belongs
+    /// to another request or does not come from a target.
     fn classify(
         &self,
         started: Instant,
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! What callers and the balancer may ask for.
+//! Requests of callers and of the load balancer.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 
 use crate::{forward::Forwarder, job_api::JobApi, reply::error_reply};
 
-/// Serves callers.
+/// Handles requests of callers.
 pub(crate) struct CallerApi {
     pub shared: Arc<AgentState>,
     pub forwarder: Forwarder,
@@ -16,7 +16,7 @@
 }
 
 impl CallerApi {
-    /// Answers one request.
+    /// Handles one request.
     pub fn answer(&self, req: Incoming) -> Reply {
         let path = req.path.clone();
         let segments: Vec<&str> = path.split('/').filter(|s| !s.is_empty()).collect();
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Tells the balancer whether to send requests here.
+    /// Returns the readiness of this instance for the load balancer.
     fn ready(&self) -> Reply {
         if self.shared.is_leaving() {
             return Reply::text(503, "leaving");
--- a/crates/entry/src/cancel_jobs.rs
+++ b/crates/entry/src/cancel_jobs.rs
@@ -1,4 +1,4 @@
-//! Cancelling jobs, one or many at a time.
+//! Cancellation of one or many jobs.
 
 use std::{thread, time::Duration};
 
@@ -23,25 +23,27 @@
     reply::{bad_request, retry_later},
 };
 
-/// Most ids of one cancellation.
+/// Maximum number of ids in one cancellation.
 const MAX_IDS: usize = 10_000;
 
-/// Rows of one read.
+/// Rows per read.
 const ROWS_PER_READ: usize = 500;
 
-/// Ids of one message to an owner.
+/// Maximum number of jobs in one request to an owner.
 const KEYS_PER_REQUEST: usize = 2_000;
 
-/// Time limit of a message to an owner, who answers once it is in the journal.
+/// Timeout of a request to an owner, which answers once the cancellation is in
+/// its journal.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Tries to reach an owner, or one that took the job from its inbox.
+/// Maximum number of requests to an owner. The owner may be unreachable, or may
+/// not have read the jobs from its inbox yet.
 const MAX_ATTEMPTS: u32 = 8;
 
-/// Delay between them.
+/// Delay between two requests to an owner.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// When a caller may come again, in milliseconds.
+/// Delay after which a caller may retry.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 /// Jobs of one shard.
@@ -50,7 +52,7 @@
     keys: Vec<JobKey>,
 }
 
-/// What became of a cancellation.
+/// Result of a cancellation.
 #[derive(Default)]
 struct CancelResult {
     done: usize,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Cancels jobs; nothing if their rows can't be read.
+    /// Cancels jobs; returns `None` if their rows can't be read.
     fn cancel(&self, keys: &[JobKey]) -> Option<CancelResult> {
         let mut result = CancelResult::default();
         let mut groups: Vec<Group> = Vec::new();
@@ -132,8 +134,8 @@
         Some(result)
     }
 
-    /// Cancels jobs of one shard; those that its owner does not know yet are
-    /// asked for again, since it first has to take them from its inbox.
+    /// Cancels jobs of one shard. Jobs that the owner does not have yet are
+    /// retried, since the owner first has to read them from its inbox.
     fn cancel_chunk(&self, shard: &Name, mut keys: Vec<JobKey>, result: &mut CancelResult) {
         for _ in 0..MAX_ATTEMPTS {
             let remaining = self.request_cancel(shard, &keys);
@@ -154,7 +156,8 @@
         result.unreached.extend(keys.into_iter().map(|k| k.id));
     }
 
-    /// Asks the owner once and returns the jobs that are not cancelled.
+    /// Sends one request to the owner and returns the jobs that were not
+    /// cancelled.
     fn request_cancel(&self, shard: &Name, keys: &[JobKey]) -> Vec<JobKey> {
         let Some(addr) = self.owners.find(shard) else {
             return keys.to_vec();
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,8 +1,9 @@
 //! Claims of idempotency keys in the table service.
 //!
-//! A key is claimed before its request is sent, so that a caller's resend
-//! through another instance does not run it again. A claim whose request has
-//! an unknown outcome stays, and every resend is told so.
+//! A key is claimed before its request is sent, so that a retry of the caller
+//! through another instance does not run the request again. If the outcome of
+//! the request is unknown, the claim stays, and every retry is answered as
+//! unknown.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -32,38 +33,38 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::hash::Hasher;
 
-/// Longest answer that is kept with a claim, in bytes.
+/// Maximum length of an answer that is stored with a claim.
 const MAX_STORED_BYTES: usize = 64 << 10;
 
-/// First and longest delay between reads of a claim whose write is in doubt.
+/// Bounds of the backoff between attempts to write a claim or read it back.
 const FIRST_DELAY_MS: u64 = 10;
 const MAX_DELAY_MS: u64 = 200;
 
-/// Most tries to write the end of a claim.
+/// Maximum number of attempts to finish or release a claim.
 const WRITE_ATTEMPTS: u32 = 3;
 
-/// A claim that this instance made.
+/// A claim that this instance holds, with the version of its row.
 #[derive(Debug, Clone)]
 pub(crate) struct OwnClaim {
     claim: Claim,
     version: u64,
 }
 
-/// What became of an attempt to claim a key.
+/// Result of claiming a key.
 pub(crate) enum Claimed {
-    /// The key is claimed; the request may be sent.
+    /// The key is claimed for this request, which may be sent.
     Own(OwnClaim),
-    /// The request ran before; this was its answer.
+    /// The request has already run; this was its answer.
     Finished(Reply),
-    /// The request was sent before, and its end is not known.
+    /// The request has already been sent, and its outcome is not known.
     Unfinished,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     KeyReused,
     /// The claim can't be recorded.
     Unavailable,
 }
 
-/// Claims keys.
+/// Claims idempotency keys.
 pub(crate) struct Claims {
     table: Arc<dyn Table>,
     rng: Mutex<SmallRng>,
@@ -83,7 +84,7 @@
         rng.random_range(1..=u64::MAX)
     }
 
-    /// Claims `key` for a request until `end`.
+    /// Claims `key` for a request; gives up at `deadline`.
     pub fn claim(&self, org: &Name, key: &str, req: &Incoming, deadline: Instant) -> Claimed {
         let row = keys::claim(org, key);
         let claim = Claim {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Learns whose claim is recorded.
+    /// Reads a claim back, to find out which request holds the key.
     fn read_back(&self, key: &Name, claim: Claim, deadline: Instant) -> Claimed {
         let mut backoff = Backoff::new(FIRST_DELAY_MS, MAX_DELAY_MS, claim.token);
         while Instant::now() < deadline {
@@ -128,7 +129,8 @@
         Claimed::Unavailable
     }
 
-    /// Records the answer of a request that ran.
+    /// Records the answer of a request that ran. An answer that is too long is
+    /// left out.
     pub fn finish(&self, org: &Name, key: &str, own_claim: &OwnClaim, reply: &Reply) {
         let whole = reply.body.len() <= MAX_STORED_BYTES;
         let end = ClaimEnd {
@@ -155,7 +157,7 @@
         self.write_with_retries(&tx);
     }
 
-    /// Takes back the claim of a request that truly did not run.
+    /// Releases the claim of a request that certainly did not run.
     pub fn release(&self, org: &Name, key: &str, own_claim: &OwnClaim) {
         let key = keys::claim(org, key);
         let tx = Tx::new()
@@ -173,7 +175,7 @@
             }
             thread::sleep(Duration::from_millis(backoff.next_delay()));
         }
-        log::warn!("claims: the end of a claim is not recorded");
+        log::warn!("claims: can't finish or release a claim");
     }
 }
 
@@ -199,7 +201,8 @@
     Claimed::Finished(reply)
 }
 
-/// Returns a hash of what makes a request the same request.
+/// Returns a hash of the method, path, query and body, by which a retry of a
+/// request is recognised.
 fn fingerprint(req: &Incoming) -> u64 {
     let mut hasher = StableHasher::new();
     hasher.write_u64(stable_hash(&[&req.method, &req.path, &req.query]));
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end the entry.
+//! Errors that stop the entry.
 
 use gorsespur_peer::PeerError;
 use gorsespur_runtime::{
@@ -10,44 +10,44 @@
 };
 use snafu::Snafu;
 
-/// Why the entry can't run.
+/// A reason why the entry can't start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum EntryError {
     /// The settings are unusable.
-    #[snafu(display("settings"))]
+    #[snafu(display("can't load the settings"))]
     Settings {
         /// The reason.
         source: SettingsError,
     },
     /// Logging can't start.
-    #[snafu(display("log"))]
+    #[snafu(display("can't start logging"))]
     Log {
         /// The reason.
         source: LogError,
     },
     /// Metrics can't start.
-    #[snafu(display("metrics"))]
+    #[snafu(display("can't start metrics"))]
     Metric {
         /// The reason.
         source: MetricError,
     },
-    /// The agent can't start.
-    #[snafu(display("agent"))]
+    /// The peer agent can't start.
+    #[snafu(display("can't start the peer agent"))]
     Agent {
         /// The reason.
         source: PeerError,
     },
     /// Callers or peers can't be served.
-    #[snafu(display("can't serve"))]
+    #[snafu(display("can't serve callers or peers"))]
     Serve {
         /// The reason.
         source: ServeError,
     },
-    /// A thread can't be started or signals can't be handled.
-    #[snafu(display("the system refused"))]
+    /// A thread or the signal handler can't be started.
+    #[snafu(display("can't start a thread or handle signals"))]
     System {
-        /// The system's answer.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -1,4 +1,4 @@
-//! Requests to services.
+//! Forwarding of requests to services.
 
 use std::{
     sync::Arc,
@@ -24,16 +24,17 @@
     router_thread::{HandlerMessage, RouterMessage},
 };
 
-/// Messages that may wait for one handler.
-const HANDLER_QUEUE: usize = 16;
+/// Maximum number of messages that wait for one handler.
+const QUEUE_CAPACITY: usize = 16;
 
-/// Time by which a handler waits longer than the deadline for the last word.
+/// Time after the deadline for which a handler still waits for the router's
+/// decision or the target's answer.
 const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
-/// When a caller may come again, in milliseconds.
+/// Delay after which a caller may retry.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Forwards requests to targets.
+/// Forwards requests of callers to targets.
 pub(crate) struct Forwarder {
     pub shared: Arc<AgentState>,
     pub ids: Ids,
@@ -44,7 +45,7 @@
     pub max_answer_bytes: usize,
 }
 
-/// What became of a request.
+/// The reply to a request and its outcome.
 struct Served {
     reply: Reply,
     outcome: Outcome,
@@ -117,9 +118,13 @@
         served.reply
     }
 
-    /// Runs a request: does what the router says until there is an answer.
+    /// Runs a request: carries out the router's commands until the request is
+    /// answered, refused or past its deadline.
+    ///
+    /// An attempt that may be hedged runs on another thread, so that this handler
+    /// can ask the router for a second attempt.
     fn run(&self, req: Incoming, head: Head, arrival: Arrival) -> Served {
-        let (tx, rx) = flume::bounded(HANDLER_QUEUE);
+        let (tx, rx) = flume::bounded(QUEUE_CAPACITY);
         let deadline = Instant::now() + head.limit;
         let (head, req) = (Arc::new(head), Arc::new(req));
         let arrive = RouterMessage::Arrive {
@@ -208,7 +213,8 @@
     }
 }
 
-/// Passes a target's answer on.
+/// Returns the target's answer as the reply, without hop-by-hop header fields and
+/// those that the entry sets itself.
 fn pass_answer(answer: Response, attempts: u32) -> Served {
     let mut reply = Reply::new(answer.status, answer.body);
     for field in answer.headers {
--- a/crates/entry/src/head.rs
+++ b/crates/entry/src/head.rs
@@ -1,4 +1,4 @@
-//! What a caller says of its request.
+//! The header fields of a request to a service.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 
 use crate::{ids::Ids, reply::bad_request};
 
-/// Longest time limit that a caller may set, in milliseconds.
+/// Longest deadline that a caller may set.
 const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// A checked head of a request to a service.
+/// The checked head of a request to a service.
 #[derive(Debug, Clone)]
 pub(crate) struct Head {
     pub number: u64,
@@ -28,7 +28,7 @@
 }
 
 impl Head {
-    /// Checks the head of a request; the error is the answer.
+    /// Checks the head of a request. The error is the reply to the caller.
     pub fn check(
         req: &Incoming,
         org: &Organisation,
@@ -86,7 +86,7 @@
     found.ok_or_else(|| Box::new(bad_request(400, PRIORITY, "must be urgent, normal or bulk")))
 }
 
-/// Reads whether a request may run twice; by default only safe methods may.
+/// Returns whether a request may run twice. By default only safe methods may.
 fn repeatable(req: &Incoming) -> Result<bool, Box<Reply>> {
     match req.header(REPEATABLE) {
         None => Ok(matches!(&*req.method, "GET" | "HEAD" | "OPTIONS")),
--- a/crates/entry/src/hints.rs
+++ b/crates/entry/src/hints.rs
@@ -1,4 +1,5 @@
-//! Hints to owners that a job waits in their inbox.
+//! Hints to owners that a job waits in their inbox, which shorten the time until
+//! the job starts.
 
 use std::{sync::Arc, thread, time::Duration};
 
@@ -12,13 +13,14 @@
 
 use crate::owners::Owners;
 
-/// Hints that may wait; more are dropped, since owners look by themselves.
+/// Maximum number of queued hints. Further hints are dropped, since owners also
+/// poll their inbox without hints.
 const QUEUE_CAPACITY: usize = 64;
 
-/// Time limit of a hint.
+/// Timeout of a hint.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Starts the thread; it ends when the sender is gone.
+/// Starts the thread, which ends when the sender is dropped.
 pub(crate) fn start(owners: &Arc<Owners>) -> std::io::Result<Sender<Name>> {
     let (tx, rx) = flume::bounded::<Name>(QUEUE_CAPACITY);
     let owners = owners.clone();
--- a/crates/entry/src/ids.rs
+++ b/crates/entry/src/ids.rs
@@ -4,7 +4,7 @@
 
 use gorsespur_core::name::Name;
 
-/// Makes ids of an instance's name, its start and a counter.
+/// Generates ids from the instance's name, its incarnation and a counter.
 #[derive(Debug)]
 pub(crate) struct Ids {
     prefix: String,
@@ -19,12 +19,12 @@
         }
     }
 
-    /// Returns the next number; it names a request towards the router.
+    /// Returns the next number, which identifies a request to the router.
     pub fn next_number(&self) -> u64 {
         self.next.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Returns the id of a request without one.
+    /// Returns the id of a request whose caller sent none.
     pub fn format(&self, number: u64) -> String {
         format!("{}.{number}", self.prefix)
     }
--- a/crates/entry/src/job_api.rs
+++ b/crates/entry/src/job_api.rs
@@ -1,4 +1,4 @@
-//! Submitting and watching jobs.
+//! Submission and status of jobs.
 
 use std::{sync::Arc, time::Duration};
 
@@ -28,16 +28,17 @@
     reply::{bad_request, error_reply, retry_later},
 };
 
-/// Time limit of asking an owner.
+/// Timeout of a status request to an owner.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// When a caller may come again, in milliseconds.
+/// Delay after which a caller may retry.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Tries to learn what became of a submission whose answer was lost.
+/// Maximum number of reads to find out whether a submission whose answer was
+/// lost took effect.
 const READ_BACK_ATTEMPTS: u32 = 3;
 
-/// Serves jobs.
+/// Handles callers' requests about jobs.
 pub(crate) struct JobApi {
     pub shared: Arc<AgentState>,
     pub table: Arc<dyn Table>,
@@ -46,7 +47,7 @@
 }
 
 impl JobApi {
-    /// Serves a request to `/v1/orgs/ORGANISATION/...`.
+    /// Handles a request to `/v1/orgs/ORGANISATION/...`.
     pub fn serve(&self, req: &Incoming, org: &str, rest: &[&str]) -> Reply {
         let Some(entry) = self.shared.configs().get(org).cloned() else {
             return error_reply(
@@ -121,7 +122,7 @@
         self.record(at, spec)
     }
 
-    /// Records a submission: the job's row and its place in the inbox.
+    /// Records a submission: writes the job's row and its row in the inbox.
     fn record(&self, at: &ZoneShard, spec: JobSpec) -> Reply {
         let row = JobRow {
             shard: at.place.name.clone(),
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Answers a submission under an id that is recorded.
+    /// Replies to a submission whose id already exists.
     fn answer_existing(&self, row: &JobRow) -> Reply {
         match self.read_row(&row.spec.key) {
             Ok(Some(found)) if is_same_job(&found.spec, &row.spec) => self.accepted(200, &found),
@@ -171,7 +172,7 @@
         job_reply(status, row, state, row.ended.as_ref())
     }
 
-    /// Reads a job's row; nothing if there is none.
+    /// Returns a job's row, or `None` if there is none.
     pub fn read_row(&self, key: &JobKey) -> Result<Option<JobRow>, TableError> {
         let rows = self.table.get(&[keys::job(key)])?;
         let Some(row) = rows.into_iter().next().flatten() else {
@@ -212,7 +213,7 @@
     }
 }
 
-/// Tells whether two submissions ask for the same.
+/// Returns whether two submissions ask for the same job.
 fn is_same_job(a: &JobSpec, b: &JobSpec) -> bool {
     a.key == b.key && a.kind == b.kind && a.tasks == b.tasks
 }
@@ -230,7 +231,7 @@
     )
 }
 
-/// Returns an answer in JSON.
+/// Returns a reply in JSON.
 pub(crate) fn json_reply<T: Serialize>(status: u16, value: &T) -> Reply {
     let body = serde_json::to_vec(value).unwrap_or_default();
     Reply::new(status, body)
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,9 +1,9 @@
-//! The entry: takes callers' requests and jobs.
+//! The entry, which takes requests and jobs of callers.
 //!
-//! Requests to services go to targets that the owners of shards announce; jobs
-//! go into the inbox of a shard in the table service, so that an accepted job
-//! does not depend on any process. One thread decides on routing; handler
-//! threads read, send and answer.
+//! Requests to services are forwarded to targets that the owners of shards
+//! announce. Jobs are written to the inbox of a shard in the table service, so
+//! that an accepted job does not depend on any process. A single thread decides
+//! on routing; handler threads read requests, send them to targets and reply.
 
 pub mod args;
 mod attempts;
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests and jobs.
+//! The entry program, which takes requests and jobs of callers.
 
 use std::process::ExitCode;
 
--- a/crates/entry/src/owners.rs
+++ b/crates/entry/src/owners.rs
@@ -1,4 +1,4 @@
-//! Owners of shards, as the entry reaches them.
+//! Addresses of shard owners and sizes of their largest workers.
 
 use std::{
     net::SocketAddr,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes note of a shard's largest worker.
+    /// Records the size of a shard's largest worker.
     pub fn set_largest_worker(&self, shard: usize, size: Size) {
         let mut workers = self
             .largest_workers
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns the largest worker of a shard; nothing if none is known.
+    /// Returns the size of a shard's largest worker, or `None` if it is not known.
     pub fn largest_worker(&self, shard: u32) -> Option<Size> {
         let workers = self
             .largest_workers
@@ -47,7 +47,7 @@
         workers.get(shard as usize).copied().filter(|s| s.cpu > 0)
     }
 
-    /// Returns the address of a shard's owner: by heartbeats, or else by the
+    /// Returns the address of a shard's owner, from heartbeats or else from the
     /// shard's row.
     pub fn find(&self, shard: &Name) -> Option<SocketAddr> {
         let at = self.shared.settings.layout.find(shard)?;
--- a/crates/entry/src/peer_api.rs
+++ b/crates/entry/src/peer_api.rs
@@ -1,4 +1,4 @@
-//! What the entry answers its peers and operators.
+//! Requests of peers and operators.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,17 +13,17 @@
 
 use crate::router_thread::RouterMessage;
 
-/// Time limit of an answer from the router thread.
+/// Timeout of an answer from the router thread.
 const ROUTER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Answers peers.
+/// Handles requests of peers and operators.
 pub(crate) struct PeerApi {
     pub shared: Arc<AgentState>,
     pub router: Sender<RouterMessage>,
 }
 
 impl PeerApi {
-    /// Answers one request.
+    /// Handles one request.
     pub fn answer(&self, req: &Incoming) -> Reply {
         if let Some(reply) = self.shared.handle_request(req) {
             return reply;
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -1,4 +1,4 @@
-//! Builds and runs the entry.
+//! Startup and shutdown of the entry.
 
 use std::{net::SocketAddr, sync::Arc, thread, time::Duration};
 
@@ -59,7 +59,7 @@
     let stop = CancelToken::new();
     cancel_on_signal(&stop).context(SystemSnafu)?;
     let running = start(settings)?;
-    log::info!("entry: serves callers at {}", running.callers);
+    log::info!("entry: serving callers at {}", running.callers);
     while !stop.wait(Duration::from_secs(3600)) {}
     running.stop();
     log::info!("entry: stopped");
@@ -118,8 +118,8 @@
 }
 
 impl Running {
-    /// Stops: tells peers and the balancer, takes requests for the drain time,
-    /// and lets those in flight end.
+    /// Stops the entry: announces the exit to peers and the load balancer, takes
+    /// requests for the drain time, and waits for requests in flight.
     pub fn stop(self) {
         self.shared.start_leaving();
         thread::sleep(self.drain);
--- a/crates/entry/src/router_thread.rs
+++ b/crates/entry/src/router_thread.rs
@@ -10,46 +10,46 @@
 use gorsespur_peer::AgentState;
 use gorsespur_runtime::{cancel::CancelToken, client::Response, metrics::Metrics};
 
-/// Time between two ticks while no request waits.
+/// Longest time between two ticks while no request waits.
 const IDLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two ticks.
+/// Time between two ticks while requests wait.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Messages that are handled before a tick.
+/// Maximum number of queued messages that are handled before a tick.
 const MAX_BURST: usize = 256;
 
-/// Messages that may wait for the router.
+/// Maximum number of messages that wait for the router.
 const QUEUE_CAPACITY: usize = 8_192;
 
 /// A message for the router thread.
 pub(crate) enum RouterMessage {
-    /// A request came; commands for it go to `reply`.
+    /// A request arrived; `reply` receives the commands for it.
     Arrive {
         arrival: Arrival,
         reply: Sender<HandlerMessage>,
     },
-    /// An event of the router.
+    /// An event for the router.
     Event(RouteEvent),
-    /// Tell the counts.
+    /// Send the router's counts.
     Counts(Sender<RouteCounts>),
 }
 
 /// A message for the thread that handles a request.
 pub(crate) enum HandlerMessage {
-    /// What the router decided.
+    /// A command of the router.
     Command(RouteAction),
-    /// How a try ended.
+    /// An attempt ended, with the target's answer if there is one.
     AttemptEnded(Option<Box<Response>>),
 }
 
-/// A request that a handler waits for.
+/// A request whose handler waits for commands.
 pub(crate) struct PendingRequest {
     pub req: u64,
     pub reply: Sender<HandlerMessage>,
 }
 
-/// Starts the thread; it ends with `cancel`.
+/// Starts the thread, which ends on `cancel`.
 pub(crate) fn start(
     settings: RouteSettings,
     shared: &Arc<AgentState>,
@@ -124,10 +124,10 @@
     dispatch(router, now, actions, pending, metrics);
 }
 
-/// Hands the router's decisions to the handlers that wait for them.
+/// Delivers the router's commands to the handlers that wait for them.
 ///
-/// A try whose handler has left is told to the router as not sent, or its place
-/// at the target would stay taken.
+/// An attempt whose handler has given up is reported to the router as not sent.
+/// Otherwise its slot at the target would stay occupied.
 fn dispatch(
     router: &mut Router,
     now: Millis,
@@ -147,7 +147,8 @@
     }
 }
 
-/// Delivers one decision; returns what the router has to know if it can't.
+/// Delivers one command. Returns an event for the router if an attempt could not
+/// be delivered.
 fn deliver(
     action: RouteAction,
     pending: &mut Vec<PendingRequest>,
--- a/crates/entry/src/router_thread_tests.rs
+++ b/crates/entry/src/router_thread_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the router thread's hand-out.
+//! Tests of the delivery of the router's commands.
 
 use gorsespur_core::{
     route::{Arrival, RouteEvent, RouteSettings, Router, TargetList},
@@ -11,11 +11,9 @@
 
 const NOW_MS: u64 = 1_000_000;
 
-/// A try that no handler took kept its place at the target for ever.
-///
-/// Cause: a handler that gave up at its deadline left while its request still
-/// waited; the decision to send it was dropped, and no end was ever told. Found
-/// by reading.
+/// Guards against an attempt that occupies a slot at its target for ever. A
+/// handler gave up at the deadline while its request was still queued; the later
+/// command to send the request was dropped, and its end was never reported.
 #[test]
 fn an_attempt_without_a_handler_frees_its_slot() {
     let mut router = Router::new(RouteSettings::default(), 1);
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -7,10 +7,10 @@
 use gorsespur_runtime::server::Limits;
 use serde::Deserialize;
 
-/// Most handler threads.
+/// Maximum number of handler threads.
 const MAX_HANDLERS: usize = 2_000;
 
-/// Settings as written.
+/// The settings file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawEntry {
@@ -24,7 +24,7 @@
     /// Routing.
     #[serde(default)]
     pub route: RouteSettings,
-    /// Time in milliseconds for which a stopping instance still takes requests.
+    /// Time, in milliseconds, for which a stopping instance still takes requests.
     #[serde(default = "default_drain")]
     pub drain_ms: u64,
 }
@@ -33,25 +33,26 @@
     2_000
 }
 
-/// Limits on callers as written.
+/// Limits on callers in the settings file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RawCallerLimits {
-    /// Most bytes of a head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Most bytes of a body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Most bytes of an answer.
+    /// Maximum size of a target's answer, in bytes.
     pub answer_bytes: usize,
-    /// Time limit of one read or write in milliseconds.
+    /// Timeout of one read or write, in milliseconds.
     pub io_ms: u64,
-    /// Time limit of a whole body in milliseconds.
+    /// Timeout of a whole body, in milliseconds.
     pub body_ms: u64,
-    /// Handler threads; each request holds one.
+    /// Number of handler threads; each request in progress occupies one.
     pub handlers: usize,
-    /// Requests that may wait for a handler.
+    /// Maximum number of requests that wait for a handler.
     pub waiting: usize,
-    /// Connections; the longest idle ones above are closed.
+    /// Maximum number of connections; beyond it, the connections that are idle
+    /// for longest are closed.
     pub connections: usize,
 }
 
@@ -79,7 +80,7 @@
     pub callers: SocketAddr,
     /// Limits on callers.
     pub limits: Limits,
-    /// Most bytes of an answer.
+    /// Maximum size of a target's answer, in bytes.
     pub max_answer_bytes: usize,
     /// Routing.
     pub route: RouteSettings,
@@ -87,7 +88,7 @@
     pub drain: Duration,
 }
 
-/// Checks the settings as a whole.
+/// Checks the settings and returns all problems at once.
 pub fn check(raw: RawEntry) -> Result<EntrySettings, Problems> {
     let mut p = Problems::default();
     let l = &raw.limits;
--- a/crates/entry/src/targets.rs
+++ b/crates/entry/src/targets.rs
@@ -1,4 +1,4 @@
-//! Follows the targets that the owners of shards announce.
+//! Polls the owners of shards for their targets and passes changes to the router.
 
 use std::{sync::Arc, thread, time::Duration};
 
@@ -18,22 +18,22 @@
 
 use crate::{owners::Owners, router_thread::RouterMessage};
 
-/// Time between two looks.
+/// Time between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time limit of asking an owner.
+/// Timeout of a request to an owner.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the router was told.
+/// The state that was last sent to the router.
 #[derive(Default)]
 struct RouterView {
-    /// Epoch and version by index of the shard.
+    /// Epoch and version of the target list, by shard index.
     versions: Vec<Option<(u64, u64)>>,
     leaving: Vec<Name>,
     share: Option<Share>,
 }
 
-/// Starts the thread; it ends with `cancel`.
+/// Starts the thread, which ends on `cancel`.
 pub(crate) fn start(
     shared: &Arc<AgentState>,
     owners: &Arc<Owners>,
@@ -87,7 +87,8 @@
     send_members(shared, router, view);
 }
 
-/// Returns the live owner of a shard, its epoch and the version of its list.
+/// Returns the address of a shard's live owner, its epoch and the version of its
+/// target list.
 fn find_owner(shared: &AgentState, shard: u32) -> Option<(std::net::SocketAddr, u64, u64)> {
     let now = shared.clock.now();
     let peers = shared.peers();
--- a/crates/entry/tests/callers.rs
+++ b/crates/entry/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What callers are told, end to end in one process.
+//! End-to-end tests of the replies to callers, in one process.
 
 mod common;
 
@@ -19,8 +19,8 @@
     serde_json::from_slice(&answer.body).expect("JSON")
 }
 
-/// Runs of a request by the worker's ledger.
-fn runs(zone: &Zone, id: &str) -> usize {
+/// Returns how often a request ran, from the worker's ledger.
+fn run_count(zone: &Zone, id: &str) -> usize {
     let entries = zone.ledger.entries();
     entries
         .iter()
@@ -32,7 +32,7 @@
 fn bad_input_is_refused_as_not_run() {
     let zone = Zone::start();
     let long = "x".repeat(200);
-    let heads: [(&str, &str, &str, u16); 9] = [
+    let requests: [(&str, &str, &str, u16); 9] = [
         (SERVICE, "x-deadline-ms", "soon", 400),
         (SERVICE, "x-deadline-ms", "0", 400),
         (SERVICE, "x-deadline-ms", "99999999999", 400),
@@ -43,7 +43,7 @@
         ("/s/nobody/hello/x", "x-priority", "bulk", 404),
         ("/s/first/nothing/x", "x-priority", "bulk", 404),
     ];
-    for (path, name, value, status) in heads {
+    for (path, name, value, status) in requests {
         let answer = zone
             .call("GET", path)
             .header(name, value)
@@ -125,7 +125,7 @@
     let body = "{\"kind\": \"renewal\"}";
     assert_eq!(zone.send("PUT", path, body).status, 201);
     assert_eq!(zone.send("PUT", path, body).status, 200);
-    zone.until("the job is done", || {
+    zone.wait_until("the job is done", || {
         job(&zone.send("GET", path, ""))["state"] == "done"
     });
     assert_eq!(job(&zone.send("PUT", path, body))["state"], "done");
@@ -139,7 +139,7 @@
     let other = "/v1/orgs/first/jobs/two";
     assert_eq!(zone.send("PUT", other, body).status, 201);
     assert_eq!(zone.send("DELETE", other, "").status, 200);
-    zone.until("the job is cancelled", || {
+    zone.wait_until("the job is cancelled", || {
         job(&zone.send("GET", other, ""))["state"] == "cancelled"
     });
     assert_eq!(zone.send("DELETE", other, "").status, 200, "again");
@@ -169,7 +169,7 @@
         (again.status, outcome(&again), &again.body),
         (200, "ran", &first.body)
     );
-    assert_eq!((runs(&zone, "r1"), runs(&zone, "r2")), (1, 0));
+    assert_eq!((run_count(&zone, "r1"), run_count(&zone, "r2")), (1, 0));
     let other = send("r3", "k1", "another");
     assert_eq!((other.status, outcome(&other)), (422, "not-run"));
     zone.worker.set_faults(WorkerFaults {
@@ -181,14 +181,14 @@
     zone.worker.set_faults(WorkerFaults::default());
     let resent = send("r5", "k2", "hold");
     assert_eq!((resent.status, outcome(&resent)), (409, "unknown"));
-    assert_eq!((runs(&zone, "r4"), runs(&zone, "r5")), (1, 0));
+    assert_eq!((run_count(&zone, "r4"), run_count(&zone, "r5")), (1, 0));
     zone.platform_faults(PlatformFaults {
         table_down: true,
         ..PlatformFaults::default()
     });
     let refused = send("r6", "k3", "hold");
     assert_eq!((refused.status, outcome(&refused)), (503, "not-run"));
-    assert_eq!(runs(&zone, "r6"), 0);
+    assert_eq!(run_count(&zone, "r6"), 0);
 }
 
 #[test]
@@ -198,9 +198,13 @@
         swap_answers: true,
         ..WorkerFaults::default()
     });
-    for (method, wanted) in [("POST", "unknown"), ("GET", "unknown")] {
+    for (method, expected) in [("POST", "unknown"), ("GET", "unknown")] {
         let answer = zone.send(method, SERVICE, "");
-        assert_eq!((answer.status, outcome(&answer)), (502, wanted), "{method}");
+        assert_eq!(
+            (answer.status, outcome(&answer)),
+            (502, expected),
+            "{method}"
+        );
     }
 }
 
@@ -217,7 +221,7 @@
     assert_eq!((answer.status, outcome(&answer)), (503, "not-run"));
     assert!(find_header(&answer.headers, "retry-after").is_some());
     zone.platform_faults(PlatformFaults::default());
-    zone.until("submissions are taken again", || {
+    zone.wait_until("submissions are taken again", || {
         zone.send("PUT", "/v1/orgs/first/jobs/one", "{\"kind\": \"renewal\"}")
             .status
             == 201
@@ -239,7 +243,7 @@
         call.send()
     });
     rx.recv().expect("begun");
-    zone.until("the request runs", || zone.worker.busy() > 0);
+    zone.wait_until("the request runs", || zone.worker.busy() > 0);
     entry.stop();
     let answer = caller.join().expect("ended").expect("an answer");
     assert_eq!((answer.status, outcome(&answer)), (200, "ran"));
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! One zone in this process: platform, worker, scheduler and entry.
+//! A test zone in one process: platform, worker, scheduler and entry.
 
 use std::{
     net::SocketAddr,
@@ -27,10 +27,10 @@
 };
 use gorsespur_wire::members::MemberList;
 
-/// Tries to reach a state, 50 ms apart.
-const TRIES: u32 = 400;
+/// Maximum number of checks for a state, at intervals of 50 ms.
+const MAX_CHECKS: u32 = 400;
 
-/// The zone.
+/// A running zone, which stops when it is dropped.
 pub struct Zone {
     pub callers: SocketAddr,
     pub ledger: Arc<Ledger>,
@@ -41,7 +41,7 @@
     cancel: CancelToken,
 }
 
-fn common(id: &str, listen: SocketAddr, seed: SocketAddr, gate: SocketAddr) -> String {
+fn common_settings(id: &str, listen: SocketAddr, seed: SocketAddr, gate: SocketAddr) -> String {
     format!(
         "instance: {{id: {id}, zone: home, listen: '{listen}', seeds: ['{seed}'], \
          zones: [{{name: home}}], \
@@ -55,10 +55,10 @@
         let cancel = CancelToken::new();
         let platform = Platform::new(5_000, 5_000, Duration::ZERO, 1);
         let platform = Arc::new(Mutex::new(platform));
-        let any: SocketAddr = ([127, 0, 0, 1], 0).into();
+        let any_addr: SocketAddr = ([127, 0, 0, 1], 0).into();
         let gates = [Gate {
             zone: "home".into(),
-            addr: any,
+            addr: any_addr,
         }];
         let gates = serve_platform(platform.clone(), &gates, &cancel).expect("a platform");
         let gate = gates[0].addr;
@@ -86,14 +86,15 @@
         };
         let table = HttpTable::new(gate, Duration::from_secs(2));
         apply(&table, &change).expect("accepted");
-        let own = || own_addr().expect("an address");
-        let (s, e) = (own(), own());
-        let raw = parse_yaml(&common("sched1", s, e, gate)).expect("good settings");
+        let free_addr = || own_addr().expect("an address");
+        let (sched_listen, entry_listen) = (free_addr(), free_addr());
+        let raw = parse_yaml(&common_settings("sched1", sched_listen, entry_listen, gate))
+            .expect("good settings");
         let settings = sched_settings::check(raw).expect("good settings");
         let sched = sched::start(&settings, None, &CancelToken::new()).expect("a scheduler");
         let text = format!(
-            "{}callers: '{any}'\ndrain_ms: 100\n",
-            common("entry1", e, s, gate)
+            "{}callers: '{any_addr}'\ndrain_ms: 100\n",
+            common_settings("entry1", entry_listen, sched_listen, gate)
         );
         let raw = parse_yaml(&text).expect("good settings");
         let settings = entry_settings::check(raw).expect("good settings");
@@ -107,7 +108,7 @@
             sched: Some(sched),
             cancel,
         };
-        zone.until("requests are served", || {
+        zone.wait_until("requests are served", || {
             zone.call("GET", "/s/first/hello/")
                 .send()
                 .is_ok_and(|a| a.status == 200)
@@ -120,7 +121,7 @@
         Call::new(method, self.callers, path).timeout(Duration::from_secs(10))
     }
 
-    /// Makes a call with a body and returns the answer.
+    /// Sends a request with a body and returns the answer.
     pub fn send(&self, method: &str, path: &str, body: &str) -> Response {
         let call = self.call(method, path).body(body.as_bytes().to_vec());
         call.send().expect("an answer")
@@ -131,10 +132,10 @@
         lock(&self.platform).set_faults(faults);
     }
 
-    /// Waits for a state; panics if it is not reached.
-    pub fn until(&self, what: &str, ok: impl Fn() -> bool) {
-        for _ in 0..TRIES {
-            if ok() {
+    /// Waits for a state; panics if it is not reached in time.
+    pub fn wait_until(&self, what: &str, is_reached: impl Fn() -> bool) {
+        for _ in 0..MAX_CHECKS {
+            if is_reached() {
                 return;
             }
             thread::sleep(Duration::from_millis(50));
@@ -174,7 +175,7 @@
     let objects = gorsespur_services::HttpObjects::new(gate, Duration::from_secs(1));
     let checkpoints = Arc::new(StoredCheckpoints::new(objects));
     let sim = SimWorker::new(settings, 9, ledger.clone(), checkpoints);
-    let any: SocketAddr = ([127, 0, 0, 1], 0).into();
+    let any_addr: SocketAddr = ([127, 0, 0, 1], 0).into();
     let load = TargetLoad::new(8, 1.0);
-    serve_worker(any, any, sim, load, ledger.clone(), "w1", cancel).expect("a worker")
+    serve_worker(any_addr, any_addr, sim, load, ledger.clone(), "w1", cancel).expect("a worker")
 }
--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: checked as a whole, every problem with its path.
+//! Tests that the settings are checked as a whole and each problem has its path.
 
 use gorsespur_entry::settings::{RawEntry, check};
 use gorsespur_runtime::settings::parse_yaml;
@@ -28,9 +28,9 @@
 #[test_case("listen: 127.0.0.1:7402", "listen: 0.0.0.0:7402", "listen"; "an address that peers can't reach")]
 #[test_case("callers:", "limits: {handlers: 0}\ncallers:", "limits.handlers"; "no handler")]
 #[test_case("callers:", "limits: {body_bytes: 0}\ncallers:", "limits.body_bytes"; "no body")]
-#[test_case("callers:", "route: {attempts: 0}\ncallers:", "route.attempts"; "no try")]
+#[test_case("callers:", "route: {attempts: 0}\ncallers:", "route.attempts"; "no attempt")]
 #[test_case("callers:", "route: {share: 9999}\ncallers:", "route.share"; "a share beyond the handlers")]
-#[test_case("callers:", "drain_ms: 99999999\ncallers:", "drain_ms"; "an absurd drain")]
+#[test_case("callers:", "drain_ms: 99999999\ncallers:", "drain_ms"; "a drain time that is too long")]
 fn a_bad_value_is_named(good: &str, bad: &str, path: &str) {
     let text = GOOD.replacen(good, bad, 1);
     assert_ne!(text, GOOD);
--- a/crates/sched/src/ownership.rs
+++ b/crates/sched/src/ownership.rs
@@ -34,10 +34,10 @@
 };
 
 /// Maximum number of messages that wait for a shard thread.
-const INPUT_CAPACITY: usize = 8_192;
+const INPUT_QUEUE_CAPACITY: usize = 8_192;
 
 /// Maximum number of messages that wait for a keeper.
-const KEEPER_CAPACITY: usize = 1_024;
+const KEEPER_QUEUE_CAPACITY: usize = 1_024;
 
 /// Timeout of the release of a shard when the instance stops.
 pub(crate) const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -78,8 +78,8 @@
         old_owner: Option<SocketAddr>,
     ) -> EndReason {
         let cancel = CancelToken::new();
-        let (input, inputs) = flume::bounded(INPUT_CAPACITY);
-        let (keeper, messages) = flume::bounded(KEEPER_CAPACITY);
+        let (input, inputs) = flume::bounded(INPUT_QUEUE_CAPACITY);
+        let (keeper, messages) = flume::bounded(KEEPER_QUEUE_CAPACITY);
         let (wake_inbox, wakes) = flume::bounded(1);
         let (hold, is_settled) = (journal.row().hold, takeover.settled);
         let shard_thread = self.start_scheduler(takeover, &input, inputs, keeper, &cancel);
--- a/crates/sched/tests/sweep.rs
+++ b/crates/sched/tests/sweep.rs
@@ -91,7 +91,7 @@
     assert_eq!(
         sweep(&platform, false).sweep(125),
         Ok(0),
-        "not this shard's duty"
+        "another shard sweeps claims"
     );
     assert_eq!(sweep(&platform, true).sweep(125), Ok(2));
     assert_eq!(platform.count("claim/weld/old"), 0);
