--- a/crates/sched/src/error.rs
+++ b/crates/sched/src/error.rs
@@ -15,31 +15,31 @@
 #[snafu(visibility(pub(crate)))]
 pub enum SchedError {
     /// The settings are unusable.
-    #[snafu(display("can't load the settings"))]
+    #[snafu(display("settings"))]
     Settings {
         /// The reason.
         source: SettingsError,
     },
     /// Logging can't start.
-    #[snafu(display("can't start logging"))]
+    #[snafu(display("log"))]
     Log {
         /// The reason.
         source: LogError,
     },
     /// Metrics can't start.
-    #[snafu(display("can't start metrics"))]
+    #[snafu(display("metrics"))]
     Metric {
         /// The reason.
         source: MetricError,
     },
     /// The peer agent can't start.
-    #[snafu(display("can't start the peer agent"))]
+    #[snafu(display("agent"))]
     Agent {
         /// The reason.
         source: PeerError,
     },
     /// Peers can't be served.
-    #[snafu(display("can't serve peers"))]
+    #[snafu(display("peers"))]
     Serve {
         /// The reason.
         source: ServeError,
