--- a/crates/entry/src/job_api.rs
+++ b/crates/entry/src/job_api.rs
@@ -93,7 +93,7 @@
                 &format!("must be from 1 to {}", kind.max_tasks),
             );
         }
-        let Some(at) = self
+        let Some(shard) = self
             .shared
             .settings
             .layout
@@ -113,19 +113,19 @@
             attempts: kind.attempts,
             service: false,
         };
-        if let Some(largest) = self.owners.largest_worker(at.place.index)
+        if let Some(largest) = self.owners.largest_worker(shard.place.index)
             && !spec.size.fits_in(&largest)
         {
             let text = format!("{} is larger than the largest worker, {largest}", spec.size);
             return bad_request(422, "size", &text);
         }
-        self.record(at, spec)
+        self.record(shard, spec)
     }
 
     /// Records a submission: writes the job's row and its row in the inbox.
-    fn record(&self, at: &ZoneShard, spec: JobSpec) -> Reply {
+    fn record(&self, shard: &ZoneShard, spec: JobSpec) -> Reply {
         let row = JobRow {
-            shard: at.place.name.clone(),
+            shard: shard.place.name.clone(),
             spec,
             ended: None,
         };
@@ -137,7 +137,7 @@
         let tx = Tx::new()
             .check(job.clone(), Expect::Absent)
             .put(job, value)
-            .put(keys::inbox(&at.place.name, &spec.key), inbox_value);
+            .put(keys::inbox(&shard.place.name, &spec.key), inbox_value);
         match self.table.tx(&tx) {
             Ok(_) => self.accepted(201, &row),
             Err(TableError::Unavailable) => {
--- a/crates/entry/src/owners.rs
+++ b/crates/entry/src/owners.rs
@@ -50,12 +50,12 @@
     /// Returns the address of a shard's owner, from heartbeats or else from the
     /// shard's row.
     pub fn find(&self, shard: &Name) -> Option<SocketAddr> {
-        let at = self.shared.settings.layout.find(shard)?;
+        let found = self.shared.settings.layout.find(shard)?;
         let now = self.shared.clock.now();
         let addr = self
             .shared
             .peers()
-            .owner_of(now, at.place.index)
+            .owner_of(now, found.place.index)
             .map(|p| p.addr);
         addr.or_else(|| self.find_in_row(shard))
     }
--- a/crates/entry/src/targets.rs
+++ b/crates/entry/src/targets.rs
@@ -61,15 +61,15 @@
     router: &Sender<RouterMessage>,
     view: &mut RouterView,
 ) {
-    for (i, at) in shared.settings.layout.shards().iter().enumerate() {
-        let Some((addr, epoch, version)) = find_owner(shared, at.place.index) else {
+    for (i, shard) in shared.settings.layout.shards().iter().enumerate() {
+        let Some((addr, epoch, version)) = find_owner(shared, shard.place.index) else {
             continue;
         };
         if view.versions[i].is_some_and(|known| known >= (epoch, version)) {
             continue;
         }
         let request = TargetsRequest {
-            shard: at.place.index,
+            shard: shard.place.index,
         };
         let answer: Result<TargetsAnswer, _> = post(addr, PEER_TARGETS, &request, REQUEST_TIMEOUT);
         let Ok(answer) = answer else { continue };
@@ -79,7 +79,7 @@
             shard: answer.shard,
             epoch: answer.epoch,
             version: answer.version,
-            same_zone: at.zone == shared.settings.zone,
+            same_zone: shard.zone == shared.settings.zone,
             targets: answer.targets,
         };
         let _ = router.send(RouterMessage::Event(RouteEvent::Targets(list)));
--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -30,7 +30,7 @@
 
 /// State of a keeper thread.
 pub(crate) struct Keeper {
-    pub at: ZoneShard,
+    pub shard: ZoneShard,
     pub settings: SchedSettings,
     pub shared: Arc<AgentState>,
     pub table: Arc<dyn Table>,
@@ -38,7 +38,7 @@
     pub owned: Arc<OwnedShards>,
     pub exchanges: Sender<Exchange>,
     pub metrics: Metrics,
-    pub record: Option<PathBuf>,
+    pub record_dir: Option<PathBuf>,
     pub stop: CancelToken,
 }
 
@@ -63,8 +63,8 @@
             let now = self.shared.clock.now();
             lease_watch.observe(now, row.as_ref(), version);
             let delay = rank as u64 * RANK_DELAY_MS;
-            let due = lease_watch.can_acquire(now.saturating_sub(delay));
-            if !due || !lease_watch.is_unchanged_for(now, delay) {
+            let is_due = lease_watch.can_acquire(now.saturating_sub(delay));
+            if !is_due || !lease_watch.is_unchanged_for(now, delay) {
                 continue;
             }
             self.acquire(row.as_ref(), version);
@@ -76,7 +76,7 @@
     /// preferred owner.
     fn rank(&self) -> Option<usize> {
         let mut candidates = self.shared.same_role_ids();
-        let name = &self.at.place.name;
+        let name = &self.shard.place.name;
         candidates.sort_by_key(|id| std::cmp::Reverse(stable_hash(&[name, id])));
         candidates
             .iter()
@@ -84,7 +84,7 @@
     }
 
     fn read(&self) -> Option<(Option<ShardRow>, u64)> {
-        let key = keys::shard(&self.at.place.name);
+        let key = keys::shard(&self.shard.place.name);
         let rows = self.table.get(&[key]).ok()?;
         let Some(Some(row)) = rows.into_iter().next() else {
             return Some((None, 0));
@@ -92,7 +92,7 @@
         match decode(&row.value) {
             Ok(value) => Some((Some(value), row.version)),
             Err(err) => {
-                log::error!("shard {}: malformed row: {err}", self.at.place.name);
+                log::error!("shard {}: malformed row: {err}", self.shard.place.name);
                 None
             }
         }
@@ -103,14 +103,14 @@
     /// The shard is marked active for that time; otherwise no thread of this
     /// process commands its workers.
     fn acquire(&self, row: Option<&ShardRow>, version: u64) {
-        let index = self.at.place.index;
+        let index = self.shard.place.index;
         self.owned.mark_active(index);
         self.acquire_and_run(row, version);
         self.owned.mark_inactive(index);
     }
 
     fn acquire_and_run(&self, row: Option<&ShardRow>, version: u64) {
-        let name = &self.at.place.name;
+        let name = &self.shard.place.name;
         let s = &self.shared.settings;
         let new_owner = NewOwner {
             id: s.id.clone(),
@@ -161,7 +161,7 @@
 
     /// Recovers the shard state, and renews the lease between attempts.
     fn recover(&self, journal: &mut Journal) -> Option<ShardState> {
-        let name = &self.at.place.name;
+        let name = &self.shard.place.name;
         loop {
             let table = self.table.as_ref();
             match recover(table, self.objects.as_ref(), name, journal.row()) {
--- a/crates/sched/src/ownership.rs
+++ b/crates/sched/src/ownership.rs
@@ -92,16 +92,16 @@
         };
         let sweep_thread = self.start_sweep(&cancel);
         self.owned.add(OwnedShard {
-            index: self.at.place.index,
-            name: self.at.place.name.clone(),
+            index: self.shard.place.index,
+            name: self.shard.place.name.clone(),
             input: input.clone(),
             wake_inbox,
         });
         let reason = self.write_journal(journal, &messages, &input, hold, &settled);
-        self.owned.remove(self.at.place.index);
+        self.owned.remove(self.shard.place.index);
         self.shared
             .claims()
-            .retain(|c| c.shard != self.at.place.index);
+            .retain(|c| c.shard != self.shard.place.index);
         cancel.cancel();
         drop(input);
         for thread in [shard_thread, inbox_thread, inquiry_thread, sweep_thread]
@@ -110,9 +110,10 @@
         {
             let _ = thread.join();
         }
+        // The shard thread may have announced the shard again before it ended.
         self.shared
             .claims()
-            .retain(|c| c.shard != self.at.place.index);
+            .retain(|c| c.shard != self.shard.place.index);
         if reason != EndReason::Fenced {
             self.release_shard(journal, &messages);
         }
@@ -129,14 +130,14 @@
     ) -> Option<thread::JoinHandle<()>> {
         let now = self.shared.clock.now();
         let epoch = takeover.epoch;
-        let name = &self.at.place.name;
+        let name = &self.shard.place.name;
         let seed = stable_hash(&[name, &epoch.to_string()]);
-        let recorder = self.recorder(&takeover, seed, now);
+        let recorder = self.start_recorder(&takeover, seed, now);
         let thread = ShardThread {
-            at: self.at.clone(),
+            shard: self.shard.clone(),
             shared: self.shared.clone(),
             scheduler: ShardScheduler::new(
-                self.at.place.clone(),
+                self.shard.place.clone(),
                 self.settings.shards.clone(),
                 seed,
                 takeover,
@@ -154,13 +155,13 @@
         spawn(format!("shard-{name}"), move || thread.run())
     }
 
-    fn recorder(&self, takeover: &Takeover, seed: u64, now: u64) -> Option<Recorder> {
-        let dir = self.record.as_ref()?;
-        let (name, epoch) = (&self.at.place.name, takeover.epoch);
+    fn start_recorder(&self, takeover: &Takeover, seed: u64, now: u64) -> Option<Recorder> {
+        let dir = self.record_dir.as_ref()?;
+        let (name, epoch) = (&self.shard.place.name, takeover.epoch);
         let path = dir.join(format!("{name}.{epoch}.trace"));
         let created = Recorder::create(
             &path,
-            &self.at.place,
+            &self.shard.place,
             &self.settings.shards,
             seed,
             takeover,
@@ -181,7 +182,7 @@
         wakes: Receiver<()>,
         cancel: &CancelToken,
     ) -> Option<thread::JoinHandle<()>> {
-        let (table, name) = (self.table.clone(), self.at.place.name.clone());
+        let (table, name) = (self.table.clone(), self.shard.place.name.clone());
         let (input, cancel) = (input.clone(), cancel.clone());
         let seed = self.shared.incarnation;
         spawn(format!("inbox-{name}"), move || {
@@ -193,12 +194,12 @@
         let sweep = Sweep {
             table: self.table.clone(),
             objects: self.objects.clone(),
-            shard: self.at.place.name.clone(),
-            include_claims: self.at.place.index == 0,
+            shard: self.shard.place.name.clone(),
+            include_claims: self.shard.place.index == 0,
             retention_hours: self.settings.retention_hours,
         };
         let cancel = cancel.clone();
-        let name = &self.at.place.name;
+        let name = &self.shard.place.name;
         spawn(format!("sweep-{name}"), move || sweep.run(&cancel))
     }
 
@@ -212,7 +213,7 @@
         cancel: &CancelToken,
     ) -> Option<thread::JoinHandle<()>> {
         let inquiry = Inquiry {
-            shard: self.at.place.name.clone(),
+            shard: self.shard.place.name.clone(),
             old_owner,
             own_addr: self.shared.settings.listen,
             hold: Duration::from_millis(hold),
@@ -220,7 +221,7 @@
             settled: settled.clone(),
             cancel: cancel.clone(),
         };
-        let name = &self.at.place.name;
+        let name = &self.shard.place.name;
         spawn(format!("inquiry-{name}"), move || inquiry.run())
     }
 
@@ -235,7 +236,7 @@
     ) -> EndReason {
         let mut rows = journal.row().next_row - journal.row().first_row;
         let mut requested = false;
-        let (stored, results) = flume::bounded(1);
+        let (done, results) = flume::bounded(1);
         let mut last_balance = Instant::now();
         let mut last_renewal = Instant::now();
         loop {
@@ -285,12 +286,12 @@
                 Err(JournalError::Fenced) => return EndReason::Fenced,
                 Err(JournalError::Cancelled) => return EndReason::Stopped,
                 Err(err @ (JournalError::Encode | JournalError::Gap { .. })) => {
-                    log::error!("shard {}: {err}", self.at.place.name);
+                    log::error!("shard {}: {err}", self.shard.place.name);
                     return EndReason::Fenced;
                 }
             }
             if let Some(pending) = snapshot {
-                self.store_snapshot(journal, pending, &stored);
+                self.store_snapshot(journal, pending, &done);
             }
             if let Ok(stored) = results.try_recv() {
                 requested = false;
@@ -328,11 +329,11 @@
         done: &Sender<Option<StoredSnapshot>>,
     ) {
         let (next, first_row) = (pending.next, journal.next_row());
-        let key = objects::snapshot(&self.at.place.name, next);
+        let key = objects::snapshot(&self.shard.place.name, next);
         let old_snapshot = journal.row().first_record;
-        let old_snapshot = objects::snapshot(&self.at.place.name, old_snapshot);
+        let old_snapshot = objects::snapshot(&self.shard.place.name, old_snapshot);
         let (store, done) = (self.objects.clone(), done.clone());
-        let name = self.at.place.name.clone();
+        let name = self.shard.place.name.clone();
         spawn(format!("snapshot-{name}"), move || {
             let put = store.put(&key, &pending.bytes);
             if let Err(err) = &put {
@@ -349,7 +350,7 @@
     /// Deletes the previous snapshot on a separate thread.
     fn delete_snapshot(&self, key: Name) {
         let store = self.objects.clone();
-        spawn(format!("snapshot-{}", self.at.place.name), move || {
+        spawn(format!("snapshot-{}", self.shard.place.name), move || {
             let _ = store.delete(&key);
         });
     }
@@ -359,7 +360,7 @@
     fn should_move(&self) -> bool {
         let s = &self.shared.settings;
         let now = self.shared.clock.now();
-        let name = &self.at.place.name;
+        let name = &self.shard.place.name;
         let mut best: (u64, bool) = (stable_hash(&[name, &s.id]), false);
         for peer in self.shared.peers().available(now, s.role, &s.zone) {
             let weight = stable_hash(&[name, &peer.heartbeat.id]);
@@ -388,7 +389,7 @@
             }
         }
         if let Err(err) = journal.release(&cancel) {
-            log::warn!("shard {}: can't release: {err}", self.at.place.name);
+            log::warn!("shard {}: can't release: {err}", self.shard.place.name);
         }
     }
 }
--- a/crates/sched/src/peer_api.rs
+++ b/crates/sched/src/peer_api.rs
@@ -67,8 +67,8 @@
 
     fn run_jobs(&self, request: JobsRequest) -> JobsAnswer {
         if let JobsRequest::Holds { shard } = &request {
-            let at = self.shared.settings.layout.find(shard);
-            return JobsAnswer::Holds(at.is_some_and(|a| self.owned.is_active(a.place.index)));
+            let found = self.shared.settings.layout.find(shard);
+            return JobsAnswer::Holds(found.is_some_and(|s| self.owned.is_active(s.place.index)));
         }
         let (JobsRequest::Watch { shard, .. }
         | JobsRequest::Cancel { shard, .. }
--- a/crates/sched/src/program.rs
+++ b/crates/sched/src/program.rs
@@ -70,10 +70,10 @@
 
 /// Starts a scheduler, which releases its shards when `stop` is cancelled.
 ///
-/// Events are recorded into files in the directory `record`, if any.
+/// Events are recorded into files in `record_dir`, if it is set.
 pub fn start(
     settings: &SchedSettings,
-    record: Option<PathBuf>,
+    record_dir: Option<PathBuf>,
     stop: &CancelToken,
 ) -> Result<Running, SchedError> {
     let instance = &settings.instance;
@@ -99,12 +99,12 @@
     let serving = server::serve(instance.listen, "peer", limits, &end, answer);
     let serving = serving.context(ServeSnafu)?;
     let mut keepers = Vec::new();
-    for at in instance.layout.shards() {
-        if at.zone != instance.zone {
+    for shard in instance.layout.shards() {
+        if shard.zone != instance.zone {
             continue;
         }
         let keeper = Keeper {
-            at: at.clone(),
+            shard: shard.clone(),
             settings: settings.clone(),
             shared: shared.clone(),
             table: table.clone(),
@@ -112,10 +112,10 @@
             owned: owned.clone(),
             exchanges: exchanges.clone(),
             metrics: metrics.clone(),
-            record: record.clone(),
+            record_dir: record_dir.clone(),
             stop: stop.clone(),
         };
-        let spawned = thread::Builder::new().name(thread_name(&at.place.name));
+        let spawned = thread::Builder::new().name(thread_name(&shard.place.name));
         keepers.push(spawned.spawn(move || keeper.run()).context(SystemSnafu)?);
     }
     Ok(Running {
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -27,7 +27,7 @@
 
 /// The scheduler of a shard and its connections to other threads.
 pub(crate) struct ShardThread {
-    pub at: ZoneShard,
+    pub shard: ZoneShard,
     pub shared: Arc<AgentState>,
     pub scheduler: ShardScheduler,
     pub lease: OwnerLease,
@@ -101,10 +101,10 @@
                 self.lease.confirm(sent);
                 self.step(now, &Event::StoreSeen(hold), state);
                 self.step(now, &Event::Committed(committed), state);
-                state.pending_cancels.retain(|w| {
-                    let done = w.number <= committed;
+                state.pending_cancels.retain(|c| {
+                    let done = c.number <= committed;
                     if done {
-                        let _ = w.reply.send(w.unknown.clone());
+                        let _ = c.reply.send(c.unknown.clone());
                     }
                     !done
                 });
@@ -127,7 +127,7 @@
             }
             Input::Targets { reply } => {
                 let _ = reply.send(TargetsAnswer {
-                    shard: self.at.place.index,
+                    shard: self.shard.place.index,
                     epoch: self.scheduler.epoch(),
                     version: self.scheduler.targets_version(),
                     targets: self.scheduler.targets(),
@@ -151,7 +151,7 @@
             Ok(bytes) => self.push(KeeperMessage::Snapshot { next, bytes }, state),
             Err(err) => log::error!(
                 "shard {}: can't encode the snapshot: {err}",
-                self.at.place.name
+                self.shard.place.name
             ),
         }
     }
@@ -186,7 +186,7 @@
         let mut list = Vec::new();
         let mut counts = vec![0; shards.len()];
         for w in &members.workers {
-            if self.at.has_worker(&w.zone, &w.name) {
+            if self.shard.has_worker(&w.zone, &w.name) {
                 list.push(w.clone());
             }
             let shard = shards.iter().position(|s| s.has_worker(&w.zone, &w.name));
@@ -202,7 +202,7 @@
         if let Some(recorder) = &mut self.recorder
             && let Err(err) = recorder.add_step(now, event, &actions)
         {
-            log::error!("shard {}: recording stopped: {err}", self.at.place.name);
+            log::error!("shard {}: recording stopped: {err}", self.shard.place.name);
             self.recorder = None;
         }
         for action in actions {
@@ -242,7 +242,7 @@
             Action::Fenced { epoch } => {
                 log::warn!(
                     "shard {}: a worker has seen the later epoch {epoch}",
-                    self.at.place.name
+                    self.shard.place.name
                 );
                 self.push(KeeperMessage::Renew, state);
             }
@@ -291,7 +291,7 @@
         }
         state.announced_version = targets;
         let claim = ShardOwnership {
-            shard: self.at.place.index,
+            shard: self.shard.place.index,
             epoch: self.scheduler.epoch(),
             targets_version: targets,
         };
