--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -129,8 +129,8 @@
         Claimed::Unavailable
     }
 
-    /// Records the answer of a request that ran. An answer that is too long is
-    /// left out.
+    /// Records the answer of a request that ran. If the answer is too long, its
+    /// body is left out and retries get status 409.
     pub fn finish(&self, org: &Name, key: &str, own_claim: &OwnClaim, reply: &Reply) {
         let whole = reply.body.len() <= MAX_STORED_BYTES;
         let end = ClaimEnd {
--- a/crates/sched/src/collect.rs
+++ b/crates/sched/src/collect.rs
@@ -32,7 +32,7 @@
 /// Waits up to `wait` for a message, then drains the queue up to the next
 /// snapshot or a full row of records.
 ///
-/// `hold` is updated to the longest hold, in milliseconds, that was received.
+/// `hold`, in milliseconds, is set to the last hold that was received.
 pub(crate) fn collect(
     messages: &Receiver<KeeperMessage>,
     wait: Duration,
--- a/crates/sched/src/inbox.rs
+++ b/crates/sched/src/inbox.rs
@@ -23,7 +23,7 @@
 /// Rows per scan.
 const SCAN_ROWS: u32 = 500;
 
-/// Minimum delay after a hint, so that frequent hints share a poll.
+/// Minimum time between two polls, so that frequent hints share a poll.
 const MIN_POLL_GAP: Duration = Duration::from_millis(50);
 
 /// Forwards jobs from a shard's inbox to its scheduler until `cancel`.
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -19,7 +19,7 @@
     input::{Input, KeeperMessage},
 };
 
-/// Longest time between two ticks.
+/// Longest wait for a message before a tick.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Maximum number of queued messages that are handled before a tick.
