--- a/crates/entry/src/hints.rs
+++ b/crates/entry/src/hints.rs
@@ -1,4 +1,5 @@
-//! Hints to owners that a job waits in their inbox.
+//! Hints to owners that a job waits in their inbox, which shorten the time until
+//! the job starts.
 
 use std::{sync::Arc, thread, time::Duration};
 
@@ -12,15 +13,16 @@
 
 use crate::owners::Owners;
 
-/// Hints that may wait; more are dropped, since owners look by themselves.
-const WAITING: usize = 64;
+/// Maximum number of queued hints. Further hints are dropped, since owners also
+/// poll their inbox without hints.
+const QUEUE_CAPACITY: usize = 64;
 
-/// Time limit of a hint.
-const ASK: Duration = Duration::from_millis(300);
+/// Timeout of a hint.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Starts the thread; it ends when the sender is gone.
+/// Starts the thread, which ends when the sender is dropped.
 pub(crate) fn start(owners: &Arc<Owners>) -> std::io::Result<Sender<Name>> {
-    let (tx, rx) = flume::bounded::<Name>(WAITING);
+    let (tx, rx) = flume::bounded::<Name>(QUEUE_CAPACITY);
     let owners = owners.clone();
     thread::Builder::new().name("hints".into()).spawn(move || {
         for first in rx.iter() {
@@ -33,7 +35,7 @@
                     continue;
                 };
                 let request = JobsRequest::Look { shard };
-                let _: Result<JobsAnswer, _> = post(addr, PEER_JOBS, &request, ASK);
+                let _: Result<JobsAnswer, _> = post(addr, PEER_JOBS, &request, REQUEST_TIMEOUT);
             }
         }
     })?;
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -1,4 +1,4 @@
-//! Builds and runs the entry.
+//! Startup and shutdown of the entry.
 
 use std::{net::SocketAddr, sync::Arc, thread, time::Duration};
 
@@ -17,12 +17,13 @@
 
 use crate::{
     args::EntryArgs,
+    attempts,
     caller::CallerApi,
     claims::Claims,
     error::{
         AgentSnafu, EntryError, LogSnafu, MetricSnafu, ServeSnafu, SettingsSnafu, SystemSnafu,
     },
-    forward::Forward,
+    forward::Forwarder,
     hints,
     ids::Ids,
     job_api::JobApi,
@@ -30,11 +31,11 @@
     peer_api::PeerApi,
     router_thread,
     settings::{EntrySettings, check},
-    targets, tries,
+    targets,
 };
 
 /// Longest time for which a stopping instance waits for requests in flight.
-const FLIGHT: Duration = Duration::from_secs(30);
+const IN_FLIGHT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A running entry.
 pub struct Running {
@@ -58,7 +59,7 @@
     let stop = CancelToken::new();
     cancel_on_signal(&stop).context(SystemSnafu)?;
     let running = start(settings)?;
-    log::info!("entry: serves callers at {}", running.callers);
+    log::info!("entry: serving callers at {}", running.callers);
     while !stop.wait(Duration::from_secs(3600)) {}
     running.stop();
     log::info!("entry: stopped");
@@ -80,14 +81,14 @@
     targets::start(&shared, &owners, &router, &end).context(SystemSnafu)?;
     let api = CallerApi {
         shared: shared.clone(),
-        forward: Forward {
+        forwarder: Forwarder {
             shared: shared.clone(),
             ids: Ids::new(&instance.id, shared.incarnation),
             router: router.clone(),
-            tries: tries::start(settings.limits.handlers).context(SystemSnafu)?,
+            attempts: attempts::start(settings.limits.handlers).context(SystemSnafu)?,
             claims: Claims::new(table.clone(), &instance.id, shared.clock),
             metrics: metrics.clone(),
-            max: settings.answer,
+            max_answer_bytes: settings.max_answer_bytes,
         },
         jobs: JobApi {
             shared: shared.clone(),
@@ -117,13 +118,13 @@
 }
 
 impl Running {
-    /// Stops: tells peers and the balancer, takes requests for the drain time,
-    /// and lets those in flight end.
+    /// Stops the entry: announces the exit to peers and the load balancer, takes
+    /// requests for the drain time, and waits for requests in flight.
     pub fn stop(self) {
         self.shared.start_leaving();
         thread::sleep(self.drain);
         self.accept.cancel();
-        if !self.serving.wait_until_idle(FLIGHT) {
+        if !self.serving.wait_until_idle(IN_FLIGHT_TIMEOUT) {
             log::warn!(
                 "entry: {} requests were still in flight",
                 self.serving.active()
--- a/crates/sched/src/error.rs
+++ b/crates/sched/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end the scheduler.
+//! Errors that stop the scheduler.
 
 use gorsespur_peer::PeerError;
 use gorsespur_runtime::{
@@ -10,7 +10,7 @@
 };
 use snafu::Snafu;
 
-/// Why the scheduler can't run.
+/// A reason why the scheduler can't start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SchedError {
@@ -32,7 +32,7 @@
         /// The reason.
         source: MetricError,
     },
-    /// The agent can't start.
+    /// The peer agent can't start.
     #[snafu(display("agent"))]
     Agent {
         /// The reason.
@@ -44,10 +44,10 @@
         /// The reason.
         source: ServeError,
     },
-    /// A thread can't be started or signals can't be handled.
-    #[snafu(display("the system refused"))]
+    /// A thread or the signal handler can't be started.
+    #[snafu(display("can't start a thread or handle signals"))]
     System {
-        /// The system's answer.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
--- a/crates/sched/src/keeper.rs
+++ b/crates/sched/src/keeper.rs
@@ -1,4 +1,5 @@
-//! The thread that watches a shard's row and takes the shard when it may.
+//! The keeper thread of a shard: watches the shard's row, acquires the shard when
+//! its lease has expired, and recovers its state.
 
 use std::{path::PathBuf, sync::Arc, time::Instant};
 
@@ -16,41 +17,42 @@
 
 use crate::{
     exchanger::Exchange,
-    journal::{Journal, Taker},
-    keep::{RELEASE, expire},
-    owned::Owned,
+    journal::{Journal, NewOwner},
+    owned::OwnedShards,
+    ownership::{RELEASE_TIMEOUT, cancel_after},
     recover::recover,
     settings::SchedSettings,
 };
 
-/// Time by which the second in line lets the first go ahead, in milliseconds.
-const COURTESY: u64 = 500;
+/// Delay before the second-ranked instance tries to acquire a shard, which lets
+/// the first-ranked instance go ahead.
+const RANK_DELAY_MS: u64 = 500;
 
-/// What a keeper works with.
+/// State of a keeper thread.
 pub(crate) struct Keeper {
-    pub at: ZoneShard,
+    pub shard: ZoneShard,
     pub settings: SchedSettings,
     pub shared: Arc<AgentState>,
     pub table: Arc<dyn Table>,
     pub objects: Arc<dyn Objects>,
-    pub owned: Arc<Owned>,
+    pub owned: Arc<OwnedShards>,
     pub exchanges: Sender<Exchange>,
     pub metrics: Metrics,
-    pub record: Option<PathBuf>,
+    pub record_dir: Option<PathBuf>,
     pub stop: CancelToken,
 }
 
 impl Keeper {
-    /// Watches and keeps the shard until the program stops.
+    /// Watches the shard, and runs it while this instance owns it, until `stop`.
     pub fn run(self) {
-        let mut claim = LeaseWatch::new(self.settings.lease);
-        let mut looked = self.shared.clock.now();
-        while !self.stop.wait(self.settings.watch) {
+        let mut lease_watch = LeaseWatch::new(self.settings.lease_ms);
+        let mut last_poll = self.shared.clock.now();
+        while !self.stop.wait(self.settings.watch_interval) {
             let now = self.shared.clock.now();
-            if now - looked >= self.settings.lease {
-                claim.reset();
+            if now - last_poll >= self.settings.lease_ms {
+                lease_watch.reset();
             }
-            looked = now;
+            last_poll = now;
             let Some(rank) = self.rank() else { continue };
             if rank > 1 || !self.shared.is_loaded() {
                 continue;
@@ -59,27 +61,30 @@
                 continue;
             };
             let now = self.shared.clock.now();
-            claim.observe(now, row.as_ref(), version);
-            let patience = rank as u64 * COURTESY;
-            let due = claim.can_acquire(now.saturating_sub(patience));
-            if !due || !claim.is_unchanged_for(now, patience) {
+            lease_watch.observe(now, row.as_ref(), version);
+            let delay = rank as u64 * RANK_DELAY_MS;
+            let is_due = lease_watch.can_acquire(now.saturating_sub(delay));
+            if !is_due || !lease_watch.is_unchanged_for(now, delay) {
                 continue;
             }
-            self.take(row.as_ref(), version);
-            claim.reset();
+            self.acquire(row.as_ref(), version);
+            lease_watch.reset();
         }
     }
 
-    /// Returns this instance's place in the line for the shard; 0 is first.
+    /// Returns this instance's rank among the candidates for the shard; 0 is the
+    /// preferred owner.
     fn rank(&self) -> Option<usize> {
-        let mut line = self.shared.same_role_ids();
-        let name = &self.at.place.name;
-        line.sort_by_key(|id| std::cmp::Reverse(stable_hash(&[name, id])));
-        line.iter().position(|id| *id == self.shared.settings.id)
+        let mut candidates = self.shared.same_role_ids();
+        let name = &self.shard.place.name;
+        candidates.sort_by_key(|id| std::cmp::Reverse(stable_hash(&[name, id])));
+        candidates
+            .iter()
+            .position(|id| *id == self.shared.settings.id)
     }
 
     fn read(&self) -> Option<(Option<ShardRow>, u64)> {
-        let key = keys::shard(&self.at.place.name);
+        let key = keys::shard(&self.shard.place.name);
         let rows = self.table.get(&[key]).ok()?;
         let Some(Some(row)) = rows.into_iter().next() else {
             return Some((None, 0));
@@ -87,54 +92,65 @@
         match decode(&row.value) {
             Ok(value) => Some((Some(value), row.version)),
             Err(err) => {
-                log::error!("shard {}: row is malformed: {err}", self.at.place.name);
+                log::error!("shard {}: malformed row: {err}", self.shard.place.name);
                 None
             }
         }
     }
 
-    /// Takes the shard and keeps it; nothing of this process commands its
-    /// workers before and after.
-    fn take(&self, row: Option<&ShardRow>, version: u64) {
-        let index = self.at.place.index;
-        self.owned.hold(index);
-        self.take_held(row, version);
-        self.owned.let_go(index);
+    /// Acquires the shard and runs it until the ownership ends.
+    ///
+    /// The shard is marked active for that time; otherwise no thread of this
+    /// process commands its workers.
+    fn acquire(&self, row: Option<&ShardRow>, version: u64) {
+        let index = self.shard.place.index;
+        self.owned.mark_active(index);
+        self.acquire_and_run(row, version);
+        self.owned.mark_inactive(index);
     }
 
-    fn take_held(&self, row: Option<&ShardRow>, version: u64) {
-        let name = &self.at.place.name;
+    fn acquire_and_run(&self, row: Option<&ShardRow>, version: u64) {
+        let name = &self.shard.place.name;
         let s = &self.shared.settings;
-        let me = Taker {
+        let new_owner = NewOwner {
             id: s.id.clone(),
             addr: s.listen,
             hold: self.longest_hold(),
             clock: self.shared.clock,
         };
-        let journal = Journal::take(self.table.clone(), name, row, version, &me, &self.stop);
+        let journal = Journal::acquire(
+            self.table.clone(),
+            name,
+            row,
+            version,
+            &new_owner,
+            &self.stop,
+        );
         let Ok(mut journal) = journal else {
-            log::debug!("shard {name}: another instance was faster");
+            log::debug!("shard {name}: not acquired; another instance was faster");
             return;
         };
-        let began = Instant::now();
-        let Some(book) = self.recover(&mut journal) else {
+        let started = Instant::now();
+        let Some(state) = self.recover(&mut journal) else {
             return;
         };
         let epoch = journal.row().epoch;
-        let (jobs, ms) = (book.jobs().len(), began.elapsed().as_millis());
-        log::info!("shard {name}: owned with epoch {epoch}, {jobs} jobs recovered in {ms} ms");
+        let (jobs, recovery_ms) = (state.jobs().len(), started.elapsed().as_millis());
+        log::info!(
+            "shard {name}: acquired with epoch {epoch}; recovered {jobs} jobs in {recovery_ms} ms"
+        );
         let takeover = Takeover {
             epoch,
-            state: book,
+            state,
             next_record: journal.row().next_record,
             inherited_hold: journal.row().hold,
             settled: journal.row().settled,
         };
-        let old = row
+        let old_owner = row
             .filter(|r| r.settled && r.owner.is_some())
             .map(|r| r.addr);
-        let parted = self.keep(&mut journal, takeover, old);
-        log::info!("shard {name}: epoch {epoch} ends, {parted:?}");
+        let reason = self.run_shard(&mut journal, takeover, old_owner);
+        log::info!("shard {name}: ownership of epoch {epoch} ended: {reason:?}");
     }
 
     fn longest_hold(&self) -> u64 {
@@ -143,17 +159,17 @@
         holds.max().unwrap_or(0)
     }
 
-    /// Recovers the book and renews the lease while that is tried.
+    /// Recovers the shard state, and renews the lease between attempts.
     fn recover(&self, journal: &mut Journal) -> Option<ShardState> {
-        let name = &self.at.place.name;
+        let name = &self.shard.place.name;
         loop {
             let table = self.table.as_ref();
             match recover(table, self.objects.as_ref(), name, journal.row()) {
-                Ok(book) => return Some(book),
-                Err(err) => log::warn!("shard {name}: can't recover yet: {err}"),
+                Ok(state) => return Some(state),
+                Err(err) => log::warn!("shard {name}: can't recover; retrying: {err}"),
             }
-            if self.stop.wait(self.settings.watch) {
-                let _ = journal.release(&expire(RELEASE));
+            if self.stop.wait(self.settings.watch_interval) {
+                let _ = journal.release(&cancel_after(RELEASE_TIMEOUT));
                 return None;
             }
             let hold = journal.row().hold;
@@ -162,7 +178,7 @@
     }
 }
 
-/// Names a keeper's thread.
+/// Returns the name of a shard's keeper thread.
 pub(crate) fn thread_name(shard: &Name) -> String {
     format!("keeper-{shard}")
 }
--- a/crates/sched/src/program.rs
+++ b/crates/sched/src/program.rs
@@ -1,4 +1,4 @@
-//! Builds and runs the scheduler.
+//! Startup and shutdown of the scheduler.
 
 use std::{
     path::PathBuf,
@@ -29,17 +29,17 @@
     },
     exchanger,
     keeper::{Keeper, thread_name},
-    owned::Owned,
+    owned::OwnedShards,
     peer_api::PeerApi,
     settings::{SchedSettings, check},
 };
 
-/// Time limit of a call to the object store; less than a shard's lease, which a
-/// new owner renews between its tries to read a snapshot.
-const OBJECTS: Duration = Duration::from_secs(2);
+/// Timeout of a call to the object store. Must be shorter than a shard's lease,
+/// since a new owner renews the lease only between attempts to read a snapshot.
+const OBJECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for which a stopping instance answers its peers.
-const DRAIN: Duration = Duration::from_millis(1_000);
+/// Time for which a stopping instance finishes the requests of peers.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A running scheduler.
 pub struct Running {
@@ -61,30 +61,32 @@
     let stop = CancelToken::new();
     cancel_on_signal(&stop).context(SystemSnafu)?;
     let running = start(&settings, args.record.clone(), &stop)?;
-    log::info!("sched: serves peers at {}", instance.listen);
+    log::info!("sched: serving peers at {}", instance.listen);
     while !stop.wait(Duration::from_secs(3600)) {}
     running.stop();
     log::info!("sched: stopped");
     Ok(())
 }
 
-/// Starts a scheduler; its shards are released when `stop` is cancelled.
+/// Starts a scheduler, which releases its shards when `stop` is cancelled.
+///
+/// Events are recorded into files in `record_dir`, if it is set.
 pub fn start(
     settings: &SchedSettings,
-    record: Option<PathBuf>,
+    record_dir: Option<PathBuf>,
     stop: &CancelToken,
 ) -> Result<Running, SchedError> {
     let instance = &settings.instance;
     let metrics = Metrics::start(&instance.metrics, "sched").context(MetricSnafu)?;
     let end = CancelToken::new();
     let table: Arc<dyn Table> = Arc::new(HttpTable::new(instance.table, instance.timeout));
-    let objects: Arc<dyn Objects> = Arc::new(HttpObjects::new(instance.objects, OBJECTS));
+    let objects: Arc<dyn Objects> = Arc::new(HttpObjects::new(instance.objects, OBJECT_TIMEOUT));
     let members = Arc::new(HttpMembers::new(instance.members, instance.timeout));
-    let workers: Arc<dyn Workers> = Arc::new(HttpWorkers::new(settings.timeout));
-    let exchanges = exchanger::start(&workers, settings.threads).context(SystemSnafu)?;
+    let workers: Arc<dyn Workers> = Arc::new(HttpWorkers::new(settings.exchange_timeout));
+    let exchanges = exchanger::start(&workers, settings.exchange_threads).context(SystemSnafu)?;
     let agent = Agent::start(instance.clone(), table.clone(), members, &end).context(AgentSnafu)?;
     let shared = agent.state().clone();
-    let owned = Arc::new(Owned::default());
+    let owned = Arc::new(OwnedShards::default());
     let api = PeerApi {
         shared: shared.clone(),
         owned: owned.clone(),
@@ -97,12 +99,12 @@
     let serving = server::serve(instance.listen, "peer", limits, &end, answer);
     let serving = serving.context(ServeSnafu)?;
     let mut keepers = Vec::new();
-    for at in instance.layout.shards() {
-        if at.zone != instance.zone {
+    for shard in instance.layout.shards() {
+        if shard.zone != instance.zone {
             continue;
         }
         let keeper = Keeper {
-            at: at.clone(),
+            shard: shard.clone(),
             settings: settings.clone(),
             shared: shared.clone(),
             table: table.clone(),
@@ -110,10 +112,10 @@
             owned: owned.clone(),
             exchanges: exchanges.clone(),
             metrics: metrics.clone(),
-            record: record.clone(),
+            record_dir: record_dir.clone(),
             stop: stop.clone(),
         };
-        let spawned = thread::Builder::new().name(thread_name(&at.place.name));
+        let spawned = thread::Builder::new().name(thread_name(&shard.place.name));
         keepers.push(spawned.spawn(move || keeper.run()).context(SystemSnafu)?);
     }
     Ok(Running {
@@ -126,7 +128,7 @@
 }
 
 impl Running {
-    /// Releases the shards, tells the peers and ends.
+    /// Releases the shards, announces the exit to peers and stops.
     pub fn stop(self) {
         self.stop.cancel();
         self.shared.start_leaving();
@@ -134,6 +136,6 @@
             let _ = keeper.join();
         }
         self.end.cancel();
-        self.serving.wait_until_idle(DRAIN);
+        self.serving.wait_until_idle(DRAIN_TIMEOUT);
     }
 }
--- a/crates/sched/src/recover.rs
+++ b/crates/sched/src/recover.rs
@@ -1,4 +1,4 @@
-//! Recovery of a shard's book: snapshot and the journal behind it.
+//! Recovery of a shard's state from its snapshot and the journal after it.
 
 use gorsespur_core::{name::Name, owner::ShardRow, shard::ShardState};
 use gorsespur_services::{ObjectError, Objects, Table, TableError};
@@ -9,10 +9,10 @@
 };
 use snafu::{ResultExt, Snafu, ensure};
 
-/// Rows of one read.
-const BATCH: u32 = 200;
+/// Rows per scan.
+const SCAN_ROWS: u32 = 200;
 
-/// Why a shard can't be recovered now.
+/// A reason why a shard can't be recovered now.
 #[derive(Debug, Snafu)]
 pub enum RecoverError {
     /// The table service failed.
@@ -28,37 +28,37 @@
         source: ObjectError,
     },
     /// A row or the snapshot is malformed.
-    #[snafu(display("journal or snapshot is malformed"))]
+    #[snafu(display("malformed journal or snapshot"))]
     Codec {
         /// The reason.
         source: CodecError,
     },
     /// The journal has a gap.
-    #[snafu(display("journal has record {found} where {wanted} should be"))]
+    #[snafu(display("journal has record {found} instead of {expected}"))]
     Gap {
         /// Number of the record found.
         found: u64,
-        /// Number that should be there.
-        wanted: u64,
+        /// Number of the record expected.
+        expected: u64,
     },
 }
 
-/// Recovers the book of a shard whose row is `row`.
+/// Recovers the state of a shard whose row is `row`.
 ///
-/// The caller must own the shard, so that nothing is appended meanwhile.
+/// The caller must own the shard, so that nothing is appended in the meantime.
 pub fn recover(
     table: &dyn Table,
     store: &dyn Objects,
     shard: &Name,
     row: &ShardRow,
 ) -> Result<ShardState, RecoverError> {
-    let mut book = ShardState::default();
+    let mut state = ShardState::default();
     let mut next = 0;
     if row.first_record > 0 {
         let key = objects::snapshot(shard, row.first_record);
         let bytes = store.get(&key).context(ObjectSnafu)?;
         let snapshot: Snapshot = decode(&bytes).context(CodecSnafu)?;
-        book = snapshot.book;
+        state = snapshot.book;
         next = snapshot.next;
     }
     let prefix = keys::journal_rows(shard);
@@ -67,22 +67,22 @@
         .checked_sub(1)
         .map(|r| keys::journal(shard, r));
     loop {
-        let (rows, more) = table.scan(&prefix, after, BATCH).context(TableSnafu)?;
+        let (rows, has_more) = table.scan(&prefix, after, SCAN_ROWS).context(TableSnafu)?;
         after = rows.last().map(|r| r.key.clone());
         for r in rows {
             let batch: JournalRow = decode(&r.value).context(CodecSnafu)?;
-            let (found, wanted) = (batch.first, next);
-            ensure!(found == wanted, GapSnafu { found, wanted });
+            let (found, expected) = (batch.first, next);
+            ensure!(found == expected, GapSnafu { found, expected });
             for record in &batch.records {
-                book.apply(record);
+                state.apply(record);
             }
             next += batch.records.len() as u64;
         }
-        if !more {
+        if !has_more {
             break;
         }
     }
-    let (found, wanted) = (next, row.next_record);
-    ensure!(found == wanted, GapSnafu { found, wanted });
-    Ok(book)
+    let (found, expected) = (next, row.next_record);
+    ensure!(found == expected, GapSnafu { found, expected });
+    Ok(state)
 }
