--- a/crates/node/src/census.rs
+++ b/crates/node/src/census.rs
@@ -22,22 +22,22 @@
 
 /// Instances that start at once announce themselves within this time, in milliseconds: a part of
 /// the store takes some hundred writes a second.
-const SPREAD: u64 = 10_000;
+const ANNOUNCE_SPREAD_MS: u64 = 10_000;
 
 /// An instance announces itself anew after this long at the most, in milliseconds.
-const PERIOD: u64 = 6 * 3_600_000;
+const ANNOUNCE_PERIOD_MS: u64 = 6 * 3_600_000;
 
 /// An announcement of this age is of an instance that is gone, in milliseconds.
-const EXPIRED: u64 = 4 * PERIOD;
+const EXPIRY_MS: u64 = 4 * ANNOUNCE_PERIOD_MS;
 
 /// First pause after a failure, in milliseconds.
-const FIRST_PAUSE: u64 = 2000;
+const FIRST_PAUSE_MS: u64 = 2000;
 
 /// Longest such pause, in milliseconds.
-const LAST_PAUSE: u64 = 120_000;
+const MAX_PAUSE_MS: u64 = 120_000;
 
 /// Time for an answer to a write.
-const LIMIT: Duration = Duration::from_millis(2500);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Tells whether an instance with this share of a processor is small beside the largest one.
 pub(crate) fn is_small(share: u64, largest: u64) -> bool {
@@ -55,7 +55,7 @@
 
 impl Census {
     /// Returns the number of instances that are small, or that are not.
-    pub(crate) fn alike(&self, small: bool) -> u64 {
+    pub(crate) fn peers(&self, small: bool) -> u64 {
         match small {
             true => self.all - self.large.min(self.all),
             false => self.large,
@@ -75,13 +75,13 @@
 /// Announces the instance until cancelled.
 pub(crate) fn announce(shared: &std::sync::Arc<Shared>, cancel: &CancelToken) {
     let mut rng = rand::rng();
-    let mut backoff = Backoff::new(FIRST_PAUSE, LAST_PAUSE, rng.random());
-    let mut wait = rng.random_range(0..SPREAD);
+    let mut backoff = Backoff::new(FIRST_PAUSE_MS, MAX_PAUSE_MS, rng.random());
+    let mut wait = rng.random_range(0..ANNOUNCE_SPREAD_MS);
     while !cancel.wait(Duration::from_millis(wait)) {
         wait = match write(shared) {
             Ok(()) => {
                 backoff.reset();
-                rng.random_range(PERIOD / 2..PERIOD)
+                rng.random_range(ANNOUNCE_PERIOD_MS / 2..ANNOUNCE_PERIOD_MS)
             }
             Err(err) => {
                 log::debug!(err = err.to_string().as_str(); "census: not announced");
@@ -105,20 +105,23 @@
         }],
         ..Tx::default()
     };
-    shared.store(Duty::Census).commit(&tx, LIMIT).map(drop)
+    shared
+        .store(Duty::Census)
+        .commit(&tx, WRITE_TIMEOUT)
+        .map(drop)
 }
 
 /// The announcements as an owner follows them.
 #[derive(Debug, Default)]
-pub(crate) struct Register {
+pub(crate) struct InstanceRegistry {
     /// Instances by name.
     rows: Vec<(String, InstanceRow)>,
 }
 
-impl Register {
+impl InstanceRegistry {
     /// Takes rows that were read or changed; returns the names of those that have expired at
     /// `now`, in milliseconds since 1970.
-    pub(crate) fn take(&mut self, shared: &Shared, rows: &[Row], now: u64) -> Vec<String> {
+    pub(crate) fn apply(&mut self, shared: &Shared, rows: &[Row], now: u64) -> Vec<String> {
         let mut expired = Vec::new();
         for row in rows {
             let at = self.rows.binary_search_by(|(name, _)| name.cmp(&row.key));
@@ -127,10 +130,10 @@
                 shared.metrics.count(Count::BadRows);
             }
             let instance = instance.flatten();
-            if instance.is_some_and(|i| i.at + EXPIRED < now) {
+            if instance.is_some_and(|i| i.at + EXPIRY_MS < now) {
                 expired.push(row.key.clone());
             }
-            let instance = instance.filter(|i| i.at + EXPIRED >= now);
+            let instance = instance.filter(|i| i.at + EXPIRY_MS >= now);
             match (at, instance) {
                 (Ok(at), Some(instance)) => self.rows[at].1 = instance,
                 (Ok(at), None) => drop(self.rows.remove(at)),
--- a/crates/node/src/census_tests.rs
+++ b/crates/node/src/census_tests.rs
@@ -1,7 +1,7 @@
 //! Counting instances.
 
 use crate::{
-    census::{Census, InstanceRow, Register},
+    census::{Census, InstanceRegistry, InstanceRow},
     fakes_tests::{NoStore, shared},
     rows::encode,
     store::Row,
@@ -28,51 +28,51 @@
 
 #[test]
 fn those_of_less_than_half_the_largest_are_small() {
-    let mut register = Register::default();
+    let mut registry = InstanceRegistry::default();
     let rows = [
         instance("a", 1000, NOW),
         instance("b", 500, NOW),
         instance("c", 120, NOW),
         instance("d", 499, NOW),
     ];
-    register.take(&shared(NoStore), &rows, NOW);
-    let census = register.census();
+    registry.apply(&shared(NoStore), &rows, NOW);
+    let census = registry.census();
     assert_eq!(census, Census { large: 2, all: 4 });
-    assert_eq!(census.alike(true), 2);
-    assert_eq!(census.alike(false), 2);
+    assert_eq!(census.peers(true), 2);
+    assert_eq!(census.peers(false), 2);
 }
 
 /// An instance that starts again announces itself under its name.
 #[test]
 fn each_counts_once() {
-    let mut register = Register::default();
+    let mut registry = InstanceRegistry::default();
     let shared = shared(NoStore);
     for _ in 0..3 {
-        register.take(&shared, &[instance("a", 500, NOW)], NOW);
+        registry.apply(&shared, &[instance("a", 500, NOW)], NOW);
     }
-    assert_eq!(register.census().all, 1);
+    assert_eq!(registry.census().all, 1);
     let mut gone = instance("a", 500, NOW);
     gone.removed = true;
-    register.take(&shared, &[gone], NOW);
-    assert_eq!(register.census().all, 0);
+    registry.apply(&shared, &[gone], NOW);
+    assert_eq!(registry.census().all, 0);
 }
 
 #[test]
 fn those_that_did_not_announce_themselves_for_a_day_are_gone() {
-    let mut register = Register::default();
+    let mut registry = InstanceRegistry::default();
     let rows = [
         instance("a", 500, NOW - 25 * HOUR),
         instance("b", 500, NOW - 7 * HOUR),
     ];
-    let expired = register.take(&shared(NoStore), &rows, NOW);
+    let expired = registry.apply(&shared(NoStore), &rows, NOW);
     assert_eq!(expired, ["a"]);
-    assert_eq!(register.census().all, 1);
+    assert_eq!(registry.census().all, 1);
 }
 
 #[test]
 fn a_row_that_cannot_be_read_counts_for_nothing() {
-    let mut register = Register::default();
+    let mut registry = InstanceRegistry::default();
     let rows = [row("a", b"what".to_vec()), instance("b", 500, NOW)];
-    register.take(&shared(NoStore), &rows, NOW);
-    assert_eq!(register.census().all, 1);
+    registry.apply(&shared(NoStore), &rows, NOW);
+    assert_eq!(registry.census().all, 1);
 }
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -12,11 +12,11 @@
 };
 
 /// First pause after a failure, in milliseconds.
-const FIRST_PAUSE: u64 = 100;
+const FIRST_PAUSE_MS: u64 = 100;
 
 /// Longest such pause, in milliseconds: a store that refuses hundreds of instances is not to be
 /// asked by each of them ten times a second, and is found to answer again within a second.
-const LAST_PAUSE: u64 = 1000;
+const MAX_PAUSE_MS: u64 = 1000;
 
 /// Puts the newest configuration in force for a caller who waits.
 ///
@@ -41,17 +41,17 @@
     let busy = |_| StoreError::Unavailable {
         reason: "the configuration is read already".into(),
     };
-    let _reading = shared.reading.try_lock().map_err(busy)?;
+    let _reading = shared.config_read.try_lock().map_err(busy)?;
     refresh_at(shared, Duty::Callers).map(drop)
 }
 
-fn take(shared: &Shared, row: &Row) {
+fn apply_row(shared: &Shared, row: &Row) {
     let (_, key) = shared.protocol.config_row();
     if row.key != key || row.removed {
         return;
     }
     match shared.protocol.config(row) {
-        Ok(config) => shared.offer(config),
+        Ok(config) => shared.apply_config(config),
         Err(err) => log::error!(err = err.to_string().as_str(); "config: can't be read"),
     }
 }
@@ -61,7 +61,7 @@
     let (table, _) = shared.protocol.config_row();
     let mut version = None;
     let mut lost = false;
-    let mut backoff = Backoff::new(FIRST_PAUSE, LAST_PAUSE, rand::random());
+    let mut backoff = Backoff::new(FIRST_PAUSE_MS, MAX_PAUSE_MS, rand::random());
     while !cancel.is_cancelled() {
         let step = match version {
             None => refresh_at(shared, Duty::Config),
@@ -81,7 +81,7 @@
                     log::warn!(err = err.to_string().as_str(); "store: lost");
                 }
                 lost = true;
-                shared.untouched();
+                shared.record_store_failure();
                 shared.metrics.count(Count::StoreErrors);
                 version = version.filter(|_| err != StoreError::Forgotten);
                 cancel.wait(Duration::from_millis(backoff.next_delay()));
@@ -93,7 +93,7 @@
 /// Returns how long a question waits: not at all while the store is lost, so that it is found to
 /// answer as soon as it does.
 fn wait(shared: &Shared) -> Duration {
-    match shared.store_is_lost() {
+    match shared.is_store_lost() {
         true => Duration::ZERO,
         false => shared.config_wait(),
     }
@@ -103,14 +103,14 @@
 pub(crate) fn refresh_at(shared: &Shared, duty: Duty) -> Result<u64, StoreError> {
     let (table, _) = shared.protocol.config_row();
     let page = shared.store(duty).read_all(table, "")?;
-    shared.touched();
+    shared.record_store_answer();
     for row in &page.rows {
-        take(shared, row);
+        apply_row(shared, row);
     }
     let asked = page.rows.iter().filter_map(|r| evacuation(shared, r));
     let mut zones: Vec<Arc<str>> = asked.collect();
     zones.sort();
-    shared.evacuate(page.version, |known| *known = zones);
+    shared.update_evacuated(page.version, |known| *known = zones);
     Ok(page.version)
 }
 
@@ -122,11 +122,11 @@
     wait: Duration,
 ) -> Result<u64, StoreError> {
     let changes = shared.store(duty).changes(table, after, wait)?;
-    shared.touched();
+    shared.record_store_answer();
     for row in &changes.rows {
-        take(shared, row);
+        apply_row(shared, row);
     }
-    shared.evacuate(changes.version, |known| {
+    shared.update_evacuated(changes.version, |known| {
         for row in &changes.rows {
             let Some(zone) = evacuation(shared, row) else {
                 continue;
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -23,26 +23,26 @@
 
 /// Seconds after which a refused caller may come back: most refusals come from a
 /// store that is away for seconds.
-const COME_BACK: &str = "1";
+const RETRY_AFTER_S: &str = "1";
 
 /// Share of a caller's patience, in percent, after which an unclear write is
 /// answered as unclear.
-const PATIENCE: u64 = 40;
+const WRITE_TIMEOUT_PERCENT: u64 = 40;
 
 /// Least time for an answer of the store, in milliseconds.
-const LEAST: u64 = 100;
+const MIN_WRITE_TIMEOUT_MS: u64 = 100;
 
 /// Patience of a caller that tells none, in milliseconds.
-const DEFAULT_PATIENCE: u64 = 3000;
+const DEFAULT_CALLER_TIMEOUT_MS: u64 = 3000;
 
 /// Pause before a refused write is tried again, once.
-const RETRY: Duration = Duration::from_millis(25);
+const REFUSED_RETRY_PAUSE: Duration = Duration::from_millis(25);
 
 /// Pause before an unclear write is sent again.
-const RESEND: Duration = Duration::from_millis(50);
+const UNCLEAR_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// What the store did with a write.
-enum Written {
+enum WriteResult {
     /// It is there, by this write or an earlier one.
     Done,
     /// Certainly not.
@@ -60,8 +60,8 @@
     fn handle(&self, request: Request) -> Option<Response> {
         let start = self.shared.clock.now();
         // Every answer rests on the store: while that is silent only one caller waits.
-        let leave = self.shared.may_try();
-        let response = match leave {
+        let permit = self.shared.store_permit();
+        let response = match permit {
             Some(_) => self.route(&request, start),
             None => self.refuse(),
         };
@@ -109,7 +109,7 @@
     /// configuration has changed.
     fn queue(&self, host: &str, path: &str) -> Result<Option<Queue>, StoreError> {
         let find = || self.shared.config()?.find(host, path).cloned();
-        let fresh = !self.shared.is_silent();
+        let fresh = !self.shared.is_store_silent();
         if let Some(queue) = find().filter(|_| fresh) {
             return Ok(Some(queue));
         }
@@ -124,12 +124,12 @@
 
     fn refuse(&self) -> Response {
         self.shared.metrics.count(Count::Refused);
-        Response::new(503, Vec::new()).with_header("retry-after", COME_BACK)
+        Response::new(503, Vec::new()).with_header("retry-after", RETRY_AFTER_S)
     }
 
     fn unclear(&self) -> Response {
         self.shared.metrics.count(Count::Unclear);
-        Response::new(504, Vec::new()).with_header("retry-after", COME_BACK)
+        Response::new(504, Vec::new()).with_header("retry-after", RETRY_AFTER_S)
     }
 
     fn submit(&self, request: &Request, queue: &Queue, id: JobId, start: u64) -> Response {
@@ -166,16 +166,16 @@
             removes: Vec::new(),
         };
         match self.write(&tx, request, start) {
-            Written::Done => {
+            WriteResult::Done => {
                 let ms = self.shared.clock.now() - start;
-                self.shared.metrics.accepted(ms);
+                self.shared.metrics.record_accepted(ms);
                 Response::new(200, Vec::new())
             }
-            Written::Refused(err) => {
+            WriteResult::Refused(err) => {
                 log::warn!(job = id.to_string().as_str(), err = err.to_string().as_str(); "front: job not taken");
                 self.refuse()
             }
-            Written::Unclear => {
+            WriteResult::Unclear => {
                 log::warn!(job = id.to_string().as_str(); "front: unclear whether job is taken");
                 self.unclear()
             }
@@ -184,34 +184,35 @@
 
     /// Runs an idempotent write until its effect is known or the caller has
     /// waited long enough.
-    fn write(&self, tx: &Tx, request: &Request, start: u64) -> Written {
+    fn write(&self, tx: &Tx, request: &Request, start: u64) -> WriteResult {
         let patience = self.shared.protocol.patience(request);
-        let end = start + patience.unwrap_or(DEFAULT_PATIENCE) * PATIENCE / 100;
+        let deadline =
+            start + patience.unwrap_or(DEFAULT_CALLER_TIMEOUT_MS) * WRITE_TIMEOUT_PERCENT / 100;
         let mut unclear = false;
-        let mut tried = false;
+        let mut has_retried = false;
         loop {
-            let left = end.saturating_sub(self.shared.clock.now());
-            let limit = Duration::from_millis(left.max(LEAST));
+            let remaining = deadline.saturating_sub(self.shared.clock.now());
+            let limit = Duration::from_millis(remaining.max(MIN_WRITE_TIMEOUT_MS));
             match self.shared.store(Duty::Callers).commit(tx, limit) {
                 Ok(_) => {
-                    self.shared.touched();
-                    return Written::Done;
+                    self.shared.record_store_answer();
+                    return WriteResult::Done;
                 }
                 Err(err @ StoreError::Unknown { .. }) => {
                     log::debug!(err = err.to_string().as_str(); "front: write unclear");
                     unclear = true;
-                    self.shared.untouched();
-                    std::thread::sleep(RESEND);
+                    self.shared.record_store_failure();
+                    std::thread::sleep(UNCLEAR_RETRY_PAUSE);
                 }
-                Err(err) if !unclear && tried => return Written::Refused(err),
+                Err(err) if !unclear && has_retried => return WriteResult::Refused(err),
                 Err(_) => {
-                    tried = true;
-                    std::thread::sleep(RETRY);
+                    has_retried = true;
+                    std::thread::sleep(REFUSED_RETRY_PAUSE);
                 }
             }
             self.shared.metrics.count(Count::StoreErrors);
-            if self.shared.clock.now() >= end && unclear {
-                return Written::Unclear;
+            if self.shared.clock.now() >= deadline && unclear {
+                return WriteResult::Unclear;
             }
         }
     }
@@ -258,12 +259,12 @@
             removes: Vec::new(),
         };
         match self.write(&tx, request, start) {
-            Written::Done => {
+            WriteResult::Done => {
                 self.shared.metrics.count(Count::Cancelled);
                 Response::new(200, Vec::new())
             }
-            Written::Refused(err) => self.store_failed(&err),
-            Written::Unclear => self.unclear(),
+            WriteResult::Refused(err) => self.store_failed(&err),
+            WriteResult::Unclear => self.unclear(),
         }
     }
 
@@ -286,7 +287,7 @@
 
     fn store_failed(&self, err: &StoreError) -> Response {
         log::warn!(err = err.to_string().as_str(); "front: store failed");
-        self.shared.untouched();
+        self.shared.record_store_failure();
         self.shared.metrics.count(Count::StoreErrors);
         self.refuse()
     }
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -11,32 +11,32 @@
 use rand::Rng;
 
 use crate::{
-    contest::{Contest, JITTER},
+    contest::{Candidate, MAX_JITTER_MS},
     metrics::{Count, Duty},
     owner::{self, Tenure},
     rows::{HEAD, HeadRow, JOURNAL, LEASE, LeaseRow, OWNER, OWNER_PART, decode, encode},
     shared::Shared,
     store::{Commit, Expect, Row, StoreError, Tx, Write},
-    turns::Turn,
+    turns::FollowTurn,
 };
 
 /// How long one question for changes waits at most: an instance that may take the
 /// lease sooner asks again just then, lest a small one asks before a large one.
-const WAIT: u64 = 600;
+const MAX_WAIT_MS: u64 = 600;
 
 /// How long one question waits at least, in milliseconds: a lease is not taken
 /// before the store was asked.
-const LEAST_WAIT: u64 = 10;
+const MIN_WAIT_MS: u64 = 10;
 
 /// Time for an answer to a claim, as for writes of the journal.
-const LIMIT: Duration = Duration::from_millis(2500);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// First pause after a failure, in milliseconds.
-const FIRST_PAUSE: u64 = 150;
+const FIRST_PAUSE_MS: u64 = 150;
 
 /// Longest such pause, in milliseconds: a lease whose owner was lost with the store is taken soon
 /// after that answers again.
-const LAST_PAUSE: u64 = 600;
+const MAX_PAUSE_MS: u64 = 600;
 
 /// Pause after a claim that failed: a slow store refuses claims while more than a second of
 /// writes waits, and each one more makes the others wait longer.
@@ -44,77 +44,77 @@
 
 /// The lease as it was last seen.
 #[derive(Debug, Clone)]
-pub(crate) struct Seen {
+pub(crate) struct ObservedLease {
     row: Option<Row>,
     lease: LeaseRow,
     /// When this version was first seen.
-    pub(crate) since: u64,
+    pub(crate) version_since: u64,
     /// When its epoch was first seen.
-    begun: u64,
+    epoch_since: u64,
     /// The store's version up to which changes are known.
     version: u64,
 }
 
-impl Seen {
-    fn contest<'a>(&'a self, shared: &'a Shared, now: u64, odds: Odds) -> Contest<'a> {
-        Contest {
+impl ObservedLease {
+    fn contest<'a>(&'a self, shared: &'a Shared, now: u64, timing: FollowTiming) -> Candidate<'a> {
+        Candidate {
             lease: self.row.as_ref().map(|_| &self.lease),
             name: &shared.settings.name,
             share: shared.settings.share,
-            age: now - self.since,
-            watched: odds.watched,
-            tenure: now - self.begun,
-            jitter: odds.jitter,
+            age: now - self.version_since,
+            followed_ms: timing.followed_ms,
+            tenure: now - self.epoch_since,
+            jitter: timing.jitter,
         }
     }
 }
 
 /// What is an instance's own in a contest for the lease.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Odds {
+pub(crate) struct FollowTiming {
     /// For how long it has followed the lease without a rest, in milliseconds.
-    pub(crate) watched: u64,
+    pub(crate) followed_ms: u64,
     /// A delay by chance, in milliseconds.
     pub(crate) jitter: u64,
 }
 
 /// Watches until cancelled; while this instance owns the lease, it decides.
 pub(crate) fn watch(shared: &Arc<Shared>, cancel: &CancelToken) {
-    let mut watch = Watch::default();
+    let mut watch = LeaseWatch::default();
     let mut rng = rand::rng();
-    let mut jitter = rng.random_range(0..JITTER);
-    let mut turn = Turn::new(shared.clock.now());
-    let mut backoff = Backoff::new(FIRST_PAUSE, LAST_PAUSE, rng.random());
+    let mut jitter = rng.random_range(0..MAX_JITTER_MS);
+    let mut turn = FollowTurn::new(shared.clock.now());
+    let mut backoff = Backoff::new(FIRST_PAUSE_MS, MAX_PAUSE_MS, rng.random());
     while !cancel.is_cancelled() {
-        let odds = |turn: &Turn| Odds {
-            watched: turn.watched(shared.clock.now()),
+        let timing = |turn: &FollowTurn| FollowTiming {
+            followed_ms: turn.followed_ms(shared.clock.now()),
             jitter,
         };
-        let seen = match watch.look(shared, odds(&turn)) {
+        let seen = match watch.refresh(shared, timing(&turn)) {
             Ok(seen) => seen,
             Err(err) => {
                 log::debug!(err = err.to_string().as_str(); "lease: not seen");
-                shared.untouched();
+                shared.record_store_failure();
                 cancel.wait(Duration::from_millis(backoff.next_delay()));
                 continue;
             }
         };
         backoff.reset();
         let now = shared.clock.now();
-        let contest = seen.contest(shared, now, odds(&turn));
-        if shared.is_leaving() || !contest.is_won() {
-            match turn.rest(now, contest.alike(), rng.random()) {
+        let contest = seen.contest(shared, now, timing(&turn));
+        if shared.is_leaving() || !contest.can_claim() {
+            match turn.rest_ms(now, contest.peers(), rng.random()) {
                 Some(rest) => {
                     cancel.wait(Duration::from_millis(rest));
-                    turn = Turn::new(shared.clock.now());
+                    turn = FollowTurn::new(shared.clock.now());
                 }
                 None => {
-                    cancel.wait(Duration::from_millis(contest.pause()));
+                    cancel.wait(Duration::from_millis(contest.follow_pause()));
                 }
             }
             continue;
         }
-        jitter = rng.random_range(0..JITTER);
+        jitter = rng.random_range(0..MAX_JITTER_MS);
         match claim(shared, seen) {
             Ok(Some(tenure)) => {
                 shared.metrics.count(Count::Takeovers);
@@ -131,34 +131,42 @@
 
 /// What an instance that watches the lease remembers.
 #[derive(Debug, Default)]
-pub(crate) struct Watch {
+pub(crate) struct LeaseWatch {
     /// The lease as it was last seen. It outlasts failures of the store and of claims: seen
     /// anew, its age would begin anew, and with it the wait for its owner's leases. Only an
     /// answer of the store lets it be claimed.
-    seen: Option<Seen>,
+    seen: Option<ObservedLease>,
 }
 
-impl Watch {
+impl LeaseWatch {
     /// Asks for changes of the lease, and returns it as it is now.
-    pub(crate) fn look(&mut self, shared: &Shared, odds: Odds) -> Result<&Seen, StoreError> {
+    pub(crate) fn refresh(
+        &mut self,
+        shared: &Shared,
+        timing: FollowTiming,
+    ) -> Result<&ObservedLease, StoreError> {
         let seen = match &self.seen {
             None => read(shared)?,
-            Some(old) => look_again(shared, old, odds)?,
+            Some(old) => read_changes(shared, old, timing)?,
         };
         Ok(self.seen.insert(seen))
     }
 }
 
-fn look_again(shared: &Shared, old: &Seen, odds: Odds) -> Result<Seen, StoreError> {
-    let contest = old.contest(shared, shared.clock.now(), odds);
-    let remaining = contest.remaining();
-    let wait = Duration::from_millis(remaining.clamp(LEAST_WAIT, WAIT));
+fn read_changes(
+    shared: &Shared,
+    old: &ObservedLease,
+    timing: FollowTiming,
+) -> Result<ObservedLease, StoreError> {
+    let contest = old.contest(shared, shared.clock.now(), timing);
+    let claim_delay = contest.claim_delay();
+    let wait = Duration::from_millis(claim_delay.clamp(MIN_WAIT_MS, MAX_WAIT_MS));
     let changes = match shared.store(Duty::Lease).changes(LEASE, old.version, wait) {
-        Err(StoreError::Forgotten) => return read_again(shared, old),
+        Err(StoreError::Forgotten) => return reread(shared, old),
         changes => changes?,
     };
-    shared.touched();
-    let mut seen = Seen {
+    shared.record_store_answer();
+    let mut seen = ObservedLease {
         version: changes.version,
         ..old.clone()
     };
@@ -167,38 +175,42 @@
         let lease = read_lease(shared, Some(&row))?;
         seen.row = (!row.removed).then_some(row);
         if lease.epoch != seen.lease.epoch {
-            seen.begun = shared.clock.now();
+            seen.epoch_since = shared.clock.now();
         }
         seen.lease = lease;
-        seen.since = shared.clock.now();
+        seen.version_since = shared.clock.now();
     }
     Ok(seen)
 }
 
-fn read_again(shared: &Shared, old: &Seen) -> Result<Seen, StoreError> {
+fn reread(shared: &Shared, old: &ObservedLease) -> Result<ObservedLease, StoreError> {
     let new = read(shared)?;
-    let version = |s: &Seen| s.row.as_ref().map(|r| r.version);
+    let version = |s: &ObservedLease| s.row.as_ref().map(|r| r.version);
     let same = version(&new) == version(old);
-    Ok(Seen {
-        since: if same { old.since } else { new.since },
-        begun: match new.lease.epoch == old.lease.epoch {
-            true => old.begun,
-            false => new.begun,
+    Ok(ObservedLease {
+        version_since: if same {
+            old.version_since
+        } else {
+            new.version_since
+        },
+        epoch_since: match new.lease.epoch == old.lease.epoch {
+            true => old.epoch_since,
+            false => new.epoch_since,
         },
         ..new
     })
 }
 
-fn read(shared: &Shared) -> Result<Seen, StoreError> {
+fn read(shared: &Shared) -> Result<ObservedLease, StoreError> {
     let page = shared.store(Duty::Lease).read_all(LEASE, OWNER_PART)?;
-    shared.touched();
+    shared.record_store_answer();
     let row = page.rows.into_iter().find(|r| r.key == OWNER);
     let lease = read_lease(shared, row.as_ref())?;
-    Ok(Seen {
+    Ok(ObservedLease {
         row,
         lease,
-        since: shared.clock.now(),
-        begun: shared.clock.now(),
+        version_since: shared.clock.now(),
+        epoch_since: shared.clock.now(),
         version: page.version,
     })
 }
@@ -228,12 +240,15 @@
 }
 
 /// Tries to become the owner; nothing if another was faster.
-pub(crate) fn claim(shared: &Arc<Shared>, seen: &Seen) -> Result<Option<Tenure>, StoreError> {
+pub(crate) fn claim(
+    shared: &Arc<Shared>,
+    seen: &ObservedLease,
+) -> Result<Option<Tenure>, StoreError> {
     let version = seen.row.as_ref().map_or(0, |r| r.version);
     let epoch = seen.lease.epoch + 1;
-    let asked = shared.clock.now();
-    let contest = seen.contest(shared, asked, Odds::default());
-    let inherited = contest.inherited(asked, &shared.settings.jobs);
+    let asked_at = shared.clock.now();
+    let contest = seen.contest(shared, asked_at, FollowTiming::default());
+    let prior_leases_end = contest.prior_leases_end(asked_at, &shared.settings.jobs);
     let lease = LeaseRow {
         owner: shared.settings.name.to_string(),
         epoch,
@@ -242,7 +257,7 @@
         largest: seen.lease.largest.max(shared.settings.share),
         pending: seen.lease.pending.clone(),
         term: 0,
-        earlier: inherited.saturating_sub(asked),
+        earlier: prior_leases_end.saturating_sub(asked_at),
         census: seen.lease.census,
     };
     let head = HeadRow { epoch, number: 0 };
@@ -267,7 +282,7 @@
         ],
         removes: Vec::new(),
     };
-    let done = match shared.store(Duty::Lease).commit(&tx, LIMIT) {
+    let done = match shared.store(Duty::Lease).commit(&tx, CLAIM_TIMEOUT) {
         Ok(Commit::Done(version)) => Some(version),
         Ok(Commit::Conflict(_)) => None,
         Err(StoreError::Unknown { .. }) => find_claim(shared, &lease)?,
@@ -277,7 +292,7 @@
         log::info!(epoch; "lease: another instance was faster");
         return Ok(None);
     };
-    log::info!(epoch, from = seen.lease.owner.as_str(), released = seen.lease.released, age_ms = asked - seen.since, leases_ms = inherited.saturating_sub(asked); "lease: taken");
+    log::info!(epoch, from = seen.lease.owner.as_str(), released = seen.lease.released, age_ms = asked_at - seen.version_since, leases_ms = prior_leases_end.saturating_sub(asked_at); "lease: taken");
     Ok(Some(Tenure {
         epoch,
         largest: lease.largest,
@@ -285,8 +300,8 @@
         pending: lease.pending,
         head: version,
         takeover: Takeover {
-            asked_at: asked,
-            prior_leases_end: inherited,
+            asked_at,
+            prior_leases_end,
         },
     }))
 }
--- a/crates/node/src/lease_tests.rs
+++ b/crates/node/src/lease_tests.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     fakes_tests::{LeaseStore, shared},
-    lease::{Odds, Watch, claim},
+    lease::{FollowTiming, LeaseWatch, claim},
     rows::LeaseRow,
 };
 
@@ -27,20 +27,20 @@
 fn the_age_of_a_lease_outlasts_failures_of_the_store() {
     let store = LeaseStore::new(lease());
     let shared = shared(store.clone());
-    let mut watch = Watch::default();
+    let mut watch = LeaseWatch::default();
     let since = watch
-        .look(&shared, Odds::default())
+        .refresh(&shared, FollowTiming::default())
         .expect("an answer")
-        .since;
+        .version_since;
     store.away.store(true, Ordering::SeqCst);
     for _ in 0..3 {
-        assert!(watch.look(&shared, Odds::default()).is_err());
+        assert!(watch.refresh(&shared, FollowTiming::default()).is_err());
     }
     store.away.store(false, Ordering::SeqCst);
     let again = watch
-        .look(&shared, Odds::default())
+        .refresh(&shared, FollowTiming::default())
         .expect("an answer")
-        .since;
+        .version_since;
     assert_eq!(again, since);
 }
 
@@ -49,12 +49,17 @@
 fn a_claim_tells_for_how_long_earlier_leases_may_last() {
     let store = LeaseStore::new(lease());
     let shared = shared(store.clone());
-    let mut watch = Watch::default();
-    let seen = watch.look(&shared, Odds::default()).expect("an answer");
+    let mut watch = LeaseWatch::default();
+    let seen = watch
+        .refresh(&shared, FollowTiming::default())
+        .expect("an answer");
     let tenure = claim(&shared, seen).expect("an answer").expect("not taken");
     let takeover = tenure.takeover;
     // Both count from when the lease was seen, whenever the claim was asked for.
-    assert_eq!(takeover.prior_leases_end, seen.since + u64::from(u32::MAX));
+    assert_eq!(
+        takeover.prior_leases_end,
+        seen.version_since + u64::from(u32::MAX)
+    );
     assert_eq!(
         store.newest().earlier,
         takeover.prior_leases_end - takeover.asked_at
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -18,23 +18,23 @@
 };
 
 /// Lines that may wait to be written; more are dropped and counted.
-const WAITING: usize = 4096;
+const MAX_QUEUED_LINES: usize = 4096;
 
 /// Bytes of a usual line.
-const LINE: usize = 256;
+const LINE_BYTES: usize = 256;
 
 /// Lines are written together this often, to save system calls.
-const PERIOD: Duration = Duration::from_millis(50);
+const WRITE_PERIOD: Duration = Duration::from_millis(50);
 
 /// Takes formatted lines and passes them to the thread that writes.
 #[derive(Debug)]
-struct Ring {
+struct LineQueue {
     lines: flume::Sender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
     partial: Vec<u8>,
 }
 
-impl Write for Ring {
+impl Write for LineQueue {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.partial.extend_from_slice(buf);
         if buf.ends_with(b"\n") {
@@ -58,7 +58,7 @@
 impl Fields {
     /// Begins a line with what every line has.
     pub(crate) fn begin(ms: u64, level: &str, node: &str, msg: &str) -> Fields {
-        let mut fields = Fields(String::with_capacity(LINE));
+        let mut fields = Fields(String::with_capacity(LINE_BYTES));
         fields.plain("ms", ms);
         fields.text("level", level);
         fields.text("node", node);
@@ -132,9 +132,9 @@
 ///
 /// Errors: a logger was installed before, or no thread can be started.
 pub fn start(level: LevelFilter, name: &str) -> io::Result<()> {
-    let (lines, incoming) = flume::bounded(WAITING);
+    let (lines, incoming) = flume::bounded(MAX_QUEUED_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
-    let ring = Ring {
+    let queue = LineQueue {
         lines,
         dropped: dropped.clone(),
         partial: Vec::new(),
@@ -154,14 +154,14 @@
             }
             out.finish(format_args!("{}", fields.end()));
         })
-        .chain(Box::new(ring) as Box<dyn Write + Send>);
+        .chain(Box::new(queue) as Box<dyn Write + Send>);
     dispatch.apply().map_err(io::Error::other)
 }
 
 fn write_lines(incoming: &flume::Receiver<Vec<u8>>, dropped: &AtomicU64) {
     let mut out = io::stdout();
     while let Ok(mut bytes) = incoming.recv() {
-        thread::sleep(PERIOD);
+        thread::sleep(WRITE_PERIOD);
         for line in incoming.try_iter() {
             bytes.extend_from_slice(&line);
         }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -13,10 +13,10 @@
 use hdrhistogram::Histogram;
 
 /// Digits that histograms keep.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// Longest time a histogram tells apart, in milliseconds.
-const LONGEST: u64 = 120_000;
+const MAX_RECORDED_MS: u64 = 120_000;
 
 /// Events that are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -86,21 +86,22 @@
     counts: [AtomicU64; NAMES.len()],
     /// Calls to the store, by duty.
     traffic: [Traffic; DUTIES.len()],
-    accept: Mutex<Histogram<u32>>,
+    accept_ms: Mutex<Histogram<u32>>,
     /// What the owner counted; of its last time as the owner.
-    decided: Mutex<Stats>,
+    owner_stats: Mutex<Stats>,
 }
 
 impl Default for Metrics {
     fn default() -> Metrics {
-        let histogram = Histogram::new_with_max(LONGEST, DIGITS);
+        let histogram = Histogram::new_with_max(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
         // The bounds are constants that the library takes.
-        let accept = histogram.unwrap_or_else(|_| Histogram::new(DIGITS).expect("two digits"));
+        let accept_ms =
+            histogram.unwrap_or_else(|_| Histogram::new(SIGNIFICANT_DIGITS).expect("two digits"));
         Metrics {
             counts: Default::default(),
             traffic: Default::default(),
-            accept: Mutex::new(accept),
-            decided: Mutex::default(),
+            accept_ms: Mutex::new(accept_ms),
+            owner_stats: Mutex::default(),
         }
     }
 }
@@ -117,15 +118,21 @@
     }
 
     /// Records how long it took to accept a job, in milliseconds.
-    pub(crate) fn accepted(&self, ms: u64) {
+    pub(crate) fn record_accepted(&self, ms: u64) {
         self.count(Count::Accepted);
-        let mut accept = self.accept.lock().unwrap_or_else(PoisonError::into_inner);
-        accept.saturating_record(ms);
+        let mut accept_ms = self
+            .accept_ms
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        accept_ms.saturating_record(ms);
     }
 
     /// Takes over what the owner has counted.
-    pub(crate) fn decided(&self, figures: Stats) {
-        *self.decided.lock().unwrap_or_else(PoisonError::into_inner) = figures;
+    pub(crate) fn set_owner_stats(&self, stats: Stats) {
+        *self
+            .owner_stats
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = stats;
     }
 
     /// Returns all as text, one figure a line.
@@ -145,37 +152,43 @@
                 let _ = writeln!(out, "gorsespur_store_{name}{{duty=\"{duty}\"}} {count}");
             }
         }
-        let accept = self.accept.lock().unwrap_or_else(PoisonError::into_inner);
+        let accept_ms = self
+            .accept_ms
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         for quantile in [0.5, 0.95, 0.99, 1.0] {
-            let ms = accept.value_at_quantile(quantile);
+            let ms = accept_ms.value_at_quantile(quantile);
             let _ = writeln!(out, "gorsespur_accept_ms{{quantile=\"{quantile}\"}} {ms}");
         }
-        drop(accept);
-        let decided = *self.decided.lock().unwrap_or_else(PoisonError::into_inner);
+        drop(accept_ms);
+        let owner_stats = *self
+            .owner_stats
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let rows = [
-            ("open_jobs", decided.open_jobs),
-            ("starts", decided.starts),
-            ("starts_refused", decided.refused),
-            ("starts_rejected", decided.rejected),
-            ("starts_unclear", decided.unanswered_starts),
-            ("runs_done", decided.done),
-            ("runs_failed", decided.failed),
-            ("runs_stopped", decided.stopped),
-            ("runs_lapsed", decided.lapsed),
-            ("runs_lost", decided.lost),
-            ("jobs_given_up", decided.jobs_given_up),
-            ("runs_unheard", decided.unverified_runs),
-            ("jobs_still", decided.starved_jobs),
-            ("tasks_running", decided.running),
-            ("looks", decided.polls),
-            ("tasks", decided.tasks),
-            ("passes", decided.passes),
-            ("ratings", decided.ratings),
-            ("cut", decided.truncated_passes),
-            ("held", decided.throttled_passes),
-            ("stale", decided.skipped_passes),
-            ("workers_age_ms", decided.workers_age_ms),
-            ("commits", decided.commits),
+            ("open_jobs", owner_stats.open_jobs),
+            ("starts", owner_stats.starts),
+            ("starts_refused", owner_stats.refused),
+            ("starts_rejected", owner_stats.rejected),
+            ("starts_unclear", owner_stats.unanswered_starts),
+            ("runs_done", owner_stats.done),
+            ("runs_failed", owner_stats.failed),
+            ("runs_stopped", owner_stats.stopped),
+            ("runs_lapsed", owner_stats.lapsed),
+            ("runs_lost", owner_stats.lost),
+            ("jobs_given_up", owner_stats.jobs_given_up),
+            ("runs_unheard", owner_stats.unverified_runs),
+            ("jobs_still", owner_stats.starved_jobs),
+            ("tasks_running", owner_stats.running),
+            ("looks", owner_stats.polls),
+            ("tasks", owner_stats.tasks),
+            ("passes", owner_stats.passes),
+            ("ratings", owner_stats.ratings),
+            ("cut", owner_stats.truncated_passes),
+            ("held", owner_stats.throttled_passes),
+            ("stale", owner_stats.skipped_passes),
+            ("workers_age_ms", owner_stats.workers_age_ms),
+            ("commits", owner_stats.commits),
         ];
         for (name, count) in rows {
             let _ = writeln!(out, "gorsespur_owner_{name} {count}");
--- a/crates/node/src/owner/census.rs
+++ b/crates/node/src/owner/census.rs
@@ -5,7 +5,7 @@
 use gorsespur_runtime::{cancel::CancelToken, clock::wall_ms};
 
 use crate::{
-    census::Register,
+    census::InstanceRegistry,
     metrics::Duty,
     rows::{INSTANCES, INSTANCES_PART},
     shared::Shared,
@@ -14,23 +14,23 @@
 
 /// Pause between questions: instances that start at once are one change and not hundreds, and
 /// the thread ends when it is told to.
-const PAUSE: Duration = Duration::from_secs(3);
+const READ_PAUSE: Duration = Duration::from_secs(3);
 
 /// Time for an answer to a write.
-const LIMIT: Duration = Duration::from_millis(2500);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Rows that one transaction removes at most.
-const MOST_REMOVED: usize = 100;
+const MAX_REMOVED: usize = 100;
 
 /// Follows the announcements of instances until cancelled.
 pub(crate) fn count(shared: &Arc<Shared>, cancel: &CancelToken) {
-    let mut register = Register::default();
+    let mut registry = InstanceRegistry::default();
     let mut version = None;
     // An owner has more urgent things to read at first.
-    while !cancel.wait(PAUSE) {
+    while !cancel.wait(READ_PAUSE) {
         let step = match version {
-            None => list(shared, &mut register),
-            Some(after) => follow(shared, &mut register, after),
+            None => list(shared, &mut registry),
+            Some(after) => follow(shared, &mut registry, after),
         };
         match step {
             Ok(next) => version = Some(next),
@@ -39,16 +39,16 @@
                 version = version.filter(|_| err != StoreError::Forgotten);
             }
         }
-        shared.counted(register.census());
+        shared.set_census(registry.census());
     }
 }
 
-fn list(shared: &Shared, register: &mut Register) -> Result<u64, StoreError> {
+fn list(shared: &Shared, registry: &mut InstanceRegistry) -> Result<u64, StoreError> {
     let store = shared.store(Duty::Census);
     let page = store.read_all(INSTANCES, INSTANCES_PART)?;
-    *register = Register::default();
-    let mut expired = register.take(shared, &page.rows, wall_ms());
-    expired.truncate(MOST_REMOVED);
+    *registry = InstanceRegistry::default();
+    let mut expired = registry.apply(shared, &page.rows, wall_ms());
+    expired.truncate(MAX_REMOVED);
     if !expired.is_empty() {
         log::info!(count = expired.len(); "census: instances are gone");
         let tx = Tx {
@@ -56,16 +56,16 @@
             removes: expired.into_iter().map(|key| (INSTANCES, key)).collect(),
             ..Tx::default()
         };
-        store.commit(&tx, LIMIT)?;
+        store.commit(&tx, WRITE_TIMEOUT)?;
     }
     Ok(page.version)
 }
 
-fn follow(shared: &Shared, register: &mut Register, after: u64) -> Result<u64, StoreError> {
+fn follow(shared: &Shared, registry: &mut InstanceRegistry, after: u64) -> Result<u64, StoreError> {
     let changes = shared
         .store(Duty::Census)
         .changes(INSTANCES, after, Duration::ZERO)?;
     // Those that have expired are removed by the next owner.
-    register.take(shared, &changes.rows, wall_ms());
+    registry.apply(shared, &changes.rows, wall_ms());
     Ok(changes.version)
 }
--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -60,7 +60,7 @@
             Some(after) => {
                 let changes = shared.store(Duty::Jobs).changes(JOBS, after, wait(shared));
                 changes.map(|c| {
-                    shared.touched();
+                    shared.record_store_answer();
                     take_jobs(shared, &c.rows, &mut events);
                     follow.version = Some(c.version);
                 })
@@ -133,7 +133,7 @@
                     .store(Duty::Workers)
                     .changes(table, after, wait(shared));
                 changes.map(|c| {
-                    shared.touched();
+                    shared.record_store_answer();
                     take_workers(shared, &mut follow, &c.rows, &mut events);
                     follow.version = Some(c.version);
                     if c.whole {
@@ -220,7 +220,7 @@
 /// Returns how long a question for changes waits: not at all while the store is lost, so
 /// that it is found to answer a second sooner.
 fn wait(shared: &Shared) -> Duration {
-    match shared.store_is_lost() {
+    match shared.is_store_lost() {
         true => Duration::ZERO,
         false => WAIT,
     }
--- a/crates/node/src/owner/gather.rs
+++ b/crates/node/src/owner/gather.rs
@@ -8,7 +8,7 @@
 
 use std::thread::{self, Scope, ScopedJoinHandle};
 
-use super::STACK;
+use super::STACK_BYTES;
 use crate::{
     metrics::Duty,
     rows::{JOBS, LOG, OWNER_PART, RECORDS, job_parts},
@@ -108,7 +108,7 @@
     reader: impl FnOnce() -> Result<T, StoreError> + Send + 'scope,
 ) -> Result<ScopedJoinHandle<'scope, Result<T, StoreError>>, StoreError> {
     let builder = thread::Builder::new().name("reader".into());
-    let spawned = builder.stack_size(STACK).spawn_scoped(scope, reader);
+    let spawned = builder.stack_size(STACK_BYTES).spawn_scoped(scope, reader);
     spawned.map_err(|err| StoreError::Unavailable {
         reason: format!("no thread to read it: {err}"),
     })
--- a/crates/node/src/owner/journal.rs
+++ b/crates/node/src/owner/journal.rs
@@ -66,7 +66,7 @@
     shared: &'a Arc<Shared>,
     lease: LeaseRow,
     /// When leases of earlier owners are over.
-    inherited: u64,
+    prior_leases_end: u64,
     head: u64,
     number: u64,
     renewed: u64,
@@ -92,7 +92,7 @@
             earlier: 0,
             census: tenure.census,
         },
-        inherited: tenure.takeover.prior_leases_end,
+        prior_leases_end: tenure.takeover.prior_leases_end,
         head: tenure.head,
         number: 0,
         renewed: tenure.takeover.asked_at,
@@ -150,7 +150,7 @@
         let sent = self.shared.clock.now();
         self.lease.term = self.pulse.term();
         self.lease.census = self.shared.census().unwrap_or(self.lease.census);
-        self.lease.earlier = self.inherited.saturating_sub(sent);
+        self.lease.earlier = self.prior_leases_end.saturating_sub(sent);
         let tx = self.tx(batch, sent);
         let renews = tx.writes.iter().any(|w| w.table == LEASE);
         let mut backoff = Backoff::new(FIRST_PAUSE, LAST_PAUSE, rand::random());
@@ -160,7 +160,7 @@
             match self
                 .shared
                 .store(Duty::Journal)
-                .commit(&tx, limit(failing, self.shared.store_is_lost()))
+                .commit(&tx, limit(failing, self.shared.is_store_lost()))
             {
                 Ok(Commit::Done(version)) => {
                     self.accept(version, failing);
@@ -197,7 +197,7 @@
             log::info!(number = self.number; "journal: writes again");
         }
         self.head = version;
-        self.shared.touched();
+        self.shared.record_store_answer();
     }
 
     /// The end is not as expected: an earlier try of this write was done, or
--- a/crates/node/src/owner/journal_tests.rs
+++ b/crates/node/src/owner/journal_tests.rs
@@ -32,7 +32,7 @@
     let store = LeaseStore::new(LeaseRow::default());
     let shared = shared(store.clone());
     // So far ahead that it does not matter how long the test takes.
-    let inherited = u64::MAX / 2;
+    let prior_leases_end = u64::MAX / 2;
     let tenure = Tenure {
         epoch: 1,
         largest: 500,
@@ -41,7 +41,7 @@
         head: 1,
         takeover: Takeover {
             asked_at: 0,
-            prior_leases_end: inherited,
+            prior_leases_end,
         },
     };
     let (ring, entries) = flume::bounded(1);
@@ -50,7 +50,7 @@
     write(&shared, &tenure, &entries, &inbox.input());
     let newest = store.newest();
     assert!(newest.released);
-    assert!(newest.earlier > inherited / 2, "{}", newest.earlier);
+    assert!(newest.earlier > prior_leases_end / 2, "{}", newest.earlier);
 }
 
 /// Counted from its first try, the first write that is done after a silence would be a contact
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -36,7 +36,7 @@
 const RING: usize = 1024;
 
 /// Stack of a thread in bytes.
-const STACK: usize = 512 << 10;
+const STACK_BYTES: usize = 512 << 10;
 
 /// A time of owning the lease.
 #[derive(Debug)]
@@ -68,12 +68,16 @@
         }
     };
     // Its own questions and renewals are answered more often than those of other instances.
-    shared.asks_each(feed::WAIT);
+    shared.set_poll_wait(feed::WAIT);
     let mine = CancelToken::new();
     let input = inbox.input();
     let (batches, journal) = flume::bounded(RING);
     thread::scope(|scope| {
-        let spawn = |name: &str| thread::Builder::new().name(name.into()).stack_size(STACK);
+        let spawn = |name: &str| {
+            thread::Builder::new()
+                .name(name.into())
+                .stack_size(STACK_BYTES)
+        };
         let writer = spawn("journal")
             .spawn_scoped(scope, || journal::write(shared, &tenure, &journal, &input));
         if let Some(loaded) = load_jobs(shared, &tenure, &batches).filter(|_| writer.is_ok()) {
@@ -93,7 +97,7 @@
         mine.cancel();
         drop(batches);
     });
-    shared.asks_each(shared.config_wait());
+    shared.set_poll_wait(shared.config_wait());
     log::info!(epoch = tenure.epoch; "owner: ends");
 }
 
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -180,7 +180,7 @@
         if now >= self.tell_at {
             self.tell_at = now + TELL_PERIOD;
             send(journal, Entry::Pending(self.machine.pending_jobs()));
-            self.shared.metrics.decided(self.machine.stats());
+            self.shared.metrics.set_owner_stats(self.machine.stats());
             for worker in self.machine.closable_workers() {
                 self.lines.drop_worker(self.inbox.poll.registry(), worker);
             }
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -28,34 +28,34 @@
 };
 
 /// Stack of a thread in bytes.
-const STACK: usize = 512 << 10;
+const STACK_BYTES: usize = 512 << 10;
 
 /// Time for a caller's whole request after its first byte.
-const HEAD: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time that a caller's connection may be idle.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Connections of the balancer and of those who read metrics.
-const FEW: usize = 16;
+const MAX_PROBE_CONNECTIONS: usize = 16;
 
 /// Time for answers under way when the process ends.
-const LAST_ANSWERS: Duration = Duration::from_millis(800);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Time for the last log lines to be written.
-const LAST_LINES: Duration = Duration::from_millis(60);
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(60);
 
 /// Tells the balancer whether the instance takes requests.
-struct Ready {
+struct ReadinessHandler {
     shared: Arc<Shared>,
 }
 
-impl Handler for Ready {
+impl Handler for ReadinessHandler {
     fn handle(&self, _request: Request) -> Option<Response> {
         let shared = &self.shared;
         // Without the store it would refuse what others can take.
-        let able = shared.config().is_some() && !shared.store_is_lost();
-        let status = if able && !shared.is_leaving() {
+        let can_serve = shared.config().is_some() && !shared.is_store_lost();
+        let status = if can_serve && !shared.is_leaving() {
             200
         } else {
             503
@@ -72,11 +72,11 @@
 }
 
 /// Tells the metrics.
-struct Figures {
+struct MetricsHandler {
     shared: Arc<Shared>,
 }
 
-impl Handler for Figures {
+impl Handler for MetricsHandler {
     fn handle(&self, _request: Request) -> Option<Response> {
         let text = self.shared.metrics.text();
         Some(Response::new(200, text.into_bytes()))
@@ -105,14 +105,14 @@
         let shared = Arc::new(Shared::new(settings, store, protocol));
         let cancel = CancelToken::new();
         log::info!(name = &*shared.settings.name, share = shared.settings.share; "node: starts");
-        let handler = Ready {
+        let handler = ReadinessHandler {
             shared: shared.clone(),
         };
-        let ready = serve(shared.settings.ready, FEW, handler)?;
-        let handler = Figures {
+        let ready = serve(shared.settings.ready, MAX_PROBE_CONNECTIONS, handler)?;
+        let handler = MetricsHandler {
             shared: shared.clone(),
         };
-        let metrics = serve(shared.settings.metrics, FEW, handler)?;
+        let metrics = serve(shared.settings.metrics, MAX_PROBE_CONNECTIONS, handler)?;
         // The configuration is followed to the very end: a stopping instance answers.
         spawn("config", &shared, &CancelToken::new(), follow)?;
         let handler = Front {
@@ -153,7 +153,7 @@
         if let Some(front) = &self.front {
             front.start_draining();
             thread::sleep(self.shared.settings.linger);
-            if !front.wait_until_idle(LAST_ANSWERS) {
+            if !front.wait_until_idle(DRAIN_TIMEOUT) {
                 log::warn!("node: answers were cut by the stop");
             }
         }
@@ -184,7 +184,7 @@
         reload();
     }
     node.stop();
-    thread::sleep(LAST_LINES);
+    thread::sleep(LOG_FLUSH_TIME);
     Ok(())
 }
 
@@ -198,8 +198,8 @@
     };
     let settings = ServerSettings {
         max_connections: connections,
-        request_timeout: HEAD,
-        idle_timeout: IDLE,
+        request_timeout: REQUEST_TIMEOUT,
+        idle_timeout: IDLE_TIMEOUT,
     };
     let server = Server::start(addr, settings, Arc::new(handler));
     server.map(Some).context(ListenSnafu { addr })
@@ -209,12 +209,12 @@
     name: &'static str,
     shared: &Arc<Shared>,
     cancel: &CancelToken,
-    duty: fn(&Arc<Shared>, &CancelToken),
+    main: fn(&Arc<Shared>, &CancelToken),
 ) -> Result<thread::JoinHandle<()>, NodeError> {
     let (shared, cancel) = (shared.clone(), cancel.clone());
     thread::Builder::new()
         .name(name.into())
-        .stack_size(STACK)
-        .spawn(move || duty(&shared, &cancel))
+        .stack_size(STACK_BYTES)
+        .spawn(move || main(&shared, &cancel))
         .context(ThreadSnafu { name })
 }
--- a/crates/node/src/question_tests.rs
+++ b/crates/node/src/question_tests.rs
@@ -4,7 +4,7 @@
 
 use test_case::test_case;
 
-use crate::question::{longest_silence, wait};
+use crate::question::{max_silence, wait};
 
 /// Time after which the store's client gives a question up that waits no longer.
 const GIVEN_UP: u64 = 1000;
@@ -40,7 +40,7 @@
 #[test]
 fn the_store_is_lost_once_its_answer_is_overdue() {
     let wait = wait(Duration::from_secs(5));
-    let silence = longest_silence(wait);
+    let silence = max_silence(wait);
     assert!(silence > wait + Duration::from_millis(250));
     assert!(silence < wait + Duration::from_millis(GIVEN_UP));
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -23,17 +23,17 @@
 
 /// After a call without an answer, callers are not held up by another for this long
 /// unless one is answered meanwhile, in milliseconds.
-const BREAK: u64 = 1000;
+const PROBE_PAUSE_MS: u64 = 1000;
 
 /// Leave to call the store; given back when it is dropped.
-pub(crate) struct Try<'a> {
-    alone: Option<&'a AtomicBool>,
+pub(crate) struct StorePermit<'a> {
+    probing: Option<&'a AtomicBool>,
 }
 
-impl Drop for Try<'_> {
+impl Drop for StorePermit<'_> {
     fn drop(&mut self) {
-        if let Some(alone) = self.alone {
-            alone.store(false, Ordering::SeqCst);
+        if let Some(probing) = self.probing {
+            probing.store(false, Ordering::SeqCst);
         }
     }
 }
@@ -59,15 +59,15 @@
     /// The instances as this one counted them when it last was the owner.
     census: Mutex<Option<Census>>,
     /// Held by a caller who reads the configuration whole.
-    pub(crate) reading: Mutex<()>,
+    pub(crate) config_read: Mutex<()>,
     /// When the store last answered, in milliseconds.
-    contact: AtomicU64,
+    answered_at: AtomicU64,
     /// For how long nothing comes from a store that answers, in milliseconds.
-    longest_silence: AtomicU64,
+    max_silence: AtomicU64,
     /// When a call to the store last got no answer, in milliseconds.
-    lost: AtomicU64,
+    failed_at: AtomicU64,
     /// Whether a caller tries a store that did not answer.
-    trying: AtomicBool,
+    probing: AtomicBool,
     /// Whether the process is about to end.
     pub(crate) leaving: AtomicBool,
 }
@@ -96,21 +96,21 @@
             config: Mutex::new(None),
             evacuated: Mutex::default(),
             census: Mutex::default(),
-            reading: Mutex::new(()),
-            contact: AtomicU64::new(0),
-            longest_silence: AtomicU64::new(0),
-            lost: AtomicU64::new(0),
-            trying: AtomicBool::new(false),
+            config_read: Mutex::new(()),
+            answered_at: AtomicU64::new(0),
+            max_silence: AtomicU64::new(0),
+            failed_at: AtomicU64::new(0),
+            probing: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
         };
-        shared.asks_each(wait);
+        shared.set_poll_wait(wait);
         shared
     }
 
     /// Takes note that the store is asked anew after `wait` at the latest.
-    pub(crate) fn asks_each(&self, wait: Duration) {
-        let silence = question::longest_silence(wait).as_millis() as u64;
-        self.longest_silence.store(silence, Ordering::Relaxed);
+    pub(crate) fn set_poll_wait(&self, wait: Duration) {
+        let silence = question::max_silence(wait).as_millis() as u64;
+        self.max_silence.store(silence, Ordering::Relaxed);
     }
 
     /// Returns how long questions about the configuration wait.
@@ -130,7 +130,7 @@
     }
 
     /// Puts a configuration in force unless that or a newer one is.
-    pub(crate) fn offer(&self, new: Config) {
+    pub(crate) fn apply_config(&self, new: Config) {
         let mut config = self.config.lock().unwrap_or_else(PoisonError::into_inner);
         if config.as_ref().is_some_and(|c| c.version >= new.version) {
             return;
@@ -142,34 +142,37 @@
     /// Returns the store's version up to which changes of the configuration's table are known;
     /// nothing if it was never read.
     pub(crate) fn config_known(&self) -> Option<u64> {
-        let known = self.evacuated.lock();
-        let version = known.unwrap_or_else(PoisonError::into_inner).version;
+        let evacuated = self.evacuated.lock();
+        let version = evacuated.unwrap_or_else(PoisonError::into_inner).version;
         (version > 0).then_some(version)
     }
 
     /// Returns the availability zones that are evacuated, sorted.
     pub(crate) fn evacuated(&self) -> Arc<[Arc<str>]> {
-        let known = self.evacuated.lock();
-        known.unwrap_or_else(PoisonError::into_inner).zones.clone()
+        let evacuated = self.evacuated.lock();
+        evacuated
+            .unwrap_or_else(PoisonError::into_inner)
+            .zones
+            .clone()
     }
 
     /// Takes over which zones are evacuated, as of a version of the store.
     ///
     /// Two threads read them: what is older than what is known changes nothing.
-    pub(crate) fn evacuate(&self, version: u64, change: impl FnOnce(&mut Vec<Arc<str>>)) {
-        let known = self.evacuated.lock();
-        let mut known = known.unwrap_or_else(PoisonError::into_inner);
-        if version < known.version {
+    pub(crate) fn update_evacuated(&self, version: u64, change: impl FnOnce(&mut Vec<Arc<str>>)) {
+        let evacuated = self.evacuated.lock();
+        let mut evacuated = evacuated.unwrap_or_else(PoisonError::into_inner);
+        if version < evacuated.version {
             return;
         }
-        known.version = version;
-        let mut zones = known.zones.to_vec();
+        evacuated.version = version;
+        let mut zones = evacuated.zones.to_vec();
         change(&mut zones);
-        if *zones == *known.zones {
+        if *zones == *evacuated.zones {
             return;
         }
         log::info!(version, zones = zones.join(",").as_str(); "zones: evacuated");
-        known.zones = zones.into();
+        evacuated.zones = zones.into();
     }
 
     /// Returns the number of instances, if this one has counted them.
@@ -178,47 +181,48 @@
     }
 
     /// Takes note of the number of instances.
-    pub(crate) fn counted(&self, census: Census) {
+    pub(crate) fn set_census(&self, census: Census) {
         *self.census.lock().unwrap_or_else(PoisonError::into_inner) = Some(census);
     }
 
     /// Takes note that the store answered.
-    pub(crate) fn touched(&self) {
-        self.contact.store(self.clock.now(), Ordering::Relaxed);
+    pub(crate) fn record_store_answer(&self) {
+        self.answered_at.store(self.clock.now(), Ordering::Relaxed);
     }
 
     /// Takes note that the store did not answer.
-    pub(crate) fn untouched(&self) {
-        self.lost.store(self.clock.now(), Ordering::Relaxed);
+    pub(crate) fn record_store_failure(&self) {
+        self.failed_at.store(self.clock.now(), Ordering::Relaxed);
     }
 
     /// Tells whether the store's last call got no answer, or none came lately.
-    pub(crate) fn store_is_lost(&self) -> bool {
-        let lost = self.lost.load(Ordering::Relaxed);
-        lost > self.contact.load(Ordering::Relaxed) || self.is_silent()
+    pub(crate) fn is_store_lost(&self) -> bool {
+        let failed_at = self.failed_at.load(Ordering::Relaxed);
+        failed_at > self.answered_at.load(Ordering::Relaxed) || self.is_store_silent()
     }
 
     /// Tells whether nothing came from the store for longer than a question takes.
-    pub(crate) fn is_silent(&self) -> bool {
-        self.silence() > self.longest_silence.load(Ordering::Relaxed)
+    pub(crate) fn is_store_silent(&self) -> bool {
+        self.silence() > self.max_silence.load(Ordering::Relaxed)
     }
 
     /// Gives leave to hold a caller up by a call to the store: while that does not
     /// answer only one at a time, and after a pause.
-    pub(crate) fn may_try(&self) -> Option<Try<'_>> {
-        if !self.store_is_lost() {
-            return Some(Try { alone: None });
+    pub(crate) fn store_permit(&self) -> Option<StorePermit<'_>> {
+        if !self.is_store_lost() {
+            return Some(StorePermit { probing: None });
         }
-        let rested = self.clock.now() >= self.lost.load(Ordering::Relaxed) + BREAK;
-        let alone = rested && !self.trying.swap(true, Ordering::SeqCst);
-        alone.then_some(Try {
-            alone: Some(&self.trying),
+        let has_paused =
+            self.clock.now() >= self.failed_at.load(Ordering::Relaxed) + PROBE_PAUSE_MS;
+        let probing = has_paused && !self.probing.swap(true, Ordering::SeqCst);
+        probing.then_some(StorePermit {
+            probing: Some(&self.probing),
         })
     }
 
     /// Returns the milliseconds since the store last answered.
     fn silence(&self) -> u64 {
-        let last = self.contact.load(Ordering::Relaxed);
+        let last = self.answered_at.load(Ordering::Relaxed);
         self.clock.now().saturating_sub(last)
     }
 
--- a/crates/node/src/turns.rs
+++ b/crates/node/src/turns.rs
@@ -10,29 +10,29 @@
 //! all that follow are lost together with the owner, others begin within half a second.
 
 /// Instances of a size that follow at a time, on average.
-const FOLLOWERS: u64 = 12;
+const TARGET_FOLLOWERS: u64 = 12;
 
 /// An instance follows for this long, in milliseconds.
-const TURN: u64 = 2000;
+const TURN_MS: u64 = 2000;
 
 /// Longest rest, in milliseconds.
-const LONGEST_REST: u64 = 120_000;
+const MAX_REST_MS: u64 = 120_000;
 
 /// The turn of an instance.
 #[derive(Debug)]
-pub(crate) struct Turn {
-    begun: u64,
+pub(crate) struct FollowTurn {
+    started_at: u64,
 }
 
-impl Turn {
+impl FollowTurn {
     /// Begins a turn.
-    pub(crate) fn new(now: u64) -> Turn {
-        Turn { begun: now }
+    pub(crate) fn new(now: u64) -> FollowTurn {
+        FollowTurn { started_at: now }
     }
 
     /// Returns for how long the instance has followed the lease without a rest, in milliseconds.
-    pub(crate) fn watched(&self, now: u64) -> u64 {
-        now - self.begun
+    pub(crate) fn followed_ms(&self, now: u64) -> u64 {
+        now - self.started_at
     }
 
     /// Returns for how long the instance rests from now on, in milliseconds, where there are
@@ -40,12 +40,12 @@
     ///
     /// Rests have no memory, so that instances that start at the same moment do not go on
     /// together.
-    pub(crate) fn rest(&self, now: u64, count: u64, chance: f64) -> Option<u64> {
-        if count <= FOLLOWERS || self.watched(now) < TURN {
+    pub(crate) fn rest_ms(&self, now: u64, count: u64, chance: f64) -> Option<u64> {
+        if count <= TARGET_FOLLOWERS || self.followed_ms(now) < TURN_MS {
             return None;
         }
-        let mean = TURN * (count - FOLLOWERS) / FOLLOWERS;
+        let mean = TURN_MS * (count - TARGET_FOLLOWERS) / TARGET_FOLLOWERS;
         let rest = -(1.0 - chance).ln() * mean as f64;
-        Some((rest as u64).min(LONGEST_REST))
+        Some((rest as u64).min(MAX_REST_MS))
     }
 }
--- a/crates/node/src/watch_sim_tests.rs
+++ b/crates/node/src/watch_sim_tests.rs
@@ -11,10 +11,10 @@
 
 use crate::{
     census::Census,
-    contest::{Contest, JITTER},
+    contest::{Candidate, MAX_JITTER_MS},
     question,
     rows::LeaseRow,
-    turns::Turn,
+    turns::FollowTurn,
 };
 
 /// The owner renews this often, in milliseconds.
@@ -70,7 +70,7 @@
     share: u64,
     seen: u64,
     since: u64,
-    turn: Turn,
+    turn: FollowTurn,
     jitter: u64,
     state: State,
     reachable: bool,
@@ -115,8 +115,8 @@
                 share: if at < large { 1000 } else { 120 },
                 seen: 0,
                 since: 0,
-                turn: Turn::new(0),
-                jitter: rng.random_range(0..JITTER),
+                turn: FollowTurn::new(0),
+                jitter: rng.random_range(0..MAX_JITTER_MS),
                 state: State::Pauses,
                 reachable: true,
                 rests: false,
@@ -135,14 +135,14 @@
         }
     }
 
-    fn contest(&self, at: usize) -> Contest<'_> {
+    fn contest(&self, at: usize) -> Candidate<'_> {
         let instance = &self.instances[at];
-        Contest {
+        Candidate {
             lease: Some(&self.lease),
             name: "other",
             share: instance.share,
             age: self.now - instance.since,
-            watched: instance.turn.watched(self.now),
+            followed_ms: instance.turn.followed_ms(self.now),
             tenure: self.now,
             jitter: instance.jitter,
         }
@@ -152,13 +152,13 @@
     fn ask(&mut self, at: usize) {
         if self.instances[at].rests {
             self.instances[at].rests = false;
-            self.instances[at].turn = Turn::new(self.now);
+            self.instances[at].turn = FollowTurn::new(self.now);
         }
         if !self.instances[at].reachable {
             return;
         }
         self.calls += 1;
-        let wait = self.contest(at).remaining().clamp(10, 600);
+        let wait = self.contest(at).claim_delay().clamp(10, 600);
         let version = self.version;
         let instance = &mut self.instances[at];
         instance.state = State::Asks(instance.seen);
@@ -182,13 +182,13 @@
             return false;
         }
         let contest = self.contest(at);
-        if contest.is_won() {
+        if contest.can_claim() {
             return true;
         }
-        let (alike, pause) = (contest.alike(), contest.pause());
+        let (peers, pause) = (contest.peers(), contest.follow_pause());
         let chance = self.rng.random();
         let instance = &mut self.instances[at];
-        let rest = instance.turn.rest(self.now, alike, chance);
+        let rest = instance.turn.rest_ms(self.now, peers, chance);
         instance.rests = rest.is_some();
         instance.state = State::Pauses;
         let then = self.now + rest.unwrap_or(pause);
