--- a/crates/node/src/contest.rs
+++ b/crates/node/src/contest.rs
@@ -4,13 +4,13 @@
 
 use crate::{
     census::is_small,
-    owner::{journal::RENEWAL, pulse::MOST_TERM},
+    owner::{journal::MAX_CONTACT_LEAD_MS, pulse::MAX_TERM_MS},
     rows::LeaseRow,
 };
 
 /// A lease whose owner did not say after how long it is free is free after this long,
 /// in milliseconds.
-const DEFAULT_TERM_MS: u64 = MOST_TERM;
+const DEFAULT_TERM_MS: u64 = MAX_TERM_MS;
 
 /// Added to that by chance, so that not all instances claim at once, in milliseconds.
 pub(crate) const MAX_JITTER_MS: u64 = 300;
@@ -114,7 +114,8 @@
             // Whatever it still grants reaches no further from its last contact. Without that
             // the times of renewing and of a lease add up to 12.7 s, and a lasting task may be
             // away for 10 s.
-            (now + RENEWAL + lease_upper_bound(jobs.store_grace)).saturating_sub(self.age)
+            (now + MAX_CONTACT_LEAD_MS + lease_upper_bound(jobs.store_grace))
+                .saturating_sub(self.age)
         };
         // One before it may live on in a zone that is cut off, and renew what runs there.
         last_owner_end.max((now + lease.earlier).saturating_sub(self.age))
--- a/crates/node/src/fakes_tests.rs
+++ b/crates/node/src/fakes_tests.rs
@@ -14,7 +14,7 @@
 use crate::{
     config::Config,
     protocol::{Order, Protocol, ProtocolError},
-    rows::{LEASE, LeaseRow, OWNER, OWNER_PART, decode, encode},
+    rows::{LEASE, LeaseRow, OWNER_KEY, OWNER_PART, decode, encode},
     settings::NodeSettings,
     shared::Shared,
     store::{Changes, Commit, Page, Range, Row, Store, StoreError, Tx},
@@ -180,7 +180,7 @@
         self.check()?;
         let row = Row {
             part: OWNER_PART.into(),
-            key: OWNER.into(),
+            key: OWNER_KEY.into(),
             value: encode(&self.newest()),
             version: self.version(),
             removed: false,
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -15,7 +15,7 @@
     follow::refresh,
     metrics::{Count, Duty},
     rows::{
-        JOBS, LEASE, LeaseRow, OWNER, OWNER_PART, RECORDS, cancel_key, decode, encode, job_part,
+        JOBS, LEASE, LeaseRow, OWNER_KEY, OWNER_PART, RECORDS, cancel_key, decode, encode, job_part,
     },
     shared::Shared,
     store::{Expect, StoreError, Tx, Write},
@@ -272,7 +272,7 @@
         let row = match self
             .shared
             .store(Duty::Callers)
-            .read_one(LEASE, OWNER_PART, OWNER)
+            .read_one(LEASE, OWNER_PART, OWNER_KEY)
         {
             Ok(row) => row,
             Err(err) => return self.store_failed(&err),
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -14,7 +14,7 @@
     contest::{Candidate, MAX_JITTER_MS},
     metrics::{Count, Duty},
     owner::{self, Tenure},
-    rows::{HEAD, HeadRow, JOURNAL, LEASE, LeaseRow, OWNER, OWNER_PART, decode, encode},
+    rows::{HEAD_KEY, HeadRow, JOURNAL, LEASE, LeaseRow, OWNER_KEY, OWNER_PART, decode, encode},
     shared::Shared,
     store::{Commit, Expect, Row, StoreError, Tx, Write},
     turns::FollowTurn,
@@ -170,7 +170,7 @@
         version: changes.version,
         ..old.clone()
     };
-    let row = changes.rows.into_iter().rfind(|r| r.key == OWNER);
+    let row = changes.rows.into_iter().rfind(|r| r.key == OWNER_KEY);
     if let Some(row) = row {
         let lease = read_lease(shared, Some(&row))?;
         seen.row = (!row.removed).then_some(row);
@@ -204,7 +204,7 @@
 fn read(shared: &Shared) -> Result<ObservedLease, StoreError> {
     let page = shared.store(Duty::Lease).read_all(LEASE, OWNER_PART)?;
     shared.record_store_answer();
-    let row = page.rows.into_iter().find(|r| r.key == OWNER);
+    let row = page.rows.into_iter().find(|r| r.key == OWNER_KEY);
     let lease = read_lease(shared, row.as_ref())?;
     Ok(ObservedLease {
         row,
@@ -228,7 +228,7 @@
     shared.metrics.count(Count::BadRows);
     let head = shared
         .store(Duty::Lease)
-        .read_one(JOURNAL, OWNER_PART, HEAD)?;
+        .read_one(JOURNAL, OWNER_PART, HEAD_KEY)?;
     let head: Option<HeadRow> = head.and_then(|r| decode("head", &r.value));
     let head = head.ok_or_else(|| StoreError::Malformed {
         reason: "lease and journal's end".into(),
@@ -265,18 +265,18 @@
         part: OWNER_PART.into(),
         expects: vec![Expect {
             table: LEASE,
-            key: OWNER.into(),
+            key: OWNER_KEY.into(),
             version,
         }],
         writes: vec![
             Write {
                 table: LEASE,
-                key: OWNER.into(),
+                key: OWNER_KEY.into(),
                 value: encode(&lease),
             },
             Write {
                 table: JOURNAL,
-                key: HEAD.into(),
+                key: HEAD_KEY.into(),
                 value: encode(&head),
             },
         ],
@@ -310,7 +310,7 @@
 fn find_claim(shared: &Shared, lease: &LeaseRow) -> Result<Option<u64>, StoreError> {
     let row = shared
         .store(Duty::Lease)
-        .read_one(LEASE, OWNER_PART, OWNER)?;
+        .read_one(LEASE, OWNER_PART, OWNER_KEY)?;
     let Some(row) = row else {
         return Ok(None);
     };
--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -6,18 +6,18 @@
 use gorsespur_runtime::cancel::CancelToken;
 
 use super::{
-    gather::{Listing, all_jobs, list_workers},
-    inbox::Input,
+    gather::{WorkerListing, list_workers, read_jobs},
+    inbox::InboxSender,
 };
 use crate::{
     metrics::{Count, Duty},
-    rows::{JOBS, JobKey, decode, job_key},
+    rows::{JOBS, JobsRowKey, decode, parse_jobs_key},
     shared::Shared,
     store::{Changes, Row, StoreError},
 };
 
 /// How long one question for changes waits; it bounds how late a thread ends.
-pub(super) const WAIT: Duration = Duration::from_millis(1000);
+pub(super) const LONG_POLL_WAIT: Duration = Duration::from_millis(1000);
 
 /// Pause between questions for changed workers. Each writes its row every other
 /// second, so that without it nearly each write would be a call and a wake-up. It bounds
@@ -25,62 +25,69 @@
 const WORKERS_PAUSE: Duration = Duration::from_millis(300);
 
 /// Pause after a failure.
-const PAUSE: Duration = Duration::from_millis(60);
+const FAILURE_PAUSE: Duration = Duration::from_millis(60);
 
 /// Where a table's changes are to be followed from.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Follow {
+pub(crate) struct Cursor {
     /// The version; nothing if the whole table has to be read.
     pub(crate) version: Option<u64>,
     /// Keys that were there when last told, sorted.
-    pub(crate) keys: Vec<String>,
+    pub(crate) known_keys: Vec<String>,
 }
 
-impl Follow {
+impl Cursor {
     /// Follows from a version on.
-    pub(crate) fn new(version: u64) -> Follow {
-        Follow {
+    pub(crate) fn new(version: u64) -> Cursor {
+        Cursor {
             version: Some(version),
-            keys: Vec::new(),
+            known_keys: Vec::new(),
         }
     }
 
     /// Begins with the whole table.
-    pub(crate) fn anew() -> Follow {
-        Follow::default()
+    pub(crate) fn from_start() -> Cursor {
+        Cursor::default()
     }
 }
 
 /// Follows the accepted jobs until cancelled.
-pub(crate) fn jobs(shared: &Arc<Shared>, mut follow: Follow, input: &Input, cancel: &CancelToken) {
+pub(crate) fn follow_jobs(
+    shared: &Arc<Shared>,
+    mut cursor: Cursor,
+    sender: &InboxSender,
+    cancel: &CancelToken,
+) {
     while !cancel.is_cancelled() {
         let mut events = Vec::new();
-        let step = match follow.version {
-            None => list_jobs(shared, &mut follow, &mut events),
+        let step = match cursor.version {
+            None => reread_jobs(shared, &mut cursor, &mut events),
             Some(after) => {
-                let changes = shared.store(Duty::Jobs).changes(JOBS, after, wait(shared));
+                let changes = shared
+                    .store(Duty::Jobs)
+                    .changes(JOBS, after, poll_wait(shared));
                 changes.map(|c| {
                     shared.record_store_answer();
-                    take_jobs(shared, &c.rows, &mut events);
-                    follow.version = Some(c.version);
+                    job_events(shared, &c.rows, &mut events);
+                    cursor.version = Some(c.version);
                 })
             }
         };
         if let Err(err) = step {
-            failed(shared, &mut follow, &err, cancel);
+            handle_failure(shared, &mut cursor, &err, cancel);
         }
-        input.events(events);
+        sender.events(events);
     }
 }
 
-fn list_jobs(
+fn reread_jobs(
     shared: &Shared,
-    follow: &mut Follow,
+    cursor: &mut Cursor,
     events: &mut Vec<Event>,
 ) -> Result<(), StoreError> {
-    let (rows, version) = all_jobs(shared)?;
-    take_jobs(shared, &rows, events);
-    follow.version = Some(version);
+    let (rows, version) = read_jobs(shared)?;
+    job_events(shared, &rows, events);
+    cursor.version = Some(version);
     Ok(())
 }
 
@@ -97,15 +104,15 @@
 }
 
 /// Turns rows of accepted jobs into events; cancellations come last.
-pub(crate) fn take_jobs(shared: &Shared, rows: &[Row], events: &mut Vec<Event>) {
+pub(crate) fn job_events(shared: &Shared, rows: &[Row], events: &mut Vec<Event>) {
     let mut cancels = Vec::new();
     for row in rows.iter().filter(|r| !r.removed) {
-        match job_key(&row.key) {
-            Some(JobKey::Job) => {
+        match parse_jobs_key(&row.key) {
+            Some(JobsRowKey::Job) => {
                 let job = read_job(shared, row);
                 events.extend(job.map(|j| Event::Accepted(Arc::new(j))));
             }
-            Some(JobKey::Cancel(id)) => cancels.push(Event::Cancelled(id)),
+            Some(JobsRowKey::Cancel(id)) => cancels.push(Event::Cancelled(id)),
             None => log::warn!(key = row.key.as_str(); "jobs: unknown key"),
         }
     }
@@ -113,31 +120,31 @@
 }
 
 /// Follows the workers' announcements until cancelled.
-pub(crate) fn workers(
+pub(crate) fn follow_workers(
     shared: &Arc<Shared>,
-    mut follow: Follow,
-    input: &Input,
+    mut cursor: Cursor,
+    sender: &InboxSender,
     cancel: &CancelToken,
 ) {
     let table = shared.protocol.workers_table();
     while !cancel.is_cancelled() {
         let mut events = Vec::new();
-        let asked = shared.clock.now();
-        let step = match follow.version {
+        let asked_at = shared.clock.now();
+        let step = match cursor.version {
             None => list_workers(shared).map(|listing| {
-                take_listing(shared, &mut follow, &listing, &mut events);
+                apply_listing(shared, &mut cursor, &listing, &mut events);
                 WORKERS_PAUSE
             }),
             Some(after) => {
                 let changes = shared
                     .store(Duty::Workers)
-                    .changes(table, after, wait(shared));
+                    .changes(table, after, poll_wait(shared));
                 changes.map(|c| {
                     shared.record_store_answer();
-                    take_workers(shared, &mut follow, &c.rows, &mut events);
-                    follow.version = Some(c.version);
+                    apply_worker_rows(shared, &mut cursor, &c.rows, &mut events);
+                    cursor.version = Some(c.version);
                     if c.whole {
-                        events.push(Event::WorkersSynced { asked_at: asked });
+                        events.push(Event::WorkersSynced { asked_at });
                     }
                     pause_after(&c)
                 })
@@ -146,11 +153,11 @@
         let pause = match step {
             Ok(pause) => pause,
             Err(err) => {
-                failed(shared, &mut follow, &err, cancel);
+                handle_failure(shared, &mut cursor, &err, cancel);
                 WORKERS_PAUSE
             }
         };
-        input.events(events);
+        sender.events(events);
         cancel.wait(pause);
     }
 }
@@ -169,34 +176,34 @@
 }
 
 /// Takes all announcements; those that are no longer there are told as gone.
-pub(super) fn take_listing(
+pub(super) fn apply_listing(
     shared: &Shared,
-    follow: &mut Follow,
-    listing: &Listing,
+    cursor: &mut Cursor,
+    listing: &WorkerListing,
     events: &mut Vec<Event>,
 ) {
     let rows = &listing.page.rows;
-    for key in &follow.keys {
+    for key in &cursor.known_keys {
         if !rows.iter().any(|r| r.key == *key) {
             events.push(Event::WorkerRemoved(key.as_str().into()));
         }
     }
-    follow.keys.clear();
-    take_workers(shared, follow, rows, events);
+    cursor.known_keys.clear();
+    apply_worker_rows(shared, cursor, rows, events);
     events.push(Event::WorkersSynced {
-        asked_at: listing.asked,
+        asked_at: listing.asked_at,
     });
-    follow.version = Some(listing.page.version);
+    cursor.version = Some(listing.page.version);
 }
 
-fn take_workers(shared: &Shared, follow: &mut Follow, rows: &[Row], events: &mut Vec<Event>) {
+fn apply_worker_rows(shared: &Shared, cursor: &mut Cursor, rows: &[Row], events: &mut Vec<Event>) {
     for row in rows {
-        let at = follow.keys.binary_search(&row.key);
+        let position = cursor.known_keys.binary_search(&row.key);
         if row.removed {
             log::info!(worker = row.key.as_str(); "worker: no longer listed");
             events.push(Event::WorkerRemoved(row.key.as_str().into()));
-            if let Ok(at) = at {
-                follow.keys.remove(at);
+            if let Ok(position) = position {
+                cursor.known_keys.remove(position);
             }
             continue;
         }
@@ -211,27 +218,27 @@
                 events.push(Event::WorkerRemoved(row.key.as_str().into()));
             }
         }
-        if let Err(at) = at {
-            follow.keys.insert(at, row.key.clone());
+        if let Err(position) = position {
+            cursor.known_keys.insert(position, row.key.clone());
         }
     }
 }
 
 /// Returns how long a question for changes waits: not at all while the store is lost, so
 /// that it is found to answer a second sooner.
-fn wait(shared: &Shared) -> Duration {
+fn poll_wait(shared: &Shared) -> Duration {
     match shared.is_store_lost() {
         true => Duration::ZERO,
-        false => WAIT,
+        false => LONG_POLL_WAIT,
     }
 }
 
-fn failed(shared: &Shared, follow: &mut Follow, err: &StoreError, cancel: &CancelToken) {
+fn handle_failure(shared: &Shared, cursor: &mut Cursor, err: &StoreError, cancel: &CancelToken) {
     shared.metrics.count(Count::StoreErrors);
     log::debug!(err = err.to_string().as_str(); "feed: failed");
     if *err == StoreError::Forgotten {
         log::info!("feed: history forgotten, the table is read anew");
-        follow.version = None;
+        cursor.version = None;
     }
-    cancel.wait(PAUSE);
+    cancel.wait(FAILURE_PAUSE);
 }
--- a/crates/node/src/owner/gather.rs
+++ b/crates/node/src/owner/gather.rs
@@ -17,10 +17,10 @@
 };
 
 /// Parts of the jobs that are read at a time.
-const READERS: usize = 8;
+const JOB_READERS: usize = 8;
 
 /// What the store holds.
-pub(super) struct Holdings {
+pub(super) struct StoreContents {
     /// Rows of accepted jobs and of cancellations.
     pub(super) jobs: Vec<Row>,
     /// The store's version from which changes of these are to be followed.
@@ -28,30 +28,30 @@
     pub(super) records: Vec<Row>,
     /// The log's rows, the oldest one first.
     pub(super) log: Vec<Row>,
-    pub(super) workers: Listing,
+    pub(super) workers: WorkerListing,
 }
 
 /// The workers' announcements.
-pub(super) struct Listing {
+pub(super) struct WorkerListing {
     pub(super) page: Page,
     /// When they were asked for, in milliseconds.
-    pub(super) asked: u64,
+    pub(super) asked_at: u64,
 }
 
 /// Rows of several parts, and the version before the first of them was read.
-struct Parts {
+struct JobRows {
     rows: Vec<Row>,
     version: u64,
 }
 
 /// Reads all that an owner has to know.
-pub(super) fn gather(shared: &Shared) -> Result<Holdings, StoreError> {
+pub(super) fn read_contents(shared: &Shared) -> Result<StoreContents, StoreError> {
     thread::scope(|scope| {
         let workers = spawn(scope, || list_workers(shared))?;
         let records = spawn(scope, || read(shared, RECORDS, OWNER_PART))?;
         let log = spawn(scope, || read(shared, LOG, OWNER_PART))?;
-        let jobs = all_jobs(shared)?;
-        Ok(Holdings {
+        let jobs = read_jobs(shared)?;
+        Ok(StoreContents {
             jobs: jobs.0,
             version: jobs.1,
             records: join(records)?.rows,
@@ -62,19 +62,19 @@
 }
 
 /// Reads all announcements of workers.
-pub(super) fn list_workers(shared: &Shared) -> Result<Listing, StoreError> {
-    let asked = shared.clock.now();
+pub(super) fn list_workers(shared: &Shared) -> Result<WorkerListing, StoreError> {
+    let asked_at = shared.clock.now();
     let table = shared.protocol.workers_table();
     let page = shared.store(Duty::Workers).read_all(table, "")?;
-    Ok(Listing { page, asked })
+    Ok(WorkerListing { page, asked_at })
 }
 
 /// Reads the rows of all accepted jobs, and the version before the first read.
-pub(super) fn all_jobs(shared: &Shared) -> Result<(Vec<Row>, u64), StoreError> {
+pub(super) fn read_jobs(shared: &Shared) -> Result<(Vec<Row>, u64), StoreError> {
     let parts: Vec<String> = job_parts().collect();
     thread::scope(|scope| {
-        let shares = parts.chunks(parts.len().div_ceil(READERS));
-        let readers = shares.map(|share| spawn(scope, || read_parts(shared, share)));
+        let chunks = parts.chunks(parts.len().div_ceil(JOB_READERS));
+        let readers = chunks.map(|chunk| spawn(scope, || read_parts(shared, chunk)));
         let readers: Vec<_> = readers.collect::<Result<_, _>>()?;
         let (mut rows, mut version) = (Vec::new(), u64::MAX);
         for reader in readers {
@@ -86,8 +86,8 @@
     })
 }
 
-fn read_parts(shared: &Shared, parts: &[String]) -> Result<Parts, StoreError> {
-    let mut all = Parts {
+fn read_parts(shared: &Shared, parts: &[String]) -> Result<JobRows, StoreError> {
+    let mut all = JobRows {
         rows: Vec::new(),
         version: u64::MAX,
     };
--- a/crates/node/src/owner/journal.rs
+++ b/crates/node/src/owner/journal.rs
@@ -12,43 +12,43 @@
 
 use super::{
     Tenure,
-    inbox::{Input, Written},
-    pulse::Pulse,
+    inbox::{DurableWrite, InboxSender},
+    pulse::RenewalGaps,
 };
 use crate::{
     metrics::{Count, Duty},
     rows::{
-        HEAD, HeadRow, JOURNAL, LEARNED, LEASE, LOG, LeaseRow, OWNER, OWNER_PART, RECORDS, decode,
-        encode, log_key,
+        HEAD_KEY, HeadRow, JOURNAL, LEARNED, LEASE, LOG, LeaseRow, OWNER_KEY, OWNER_PART, RECORDS,
+        decode, encode, log_key,
     },
     shared::Shared,
     store::{Commit, Expect, Row, StoreError, Tx, Write},
 };
 
 /// The lease is renewed this often, in milliseconds.
-const RENEW: u64 = 400;
+const RENEW_PERIOD_MS: u64 = 400;
 
 /// The owner's last contact with the store is newer than the last renewal that others see by
 /// no more than this, in milliseconds: writes between two renewals, and a late timer.
-pub(crate) const RENEWAL: u64 = RENEW + 100;
+pub(crate) const MAX_CONTACT_LEAD_MS: u64 = RENEW_PERIOD_MS + 100;
 
 /// Time for an answer to a write. At a sixtieth of the store's speed a write takes
 /// 700 ms and waits for others.
-const LIMIT: Duration = Duration::from_millis(2500);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// The same for a write that is sent again while no call to the store is answered: the
 /// store is silent then and not slow, and the sooner it is asked again the sooner it is
 /// found to answer.
-const SILENT_LIMIT: Duration = Duration::from_millis(700);
+const SILENT_RETRY_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// First pause after a failure, in milliseconds.
-const FIRST_PAUSE: u64 = 20;
+const FIRST_PAUSE_MS: u64 = 20;
 
 /// Longest pause after a failure, in milliseconds.
-const LAST_PAUSE: u64 = 300;
+const MAX_PAUSE_MS: u64 = 300;
 
 /// What the journal is told.
-pub(crate) enum Entry {
+pub(crate) enum JournalInput {
     /// The keys of the log's rows that earlier owners wrote, the oldest one first; before the first
     /// batch.
     Log(Vec<String>),
@@ -69,8 +69,8 @@
     prior_leases_end: u64,
     head: u64,
     number: u64,
-    renewed: u64,
-    pulse: Pulse,
+    renewed_at: u64,
+    renewal_gaps: RenewalGaps,
     /// What was learned and is not written yet.
     learned: Option<Vec<u8>>,
     /// Keys of the log's rows, the oldest one first.
@@ -78,7 +78,12 @@
 }
 
 /// Writes until the lease is lost, given back, or the ring is closed.
-pub(crate) fn write(shared: &Arc<Shared>, tenure: &Tenure, ring: &Receiver<Entry>, input: &Input) {
+pub(crate) fn write(
+    shared: &Arc<Shared>,
+    tenure: &Tenure,
+    inputs: &Receiver<JournalInput>,
+    sender: &InboxSender,
+) {
     let mut journal = Journal {
         shared,
         lease: LeaseRow {
@@ -95,47 +100,47 @@
         prior_leases_end: tenure.takeover.prior_leases_end,
         head: tenure.head,
         number: 0,
-        renewed: tenure.takeover.asked_at,
-        pulse: Pulse::default(),
+        renewed_at: tenure.takeover.asked_at,
+        renewal_gaps: RenewalGaps::default(),
         learned: None,
         log: VecDeque::new(),
     };
     loop {
-        let due = (journal.renewed + RENEW).saturating_sub(shared.clock.now());
-        let entry = match ring.recv_timeout(Duration::from_millis(due)) {
+        let due = (journal.renewed_at + RENEW_PERIOD_MS).saturating_sub(shared.clock.now());
+        let entry = match inputs.recv_timeout(Duration::from_millis(due)) {
             Ok(entry) => Some(entry),
             Err(RecvTimeoutError::Timeout) => None,
             Err(RecvTimeoutError::Disconnected) => return,
         };
         let (batch, release) = match entry {
-            Some(Entry::Pending(pending)) => {
+            Some(JournalInput::Pending(pending)) => {
                 journal.lease.pending = pending;
                 continue;
             }
-            Some(Entry::Learned(learned)) => {
+            Some(JournalInput::Learned(learned)) => {
                 journal.learned = Some(learned);
                 continue;
             }
-            Some(Entry::Log(keys)) => {
+            Some(JournalInput::Log(keys)) => {
                 journal.log = keys.into();
                 continue;
             }
-            Some(Entry::Batch(batch)) => (Some(batch), false),
-            Some(Entry::Release) => (None, true),
+            Some(JournalInput::Batch(batch)) => (Some(batch), false),
+            Some(JournalInput::Release) => (None, true),
             None => (None, false),
         };
         journal.lease.released = release;
         let has_batch = batch.is_some();
-        let Some(asked) = journal.append(batch, ring) else {
-            input.deposed();
+        let Some(asked_at) = journal.append(batch, inputs) else {
+            sender.lease_lost();
             return;
         };
         if release {
             return;
         }
-        input.durable(Written {
-            asked,
-            batch: has_batch,
+        sender.durable(DurableWrite {
+            asked_at,
+            has_batch,
         });
     }
 }
@@ -143,34 +148,34 @@
 impl Journal<'_> {
     /// Writes one batch and returns the contact with the store that this was; nothing if the
     /// lease is lost.
-    fn append(&mut self, batch: Option<Batch>, ring: &Receiver<Entry>) -> Option<u64> {
+    fn append(&mut self, batch: Option<Batch>, inputs: &Receiver<JournalInput>) -> Option<u64> {
         self.number += 1;
         // Before it is settled whether the write renews the lease: a pause between the two
         // would let the owner's contact be newer than its renewals by more than is allowed for.
         let sent = self.shared.clock.now();
-        self.lease.term = self.pulse.term();
+        self.lease.term = self.renewal_gaps.term();
         self.lease.census = self.shared.census().unwrap_or(self.lease.census);
         self.lease.earlier = self.prior_leases_end.saturating_sub(sent);
         let tx = self.tx(batch, sent);
         let renews = tx.writes.iter().any(|w| w.table == LEASE);
-        let mut backoff = Backoff::new(FIRST_PAUSE, LAST_PAUSE, rand::random());
+        let mut backoff = Backoff::new(FIRST_PAUSE_MS, MAX_PAUSE_MS, rand::random());
         let mut failing = false;
-        let asked = loop {
+        let asked_at = loop {
             let tried = self.shared.clock.now();
             match self
                 .shared
                 .store(Duty::Journal)
-                .commit(&tx, limit(failing, self.shared.is_store_lost()))
+                .commit(&tx, write_timeout(failing, self.shared.is_store_lost()))
             {
                 Ok(Commit::Done(version)) => {
                     self.accept(version, failing);
-                    break contact(true, renews, sent, tried);
+                    break contact_time(true, renews, sent, tried);
                 }
                 Ok(Commit::Conflict(rows)) => {
                     if !self.conflict(&rows, failing) {
                         return None;
                     }
-                    break contact(false, renews, sent, tried);
+                    break contact_time(false, renews, sent, tried);
                 }
                 Err(err) => {
                     if !failing {
@@ -178,7 +183,7 @@
                     }
                     failing = true;
                     self.shared.metrics.count(Count::StoreErrors);
-                    if ring.is_disconnected() && matches!(err, StoreError::Unavailable { .. }) {
+                    if inputs.is_disconnected() && matches!(err, StoreError::Unavailable { .. }) {
                         return None;
                     }
                 }
@@ -186,10 +191,10 @@
             thread::sleep(Duration::from_millis(backoff.next_delay()));
         };
         if renews {
-            self.renewed = asked;
-            self.pulse.renewed(self.shared.clock.now());
+            self.renewed_at = asked_at;
+            self.renewal_gaps.record(self.shared.clock.now());
         }
-        Some(asked)
+        Some(asked_at)
     }
 
     fn accept(&mut self, version: u64, failing: bool) {
@@ -203,7 +208,7 @@
     /// The end is not as expected: an earlier try of this write was done, or
     /// another instance owns the lease.
     fn conflict(&mut self, rows: &[Row], failing: bool) -> bool {
-        let row = rows.iter().find(|r| r.key == HEAD);
+        let row = rows.iter().find(|r| r.key == HEAD_KEY);
         let found = row.and_then(|r| decode::<HeadRow>("head", &r.value).map(|h| (h, r.version)));
         let mine = HeadRow {
             epoch: self.lease.epoch,
@@ -228,20 +233,20 @@
         };
         let mut writes = vec![Write {
             table: JOURNAL,
-            key: HEAD.into(),
+            key: HEAD_KEY.into(),
             value: encode(&head),
         }];
-        let due = now >= self.renewed + RENEW;
+        let due = now >= self.renewed_at + RENEW_PERIOD_MS;
         if due || batch.is_none() || self.lease.released {
             writes.push(Write {
                 table: LEASE,
-                key: OWNER.into(),
+                key: OWNER_KEY.into(),
                 value: encode(&self.lease),
             });
         }
         let learned = self.learned.take().map(|value| Write {
             table: LEARNED,
-            key: OWNER.into(),
+            key: OWNER_KEY.into(),
             value,
         });
         writes.extend(learned);
@@ -267,7 +272,7 @@
             part: OWNER_PART.into(),
             expects: vec![Expect {
                 table: JOURNAL,
-                key: HEAD.into(),
+                key: HEAD_KEY.into(),
                 version: self.head,
             }],
             writes,
@@ -282,7 +287,7 @@
 /// That one, if it renewed the lease, is a contact from its own asking: others see the renewal
 /// no earlier. Of a write that an earlier try did, or that others don't see, no more is known
 /// than that it was done after the first asking.
-pub(super) fn contact(done: bool, renews: bool, first: u64, last: u64) -> u64 {
+pub(super) fn contact_time(done: bool, renews: bool, first: u64, last: u64) -> u64 {
     match done && renews {
         true => last,
         false => first,
@@ -291,9 +296,9 @@
 
 /// Returns the time for an answer to a write, which may be sent again while the store is
 /// lost to all of the instance's calls.
-pub(super) fn limit(again: bool, lost: bool) -> Duration {
+pub(super) fn write_timeout(again: bool, lost: bool) -> Duration {
     match again && lost {
-        true => SILENT_LIMIT,
-        false => LIMIT,
+        true => SILENT_RETRY_TIMEOUT,
+        false => WRITE_TIMEOUT,
     }
 }
--- a/crates/node/src/owner/journal_tests.rs
+++ b/crates/node/src/owner/journal_tests.rs
@@ -8,7 +8,7 @@
 use super::{
     Tenure,
     inbox::Inbox,
-    journal::{Entry, contact, limit, write},
+    journal::{JournalInput, contact_time, write, write_timeout},
 };
 use crate::{
     census::Census,
@@ -23,7 +23,7 @@
 #[test_case(true, false, 2500; "slow")]
 #[test_case(true, true, 700; "silent")]
 fn a_silent_store_is_asked_again_soon(again: bool, lost: bool, ms: u64) {
-    assert_eq!(limit(again, lost), Duration::from_millis(ms));
+    assert_eq!(write_timeout(again, lost), Duration::from_millis(ms));
 }
 
 /// A lease that is given back still tells of leases of owners before its own.
@@ -45,9 +45,9 @@
         },
     };
     let (ring, entries) = flume::bounded(1);
-    ring.send(Entry::Release).expect("room");
+    ring.send(JournalInput::Release).expect("room");
     let inbox = Inbox::new().expect("an event loop");
-    write(&shared, &tenure, &entries, &inbox.input());
+    write(&shared, &tenure, &entries, &inbox.sender());
     let newest = store.newest();
     assert!(newest.released);
     assert!(newest.earlier > prior_leases_end / 2, "{}", newest.earlier);
@@ -60,5 +60,5 @@
 #[test_case(false, true, 0; "done by an earlier try")]
 #[test_case(false, false, 0; "done by an earlier try, and others do not see it")]
 fn a_write_is_a_contact_from_the_try_that_others_see(done: bool, renews: bool, at: u64) {
-    assert_eq!(contact(done, renews, 0, 6000), at);
+    assert_eq!(contact_time(done, renews, 0, 6000), at);
 }
--- a/crates/node/src/owner/lines_tests.rs
+++ b/crates/node/src/owner/lines_tests.rs
@@ -15,7 +15,7 @@
 use gorsespur_jobs::{Answer, JobId, StartOrder, Started, TaskId};
 use mio::{Events, Poll};
 
-use super::lines::Lines;
+use super::lines::Connections;
 use crate::{
     fakes_tests::{NoStore, shared},
     protocol::Order,
@@ -50,7 +50,7 @@
 struct Desk {
     shared: Arc<Shared>,
     poll: Poll,
-    lines: Lines,
+    lines: Connections,
     sent: u64,
 }
 
@@ -85,7 +85,7 @@
     let shared = shared(NoStore);
     let mut desk = Desk {
         poll: Poll::new().expect("descriptors"),
-        lines: Lines::new(&shared, 1),
+        lines: Connections::new(&shared, 1),
         sent: shared.clock.now(),
         shared,
     };
@@ -106,7 +106,7 @@
             waited.expect("an event loop");
             for event in &events {
                 self.lines
-                    .ready(self.poll.registry(), event.token(), event.into());
+                    .on_ready(self.poll.registry(), event.token(), event.into());
             }
             let answers = self.lines.take_answers();
             if !answers.is_empty() {
@@ -123,7 +123,7 @@
         waited.expect("an event loop");
         for event in &events {
             self.lines
-                .ready(self.poll.registry(), event.token(), event.into());
+                .on_ready(self.poll.registry(), event.token(), event.into());
         }
         self.lines.expire(self.poll.registry(), read, false);
         self.lines.take_answers()
@@ -387,7 +387,7 @@
     desk.poll.poll(&mut events, None).expect("an event loop");
     for event in &events {
         desk.lines
-            .ready(desk.poll.registry(), event.token(), event.into());
+            .on_ready(desk.poll.registry(), event.token(), event.into());
     }
     let read = request(&mut late, &mut Vec::new()).expect("a request");
     assert!(read.path.ends_with('1'));
--- a/crates/node/src/owner/load.rs
+++ b/crates/node/src/owner/load.rs
@@ -7,13 +7,13 @@
 
 use super::{
     Tenure,
-    feed::{self, Follow},
-    gather::gather,
+    feed::{self, Cursor},
+    gather::read_contents,
 };
 use crate::{
     follow::refresh_at,
     metrics::{Count, Duty},
-    rows::{LEARNED, OWNER, OWNER_PART, decode},
+    rows::{LEARNED, OWNER_KEY, OWNER_PART, decode},
     shared::Shared,
     store::{Row, StoreError},
 };
@@ -23,8 +23,8 @@
     pub(crate) machine: Machine,
     /// Keys of the log's rows, the oldest one first.
     pub(crate) log: Vec<String>,
-    pub(crate) jobs: Follow,
-    pub(crate) workers: Follow,
+    pub(crate) jobs: Cursor,
+    pub(crate) workers: Cursor,
 }
 
 /// Reads all jobs, their records and the workers.
@@ -35,12 +35,12 @@
         machine.import_learned(&learned);
     }
     let mut records: SortedMap<String, Record> = SortedMap::default();
-    let mut unknown: Vec<String> = Vec::new();
+    let mut unreadable: Vec<String> = Vec::new();
     // No other owner writes records or the log any more: they fit each other, whichever was read
     // first.
-    let holdings = gather(shared)?;
-    let log = replay(shared, &mut machine, holdings.log);
-    for row in holdings.records {
+    let contents = read_contents(shared)?;
+    let log = replay(shared, &mut machine, contents.log);
+    for row in contents.records {
         match Record::decode(&row.value) {
             Ok(record) => {
                 records.insert(row.key, record);
@@ -48,14 +48,14 @@
             Err(err) => {
                 shared.metrics.count(Count::BadRows);
                 log::error!(key = row.key.as_str(), err = err.to_string().as_str(); "owner: record can't be read, its job is left alone");
-                unknown.push(row.key);
+                unreadable.push(row.key);
             }
         }
     }
-    let mut rows = holdings.jobs;
+    let mut rows = contents.jobs;
     rows.retain(|row| {
         // What has run of such a job is not known: begun anew it might run twice.
-        if unknown.contains(&row.key) {
+        if unreadable.contains(&row.key) {
             return false;
         }
         let id = row.key.parse::<JobId>().ok();
@@ -76,17 +76,17 @@
         // It need not be read and told a second time.
         false
     });
-    let jobs = Follow::new(holdings.version);
-    let mut workers = Follow::anew();
+    let jobs = Cursor::new(contents.version);
+    let mut workers = Cursor::from_start();
     let mut events = Vec::new();
-    feed::take_jobs(shared, &rows, &mut events);
+    feed::job_events(shared, &rows, &mut events);
     if let Some(config) = shared.config() {
         events.push(Event::Queues(config.policies()));
     }
     // What this instance followed so far may be old: it may have been cut off. The first turn
     // tells the machine which zones are evacuated then, before anything is placed.
     refresh_at(shared, Duty::Takeover)?;
-    feed::take_listing(shared, &mut workers, &holdings.workers, &mut events);
+    feed::apply_listing(shared, &mut workers, &contents.workers, &mut events);
     for event in events {
         machine.handle(shared.clock.now(), wall_ms(), event);
     }
@@ -114,7 +114,7 @@
 fn learned(shared: &Shared) -> Option<Learned> {
     match shared
         .store(Duty::Takeover)
-        .read_one(LEARNED, OWNER_PART, OWNER)
+        .read_one(LEARNED, OWNER_PART, OWNER_KEY)
     {
         Ok(row) => row.and_then(|r| decode("learned", &r.value)),
         Err(err) => {
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -29,11 +29,11 @@
 use gorsespur_jobs::Takeover;
 use gorsespur_runtime::cancel::CancelToken;
 
-use self::{inbox::Inbox, journal::Entry, load::Loaded, turn::Turn};
+use self::{inbox::Inbox, journal::JournalInput, load::Loaded, turn::DecisionLoop};
 use crate::{census::Census, shared::Shared};
 
 /// Inputs that may wait for the thread that decides.
-const RING: usize = 1024;
+const MAX_QUEUED_INPUTS: usize = 1024;
 
 /// Stack of a thread in bytes.
 const STACK_BYTES: usize = 512 << 10;
@@ -68,10 +68,10 @@
         }
     };
     // Its own questions and renewals are answered more often than those of other instances.
-    shared.set_poll_wait(feed::WAIT);
-    let mine = CancelToken::new();
-    let input = inbox.input();
-    let (batches, journal) = flume::bounded(RING);
+    shared.set_poll_wait(feed::LONG_POLL_WAIT);
+    let owner_cancel = CancelToken::new();
+    let sender = inbox.sender();
+    let (journal_inputs, journal) = flume::bounded(MAX_QUEUED_INPUTS);
     thread::scope(|scope| {
         let spawn = |name: &str| {
             thread::Builder::new()
@@ -79,30 +79,39 @@
                 .stack_size(STACK_BYTES)
         };
         let writer = spawn("journal")
-            .spawn_scoped(scope, || journal::write(shared, &tenure, &journal, &input));
-        if let Some(loaded) = load_jobs(shared, &tenure, &batches).filter(|_| writer.is_ok()) {
+            .spawn_scoped(scope, || journal::write(shared, &tenure, &journal, &sender));
+        if let Some(loaded) = load_jobs(shared, &tenure, &journal_inputs).filter(|_| writer.is_ok())
+        {
             let (jobs, workers) = (loaded.jobs, loaded.workers);
-            let jobs =
-                spawn("jobs").spawn_scoped(scope, || feed::jobs(shared, jobs, &input, &mine));
-            let workers = spawn("workers")
-                .spawn_scoped(scope, || feed::workers(shared, workers, &input, &mine));
-            let census = spawn("census").spawn_scoped(scope, || census::count(shared, &mine));
+            let jobs = spawn("jobs").spawn_scoped(scope, || {
+                feed::follow_jobs(shared, jobs, &sender, &owner_cancel)
+            });
+            let workers = spawn("workers").spawn_scoped(scope, || {
+                feed::follow_workers(shared, workers, &sender, &owner_cancel)
+            });
+            let census =
+                spawn("census").spawn_scoped(scope, || census::count(shared, &owner_cancel));
             if jobs.is_err() || workers.is_err() || census.is_err() {
                 log::error!("owner: can't start threads");
             } else {
-                send(&batches, Entry::Log(loaded.log));
-                Turn::new(shared, tenure.epoch, loaded.machine, inbox).run(&batches, cancel);
+                send(&journal_inputs, JournalInput::Log(loaded.log));
+                DecisionLoop::new(shared, tenure.epoch, loaded.machine, inbox)
+                    .run(&journal_inputs, cancel);
             }
         }
-        mine.cancel();
-        drop(batches);
+        owner_cancel.cancel();
+        drop(journal_inputs);
     });
     shared.set_poll_wait(shared.config_wait());
     log::info!(epoch = tenure.epoch; "owner: ends");
 }
 
 /// Reads all jobs; if that fails, the lease is given back.
-fn load_jobs(shared: &Arc<Shared>, tenure: &Tenure, batches: &Sender<Entry>) -> Option<Loaded> {
+fn load_jobs(
+    shared: &Arc<Shared>,
+    tenure: &Tenure,
+    journal_inputs: &Sender<JournalInput>,
+) -> Option<Loaded> {
     let start = shared.clock.now();
     match load::load(shared, tenure) {
         Ok(loaded) => {
@@ -112,13 +121,13 @@
         }
         Err(err) => {
             log::warn!(epoch = tenure.epoch, err = err.to_string().as_str(); "owner: can't read the jobs");
-            send(batches, Entry::Release);
+            send(journal_inputs, JournalInput::Release);
             None
         }
     }
 }
 
-fn send(journal: &Sender<Entry>, entry: Entry) {
+fn send(journal: &Sender<JournalInput>, entry: JournalInput) {
     if journal.send(entry).is_err() {
         log::debug!("owner: journal has ended");
     }
--- a/crates/node/src/owner/post.rs
+++ b/crates/node/src/owner/post.rs
@@ -7,59 +7,59 @@
 use crate::protocol::Order;
 
 /// Connections to one worker: one for looks, and the others for orders.
-pub(super) const LINES: usize = 5;
+pub(super) const SLOTS: usize = 5;
 
 /// An order that waits for a connection.
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct QueuedOrder {
     pub(super) order: Order,
-    pub(super) since: u64,
+    pub(super) queued_at: u64,
 }
 
 /// An order on its way.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) order: Order,
-    pub(super) sent: u64,
-    pub(super) until: u64,
+    pub(super) sent_at: u64,
+    pub(super) deadline: u64,
     /// Whether its time was prolonged after a late wake-up.
     pub(super) prolonged: bool,
 }
 
 /// When a call has to be answered. An entry of a call that was answered means nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Limit {
-    pub(super) until: u64,
+pub(super) struct CallDeadline {
+    pub(super) deadline: u64,
     pub(super) worker: u32,
-    pub(super) line: usize,
+    pub(super) slot: usize,
 }
 
 /// One connection, and what is asked on it.
 #[derive(Debug, Default)]
-pub(super) struct Line {
-    pub(super) link: Option<Connection>,
+pub(super) struct Slot {
+    pub(super) connection: Option<Connection>,
     pub(super) call: Option<Call>,
 }
 
 /// The connections to one worker.
 #[derive(Debug)]
-pub(super) struct Post {
+pub(super) struct WorkerConnections {
     pub(super) addr: SocketAddr,
     pub(super) id: Arc<str>,
-    pub(super) lines: [Line; LINES],
-    pub(super) waiting: VecDeque<Waiting>,
+    pub(super) slots: [Slot; SLOTS],
+    pub(super) waiting: VecDeque<QueuedOrder>,
 }
 
-impl Post {
+impl WorkerConnections {
     /// Returns a connection for orders that is free: one that stands, else a new one.
-    pub(super) fn free_line(&self) -> Option<usize> {
-        let free = |l: &usize| self.lines[*l].call.is_none();
-        let open = |l: &usize| self.lines[*l].link.is_some();
-        let found = (1..LINES).filter(free).find(open);
+    pub(super) fn free_slot(&self) -> Option<usize> {
+        let free = |l: &usize| self.slots[*l].call.is_none();
+        let open = |l: &usize| self.slots[*l].connection.is_some();
+        let found = (1..SLOTS).filter(free).find(open);
         // A second connection is worth its price only if the first one is held up.
-        let busy = (1..LINES).filter(|l| !free(l)).count();
+        let busy = (1..SLOTS).filter(|l| !free(l)).count();
         found.or_else(|| {
-            (busy == 0 || self.waiting.len() >= busy * 3).then(|| (1..LINES).find(free))?
+            (busy == 0 || self.waiting.len() >= busy * 3).then(|| (1..SLOTS).find(free))?
         })
     }
 }
--- a/crates/node/src/owner/pulse_tests.rs
+++ b/crates/node/src/owner/pulse_tests.rs
@@ -1,14 +1,14 @@
 //! How soon a lease is free that is not renewed.
 
-use super::pulse::Pulse;
+use super::pulse::RenewalGaps;
 
 /// Renewals so many milliseconds apart.
-fn renewed(times: u64, apart: u64) -> Pulse {
-    let mut pulse = Pulse::default();
+fn renewed(times: u64, apart: u64) -> RenewalGaps {
+    let mut renewal_gaps = RenewalGaps::default();
     for at in 1..=times {
-        pulse.renewed(at * apart);
+        renewal_gaps.record(at * apart);
     }
-    pulse
+    renewal_gaps
 }
 
 #[test]
@@ -32,9 +32,9 @@
 
 #[test]
 fn a_peak_fades() {
-    let mut pulse = renewed(2, 1100);
+    let mut renewal_gaps = renewed(2, 1100);
     for at in 1..=20 {
-        pulse.renewed(2200 + at * 410);
+        renewal_gaps.record(2200 + at * 410);
     }
-    assert!(pulse.term() < 1060, "{} ms", pulse.term());
+    assert!(renewal_gaps.term() < 1060, "{} ms", renewal_gaps.term());
 }
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -8,86 +8,91 @@
 use mio::Events;
 
 use super::{
-    inbox::{Inbox, Told, WAKE, Written},
-    journal::Entry,
-    lines::Lines,
+    inbox::{DurableWrite, Inbox, Message, WAKER_TOKEN},
+    journal::JournalInput,
+    lines::Connections,
     send,
 };
 use crate::{config::Config, metrics::Count, protocol::Order, rows::encode, shared::Shared};
 
 /// Longest sleep: times run out within this precision.
-const TICK: Duration = Duration::from_millis(25);
+const MAX_SLEEP: Duration = Duration::from_millis(25);
 
 /// Connections that one question to the system tells of at most.
-const EVENTS: usize = 1024;
+const EVENTS_PER_POLL: usize = 1024;
 
 /// Such questions in one wake-up at most: each worker has up to five connections, so that
 /// these are read dry with 1,600 workers.
-const ROUNDS: usize = 8;
+const MAX_POLLS: usize = 8;
 
 /// A wake-up that comes so much later than the last one is late, in milliseconds: the
 /// process was paused or slowed, or deciding took long. Others come each 25.
-const LATE: u64 = 250;
+const LATE_MS: u64 = 250;
 
 /// What lies behind is told this often, in milliseconds.
-const TELL_PERIOD: u64 = 300;
+const REPORT_PERIOD_MS: u64 = 300;
 
 /// What was learned is kept this often, in milliseconds: it takes half a minute to learn,
 /// and a row of some 5 KB.
-const LEARNED_PERIOD: u64 = 2000;
+const LEARNED_PERIOD_MS: u64 = 2000;
 
 /// The state of the thread that decides.
-pub(crate) struct Turn {
+pub(crate) struct DecisionLoop {
     shared: Arc<Shared>,
     machine: Machine,
-    lines: Lines,
+    connections: Connections,
     inbox: Inbox,
     config: Option<Arc<Config>>,
     /// The evacuated zones that the machine was told; nothing before it was told any.
     evacuated: Option<Arc<[Arc<str>]>>,
-    tell_at: u64,
+    report_at: u64,
     /// When what was learned is kept next.
-    keep_at: u64,
+    learned_at: u64,
     /// When the last wake-up came.
-    woke: u64,
+    last_wake_at: u64,
     /// For how long the machine had been suspended by then, in milliseconds.
-    suspended: u64,
-    over: bool,
+    suspended_ms: u64,
+    is_over: bool,
 }
 
 /// What one wake-up found on the connections.
 #[derive(Debug)]
 struct Wake {
     /// When it came: what had arrived by then is read.
-    at: u64,
+    read_at: u64,
     /// Whether more may have arrived than was read.
-    partial: bool,
+    is_partial: bool,
     /// Whether it came late.
-    late: bool,
+    is_late: bool,
 }
 
-impl Turn {
+impl DecisionLoop {
     /// Makes the event loop.
-    pub(crate) fn new(shared: &Arc<Shared>, epoch: u64, machine: Machine, inbox: Inbox) -> Turn {
-        Turn {
+    pub(crate) fn new(
+        shared: &Arc<Shared>,
+        epoch: u64,
+        machine: Machine,
+        inbox: Inbox,
+    ) -> DecisionLoop {
+        DecisionLoop {
             shared: shared.clone(),
             machine,
-            lines: Lines::new(shared, epoch),
+            connections: Connections::new(shared, epoch),
             inbox,
             config: None,
             evacuated: None,
-            tell_at: 0,
-            keep_at: shared.clock.now() + LEARNED_PERIOD,
-            woke: shared.clock.now(),
-            suspended: shared.clock.suspended_ms(),
-            over: false,
+            report_at: 0,
+            learned_at: shared.clock.now() + LEARNED_PERIOD_MS,
+            last_wake_at: shared.clock.now(),
+            suspended_ms: shared.clock.suspended_ms(),
+            is_over: false,
         }
     }
 
     /// Decides until the lease is lost or `cancel` is cancelled.
-    pub(crate) fn run(mut self, journal: &Sender<Entry>, cancel: &CancelToken) {
-        let mut events = Events::with_capacity(EVENTS);
-        while !self.over && !cancel.is_cancelled() {
+    pub(crate) fn run(mut self, journal: &Sender<JournalInput>, cancel: &CancelToken) {
+        let mut events = Events::with_capacity(EVENTS_PER_POLL);
+        while !self.is_over && !cancel.is_cancelled() {
             let wake = match self.wake(&mut events) {
                 Ok(wake) => wake,
                 Err(err) => {
@@ -95,72 +100,73 @@
                     break;
                 }
             };
-            self.turn(journal, &wake);
+            self.decide(journal, &wake);
         }
-        if !self.over {
-            send(journal, Entry::Release);
+        if !self.is_over {
+            send(journal, JournalInput::Release);
         }
     }
 
     /// Waits, and reads all that has arrived: only then does silence tell anything.
     fn wake(&mut self, events: &mut Events) -> io::Result<Wake> {
-        let mut timeout = TICK;
+        let mut timeout = MAX_SLEEP;
         let mut wake: Option<Wake> = None;
-        for _ in 0..ROUNDS {
+        for _ in 0..MAX_POLLS {
             if let Err(err) = self.inbox.poll.poll(events, Some(timeout))
                 && err.kind() != io::ErrorKind::Interrupted
             {
                 return Err(err);
             }
-            let wake = wake.get_or_insert_with(|| self.woken());
-            wake.partial = events.iter().count() >= EVENTS;
+            let wake = wake.get_or_insert_with(|| self.record_wake());
+            wake.is_partial = events.iter().count() >= EVENTS_PER_POLL;
             for event in events.iter() {
-                if event.token() == WAKE {
+                if event.token() == WAKER_TOKEN {
                     continue;
                 }
                 let registry = self.inbox.poll.registry();
-                self.lines.ready(registry, event.token(), event.into());
+                self.connections
+                    .on_ready(registry, event.token(), event.into());
             }
-            if !wake.partial {
+            if !wake.is_partial {
                 break;
             }
             timeout = Duration::ZERO;
         }
-        Ok(wake.unwrap_or_else(|| self.woken()))
+        Ok(wake.unwrap_or_else(|| self.record_wake()))
     }
 
     /// Takes note of a wake-up.
-    fn woken(&mut self) -> Wake {
-        let at = self.shared.clock.now();
-        let since = at - self.woke;
-        self.woke = at;
-        let late = since >= LATE;
-        if late {
-            let suspended = self.shared.clock.suspended_ms();
-            let slept = suspended.saturating_sub(self.suspended);
-            self.suspended = suspended;
+    fn record_wake(&mut self) -> Wake {
+        let read_at = self.shared.clock.now();
+        let since = read_at - self.last_wake_at;
+        self.last_wake_at = read_at;
+        let is_late = since >= LATE_MS;
+        if is_late {
+            let suspended_ms = self.shared.clock.suspended_ms();
+            let paused_ms = suspended_ms.saturating_sub(self.suspended_ms);
+            self.suspended_ms = suspended_ms;
             self.shared.metrics.count(Count::LateTurns);
-            log::warn!(late_ms = since, suspended_ms = slept, told = self.inbox.told.len(); "owner: late");
+            log::warn!(late_ms = since, suspended_ms = paused_ms, told = self.inbox.messages.len(); "owner: late");
         }
         Wake {
-            at,
-            partial: false,
-            late,
+            read_at,
+            is_partial: false,
+            is_late,
         }
     }
 
-    fn turn(&mut self, journal: &Sender<Entry>, wake: &Wake) {
+    fn decide(&mut self, journal: &Sender<JournalInput>, wake: &Wake) {
         let now = self.shared.clock.now();
-        if !wake.partial {
-            self.lines
-                .expire(self.inbox.poll.registry(), wake.at, wake.late);
+        if !wake.is_partial {
+            self.connections
+                .expire(self.inbox.poll.registry(), wake.read_at, wake.is_late);
         }
-        self.take_told(now);
-        self.take_config(now);
-        self.take_evacuated(now);
+        self.handle_messages(now);
+        self.apply_config(now);
+        self.apply_evacuated(now);
         // Sending may fail at once, which is an answer again.
         loop {
-            for (worker, sent, answer) in self.lines.take_answers() {
+            for (worker, sent, answer) in self.connections.take_answers() {
                 let event = Event::Answer {
                     worker,
                     sent,
@@ -173,53 +179,60 @@
                 break;
             }
             for action in actions {
-                self.act(action, journal);
+                self.execute(action, journal);
             }
         }
-        self.keep_learned(now, journal);
-        if now >= self.tell_at {
-            self.tell_at = now + TELL_PERIOD;
-            send(journal, Entry::Pending(self.machine.pending_jobs()));
+        self.save_learned(now, journal);
+        if now >= self.report_at {
+            self.report_at = now + REPORT_PERIOD_MS;
+            send(journal, JournalInput::Pending(self.machine.pending_jobs()));
             self.shared.metrics.set_owner_stats(self.machine.stats());
             for worker in self.machine.closable_workers() {
-                self.lines.drop_worker(self.inbox.poll.registry(), worker);
+                self.connections
+                    .drop_worker(self.inbox.poll.registry(), worker);
             }
         }
     }
 
     /// Keeps what was learned, each while.
-    fn keep_learned(&mut self, now: u64, journal: &Sender<Entry>) {
-        if now < self.keep_at {
+    fn save_learned(&mut self, now: u64, journal: &Sender<JournalInput>) {
+        if now < self.learned_at {
             return;
         }
-        self.keep_at = now + LEARNED_PERIOD;
-        send(journal, Entry::Learned(encode(&self.machine.learned())));
+        self.learned_at = now + LEARNED_PERIOD_MS;
+        send(
+            journal,
+            JournalInput::Learned(encode(&self.machine.learned())),
+        );
     }
 
-    fn take_told(&mut self, now: u64) {
-        while let Ok(told) = self.inbox.told.try_recv() {
-            match told {
-                Told::Events(events) => {
+    fn handle_messages(&mut self, now: u64) {
+        while let Ok(message) = self.inbox.messages.try_recv() {
+            match message {
+                Message::Events(events) => {
                     for event in events {
                         self.machine.handle(now, wall_ms(), event);
                     }
                 }
-                Told::Durable(Written { asked, batch }) => {
-                    let event = match batch {
-                        true => Event::Committed { asked_at: asked },
-                        false => Event::Renewed { asked_at: asked },
+                Message::Durable(DurableWrite {
+                    asked_at,
+                    has_batch,
+                }) => {
+                    let event = match has_batch {
+                        true => Event::Committed { asked_at },
+                        false => Event::Renewed { asked_at },
                     };
                     self.machine.handle(now, wall_ms(), event);
                 }
-                Told::Deposed => self.over = true,
+                Message::LeaseLost => self.is_over = true,
             }
         }
     }
 
-    fn take_config(&mut self, now: u64) {
+    fn apply_config(&mut self, now: u64) {
         let config = self.shared.config();
-        let known = |c: &Option<Arc<Config>>| c.as_ref().map(|c| c.version);
-        if known(&config) == known(&self.config) {
+        let version = |c: &Option<Arc<Config>>| c.as_ref().map(|c| c.version);
+        if version(&config) == version(&self.config) {
             return;
         }
         if let Some(config) = &config {
@@ -229,7 +242,7 @@
         self.config = config;
     }
 
-    fn take_evacuated(&mut self, now: u64) {
+    fn apply_evacuated(&mut self, now: u64) {
         let zones = self.shared.evacuated();
         if self.evacuated.as_ref() == Some(&zones) {
             return;
@@ -239,8 +252,8 @@
         self.evacuated = Some(zones);
     }
 
-    fn act(&mut self, action: Action, journal: &Sender<Entry>) {
-        if self.over {
+    fn execute(&mut self, action: Action, journal: &Sender<JournalInput>) {
+        if self.is_over {
             return;
         }
         let (worker, order) = match action {
@@ -265,16 +278,16 @@
                 run,
                 percent,
             } => (worker, Order::Pace(task, run, percent)),
-            Action::Commit(batch) => return send(journal, Entry::Batch(batch)),
+            Action::Commit(batch) => return send(journal, JournalInput::Batch(batch)),
             Action::StepDown => {
                 log::warn!("owner: a worker has seen a higher epoch");
-                self.over = true;
+                self.is_over = true;
                 return;
             }
         };
         if let Some(target) = self.machine.worker_address(worker) {
             let registry = self.inbox.poll.registry();
-            self.lines.send(registry, worker, target, order);
+            self.connections.send(registry, worker, target, order);
         }
     }
 }
--- a/crates/node/src/rows.rs
+++ b/crates/node/src/rows.rs
@@ -35,17 +35,17 @@
 pub(crate) const OWNER_PART: &str = "all";
 
 /// Key of the lease.
-pub(crate) const OWNER: &str = "owner";
+pub(crate) const OWNER_KEY: &str = "owner";
 
 /// Key of the journal's end.
-pub(crate) const HEAD: &str = "head";
+pub(crate) const HEAD_KEY: &str = "head";
 
 /// Parts of the accepted jobs. A part takes its transactions one after another, and two a second
 /// while the store is slow: callers who wait for one of hundreds of instances meet in few parts.
 const JOB_PARTS: u64 = 64;
 
 /// What follows a job's name in the key of its cancellation.
-const CANCEL: &str = ".c";
+const CANCEL_SUFFIX: &str = ".c";
 
 /// Returns the part of a job's rows.
 pub(crate) fn job_part(id: JobId) -> String {
@@ -59,11 +59,11 @@
 
 /// Returns the key of a job's cancellation.
 pub(crate) fn cancel_key(id: JobId) -> String {
-    format!("{id}{CANCEL}")
+    format!("{id}{CANCEL_SUFFIX}")
 }
 
 /// What a key among the accepted jobs names.
-pub(crate) enum JobKey {
+pub(crate) enum JobsRowKey {
     /// A job.
     Job,
     /// Its cancellation.
@@ -71,10 +71,10 @@
 }
 
 /// Reads a key among the accepted jobs.
-pub(crate) fn job_key(key: &str) -> Option<JobKey> {
-    match key.strip_suffix(CANCEL) {
-        Some(id) => id.parse().ok().map(JobKey::Cancel),
-        None => key.parse::<JobId>().ok().map(|_| JobKey::Job),
+pub(crate) fn parse_jobs_key(key: &str) -> Option<JobsRowKey> {
+    match key.strip_suffix(CANCEL_SUFFIX) {
+        Some(id) => id.parse().ok().map(JobsRowKey::Cancel),
+        None => key.parse::<JobId>().ok().map(|_| JobsRowKey::Job),
     }
 }
 
