--- a/crates/node/src/contest.rs
+++ b/crates/node/src/candidate.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     census::is_small,
-    owner::{journal::MAX_CONTACT_LEAD_MS, pulse::MAX_TERM_MS},
+    owner::{journal::MAX_CONTACT_LEAD_MS, renewal_gaps::MAX_TERM_MS},
     rows::LeaseRow,
 };
 
--- a/crates/node/src/contest_tests.rs
+++ b/crates/node/src/candidate_tests.rs
@@ -3,7 +3,7 @@
 use gorsespur_jobs::Settings;
 use test_case::test_case;
 
-use crate::{contest::Candidate, rows::LeaseRow};
+use crate::{candidate::Candidate, rows::LeaseRow};
 
 fn lease(share: u64) -> LeaseRow {
     LeaseRow {
@@ -15,7 +15,7 @@
     }
 }
 
-fn contest(lease: &LeaseRow, share: u64, age: u64) -> Candidate<'_> {
+fn candidate(lease: &LeaseRow, share: u64, age: u64) -> Candidate<'_> {
     Candidate {
         lease: Some(lease),
         name: "me",
@@ -32,7 +32,7 @@
     let none = LeaseRow::default();
     let never = Candidate {
         lease: None,
-        ..contest(&none, 69, 0)
+        ..candidate(&none, 69, 0)
     };
     assert!(never.can_claim());
 }
@@ -40,7 +40,7 @@
 #[test_case(1700, false; "renewed lately")]
 #[test_case(2000, true; "not renewed")]
 fn a_lease_is_taken_when_it_is_stale(age: u64, won: bool) {
-    assert_eq!(contest(&lease(500), 500, age).can_claim(), won);
+    assert_eq!(candidate(&lease(500), 500, age).can_claim(), won);
 }
 
 /// An owner tells by its own writes how soon a missing renewal means something.
@@ -51,7 +51,7 @@
         term: 1060,
         ..lease(500)
     };
-    assert_eq!(contest(&told, 500, age).can_claim(), won);
+    assert_eq!(candidate(&told, 500, age).can_claim(), won);
 }
 
 #[test]
@@ -60,7 +60,7 @@
         owner: "me".into(),
         ..lease(500)
     };
-    assert!(contest(&mine, 500, 0).can_claim());
+    assert!(candidate(&mine, 500, 0).can_claim());
 }
 
 /// tmdro-seat-grown trouble-2: an instance with 0.069 of a processor took the
@@ -71,20 +71,20 @@
         released: true,
         ..lease(500)
     };
-    assert!(contest(&given_back, 500, 0).can_claim());
-    assert!(!contest(&given_back, 69, 400).can_claim());
-    assert!(contest(&given_back, 69, 600).can_claim());
+    assert!(candidate(&given_back, 500, 0).can_claim());
+    assert!(!candidate(&given_back, 69, 400).can_claim());
+    assert!(candidate(&given_back, 69, 600).can_claim());
 }
 
 #[test]
 fn a_small_owner_is_relieved() {
-    assert!(contest(&lease(69), 500, 100).can_claim());
-    assert!(!contest(&lease(69), 69, 100).can_claim());
-    assert!(!contest(&lease(300), 500, 100).can_claim());
+    assert!(candidate(&lease(69), 500, 100).can_claim());
+    assert!(!candidate(&lease(69), 69, 100).can_claim());
+    assert!(!candidate(&lease(300), 500, 100).can_claim());
     let new = lease(69);
     let soon = Candidate {
         tenure: 500,
-        ..contest(&new, 500, 100)
+        ..candidate(&new, 500, 100)
     };
     assert!(!soon.can_claim());
 }
@@ -96,17 +96,17 @@
 #[test_case(1500, 301; "nearly stale")]
 #[test_case(1801, 0; "stale")]
 fn a_question_does_not_wait_beyond_the_time_to_take_the_lease(age: u64, claim_delay: u64) {
-    assert_eq!(contest(&lease(500), 500, age).claim_delay(), claim_delay);
+    assert_eq!(candidate(&lease(500), 500, age).claim_delay(), claim_delay);
 }
 
 #[test]
 fn a_large_instance_is_always_due_before_a_small_one() {
     let lease = lease(500);
     let large = Candidate {
-        jitter: crate::contest::MAX_JITTER_MS,
-        ..contest(&lease, 500, 0)
+        jitter: crate::candidate::MAX_JITTER_MS,
+        ..candidate(&lease, 500, 0)
     };
-    assert!(large.claim_delay() < contest(&lease, 120, 0).claim_delay());
+    assert!(large.claim_delay() < candidate(&lease, 120, 0).claim_delay());
 }
 
 /// sk-weldcert-grown mix 587888487123: the owner was killed, started anew and took its
@@ -123,7 +123,7 @@
     };
     // Leases are 6 s, and reach 8.5 s from the last contact with the store, on a clock that
     // may be 2% slow, with 60 ms to spare; a contact may be 0.5 s newer than the renewal.
-    let prior_leases_end = contest(&lease, 500, age).prior_leases_end(5000, &Settings::default());
+    let prior_leases_end = candidate(&lease, 500, age).prior_leases_end(5000, &Settings::default());
     assert_eq!(prior_leases_end, over);
 }
 
@@ -132,7 +132,7 @@
 #[test_case(120, 2000, 257; "small, nearly stale")]
 #[test_case(500, 0, 0; "large")]
 fn small_instances_need_not_ask(share: u64, age: u64, pause: u64) {
-    assert_eq!(contest(&lease(500), share, age).follow_pause(), pause);
+    assert_eq!(candidate(&lease(500), share, age).follow_pause(), pause);
 }
 
 #[test]
@@ -141,7 +141,7 @@
         released: true,
         ..lease(500)
     };
-    assert_eq!(contest(&given_back, 120, 0).follow_pause(), 0);
+    assert_eq!(candidate(&given_back, 120, 0).follow_pause(), 0);
 }
 
 /// The users allow a lasting task to be away for 10 s after the last trouble, in milliseconds.
@@ -160,7 +160,7 @@
 fn leases_of_an_earlier_owner_are_over_while_a_task_may_be_away(age: u64) {
     let now = 60_000;
     let prior_leases_end =
-        contest(&lease(500), 500, age).prior_leases_end(now, &Settings::default());
+        candidate(&lease(500), 500, age).prior_leases_end(now, &Settings::default());
     let after = prior_leases_end - (now - age);
     assert!(
         after + RESTART <= ALLOWED,
@@ -182,6 +182,7 @@
         earlier: 8_000,
         ..lease(500)
     };
-    let prior_leases_end = contest(&lease, 500, age).prior_leases_end(60_000, &Settings::default());
+    let prior_leases_end =
+        candidate(&lease, 500, age).prior_leases_end(60_000, &Settings::default());
     assert_eq!(prior_leases_end, over);
 }
--- a/crates/node/src/turns_tests.rs
+++ b/crates/node/src/follow_turns_tests.rs
@@ -1,6 +1,6 @@
 //! When an instance rests.
 
-use crate::turns::FollowTurn;
+use crate::follow_turns::FollowTurn;
 
 /// Long after the turn began.
 const LATER: u64 = 60_000;
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -11,13 +11,13 @@
 use rand::Rng;
 
 use crate::{
-    contest::{Candidate, MAX_JITTER_MS},
+    candidate::{Candidate, MAX_JITTER_MS},
+    follow_turns::FollowTurn,
     metrics::{Count, Duty},
     owner::{self, Tenure},
     rows::{HEAD_KEY, HeadRow, JOURNAL, LEASE, LeaseRow, OWNER_KEY, OWNER_PART, decode, encode},
     shared::Shared,
     store::{Commit, Expect, Row, StoreError, Tx, Write},
-    turns::FollowTurn,
 };
 
 /// How long one question for changes waits at most: an instance that may take the
@@ -56,7 +56,12 @@
 }
 
 impl ObservedLease {
-    fn contest<'a>(&'a self, shared: &'a Shared, now: u64, timing: FollowTiming) -> Candidate<'a> {
+    fn candidate<'a>(
+        &'a self,
+        shared: &'a Shared,
+        now: u64,
+        timing: FollowTiming,
+    ) -> Candidate<'a> {
         Candidate {
             lease: self.row.as_ref().map(|_| &self.lease),
             name: &shared.settings.name,
@@ -101,15 +106,15 @@
         };
         backoff.reset();
         let now = shared.clock.now();
-        let contest = seen.contest(shared, now, timing(&turn));
-        if shared.is_leaving() || !contest.can_claim() {
-            match turn.rest_ms(now, contest.peers(), rng.random()) {
+        let candidate = seen.candidate(shared, now, timing(&turn));
+        if shared.is_leaving() || !candidate.can_claim() {
+            match turn.rest_ms(now, candidate.peers(), rng.random()) {
                 Some(rest) => {
                     cancel.wait(Duration::from_millis(rest));
                     turn = FollowTurn::new(shared.clock.now());
                 }
                 None => {
-                    cancel.wait(Duration::from_millis(contest.follow_pause()));
+                    cancel.wait(Duration::from_millis(candidate.follow_pause()));
                 }
             }
             continue;
@@ -158,8 +163,8 @@
     old: &ObservedLease,
     timing: FollowTiming,
 ) -> Result<ObservedLease, StoreError> {
-    let contest = old.contest(shared, shared.clock.now(), timing);
-    let claim_delay = contest.claim_delay();
+    let candidate = old.candidate(shared, shared.clock.now(), timing);
+    let claim_delay = candidate.claim_delay();
     let wait = Duration::from_millis(claim_delay.clamp(MIN_WAIT_MS, MAX_WAIT_MS));
     let changes = match shared.store(Duty::Lease).changes(LEASE, old.version, wait) {
         Err(StoreError::Forgotten) => return reread(shared, old),
@@ -247,8 +252,8 @@
     let version = seen.row.as_ref().map_or(0, |r| r.version);
     let epoch = seen.lease.epoch + 1;
     let asked_at = shared.clock.now();
-    let contest = seen.contest(shared, asked_at, FollowTiming::default());
-    let prior_leases_end = contest.prior_leases_end(asked_at, &shared.settings.jobs);
+    let candidate = seen.candidate(shared, asked_at, FollowTiming::default());
+    let prior_leases_end = candidate.prior_leases_end(asked_at, &shared.settings.jobs);
     let lease = LeaseRow {
         owner: shared.settings.name.to_string(),
         epoch,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -19,19 +19,22 @@
 //!
 //! Limits: the owner's processor bounds the starts a second; see docs/CAPACITY.md.
 
+mod candidate;
+#[cfg(test)]
+mod candidate_tests;
 mod census;
 #[cfg(test)]
 mod census_tests;
 mod config;
-mod contest;
-#[cfg(test)]
-mod contest_tests;
 mod error;
 #[cfg(test)]
 mod fakes_tests;
 mod follow;
 #[cfg(test)]
 mod follow_tests;
+mod follow_turns;
+#[cfg(test)]
+mod follow_turns_tests;
 mod front;
 mod lease;
 #[cfg(test)]
@@ -39,22 +42,19 @@
 pub mod logging;
 #[cfg(test)]
 mod logging_tests;
+mod long_poll;
+#[cfg(test)]
+mod long_poll_tests;
 mod metrics;
 mod owner;
 mod program;
 mod protocol;
-mod question;
-#[cfg(test)]
-mod question_tests;
 mod rows;
 #[cfg(test)]
 mod rows_tests;
 mod settings;
 mod shared;
 mod store;
-mod turns;
-#[cfg(test)]
-mod turns_tests;
 #[cfg(test)]
 mod watch_sim_tests;
 
--- a/crates/node/src/question_tests.rs
+++ b/crates/node/src/long_poll_tests.rs
@@ -4,7 +4,7 @@
 
 use test_case::test_case;
 
-use crate::question::{max_silence, wait};
+use crate::long_poll::{max_silence, wait};
 
 /// Time after which the store's client gives a question up that waits no longer.
 const GIVEN_UP: u64 = 1000;
--- a/crates/node/src/owner/lines.rs
+++ b/crates/node/src/owner/connections.rs
@@ -11,7 +11,7 @@
 use gorsespur_jobs::{Answer, Started};
 use mio::{Registry, Token};
 
-use super::post::{Call, CallDeadline, QueuedOrder, SLOTS, WorkerConnections};
+use super::worker_connections::{Call, CallDeadline, QueuedOrder, SLOTS, WorkerConnections};
 use crate::{protocol::Order, shared::Shared};
 
 /// Time for an answer beyond what the worker is asked to wait, in milliseconds.
--- a/crates/node/src/owner/lines_tests.rs
+++ b/crates/node/src/owner/connections_tests.rs
@@ -15,7 +15,7 @@
 use gorsespur_jobs::{Answer, JobId, StartOrder, Started, TaskId};
 use mio::{Events, Poll};
 
-use super::lines::Connections;
+use super::connections::Connections;
 use crate::{
     fakes_tests::{NoStore, shared},
     protocol::Order,
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/decision_loop.rs
@@ -8,9 +8,9 @@
 use mio::Events;
 
 use super::{
+    connections::Connections,
     inbox::{DurableWrite, Inbox, Message, WAKER_TOKEN},
     journal::JournalInput,
-    lines::Connections,
     send,
 };
 use crate::{config::Config, metrics::Count, protocol::Order, rows::encode, shared::Shared};
--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -6,7 +6,7 @@
 use gorsespur_runtime::cancel::CancelToken;
 
 use super::{
-    gather::{WorkerListing, list_workers, read_jobs},
+    contents::{WorkerListing, list_workers, read_jobs},
     inbox::InboxSender,
 };
 use crate::{
--- a/crates/node/src/owner/journal.rs
+++ b/crates/node/src/owner/journal.rs
@@ -13,7 +13,7 @@
 use super::{
     Tenure,
     inbox::{DurableWrite, InboxSender},
-    pulse::RenewalGaps,
+    renewal_gaps::RenewalGaps,
 };
 use crate::{
     metrics::{Count, Duty},
--- a/crates/node/src/owner/load.rs
+++ b/crates/node/src/owner/load.rs
@@ -7,8 +7,8 @@
 
 use super::{
     Tenure,
+    contents::read_contents,
     feed::{self, Cursor},
-    gather::read_contents,
 };
 use crate::{
     follow::refresh_at,
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -5,23 +5,23 @@
 //! connections that never block. Each has a bounded ring to the last.
 
 mod census;
+mod connections;
+#[cfg(test)]
+mod connections_tests;
+mod contents;
+mod decision_loop;
 mod feed;
 #[cfg(test)]
 mod feed_tests;
-mod gather;
 mod inbox;
 pub(crate) mod journal;
 #[cfg(test)]
 mod journal_tests;
-mod lines;
-#[cfg(test)]
-mod lines_tests;
 mod load;
-mod post;
-pub(crate) mod pulse;
+pub(crate) mod renewal_gaps;
 #[cfg(test)]
-mod pulse_tests;
-mod turn;
+mod renewal_gaps_tests;
+mod worker_connections;
 
 use std::{sync::Arc, thread};
 
@@ -29,7 +29,7 @@
 use gorsespur_jobs::Takeover;
 use gorsespur_runtime::cancel::CancelToken;
 
-use self::{inbox::Inbox, journal::JournalInput, load::Loaded, turn::DecisionLoop};
+use self::{decision_loop::DecisionLoop, inbox::Inbox, journal::JournalInput, load::Loaded};
 use crate::{census::Census, shared::Shared};
 
 /// Inputs that may wait for the thread that decides.
--- a/crates/node/src/owner/pulse_tests.rs
+++ b/crates/node/src/owner/renewal_gaps_tests.rs
@@ -1,6 +1,6 @@
 //! How soon a lease is free that is not renewed.
 
-use super::pulse::RenewalGaps;
+use super::renewal_gaps::RenewalGaps;
 
 /// Renewals so many milliseconds apart.
 fn renewed(times: u64, apart: u64) -> RenewalGaps {
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -14,9 +14,9 @@
 use crate::{
     census::Census,
     config::Config,
+    long_poll,
     metrics::{Duty, Metrics},
     protocol::Protocol,
-    question,
     settings::NodeSettings,
     store::{DutyStore, Store},
 };
@@ -86,7 +86,7 @@
         store: Box<dyn Store>,
         protocol: Box<dyn Protocol>,
     ) -> Shared {
-        let wait = question::wait(settings.apply);
+        let wait = long_poll::wait(settings.apply);
         let shared = Shared {
             settings,
             store,
@@ -109,13 +109,13 @@
 
     /// Takes note that the store is asked anew after `wait` at the latest.
     pub(crate) fn set_poll_wait(&self, wait: Duration) {
-        let silence = question::max_silence(wait).as_millis() as u64;
+        let silence = long_poll::max_silence(wait).as_millis() as u64;
         self.max_silence.store(silence, Ordering::Relaxed);
     }
 
     /// Returns how long questions about the configuration wait.
     pub(crate) fn config_wait(&self) -> Duration {
-        question::wait(self.settings.apply)
+        long_poll::wait(self.settings.apply)
     }
 
     /// Returns the store for the calls of a duty.
--- a/crates/node/src/watch_sim_tests.rs
+++ b/crates/node/src/watch_sim_tests.rs
@@ -10,11 +10,11 @@
 use test_case::test_case;
 
 use crate::{
+    candidate::{Candidate, MAX_JITTER_MS},
     census::Census,
-    contest::{Candidate, MAX_JITTER_MS},
-    question,
+    follow_turns::FollowTurn,
+    long_poll,
     rows::LeaseRow,
-    turns::FollowTurn,
 };
 
 /// The owner renews this often, in milliseconds.
@@ -135,7 +135,7 @@
         }
     }
 
-    fn contest(&self, at: usize) -> Candidate<'_> {
+    fn candidate(&self, at: usize) -> Candidate<'_> {
         let instance = &self.instances[at];
         Candidate {
             lease: Some(&self.lease),
@@ -158,7 +158,7 @@
             return;
         }
         self.calls += 1;
-        let wait = self.contest(at).claim_delay().clamp(10, 600);
+        let wait = self.candidate(at).claim_delay().clamp(10, 600);
         let version = self.version;
         let instance = &mut self.instances[at];
         instance.state = State::Asks(instance.seen);
@@ -181,11 +181,11 @@
         if !self.instances[at].reachable {
             return false;
         }
-        let contest = self.contest(at);
-        if contest.can_claim() {
+        let candidate = self.candidate(at);
+        if candidate.can_claim() {
             return true;
         }
-        let (peers, pause) = (contest.peers(), contest.follow_pause());
+        let (peers, pause) = (candidate.peers(), candidate.follow_pause());
         let chance = self.rng.random();
         let instance = &mut self.instances[at];
         let rest = instance.turn.rest_ms(self.now, peers, chance);
@@ -304,7 +304,7 @@
     (fleet.calls, fleet.bytes) = (0, 0);
     fleet.run(LOST, true);
     let seconds = LOST / 2 / 1000;
-    let wait = question::wait(Duration::from_secs(5)).as_millis() as u64;
+    let wait = long_poll::wait(Duration::from_secs(5)).as_millis() as u64;
     println!(
         "{count} instances: {} calls and {} bytes a second for the lease, {} calls for the configuration",
         fleet.calls / seconds,
