--- a/crates/node/src/census_tests.rs
+++ b/crates/node/src/census_tests.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     census::{Census, InstanceRegistry, InstanceRow},
-    fakes_tests::{NoStore, shared},
+    fakes_tests::{UnavailableStore, shared},
     rows::encode,
     store::Row,
 };
@@ -35,7 +35,7 @@
         instance("c", 120, NOW),
         instance("d", 499, NOW),
     ];
-    registry.apply(&shared(NoStore), &rows, NOW);
+    registry.apply(&shared(UnavailableStore), &rows, NOW);
     let census = registry.census();
     assert_eq!(census, Census { large: 2, all: 4 });
     assert_eq!(census.peers(true), 2);
@@ -46,7 +46,7 @@
 #[test]
 fn each_counts_once() {
     let mut registry = InstanceRegistry::default();
-    let shared = shared(NoStore);
+    let shared = shared(UnavailableStore);
     for _ in 0..3 {
         registry.apply(&shared, &[instance("a", 500, NOW)], NOW);
     }
@@ -64,7 +64,7 @@
         instance("a", 500, NOW - 25 * HOUR),
         instance("b", 500, NOW - 7 * HOUR),
     ];
-    let expired = registry.apply(&shared(NoStore), &rows, NOW);
+    let expired = registry.apply(&shared(UnavailableStore), &rows, NOW);
     assert_eq!(expired, ["a"]);
     assert_eq!(registry.census().all, 1);
 }
@@ -73,6 +73,6 @@
 fn a_row_that_cannot_be_read_counts_for_nothing() {
     let mut registry = InstanceRegistry::default();
     let rows = [row("a", b"what".to_vec()), instance("b", 500, NOW)];
-    registry.apply(&shared(NoStore), &rows, NOW);
+    registry.apply(&shared(UnavailableStore), &rows, NOW);
     assert_eq!(registry.census().all, 1);
 }
--- a/crates/node/src/fakes_tests.rs
+++ b/crates/node/src/fakes_tests.rs
@@ -22,7 +22,7 @@
 
 /// A store that is away.
 #[derive(Debug)]
-pub(crate) struct NoStore;
+pub(crate) struct UnavailableStore;
 
 fn away<T>() -> Result<T, StoreError> {
     Err(StoreError::Unavailable {
@@ -30,7 +30,7 @@
     })
 }
 
-impl Store for NoStore {
+impl Store for UnavailableStore {
     fn read(&self, _: Range<'_>, _: &Traffic) -> Result<Page, StoreError> {
         away()
     }
@@ -46,7 +46,7 @@
 
 /// Orders that name their worker, and answers by their status.
 #[derive(Debug)]
-pub(crate) struct Bare;
+pub(crate) struct StubProtocol;
 
 fn unread<T>() -> Result<T, ProtocolError> {
     Err(ProtocolError::Malformed {
@@ -55,7 +55,7 @@
     })
 }
 
-impl Protocol for Bare {
+impl Protocol for StubProtocol {
     fn config_row(&self) -> (&'static str, &'static str) {
         ("t", "k")
     }
@@ -79,7 +79,7 @@
     fn order(&self, order: &Order, _: u64, worker: &Arc<str>) -> Request {
         let path = match order {
             Order::Start(start) => format!("/{worker}/{}", start.task.job),
-            Order::Look { observed, .. } => format!("/{worker}/look/{observed}"),
+            Order::Poll { observed, .. } => format!("/{worker}/look/{observed}"),
             _ => format!("/{worker}/other"),
         };
         Request::new(Method::Post, path, Vec::new())
@@ -118,7 +118,7 @@
         Vec::new()
     }
 
-    fn patience(&self, _: &Request) -> Option<u64> {
+    fn caller_timeout(&self, _: &Request) -> Option<u64> {
         None
     }
 }
@@ -136,7 +136,11 @@
         jobs: Settings::default(),
         share: 500,
     };
-    Arc::new(Shared::new(settings, Box::new(store), Box::new(Bare)))
+    Arc::new(Shared::new(
+        settings,
+        Box::new(store),
+        Box::new(StubProtocol),
+    ))
 }
 
 /// A store with a row of the lease, which may be away, and which takes each write.
@@ -208,7 +212,7 @@
         Ok(Changes {
             rows: Vec::new(),
             version: after,
-            whole: true,
+            is_complete: true,
         })
     }
 
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -31,7 +31,7 @@
             reason: "the configuration is not read yet".into(),
         })?;
     match changes(shared, Duty::Callers, table, after, Duration::ZERO) {
-        Err(StoreError::Forgotten) => read_anew(shared),
+        Err(StoreError::Compacted) => read_anew(shared),
         step => step.map(drop),
     }
 }
@@ -83,7 +83,7 @@
                 lost = true;
                 shared.record_store_failure();
                 shared.metrics.count(Count::StoreErrors);
-                version = version.filter(|_| err != StoreError::Forgotten);
+                version = version.filter(|_| err != StoreError::Compacted);
                 cancel.wait(Duration::from_millis(backoff.next_delay()));
             }
         }
--- a/crates/node/src/follow_tests.rs
+++ b/crates/node/src/follow_tests.rs
@@ -5,7 +5,7 @@
 use gorsespur_runtime::cancel::CancelToken;
 
 use crate::{
-    fakes_tests::{NoStore, shared},
+    fakes_tests::{UnavailableStore, shared},
     follow::follow,
 };
 
@@ -13,7 +13,7 @@
 /// times a second.
 #[test]
 fn a_store_that_refuses_is_asked_less_and_less() {
-    let shared = shared(NoStore);
+    let shared = shared(UnavailableStore);
     let cancel = CancelToken::new();
     thread::scope(|scope| {
         scope.spawn(|| follow(&shared, &cancel));
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -185,9 +185,9 @@
     /// Runs an idempotent write until its effect is known or the caller has
     /// waited long enough.
     fn write(&self, tx: &Tx, request: &Request, start: u64) -> WriteResult {
-        let patience = self.shared.protocol.patience(request);
-        let deadline =
-            start + patience.unwrap_or(DEFAULT_CALLER_TIMEOUT_MS) * WRITE_TIMEOUT_PERCENT / 100;
+        let caller_timeout = self.shared.protocol.caller_timeout(request);
+        let deadline = start
+            + caller_timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT_MS) * WRITE_TIMEOUT_PERCENT / 100;
         let mut unclear = false;
         let mut has_retried = false;
         loop {
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -167,7 +167,7 @@
     let claim_delay = candidate.claim_delay();
     let wait = Duration::from_millis(claim_delay.clamp(MIN_WAIT_MS, MAX_WAIT_MS));
     let changes = match shared.store(Duty::Lease).changes(LEASE, old.version, wait) {
-        Err(StoreError::Forgotten) => return reread(shared, old),
+        Err(StoreError::Compacted) => return reread(shared, old),
         changes => changes?,
     };
     shared.record_store_answer();
--- a/crates/node/src/owner/census.rs
+++ b/crates/node/src/owner/census.rs
@@ -36,7 +36,7 @@
             Ok(next) => version = Some(next),
             Err(err) => {
                 log::debug!(err = err.to_string().as_str(); "census: not counted");
-                version = version.filter(|_| err != StoreError::Forgotten);
+                version = version.filter(|_| err != StoreError::Compacted);
             }
         }
         shared.set_census(registry.census());
--- a/crates/node/src/owner/connections.rs
+++ b/crates/node/src/owner/connections.rs
@@ -81,7 +81,7 @@
             waiting: VecDeque::new(),
         });
         let slot = match order {
-            Order::Look { .. } => Some(0).filter(|_| connections.slots[0].call.is_none()),
+            Order::Poll { .. } => Some(0).filter(|_| connections.slots[0].call.is_none()),
             _ => connections.free_slot(),
         };
         match slot {
@@ -234,7 +234,7 @@
             .protocol
             .order(&order, self.epoch, &connections.id);
         let timeout = match &order {
-            Order::Look { wait, .. } => wait + POLL_MARGIN_MS,
+            Order::Poll { wait, .. } => wait + POLL_MARGIN_MS,
             _ => ORDER_TIMEOUT_MS,
         };
         let deadline = now + timeout;
@@ -304,14 +304,14 @@
 /// Has a look drop no ends of its worker: on a new connection another life may read it, which
 /// counts its ends anew. They are listed once more.
 fn keep_ended_runs(order: &mut Order) {
-    if let Order::Look { observed, .. } = order {
+    if let Order::Poll { observed, .. } = order {
         *observed = 0;
     }
 }
 
 fn order_name(order: &Order) -> &'static str {
     match order {
-        Order::Look { .. } => "look",
+        Order::Poll { .. } => "look",
         Order::Start(_) => "start",
         Order::Stop(..) => "stop",
         Order::Pace(..) => "pace",
--- a/crates/node/src/owner/connections_tests.rs
+++ b/crates/node/src/owner/connections_tests.rs
@@ -17,7 +17,7 @@
 
 use super::connections::Connections;
 use crate::{
-    fakes_tests::{NoStore, shared},
+    fakes_tests::{UnavailableStore, shared},
     protocol::Order,
     shared::Shared,
 };
@@ -47,11 +47,11 @@
 /// Longest wait of one turn.
 const TICK: Duration = Duration::from_millis(25);
 
-struct Desk {
+struct Fixture {
     shared: Arc<Shared>,
     poll: Poll,
-    lines: Connections,
-    sent: u64,
+    connections: Connections,
+    sent_at: u64,
 }
 
 /// An order to start the only task of a job.
@@ -71,33 +71,35 @@
 }
 
 /// Sends a look.
-fn asked(answers: bool) -> Desk {
-    let look = Order::Look {
+fn send_poll(answers: bool) -> Fixture {
+    let poll = Order::Poll {
         observed: 0,
         deadline: None,
         wait: 0,
     };
-    sent(answers, vec![look])
+    send_orders(answers, vec![poll])
 }
 
 /// Sends orders to one worker.
-fn sent(answers: bool, orders: Vec<Order>) -> Desk {
-    let shared = shared(NoStore);
-    let mut desk = Desk {
+fn send_orders(answers: bool, orders: Vec<Order>) -> Fixture {
+    let shared = shared(UnavailableStore);
+    let mut fixture = Fixture {
         poll: Poll::new().expect("descriptors"),
-        lines: Connections::new(&shared, 1),
-        sent: shared.clock.now(),
+        connections: Connections::new(&shared, 1),
+        sent_at: shared.clock.now(),
         shared,
     };
     let addr = worker(answers);
     for order in orders {
         let target = (addr, "w".into());
-        desk.lines.send(desk.poll.registry(), 0, target, order);
+        fixture
+            .connections
+            .send(fixture.poll.registry(), 0, target, order);
     }
-    desk
+    fixture
 }
 
-impl Desk {
+impl Fixture {
     /// Reads until an answer is there.
     fn read(&mut self) -> Vec<(u32, u64, Answer)> {
         let mut events = Events::with_capacity(16);
@@ -105,10 +107,10 @@
             let waited = self.poll.poll(&mut events, None);
             waited.expect("an event loop");
             for event in &events {
-                self.lines
+                self.connections
                     .on_ready(self.poll.registry(), event.token(), event.into());
             }
-            let answers = self.lines.take_answers();
+            let answers = self.connections.take_answers();
             if !answers.is_empty() {
                 return answers;
             }
@@ -122,52 +124,58 @@
         let waited = self.poll.poll(&mut events, Some(TICK));
         waited.expect("an event loop");
         for event in &events {
-            self.lines
+            self.connections
                 .on_ready(self.poll.registry(), event.token(), event.into());
         }
-        self.lines.expire(self.poll.registry(), read, false);
-        self.lines.take_answers()
+        self.connections.expire(self.poll.registry(), read, false);
+        self.connections.take_answers()
     }
 
     /// Gives up what is due if all that arrived by `at` was read.
     fn expire(&mut self, at: u64, late: bool) -> Vec<Answer> {
-        self.lines.expire(self.poll.registry(), at, late);
-        let answers = self.lines.take_answers();
+        self.connections.expire(self.poll.registry(), at, late);
+        let answers = self.connections.take_answers();
         answers.into_iter().map(|a| a.2).collect()
     }
 }
 
 #[test]
 fn what_was_answered_is_not_given_up() {
-    let mut desk = asked(true);
-    let answers = desk.read();
+    let mut fixture = send_poll(true);
+    let answers = fixture.read();
     assert!(matches!(answers[..], [(0, _, Answer::Report(_))]));
-    assert!(desk.expire(desk.sent + 60_000, false).is_empty());
+    assert!(fixture.expire(fixture.sent_at + 60_000, false).is_empty());
 }
 
 #[test]
 fn a_call_is_given_up_at_its_time() {
-    let mut desk = asked(false);
-    assert!(desk.expire(desk.sent + 800, false).is_empty());
-    assert_eq!(desk.expire(desk.sent + 1500, false), [Answer::NoReply]);
+    let mut fixture = send_poll(false);
+    assert!(fixture.expire(fixture.sent_at + 800, false).is_empty());
+    assert_eq!(
+        fixture.expire(fixture.sent_at + 1500, false),
+        [Answer::NoReply]
+    );
 }
 
 /// What lies unread after a pause is read before its call is given up: the pause itself
 /// prolongs the call's time, once.
 #[test]
 fn a_late_wake_up_prolongs_a_call_once() {
-    let mut desk = asked(false);
-    assert!(desk.expire(desk.sent + 5000, true).is_empty());
-    assert!(desk.expire(desk.sent + 5050, false).is_empty());
-    assert_eq!(desk.expire(desk.sent + 5200, true), [Answer::NoReply]);
+    let mut fixture = send_poll(false);
+    assert!(fixture.expire(fixture.sent_at + 5000, true).is_empty());
+    assert!(fixture.expire(fixture.sent_at + 5050, false).is_empty());
+    assert_eq!(
+        fixture.expire(fixture.sent_at + 5200, true),
+        [Answer::NoReply]
+    );
 }
 
 /// A start that waited while the connection was held up is not sent on what was known
 /// then.
 #[test]
 fn a_start_that_waited_for_long_is_taken_back() {
-    let mut desk = sent(false, (1..=3).map(start).collect());
-    let answers = desk.expire(desk.sent + 800, false);
+    let mut fixture = send_orders(false, (1..=3).map(start).collect());
+    let answers = fixture.expire(fixture.sent_at + 800, false);
     let came: Vec<_> = answers
         .iter()
         .map(|a| match a {
@@ -227,16 +235,16 @@
 }
 
 /// A request: where it came to, on which connection there, and its path.
-type Told = (SocketAddr, usize, String);
+type ReceivedRequest = (SocketAddr, usize, String);
 
 /// Answers what comes on a connection, each answer in two pieces, and tells of each request.
-fn serve(mut stream: TcpStream, connection: usize, to: &Sender<Told>) {
+fn serve(mut stream: TcpStream, connection: usize, to: &Sender<ReceivedRequest>) {
     let own = stream.local_addr().expect("bound");
     let mut buf = Vec::new();
     while let Some(request) = request(&mut stream, &mut buf) {
-        let told = to.send((own, connection, request.path.clone()));
+        let received = to.send((own, connection, request.path.clone()));
         let job = request.path.rsplit('/').next().map(str::parse::<JobId>);
-        let (text, goes_on) = match job {
+        let (text, keeps_open) = match job {
             Some(Ok(job)) => reply(job.0),
             _ => reply(0),
         };
@@ -246,14 +254,14 @@
         let written = written && stream.write_all(rest.as_bytes()).is_ok();
         // The end of a connection comes after what was sent on it.
         thread::sleep(Duration::from_millis(1));
-        if told.is_err() || !written || !goes_on {
+        if received.is_err() || !written || !keeps_open {
             return;
         }
     }
 }
 
 /// A worker that answers on any number of connections.
-fn answering(to: &Sender<Told>) -> SocketAddr {
+fn answering(to: &Sender<ReceivedRequest>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
     let to = to.clone();
@@ -273,27 +281,28 @@
 fn each_order_reaches_its_worker_and_gets_its_answer() {
     let (to, requests) = channel();
     let (first, second) = (answering(&to), answering(&to));
-    let lives = [(first, "a"), (second, "b"), (first, "c")];
-    let mut desk = sent(false, Vec::new());
+    let incarnations = [(first, "a"), (second, "b"), (first, "c")];
+    let mut fixture = send_orders(false, Vec::new());
     let mut paths = Vec::new();
     for round in 0..6 {
-        let mut left = 0;
-        for (slot, (addr, id)) in (0..).zip(lives) {
-            for job in (round * 6..round * 6 + 6).map(|j| j * 3 + u64::from(slot)) {
+        let mut unanswered = 0;
+        for (worker, (addr, id)) in (0..).zip(incarnations) {
+            for job in (round * 6..round * 6 + 6).map(|j| j * 3 + u64::from(worker)) {
                 let target = (addr, id.into());
-                desk.lines
-                    .send(desk.poll.registry(), slot, target, start(job));
-                left += 1;
+                fixture
+                    .connections
+                    .send(fixture.poll.registry(), worker, target, start(job));
+                unanswered += 1;
             }
         }
-        while left > 0 {
-            for (slot, _, answer) in desk.turn() {
+        while unanswered > 0 {
+            for (worker, _, answer) in fixture.turn() {
                 let Answer::Started(task, 1, started) = answer else {
                     panic!("{answer:?}");
                 };
-                let (job, (addr, id)) = (task.job, lives[slot as usize]);
-                assert_eq!(job.0 % 3, u64::from(slot));
-                left -= 1;
+                let (job, (addr, id)) = (task.job, incarnations[worker as usize]);
+                assert_eq!(job.0 % 3, u64::from(worker));
+                unanswered -= 1;
                 // On a busy machine some wait for too long.
                 if started == Started::Withdrawn {
                     continue;
@@ -303,19 +312,21 @@
             }
         }
     }
-    let told: Vec<_> = requests.try_iter().collect();
-    let mut got: Vec<_> = told.iter().map(|(at, _, p)| (*at, p.clone())).collect();
+    let received: Vec<_> = requests.try_iter().collect();
+    let mut got: Vec<_> = received.iter().map(|(at, _, p)| (*at, p.clone())).collect();
     got.sort();
     paths.sort();
     assert_eq!(got, paths);
-    for (addr, connection, path) in &told {
-        let mut same = told.iter().filter(|t| (&t.0, &t.1) == (addr, connection));
+    for (addr, connection, path) in &received {
+        let mut same = received
+            .iter()
+            .filter(|t| (&t.0, &t.1) == (addr, connection));
         assert!(same.all(|t| t.2[..3] == path[..3]), "{path}");
     }
 }
 
 /// Answers a request with empty lists, and returns its path.
-fn look_at(stream: &mut TcpStream) -> String {
+fn answer_poll(stream: &mut TcpStream) -> String {
     let read = request(stream, &mut Vec::new()).expect("a request");
     stream.write_all(reply(0).0.as_bytes()).expect("a reader");
     read.path
@@ -330,23 +341,25 @@
     let (to, closed) = channel();
     let worker = thread::spawn(move || {
         let (mut first, _) = listener.accept().expect("a connection");
-        let mut paths = vec![look_at(&mut first), look_at(&mut first)];
+        let mut paths = vec![answer_poll(&mut first), answer_poll(&mut first)];
         drop(first);
         to.send(()).expect("a reader");
         let (mut second, _) = listener.accept().expect("a connection");
-        paths.extend([look_at(&mut second), look_at(&mut second)]);
+        paths.extend([answer_poll(&mut second), answer_poll(&mut second)]);
         paths
     });
-    let mut desk = sent(false, Vec::new());
+    let mut fixture = send_orders(false, Vec::new());
     for observed in 1..=4 {
-        let look = Order::Look {
+        let poll = Order::Poll {
             observed,
             deadline: None,
             wait: 0,
         };
         let target = (addr, "w".into());
-        desk.lines.send(desk.poll.registry(), 0, target, look);
-        let answers = desk.read();
+        fixture
+            .connections
+            .send(fixture.poll.registry(), 0, target, poll);
+        let answers = fixture.read();
         assert!(matches!(answers[..], [(0, _, Answer::Report(_))]));
         if observed == 2 {
             closed.recv().expect("closed");
@@ -359,9 +372,9 @@
 /// A worker whose life is over is sent nothing that waits for a connection.
 #[test]
 fn starts_that_wait_are_taken_back_with_their_worker() {
-    let mut desk = sent(false, (1..=3).map(start).collect());
-    desk.lines.drop_worker(desk.poll.registry(), 0);
-    let answers = desk.lines.take_answers();
+    let mut fixture = send_orders(false, (1..=3).map(start).collect());
+    fixture.connections.drop_worker(fixture.poll.registry(), 0);
+    let answers = fixture.connections.take_answers();
     let taken: Vec<_> = answers.iter().map(|a| &a.2).collect();
     assert!(matches!(
         taken[..],
@@ -378,26 +391,31 @@
 fn an_answer_that_comes_late_is_nobodys() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
-    let mut desk = sent(false, Vec::new());
+    let mut fixture = send_orders(false, Vec::new());
     let target = (addr, "w".into());
-    desk.lines.send(desk.poll.registry(), 0, target, start(1));
+    fixture
+        .connections
+        .send(fixture.poll.registry(), 0, target, start(1));
     // The connection stands, and the order is sent.
     let (mut late, _) = listener.accept().expect("a connection");
     let mut events = Events::with_capacity(16);
-    desk.poll.poll(&mut events, None).expect("an event loop");
+    fixture.poll.poll(&mut events, None).expect("an event loop");
     for event in &events {
-        desk.lines
-            .on_ready(desk.poll.registry(), event.token(), event.into());
+        fixture
+            .connections
+            .on_ready(fixture.poll.registry(), event.token(), event.into());
     }
     let read = request(&mut late, &mut Vec::new()).expect("a request");
     assert!(read.path.ends_with('1'));
-    let given_up = desk.expire(desk.sent + 60_000, false);
+    let given_up = fixture.expire(fixture.sent_at + 60_000, false);
     assert!(matches!(
         given_up[..],
         [Answer::Started(_, 1, Started::Unknown)]
     ));
     let target = (addr, "w".into());
-    desk.lines.send(desk.poll.registry(), 0, target, start(2));
+    fixture
+        .connections
+        .send(fixture.poll.registry(), 0, target, start(2));
     // Its sender may have closed that connection already.
     let written = late.write_all(reply(0).0.as_bytes());
     let worker = thread::spawn(move || {
@@ -406,7 +424,7 @@
         let answered = stream.write_all(reply(1).0.as_bytes());
         (stream, read, answered)
     });
-    let answers = desk.read();
+    let answers = fixture.read();
     let (_stream, read, answered) = worker.join().expect("a worker");
     assert!(read.path.ends_with('2') && answered.is_ok(), "{written:?}");
     assert!(matches!(
--- a/crates/node/src/owner/decision_loop.rs
+++ b/crates/node/src/owner/decision_loop.rs
@@ -263,7 +263,7 @@
                 deadline,
                 wait,
             } => {
-                let order = Order::Look {
+                let order = Order::Poll {
                     observed,
                     deadline,
                     wait,
--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -143,7 +143,7 @@
                     shared.record_store_answer();
                     apply_worker_rows(shared, &mut cursor, &c.rows, &mut events);
                     cursor.version = Some(c.version);
-                    if c.whole {
+                    if c.is_complete {
                         events.push(Event::WorkersSynced { asked_at });
                     }
                     pause_after(&c)
@@ -169,7 +169,7 @@
 /// rows the reader fell behind for good, and tasks were started on workers up to 5 s after
 /// these had said that they leave.
 pub(super) fn pause_after(changes: &Changes) -> Duration {
-    match changes.whole {
+    match changes.is_complete {
         true => WORKERS_PAUSE,
         false => Duration::ZERO,
     }
@@ -236,7 +236,7 @@
 fn handle_failure(shared: &Shared, cursor: &mut Cursor, err: &StoreError, cancel: &CancelToken) {
     shared.metrics.count(Count::StoreErrors);
     log::debug!(err = err.to_string().as_str(); "feed: failed");
-    if *err == StoreError::Forgotten {
+    if *err == StoreError::Compacted {
         log::info!("feed: history forgotten, the table is read anew");
         cursor.version = None;
     }
--- a/crates/node/src/owner/feed_tests.rs
+++ b/crates/node/src/owner/feed_tests.rs
@@ -26,7 +26,7 @@
         let pause = pause_after(&Changes {
             rows: Vec::new(),
             version: 0,
-            whole: rows < PAGE,
+            is_complete: rows < PAGE,
         });
         now += pause.as_millis() as usize;
     }
--- a/crates/node/src/protocol.rs
+++ b/crates/node/src/protocol.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Order {
     /// Ask what runs and what ended.
-    Look {
+    Poll {
         /// Ends up to this number may be dropped.
         observed: u64,
         /// End of the lease on the worker's clock in milliseconds.
@@ -76,5 +76,5 @@
     fn pending(&self, count: u64) -> Vec<u8>;
 
     /// Returns how long the caller of a request waits, in milliseconds.
-    fn patience(&self, request: &Request) -> Option<u64>;
+    fn caller_timeout(&self, request: &Request) -> Option<u64>;
 }
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -23,7 +23,7 @@
     },
     /// The history does not reach back as far as was asked.
     #[snafu(display("history forgotten"))]
-    Forgotten,
+    Compacted,
     /// An answer that can't be read.
     #[snafu(display("malformed answer of the store: {reason}"))]
     Malformed {
@@ -80,7 +80,7 @@
     pub version: u64,
     /// Whether these are all changes there were when the question was answered; else more
     /// are there to be read at once.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 /// A row and the version it must have.
