--- a/crates/node/src/candidate.rs
+++ b/crates/node/src/candidate.rs
@@ -1,4 +1,6 @@
-//! Who takes a lease that may be free.
+//! Decides when an instance may claim the lease.
+//!
+//! Claims are staggered so that large instances come first and not all instances claim at once.
 
 use gorsespur_jobs::{Settings, lease_upper_bound};
 
@@ -8,61 +10,60 @@
     rows::LeaseRow,
 };
 
-/// A lease whose owner did not say after how long it is free is free after this long,
-/// in milliseconds.
+/// Time without a renewal after which a lease expires if its row states no term, in milliseconds.
 const DEFAULT_TERM_MS: u64 = MAX_TERM_MS;
 
-/// Added to that by chance, so that not all instances claim at once, in milliseconds.
+/// Largest random delay of a claim, in milliseconds, so that instances do not all claim at once.
 pub(crate) const MAX_JITTER_MS: u64 = 300;
 
-/// An instance with no share of a processor at all would wait this much longer than
-/// the largest that ever owned the lease, in milliseconds: deciding takes more than
-/// a tenth of a processor, and a small instance falls behind for good.
+/// Delay of a claim by an instance with a CPU share of 0, in milliseconds; it shrinks linearly with
+/// the share relative to the largest owner so far. Deciding takes more than a tenth of a CPU, so
+/// that a small owner falls permanently behind.
 const SMALL_DELAY_MS: u64 = 600;
 
-/// A lease whose owner has less than half of an instance's share goes to that
-/// instance after this long, in milliseconds.
+/// Age of an epoch after which an instance claims the lease of an owner with less than half its
+/// share, in milliseconds.
 const UPGRADE_DELAY_MS: u64 = 1500;
 
-/// What an instance knows when it asks whether to take the lease.
+/// Inputs of the decision whether to claim the lease.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Candidate<'a> {
-    /// The lease; nothing if nobody ever had it.
+    /// The lease; `None` if it has never been claimed.
     pub(crate) lease: Option<&'a LeaseRow>,
     /// The instance's name.
     pub(crate) name: &'a str,
-    /// Its share of a processor, in thousandths.
+    /// Its CPU share, in thousandths.
     pub(crate) share: u64,
-    /// For how long the lease was not renewed, in milliseconds.
+    /// Time since the last renewal was seen, in milliseconds.
     pub(crate) age: u64,
-    /// For how long it was followed without a rest, in milliseconds.
+    /// Time for which the lease was followed without a rest, in milliseconds.
     pub(crate) followed_ms: u64,
-    /// For how long it has had its owner, in milliseconds.
+    /// Time since the owner's epoch was first seen, in milliseconds.
     pub(crate) tenure: u64,
-    /// A delay by chance, in milliseconds.
+    /// Random delay of the claim, in milliseconds.
     pub(crate) jitter: u64,
 }
 
 impl Candidate<'_> {
-    /// Tells whether the instance should take the lease now.
+    /// Returns whether the instance may claim the lease now.
     pub(crate) fn can_claim(&self) -> bool {
         self.claim_delay() == 0
     }
 
-    /// Returns after how many milliseconds the instance should take the lease if it
-    /// does not change until then.
+    /// Returns the milliseconds until the instance may claim the lease if the lease does not
+    /// change.
     pub(crate) fn claim_delay(&self) -> u64 {
         let Some(lease) = self.lease else {
             return 0;
         };
         let largest = lease.largest.max(self.share).max(1);
         let small_delay = SMALL_DELAY_MS * (largest - self.share) / largest;
-        // An owner that asks has started anew and holds nothing.
+        // An owner that reads its own name has restarted, and its previous process has ended.
         if lease.released || lease.owner == self.name {
             return small_delay.saturating_sub(self.age);
         }
-        // What was not renewed during a rest may have been renewed unheard: the store may fall
-        // behind with changes for a second.
+        // A renewal during a rest may not have been seen yet, since the store's changes may lag by
+        // a second.
         let age = self.age.min(self.followed_ms);
         if is_small(lease.share, self.share) && age < UPGRADE_DELAY_MS {
             return (UPGRADE_DELAY_MS + 1).saturating_sub(self.tenure);
@@ -75,8 +76,8 @@
         (term_ms + self.jitter + small_delay + 1).saturating_sub(age)
     }
 
-    /// Returns how many instances are about as large as this one; none if that is not known, or
-    /// if the lease has no owner.
+    /// Returns the number of instances in the same size class as this one; 0 if unknown or if the
+    /// lease has no owner.
     pub(crate) fn peers(&self) -> u64 {
         let Some(lease) = self.lease.filter(|l| !l.released) else {
             return 0;
@@ -84,12 +85,11 @@
         lease.census.peers(is_small(self.share, lease.largest))
     }
 
-    /// Returns for how long the instance need not ask again, in milliseconds.
+    /// Returns how long the instance can wait before it polls again, in milliseconds.
     ///
-    /// A renewal answers each question that waits, 2.5 times a second. An instance much
-    /// smaller than the largest is to take the lease only if no large one does; it asks
-    /// when it may do so. With 132 such instances of 147 a third of all calls to the store
-    /// were their questions.
+    /// Each renewal, 2.5 times a second, answers every long poll. An instance much smaller than the
+    /// largest claims the lease only if no large one does, so it polls only when its claim is due.
+    /// With 132 such instances of 147, their polls were a third of all calls to the store.
     pub(crate) fn follow_pause(&self) -> u64 {
         let Some(lease) = self.lease else {
             return 0;
@@ -101,23 +101,23 @@
         }
     }
 
-    /// Returns when the last lease that any earlier owner granted to a worker is over, if
-    /// this instance takes over at `now`; both by its own clock, in milliseconds.
+    /// Returns when the last lease that any earlier owner granted to a worker ends, if this
+    /// instance claims the lease at `now`; both by its own clock, in milliseconds.
     pub(crate) fn prior_leases_end(&self, now: u64, jobs: &Settings) -> u64 {
         let Some(lease) = self.lease else {
             return 0;
         };
         let last_owner_end = if lease.released || lease.owner == self.name {
-            // One process runs under a name: the one that held the lease has ended.
+            // Only one process runs under a name, so the previous holder has ended.
             now + lease_upper_bound(jobs.lease)
         } else {
-            // Whatever it still grants reaches no further from its last contact. Without that
-            // the times of renewing and of a lease add up to 12.7 s, and a lasting task may be
-            // away for 10 s.
+            // Worker leases end at a fixed time after the owner's last contact with the store.
+            // Adding the renewal period and the length of a lease instead would give 12.7 s, and a
+            // long-running task may be away for only 10 s.
             (now + MAX_CONTACT_LEAD_MS + lease_upper_bound(jobs.store_grace))
                 .saturating_sub(self.age)
         };
-        // One before it may live on in a zone that is cut off, and renew what runs there.
+        // An owner before the last one may still run in a partitioned zone and renew leases there.
         last_owner_end.max((now + lease.earlier).saturating_sub(self.age))
     }
 }
--- a/crates/node/src/census.rs
+++ b/crates/node/src/census.rs
@@ -1,10 +1,10 @@
-//! How many instances there are.
+//! Counts the instances.
 //!
-//! Each instance announces itself when it starts, and seldom again; the owner of the lease counts
-//! the announcements and tells the numbers with each renewal.
+//! Each instance announces itself in the store when it starts, and every few hours afterwards. The
+//! owner counts the announcements and publishes the counts in each renewal of the lease.
 //!
-//! Limits: an instance that is gone counts for a day. Nothing but how often instances ask the
-//! store follows from the numbers.
+//! Limits: a stopped instance is counted for a day. The counts only decide how often instances read
+//! the lease.
 
 use std::time::Duration;
 
@@ -20,41 +20,41 @@
     store::{Row, StoreError, Tx, Write},
 };
 
-/// Instances that start at once announce themselves within this time, in milliseconds: a part of
-/// the store takes some hundred writes a second.
+/// Time over which instances spread their first announcements, in milliseconds. A part of the store
+/// accepts some hundred writes a second, and all instances may start at once.
 const ANNOUNCE_SPREAD_MS: u64 = 10_000;
 
-/// An instance announces itself anew after this long at the most, in milliseconds.
+/// Longest time between announcements of an instance, in milliseconds.
 const ANNOUNCE_PERIOD_MS: u64 = 6 * 3_600_000;
 
-/// An announcement of this age is of an instance that is gone, in milliseconds.
+/// Age after which an announcement expires, in milliseconds.
 const EXPIRY_MS: u64 = 4 * ANNOUNCE_PERIOD_MS;
 
 /// First pause after a failure, in milliseconds.
 const FIRST_PAUSE_MS: u64 = 2000;
 
-/// Longest such pause, in milliseconds.
+/// Longest pause after a failure, in milliseconds.
 const MAX_PAUSE_MS: u64 = 120_000;
 
-/// Time for an answer to a write.
+/// Time limit of a write.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Tells whether an instance with this share of a processor is small beside the largest one.
+/// Returns whether an instance with this CPU share is small compared with the largest one.
 pub(crate) fn is_small(share: u64, largest: u64) -> bool {
     share * 2 < largest
 }
 
-/// The numbers of instances.
+/// Counts of instances.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Census {
-    /// Those that are not small.
+    /// Instances that are not small.
     pub(crate) large: u64,
-    /// All.
+    /// All instances.
     pub(crate) all: u64,
 }
 
 impl Census {
-    /// Returns the number of instances that are small, or that are not.
+    /// Returns the number of small instances, or of those that are not.
     pub(crate) fn peers(&self, small: bool) -> u64 {
         match small {
             true => self.all - self.large.min(self.all),
@@ -63,12 +63,12 @@
     }
 }
 
-/// What an instance announces.
+/// An instance's announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct InstanceRow {
-    /// Its share of a processor, in thousandths.
+    /// The instance's CPU share, in thousandths.
     pub(crate) share: u64,
-    /// When it announced itself, in milliseconds since 1970.
+    /// Time of the announcement, in milliseconds since the Unix epoch.
     pub(crate) at: u64,
 }
 
@@ -84,7 +84,7 @@
                 rng.random_range(ANNOUNCE_PERIOD_MS / 2..ANNOUNCE_PERIOD_MS)
             }
             Err(err) => {
-                log::debug!(err = err.to_string().as_str(); "census: not announced");
+                log::debug!(err = err.to_string().as_str(); "census: announcement failed");
                 backoff.next_delay()
             }
         };
@@ -111,16 +111,16 @@
         .map(drop)
 }
 
-/// The announcements as an owner follows them.
+/// The announcements that the owner has read.
 #[derive(Debug, Default)]
 pub(crate) struct InstanceRegistry {
-    /// Instances by name.
+    /// Announcements by the instances' names, sorted.
     rows: Vec<(String, InstanceRow)>,
 }
 
 impl InstanceRegistry {
-    /// Takes rows that were read or changed; returns the names of those that have expired at
-    /// `now`, in milliseconds since 1970.
+    /// Applies rows that were read or changed. Returns the names of instances whose announcements
+    /// have expired at `now`, in milliseconds since the Unix epoch.
     pub(crate) fn apply(&mut self, shared: &Shared, rows: &[Row], now: u64) -> Vec<String> {
         let mut expired = Vec::new();
         for row in rows {
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,33 +1,33 @@
-//! The configuration that operators write.
+//! The configuration written by operators.
 
 use std::sync::Arc;
 
 use gorsespur_jobs::QueuePolicy;
 
-/// A queue and how requests find it.
+/// A queue and the requests that belong to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Queue {
-    /// Its policy.
+    /// Policy.
     pub policy: QueuePolicy,
-    /// Host of its requests.
+    /// Host of the requests.
     pub host: Arc<str>,
-    /// First part of their paths.
+    /// Prefix of the requests' paths.
     pub prefix: Arc<str>,
 }
 
 /// Limits on callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FrontLimits {
-    /// Bytes of a head.
+    /// Largest head, in bytes.
     pub head: usize,
-    /// Bytes of a body.
+    /// Largest body, in bytes.
     pub body: usize,
 }
 
-/// The configuration, whole.
+/// The whole configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Its version; it only grows.
+    /// Version; only increases.
     pub version: u64,
     /// The queues.
     pub queues: Vec<Queue>,
@@ -36,7 +36,8 @@
 }
 
 impl Config {
-    /// Returns the queue of a request: the longest prefix of its path on its host.
+    /// Returns the queue of a request: of those on its host, the one with the longest matching
+    /// prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<&Queue> {
         let host = host.split(':').next().unwrap_or(host);
         let fit = |q: &&Queue| q.host.eq_ignore_ascii_case(host) && path.starts_with(&*q.prefix);
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration.
+//! Follows the configuration and the evacuated zones in the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,21 +14,21 @@
 /// First pause after a failure, in milliseconds.
 const FIRST_PAUSE_MS: u64 = 100;
 
-/// Longest such pause, in milliseconds: a store that refuses hundreds of instances is not to be
-/// asked by each of them ten times a second, and is found to answer again within a second.
+/// Longest pause after a failure, in milliseconds. A store that refuses hundreds of instances must
+/// not be called ten times a second by each, and its recovery is noticed within a second.
 const MAX_PAUSE_MS: u64 = 1000;
 
-/// Puts the newest configuration in force for a caller who waits.
+/// Puts the newest configuration in force for a waiting request.
 ///
-/// A configuration may have a megabyte. So none is read whole for a caller: of one that is known
-/// what has changed is asked for, and the first one is read by the thread that follows it. Read
-/// for each caller by each of 35 instances that had just started, it took their links for 10 s.
+/// A configuration may have a megabyte, so requests do not read it whole: they read its changes,
+/// and fail until the following thread has read the first one. Full reads for each request by 35
+/// instances that had just started filled their links for 10 s.
 pub(crate) fn refresh(shared: &Shared) -> Result<(), StoreError> {
     let (table, _) = shared.protocol.config_row();
     let after = shared
         .config_known()
         .ok_or_else(|| StoreError::Unavailable {
-            reason: "the configuration is not read yet".into(),
+            reason: "the configuration has not been read yet".into(),
         })?;
     match changes(shared, Duty::Callers, table, after, Duration::ZERO) {
         Err(StoreError::Compacted) => read_anew(shared),
@@ -36,10 +36,10 @@
     }
 }
 
-/// Reads the configuration whole, if no other caller does.
+/// Reads the whole configuration, unless another request is reading it.
 fn read_anew(shared: &Shared) -> Result<(), StoreError> {
     let busy = |_| StoreError::Unavailable {
-        reason: "the configuration is read already".into(),
+        reason: "another request is reading the configuration".into(),
     };
     let _reading = shared.config_read.try_lock().map_err(busy)?;
     refresh_at(shared, Duty::Callers).map(drop)
@@ -90,8 +90,8 @@
     }
 }
 
-/// Returns how long a question waits: not at all while the store is lost, so that it is found to
-/// answer as soon as it does.
+/// Returns the wait of a long poll: zero while the store is lost, so that its recovery is noticed
+/// at once.
 fn wait(shared: &Shared) -> Duration {
     match shared.is_store_lost() {
         true => Duration::ZERO,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Reads the configuration and the evacuated zones, whole; returns the store's version.
+/// Reads the whole configuration and all evacuated zones; returns the store's version.
 pub(crate) fn refresh_at(shared: &Shared, duty: Duty) -> Result<u64, StoreError> {
     let (table, _) = shared.protocol.config_row();
     let page = shared.store(duty).read_all(table, "")?;
@@ -143,7 +143,7 @@
     Ok(changes.version)
 }
 
-/// Returns the zone that a row asks to be evacuated; one that can't be read asks for nothing.
+/// Returns the zone that a row evacuates; `None` if it evacuates none or can't be read.
 fn evacuation(shared: &Shared, row: &Row) -> Option<Arc<str>> {
     match shared.protocol.evacuation(row) {
         Ok(zone) => zone,
--- a/crates/node/src/follow_turns.rs
+++ b/crates/node/src/follow_turns.rs
@@ -1,45 +1,45 @@
-//! Which instances follow the lease, and which rest.
+//! Limits how many instances follow the lease at a time.
 //!
-//! The load pattern that this answers: hundreds of instances, each of which may take the lease. A
-//! renewal answers every question that waits, so that the calls to the store grow with those that
-//! follow it. A few notice a missing renewal as soon as all would. They take turns, so that nothing
-//! depends on who is alive: an instance follows for a while, rests by chance, and as many begin as
-//! end.
+//! Each of hundreds of instances may claim the lease. A renewal answers every pending long poll, so
+//! that calls to the store grow with the number of followers, while a few followers notice a
+//! missing renewal as soon as all would. Instances take turns, so that nothing depends on which of
+//! them are alive: each follows for a while and rests for a random time, and on average as many
+//! begin as end.
 //!
-//! Limits: it takes the number of instances from the owner; until that is known all follow. Where
-//! all that follow are lost together with the owner, others begin within half a second.
+//! Limits: the number of instances comes from the owner; until it is known, all follow. If all
+//! followers are lost together with the owner, others begin to follow within half a second.
 
-/// Instances of a size that follow at a time, on average.
+/// Average number of followers per size class.
 const TARGET_FOLLOWERS: u64 = 12;
 
-/// An instance follows for this long, in milliseconds.
+/// Shortest length of a turn, in milliseconds.
 const TURN_MS: u64 = 2000;
 
 /// Longest rest, in milliseconds.
 const MAX_REST_MS: u64 = 120_000;
 
-/// The turn of an instance.
+/// A period in which an instance follows the lease.
 #[derive(Debug)]
 pub(crate) struct FollowTurn {
     started_at: u64,
 }
 
 impl FollowTurn {
-    /// Begins a turn.
+    /// Begins a turn at `now`.
     pub(crate) fn new(now: u64) -> FollowTurn {
         FollowTurn { started_at: now }
     }
 
-    /// Returns for how long the instance has followed the lease without a rest, in milliseconds.
+    /// Returns the time for which the instance has followed the lease, in milliseconds.
     pub(crate) fn followed_ms(&self, now: u64) -> u64 {
         now - self.started_at
     }
 
-    /// Returns for how long the instance rests from now on, in milliseconds, where there are
-    /// `count` of its size; nothing while its turn lasts. `chance` is a random number from 0 to 1.
+    /// Returns the length of the rest that begins now, in milliseconds, for `count` instances in
+    /// the size class; `None` while the turn lasts. `chance` is a random number from 0 to 1.
     ///
-    /// Rests have no memory, so that instances that start at the same moment do not go on
-    /// together.
+    /// Rests are exponentially distributed and so memoryless: instances that start together do not
+    /// stay in step.
     pub(crate) fn rest_ms(&self, now: u64, count: u64, chance: f64) -> Option<u64> {
         if count <= TARGET_FOLLOWERS || self.followed_ms(now) < TURN_MS {
             return None;
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -1,8 +1,8 @@
-//! Callers' requests: jobs are handed in, asked after and cancelled.
+//! The job API: submits jobs, returns their states and cancels them.
 //!
-//! Each answer rests on the store and is given at once: a job that the store
-//! certainly did not take is refused, one of which that is not known is answered
-//! as unclear, so that its caller sends it again.
+//! Every response is based on the store and sent without delay. A job that the store certainly did
+//! not accept is refused; if the result of the write is unknown, the response says so and the
+//! caller resubmits the job, which is idempotent.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,37 +21,35 @@
     store::{Expect, StoreError, Tx, Write},
 };
 
-/// Seconds after which a refused caller may come back: most refusals come from a
-/// store that is away for seconds.
+/// Value of `retry-after` in seconds. Most refusals are due to store outages that last for seconds.
 const RETRY_AFTER_S: &str = "1";
 
-/// Share of a caller's patience, in percent, after which an unclear write is
-/// answered as unclear.
+/// Share of a caller's timeout that is spent on a write before its result is reported as unclear.
 const WRITE_TIMEOUT_PERCENT: u64 = 40;
 
-/// Least time for an answer of the store, in milliseconds.
+/// Shortest time limit of a write, in milliseconds.
 const MIN_WRITE_TIMEOUT_MS: u64 = 100;
 
-/// Patience of a caller that tells none, in milliseconds.
+/// Timeout of a caller whose request states none, in milliseconds.
 const DEFAULT_CALLER_TIMEOUT_MS: u64 = 3000;
 
-/// Pause before a refused write is tried again, once.
+/// Pause before the only retry of a refused write.
 const REFUSED_RETRY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Pause before an unclear write is sent again.
+/// Pause before a write with an unknown result is repeated.
 const UNCLEAR_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// What the store did with a write.
+/// Result of a write.
 enum WriteResult {
-    /// It is there, by this write or an earlier one.
+    /// The row exists, from this write or an earlier one.
     Done,
-    /// Certainly not.
+    /// The write certainly had no effect.
     Refused(StoreError),
-    /// It can't be told.
+    /// The result is unknown.
     Unclear,
 }
 
-/// Answers callers.
+/// Handler of the job API.
 pub(crate) struct Front {
     pub(crate) shared: Arc<Shared>,
 }
@@ -59,7 +57,7 @@
 impl Handler for Front {
     fn handle(&self, request: Request) -> Option<Response> {
         let start = self.shared.clock.now();
-        // Every answer rests on the store: while that is silent only one caller waits.
+        // Every response needs the store: while the store is lost, only one request waits for it.
         let permit = self.shared.store_permit();
         let response = match permit {
             Some(_) => self.route(&request, start),
@@ -86,7 +84,7 @@
             Ok(Some(queue)) => queue,
             Ok(None) => return self.no_queue(),
             Err(err) => {
-                log::warn!(err = err.to_string().as_str(); "config: not refreshed");
+                log::warn!(err = err.to_string().as_str(); "config: refresh failed");
                 return self.refuse();
             }
         };
@@ -105,8 +103,8 @@
         }
     }
 
-    /// Finds the queue; before a caller is told that there is none, it is asked whether the
-    /// configuration has changed.
+    /// Returns the queue of a request. The configuration is refreshed before a queue is reported as
+    /// missing.
     fn queue(&self, host: &str, path: &str) -> Result<Option<Queue>, StoreError> {
         let find = || self.shared.config()?.find(host, path).cloned();
         let fresh = !self.shared.is_store_silent();
@@ -141,7 +139,7 @@
             }
         };
         if let Err(err) = spec.validate() {
-            log::info!(job = id.to_string().as_str(), err = err.to_string().as_str(); "front: job refused");
+            log::info!(job = id.to_string().as_str(), err = err.to_string().as_str(); "front: invalid job");
             return Response::new(400, Vec::new());
         }
         let job = Job {
@@ -176,14 +174,13 @@
                 self.refuse()
             }
             WriteResult::Unclear => {
-                log::warn!(job = id.to_string().as_str(); "front: unclear whether job is taken");
+                log::warn!(job = id.to_string().as_str(); "front: unknown whether the job was accepted");
                 self.unclear()
             }
         }
     }
 
-    /// Runs an idempotent write until its effect is known or the caller has
-    /// waited long enough.
+    /// Repeats an idempotent write until its result is known or the caller's time is used up.
     fn write(&self, tx: &Tx, request: &Request, start: u64) -> WriteResult {
         let caller_timeout = self.shared.protocol.caller_timeout(request);
         let deadline = start
@@ -199,7 +196,7 @@
                     return WriteResult::Done;
                 }
                 Err(err @ StoreError::Unknown { .. }) => {
-                    log::debug!(err = err.to_string().as_str(); "front: write unclear");
+                    log::debug!(err = err.to_string().as_str(); "front: result of a write is unknown");
                     unclear = true;
                     self.shared.record_store_failure();
                     std::thread::sleep(UNCLEAR_RETRY_PAUSE);
@@ -217,7 +214,7 @@
         }
     }
 
-    /// Reads what became of a job; nothing if it was never accepted.
+    /// Reads the state of a job; `None` if it was never accepted.
     fn outcome(&self, id: JobId) -> Result<Option<Outcome>, StoreError> {
         let store = self.shared.store(Duty::Callers);
         let row = store.read_one(RECORDS, OWNER_PART, &id.to_string())?;
@@ -286,7 +283,7 @@
     }
 
     fn store_failed(&self, err: &StoreError) -> Response {
-        log::warn!(err = err.to_string().as_str(); "front: store failed");
+        log::warn!(err = err.to_string().as_str(); "front: call to the store failed");
         self.shared.record_store_failure();
         self.shared.metrics.count(Count::StoreErrors);
         self.refuse()
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -1,7 +1,7 @@
-//! Watches the lease, and takes it when its owner has given it up or is gone.
+//! Watches the lease, and claims it when its owner has released it or failed to renew it.
 //!
-//! Taking it too early costs the work of a takeover and no more: the old owner's
-//! next write fails, and workers refuse its lower epoch.
+//! An early claim costs only the work of a takeover: the previous owner's next write fails, and
+//! workers refuse its lower epoch.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,38 +20,37 @@
     store::{Commit, Expect, Row, StoreError, Tx, Write},
 };
 
-/// How long one question for changes waits at most: an instance that may take the
-/// lease sooner asks again just then, lest a small one asks before a large one.
+/// Longest long poll for changes of the lease, in milliseconds. A poll also ends when this instance
+/// may claim the lease, so that a small instance does not poll again before a large one.
 const MAX_WAIT_MS: u64 = 600;
 
-/// How long one question waits at least, in milliseconds: a lease is not taken
-/// before the store was asked.
+/// Shortest such long poll, in milliseconds: the store is always read before a claim.
 const MIN_WAIT_MS: u64 = 10;
 
-/// Time for an answer to a claim, as for writes of the journal.
+/// Time limit of a claim, the same as for writes of the journal.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// First pause after a failure, in milliseconds.
+/// First pause after a failed read, in milliseconds.
 const FIRST_PAUSE_MS: u64 = 150;
 
-/// Longest such pause, in milliseconds: a lease whose owner was lost with the store is taken soon
-/// after that answers again.
+/// Longest pause after a failed read, in milliseconds. It bounds the delay of a takeover if the
+/// owner was lost together with the store.
 const MAX_PAUSE_MS: u64 = 600;
 
-/// Pause after a claim that failed: a slow store refuses claims while more than a second of
-/// writes waits, and each one more makes the others wait longer.
+/// Pause after a failed claim. A slow store refuses claims while it has more than a second of
+/// queued writes, and each further claim delays the others.
 const CLAIM_PAUSE: Duration = Duration::from_millis(1000);
 
-/// The lease as it was last seen.
+/// The lease as last read from the store.
 #[derive(Debug, Clone)]
 pub(crate) struct ObservedLease {
     row: Option<Row>,
     lease: LeaseRow,
-    /// When this version was first seen.
+    /// When this version of the row was first read, in milliseconds.
     pub(crate) version_since: u64,
-    /// When its epoch was first seen.
+    /// When its epoch was first read, in milliseconds.
     epoch_since: u64,
-    /// The store's version up to which changes are known.
+    /// Store version up to which changes have been read.
     version: u64,
 }
 
@@ -74,16 +73,16 @@
     }
 }
 
-/// What is an instance's own in a contest for the lease.
+/// The timing of an instance that watches the lease.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct FollowTiming {
-    /// For how long it has followed the lease without a rest, in milliseconds.
+    /// Time for which it has followed the lease without a rest, in milliseconds.
     pub(crate) followed_ms: u64,
-    /// A delay by chance, in milliseconds.
+    /// Random delay of a claim, in milliseconds.
     pub(crate) jitter: u64,
 }
 
-/// Watches until cancelled; while this instance owns the lease, it decides.
+/// Watches the lease until cancelled, and runs the owner while this instance holds it.
 pub(crate) fn watch(shared: &Arc<Shared>, cancel: &CancelToken) {
     let mut watch = LeaseWatch::default();
     let mut rng = rand::rng();
@@ -98,7 +97,7 @@
         let seen = match watch.refresh(shared, timing(&turn)) {
             Ok(seen) => seen,
             Err(err) => {
-                log::debug!(err = err.to_string().as_str(); "lease: not seen");
+                log::debug!(err = err.to_string().as_str(); "lease: read failed");
                 shared.record_store_failure();
                 cancel.wait(Duration::from_millis(backoff.next_delay()));
                 continue;
@@ -134,17 +133,17 @@
     }
 }
 
-/// What an instance that watches the lease remembers.
+/// State of an instance that watches the lease.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseWatch {
-    /// The lease as it was last seen. It outlasts failures of the store and of claims: seen
-    /// anew, its age would begin anew, and with it the wait for its owner's leases. Only an
-    /// answer of the store lets it be claimed.
+    /// The last lease read. It is kept when the store or a claim fails: reading it afresh would
+    /// reset its age, and with it the wait for the end of the previous owner's worker leases. A
+    /// claim still needs a successful read first.
     seen: Option<ObservedLease>,
 }
 
 impl LeaseWatch {
-    /// Asks for changes of the lease, and returns it as it is now.
+    /// Waits for changes of the lease, and returns its current state.
     pub(crate) fn refresh(
         &mut self,
         shared: &Shared,
@@ -220,9 +219,11 @@
     })
 }
 
-/// Reads the lease's row; if that can't be read, what the journal's end tells of it.
+/// Decodes the lease's row. If the row is malformed, the epoch is taken from the head of the
+/// journal.
 ///
-/// It is not taken for no lease: epochs would begin anew, and workers refuse lower ones.
+/// A malformed row does not count as a missing lease: epochs would restart from 1, and workers
+/// refuse lower ones.
 fn read_lease(shared: &Shared, row: Option<&Row>) -> Result<LeaseRow, StoreError> {
     let Some(row) = row.filter(|r| !r.removed) else {
         return Ok(LeaseRow::default());
@@ -236,7 +237,7 @@
         .read_one(JOURNAL, OWNER_PART, HEAD_KEY)?;
     let head: Option<HeadRow> = head.and_then(|r| decode("head", &r.value));
     let head = head.ok_or_else(|| StoreError::Malformed {
-        reason: "lease and journal's end".into(),
+        reason: "lease and head of the journal".into(),
     })?;
     Ok(LeaseRow {
         epoch: head.epoch,
@@ -244,7 +245,7 @@
     })
 }
 
-/// Tries to become the owner; nothing if another was faster.
+/// Tries to become the owner; returns `None` if another instance was faster.
 pub(crate) fn claim(
     shared: &Arc<Shared>,
     seen: &ObservedLease,
@@ -294,7 +295,7 @@
         Err(err) => return Err(err),
     };
     let Some(version) = done else {
-        log::info!(epoch; "lease: another instance was faster");
+        log::info!(epoch; "lease: another instance claimed it first");
         return Ok(None);
     };
     log::info!(epoch, from = seen.lease.owner.as_str(), released = seen.lease.released, age_ms = asked_at - seen.version_since, leases_ms = prior_leases_end.saturating_sub(asked_at); "lease: taken");
@@ -311,7 +312,7 @@
     }))
 }
 
-/// After a lost answer: the version of our claim, if it was done.
+/// Returns the version of this instance's claim if it took effect although its answer was lost.
 fn find_claim(shared: &Shared, lease: &LeaseRow) -> Result<Option<u64>, StoreError> {
     let row = shared
         .store(Duty::Lease)
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,23 +1,23 @@
-//! One instance: it takes jobs, answers for them, and schedules them while it
-//! holds the lease.
+//! A node: one instance of the scheduler, which serves the job API and, while it holds the lease,
+//! schedules all jobs.
 //!
-//! All instances are alike and keep nothing. What must last is in the store, and
-//! each answer rests on a row there:
+//! All instances run the same code and keep no state of their own. Durable state is in the store,
+//! and each response is based on a row there:
 //!
-//! | fact | row | made true by |
+//! | fact | row | written by |
 //! |---|---|---|
 //! | a job is accepted | `jobs`/hash/ID | a write on condition that the row is absent |
-//! | a job is cancelled | `jobs`/hash/ID.c | a write |
-//! | what became of a job | `records`/all/ID | the owner's journal |
+//! | a job is cancelled | `jobs`/hash/ID.c | an unconditional write |
+//! | the state of a job | `records`/all/ID | the owner's journal |
 //! | which tasks run, and which are done | `log`/all/EPOCH.NUMBER.INDEX | the owner's journal |
-//! | who decides | `lease`/all/owner | a write on condition of the version seen |
-//! | the journal's end | `journal`/all/head | each write of the journal, and a takeover |
+//! | which instance is the owner | `lease`/all/owner | a write on condition of the version seen |
+//! | the head of the journal | `journal`/all/head | each write of the journal, and a takeover |
 //!
-//! One instance owns the lease and decides about all jobs; a takeover moves the
-//! journal's head, so that the old owner's next write fails, and raises the epoch
-//! that workers check. Instances exchange no messages: they meet in the store.
+//! One instance owns the lease and decides about all jobs. A takeover replaces the head of the
+//! journal, so that the previous owner's next write fails, and raises the epoch that workers
+//! check. Instances exchange no messages; they communicate through the store only.
 //!
-//! Limits: the owner's processor bounds the starts a second; see docs/CAPACITY.md.
+//! Limits: the owner's CPU bounds the number of starts per second; see docs/CAPACITY.md.
 
 mod candidate;
 #[cfg(test)]
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -1,4 +1,4 @@
-//! Structured logs on standard output: one JSON object a line, never blocking.
+//! Structured logging to standard output: one JSON object per line, never blocking the caller.
 
 use std::{
     fmt,
@@ -17,16 +17,16 @@
     kv::{Error, Key, Value, VisitSource},
 };
 
-/// Lines that may wait to be written; more are dropped and counted.
+/// Limit on queued lines; further lines are dropped and counted.
 const MAX_QUEUED_LINES: usize = 4096;
 
-/// Bytes of a usual line.
+/// Initial capacity of a line, in bytes.
 const LINE_BYTES: usize = 256;
 
-/// Lines are written together this often, to save system calls.
+/// Period of writes; lines are written in batches to save system calls.
 const WRITE_PERIOD: Duration = Duration::from_millis(50);
 
-/// Takes formatted lines and passes them to the thread that writes.
+/// Passes formatted lines to the thread that writes them.
 #[derive(Debug)]
 struct LineQueue {
     lines: flume::Sender<Vec<u8>>,
@@ -51,12 +51,12 @@
     }
 }
 
-/// Writes a line's fields as members of a JSON object, without a tree in between: an
-/// owner writes thousands of lines a second.
+/// Writes a line's fields as members of a JSON object, without building a tree: the owner writes
+/// thousands of lines a second.
 pub(crate) struct Fields(String);
 
 impl Fields {
-    /// Begins a line with what every line has.
+    /// Begins a line with the fields that every line has.
     pub(crate) fn begin(ms: u64, level: &str, node: &str, msg: &str) -> Fields {
         let mut fields = Fields(String::with_capacity(LINE_BYTES));
         fields.plain("ms", ms);
@@ -90,7 +90,7 @@
 
     fn quote(&mut self, text: &str) {
         if text.bytes().any(|b| b < b' ' || b == b'"' || b == b'\\') {
-            // A text can always be written.
+            // Encoding a string can't fail.
             let quoted = serde_json::to_string(text).unwrap_or_default();
             return self.0.push_str(&quoted);
         }
@@ -116,8 +116,8 @@
     }
 }
 
-/// Returns the name of a line's own field: none of those that every line has, since an object
-/// with one name twice can't be read.
+/// Renames a line's own field if its name is one of those that every line has, since JSON objects
+/// with duplicate names can't be parsed.
 fn own_key(key: &str) -> &str {
     match key {
         "ms" => "took_ms",
@@ -171,7 +171,7 @@
                 format!("{{\"level\":\"WARN\",\"msg\":\"log: lines dropped\",\"count\":{lost}}}\n");
             bytes.extend_from_slice(note.as_bytes());
         }
-        // Nobody reads the output: there is nowhere to say so.
+        // If standard output fails, there is nowhere to report it.
         let _ = out.write_all(&bytes).and_then(|()| out.flush());
     }
 }
--- a/crates/node/src/long_poll.rs
+++ b/crates/node/src/long_poll.rs
@@ -1,36 +1,36 @@
-//! How long questions for changes wait at the store.
+//! Waiting times of long polls for changes in the store.
 //!
-//! The load pattern that this answers: hundreds of instances, of which nearly all have nothing to
-//! do but to learn of changes. A change answers every question that waits, so that long ones cost
-//! few calls and delay nothing. Connections to a store that can't be reached end by themselves.
+//! Hundreds of instances follow changes, and nearly all of them are idle otherwise. A change
+//! answers every pending long poll at once, so that long waits cost few calls and delay nothing.
+//! Connections to an unreachable store end by their own timeouts.
 //!
-//! Limits: an answer may be lost, and a connection may go silent for good. The question that
-//! follows then has to learn of a change in time, so that the time for that bounds the wait.
+//! Limits: an answer may be lost, and a connection may stop delivering without an error. The next
+//! long poll then has to learn of the change in time, which bounds the wait.
 
 use std::time::Duration;
 
-/// Of the time in which a change has to be in force, this much is kept for giving up a question
-/// that is not answered, asking anew and reading the answer.
+/// Part of the time limit for applying a change that is reserved for abandoning an unanswered long
+/// poll, repeating it and reading its answer.
 const APPLY_RESERVE: Duration = Duration::from_millis(1500);
 
-/// Shortest wait: each question is a call.
+/// Shortest wait; each long poll is a call to the store.
 const MIN_WAIT: Duration = Duration::from_millis(1000);
 
-/// Longest wait that the store takes, less what its answer may take.
+/// Longest wait that the store accepts, less the time for its answer.
 const MAX_WAIT: Duration = Duration::from_secs(25);
 
-/// Time for the answer to a question that has waited: a store at a sixtieth of its speed takes a
-/// quarter of a second.
+/// Time for the answer after the wait; a store at a sixtieth of its speed takes a quarter of a
+/// second.
 const ANSWER_TIME: Duration = Duration::from_millis(400);
 
-/// Returns how long a question for changes that have to be in force within `apply` waits.
+/// Returns the wait of long polls for changes that have to be in force within `apply`.
 pub(crate) fn wait(apply: Duration) -> Duration {
     apply
         .saturating_sub(APPLY_RESERVE)
         .clamp(MIN_WAIT, MAX_WAIT)
 }
 
-/// Returns for how long nothing may come from a store that is asked such questions and answers.
+/// Returns the longest silence of a reachable store that is called with such long polls.
 pub(crate) fn max_silence(wait: Duration) -> Duration {
     wait + ANSWER_TIME
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -12,32 +12,32 @@
 use gorsespur_jobs::Stats;
 use hdrhistogram::Histogram;
 
-/// Digits that histograms keep.
+/// Significant decimal digits of histograms.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Longest time a histogram tells apart, in milliseconds.
+/// Longest time that a histogram records, in milliseconds.
 const MAX_RECORDED_MS: u64 = 120_000;
 
-/// Events that are counted.
+/// Counted events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Count {
     /// Jobs accepted.
     Accepted,
-    /// Jobs refused since the store did not take them.
+    /// Requests refused because the store was not available.
     Refused,
-    /// Requests whose effect could not be told to their caller.
+    /// Requests whose effect is unknown.
     Unclear,
-    /// Requests for which there is no queue or job.
+    /// Requests to unknown queues.
     Missing,
-    /// Cancellations taken.
+    /// Cancellations accepted.
     Cancelled,
-    /// Times this instance became the owner.
+    /// Takeovers: times that this instance became the owner.
     Takeovers,
     /// Calls to the store that failed.
     StoreErrors,
-    /// Wake-ups of the owner that came late.
+    /// Late wake-ups of the owner's decision loop.
     LateTurns,
-    /// Rows that could not be read.
+    /// Malformed rows.
     BadRows,
 }
 
@@ -54,22 +54,22 @@
     "bad_rows",
 ];
 
-/// What calls to the store are for.
+/// Purposes of calls to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Duty {
-    /// Requests of callers.
+    /// Requests to the job API.
     Callers,
     /// Following the configuration.
     Config,
     /// Watching and claiming the lease.
     Lease,
-    /// Reading all jobs after a takeover.
+    /// Reading the state after a takeover.
     Takeover,
-    /// The owner's writes.
+    /// Writing the journal.
     Journal,
-    /// The owner follows accepted jobs.
+    /// Following accepted jobs, by the owner.
     Jobs,
-    /// The owner follows the workers' announcements.
+    /// Following the workers' announcements, by the owner.
     Workers,
     /// Announcing and counting instances.
     Census,
@@ -87,14 +87,14 @@
     /// Calls to the store, by duty.
     traffic: [Traffic; DUTIES.len()],
     accept_ms: Mutex<Histogram<u32>>,
-    /// What the owner counted; of its last time as the owner.
+    /// Statistics of this instance's current or last time as the owner.
     owner_stats: Mutex<Stats>,
 }
 
 impl Default for Metrics {
     fn default() -> Metrics {
         let histogram = Histogram::new_with_max(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
-        // The bounds are constants that the library takes.
+        // The bounds are constants that the library accepts.
         let accept_ms =
             histogram.unwrap_or_else(|_| Histogram::new(SIGNIFICANT_DIGITS).expect("two digits"));
         Metrics {
@@ -112,12 +112,12 @@
         self.counts[count as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns where calls of a duty to the store are counted.
+    /// Returns the counters of calls to the store under `duty`.
     pub(crate) fn traffic(&self, duty: Duty) -> &Traffic {
         &self.traffic[duty as usize]
     }
 
-    /// Records how long it took to accept a job, in milliseconds.
+    /// Records the time that it took to accept a job, in milliseconds.
     pub(crate) fn record_accepted(&self, ms: u64) {
         self.count(Count::Accepted);
         let mut accept_ms = self
@@ -127,7 +127,7 @@
         accept_ms.saturating_record(ms);
     }
 
-    /// Takes over what the owner has counted.
+    /// Sets the owner's statistics.
     pub(crate) fn set_owner_stats(&self, stats: Stats) {
         *self
             .owner_stats
@@ -135,7 +135,7 @@
             .unwrap_or_else(PoisonError::into_inner) = stats;
     }
 
-    /// Returns all as text, one figure a line.
+    /// Returns all metrics as text, one per line.
     pub(crate) fn text(&self) -> String {
         let mut out = String::new();
         for (name, count) in NAMES.iter().zip(&self.counts) {
--- a/crates/node/src/owner/census.rs
+++ b/crates/node/src/owner/census.rs
@@ -1,4 +1,4 @@
-//! The owner counts the instances.
+//! Counts the instances, by the owner.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,21 +12,21 @@
     store::{StoreError, Tx},
 };
 
-/// Pause between questions: instances that start at once are one change and not hundreds, and
-/// the thread ends when it is told to.
+/// Pause between reads. Instances that start at once become one change instead of hundreds, and the
+/// pause ends when the thread is cancelled.
 const READ_PAUSE: Duration = Duration::from_secs(3);
 
-/// Time for an answer to a write.
+/// Time limit of a write.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Rows that one transaction removes at most.
+/// Limit on removed rows per transaction.
 const MAX_REMOVED: usize = 100;
 
 /// Follows the announcements of instances until cancelled.
 pub(crate) fn count(shared: &Arc<Shared>, cancel: &CancelToken) {
     let mut registry = InstanceRegistry::default();
     let mut version = None;
-    // An owner has more urgent things to read at first.
+    // Waits first, since a new owner has more urgent rows to read.
     while !cancel.wait(READ_PAUSE) {
         let step = match version {
             None => list(shared, &mut registry),
@@ -35,7 +35,7 @@
         match step {
             Ok(next) => version = Some(next),
             Err(err) => {
-                log::debug!(err = err.to_string().as_str(); "census: not counted");
+                log::debug!(err = err.to_string().as_str(); "census: count failed");
                 version = version.filter(|_| err != StoreError::Compacted);
             }
         }
@@ -50,7 +50,7 @@
     let mut expired = registry.apply(shared, &page.rows, wall_ms());
     expired.truncate(MAX_REMOVED);
     if !expired.is_empty() {
-        log::info!(count = expired.len(); "census: instances are gone");
+        log::info!(count = expired.len(); "census: removing expired instances");
         let tx = Tx {
             part: INSTANCES_PART.into(),
             removes: expired.into_iter().map(|key| (INSTANCES, key)).collect(),
@@ -65,7 +65,7 @@
     let changes = shared
         .store(Duty::Census)
         .changes(INSTANCES, after, Duration::ZERO)?;
-    // Those that have expired are removed by the next owner.
+    // Expired announcements are removed by the next owner.
     registry.apply(shared, &changes.rows, wall_ms());
     Ok(changes.version)
 }
--- a/crates/node/src/owner/connections.rs
+++ b/crates/node/src/owner/connections.rs
@@ -1,4 +1,4 @@
-//! The connections to the workers.
+//! The connections to all workers, and the orders sent on them.
 
 use std::{
     cmp::Reverse,
@@ -14,21 +14,21 @@
 use super::worker_connections::{Call, CallDeadline, QueuedOrder, SLOTS, WorkerConnections};
 use crate::{protocol::Order, shared::Shared};
 
-/// Time for an answer beyond what the worker is asked to wait, in milliseconds.
-/// A look may wait longer, since nothing hangs on it alone.
+/// Time limit of a poll beyond the wait requested of the worker, in milliseconds. Longer than for
+/// orders, since little depends on a single poll.
 const POLL_MARGIN_MS: u64 = 900;
 
-/// Time for an answer to an order, in milliseconds. Workers answer within 5; one
-/// that does not may still carry the order out, which then has to be found out.
+/// Time limit of an order, in milliseconds. Workers answer within 5 ms; one that does not may still
+/// carry the order out, which later polls have to find out.
 const ORDER_TIMEOUT_MS: u64 = 700;
 
-/// Time for an answer that may have been held up with the process itself, in
-/// milliseconds: some twenty times what a worker takes to answer.
+/// Extension of a call's deadline after a late wake-up, in milliseconds: some twenty times what a
+/// worker takes to answer.
 const LATE_GRACE_MS: u64 = 100;
 
-/// A start that has waited for a connection for this long is taken back, in milliseconds.
-/// What it was decided on is old by then: its worker may have said that it leaves, after
-/// which a start is allowed for two seconds on the users' smallest bound.
+/// Longest wait of a start for a connection, in milliseconds; after it the start is withdrawn. The
+/// decision is outdated by then: the worker may have announced that it leaves, and users allow
+/// starts for at most two seconds after that.
 const MAX_START_WAIT_MS: u64 = 500;
 
 /// The connections to all workers.
@@ -37,10 +37,10 @@
     shared: Arc<Shared>,
     epoch: u64,
     workers: Vec<Option<WorkerConnections>>,
-    /// Limits of the calls, the next one first: with 1,100 workers a tenth of an owner's
-    /// time went into looking at every connection.
+    /// Deadlines of the calls, the earliest first. Checking every connection instead took a tenth
+    /// of the owner's time with 1,100 workers.
     deadlines: BinaryHeap<Reverse<CallDeadline>>,
-    /// What came of orders, with the worker and the time they were sent.
+    /// Results of orders, with the worker and the time when they were sent.
     answers: Vec<(u32, u64, Answer)>,
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Returns what came of orders since the last call.
+    /// Returns the results of orders since the last call.
     pub(crate) fn take_answers(&mut self) -> Vec<(u32, u64, Answer)> {
         std::mem::take(&mut self.answers)
     }
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Handles a connection that became ready.
+    /// Handles a connection that has become ready.
     pub(crate) fn on_ready(&mut self, registry: &Registry, token: Token, readiness: Readiness) {
         let (worker, slot) = ((token.0 / SLOTS) as u32, token.0 % SLOTS);
         let Some(Some(connections)) = self.workers.get_mut(worker as usize) else {
@@ -119,12 +119,12 @@
         self.send_next(registry, worker, slot, now);
     }
 
-    /// Gives up what got no answer by its time, once all that had arrived by `read` is
-    /// read; after a late wake-up each call that ran out meanwhile gets [`GRACE`].
+    /// Abandons calls whose deadline has passed, once everything that had arrived by `read` has
+    /// been read. After a late wake-up, each such call first gets [`LATE_GRACE_MS`] once.
     ///
-    /// An owner that took a second to decide gave up calls whose answers lay unread, held
-    /// their workers for silent and started their tasks a second time: 637 tasks on one of
-    /// the days with 1,100 workers.
+    /// Without that, an owner that took a second to decide abandoned calls whose answers were still
+    /// unread, took their workers for silent and started their tasks a second time: 637 tasks on
+    /// one day with 1,100 workers.
     pub(crate) fn expire(&mut self, registry: &Registry, read: u64, late: bool) {
         while let Some(&Reverse(due)) = self.deadlines.peek()
             && due.deadline <= read
@@ -152,14 +152,14 @@
         }
     }
 
-    /// Returns what is asked on a connection.
+    /// Returns the call under way on a connection.
     fn call_mut(&mut self, worker: u32, slot: usize) -> Option<&mut Call> {
         let connections = self.workers.get_mut(worker as usize)?.as_mut()?;
         connections.slots[slot].call.as_mut()
     }
 
-    /// Closes the connections to a worker on which nothing is asked: open ones may
-    /// have gone silent for good, all at once, while new ones work.
+    /// Closes the idle connections to a worker: open ones may all have stopped delivering at once,
+    /// while new ones work.
     fn close_idle(&mut self, registry: &Registry, worker: u32) {
         let Some(Some(connections)) = self.workers.get_mut(worker as usize) else {
             return;
@@ -171,7 +171,8 @@
         }
     }
 
-    /// Closes all connections to a worker that is not needed any more.
+    /// Withdraws the queued starts of a worker that is no longer needed, and closes its connections
+    /// unless a call is under way.
     pub(crate) fn drop_worker(&mut self, registry: &Registry, worker: u32) {
         let Some(connections) = self.workers.get_mut(worker as usize) else {
             return;
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Asks what is queued next on a connection that became free.
+    /// Sends the next queued order on a connection that has become free.
     fn send_next(&mut self, registry: &Registry, worker: u32, slot: usize, now: u64) {
         if slot == 0 {
             return;
@@ -287,7 +288,7 @@
     }
 }
 
-/// Takes back a start that waits for a connection; true if it is one.
+/// Withdraws a queued start; returns whether the order was one.
 fn withdraw_start(
     worker: u32,
     waiting: &QueuedOrder,
@@ -301,8 +302,8 @@
     true
 }
 
-/// Has a look drop no ends of its worker: on a new connection another life may read it, which
-/// counts its ends anew. They are listed once more.
+/// Makes a poll acknowledge no ended runs: on a new connection, another incarnation may receive it,
+/// which counts its ended runs anew. The worker then reports them once more.
 fn keep_ended_runs(order: &mut Order) {
     if let Order::Poll { observed, .. } = order {
         *observed = 0;
--- a/crates/node/src/owner/contents.rs
+++ b/crates/node/src/owner/contents.rs
@@ -1,10 +1,9 @@
-//! Reads what the store holds, after a takeover.
+//! Reads the contents of the store after a takeover.
 //!
-//! The load pattern that this answers: a store that takes a quarter of a second for an answer.
-//! Until all is read nothing is renewed at the workers, and what runs there lapses. So tables and
-//! parts are read side by side.
+//! A slow store takes a quarter of a second for an answer. Until everything is read, no worker
+//! lease is renewed, and runs lapse. So tables and parts are read concurrently.
 //!
-//! Limits: the pages of one part follow each other; a page holds 500 rows.
+//! Limits: the pages of one part are read one after another; a page has at most 500 rows.
 
 use std::thread::{self, Scope, ScopedJoinHandle};
 
@@ -16,35 +15,35 @@
     store::{Page, Row, StoreError},
 };
 
-/// Parts of the jobs that are read at a time.
+/// Number of threads that read parts of the jobs.
 const JOB_READERS: usize = 8;
 
-/// What the store holds.
+/// Contents of the store.
 pub(super) struct StoreContents {
     /// Rows of accepted jobs and of cancellations.
     pub(super) jobs: Vec<Row>,
-    /// The store's version from which changes of these are to be followed.
+    /// Version of the store after which changes of the jobs have to be followed.
     pub(super) version: u64,
     pub(super) records: Vec<Row>,
-    /// The log's rows, the oldest one first.
+    /// Rows of the log, oldest first.
     pub(super) log: Vec<Row>,
     pub(super) workers: WorkerListing,
 }
 
-/// The workers' announcements.
+/// A listing of the workers' announcements.
 pub(super) struct WorkerListing {
     pub(super) page: Page,
-    /// When they were asked for, in milliseconds.
+    /// When the listing was requested, in milliseconds.
     pub(super) asked_at: u64,
 }
 
-/// Rows of several parts, and the version before the first of them was read.
+/// Rows of several parts, and a version from before the first one was read.
 struct JobRows {
     rows: Vec<Row>,
     version: u64,
 }
 
-/// Reads all that an owner has to know.
+/// Reads everything that the owner needs.
 pub(super) fn read_contents(shared: &Shared) -> Result<StoreContents, StoreError> {
     thread::scope(|scope| {
         let workers = spawn(scope, || list_workers(shared))?;
@@ -69,7 +68,7 @@
     Ok(WorkerListing { page, asked_at })
 }
 
-/// Reads the rows of all accepted jobs, and the version before the first read.
+/// Reads the rows of all accepted jobs; also returns a version from before the first read.
 pub(super) fn read_jobs(shared: &Shared) -> Result<(Vec<Row>, u64), StoreError> {
     let parts: Vec<String> = job_parts().collect();
     thread::scope(|scope| {
@@ -110,13 +109,13 @@
     let builder = thread::Builder::new().name("reader".into());
     let spawned = builder.stack_size(STACK_BYTES).spawn_scoped(scope, reader);
     spawned.map_err(|err| StoreError::Unavailable {
-        reason: format!("no thread to read it: {err}"),
+        reason: format!("can't start a reader thread: {err}"),
     })
 }
 
 fn join<T>(reader: ScopedJoinHandle<'_, Result<T, StoreError>>) -> Result<T, StoreError> {
     let failed = |_| StoreError::Unavailable {
-        reason: "the thread that reads it has failed".into(),
+        reason: "a reader thread panicked".into(),
     };
     reader.join().map_err(failed)?
 }
--- a/crates/node/src/owner/decision_loop.rs
+++ b/crates/node/src/owner/decision_loop.rs
@@ -1,4 +1,5 @@
-//! The thread that decides: it waits for answers and inputs, and acts.
+//! The deciding thread: waits for answers of workers and for messages of other threads, and carries
+//! out the machine's actions.
 
 use std::{io, sync::Arc, time::Duration};
 
@@ -15,59 +16,59 @@
 };
 use crate::{config::Config, metrics::Count, protocol::Order, rows::encode, shared::Shared};
 
-/// Longest sleep: times run out within this precision.
+/// Longest sleep, which is the precision of timeouts.
 const MAX_SLEEP: Duration = Duration::from_millis(25);
 
-/// Connections that one question to the system tells of at most.
+/// Capacity for events of one poll of the event loop.
 const EVENTS_PER_POLL: usize = 1024;
 
-/// Such questions in one wake-up at most: each worker has up to five connections, so that
-/// these are read dry with 1,600 workers.
+/// Limit on polls of the event loop per wake-up. Each worker has up to five connections, so that
+/// all are read with 1,600 workers.
 const MAX_POLLS: usize = 8;
 
-/// A wake-up that comes so much later than the last one is late, in milliseconds: the
-/// process was paused or slowed, or deciding took long. Others come each 25.
+/// Time since the last wake-up from which a wake-up counts as late, in milliseconds: the process
+/// was paused or slowed, or deciding took long. Wake-ups normally come at least every 25 ms.
 const LATE_MS: u64 = 250;
 
-/// What lies behind is told this often, in milliseconds.
+/// Period of publishing the pending jobs and statistics, in milliseconds.
 const REPORT_PERIOD_MS: u64 = 300;
 
-/// What was learned is kept this often, in milliseconds: it takes half a minute to learn,
-/// and a row of some 5 KB.
+/// Period of saving the learned estimates, in milliseconds. Learning takes half a minute, and the
+/// row has some 5 KB.
 const LEARNED_PERIOD_MS: u64 = 2000;
 
-/// The state of the thread that decides.
+/// State of the deciding thread.
 pub(crate) struct DecisionLoop {
     shared: Arc<Shared>,
     machine: Machine,
     connections: Connections,
     inbox: Inbox,
     config: Option<Arc<Config>>,
-    /// The evacuated zones that the machine was told; nothing before it was told any.
+    /// The evacuated zones last passed to the machine; `None` before the first time.
     evacuated: Option<Arc<[Arc<str>]>>,
     report_at: u64,
-    /// When what was learned is kept next.
+    /// When the learned estimates are saved next, in milliseconds.
     learned_at: u64,
-    /// When the last wake-up came.
+    /// Time of the last wake-up, in milliseconds.
     last_wake_at: u64,
-    /// For how long the machine had been suspended by then, in milliseconds.
+    /// Time for which the computer had been suspended by then, in milliseconds.
     suspended_ms: u64,
     is_over: bool,
 }
 
-/// What one wake-up found on the connections.
+/// Result of reading the connections in one wake-up.
 #[derive(Debug)]
 struct Wake {
-    /// When it came: what had arrived by then is read.
+    /// Time of the wake-up; everything that had arrived by then is read, unless `is_partial`.
     read_at: u64,
-    /// Whether more may have arrived than was read.
+    /// Whether more events may be pending.
     is_partial: bool,
-    /// Whether it came late.
+    /// Whether the wake-up was late.
     is_late: bool,
 }
 
 impl DecisionLoop {
-    /// Makes the event loop.
+    /// Creates the loop.
     pub(crate) fn new(
         shared: &Arc<Shared>,
         epoch: u64,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Decides until the lease is lost or `cancel` is cancelled.
+    /// Runs until the lease is lost or `cancel` is cancelled.
     pub(crate) fn run(mut self, journal: &Sender<JournalInput>, cancel: &CancelToken) {
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         while !self.is_over && !cancel.is_cancelled() {
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Waits, and reads all that has arrived: only then does silence tell anything.
+    /// Waits for events and reads everything that has arrived: only then does a missing answer mean
+    /// a silent worker.
     fn wake(&mut self, events: &mut Events) -> io::Result<Wake> {
         let mut timeout = MAX_SLEEP;
         let mut wake: Option<Wake> = None;
@@ -135,7 +137,7 @@
         Ok(wake.unwrap_or_else(|| self.record_wake()))
     }
 
-    /// Takes note of a wake-up.
+    /// Records a wake-up, and logs it if it was late.
     fn record_wake(&mut self) -> Wake {
         let read_at = self.shared.clock.now();
         let since = read_at - self.last_wake_at;
@@ -164,7 +166,7 @@
         self.handle_messages(now);
         self.apply_config(now);
         self.apply_evacuated(now);
-        // Sending may fail at once, which is an answer again.
+        // Sending may fail at once, which yields another answer.
         loop {
             for (worker, sent, answer) in self.connections.take_answers() {
                 let event = Event::Answer {
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Keeps what was learned, each while.
+    /// Saves the learned estimates periodically.
     fn save_learned(&mut self, now: u64, journal: &Sender<JournalInput>) {
         if now < self.learned_at {
             return;
--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -16,28 +16,28 @@
     store::{Changes, Row, StoreError},
 };
 
-/// How long one question for changes waits; it bounds how late a thread ends.
+/// Wait of a long poll, which bounds how long a thread takes to stop.
 pub(super) const LONG_POLL_WAIT: Duration = Duration::from_millis(1000);
 
-/// Pause between questions for changed workers. Each writes its row every other
-/// second, so that without it nearly each write would be a call and a wake-up. It bounds
-/// how old what is known of workers may be, together with the time of one answer.
+/// Pause between reads of changed workers. Each worker writes its row every other second, so that
+/// without the pause nearly every write would cause a call and a wake-up. Together with the time of
+/// one answer, it bounds the age of what is known about workers.
 const WORKERS_PAUSE: Duration = Duration::from_millis(300);
 
 /// Pause after a failure.
 const FAILURE_PAUSE: Duration = Duration::from_millis(60);
 
-/// Where a table's changes are to be followed from.
+/// Position from which to follow a table's changes.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Cursor {
-    /// The version; nothing if the whole table has to be read.
+    /// Version after which to read changes; `None` if the whole table has to be read.
     pub(crate) version: Option<u64>,
-    /// Keys that were there when last told, sorted.
+    /// Keys of the rows last reported, sorted.
     pub(crate) known_keys: Vec<String>,
 }
 
 impl Cursor {
-    /// Follows from a version on.
+    /// Follows changes after a version.
     pub(crate) fn new(version: u64) -> Cursor {
         Cursor {
             version: Some(version),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Begins with the whole table.
+    /// Reads the whole table first.
     pub(crate) fn from_start() -> Cursor {
         Cursor::default()
     }
@@ -91,19 +91,19 @@
     Ok(())
 }
 
-/// Reads the row of an accepted job. One that no instance would have written is no job:
-/// somebody else's row may name any number of tasks.
+/// Decodes the row of an accepted job; `None` for one that no instance would have written, since a
+/// foreign row may contain any number of tasks.
 pub(crate) fn read_job(shared: &Shared, row: &Row) -> Option<Job> {
     let job = decode::<Job>("job", &row.value);
     let job = job.filter(|j| j.spec.validate().is_ok() && j.id.to_string() == row.key);
     if job.is_none() {
         shared.metrics.count(Count::BadRows);
-        log::error!(key = row.key.as_str(); "jobs: not a job's row");
+        log::error!(key = row.key.as_str(); "jobs: invalid row of a job");
     }
     job
 }
 
-/// Turns rows of accepted jobs into events; cancellations come last.
+/// Converts rows of accepted jobs to events, with cancellations last.
 pub(crate) fn job_events(shared: &Shared, rows: &[Row], events: &mut Vec<Event>) {
     let mut cancels = Vec::new();
     for row in rows.iter().filter(|r| !r.removed) {
@@ -162,12 +162,11 @@
     }
 }
 
-/// Returns how long the reader of workers' rows waits after an answer: not at all if it is
-/// behind.
+/// Returns the pause of the reader of workers' rows after an answer: none if it is behind.
 ///
-/// 3,000 workers write 2,000 rows a second. With a pause after each answer of at most 500
-/// rows the reader fell behind for good, and tasks were started on workers up to 5 s after
-/// these had said that they leave.
+/// 3,000 workers write 2,000 rows a second. With a pause after each answer of at most 500 rows, the
+/// reader fell permanently behind, and tasks were started on workers up to 5 s after these had
+/// announced that they leave.
 pub(super) fn pause_after(changes: &Changes) -> Duration {
     match changes.is_complete {
         true => WORKERS_PAUSE,
@@ -175,7 +174,7 @@
     }
 }
 
-/// Takes all announcements; those that are no longer there are told as gone.
+/// Applies a listing of all announcements; reports workers that are no longer listed as removed.
 pub(super) fn apply_listing(
     shared: &Shared,
     cursor: &mut Cursor,
@@ -214,7 +213,7 @@
             Err(err) => {
                 shared.metrics.count(Count::BadRows);
                 log::warn!(worker = row.key.as_str(), err = err.to_string().as_str(); "worker: can't be read");
-                // Nothing begins there any more; what runs there is asked after as before.
+                // No task is started there any more; running tasks are polled as before.
                 events.push(Event::WorkerRemoved(row.key.as_str().into()));
             }
         }
@@ -224,8 +223,8 @@
     }
 }
 
-/// Returns how long a question for changes waits: not at all while the store is lost, so
-/// that it is found to answer a second sooner.
+/// Returns the wait of a long poll: zero while the store is lost, so that its recovery is noticed a
+/// second sooner.
 fn poll_wait(shared: &Shared) -> Duration {
     match shared.is_store_lost() {
         true => Duration::ZERO,
@@ -237,7 +236,7 @@
     shared.metrics.count(Count::StoreErrors);
     log::debug!(err = err.to_string().as_str(); "feed: failed");
     if *err == StoreError::Compacted {
-        log::info!("feed: history forgotten, the table is read anew");
+        log::info!("feed: change history compacted; rereading the table");
         cursor.version = None;
     }
     cancel.wait(FAILURE_PAUSE);
--- a/crates/node/src/owner/inbox.rs
+++ b/crates/node/src/owner/inbox.rs
@@ -1,4 +1,4 @@
-//! Where the thread that decides waits, and what other threads tell it.
+//! Event loop of the deciding thread, and messages to it from other threads.
 
 use std::{io, sync::Arc};
 
@@ -8,26 +8,26 @@
 
 use super::MAX_QUEUED_INPUTS;
 
-/// Token of the waker; no connection has it.
+/// Token of the waker; connections have smaller ones.
 pub(super) const WAKER_TOKEN: Token = Token(usize::MAX);
 
-/// What other threads tell the one that decides.
+/// A message to the deciding thread.
 pub(super) enum Message {
     Events(Vec<Event>),
     Durable(DurableWrite),
     LeaseLost,
 }
 
-/// A write of the journal that is durable.
+/// A durable write of the journal.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DurableWrite {
-    /// When it was asked for: the lease counts from then.
+    /// When the write was requested, from which the lease counts, in milliseconds.
     pub(crate) asked_at: u64,
-    /// Whether it held a batch.
+    /// Whether the write contained a batch.
     pub(crate) has_batch: bool,
 }
 
-/// The sending end of the ring to the thread that decides.
+/// Sending half of the queue to the deciding thread.
 #[derive(Clone)]
 pub(crate) struct InboxSender {
     queue: Sender<Message>,
@@ -35,33 +35,33 @@
 }
 
 impl InboxSender {
-    /// Passes events on.
+    /// Sends events.
     pub(crate) fn events(&self, events: Vec<Event>) {
         if !events.is_empty() {
             self.send(Message::Events(events));
         }
     }
 
-    /// A write of the journal is durable.
+    /// Reports that a write of the journal is durable.
     pub(crate) fn durable(&self, written: DurableWrite) {
         self.send(Message::Durable(written));
     }
 
-    /// The lease is lost.
+    /// Reports that the lease is lost.
     pub(crate) fn lease_lost(&self) {
         self.send(Message::LeaseLost);
     }
 
     fn send(&self, message: Message) {
-        // The other end is gone only when the tenure is over.
+        // The receiver is gone only after the owner has stopped.
         let sent = self.queue.send(message).is_ok();
         if sent && let Err(err) = self.waker.wake() {
-            log::warn!(err = err.to_string().as_str(); "owner: no wake-up");
+            log::warn!(err = err.to_string().as_str(); "owner: can't wake the deciding thread");
         }
     }
 }
 
-/// Where the thread that decides waits: for connections and for the ring.
+/// The event loop, which waits for connections and for messages.
 pub(crate) struct Inbox {
     pub(super) poll: Poll,
     sender: InboxSender,
@@ -69,9 +69,9 @@
 }
 
 impl Inbox {
-    /// Makes one.
+    /// Creates the event loop.
     ///
-    /// Errors: the system has no descriptors left.
+    /// Errors: no file descriptors are left.
     pub(crate) fn new() -> io::Result<Inbox> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKER_TOKEN)?);
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Returns the sending end of the ring.
+    /// Returns a sending half of the queue.
     pub(crate) fn sender(&self) -> InboxSender {
         self.sender.clone()
     }
--- a/crates/node/src/owner/journal.rs
+++ b/crates/node/src/owner/journal.rs
@@ -1,8 +1,8 @@
-//! Writes the journal: batches of records and rows of the log, and renewals of the lease.
+//! Writes the journal: batches of records and log rows, and renewals of the lease.
 //!
-//! Each write is conditional on the journal's end and moves it, so that a write
-//! whose answer was lost can be sent again: one of the two takes effect, and the
-//! number in the end tells which write that was.
+//! Each write is conditional on the head of the journal and replaces it. So a write whose answer
+//! was lost can be repeated: only one of the two takes effect, and the number in the head
+//! identifies the write.
 
 use std::{collections::VecDeque, sync::Arc, thread, time::Duration};
 
@@ -25,20 +25,19 @@
     store::{Commit, Expect, Row, StoreError, Tx, Write},
 };
 
-/// The lease is renewed this often, in milliseconds.
+/// Period of renewals of the lease, in milliseconds.
 const RENEW_PERIOD_MS: u64 = 400;
 
-/// The owner's last contact with the store is newer than the last renewal that others see by
-/// no more than this, in milliseconds: writes between two renewals, and a late timer.
+/// Largest time by which the owner's last contact with the store may be newer than the last renewal
+/// that others see, in milliseconds: writes between two renewals, and a late timer.
 pub(crate) const MAX_CONTACT_LEAD_MS: u64 = RENEW_PERIOD_MS + 100;
 
-/// Time for an answer to a write. At a sixtieth of the store's speed a write takes
-/// 700 ms and waits for others.
+/// Time limit of a write. At a sixtieth of the store's speed, a write takes 700 ms and waits for
+/// others.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// The same for a write that is sent again while no call to the store is answered: the
-/// store is silent then and not slow, and the sooner it is asked again the sooner it is
-/// found to answer.
+/// Time limit of a repeated write while no call to the store is answered. The store is then
+/// unreachable and not slow, and frequent attempts notice its recovery sooner.
 const SILENT_RETRY_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// First pause after a failure, in milliseconds.
@@ -47,37 +46,36 @@
 /// Longest pause after a failure, in milliseconds.
 const MAX_PAUSE_MS: u64 = 300;
 
-/// What the journal is told.
+/// An input of the journal's thread.
 pub(crate) enum JournalInput {
-    /// The keys of the log's rows that earlier owners wrote, the oldest one first; before the first
-    /// batch.
+    /// Keys of the log rows of earlier owners, oldest first. Sent before the first batch.
     Log(Vec<String>),
-    /// Make a batch durable.
+    /// Makes a batch durable.
     Batch(Batch),
-    /// What the lease tells others from now on.
+    /// Sets the number of pending jobs by queue, published in the lease.
     Pending(Vec<(Arc<str>, u64)>),
-    /// What was learned, for a later owner.
+    /// Saves the learned estimates for a later owner.
     Learned(Vec<u8>),
-    /// Give the lease back.
+    /// Releases the lease.
     Release,
 }
 
 struct Journal<'a> {
     shared: &'a Arc<Shared>,
     lease: LeaseRow,
-    /// When leases of earlier owners are over.
+    /// When the worker leases of earlier owners end, in milliseconds.
     prior_leases_end: u64,
     head: u64,
     number: u64,
     renewed_at: u64,
     renewal_gaps: RenewalGaps,
-    /// What was learned and is not written yet.
+    /// Learned estimates that are not written yet.
     learned: Option<Vec<u8>>,
     /// Keys of the log's rows, the oldest one first.
     log: VecDeque<String>,
 }
 
-/// Writes until the lease is lost, given back, or the ring is closed.
+/// Writes until the lease is lost or released, or the queue is closed.
 pub(crate) fn write(
     shared: &Arc<Shared>,
     tenure: &Tenure,
@@ -146,12 +144,12 @@
 }
 
 impl Journal<'_> {
-    /// Writes one batch and returns the contact with the store that this was; nothing if the
-    /// lease is lost.
+    /// Writes a batch. Returns the time of contact with the store, as [`contact_time`] does; `None`
+    /// if the lease is lost.
     fn append(&mut self, batch: Option<Batch>, inputs: &Receiver<JournalInput>) -> Option<u64> {
         self.number += 1;
-        // Before it is settled whether the write renews the lease: a pause between the two
-        // would let the owner's contact be newer than its renewals by more than is allowed for.
+        // Read before deciding whether the write renews the lease: a pause in between could make
+        // the owner's contact newer than its renewals by more than [`MAX_CONTACT_LEAD_MS`].
         let sent = self.shared.clock.now();
         self.lease.term = self.renewal_gaps.term();
         self.lease.census = self.shared.census().unwrap_or(self.lease.census);
@@ -205,8 +203,8 @@
         self.shared.record_store_answer();
     }
 
-    /// The end is not as expected: an earlier try of this write was done, or
-    /// another instance owns the lease.
+    /// Handles an unexpected head: either an earlier attempt of this write took effect, or another
+    /// instance owns the lease. Returns whether this instance still owns it.
     fn conflict(&mut self, rows: &[Row], failing: bool) -> bool {
         let row = rows.iter().find(|r| r.key == HEAD_KEY);
         let found = row.and_then(|r| decode::<HeadRow>("head", &r.value).map(|h| (h, r.version)));
@@ -281,12 +279,12 @@
     }
 }
 
-/// Returns the contact with the store that a write was whose first try was asked for at
-/// `first` and whose last one at `last`; `done` if the last one took effect.
+/// Returns the time of contact with the store for a write that was first requested at `first` and
+/// last at `last`; `done` if the last attempt took effect.
 ///
-/// That one, if it renewed the lease, is a contact from its own asking: others see the renewal
-/// no earlier. Of a write that an earlier try did, or that others don't see, no more is known
-/// than that it was done after the first asking.
+/// If the last attempt renewed the lease, the contact counts from that attempt, since others see
+/// the renewal no earlier. If an earlier attempt took effect, or the write is not visible to
+/// others, it is only known to have happened after `first`.
 pub(super) fn contact_time(done: bool, renews: bool, first: u64, last: u64) -> u64 {
     match done && renews {
         true => last,
@@ -294,8 +292,8 @@
     }
 }
 
-/// Returns the time for an answer to a write, which may be sent again while the store is
-/// lost to all of the instance's calls.
+/// Returns the time limit of a write; `again` for a repeated one, `lost` while no call of the
+/// instance to the store is answered.
 pub(super) fn write_timeout(again: bool, lost: bool) -> Duration {
     match again && lost {
         true => SILENT_RETRY_TIMEOUT,
--- a/crates/node/src/owner/load.rs
+++ b/crates/node/src/owner/load.rs
@@ -1,4 +1,4 @@
-//! Reads all jobs and workers after a takeover.
+//! Builds the owner's machine from the store after a takeover.
 
 use std::sync::Arc;
 
@@ -18,10 +18,10 @@
     store::{Row, StoreError},
 };
 
-/// A machine that knows all jobs, and from where on changes are to be followed.
+/// A machine with all jobs, and the positions from which to follow changes.
 pub(crate) struct Loaded {
     pub(crate) machine: Machine,
-    /// Keys of the log's rows, the oldest one first.
+    /// Keys of the log rows, oldest first.
     pub(crate) log: Vec<String>,
     pub(crate) jobs: Cursor,
     pub(crate) workers: Cursor,
@@ -36,7 +36,7 @@
     }
     let mut records: SortedMap<String, Record> = SortedMap::default();
     let mut unreadable: Vec<String> = Vec::new();
-    // No other owner writes records or the log any more: they fit each other, whichever was read
+    // No other owner writes records or the log any more, so they are consistent whichever is read
     // first.
     let contents = read_contents(shared)?;
     let log = replay(shared, &mut machine, contents.log);
@@ -54,7 +54,7 @@
     }
     let mut rows = contents.jobs;
     rows.retain(|row| {
-        // What has run of such a job is not known: begun anew it might run twice.
+        // Which tasks of such a job have run is unknown; if restarted, they might run twice.
         if unreadable.contains(&row.key) {
             return false;
         }
@@ -73,7 +73,7 @@
             return false;
         }
         machine.restore(Arc::new(job), &record);
-        // It need not be read and told a second time.
+        // Restored above, so that it needs no event of its own.
         false
     });
     let jobs = Cursor::new(contents.version);
@@ -83,8 +83,9 @@
     if let Some(config) = shared.config() {
         events.push(Event::Queues(config.policies()));
     }
-    // What this instance followed so far may be old: it may have been cut off. The first turn
-    // tells the machine which zones are evacuated then, before anything is placed.
+    // The zones that this instance has followed so far may be outdated, since it may have been cut
+    // off. The first pass of the decision loop hands them to the machine, before anything is
+    // placed.
     refresh_at(shared, Duty::Takeover)?;
     feed::apply_listing(shared, &mut workers, &contents.workers, &mut events);
     for event in events {
@@ -99,7 +100,7 @@
     })
 }
 
-/// Has a machine take the log; returns the keys of its rows.
+/// Replays the log into a machine; returns the keys of its rows.
 fn replay(shared: &Shared, machine: &mut Machine, rows: Vec<Row>) -> Vec<String> {
     for row in &rows {
         if let Err(err) = machine.replay(&row.value) {
@@ -110,7 +111,8 @@
     rows.into_iter().map(|r| r.key).collect()
 }
 
-/// Reads what earlier owners learned; without it all can be done, and is learned anew.
+/// Reads the learned estimates of earlier owners; without them the owner works, and learns them
+/// again.
 fn learned(shared: &Shared) -> Option<Learned> {
     match shared
         .store(Duty::Takeover)
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -1,8 +1,9 @@
-//! What the owner of the lease does: it decides about all jobs.
+//! The owner of the lease, which decides about all jobs.
 //!
-//! Threads: one follows the accepted jobs, one the workers' announcements, one
-//! writes the journal, and one decides and talks with the workers over
-//! connections that never block. Each has a bounded ring to the last.
+//! Threads: one follows the accepted jobs, one follows the workers' announcements, one counts the
+//! instances, one writes the journal, and one decides and exchanges messages with the workers over
+//! non-blocking connections. The two followers of jobs and workers and the journal have a bounded
+//! queue to the deciding thread.
 
 mod census;
 mod connections;
@@ -32,42 +33,43 @@
 use self::{decision_loop::DecisionLoop, inbox::Inbox, journal::JournalInput, load::Loaded};
 use crate::{census::Census, shared::Shared};
 
-/// Inputs that may wait for the thread that decides.
+/// Capacity of the queues to the deciding thread and to the journal.
 const MAX_QUEUED_INPUTS: usize = 1024;
 
-/// Stack of a thread in bytes.
+/// Stack size of a thread.
 const STACK_BYTES: usize = 512 << 10;
 
-/// A time of owning the lease.
+/// One period of owning the lease.
 #[derive(Debug)]
 pub(crate) struct Tenure {
-    /// The fencing token at the workers.
+    /// Epoch, the fencing token that workers check.
     pub(crate) epoch: u64,
-    /// The largest share of a processor of any owner so far, in thousandths.
+    /// The largest CPU share of any owner so far, in thousandths.
     pub(crate) largest: u64,
-    /// How many instances there are, as the earlier owner counted them.
+    /// Counts of instances by the previous owner.
     pub(crate) census: Census,
-    /// Waiting jobs by queue, as the earlier owner counted them.
+    /// Number of jobs without a started task, by queue, from the previous owner.
     pub(crate) pending: Vec<(Arc<str>, u64)>,
-    /// Version of the journal's end.
+    /// Version of the row of the journal's head.
     pub(crate) head: u64,
-    /// What is known of the time before.
+    /// What is known about previous owners.
     pub(crate) takeover: Takeover,
 }
 
-/// Decides until the lease is lost or `cancel` is cancelled; then gives it back.
+/// Runs the owner until the lease is lost or `cancel` is cancelled; then releases the lease.
 ///
-/// The lease is renewed from the first moment: a small instance may take seconds to
-/// read all jobs, and would lose it meanwhile to another that fares no better.
+/// The lease is renewed from the start: a small instance may take seconds to read all jobs, and
+/// would otherwise lose the lease to another instance that is no faster.
 pub(crate) fn run(shared: &Arc<Shared>, tenure: Tenure, cancel: &CancelToken) {
     let inbox = match Inbox::new() {
         Ok(inbox) => inbox,
         Err(err) => {
-            log::error!(err = err.to_string().as_str(); "owner: no event loop");
+            log::error!(err = err.to_string().as_str(); "owner: can't create the event loop");
             return;
         }
     };
-    // Its own questions and renewals are answered more often than those of other instances.
+    // The owner's own long polls and renewals are answered more often than those of other
+    // instances.
     shared.set_poll_wait(feed::LONG_POLL_WAIT);
     let owner_cancel = CancelToken::new();
     let sender = inbox.sender();
@@ -106,7 +108,7 @@
     log::info!(epoch = tenure.epoch; "owner: ends");
 }
 
-/// Reads all jobs; if that fails, the lease is given back.
+/// Reads all jobs; if that fails, releases the lease.
 fn load_jobs(
     shared: &Arc<Shared>,
     tenure: &Tenure,
@@ -129,6 +131,6 @@
 
 fn send(journal: &Sender<JournalInput>, entry: JournalInput) {
     if journal.send(entry).is_err() {
-        log::debug!("owner: journal has ended");
+        log::debug!("owner: journal thread has ended");
     }
 }
--- a/crates/node/src/owner/worker_connections.rs
+++ b/crates/node/src/owner/worker_connections.rs
@@ -1,4 +1,4 @@
-//! The connections to one worker, and what is asked on them.
+//! The connections to one worker, and the calls on them.
 
 use std::{collections::VecDeque, net::SocketAddr, sync::Arc};
 
@@ -6,7 +6,7 @@
 
 use crate::protocol::Order;
 
-/// Connections to one worker: one for looks, and the others for orders.
+/// Connections to one worker: the first one for polls, the others for orders.
 pub(super) const SLOTS: usize = 5;
 
 /// An order that waits for a connection.
@@ -16,17 +16,17 @@
     pub(super) queued_at: u64,
 }
 
-/// An order on its way.
+/// An order under way.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) order: Order,
     pub(super) sent_at: u64,
     pub(super) deadline: u64,
-    /// Whether its time was prolonged after a late wake-up.
+    /// Whether the deadline was extended after a late wake-up.
     pub(super) prolonged: bool,
 }
 
-/// When a call has to be answered. An entry of a call that was answered means nothing.
+/// The deadline of a call. Ignored if the call was answered meanwhile.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CallDeadline {
     pub(super) deadline: u64,
@@ -34,7 +34,7 @@
     pub(super) slot: usize,
 }
 
-/// One connection, and what is asked on it.
+/// One connection, if open, and the call under way on it.
 #[derive(Debug, Default)]
 pub(super) struct Slot {
     pub(super) connection: Option<Connection>,
@@ -51,12 +51,12 @@
 }
 
 impl WorkerConnections {
-    /// Returns a connection for orders that is free: one that stands, else a new one.
+    /// Returns a free connection for orders, preferably an open one.
     pub(super) fn free_slot(&self) -> Option<usize> {
         let free = |l: &usize| self.slots[*l].call.is_none();
         let open = |l: &usize| self.slots[*l].connection.is_some();
         let found = (1..SLOTS).filter(free).find(open);
-        // A second connection is worth its price only if the first one is held up.
+        // Another connection is worth its cost only if the others are held up.
         let busy = (1..SLOTS).filter(|l| !free(l)).count();
         found.or_else(|| {
             (busy == 0 || self.waiting.len() >= busy * 3).then(|| (1..SLOTS).find(free))?
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a node.
+//! Starts and stops the servers and threads of a node.
 
 use std::{
     net::SocketAddr,
@@ -30,22 +30,22 @@
 /// Stack of a thread in bytes.
 const STACK_BYTES: usize = 512 << 10;
 
-/// Time for a caller's whole request after its first byte.
+/// Time limit of a request, from its first byte to its last.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time that a caller's connection may be idle.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Connections of the balancer and of those who read metrics.
+/// Limit on connections to each of the readiness and metrics servers.
 const MAX_PROBE_CONNECTIONS: usize = 16;
 
-/// Time for answers under way when the process ends.
+/// Time that requests in progress have to finish when the process stops.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time for the last log lines to be written.
+/// Time that the logging thread has to write the last lines; it writes every 50 ms.
 const LOG_FLUSH_TIME: Duration = Duration::from_millis(60);
 
-/// Tells the balancer whether the instance takes requests.
+/// Answers the load balancer's readiness checks.
 struct ReadinessHandler {
     shared: Arc<Shared>,
 }
@@ -53,7 +53,7 @@
 impl Handler for ReadinessHandler {
     fn handle(&self, _request: Request) -> Option<Response> {
         let shared = &self.shared;
-        // Without the store it would refuse what others can take.
+        // Without the store, this instance would refuse requests that others can accept.
         let can_serve = shared.config().is_some() && !shared.is_store_lost();
         let status = if can_serve && !shared.is_leaving() {
             200
@@ -71,7 +71,7 @@
     }
 }
 
-/// Tells the metrics.
+/// Serves the metrics as text.
 struct MetricsHandler {
     shared: Arc<Shared>,
 }
@@ -83,7 +83,7 @@
     }
 }
 
-/// A node that runs.
+/// A running node.
 pub struct Node {
     shared: Arc<Shared>,
     cancel: CancelToken,
@@ -96,7 +96,7 @@
 impl Node {
     /// Starts a node.
     ///
-    /// Errors: an address can't be bound, a thread can't be started.
+    /// Errors: an address can't be bound, or a thread can't be started.
     pub fn start(
         settings: NodeSettings,
         store: Box<dyn Store>,
@@ -113,7 +113,8 @@
             shared: shared.clone(),
         };
         let metrics = serve(shared.settings.metrics, MAX_PROBE_CONNECTIONS, handler)?;
-        // The configuration is followed to the very end: a stopping instance answers.
+        // Never cancelled: a stopping instance still answers requests, which needs the
+        // configuration.
         spawn("config", &shared, &CancelToken::new(), follow)?;
         let handler = Front {
             shared: shared.clone(),
@@ -131,22 +132,23 @@
         })
     }
 
-    /// Returns where callers' requests arrive, if the node takes any.
+    /// Returns the address of the job API, if it is served.
     pub fn front(&self) -> Option<SocketAddr> {
         self.front.as_ref().map(Server::addr)
     }
 
-    /// Returns where the balancer asks, if it does.
+    /// Returns the address of the readiness check, if it is served.
     pub fn ready(&self) -> Option<SocketAddr> {
         self.ready.as_ref().map(Server::addr)
     }
 
-    /// Returns where metrics are read, if they are.
+    /// Returns the address of the metrics, if they are served.
     pub fn metrics(&self) -> Option<SocketAddr> {
         self.metrics.as_ref().map(Server::addr)
     }
 
-    /// Gives the lease back, goes on answering for a while, and lets answers finish.
+    /// Releases the lease, keeps answering for [`NodeSettings::linger`], then drains requests in
+    /// progress.
     pub fn stop(self) {
         self.shared.leaving.store(true, Ordering::Relaxed);
         self.cancel.cancel();
@@ -154,19 +156,19 @@
             front.start_draining();
             thread::sleep(self.shared.settings.linger);
             if !front.wait_until_idle(DRAIN_TIMEOUT) {
-                log::warn!("node: answers were cut by the stop");
+                log::warn!("node: requests in progress were cut off by the stop");
             }
         }
         if self.watcher.join().is_err() {
-            log::error!("node: the lease's thread has failed");
+            log::error!("node: lease thread panicked");
         }
         log::info!("node: stopped");
     }
 }
 
-/// Runs a node until SIGTERM; `reload` is called at SIGHUP.
+/// Runs a node until SIGTERM or SIGINT; calls `reload` on SIGHUP.
 ///
-/// Errors: as [`Node::start`], and signals that can't be handled.
+/// Errors: as [`Node::start`], and signal handlers that can't be installed.
 pub fn run(
     settings: NodeSettings,
     store: Box<dyn Store>,
--- a/crates/node/src/protocol.rs
+++ b/crates/node/src/protocol.rs
@@ -1,4 +1,4 @@
-//! What callers, workers and operators speak, behind one trait.
+//! Translation to and from the formats of callers, workers and operators.
 
 use std::sync::Arc;
 
@@ -8,16 +8,16 @@
 
 use crate::{config::Config, store::Row};
 
-/// Why something can't be translated.
+/// Why a message can't be translated.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ProtocolError {
-    /// A body or row that can't be read.
+    /// A body or row is malformed.
     #[snafu(display("malformed {what}: {reason}"))]
     Malformed {
-        /// What was read.
+        /// Kind of the body or row.
         what: &'static str,
-        /// What is wrong with it.
+        /// What is malformed.
         reason: String,
     },
 }
@@ -25,56 +25,56 @@
 /// An order to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Order {
-    /// Ask what runs and what ended.
+    /// Poll the worker for running and ended runs.
     Poll {
-        /// Ends up to this number may be dropped.
+        /// The worker may forget ended runs up to this number.
         observed: u64,
         /// End of the lease on the worker's clock in milliseconds.
         deadline: Option<u64>,
-        /// Milliseconds to wait for an end.
+        /// Milliseconds to wait for a run to end.
         wait: u64,
     },
     /// Start a run.
     Start(StartOrder),
     /// Stop a run.
     Stop(TaskId, u32),
-    /// Let a run work at a share of its pace, in percent.
+    /// Set the pace of a run, in percent.
     Pace(TaskId, u32, u32),
 }
 
-/// Translates between the node and those it talks to.
+/// Translates between the node and its callers, workers and operators.
 pub trait Protocol: Send + Sync + 'static {
-    /// Table and key of the configuration's row.
+    /// Returns the table and key of the configuration's row.
     fn config_row(&self) -> (&'static str, &'static str);
 
-    /// Returns the availability zone that a row of the configuration's table asks to be
-    /// evacuated; nothing if it is about something else. Only the key of a removed row counts.
+    /// Returns the availability zone that a row of the configuration's table evacuates; `None` if
+    /// it is about something else. Of a removed row, only the key is used.
     fn evacuation(&self, row: &Row) -> Result<Option<Arc<str>>, ProtocolError>;
 
-    /// Table in which workers announce themselves.
+    /// Returns the table in which workers announce themselves.
     fn workers_table(&self) -> &'static str;
 
-    /// Reads the configuration.
+    /// Decodes the configuration.
     fn config(&self, row: &Row) -> Result<Config, ProtocolError>;
 
-    /// Reads a worker's announcement.
+    /// Decodes a worker's announcement.
     fn worker(&self, row: &Row) -> Result<WorkerInfo, ProtocolError>;
 
-    /// Writes an order of an owner's epoch to a worker's life.
+    /// Encodes an order to a worker's incarnation, sent by the owner of an epoch.
     fn order(&self, order: &Order, epoch: u64, worker: &Arc<str>) -> Request;
 
-    /// Reads what came of an order.
+    /// Decodes the result of an order.
     fn answer(&self, order: &Order, result: Result<Response, HttpError>) -> Answer;
 
-    /// Reads what a caller hands in.
+    /// Decodes a submitted job.
     fn submission(&self, body: &[u8]) -> Result<Spec, ProtocolError>;
 
-    /// Writes what became of a job.
+    /// Encodes the state of a job.
     fn outcome(&self, outcome: Outcome) -> Vec<u8>;
 
-    /// Writes the number of jobs none of whose tasks has begun.
+    /// Encodes the number of jobs without a started task.
     fn pending(&self, count: u64) -> Vec<u8>;
 
-    /// Returns how long the caller of a request waits, in milliseconds.
+    /// Returns the timeout of a request's caller, in milliseconds.
     fn caller_timeout(&self, request: &Request) -> Option<u64>;
 }
--- a/crates/node/src/rows.rs
+++ b/crates/node/src/rows.rs
@@ -1,4 +1,4 @@
-//! Names and contents of the node's own rows.
+//! Tables, keys and values of the rows that nodes keep in the store.
 
 use std::sync::Arc;
 
@@ -7,44 +7,46 @@
 
 use crate::census::Census;
 
-/// Jobs as they were accepted, and their cancellations.
+/// Table of accepted jobs and their cancellations.
 pub(crate) const JOBS: &str = "jobs";
 
-/// What became of jobs.
+/// Table of the jobs' records.
 pub(crate) const RECORDS: &str = "records";
 
-/// What changed of the jobs' tasks, in rows whose keys rise.
+/// Table of the log: changes of tasks, in rows with ascending keys.
 pub(crate) const LOG: &str = "log";
 
-/// Who decides.
+/// Table of the lease.
 pub(crate) const LEASE: &str = "lease";
 
-/// The journal's end.
+/// Table of the head of the journal.
 pub(crate) const JOURNAL: &str = "journal";
 
-/// What the owners have learned.
+/// Table of the estimates that owners have learned.
 pub(crate) const LEARNED: &str = "learned";
 
-/// Which instances there are.
+/// Table of the instances.
 pub(crate) const INSTANCES: &str = "instances";
 
-/// The part that these rows are in. The owner's writes do not wait for theirs.
+/// Part of the instances' rows. It differs from [`OWNER_PART`] so that the owner's writes do not
+/// wait for theirs.
 pub(crate) const INSTANCES_PART: &str = "instances";
 
-/// The part that all of the owner's rows are in, so that one transaction spans them.
+/// Part of all rows that the owner writes, so that one transaction can span them.
 pub(crate) const OWNER_PART: &str = "all";
 
 /// Key of the lease.
 pub(crate) const OWNER_KEY: &str = "owner";
 
-/// Key of the journal's end.
+/// Key of the head of the journal.
 pub(crate) const HEAD_KEY: &str = "head";
 
-/// Parts of the accepted jobs. A part takes its transactions one after another, and two a second
-/// while the store is slow: callers who wait for one of hundreds of instances meet in few parts.
+/// Number of parts of the accepted jobs. A part commits its transactions one after another, only
+/// two a second while the store is slow, so that hundreds of instances must be spread over many
+/// parts.
 const JOB_PARTS: u64 = 64;
 
-/// What follows a job's name in the key of its cancellation.
+/// Suffix of a job's ID in the key of its cancellation.
 const CANCEL_SUFFIX: &str = ".c";
 
 /// Returns the part of a job's rows.
@@ -62,15 +64,15 @@
     format!("{id}{CANCEL_SUFFIX}")
 }
 
-/// What a key among the accepted jobs names.
+/// A parsed key of the table of accepted jobs.
 pub(crate) enum JobsRowKey {
     /// A job.
     Job,
-    /// Its cancellation.
+    /// The cancellation of a job.
     Cancel(JobId),
 }
 
-/// Reads a key among the accepted jobs.
+/// Parses a key of the table of accepted jobs.
 pub(crate) fn parse_jobs_key(key: &str) -> Option<JobsRowKey> {
     match key.strip_suffix(CANCEL_SUFFIX) {
         Some(id) => id.parse().ok().map(JobsRowKey::Cancel),
@@ -78,55 +80,55 @@
     }
 }
 
-/// Returns the key of a row of the log: `index` among those of the owner's write `number`. Keys
-/// rise with epochs, and within one with its writes.
+/// Returns the key of row `index` of the owner's write `number` in the log. Keys ascend with the
+/// epoch, then with the write.
 pub(crate) fn log_key(epoch: u64, number: u64, index: usize) -> String {
     format!("{epoch:010}.{number:010}.{index:02}")
 }
 
-/// The row of the lease.
+/// Value of the lease's row.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaseRow {
     /// Name of the owner.
     pub(crate) owner: String,
-    /// Grows with each owner; the fencing token at the workers.
+    /// Incremented by each claim; the fencing token that workers check.
     pub(crate) epoch: u64,
-    /// Whether the owner has given it back and sends nothing any more.
+    /// Whether the owner has released the lease and sends no more orders.
     pub(crate) released: bool,
-    /// The owner's share of a processor, in thousandths.
+    /// The owner's CPU share, in thousandths.
     pub(crate) share: u64,
-    /// The largest share of any owner so far, in thousandths.
+    /// The largest CPU share of any owner so far, in thousandths.
     pub(crate) largest: u64,
-    /// Jobs by queue none of whose tasks has begun.
+    /// Number of jobs without a started task, by queue.
     pub(crate) pending: Vec<(Arc<str>, u64)>,
-    /// Milliseconds without a renewal after which it is free; 0 if its owner did not say.
+    /// Milliseconds without a renewal after which the lease expires; 0 if unknown.
     #[serde(default)]
     pub(crate) term: u64,
-    /// Milliseconds from this renewal on until leases of workers are over that owners before
-    /// this one may have granted.
+    /// Milliseconds from this renewal until all worker leases end that earlier owners may have
+    /// granted.
     #[serde(default)]
     pub(crate) earlier: u64,
-    /// How many instances there are; none if that is not known.
+    /// Counts of instances; 0 if unknown.
     #[serde(default)]
     pub(crate) census: Census,
 }
 
-/// The row of the journal's end: who wrote last, and which write it was.
+/// Value of the head of the journal: identifies the last write.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HeadRow {
-    /// The writer's epoch.
+    /// Epoch of the writer.
     pub(crate) epoch: u64,
-    /// Number of the write in that epoch.
+    /// Number of the write within the epoch.
     pub(crate) number: u64,
 }
 
-/// Writes a row's value.
+/// Encodes a row's value.
 pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Writing plain data to a vector can't fail.
+    // Encoding plain data into a vector can't fail.
     rmp_serde::to_vec(value).unwrap_or_default()
 }
 
-/// Reads a row's value; logs what can't be read.
+/// Decodes a row's value; logs a malformed one and returns `None`.
 pub(crate) fn decode<'a, T: Deserialize<'a>>(what: &str, bytes: &'a [u8]) -> Option<T> {
     match rmp_serde::from_slice(bytes) {
         Ok(value) => Some(value),
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node, checked.
+//! Validated settings of a node.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,21 +9,20 @@
 pub struct NodeSettings {
     /// Name of the instance, unique among those alive.
     pub name: Arc<str>,
-    /// Where callers' requests arrive.
+    /// Address of the job API; `None` if it is not served.
     pub front: Option<SocketAddr>,
-    /// Where the balancer asks whether the instance takes requests.
+    /// Address of the readiness check for the load balancer; `None` if it is not served.
     pub ready: Option<SocketAddr>,
-    /// Where metrics are read.
+    /// Address of the metrics; `None` if they are not served.
     pub metrics: Option<SocketAddr>,
-    /// After SIGTERM the process goes on answering for this long.
+    /// Time for which the process keeps answering after SIGTERM.
     pub linger: Duration,
-    /// Most open connections of callers.
+    /// Limit on open connections of callers.
     pub connections: usize,
-    /// Time within which a change of the configuration has to be in force.
+    /// Time limit for a change of the configuration to be in force.
     pub apply: Duration,
-    /// Limits and times of the decisions.
+    /// Settings of the scheduling of jobs.
     pub jobs: Settings,
-    /// This instance's share of a processor, in thousandths; the lease should
-    /// go to a large instance.
+    /// CPU share of this instance, in thousandths; large instances are preferred as the owner.
     pub share: u64,
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -21,11 +21,10 @@
     store::{DutyStore, Store},
 };
 
-/// After a call without an answer, callers are not held up by another for this long
-/// unless one is answered meanwhile, in milliseconds.
+/// Pause after a failed call to the store before another request may probe it, in milliseconds.
 const PROBE_PAUSE_MS: u64 = 1000;
 
-/// Leave to call the store; given back when it is dropped.
+/// Permission to call the store, returned when dropped.
 pub(crate) struct StorePermit<'a> {
     probing: Option<&'a AtomicBool>,
 }
@@ -38,12 +37,12 @@
     }
 }
 
-/// Which availability zones are evacuated.
+/// The evacuated availability zones.
 #[derive(Debug, Default)]
 struct Evacuated {
-    /// The store's version up to which changes are known.
+    /// Store version up to which changes have been read.
     version: u64,
-    /// Their names, sorted.
+    /// Names of the zones, sorted.
     zones: Arc<[Arc<str>]>,
 }
 
@@ -56,19 +55,19 @@
     pub(crate) metrics: Metrics,
     config: Mutex<Option<Arc<Config>>>,
     evacuated: Mutex<Evacuated>,
-    /// The instances as this one counted them when it last was the owner.
+    /// The counts of instances from this instance's last time as the owner.
     census: Mutex<Option<Census>>,
-    /// Held by a caller who reads the configuration whole.
+    /// Held while a request reads the whole configuration.
     pub(crate) config_read: Mutex<()>,
     /// When the store last answered, in milliseconds.
     answered_at: AtomicU64,
-    /// For how long nothing comes from a store that answers, in milliseconds.
+    /// Longest time between answers of a reachable store, in milliseconds.
     max_silence: AtomicU64,
-    /// When a call to the store last got no answer, in milliseconds.
+    /// When a call to the store last failed, in milliseconds.
     failed_at: AtomicU64,
-    /// Whether a caller tries a store that did not answer.
+    /// Whether a request is probing an unreachable store.
     probing: AtomicBool,
-    /// Whether the process is about to end.
+    /// Whether the process is stopping.
     pub(crate) leaving: AtomicBool,
 }
 
@@ -107,7 +106,8 @@
         shared
     }
 
-    /// Takes note that the store is asked anew after `wait` at the latest.
+    /// Sets the longest wait of long polls, from which the longest silence of a reachable store
+    /// follows.
     pub(crate) fn set_poll_wait(&self, wait: Duration) {
         let silence = long_poll::max_silence(wait).as_millis() as u64;
         self.max_silence.store(silence, Ordering::Relaxed);
@@ -118,18 +118,18 @@
         long_poll::wait(self.settings.apply)
     }
 
-    /// Returns the store for the calls of a duty.
+    /// Returns the store, with calls counted under `duty`.
     pub(crate) fn store(&self, duty: Duty) -> DutyStore<'_> {
         DutyStore::new(&*self.store, self.metrics.traffic(duty))
     }
 
-    /// Returns the newest configuration, if any was read.
+    /// Returns the configuration in force, if one has been read.
     pub(crate) fn config(&self) -> Option<Arc<Config>> {
         let config = self.config.lock().unwrap_or_else(PoisonError::into_inner);
         config.clone()
     }
 
-    /// Puts a configuration in force unless that or a newer one is.
+    /// Puts a configuration in force unless it is older than, or the same as, the current one.
     pub(crate) fn apply_config(&self, new: Config) {
         let mut config = self.config.lock().unwrap_or_else(PoisonError::into_inner);
         if config.as_ref().is_some_and(|c| c.version >= new.version) {
@@ -139,15 +139,15 @@
         *config = Some(Arc::new(new));
     }
 
-    /// Returns the store's version up to which changes of the configuration's table are known;
-    /// nothing if it was never read.
+    /// Returns the store version up to which changes of the configuration's table have been read;
+    /// `None` if it was never read.
     pub(crate) fn config_known(&self) -> Option<u64> {
         let evacuated = self.evacuated.lock();
         let version = evacuated.unwrap_or_else(PoisonError::into_inner).version;
         (version > 0).then_some(version)
     }
 
-    /// Returns the availability zones that are evacuated, sorted.
+    /// Returns the evacuated availability zones, sorted.
     pub(crate) fn evacuated(&self) -> Arc<[Arc<str>]> {
         let evacuated = self.evacuated.lock();
         evacuated
@@ -156,9 +156,9 @@
             .clone()
     }
 
-    /// Takes over which zones are evacuated, as of a version of the store.
+    /// Updates the evacuated zones, as of a version of the store.
     ///
-    /// Two threads read them: what is older than what is known changes nothing.
+    /// Two threads read them, so an update older than the current state is ignored.
     pub(crate) fn update_evacuated(&self, version: u64, change: impl FnOnce(&mut Vec<Arc<str>>)) {
         let evacuated = self.evacuated.lock();
         let mut evacuated = evacuated.unwrap_or_else(PoisonError::into_inner);
@@ -175,39 +175,40 @@
         evacuated.zones = zones.into();
     }
 
-    /// Returns the number of instances, if this one has counted them.
+    /// Returns the counts of instances, if this instance has counted them.
     pub(crate) fn census(&self) -> Option<Census> {
         *self.census.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes note of the number of instances.
+    /// Stores the counts of instances.
     pub(crate) fn set_census(&self, census: Census) {
         *self.census.lock().unwrap_or_else(PoisonError::into_inner) = Some(census);
     }
 
-    /// Takes note that the store answered.
+    /// Records that the store answered.
     pub(crate) fn record_store_answer(&self) {
         self.answered_at.store(self.clock.now(), Ordering::Relaxed);
     }
 
-    /// Takes note that the store did not answer.
+    /// Records that a call to the store failed.
     pub(crate) fn record_store_failure(&self) {
         self.failed_at.store(self.clock.now(), Ordering::Relaxed);
     }
 
-    /// Tells whether the store's last call got no answer, or none came lately.
+    /// Returns whether the last call to the store failed, or no answer came for longer than a long
+    /// poll takes.
     pub(crate) fn is_store_lost(&self) -> bool {
         let failed_at = self.failed_at.load(Ordering::Relaxed);
         failed_at > self.answered_at.load(Ordering::Relaxed) || self.is_store_silent()
     }
 
-    /// Tells whether nothing came from the store for longer than a question takes.
+    /// Returns whether no answer came from the store for longer than a long poll takes.
     pub(crate) fn is_store_silent(&self) -> bool {
         self.silence() > self.max_silence.load(Ordering::Relaxed)
     }
 
-    /// Gives leave to hold a caller up by a call to the store: while that does not
-    /// answer only one at a time, and after a pause.
+    /// Returns permission for a request to call the store. While the store is lost, only one
+    /// request at a time gets it, and only after [`PROBE_PAUSE_MS`].
     pub(crate) fn store_permit(&self) -> Option<StorePermit<'_>> {
         if !self.is_store_lost() {
             return Some(StorePermit { probing: None });
@@ -226,7 +227,7 @@
         self.clock.now().saturating_sub(last)
     }
 
-    /// Tells whether the process is about to end.
+    /// Returns whether the process is stopping.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -1,4 +1,4 @@
-//! The store, as the node needs it: rows with versions, and conditional writes.
+//! Interface to the store: versioned rows and conditional writes.
 
 use std::time::Duration;
 
@@ -9,25 +9,25 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum StoreError {
-    /// Nothing was done; it may work later.
+    /// The call had no effect, and may succeed later.
     #[snafu(display("store unavailable: {reason}"))]
     Unavailable {
-        /// What it or the network said.
+        /// Reported by the store or the network.
         reason: String,
     },
-    /// No answer: a write may have been done, or may be done later.
-    #[snafu(display("no answer of the store: {reason}"))]
+    /// No answer: a write may have taken effect, or may still do so.
+    #[snafu(display("no answer from the store: {reason}"))]
     Unknown {
-        /// What the network said.
+        /// Reported by the network.
         reason: String,
     },
-    /// The history does not reach back as far as was asked.
-    #[snafu(display("history forgotten"))]
+    /// The change history no longer reaches back to the requested version.
+    #[snafu(display("change history compacted"))]
     Compacted,
-    /// An answer that can't be read.
-    #[snafu(display("malformed answer of the store: {reason}"))]
+    /// The answer is malformed.
+    #[snafu(display("malformed answer from the store: {reason}"))]
     Malformed {
-        /// What is wrong with it.
+        /// What is malformed.
         reason: String,
     },
 }
@@ -35,19 +35,19 @@
 /// A row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// Its part of the table.
+    /// Part of the table.
     pub part: String,
-    /// Its key.
+    /// Key.
     pub key: String,
-    /// Its value.
+    /// Value.
     pub value: Vec<u8>,
-    /// The version of the transaction that wrote it.
+    /// Version of the transaction that wrote the row.
     pub version: u64,
-    /// Whether the row was removed; only among changes.
+    /// Whether the row was removed; set only in [`Changes`].
     pub removed: bool,
 }
 
-/// Rows of one part, from `from` on and before `until`.
+/// A range of rows of one part: from `from`, inclusive, to `until`, exclusive.
 #[derive(Debug, Clone, Copy)]
 pub struct Range<'a> {
     /// Table.
@@ -56,34 +56,34 @@
     pub part: &'a str,
     /// First key.
     pub from: &'a str,
-    /// First key that is not read; empty for no bound.
+    /// First key after the range; empty for no bound.
     pub until: &'a str,
 }
 
-/// Rows of one moment.
+/// Rows read at one version of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
-    /// The rows by key.
+    /// Rows, sorted by key.
     pub rows: Vec<Row>,
-    /// Whether there are more behind the last one.
+    /// Whether more rows follow the last one.
     pub more: bool,
-    /// The store's version at that moment.
+    /// Version of the store at which the rows were read.
     pub version: u64,
 }
 
-/// What has changed in a table.
+/// Changes of a table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Changes {
-    /// The changed rows in order.
+    /// Changed rows, in the order of their versions.
     pub rows: Vec<Row>,
-    /// Where to go on.
+    /// Version after which to read further changes.
     pub version: u64,
-    /// Whether these are all changes there were when the question was answered; else more
-    /// are there to be read at once.
+    /// Whether these are all changes up to the time of the answer; if not, more can be read at
+    /// once.
     pub is_complete: bool,
 }
 
-/// A row and the version it must have.
+/// A condition of a transaction: a row and the version it must have.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Expect {
     /// Table.
@@ -94,7 +94,7 @@
     pub version: u64,
 }
 
-/// A row to be written.
+/// A row to write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write {
     /// Table.
@@ -105,35 +105,34 @@
     pub value: Vec<u8>,
 }
 
-/// A transaction in one part: all writes and removals if all expectations hold.
+/// A transaction in one part: makes all writes and removals if all conditions hold.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Tx {
-    /// Part of all its tables.
+    /// Part of the tables.
     pub part: String,
     /// Conditions.
     pub expects: Vec<Expect>,
     /// Writes.
     pub writes: Vec<Write>,
-    /// Tables and keys of rows that are removed.
+    /// Tables and keys of the rows to remove.
     pub removes: Vec<(&'static str, String)>,
 }
 
-/// What came of a transaction.
+/// Result of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Commit {
-    /// It was done, as this version.
+    /// The transaction took effect, with this version.
     Done(u64),
-    /// A condition does not hold; the rows of the conditions as they are.
+    /// A condition does not hold; contains the current rows of all conditions.
     Conflict(Vec<Row>),
 }
 
-/// The store. Each call counts itself in a [`Traffic`].
+/// The store. Each call adds its cost to a [`Traffic`].
 pub trait Store: Send + Sync + 'static {
-    /// Reads rows of one part, up to a page.
+    /// Reads at most one page of rows of one part.
     fn read(&self, range: Range<'_>, traffic: &Traffic) -> Result<Page, StoreError>;
 
-    /// Returns what changed in a table after a version, waiting up to `wait` for
-    /// a first change.
+    /// Returns the changes of a table after a version, waiting up to `wait` for the first change.
     fn changes(
         &self,
         table: &str,
@@ -142,13 +141,14 @@
         traffic: &Traffic,
     ) -> Result<Changes, StoreError>;
 
-    /// Runs a transaction; no answer within `limit` leaves it unclear. While the
-    /// store is slow transactions wait for each other, and each that is sent again
-    /// makes the others wait longer: the limit should be generous.
+    /// Runs a transaction. Without an answer within `limit` its result is unknown.
+    ///
+    /// A slow store runs transactions one after another, and each retry delays the others, so the
+    /// limit should be generous.
     fn commit(&self, tx: &Tx, limit: Duration, traffic: &Traffic) -> Result<Commit, StoreError>;
 }
 
-/// The store as one duty calls it, whose calls are counted together.
+/// The store, with calls counted under one duty.
 #[derive(Clone, Copy)]
 pub(crate) struct DutyStore<'a> {
     store: &'a dyn Store,
@@ -156,7 +156,7 @@
 }
 
 impl<'a> DutyStore<'a> {
-    /// Makes one that counts calls in `traffic`.
+    /// Wraps `store` and counts its calls in `traffic`.
     pub(crate) fn new(store: &'a dyn Store, traffic: &'a Traffic) -> DutyStore<'a> {
         DutyStore { store, traffic }
     }
@@ -176,7 +176,7 @@
         self.store.commit(tx, limit, self.traffic)
     }
 
-    /// Reads all rows of one part; the version is the first page's.
+    /// Reads all rows of one part; the returned version is that of the first page.
     pub(crate) fn read_all(&self, table: &str, part: &str) -> Result<Page, StoreError> {
         let range = Range {
             table,
@@ -187,7 +187,7 @@
         let mut all = self.store.read(range, self.traffic)?;
         while all.more {
             let last = all.rows.last().map(|r| r.key.clone()).unwrap_or_default();
-            // The least key behind the last one.
+            // The smallest key greater than the last one.
             let from = format!("{last}\0");
             let range = Range {
                 from: &from,
