--- a/crates/node/src/candidate_tests.rs
+++ b/crates/node/src/candidate_tests.rs
@@ -1,4 +1,4 @@
-//! Who takes the lease, and when.
+//! Tests of when an instance claims the lease.
 
 use gorsespur_jobs::Settings;
 use test_case::test_case;
@@ -43,7 +43,7 @@
     assert_eq!(candidate(&lease(500), 500, age).can_claim(), won);
 }
 
-/// An owner tells by its own writes how soon a missing renewal means something.
+/// The owner publishes the term in the lease.
 #[test_case(1000, false; "renewed lately")]
 #[test_case(1100, true; "not renewed")]
 fn a_lease_is_free_when_its_owner_says(age: u64, won: bool) {
@@ -63,8 +63,8 @@
     assert!(candidate(&mine, 500, 0).can_claim());
 }
 
-/// tmdro-seat-grown trouble-2: an instance with 0.069 of a processor took the
-/// lease that one with 0.5 gave back, and never got through reading the jobs.
+/// Guards against a small instance that takes a released lease before a large one: with 0.069 of a
+/// CPU it never finished reading the jobs, while another had 0.5.
 #[test]
 fn a_small_instance_waits_for_a_large_one() {
     let given_back = LeaseRow {
@@ -89,9 +89,9 @@
     assert!(!soon.can_claim());
 }
 
-/// sk-weldcert-grown scale-1: after a zone was cut off, an instance with 0.12 of a
-/// processor took the lease before those with 0.5, which were still waiting for an
-/// answer to their last question; jobs were said to have begun that had not.
+/// Guards against a long poll that outlasts the time to claim the lease: after a zone was cut off,
+/// an instance with 0.12 of a CPU took the lease before those with 0.5, which still waited for
+/// answers to their last polls, and jobs were reported as begun that had not.
 #[test_case(0, 1801; "just renewed")]
 #[test_case(1500, 301; "nearly stale")]
 #[test_case(1801, 0; "stale")]
@@ -109,9 +109,8 @@
     assert!(large.claim_delay() < candidate(&lease, 120, 0).claim_delay());
 }
 
-/// sk-weldcert-grown mix 587888487123: the owner was killed, started anew and took its
-/// lease back; it waited for leases on lost workers as long as for those of an owner
-/// that may live on.
+/// Guards against a restarted owner that waits for worker leases of its own previous process for as
+/// long as for those of an owner that may still run.
 #[test_case("other", false, 2000, 12_233; "may live on since its last renewal")]
 #[test_case("other", true, 2000, 11_182; "gave the lease back")]
 #[test_case("me", false, 0, 11_182; "was this instance, which started anew")]
@@ -121,13 +120,13 @@
         released,
         ..lease(500)
     };
-    // Leases are 6 s, and reach 8.5 s from the last contact with the store, on a clock that
-    // may be 2% slow, with 60 ms to spare; a contact may be 0.5 s newer than the renewal.
+    // Leases last 6 s, and end at most 8.5 s after the last contact with the store, on a clock that
+    // may be 2% slow, with a margin of 60 ms; a contact may be 0.5 s newer than the renewal.
     let prior_leases_end = candidate(&lease, 500, age).prior_leases_end(5000, &Settings::default());
     assert_eq!(prior_leases_end, over);
 }
 
-/// Small instances ask when they may take the lease, large ones wait for its renewals.
+/// Small instances poll when they may claim the lease; large ones wait for its renewals.
 #[test_case(120, 0, 2257; "small, just renewed")]
 #[test_case(120, 2000, 257; "small, nearly stale")]
 #[test_case(500, 0, 0; "large")]
@@ -144,15 +143,17 @@
     assert_eq!(candidate(&given_back, 120, 0).follow_pause(), 0);
 }
 
-/// The users allow a lasting task to be away for 10 s after the last trouble, in milliseconds.
+/// Time for which users allow a long-running task to be away after the last disturbance, in
+/// milliseconds.
 const ALLOWED: u64 = 10_000;
 
-/// Giving up the runs of a worker, choosing places, a write and a start take this long at the
-/// most while all is well, in milliseconds.
+/// Longest time to abandon a worker's runs, place their tasks, write and start them without other
+/// disturbances, in milliseconds.
 const RESTART: u64 = 300;
 
-/// Two lasting tasks began 11 s after a takeover, since their worker was gone and the leases
-/// that the owner before might have granted were over only 12.7 s after its last renewal.
+/// Guards against waiting too long for leases of an earlier owner: two long-running tasks started
+/// 11 s after a takeover, since their worker was gone and those leases ended only 12.7 s after the
+/// last renewal.
 #[test_case(0; "taken at once")]
 #[test_case(1000; "after the shortest term")]
 #[test_case(2100; "after the longest term")]
@@ -168,9 +169,9 @@
     );
 }
 
-/// An owner in a zone that is cut off grants leases for as long as it may, also while others
-/// follow one another quickly: the last one gave the lease back, or started anew, and its own
-/// leases are over before those of the one that is cut off.
+/// An owner in a partitioned zone may grant leases until its own time is up, while other owners
+/// follow each other quickly. If the last one released the lease or restarted, its leases end
+/// before those of the partitioned one.
 #[test_case("other", true, 0, 60_000 + 8_000; "given back just now")]
 #[test_case("other", true, 3000, 60_000 + 6_182; "given back a while ago")]
 #[test_case("me", false, 0, 60_000 + 8_000; "started anew")]
--- a/crates/node/src/census_tests.rs
+++ b/crates/node/src/census_tests.rs
@@ -1,4 +1,4 @@
-//! Counting instances.
+//! Tests of counting instances.
 
 use crate::{
     census::{Census, InstanceRegistry, InstanceRow},
@@ -7,7 +7,7 @@
     store::Row,
 };
 
-/// Milliseconds since 1970 at which the rows are read.
+/// Time at which the rows are read, in milliseconds since the Unix epoch.
 const NOW: u64 = 1_000_000_000_000;
 
 const HOUR: u64 = 3_600_000;
@@ -42,7 +42,7 @@
     assert_eq!(census.peers(false), 2);
 }
 
-/// An instance that starts again announces itself under its name.
+/// A restarted instance announces itself under the same name.
 #[test]
 fn each_counts_once() {
     let mut registry = InstanceRegistry::default();
--- a/crates/node/src/fakes_tests.rs
+++ b/crates/node/src/fakes_tests.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for tests: stores, and a protocol without content.
+//! Test doubles: stores, and a protocol without content.
 
 use std::{
     sync::{
@@ -20,7 +20,7 @@
     store::{Changes, Commit, Page, Range, Row, Store, StoreError, Tx},
 };
 
-/// A store that is away.
+/// A store that is unavailable.
 #[derive(Debug)]
 pub(crate) struct UnavailableStore;
 
@@ -44,7 +44,8 @@
     }
 }
 
-/// Orders that name their worker, and answers by their status.
+/// A protocol whose orders name their worker in the path, and whose answers depend on the status
+/// only.
 #[derive(Debug)]
 pub(crate) struct StubProtocol;
 
@@ -123,7 +124,7 @@
     }
 }
 
-/// What the threads of a node called "n" share, with this store.
+/// Returns the shared state of a node called "n" with this store.
 pub(crate) fn shared(store: impl Store) -> Arc<Shared> {
     let settings = NodeSettings {
         name: "n".into(),
@@ -143,12 +144,12 @@
     ))
 }
 
-/// A store with a row of the lease, which may be away, and which takes each write.
+/// A store that holds the lease and accepts each write, unless it is set to be unavailable.
 #[derive(Debug)]
 pub(crate) struct LeaseStore {
-    /// Whether no call is answered.
+    /// Whether all calls fail.
     pub(crate) away: AtomicBool,
-    /// The lease as it was written, the newest one last.
+    /// All versions of the lease, oldest first.
     pub(crate) leases: Mutex<Vec<LeaseRow>>,
 }
 
@@ -166,7 +167,7 @@
         leases.last().expect("written").clone()
     }
 
-    /// Returns its version.
+    /// Returns the version of the newest lease.
     fn version(&self) -> u64 {
         self.leases.lock().expect("not poisoned").len() as u64
     }
--- a/crates/node/src/follow_tests.rs
+++ b/crates/node/src/follow_tests.rs
@@ -1,4 +1,4 @@
-//! What an instance asks of a store that refuses it.
+//! Tests of following the configuration while the store refuses calls.
 
 use std::{thread, time::Duration};
 
@@ -9,8 +9,8 @@
     follow::follow,
 };
 
-/// A store that refuses a third of hundreds of instances for seconds: each of them asked it ten
-/// times a second.
+/// Guards against instances that call a refusing store ten times a second: hundreds of them did so
+/// for seconds while it refused a third of them.
 #[test]
 fn a_store_that_refuses_is_asked_less_and_less() {
     let shared = shared(UnavailableStore);
--- a/crates/node/src/follow_turns_tests.rs
+++ b/crates/node/src/follow_turns_tests.rs
@@ -1,8 +1,8 @@
-//! When an instance rests.
+//! Tests of when an instance rests from following the lease.
 
 use crate::follow_turns::FollowTurn;
 
-/// Long after the turn began.
+/// A time long after the turn began, in milliseconds.
 const LATER: u64 = 60_000;
 
 #[test]
@@ -20,7 +20,7 @@
     assert_eq!(FollowTurn::new(0).rest_ms(500, 600, 0.5), None);
 }
 
-/// Twice the instances rest for twice as long, more or less.
+/// Twice as many instances rest for about twice as long.
 #[test]
 fn rests_grow_with_the_number() {
     let rest = |count| {
--- a/crates/node/src/lease_tests.rs
+++ b/crates/node/src/lease_tests.rs
@@ -1,4 +1,5 @@
-//! What an instance remembers of the lease, and what a claim tells of earlier owners.
+//! Tests of the state kept while watching the lease, and of what a claim publishes about earlier
+//! owners.
 
 use std::sync::atomic::Ordering;
 
@@ -8,7 +9,7 @@
     rows::LeaseRow,
 };
 
-/// The lease of an owner that is gone.
+/// The lease of a lost owner.
 fn lease() -> LeaseRow {
     LeaseRow {
         owner: "gone".into(),
@@ -20,9 +21,9 @@
     }
 }
 
-/// The store was away for longer than two calls, and after that the lease counted as renewed
-/// just now: the next owner waited for leases from then on, 14.4 s in place of 9.2 s after the
-/// last renewal.
+/// Guards against resetting the age of a lease when the store fails: after an outage longer than
+/// two calls the lease counted as just renewed, and the next owner waited for worker leases until
+/// 14.4 s instead of 9.2 s after the last renewal.
 #[test]
 fn the_age_of_a_lease_outlasts_failures_of_the_store() {
     let store = LeaseStore::new(lease());
@@ -44,7 +45,7 @@
     assert_eq!(again, since);
 }
 
-/// Leases of owners before the last one: the claim waits for them and says so.
+/// A claim waits for worker leases of owners before the last one, and publishes when they end.
 #[test]
 fn a_claim_tells_for_how_long_earlier_leases_may_last() {
     let store = LeaseStore::new(lease());
@@ -55,7 +56,7 @@
         .expect("an answer");
     let tenure = claim(&shared, seen).expect("an answer").expect("not taken");
     let takeover = tenure.takeover;
-    // Both count from when the lease was seen, whenever the claim was asked for.
+    // Both count from when the lease was seen, not from when the claim was requested.
     assert_eq!(
         takeover.prior_leases_end,
         seen.version_since + u64::from(u32::MAX)
--- a/crates/node/src/logging_tests.rs
+++ b/crates/node/src/logging_tests.rs
@@ -1,4 +1,4 @@
-//! Lines that can be read again.
+//! Tests of the format of log lines.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,8 @@
 
 use super::logging::Fields;
 
-/// A caller's line named its duration as every line names its time: nothing could read it.
+/// Guards against duplicate names: a line of the job API gave its duration the name of every line's
+/// time, and could not be parsed.
 #[test]
 fn no_name_stands_twice_in_a_line() {
     let mut fields = Fields::begin(1000, "INFO", "a", "front: answered");
--- a/crates/node/src/long_poll_tests.rs
+++ b/crates/node/src/long_poll_tests.rs
@@ -1,4 +1,5 @@
-//! How long a change takes where an answer is lost, and what instances that idle cost.
+//! Tests of the waits of long polls: how long a change takes if an answer is lost, and what idle
+//! instances cost.
 
 use std::time::Duration;
 
@@ -6,13 +7,14 @@
 
 use crate::long_poll::{max_silence, wait};
 
-/// Time after which the store's client gives a question up that waits no longer.
+/// Time after its wait when the store's client abandons a long poll, in milliseconds.
 const GIVEN_UP: u64 = 1000;
 
-/// Time for asking once more and reading the answer, from a store at a sixtieth of its speed.
+/// Time to repeat the long poll and read the answer from a store at a sixtieth of its speed, in
+/// milliseconds.
 const ASKED_AGAIN: u64 = 500;
 
-/// The answer that told of the change is lost, or its connection has gone silent for good.
+/// The answer with the change is lost, or its connection has stopped delivering.
 #[test_case(2500)]
 #[test_case(3000)]
 #[test_case(5000; "the fleet")]
@@ -28,15 +30,16 @@
     assert_eq!(wait(Duration::from_millis(apply)), Duration::from_secs(1));
 }
 
-/// 600 instances that idle cost less than a third of a call a second each.
+/// 600 idle instances make fewer than 200 calls a second in total, less than a third of a call
+/// each.
 #[test]
 fn instances_that_idle_ask_seldom() {
     let wait = wait(Duration::from_secs(5)).as_secs_f64();
     assert!(600.0 / wait < 200.0, "{wait}");
 }
 
-/// What answers in time is not held for lost, and what does not is noticed before the next
-/// question is due.
+/// A store that answers in time is not taken for lost, and one that does not is noticed before the
+/// next long poll is due.
 #[test]
 fn the_store_is_lost_once_its_answer_is_overdue() {
     let wait = wait(Duration::from_secs(5));
--- a/crates/node/src/owner/connections_tests.rs
+++ b/crates/node/src/owner/connections_tests.rs
@@ -1,4 +1,5 @@
-//! When a call to a worker is given up, and whose answer each call gets.
+//! Tests of the connections to workers: when calls are abandoned, and which call an answer belongs
+//! to.
 
 use std::{
     io::{Read, Write},
@@ -22,7 +23,7 @@
     shared::Shared,
 };
 
-/// A worker that answers each request, or none; it ends with the test.
+/// Starts a worker that answers each request, or none; it ends with the test.
 fn worker(answers: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
@@ -44,7 +45,7 @@
     addr
 }
 
-/// Longest wait of one turn.
+/// Longest wait of one [`Fixture::turn`].
 const TICK: Duration = Duration::from_millis(25);
 
 struct Fixture {
@@ -54,7 +55,7 @@
     sent_at: u64,
 }
 
-/// An order to start the only task of a job.
+/// Returns an order to start the only task of a job.
 fn start(job: u64) -> Order {
     Order::Start(StartOrder {
         task: TaskId {
@@ -70,7 +71,7 @@
     })
 }
 
-/// Sends a look.
+/// Sends a poll to a worker.
 fn send_poll(answers: bool) -> Fixture {
     let poll = Order::Poll {
         observed: 0,
@@ -100,7 +101,7 @@
 }
 
 impl Fixture {
-    /// Reads until an answer is there.
+    /// Reads until an answer has arrived.
     fn read(&mut self) -> Vec<(u32, u64, Answer)> {
         let mut events = Events::with_capacity(16);
         loop {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Reads for a while as an owner does, and gives up what is due.
+    /// Reads once as the owner does, and abandons calls that are due.
     fn turn(&mut self) -> Vec<(u32, u64, Answer)> {
         let mut events = Events::with_capacity(16);
         let read = self.shared.clock.now();
@@ -131,7 +132,7 @@
         self.connections.take_answers()
     }
 
-    /// Gives up what is due if all that arrived by `at` was read.
+    /// Abandons calls that are due, as if everything that arrived by `at` was read.
     fn expire(&mut self, at: u64, late: bool) -> Vec<Answer> {
         self.connections.expire(self.poll.registry(), at, late);
         let answers = self.connections.take_answers();
@@ -157,8 +158,8 @@
     );
 }
 
-/// What lies unread after a pause is read before its call is given up: the pause itself
-/// prolongs the call's time, once.
+/// Answers that arrived during a pause of the process are read before their call is abandoned: the
+/// pause extends the deadline of the call, once.
 #[test]
 fn a_late_wake_up_prolongs_a_call_once() {
     let mut fixture = send_poll(false);
@@ -170,8 +171,7 @@
     );
 }
 
-/// A start that waited while the connection was held up is not sent on what was known
-/// then.
+/// A start that waited for a busy connection is not sent on an outdated decision.
 #[test]
 fn a_start_that_waited_for_long_is_taken_back() {
     let mut fixture = send_orders(false, (1..=3).map(start).collect());
@@ -191,7 +191,7 @@
     assert_eq!(came, expected);
 }
 
-/// Reads one request; nothing at the end of the connection.
+/// Reads one request; `None` at the end of the connection.
 fn request(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<Request> {
     let mut chunk = [0; 1024];
     loop {
@@ -206,7 +206,7 @@
     }
 }
 
-/// What a worker writes when it is to start a job, and whether it goes on afterwards.
+/// Returns a worker's answer to the start of a job, and whether it keeps the connection open.
 fn reply(job: u64) -> (&'static str, bool) {
     match job % 6 {
         0 => ("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}", true),
@@ -224,7 +224,7 @@
     }
 }
 
-/// What the sender of that start is to be told.
+/// Returns the result that the sender of that start has to get.
 fn expected(job: u64) -> Started {
     match job % 6 {
         0 => Started::Done,
@@ -234,10 +234,10 @@
     }
 }
 
-/// A request: where it came to, on which connection there, and its path.
+/// A received request: the worker's address, the number of the connection there, and the path.
 type ReceivedRequest = (SocketAddr, usize, String);
 
-/// Answers what comes on a connection, each answer in two pieces, and tells of each request.
+/// Answers the requests on a connection, each in two pieces, and reports them to `to`.
 fn serve(mut stream: TcpStream, connection: usize, to: &Sender<ReceivedRequest>) {
     let own = stream.local_addr().expect("bound");
     let mut buf = Vec::new();
@@ -252,7 +252,7 @@
         let written = stream.write_all(head.as_bytes()).is_ok();
         thread::sleep(Duration::from_millis(1));
         let written = written && stream.write_all(rest.as_bytes()).is_ok();
-        // The end of a connection comes after what was sent on it.
+        // Lets the answer arrive before the connection closes.
         thread::sleep(Duration::from_millis(1));
         if received.is_err() || !written || !keeps_open {
             return;
@@ -260,7 +260,7 @@
     }
 }
 
-/// A worker that answers on any number of connections.
+/// Starts a worker that answers on any number of connections.
 fn answering(to: &Sender<ReceivedRequest>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
@@ -274,9 +274,9 @@
     addr
 }
 
-/// Two workers and a later life at the address of the first one, on up to five connections
-/// each that are cut, closed and opened again: each order reaches its worker once and names it,
-/// no connection serves two lives, and each answer is that of its order.
+/// Two workers, and a later incarnation at the address of the first one, on up to five connections
+/// each that are cut, closed and reopened: each order reaches its worker once and names it, no
+/// connection serves two incarnations, and each answer belongs to its order.
 #[test]
 fn each_order_reaches_its_worker_and_gets_its_answer() {
     let (to, requests) = channel();
@@ -303,7 +303,7 @@
                 let (job, (addr, id)) = (task.job, incarnations[worker as usize]);
                 assert_eq!(job.0 % 3, u64::from(worker));
                 unanswered -= 1;
-                // On a busy machine some wait for too long.
+                // On a busy machine, some starts wait too long.
                 if started == Started::Withdrawn {
                     continue;
                 }
@@ -325,15 +325,16 @@
     }
 }
 
-/// Answers a request with empty lists, and returns its path.
+/// Answers a poll with an empty report, and returns its path.
 fn answer_poll(stream: &mut TcpStream) -> String {
     let read = request(stream, &mut Vec::new()).expect("a request");
     stream.write_all(reply(0).0.as_bytes()).expect("a reader");
     read.path
 }
 
-/// A connection to a process that has ended can't be continued by the next one at its address,
-/// which would take the count of ends for one of its own.
+/// Guards against acknowledging ended runs to the wrong process: the next process at an address
+/// can't continue a connection of the previous one, but would take its count of ended runs for one
+/// of its own.
 #[test]
 fn the_first_look_on_a_connection_has_no_ends_dropped() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -369,7 +370,7 @@
     assert_eq!(paths, ["/w/look/0", "/w/look/2", "/w/look/0", "/w/look/4"]);
 }
 
-/// A worker whose life is over is sent nothing that waits for a connection.
+/// Orders queued for a worker are not sent after its incarnation has ended.
 #[test]
 fn starts_that_wait_are_taken_back_with_their_worker() {
     let mut fixture = send_orders(false, (1..=3).map(start).collect());
@@ -385,8 +386,8 @@
     ));
 }
 
-/// A worker that is held up answers after its call was given up: that answer belongs to no
-/// call, also while the next order is under way.
+/// A delayed worker answers after its call was abandoned: that answer belongs to no call, also
+/// while the next order is under way.
 #[test]
 fn an_answer_that_comes_late_is_nobodys() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -396,7 +397,7 @@
     fixture
         .connections
         .send(fixture.poll.registry(), 0, target, start(1));
-    // The connection stands, and the order is sent.
+    // The connection is open, and the order is sent.
     let (mut late, _) = listener.accept().expect("a connection");
     let mut events = Events::with_capacity(16);
     fixture.poll.poll(&mut events, None).expect("an event loop");
@@ -416,7 +417,7 @@
     fixture
         .connections
         .send(fixture.poll.registry(), 0, target, start(2));
-    // Its sender may have closed that connection already.
+    // The sender may have closed that connection already.
     let written = late.write_all(reply(0).0.as_bytes());
     let worker = thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
--- a/crates/node/src/owner/feed_tests.rs
+++ b/crates/node/src/owner/feed_tests.rs
@@ -1,20 +1,20 @@
-//! How far the reader of workers' rows falls behind.
+//! Tests of how far the reader of workers' rows falls behind.
 
 use test_case::test_case;
 
 use super::feed::pause_after;
 use crate::store::Changes;
 
-/// Rows that one answer of the store holds at most.
+/// Largest number of rows in an answer of the store.
 const PAGE: usize = 500;
 
-/// Milliseconds that an answer takes.
+/// Time of an answer, in milliseconds.
 const ANSWER: usize = 6;
 
-/// Milliseconds between two writes of one worker.
+/// Time between two writes of one worker, in milliseconds.
 const HEARTBEAT: usize = 1500;
 
-/// Returns the most rows that waited to be read in a minute, with so many workers.
+/// Returns the largest number of unread rows within a minute, for a number of workers.
 fn most_unread(workers: usize) -> usize {
     let (mut now, mut read, mut most) = (0, 0, 0);
     while now < 60_000 {
--- a/crates/node/src/owner/journal_tests.rs
+++ b/crates/node/src/owner/journal_tests.rs
@@ -1,4 +1,4 @@
-//! How long the journal waits for an answer, and what it tells other instances.
+//! Tests of the journal's time limits, and of what it publishes to other instances.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
     rows::LeaseRow,
 };
 
-/// A slow store answers others; one that answers nobody is asked again soon, but for the
-/// first try, which may have met either.
+/// A slow store answers some calls; an unreachable one answers none and is called again soon,
+/// except that a first attempt may meet either.
 #[test_case(false, false, 2500; "first try")]
 #[test_case(false, true, 2500; "first try while others get no answer")]
 #[test_case(true, false, 2500; "slow")]
@@ -26,12 +26,12 @@
     assert_eq!(write_timeout(again, lost), Duration::from_millis(ms));
 }
 
-/// A lease that is given back still tells of leases of owners before its own.
+/// A released lease still publishes when worker leases of owners before the last one end.
 #[test]
 fn a_lease_that_is_given_back_tells_of_earlier_leases() {
     let store = LeaseStore::new(LeaseRow::default());
     let shared = shared(store.clone());
-    // So far ahead that it does not matter how long the test takes.
+    // Far enough in the future that the duration of the test does not matter.
     let prior_leases_end = u64::MAX / 2;
     let tenure = Tenure {
         epoch: 1,
@@ -53,8 +53,8 @@
     assert!(newest.earlier > prior_leases_end / 2, "{}", newest.earlier);
 }
 
-/// Counted from its first try, the first write that is done after a silence would be a contact
-/// as old as the silence, and renew no worker's lease.
+/// Guards against counting the first write after an outage from its first attempt: that contact
+/// would be as old as the outage, and renew no worker lease.
 #[test_case(true, true, 6000; "done, and others see it")]
 #[test_case(true, false, 0; "done, and others do not see it")]
 #[test_case(false, true, 0; "done by an earlier try")]
--- a/crates/node/src/owner/renewal_gaps_tests.rs
+++ b/crates/node/src/owner/renewal_gaps_tests.rs
@@ -1,8 +1,8 @@
-//! How soon a lease is free that is not renewed.
+//! Tests of the term of a lease.
 
 use super::renewal_gaps::RenewalGaps;
 
-/// Renewals so many milliseconds apart.
+/// Returns the gaps of `times` renewals that are `apart` milliseconds apart.
 fn renewed(times: u64, apart: u64) -> RenewalGaps {
     let mut renewal_gaps = RenewalGaps::default();
     for at in 1..=times {
@@ -17,14 +17,14 @@
     assert_eq!(renewed(1, 410).term(), 1800);
 }
 
-/// An owner that dies at the store's usual speed is replaced after a second, where 1.8 s
-/// were lost before.
+/// An owner that dies while the store has its usual speed is replaced after a second instead of 1.8
+/// s.
 #[test]
 fn a_fast_store_means_a_short_term() {
     assert_eq!(renewed(10, 410).term(), 1020);
 }
 
-/// At a sixtieth of the store's speed nobody takes the lease from an owner that lives.
+/// At a sixtieth of the store's speed, no instance takes the lease from a live owner.
 #[test]
 fn a_slow_store_means_the_longest_term() {
     assert_eq!(renewed(10, 1100).term(), 1800);
--- a/crates/node/src/rows_tests.rs
+++ b/crates/node/src/rows_tests.rs
@@ -1,4 +1,4 @@
-//! How long callers wait for their part of the jobs while the store is slow.
+//! Tests of the parts of the accepted jobs: how long callers wait for them while the store is slow.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 
 use crate::rows::{job_part, job_parts};
 
-/// Milliseconds of a write at a sixtieth of the store's speed.
+/// Time of a write at a sixtieth of the store's speed, in milliseconds.
 const WRITE: u64 = 480;
 
-/// Milliseconds that a caller's write may take before its answer is unclear.
+/// Time after which the result of a caller's write counts as unknown, in milliseconds.
 const LIMIT: u64 = 1200;
 
-/// Jobs come from hundreds of instances for half a minute. Each part takes its writes one after
-/// another; of twenty callers at most one is left unclear.
+/// Jobs arrive from hundreds of instances for half a minute, and each part commits its writes one
+/// after another. At most one caller in twenty gets an unknown result.
 #[test_case(17; "the fleet")]
 #[test_case(34; "twice the fleet")]
 fn few_callers_wait_for_each_other_while_the_store_is_slow(jobs: u64) {
--- a/crates/node/src/watch_sim_tests.rs
+++ b/crates/node/src/watch_sim_tests.rs
@@ -1,7 +1,7 @@
-//! A fleet that watches the lease and the configuration, in virtual time.
+//! Simulates a fleet that watches the lease and the configuration, in virtual time.
 //!
-//! Instances decide as the real ones do; the store is a row that is renewed, and answers after a
-//! few milliseconds. Printed with `--nocapture`: calls and bytes a second, how long a change and a
+//! Instances use the real decisions; the store is a row that is renewed, and answers after a few
+//! milliseconds. With `--nocapture`, prints calls and bytes per second, and how long a change and a
 //! lost owner take.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
@@ -23,46 +23,46 @@
 /// Time for an answer of the store, in milliseconds.
 const ANSWER: u64 = 5;
 
-/// Bytes of a question and its answer with the row, and without one, as they are on the wire.
+/// Bytes on the wire of a long poll and its answer, with the row and without one.
 const BYTES: (u64, u64) = (560, 240);
 
-/// One in so many instances is large, where there are many.
+/// One in this many instances is large, in a fleet of at least [`MANY`].
 const LARGE: usize = 10;
 
-/// Fewer than this are all alike.
+/// A fleet with fewer instances has only large ones.
 const MANY: usize = 30;
 
 /// Availability zones.
 const ZONES: usize = 5;
 
-/// When the owner is lost, in milliseconds: calls are counted until then, from half of it on.
+/// Time when the owner is lost, in milliseconds; calls are counted in the half before it.
 const LOST: u64 = 60_000;
 
-/// The most that a lost owner may take until another has the lease, in milliseconds; starts
+/// Longest time from the loss of an owner until another has the lease, in milliseconds; starts
 /// follow within a second.
 const TAKEN: u64 = 2500;
 
-/// Which instances can't reach the store any more once the owner is lost.
+/// The instances that can't reach the store once the owner is lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Loss {
     /// The owner.
     Owner,
-    /// The owner, and all that follow the lease just then.
+    /// The owner, and all instances that follow the lease at that time.
     Followers,
     /// The owner's zone.
     Zone,
-    /// The owner and a third of all.
+    /// The owner and a third of all instances.
     Third,
-    /// All large ones.
+    /// All large instances.
     Large,
 }
 
-/// What an instance does next.
+/// State of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// It asks again at that time.
+    /// Pauses until its timer.
     Pauses,
-    /// Its question waits; the version up to which it knows the lease.
+    /// A long poll is pending; contains the version of the lease known before it.
     Asks(u64),
 }
 
@@ -83,7 +83,8 @@
     lease: LeaseRow,
     version: u64,
     instances: Vec<Instance>,
-    /// Times at which instances ask or are answered.
+    /// Times at which instances poll or are answered, with the instance and the version known
+    /// before.
     timers: BinaryHeap<Reverse<(u64, usize, u64)>>,
     calls: u64,
     bytes: u64,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Has an instance ask for changes.
+    /// Starts a long poll of an instance.
     fn ask(&mut self, at: usize) {
         if self.instances[at].rests {
             self.instances[at].rests = false;
@@ -169,7 +170,7 @@
         self.timers.push(Reverse((until, at, instance.seen)));
     }
 
-    /// Answers an instance's question; true if it takes the lease.
+    /// Answers an instance's long poll; returns whether the instance claims the lease.
     fn answer(&mut self, at: usize) -> bool {
         let version = self.version;
         let instance = &mut self.instances[at];
@@ -196,7 +197,7 @@
         false
     }
 
-    /// Renews the lease: each question that waits is answered.
+    /// Renews the lease, which answers every pending long poll.
     fn renew(&mut self) {
         self.version += 1;
         for at in 0..self.instances.len() {
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Goes on until `end`, with renewals if there is an owner; returns when the lease is taken.
+    /// Runs until `end`, with renewals if there is an owner; returns when the lease is claimed.
     fn run(&mut self, end: u64, owned: bool) -> Option<u64> {
         let mut renewal = self.now;
         loop {
@@ -226,7 +227,8 @@
             let state = self.instances[who].state;
             match state {
                 State::Pauses if seen == u64::MAX || at < 300 => self.ask(who),
-                // The first of a renewal and the end of the wait answers a question.
+                // A long poll is answered by a renewal or by the end of its wait, whichever comes
+                // first.
                 State::Asks(asked) if asked == seen && self.answer(who) => {
                     return Some(self.now);
                 }
@@ -291,8 +293,8 @@
     assert!(worst <= TAKEN, "{worst}");
 }
 
-/// Calls to the store of all that watch the lease: a few a second, however many instances there
-/// are; with each of them following, 600 asked 500 times a second.
+/// The watchers of the lease make a few calls a second in total, whatever the number of instances;
+/// if each of them followed, 600 would call 500 times a second.
 #[test_case(9)]
 #[test_case(100)]
 #[test_case(600)]
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,15 +1,15 @@
-//! MessagePack with a format byte.
+//! MessagePack encoding with a leading format byte.
 
 use serde::{Serialize, de::DeserializeOwned};
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-/// Format of every message of this release.
+/// Format byte of every message of this release.
 pub const FORMAT: u8 = 1;
 
 /// Content type of encoded messages.
 pub const CONTENT_TYPE: &str = "application/vnd.gorsespur.v1+msgpack";
 
-/// Why a message can't be read or written.
+/// Why a message can't be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum CodecError {
     /// The message is empty.
@@ -18,7 +18,7 @@
     /// The message has another format.
     #[snafu(display("message has format {found}, not {FORMAT}"))]
     Format {
-        /// Its format.
+        /// The format found.
         found: u8,
     },
     /// The message is malformed.
--- a/crates/wire/src/fields.rs
+++ b/crates/wire/src/fields.rs
@@ -1,9 +1,9 @@
-//! Header fields towards callers and targets, in lower case.
+//! Names of HTTP header fields, exchanged with callers and targets, in lower case.
 
-/// Identity of a request; sent to the target and checked on its answer.
+/// ID of a request, sent to the target and checked in its answer.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// Milliseconds that are left for the answer.
+/// Milliseconds left until the deadline of the answer.
 pub const DEADLINE: &str = "x-deadline-ms";
 
 /// `urgent`, `normal` or `bulk`.
@@ -27,8 +27,8 @@
 /// `yes` on the answers of a target that is about to leave.
 pub const LEAVING: &str = "x-leaving";
 
-/// Seconds after which a refused caller may come again.
+/// Seconds after which a refused caller may retry.
 pub const RETRY_AFTER: &str = "retry-after";
 
-/// Number of tries that an answer took.
+/// Number of attempts that an answer took.
 pub const TRIES: &str = "x-tries";
--- a/crates/wire/src/keys.rs
+++ b/crates/wire/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of the table service's rows; sorted by key, so numbers are padded.
+//! Keys of the table service's rows. Rows are sorted by key, so numbers are zero-padded.
 
 use gorsespur_core::{name::Name, shard::JobKey};
 
@@ -8,7 +8,7 @@
 /// Prefix of the rows that hold the templates.
 pub const CONFIG: &str = "config/org/";
 
-/// Changes of configuration whose log entries are kept.
+/// Number of changes of configuration whose log entries are kept.
 pub const CHANGES_KEPT: u64 = 1_000;
 
 /// Returns the key of the log entry of a change of configuration.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,7 @@
-//! Messages between processes, and the rows that the table service keeps.
+//! Messages between processes, and values of rows in the table service.
 //!
-//! Every message is MessagePack with one leading byte for its format. Fields go
-//! by position, which keeps the journal small; a change of a type is a new
-//! format.
+//! Every message is MessagePack with a leading format byte. Fields are encoded by position, which
+//! keeps the journal small; any change of a type requires a new format.
 
 pub mod codec;
 pub mod fields;
--- a/crates/wire/src/members.rs
+++ b/crates/wire/src/members.rs
@@ -5,7 +5,7 @@
 use gorsespur_core::{member::Role, name::Name, shard::WorkerInfo};
 use serde::{Deserialize, Serialize};
 
-/// An instance of the system, by the list.
+/// An instance of the system in the membership list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceInfo {
     /// Name.
@@ -14,13 +14,13 @@
     pub role: Role,
     /// Availability zone.
     pub zone: Name,
-    /// Address at which peers reach it.
+    /// Address for peers.
     pub addr: SocketAddr,
-    /// Whether it is about to leave.
+    /// Whether the instance is leaving.
     pub leaving: bool,
 }
 
-/// Live and leaving instances and workers; lags behind reality.
+/// Live and leaving instances and workers; may be outdated.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct MemberList {
     /// Instances.
--- a/crates/wire/src/paths.rs
+++ b/crates/wire/src/paths.rs
@@ -1,4 +1,4 @@
-//! Paths of every interface.
+//! URL paths of all interfaces.
 
 /// Table service: a transaction.
 pub const TX: &str = "/table/tx";
@@ -16,7 +16,7 @@
 pub const PEER_TARGETS: &str = "/peer/targets";
 /// Peer: templates that are newer than the caller's.
 pub const PEER_CONFIG: &str = "/peer/config";
-/// Peer: state of jobs, and cancellation.
+/// Peer: states of jobs, and cancellation.
 pub const PEER_JOBS: &str = "/peer/jobs";
-/// Peer: what operators see of an instance.
+/// Peer: status of an instance, for operators.
 pub const PEER_STATUS: &str = "/peer/status";
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -12,7 +12,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Asks for the targets of a shard.
+/// Requests the targets of a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetsRequest {
     /// Index of the shard among all shards.
@@ -24,43 +24,43 @@
 pub struct TargetsAnswer {
     /// Index of the shard.
     pub shard: u32,
-    /// Epoch of its owner.
+    /// Epoch of the shard's owner.
     pub epoch: u64,
     /// Version within the epoch.
     pub version: u64,
-    /// Its targets.
+    /// Targets.
     pub targets: Vec<TargetInfo>,
-    /// Its largest worker.
+    /// Size of the shard's largest worker.
     pub largest: Size,
 }
 
-/// Asks for templates that are newer than those known.
+/// Requests templates that are newer than the known ones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigRequest {
-    /// Versions known, sorted by organisation.
+    /// Known versions, sorted by organisation.
     pub known: Vec<ConfigVersion>,
 }
 
-/// Templates that are newer.
+/// Templates that are newer than the known ones.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigAnswer {
-    /// Number of the last change that the sender has.
+    /// Number of the last change known to the sender.
     pub head: u64,
     /// The templates.
     pub entries: Vec<ConfigEntry>,
 }
 
-/// What is asked of a shard's owner about jobs.
+/// A request about jobs to a shard's owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobsRequest {
-    /// Their states.
+    /// Returns the states of jobs.
     Watch {
         /// Name of the shard.
         shard: Name,
         /// The jobs.
         keys: Vec<JobKey>,
     },
-    /// Cancel them; the answer comes once that is in the journal.
+    /// Cancels jobs; answered once the cancellation is in the journal.
     Cancel {
         /// Name of the shard.
         shard: Name,
@@ -72,23 +72,23 @@
         /// Name of the shard.
         shard: Name,
     },
-    /// Look into the inbox now.
+    /// Reads the inbox immediately.
     Look {
         /// Name of the shard.
         shard: Name,
     },
 }
 
-/// What a shard's owner answers.
+/// The answer of a shard's owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum JobsAnswer {
     /// States in the order of the keys; none for unknown jobs.
     States(Vec<Option<JobStatus>>),
-    /// The cancellation is in the journal; these jobs are not known, or not yet.
+    /// The cancellation is in the journal; the listed jobs are unknown, possibly only not yet.
     Cancelled(Vec<JobKey>),
     /// Whether the instance may still command the shard's workers.
     Holds(bool),
-    /// Noted.
+    /// The request was accepted.
     Noted,
     /// The instance does not own the shard.
     NotOwner,
@@ -96,7 +96,7 @@
     Unavailable,
 }
 
-/// What operators see of an instance.
+/// Status of an instance, for operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InstanceStatus {
     /// Instance.
@@ -107,16 +107,16 @@
     pub zone: Name,
     /// Address.
     pub addr: SocketAddr,
-    /// Release.
+    /// Release of the software.
     pub release: Name,
-    /// Last change of configuration that is in force.
+    /// Number of the last change of configuration in force.
     pub config: u64,
     /// Versions of the templates in force.
     pub versions: Vec<ConfigVersion>,
-    /// Instances that it takes to be alive.
+    /// Instances considered alive.
     pub live: Vec<Name>,
-    /// Shards that it owns.
+    /// Owned shards.
     pub shards: Vec<ShardStatus>,
-    /// What it routed.
+    /// Counts of routed requests, if the instance routes any.
     pub routed: Option<RouteCounts>,
 }
--- a/crates/wire/src/stored.rs
+++ b/crates/wire/src/stored.rs
@@ -12,15 +12,15 @@
 /// An organisation's template.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredTemplate {
-    /// Version; only grows, by one for each accepted change.
+    /// Version; incremented by each accepted change.
     pub version: u64,
-    /// Number of the change among all organisations' changes.
+    /// Number of the change among the changes of all organisations.
     pub change: u64,
-    /// Chosen anew for each write, to recognise one's own.
+    /// Chosen anew for each write, so that a writer recognises its own.
     pub token: u64,
-    /// What the operator wrote.
+    /// The template as written by the operator.
     pub raw: RawTemplate,
-    /// The checked form.
+    /// The validated template.
     pub template: Arc<Organisation>,
 }
 
@@ -31,7 +31,7 @@
     pub change: u64,
 }
 
-/// An entry of the log of changes, which tells whose template to read.
+/// An entry of the log of changes; states whose template to read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigChange {
     /// Organisation whose template was changed.
@@ -41,16 +41,15 @@
 /// An entry of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// Version of the template that the change made.
+    /// Version of the template after the change.
     pub version: u64,
-    /// When it was made, in milliseconds since the Unix epoch, by the
-    /// operator's clock.
+    /// Time of the change by the operator's clock, in milliseconds since the Unix epoch.
     pub at: u64,
-    /// Who made it.
+    /// Operator who made the change.
     pub who: Name,
-    /// Why, in the operator's words.
+    /// Reason given by the operator.
     pub why: Name,
-    /// Changed fields, one a line.
+    /// Changed fields, one per entry.
     pub diff: Vec<Name>,
 }
 
@@ -59,9 +58,9 @@
 pub struct JournalRow {
     /// Epoch of the owner that wrote it.
     pub epoch: u64,
-    /// Number of its first record.
+    /// Number of the first record.
     pub first: u64,
-    /// Its records.
+    /// Records.
     pub records: Vec<Record>,
 }
 
@@ -70,66 +69,66 @@
 pub struct Snapshot {
     /// Number of the next record.
     pub next: u64,
-    /// The book before that record.
+    /// State of the shard before that record.
     pub book: ShardState,
 }
 
 /// A job's row.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRow {
-    /// Name of its shard.
+    /// Name of the job's shard.
     pub shard: Name,
-    /// What was accepted.
+    /// The job as accepted.
     pub spec: JobSpec,
-    /// Its last state, once it is finished.
+    /// Final state; `None` until the job has finished.
     pub ended: Option<JobStatus>,
 }
 
-/// A finished job in the list from which old ones are deleted.
+/// An entry of the list by which old finished jobs are deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedJob {
     /// The job.
     pub key: JobKey,
-    /// Hour in which it was finished, counted from the Unix epoch.
+    /// Hour in which the job finished, counted from the Unix epoch.
     pub hour: u64,
-    /// Number in its shard.
+    /// Number of the job in its shard.
     pub no: u32,
-    /// Attempts of each task that may have written checkpoints.
+    /// Number of attempts of each task that may have written checkpoints.
     pub attempts: Vec<u32>,
 }
 
-/// A claim in the list from which old ones are deleted.
+/// An entry of the list by which old claims are deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimedKey {
     /// Organisation.
     pub org: Name,
     /// Idempotency key.
     pub key: Name,
-    /// Hour in which it was claimed, counted from the Unix epoch.
+    /// Hour in which the key was claimed, counted from the Unix epoch.
     pub hour: u64,
 }
 
 /// Claim of an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Chosen by the instance that claims it.
+    /// Chosen by the claiming instance to recognise its own claim.
     pub token: u64,
-    /// Hour in which it was made, counted from the Unix epoch.
+    /// Hour in which the claim was made, counted from the Unix epoch.
     pub hour: u64,
-    /// Hash of the request that it was claimed for.
+    /// Hash of the request that claimed the key.
     pub request: u64,
-    /// How the request ended, if it did.
+    /// Result of the request; `None` until it has ended.
     pub ended: Option<ClaimEnd>,
 }
 
-/// How a request with an idempotency key ended.
+/// Result of a request with an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimEnd {
     /// Status code.
     pub status: u16,
-    /// Content type; empty if there was none.
+    /// Content type; empty if absent.
     pub kind: Name,
-    /// Body; empty if it was too long to be kept.
+    /// Body; empty if too long to be kept.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
     /// Whether the body was kept.
--- a/crates/wire/src/table.rs
+++ b/crates/wire/src/table.rs
@@ -1,15 +1,15 @@
-//! The table service's messages.
+//! Messages of the table service.
 //!
-//! Rows have a version, which is the number of the transaction that wrote
-//! them. A transaction takes effect as a whole or not at all.
+//! The version of a row is the number of the transaction that wrote it. A transaction takes effect
+//! as a whole or not at all.
 
 use gorsespur_core::name::Name;
 use serde::{Deserialize, Serialize};
 
-/// What a row must be like for a transaction to take effect.
+/// Expected state of a row in a condition of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Expect {
-    /// There is no such row.
+    /// The row does not exist.
     Absent,
     /// The row has this version.
     Version(u64),
@@ -20,16 +20,16 @@
 pub struct Check {
     /// Key of the row.
     pub key: Name,
-    /// What it must be like.
+    /// Expected state of the row.
     pub expect: Expect,
 }
 
-/// A row to be written.
+/// A row to write.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
     /// Key of the row.
     pub key: Name,
-    /// Its new value.
+    /// New value.
     #[serde(with = "serde_bytes")]
     pub value: Vec<u8>,
 }
@@ -41,7 +41,7 @@
     pub checks: Vec<Check>,
     /// Rows to write.
     pub puts: Vec<Put>,
-    /// Rows to delete; absent ones are passed over.
+    /// Keys of rows to delete; missing rows are ignored.
     pub deletes: Vec<Name>,
 }
 
@@ -70,16 +70,16 @@
     }
 }
 
-/// Answer to a transaction.
+/// Result of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TxAnswer {
-    /// It took effect; written rows have this version.
+    /// The transaction took effect; written rows have this version.
     Done(u64),
-    /// It did not take effect since a condition does not hold.
+    /// The transaction did not take effect because a condition does not hold.
     Conflict {
-        /// Key of the first such row.
+        /// Key of the row of the first such condition.
         key: Name,
-        /// The row's version; 0 if there is none.
+        /// Current version of the row; 0 if it does not exist.
         found: u64,
     },
 }
@@ -96,28 +96,28 @@
     pub value: Vec<u8>,
 }
 
-/// Asks for rows.
+/// Requests rows by key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GetRequest {
     /// Keys.
     pub keys: Vec<Name>,
 }
 
-/// The rows in the order of the keys; none where there is no row.
+/// Rows in the order of the requested keys; `None` for missing rows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GetAnswer {
     /// Rows.
     pub rows: Vec<Option<Row>>,
 }
 
-/// Asks for rows by prefix.
+/// Requests rows by prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScanRequest {
     /// Prefix of the keys.
     pub prefix: Name,
-    /// Only keys after this one.
+    /// Returns only keys after this one.
     pub after: Option<Name>,
-    /// Most rows.
+    /// Limit on the number of rows.
     pub limit: u32,
 }
 
@@ -126,6 +126,6 @@
 pub struct ScanAnswer {
     /// Rows.
     pub rows: Vec<Row>,
-    /// Whether there are more.
+    /// Whether more rows follow.
     pub more: bool,
 }
