--- a/crates/node/src/candidate.rs
+++ b/crates/node/src/candidate.rs
@@ -17,8 +17,8 @@
 pub(crate) const MAX_JITTER_MS: u64 = 300;
 
 /// Delay of a claim by an instance with a CPU share of 0, in milliseconds; it shrinks linearly with
-/// the share relative to the largest owner so far. Deciding takes more than a tenth of a CPU, so
-/// that a small owner falls permanently behind.
+/// the share relative to the largest owner so far. Deciding takes more than a tenth of a CPU, so a
+/// small owner falls permanently behind.
 const SMALL_DELAY_MS: u64 = 600;
 
 /// Age of an epoch after which an instance claims the lease of an owner with less than half its
@@ -35,13 +35,13 @@
     /// Its CPU share, in thousandths.
     pub(crate) share: u64,
     /// Time since the last renewal was seen, in milliseconds.
-    pub(crate) age: u64,
+    pub(crate) age_ms: u64,
     /// Time for which the lease was followed without a rest, in milliseconds.
     pub(crate) followed_ms: u64,
     /// Time since the owner's epoch was first seen, in milliseconds.
-    pub(crate) tenure: u64,
+    pub(crate) tenure_ms: u64,
     /// Random delay of the claim, in milliseconds.
-    pub(crate) jitter: u64,
+    pub(crate) jitter_ms: u64,
 }
 
 impl Candidate<'_> {
@@ -60,20 +60,20 @@
         let small_delay = SMALL_DELAY_MS * (largest - self.share) / largest;
         // An owner that reads its own name has restarted, and its previous process has ended.
         if lease.released || lease.owner == self.name {
-            return small_delay.saturating_sub(self.age);
+            return small_delay.saturating_sub(self.age_ms);
         }
         // A renewal during a rest may not have been seen yet, since the store's changes may lag by
         // a second.
-        let age = self.age.min(self.followed_ms);
-        if is_small(lease.share, self.share) && age < UPGRADE_DELAY_MS {
-            return (UPGRADE_DELAY_MS + 1).saturating_sub(self.tenure);
+        let age_ms = self.age_ms.min(self.followed_ms);
+        if is_small(lease.share, self.share) && age_ms < UPGRADE_DELAY_MS {
+            return (UPGRADE_DELAY_MS + 1).saturating_sub(self.tenure_ms);
         }
         let term_ms = if lease.term > 0 {
             lease.term
         } else {
             DEFAULT_TERM_MS
         };
-        (term_ms + self.jitter + small_delay + 1).saturating_sub(age)
+        (term_ms + self.jitter_ms + small_delay + 1).saturating_sub(age_ms)
     }
 
     /// Returns the number of instances in the same size class as this one; 0 if unknown or if the
@@ -115,9 +115,9 @@
             // Adding the renewal period and the length of a lease instead would give 12.7 s, and a
             // long-running task may be away for only 10 s.
             (now + MAX_CONTACT_LEAD_MS + lease_upper_bound(jobs.store_grace))
-                .saturating_sub(self.age)
+                .saturating_sub(self.age_ms)
         };
         // An owner before the last one may still run in a partitioned zone and renew leases there.
-        last_owner_end.max((now + lease.earlier).saturating_sub(self.age))
+        last_owner_end.max((now + lease.earlier).saturating_sub(self.age_ms))
     }
 }
--- a/crates/node/src/candidate_tests.rs
+++ b/crates/node/src/candidate_tests.rs
@@ -15,15 +15,15 @@
     }
 }
 
-fn candidate(lease: &LeaseRow, share: u64, age: u64) -> Candidate<'_> {
+fn candidate(lease: &LeaseRow, share: u64, age_ms: u64) -> Candidate<'_> {
     Candidate {
         lease: Some(lease),
         name: "me",
         share,
-        age,
+        age_ms,
         followed_ms: 60_000,
-        tenure: 60_000,
-        jitter: 0,
+        tenure_ms: 60_000,
+        jitter_ms: 0,
     }
 }
 
@@ -39,19 +39,19 @@
 
 #[test_case(1700, false; "renewed lately")]
 #[test_case(2000, true; "not renewed")]
-fn a_lease_is_claimed_after_the_default_term(age: u64, can_claim: bool) {
-    assert_eq!(candidate(&lease(500), 500, age).can_claim(), can_claim);
+fn a_lease_is_claimed_after_the_default_term(age_ms: u64, can_claim: bool) {
+    assert_eq!(candidate(&lease(500), 500, age_ms).can_claim(), can_claim);
 }
 
 /// The owner publishes the term in the lease.
 #[test_case(1000, false; "renewed lately")]
 #[test_case(1100, true; "not renewed")]
-fn a_lease_is_claimed_after_its_published_term(age: u64, can_claim: bool) {
+fn a_lease_is_claimed_after_its_published_term(age_ms: u64, can_claim: bool) {
     let published = LeaseRow {
         term: 1060,
         ..lease(500)
     };
-    assert_eq!(candidate(&published, 500, age).can_claim(), can_claim);
+    assert_eq!(candidate(&published, 500, age_ms).can_claim(), can_claim);
 }
 
 #[test]
@@ -83,7 +83,7 @@
     assert!(!candidate(&lease(300), 500, 100).can_claim());
     let new = lease(69);
     let just_started = Candidate {
-        tenure: 500,
+        tenure_ms: 500,
         ..candidate(&new, 500, 100)
     };
     assert!(!just_started.can_claim());
@@ -95,15 +95,18 @@
 #[test_case(0, 1801; "just renewed")]
 #[test_case(1500, 301; "nearly stale")]
 #[test_case(1801, 0; "stale")]
-fn a_long_poll_ends_when_the_lease_may_be_claimed(age: u64, claim_delay: u64) {
-    assert_eq!(candidate(&lease(500), 500, age).claim_delay(), claim_delay);
+fn a_long_poll_ends_when_the_lease_may_be_claimed(age_ms: u64, claim_delay: u64) {
+    assert_eq!(
+        candidate(&lease(500), 500, age_ms).claim_delay(),
+        claim_delay
+    );
 }
 
 #[test]
 fn a_large_instance_may_claim_before_a_small_one() {
     let lease = lease(500);
     let large = Candidate {
-        jitter: crate::candidate::MAX_JITTER_MS,
+        jitter_ms: crate::candidate::MAX_JITTER_MS,
         ..candidate(&lease, 500, 0)
     };
     assert!(large.claim_delay() < candidate(&lease, 120, 0).claim_delay());
@@ -114,7 +117,7 @@
 #[test_case("other", false, 2000, 12_233; "may live on since its last renewal")]
 #[test_case("other", true, 2000, 11_182; "gave the lease back")]
 #[test_case("me", false, 0, 11_182; "was this instance, which started anew")]
-fn leases_of_the_previous_owner_end(owner: &str, released: bool, age: u64, expected: u64) {
+fn leases_of_the_previous_owner_end(owner: &str, released: bool, age_ms: u64, expected: u64) {
     let lease = LeaseRow {
         owner: owner.into(),
         released,
@@ -122,7 +125,8 @@
     };
     // Leases last 6 s, and end at most 8.5 s after the last contact with the store, on a clock that
     // may be 2% slow, with a margin of 60 ms; a contact may be 0.5 s newer than the renewal.
-    let prior_leases_end = candidate(&lease, 500, age).prior_leases_end(5000, &Settings::default());
+    let prior_leases_end =
+        candidate(&lease, 500, age_ms).prior_leases_end(5000, &Settings::default());
     assert_eq!(prior_leases_end, expected);
 }
 
@@ -130,8 +134,8 @@
 #[test_case(120, 0, 2257; "small, just renewed")]
 #[test_case(120, 2000, 257; "small, nearly stale")]
 #[test_case(500, 0, 0; "large")]
-fn small_instances_pause_until_their_claim_is_due(share: u64, age: u64, pause: u64) {
-    assert_eq!(candidate(&lease(500), share, age).follow_pause(), pause);
+fn small_instances_pause_until_their_claim_is_due(share: u64, age_ms: u64, pause: u64) {
+    assert_eq!(candidate(&lease(500), share, age_ms).follow_pause(), pause);
 }
 
 #[test]
@@ -158,11 +162,11 @@
 #[test_case(1000; "after the shortest term")]
 #[test_case(2100; "after the longest term")]
 #[test_case(5000; "after an outage")]
-fn leases_of_the_previous_owner_end_in_time_for_a_restart(age: u64) {
+fn leases_of_the_previous_owner_end_in_time_for_a_restart(age_ms: u64) {
     let now = 60_000;
     let prior_leases_end =
-        candidate(&lease(500), 500, age).prior_leases_end(now, &Settings::default());
-    let after = prior_leases_end - (now - age);
+        candidate(&lease(500), 500, age_ms).prior_leases_end(now, &Settings::default());
+    let after = prior_leases_end - (now - age_ms);
     assert!(
         after + RESTART_MS <= MAX_AWAY_MS,
         "{after} ms after the last renewal"
@@ -179,7 +183,7 @@
 fn leases_of_owners_before_the_last_one_count(
     owner: &str,
     released: bool,
-    age: u64,
+    age_ms: u64,
     expected: u64,
 ) {
     let lease = LeaseRow {
@@ -189,6 +193,6 @@
         ..lease(500)
     };
     let prior_leases_end =
-        candidate(&lease, 500, age).prior_leases_end(60_000, &Settings::default());
+        candidate(&lease, 500, age_ms).prior_leases_end(60_000, &Settings::default());
     assert_eq!(prior_leases_end, expected);
 }
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -14,21 +14,21 @@
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// The system's answer.
+        /// Error from the operating system.
         source: std::io::Error,
     },
     /// A thread can't be started.
     #[snafu(display("can't start thread {name}"))]
     Thread {
-        /// Its name.
+        /// Name of the thread.
         name: &'static str,
-        /// The system's answer.
+        /// Error from the operating system.
         source: std::io::Error,
     },
     /// Signals can't be handled.
     #[snafu(display("can't handle signals"))]
     Signals {
-        /// The system's answer.
+        /// Error from the operating system.
         source: std::io::Error,
     },
 }
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -65,10 +65,10 @@
             lease: self.row.as_ref().map(|_| &self.lease),
             name: &shared.settings.name,
             share: shared.settings.share,
-            age: now - self.version_since,
+            age_ms: now - self.version_since,
             followed_ms: timing.followed_ms,
-            tenure: now - self.epoch_since,
-            jitter: timing.jitter,
+            tenure_ms: now - self.epoch_since,
+            jitter_ms: timing.jitter_ms,
         }
     }
 }
@@ -79,20 +79,20 @@
     /// Time for which it has followed the lease without a rest, in milliseconds.
     pub(crate) followed_ms: u64,
     /// Random delay of a claim, in milliseconds.
-    pub(crate) jitter: u64,
+    pub(crate) jitter_ms: u64,
 }
 
 /// Watches the lease until cancelled, and runs the owner while this instance holds it.
 pub(crate) fn watch(shared: &Arc<Shared>, cancel: &CancelToken) {
     let mut watch = LeaseWatch::default();
     let mut rng = rand::rng();
-    let mut jitter = rng.random_range(0..MAX_JITTER_MS);
+    let mut jitter_ms = rng.random_range(0..MAX_JITTER_MS);
     let mut turn = FollowTurn::new(shared.clock.now());
     let mut backoff = Backoff::new(FIRST_PAUSE_MS, MAX_PAUSE_MS, rng.random());
     while !cancel.is_cancelled() {
         let timing = |turn: &FollowTurn| FollowTiming {
             followed_ms: turn.followed_ms(shared.clock.now()),
-            jitter,
+            jitter_ms,
         };
         let seen = match watch.refresh(shared, timing(&turn)) {
             Ok(seen) => seen,
@@ -118,7 +118,7 @@
             }
             continue;
         }
-        jitter = rng.random_range(0..MAX_JITTER_MS);
+        jitter_ms = rng.random_range(0..MAX_JITTER_MS);
         match claim(shared, seen) {
             Ok(Some(tenure)) => {
                 shared.metrics.count(Count::Takeovers);
--- a/crates/node/src/owner/connections.rs
+++ b/crates/node/src/owner/connections.rs
@@ -137,8 +137,8 @@
             if call.deadline != due.deadline {
                 continue;
             }
-            if late && !call.prolonged {
-                call.prolonged = true;
+            if late && !call.is_extended {
+                call.is_extended = true;
                 call.deadline = read + LATE_GRACE_MS;
                 let deadline = call.deadline;
                 self.deadlines
@@ -164,7 +164,7 @@
         let Some(Some(connections)) = self.workers.get_mut(worker as usize) else {
             return;
         };
-        for slot in connections.slots.iter_mut().filter(|l| l.call.is_none()) {
+        for slot in connections.slots.iter_mut().filter(|c| c.call.is_none()) {
             if let Some(connection) = slot.connection.take() {
                 connection.close(registry);
             }
@@ -183,7 +183,7 @@
                 .waiting
                 .retain(|w| !withdraw_start(worker, w, answers));
         }
-        let Some(connections) = connections.take_if(|p| p.slots.iter().all(|l| l.call.is_none()))
+        let Some(connections) = connections.take_if(|w| w.slots.iter().all(|c| c.call.is_none()))
         else {
             return;
         };
@@ -213,8 +213,8 @@
                 return self.call(registry, worker, slot, order);
             }
             log::info!(task = start.task.to_string().as_str(), worker = &*connections.id, waited_ms = now - queued_at; "order: taken back");
-            let taken = Answer::Started(start.task, start.run, Started::Withdrawn);
-            self.answers.push((worker, queued_at, taken));
+            let withdrawn = Answer::Started(start.task, start.run, Started::Withdrawn);
+            self.answers.push((worker, queued_at, withdrawn));
         }
     }
 
@@ -224,7 +224,7 @@
             return;
         };
         let target_slot = &mut connections.slots[slot];
-        if let Some(connection) = target_slot.connection.take_if(|l| !l.is_reusable()) {
+        if let Some(connection) = target_slot.connection.take_if(|c| !c.is_reusable()) {
             connection.close(registry);
         }
         if target_slot.connection.is_none() {
@@ -243,7 +243,7 @@
             order,
             sent_at: now,
             deadline,
-            prolonged: false,
+            is_extended: false,
         });
         self.deadlines.push(Reverse(CallDeadline {
             deadline,
@@ -257,7 +257,7 @@
                 Err(err) => return self.finish(worker, slot, Err(err)),
             }
         }
-        let sent = target_slot.connection.as_mut().map(|l| l.send(&request));
+        let sent = target_slot.connection.as_mut().map(|c| c.send(&request));
         if let Some(Err(err)) = sent {
             self.close(registry, worker, slot);
             self.finish(worker, slot, Err(err));
@@ -297,8 +297,8 @@
     let Order::Start(start) = &waiting.order else {
         return false;
     };
-    let taken = Answer::Started(start.task, start.run, Started::Withdrawn);
-    answers.push((worker, waiting.queued_at, taken));
+    let withdrawn = Answer::Started(start.task, start.run, Started::Withdrawn);
+    answers.push((worker, waiting.queued_at, withdrawn));
     true
 }
 
--- a/crates/node/src/owner/decision_loop.rs
+++ b/crates/node/src/owner/decision_loop.rs
@@ -46,9 +46,9 @@
     config: Option<Arc<Config>>,
     /// The evacuated zones last passed to the machine; `None` before the first time.
     evacuated: Option<Arc<[Arc<str>]>>,
-    report_at: u64,
+    next_report_at: u64,
     /// When the learned estimates are saved next, in milliseconds.
-    learned_at: u64,
+    next_save_at: u64,
     /// Time of the last wake-up, in milliseconds.
     last_wake_at: u64,
     /// Time for which the computer had been suspended by then, in milliseconds.
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 struct Wake {
     /// Time of the wake-up; everything that had arrived by then is read, unless `is_partial`.
-    read_at: u64,
+    woken_at: u64,
     /// Whether more events may be pending.
     is_partial: bool,
     /// Whether the wake-up was late.
@@ -82,8 +82,8 @@
             inbox,
             config: None,
             evacuated: None,
-            report_at: 0,
-            learned_at: shared.clock.now() + LEARNED_PERIOD_MS,
+            next_report_at: 0,
+            next_save_at: shared.clock.now() + LEARNED_PERIOD_MS,
             last_wake_at: shared.clock.now(),
             suspended_ms: shared.clock.suspended_ms(),
             is_over: false,
@@ -139,19 +139,19 @@
 
     /// Records a wake-up, and logs it if it was late.
     fn record_wake(&mut self) -> Wake {
-        let read_at = self.shared.clock.now();
-        let since = read_at - self.last_wake_at;
-        self.last_wake_at = read_at;
-        let is_late = since >= LATE_MS;
+        let woken_at = self.shared.clock.now();
+        let since_last = woken_at - self.last_wake_at;
+        self.last_wake_at = woken_at;
+        let is_late = since_last >= LATE_MS;
         if is_late {
             let suspended_ms = self.shared.clock.suspended_ms();
-            let paused_ms = suspended_ms.saturating_sub(self.suspended_ms);
+            let newly_suspended_ms = suspended_ms.saturating_sub(self.suspended_ms);
             self.suspended_ms = suspended_ms;
             self.shared.metrics.count(Count::LateTurns);
-            log::warn!(late_ms = since, suspended_ms = paused_ms, told = self.inbox.messages.len(); "owner: late");
+            log::warn!(late_ms = since_last, suspended_ms = newly_suspended_ms, told = self.inbox.messages.len(); "owner: late");
         }
         Wake {
-            read_at,
+            woken_at,
             is_partial: false,
             is_late,
         }
@@ -161,7 +161,7 @@
         let now = self.shared.clock.now();
         if !wake.is_partial {
             self.connections
-                .expire(self.inbox.poll.registry(), wake.read_at, wake.is_late);
+                .expire(self.inbox.poll.registry(), wake.woken_at, wake.is_late);
         }
         self.handle_messages(now);
         self.apply_config(now);
@@ -185,8 +185,8 @@
             }
         }
         self.save_learned(now, journal);
-        if now >= self.report_at {
-            self.report_at = now + REPORT_PERIOD_MS;
+        if now >= self.next_report_at {
+            self.next_report_at = now + REPORT_PERIOD_MS;
             send(journal, JournalInput::Pending(self.machine.pending_jobs()));
             self.shared.metrics.set_owner_stats(self.machine.stats());
             for worker in self.machine.closable_workers() {
@@ -198,10 +198,10 @@
 
     /// Saves the learned estimates periodically.
     fn save_learned(&mut self, now: u64, journal: &Sender<JournalInput>) {
-        if now < self.learned_at {
+        if now < self.next_save_at {
             return;
         }
-        self.learned_at = now + LEARNED_PERIOD_MS;
+        self.next_save_at = now + LEARNED_PERIOD_MS;
         send(
             journal,
             JournalInput::Learned(encode(&self.machine.learned())),
--- a/crates/node/src/owner/journal.rs
+++ b/crates/node/src/owner/journal.rs
@@ -71,7 +71,7 @@
     renewal_gaps: RenewalGaps,
     /// Learned estimates that are not written yet.
     learned: Option<Vec<u8>>,
-    /// Keys of the log's rows, the oldest one first.
+    /// Keys of the log rows, oldest first.
     log: VecDeque<String>,
 }
 
--- a/crates/node/src/owner/worker_connections.rs
+++ b/crates/node/src/owner/worker_connections.rs
@@ -23,7 +23,7 @@
     pub(super) sent_at: u64,
     pub(super) deadline: u64,
     /// Whether the deadline was extended after a late wake-up.
-    pub(super) prolonged: bool,
+    pub(super) is_extended: bool,
 }
 
 /// The deadline of a call. Ignored if the call was answered meanwhile.
@@ -53,12 +53,12 @@
 impl WorkerConnections {
     /// Returns a free connection for orders, preferably an open one.
     pub(super) fn free_slot(&self) -> Option<usize> {
-        let free = |l: &usize| self.slots[*l].call.is_none();
-        let open = |l: &usize| self.slots[*l].connection.is_some();
-        let found = (1..SLOTS).filter(free).find(open);
+        let free = |s: &usize| self.slots[*s].call.is_none();
+        let open = |s: &usize| self.slots[*s].connection.is_some();
+        let open_slot = (1..SLOTS).filter(free).find(open);
         // Another connection is worth its cost only if the others are held up.
-        let busy = (1..SLOTS).filter(|l| !free(l)).count();
-        found.or_else(|| {
+        let busy = (1..SLOTS).filter(|s| !free(s)).count();
+        open_slot.or_else(|| {
             (busy == 0 || self.waiting.len() >= busy * 3).then(|| (1..SLOTS).find(free))?
         })
     }
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -27,7 +27,7 @@
     store::Store,
 };
 
-/// Stack of a thread in bytes.
+/// Stack size of a thread.
 const STACK_BYTES: usize = 512 << 10;
 
 /// Time limit of a request, from its first byte to its last.
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a node share.
+//! State that the threads of a node share.
 
 use std::{
     fmt,
@@ -46,7 +46,7 @@
     zones: Arc<[Arc<str>]>,
 }
 
-/// What the threads of a node share.
+/// State that the threads of a node share.
 pub(crate) struct Shared {
     pub(crate) settings: NodeSettings,
     store: Box<dyn Store>,
@@ -113,7 +113,7 @@
         self.max_silence.store(silence, Ordering::Relaxed);
     }
 
-    /// Returns how long questions about the configuration wait.
+    /// Returns the wait of long polls for the configuration.
     pub(crate) fn config_wait(&self) -> Duration {
         long_poll::wait(self.settings.apply)
     }
--- a/crates/node/src/watch_sim_tests.rs
+++ b/crates/node/src/watch_sim_tests.rs
@@ -17,7 +17,7 @@
     rows::LeaseRow,
 };
 
-/// The owner renews this often, in milliseconds.
+/// Period of renewals of the lease, in milliseconds.
 const RENEW_PERIOD_MS: u64 = 400;
 
 /// Time for an answer of the store, in milliseconds.
@@ -71,7 +71,7 @@
     seen: u64,
     version_since: u64,
     turn: FollowTurn,
-    jitter: u64,
+    jitter_ms: u64,
     state: State,
     is_reachable: bool,
     is_resting: bool,
@@ -117,7 +117,7 @@
                 seen: 0,
                 version_since: 0,
                 turn: FollowTurn::new(0),
-                jitter: rng.random_range(0..MAX_JITTER_MS),
+                jitter_ms: rng.random_range(0..MAX_JITTER_MS),
                 state: State::Paused,
                 is_reachable: true,
                 is_resting: false,
@@ -142,10 +142,10 @@
             lease: Some(&self.lease),
             name: "other",
             share: instance.share,
-            age: self.now - instance.version_since,
+            age_ms: self.now - instance.version_since,
             followed_ms: instance.turn.followed_ms(self.now),
-            tenure: self.now,
-            jitter: instance.jitter,
+            tenure_ms: self.now,
+            jitter_ms: instance.jitter_ms,
         }
     }
 
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -24,13 +24,13 @@
     /// The message is malformed.
     #[snafu(display("message is malformed"))]
     Decode {
-        /// The library's answer.
+        /// Error from the library.
         source: rmp_serde::decode::Error,
     },
     /// The value can't be encoded.
     #[snafu(display("value can't be encoded"))]
     Encode {
-        /// The library's answer.
+        /// Error from the library.
         source: rmp_serde::encode::Error,
     },
 }
--- a/crates/wire/src/fields.rs
+++ b/crates/wire/src/fields.rs
@@ -24,7 +24,7 @@
 /// Slots in use at a target, this request included.
 pub const BUSY: &str = "x-busy-slots";
 
-/// `yes` on the answers of a target that is about to leave.
+/// `yes` on answers of a target that is leaving.
 pub const LEAVING: &str = "x-leaving";
 
 /// Seconds after which a refused caller may retry.
