--- a/crates/node/src/candidate_tests.rs
+++ b/crates/node/src/candidate_tests.rs
@@ -37,14 +37,14 @@
     assert!(unowned.can_claim());
 }
 
-#[test_case(1700, false; "renewed lately")]
+#[test_case(1700, false; "recently renewed")]
 #[test_case(2000, true; "not renewed")]
 fn a_lease_is_claimed_after_the_default_term(age_ms: u64, can_claim: bool) {
     assert_eq!(candidate(&lease(500), 500, age_ms).can_claim(), can_claim);
 }
 
 /// The owner publishes the term in the lease.
-#[test_case(1000, false; "renewed lately")]
+#[test_case(1000, false; "recently renewed")]
 #[test_case(1100, true; "not renewed")]
 fn a_lease_is_claimed_after_its_published_term(age_ms: u64, can_claim: bool) {
     let published = LeaseRow {
@@ -93,8 +93,8 @@
 /// an instance with 0.12 of a CPU took the lease before those with 0.5, which still waited for
 /// answers to their last polls, and jobs were reported as begun that had not.
 #[test_case(0, 1801; "just renewed")]
-#[test_case(1500, 301; "nearly stale")]
-#[test_case(1801, 0; "stale")]
+#[test_case(1500, 301; "nearly expired")]
+#[test_case(1801, 0; "expired")]
 fn a_long_poll_ends_when_the_lease_may_be_claimed(age_ms: u64, claim_delay: u64) {
     assert_eq!(
         candidate(&lease(500), 500, age_ms).claim_delay(),
@@ -114,9 +114,9 @@
 
 /// Guards against a restarted owner that waits for worker leases of its own previous process for as
 /// long as for those of an owner that may still run.
-#[test_case("other", false, 2000, 12_233; "may live on since its last renewal")]
-#[test_case("other", true, 2000, 11_182; "gave the lease back")]
-#[test_case("me", false, 0, 11_182; "was this instance, which started anew")]
+#[test_case("other", false, 2000, 12_233; "may still run since its last renewal")]
+#[test_case("other", true, 2000, 11_182; "released the lease")]
+#[test_case("me", false, 0, 11_182; "was this instance, which restarted")]
 fn leases_of_the_previous_owner_end(owner: &str, released: bool, age_ms: u64, expected: u64) {
     let lease = LeaseRow {
         owner: owner.into(),
@@ -132,7 +132,7 @@
 
 /// Small instances poll when they may claim the lease; large ones wait for its renewals.
 #[test_case(120, 0, 2257; "small, just renewed")]
-#[test_case(120, 2000, 257; "small, nearly stale")]
+#[test_case(120, 2000, 257; "small, nearly expired")]
 #[test_case(500, 0, 0; "large")]
 fn small_instances_pause_until_their_claim_is_due(share: u64, age_ms: u64, pause: u64) {
     assert_eq!(candidate(&lease(500), share, age_ms).follow_pause(), pause);
@@ -176,10 +176,10 @@
 /// An owner in a partitioned zone may grant leases until its own time is up, while other owners
 /// follow each other quickly. If the last one released the lease or restarted, its leases end
 /// before those of the partitioned one.
-#[test_case("other", true, 0, 60_000 + 8_000; "given back just now")]
-#[test_case("other", true, 3000, 60_000 + 6_182; "given back a while ago")]
-#[test_case("me", false, 0, 60_000 + 8_000; "started anew")]
-#[test_case("other", false, 0, 60_000 + 9_233; "may live on")]
+#[test_case("other", true, 0, 60_000 + 8_000; "released just now")]
+#[test_case("other", true, 3000, 60_000 + 6_182; "released a while ago")]
+#[test_case("me", false, 0, 60_000 + 8_000; "restarted")]
+#[test_case("other", false, 0, 60_000 + 9_233; "may still run")]
 fn leases_of_owners_before_the_last_one_count(
     owner: &str,
     released: bool,
--- a/crates/node/src/census.rs
+++ b/crates/node/src/census.rs
@@ -3,8 +3,8 @@
 //! Each instance announces itself in the store when it starts, and every few hours afterwards. The
 //! owner counts the announcements and publishes the counts in each renewal of the lease.
 //!
-//! Limits: a stopped instance is counted for a day. The counts only decide how often instances read
-//! the lease.
+//! Limits: a stopped instance is counted for a day. The counts only decide how often instances poll
+//! the store.
 
 use std::time::Duration;
 
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -31,17 +31,17 @@
             reason: "the configuration has not been read yet".into(),
         })?;
     match changes(shared, Duty::Callers, table, after, Duration::ZERO) {
-        Err(StoreError::Compacted) => read_anew(shared),
-        step => step.map(drop),
+        Err(StoreError::Compacted) => reread(shared),
+        result => result.map(drop),
     }
 }
 
 /// Reads the whole configuration, unless another request is reading it.
-fn read_anew(shared: &Shared) -> Result<(), StoreError> {
+fn reread(shared: &Shared) -> Result<(), StoreError> {
     let busy = |_| StoreError::Unavailable {
         reason: "another request is reading the configuration".into(),
     };
-    let _reading = shared.config_read.try_lock().map_err(busy)?;
+    let _guard = shared.config_read.try_lock().map_err(busy)?;
     refresh_at(shared, Duty::Callers).map(drop)
 }
 
@@ -63,11 +63,11 @@
     let mut lost = false;
     let mut backoff = Backoff::new(FIRST_PAUSE_MS, MAX_PAUSE_MS, rand::random());
     while !cancel.is_cancelled() {
-        let step = match version {
+        let result = match version {
             None => refresh_at(shared, Duty::Config),
             Some(after) => changes(shared, Duty::Config, table, after, wait(shared)),
         };
-        match step {
+        match result {
             Ok(next) => {
                 version = Some(next);
                 if lost {
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -107,8 +107,8 @@
     /// missing.
     fn queue(&self, host: &str, path: &str) -> Result<Option<Queue>, StoreError> {
         let find = || self.shared.config()?.find(host, path).cloned();
-        let fresh = !self.shared.is_store_silent();
-        if let Some(queue) = find().filter(|_| fresh) {
+        let is_fresh = !self.shared.is_store_silent();
+        if let Some(queue) = find().filter(|_| is_fresh) {
             return Ok(Some(queue));
         }
         refresh(&self.shared)?;
--- a/crates/node/src/lease_tests.rs
+++ b/crates/node/src/lease_tests.rs
@@ -54,7 +54,7 @@
     let seen = watch
         .refresh(&shared, FollowTiming::default())
         .expect("an answer");
-    let tenure = claim(&shared, seen).expect("an answer").expect("not taken");
+    let tenure = claim(&shared, seen).expect("an answer").expect("claimed");
     let takeover = tenure.takeover;
     // Both count from when the lease was seen, not from when the claim was requested.
     assert_eq!(
--- a/crates/node/src/owner/census.rs
+++ b/crates/node/src/owner/census.rs
@@ -28,11 +28,11 @@
     let mut version = None;
     // Waits first, since a new owner has more urgent rows to read.
     while !cancel.wait(READ_PAUSE) {
-        let step = match version {
+        let result = match version {
             None => list(shared, &mut registry),
             Some(after) => follow(shared, &mut registry, after),
         };
-        match step {
+        match result {
             Ok(next) => version = Some(next),
             Err(err) => {
                 log::debug!(err = err.to_string().as_str(); "census: count failed");
--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -60,7 +60,7 @@
 ) {
     while !cancel.is_cancelled() {
         let mut events = Vec::new();
-        let step = match cursor.version {
+        let result = match cursor.version {
             None => reread_jobs(shared, &mut cursor, &mut events),
             Some(after) => {
                 let changes = shared
@@ -73,7 +73,7 @@
                 })
             }
         };
-        if let Err(err) = step {
+        if let Err(err) = result {
             handle_failure(shared, &mut cursor, &err, cancel);
         }
         sender.events(events);
@@ -130,7 +130,7 @@
     while !cancel.is_cancelled() {
         let mut events = Vec::new();
         let asked_at = shared.clock.now();
-        let step = match cursor.version {
+        let result = match cursor.version {
             None => list_workers(shared).map(|listing| {
                 apply_listing(shared, &mut cursor, &listing, &mut events);
                 WORKERS_PAUSE
@@ -150,7 +150,7 @@
                 })
             }
         };
-        let pause = match step {
+        let pause = match result {
             Ok(pause) => pause,
             Err(err) => {
                 handle_failure(shared, &mut cursor, &err, cancel);
--- a/crates/node/src/owner/journal.rs
+++ b/crates/node/src/owner/journal.rs
@@ -105,12 +105,12 @@
     };
     loop {
         let due = (journal.renewed_at + RENEW_PERIOD_MS).saturating_sub(shared.clock.now());
-        let entry = match inputs.recv_timeout(Duration::from_millis(due)) {
-            Ok(entry) => Some(entry),
+        let input = match inputs.recv_timeout(Duration::from_millis(due)) {
+            Ok(input) => Some(input),
             Err(RecvTimeoutError::Timeout) => None,
             Err(RecvTimeoutError::Disconnected) => return,
         };
-        let (batch, release) = match entry {
+        let (batch, release) = match input {
             Some(JournalInput::Pending(pending)) => {
                 journal.lease.pending = pending;
                 continue;
@@ -159,7 +159,7 @@
         let mut backoff = Backoff::new(FIRST_PAUSE_MS, MAX_PAUSE_MS, rand::random());
         let mut failing = false;
         let asked_at = loop {
-            let tried = self.shared.clock.now();
+            let attempted_at = self.shared.clock.now();
             match self
                 .shared
                 .store(Duty::Journal)
@@ -167,13 +167,13 @@
             {
                 Ok(Commit::Done(version)) => {
                     self.accept(version, failing);
-                    break contact_time(true, renews, sent, tried);
+                    break contact_time(true, renews, sent, attempted_at);
                 }
                 Ok(Commit::Conflict(rows)) => {
                     if !self.conflict(&rows, failing) {
                         return None;
                     }
-                    break contact_time(false, renews, sent, tried);
+                    break contact_time(false, renews, sent, attempted_at);
                 }
                 Err(err) => {
                     if !failing {
@@ -208,12 +208,12 @@
     fn conflict(&mut self, rows: &[Row], failing: bool) -> bool {
         let row = rows.iter().find(|r| r.key == HEAD_KEY);
         let found = row.and_then(|r| decode::<HeadRow>("head", &r.value).map(|h| (h, r.version)));
-        let mine = HeadRow {
+        let own_head = HeadRow {
             epoch: self.lease.epoch,
             number: self.number,
         };
         match found {
-            Some((head, version)) if head == mine => {
+            Some((head, version)) if head == own_head => {
                 self.accept(version, failing);
                 true
             }
--- a/crates/node/src/owner/journal_tests.rs
+++ b/crates/node/src/owner/journal_tests.rs
@@ -18,10 +18,10 @@
 
 /// A slow store answers some calls; an unreachable one answers none and is called again soon,
 /// except that a first attempt may meet either.
-#[test_case(false, false, 2500; "first try")]
-#[test_case(false, true, 2500; "first try while others get no answer")]
+#[test_case(false, false, 2500; "first attempt")]
+#[test_case(false, true, 2500; "first attempt while other calls get no answer")]
 #[test_case(true, false, 2500; "slow")]
-#[test_case(true, true, 700; "silent")]
+#[test_case(true, true, 700; "unreachable")]
 fn an_unreachable_store_is_retried_soon(again: bool, lost: bool, ms: u64) {
     assert_eq!(write_timeout(again, lost), Duration::from_millis(ms));
 }
@@ -57,8 +57,8 @@
 /// would be as old as the outage, and renew no worker lease.
 #[test_case(true, true, 6000; "done, and others see it")]
 #[test_case(true, false, 0; "done, and others do not see it")]
-#[test_case(false, true, 0; "done by an earlier try")]
-#[test_case(false, false, 0; "done by an earlier try, and others do not see it")]
+#[test_case(false, true, 0; "done by an earlier attempt")]
+#[test_case(false, false, 0; "done by an earlier attempt, and others do not see it")]
 fn a_contact_counts_from_the_attempt_that_others_see(done: bool, renews: bool, at: u64) {
     assert_eq!(contact_time(done, renews, 0, 6000), at);
 }
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -129,8 +129,8 @@
     }
 }
 
-fn send(journal: &Sender<JournalInput>, entry: JournalInput) {
-    if journal.send(entry).is_err() {
+fn send(journal: &Sender<JournalInput>, input: JournalInput) {
+    if journal.send(input).is_err() {
         log::debug!("owner: journal thread has ended");
     }
 }
--- a/crates/node/src/owner/worker_connections.rs
+++ b/crates/node/src/owner/worker_connections.rs
@@ -26,7 +26,7 @@
     pub(super) is_extended: bool,
 }
 
-/// The deadline of a call. Ignored if the call was answered meanwhile.
+/// The deadline of a call; obsolete once the call is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CallDeadline {
     pub(super) deadline: u64,
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -211,12 +211,12 @@
     name: &'static str,
     shared: &Arc<Shared>,
     cancel: &CancelToken,
-    main: fn(&Arc<Shared>, &CancelToken),
+    thread_main: fn(&Arc<Shared>, &CancelToken),
 ) -> Result<thread::JoinHandle<()>, NodeError> {
     let (shared, cancel) = (shared.clone(), cancel.clone());
     thread::Builder::new()
         .name(name.into())
         .stack_size(STACK_BYTES)
-        .spawn(move || main(&shared, &cancel))
+        .spawn(move || thread_main(&shared, &cancel))
         .context(ThreadSnafu { name })
 }
--- a/crates/node/src/watch_sim_tests.rs
+++ b/crates/node/src/watch_sim_tests.rs
@@ -282,16 +282,16 @@
         assert_eq!(
             fleet.run(LOST_AT_MS, true),
             None,
-            "nobody takes a lease that is renewed"
+            "no instance claims a renewed lease"
         );
         fleet.lose(loss);
         let claimed_at = fleet
             .run(LOST_AT_MS + 20_000, false)
-            .expect("another takes it");
+            .expect("another instance claims it");
         takeover_times.push(claimed_at - LOST_AT_MS);
     }
     println!("{count} instances, lost {loss:?}: taken after {takeover_times:?} ms");
-    let worst = *takeover_times.iter().max().expect("five plays");
+    let worst = *takeover_times.iter().max().expect("five seeds");
     assert!(worst <= MAX_TAKEOVER_MS, "{worst}");
 }
 
