--- a/crates/node/src/fakes_tests.rs
+++ b/crates/node/src/fakes_tests.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for tests: stores, and a protocol without content.
+//! Test doubles: stores, and a protocol without content.
 
 use std::{
     sync::{
@@ -14,15 +14,15 @@
 use crate::{
     config::Config,
     protocol::{Order, Protocol, ProtocolError},
-    rows::{LEASE, LeaseRow, OWNER, OWNER_PART, decode, encode},
+    rows::{LEASE, LeaseRow, OWNER_KEY, OWNER_PART, decode, encode},
     settings::NodeSettings,
     shared::Shared,
     store::{Changes, Commit, Page, Range, Row, Store, StoreError, Tx},
 };
 
-/// A store that is away.
+/// A store that is unavailable.
 #[derive(Debug)]
-pub(crate) struct NoStore;
+pub(crate) struct UnavailableStore;
 
 fn away<T>() -> Result<T, StoreError> {
     Err(StoreError::Unavailable {
@@ -30,7 +30,7 @@
     })
 }
 
-impl Store for NoStore {
+impl Store for UnavailableStore {
     fn read(&self, _: Range<'_>, _: &Traffic) -> Result<Page, StoreError> {
         away()
     }
@@ -44,9 +44,10 @@
     }
 }
 
-/// Orders that name their worker, and answers by their status.
+/// A protocol whose orders name their worker in the path, and whose answers depend on the status
+/// only.
 #[derive(Debug)]
-pub(crate) struct Bare;
+pub(crate) struct StubProtocol;
 
 fn unread<T>() -> Result<T, ProtocolError> {
     Err(ProtocolError::Malformed {
@@ -55,7 +56,7 @@
     })
 }
 
-impl Protocol for Bare {
+impl Protocol for StubProtocol {
     fn config_row(&self) -> (&'static str, &'static str) {
         ("t", "k")
     }
@@ -79,7 +80,7 @@
     fn order(&self, order: &Order, _: u64, worker: &Arc<str>) -> Request {
         let path = match order {
             Order::Start(start) => format!("/{worker}/{}", start.task.job),
-            Order::Look { observed, .. } => format!("/{worker}/look/{observed}"),
+            Order::Poll { observed, .. } => format!("/{worker}/look/{observed}"),
             _ => format!("/{worker}/other"),
         };
         Request::new(Method::Post, path, Vec::new())
@@ -118,12 +119,12 @@
         Vec::new()
     }
 
-    fn patience(&self, _: &Request) -> Option<u64> {
+    fn caller_timeout(&self, _: &Request) -> Option<u64> {
         None
     }
 }
 
-/// What the threads of a node called "n" share, with this store.
+/// Returns the shared state of a node called "n" with this store.
 pub(crate) fn shared(store: impl Store) -> Arc<Shared> {
     let settings = NodeSettings {
         name: "n".into(),
@@ -136,15 +137,19 @@
         jobs: Settings::default(),
         share: 500,
     };
-    Arc::new(Shared::new(settings, Box::new(store), Box::new(Bare)))
+    Arc::new(Shared::new(
+        settings,
+        Box::new(store),
+        Box::new(StubProtocol),
+    ))
 }
 
-/// A store with a row of the lease, which may be away, and which takes each write.
+/// A store that holds the lease and accepts each write, unless it is set to be unavailable.
 #[derive(Debug)]
 pub(crate) struct LeaseStore {
-    /// Whether no call is answered.
+    /// Whether all calls fail.
     pub(crate) away: AtomicBool,
-    /// The lease as it was written, the newest one last.
+    /// All versions of the lease, oldest first.
     pub(crate) leases: Mutex<Vec<LeaseRow>>,
 }
 
@@ -162,7 +167,7 @@
         leases.last().expect("written").clone()
     }
 
-    /// Returns its version.
+    /// Returns the version of the newest lease.
     fn version(&self) -> u64 {
         self.leases.lock().expect("not poisoned").len() as u64
     }
@@ -180,7 +185,7 @@
         self.check()?;
         let row = Row {
             part: OWNER_PART.into(),
-            key: OWNER.into(),
+            key: OWNER_KEY.into(),
             value: encode(&self.newest()),
             version: self.version(),
             removed: false,
@@ -208,7 +213,7 @@
         Ok(Changes {
             rows: Vec::new(),
             version: after,
-            whole: true,
+            is_complete: true,
         })
     }
 
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration.
+//! Follows the configuration and the evacuated zones in the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,46 +12,46 @@
 };
 
 /// First pause after a failure, in milliseconds.
-const FIRST_PAUSE: u64 = 100;
+const FIRST_PAUSE_MS: u64 = 100;
 
-/// Longest such pause, in milliseconds: a store that refuses hundreds of instances is not to be
-/// asked by each of them ten times a second, and is found to answer again within a second.
-const LAST_PAUSE: u64 = 1000;
+/// Longest pause after a failure, in milliseconds. A store that refuses hundreds of instances must
+/// not be called ten times a second by each, and its recovery is noticed within a second.
+const MAX_PAUSE_MS: u64 = 1000;
 
-/// Puts the newest configuration in force for a caller who waits.
+/// Puts the newest configuration in force for a waiting request.
 ///
-/// A configuration may have a megabyte. So none is read whole for a caller: of one that is known
-/// what has changed is asked for, and the first one is read by the thread that follows it. Read
-/// for each caller by each of 35 instances that had just started, it took their links for 10 s.
+/// A configuration may have a megabyte, so requests do not read it whole: they read its changes,
+/// and fail until the following thread has read the first one. Full reads for each request by 35
+/// instances that had just started filled their links for 10 s.
 pub(crate) fn refresh(shared: &Shared) -> Result<(), StoreError> {
     let (table, _) = shared.protocol.config_row();
     let after = shared
         .config_known()
         .ok_or_else(|| StoreError::Unavailable {
-            reason: "the configuration is not read yet".into(),
+            reason: "the configuration has not been read yet".into(),
         })?;
     match changes(shared, Duty::Callers, table, after, Duration::ZERO) {
-        Err(StoreError::Forgotten) => read_anew(shared),
-        step => step.map(drop),
+        Err(StoreError::Compacted) => reread(shared),
+        result => result.map(drop),
     }
 }
 
-/// Reads the configuration whole, if no other caller does.
-fn read_anew(shared: &Shared) -> Result<(), StoreError> {
+/// Reads the whole configuration, unless another request is reading it.
+fn reread(shared: &Shared) -> Result<(), StoreError> {
     let busy = |_| StoreError::Unavailable {
-        reason: "the configuration is read already".into(),
+        reason: "another request is reading the configuration".into(),
     };
-    let _reading = shared.reading.try_lock().map_err(busy)?;
+    let _guard = shared.config_read.try_lock().map_err(busy)?;
     refresh_at(shared, Duty::Callers).map(drop)
 }
 
-fn take(shared: &Shared, row: &Row) {
+fn apply_row(shared: &Shared, row: &Row) {
     let (_, key) = shared.protocol.config_row();
     if row.key != key || row.removed {
         return;
     }
     match shared.protocol.config(row) {
-        Ok(config) => shared.offer(config),
+        Ok(config) => shared.apply_config(config),
         Err(err) => log::error!(err = err.to_string().as_str(); "config: can't be read"),
     }
 }
@@ -61,13 +61,13 @@
     let (table, _) = shared.protocol.config_row();
     let mut version = None;
     let mut lost = false;
-    let mut backoff = Backoff::new(FIRST_PAUSE, LAST_PAUSE, rand::random());
+    let mut backoff = Backoff::new(FIRST_PAUSE_MS, MAX_PAUSE_MS, rand::random());
     while !cancel.is_cancelled() {
-        let step = match version {
+        let result = match version {
             None => refresh_at(shared, Duty::Config),
             Some(after) => changes(shared, Duty::Config, table, after, wait(shared)),
         };
-        match step {
+        match result {
             Ok(next) => {
                 version = Some(next);
                 if lost {
@@ -81,36 +81,36 @@
                     log::warn!(err = err.to_string().as_str(); "store: lost");
                 }
                 lost = true;
-                shared.untouched();
+                shared.record_store_failure();
                 shared.metrics.count(Count::StoreErrors);
-                version = version.filter(|_| err != StoreError::Forgotten);
+                version = version.filter(|_| err != StoreError::Compacted);
                 cancel.wait(Duration::from_millis(backoff.next_delay()));
             }
         }
     }
 }
 
-/// Returns how long a question waits: not at all while the store is lost, so that it is found to
-/// answer as soon as it does.
+/// Returns the wait of a long poll: zero while the store is lost, so that its recovery is noticed
+/// at once.
 fn wait(shared: &Shared) -> Duration {
-    match shared.store_is_lost() {
+    match shared.is_store_lost() {
         true => Duration::ZERO,
         false => shared.config_wait(),
     }
 }
 
-/// Reads the configuration and the evacuated zones, whole; returns the store's version.
+/// Reads the whole configuration and all evacuated zones; returns the store's version.
 pub(crate) fn refresh_at(shared: &Shared, duty: Duty) -> Result<u64, StoreError> {
     let (table, _) = shared.protocol.config_row();
     let page = shared.store(duty).read_all(table, "")?;
-    shared.touched();
+    shared.record_store_answer();
     for row in &page.rows {
-        take(shared, row);
+        apply_row(shared, row);
     }
     let asked = page.rows.iter().filter_map(|r| evacuation(shared, r));
     let mut zones: Vec<Arc<str>> = asked.collect();
     zones.sort();
-    shared.evacuate(page.version, |known| *known = zones);
+    shared.update_evacuated(page.version, |known| *known = zones);
     Ok(page.version)
 }
 
@@ -122,11 +122,11 @@
     wait: Duration,
 ) -> Result<u64, StoreError> {
     let changes = shared.store(duty).changes(table, after, wait)?;
-    shared.touched();
+    shared.record_store_answer();
     for row in &changes.rows {
-        take(shared, row);
+        apply_row(shared, row);
     }
-    shared.evacuate(changes.version, |known| {
+    shared.update_evacuated(changes.version, |known| {
         for row in &changes.rows {
             let Some(zone) = evacuation(shared, row) else {
                 continue;
@@ -143,7 +143,7 @@
     Ok(changes.version)
 }
 
-/// Returns the zone that a row asks to be evacuated; one that can't be read asks for nothing.
+/// Returns the zone that a row evacuates; `None` if it evacuates none or can't be read.
 fn evacuation(shared: &Shared, row: &Row) -> Option<Arc<str>> {
     match shared.protocol.evacuation(row) {
         Ok(zone) => zone,
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -1,8 +1,8 @@
-//! Callers' requests: jobs are handed in, asked after and cancelled.
+//! The job API: submits jobs, returns their states and cancels them.
 //!
-//! Each answer rests on the store and is given at once: a job that the store
-//! certainly did not take is refused, one of which that is not known is answered
-//! as unclear, so that its caller sends it again.
+//! Every response is based on the store and sent without delay. A job that the store certainly did
+//! not accept is refused; if the result of the write is unknown, the response says so and the
+//! caller resubmits the job, which is idempotent.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,43 +15,41 @@
     follow::refresh,
     metrics::{Count, Duty},
     rows::{
-        JOBS, LEASE, LeaseRow, OWNER, OWNER_PART, RECORDS, cancel_key, decode, encode, job_part,
+        JOBS, LEASE, LeaseRow, OWNER_KEY, OWNER_PART, RECORDS, cancel_key, decode, encode, job_part,
     },
     shared::Shared,
     store::{Expect, StoreError, Tx, Write},
 };
 
-/// Seconds after which a refused caller may come back: most refusals come from a
-/// store that is away for seconds.
-const COME_BACK: &str = "1";
+/// Value of `retry-after` in seconds. Most refusals are due to store outages that last for seconds.
+const RETRY_AFTER_S: &str = "1";
 
-/// Share of a caller's patience, in percent, after which an unclear write is
-/// answered as unclear.
-const PATIENCE: u64 = 40;
+/// Share of a caller's timeout that is spent on a write before its result is reported as unclear.
+const WRITE_TIMEOUT_PERCENT: u64 = 40;
 
-/// Least time for an answer of the store, in milliseconds.
-const LEAST: u64 = 100;
+/// Shortest time limit of a write, in milliseconds.
+const MIN_WRITE_TIMEOUT_MS: u64 = 100;
 
-/// Patience of a caller that tells none, in milliseconds.
-const DEFAULT_PATIENCE: u64 = 3000;
+/// Timeout of a caller whose request states none, in milliseconds.
+const DEFAULT_CALLER_TIMEOUT_MS: u64 = 3000;
 
-/// Pause before a refused write is tried again, once.
-const RETRY: Duration = Duration::from_millis(25);
+/// Pause before the only retry of a refused write.
+const REFUSED_RETRY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Pause before an unclear write is sent again.
-const RESEND: Duration = Duration::from_millis(50);
+/// Pause before a write with an unknown result is repeated.
+const UNCLEAR_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// What the store did with a write.
-enum Written {
-    /// It is there, by this write or an earlier one.
+/// Result of a write.
+enum WriteResult {
+    /// The row exists, from this write or an earlier one.
     Done,
-    /// Certainly not.
+    /// The write certainly had no effect.
     Refused(StoreError),
-    /// It can't be told.
+    /// The result is unknown.
     Unclear,
 }
 
-/// Answers callers.
+/// Handler of the job API.
 pub(crate) struct Front {
     pub(crate) shared: Arc<Shared>,
 }
@@ -59,9 +57,9 @@
 impl Handler for Front {
     fn handle(&self, request: Request) -> Option<Response> {
         let start = self.shared.clock.now();
-        // Every answer rests on the store: while that is silent only one caller waits.
-        let leave = self.shared.may_try();
-        let response = match leave {
+        // Every response needs the store: while the store is lost, only one request waits for it.
+        let permit = self.shared.store_permit();
+        let response = match permit {
             Some(_) => self.route(&request, start),
             None => self.refuse(),
         };
@@ -86,7 +84,7 @@
             Ok(Some(queue)) => queue,
             Ok(None) => return self.no_queue(),
             Err(err) => {
-                log::warn!(err = err.to_string().as_str(); "config: not refreshed");
+                log::warn!(err = err.to_string().as_str(); "config: refresh failed");
                 return self.refuse();
             }
         };
@@ -105,12 +103,12 @@
         }
     }
 
-    /// Finds the queue; before a caller is told that there is none, it is asked whether the
-    /// configuration has changed.
+    /// Returns the queue of a request. The configuration is refreshed before a queue is reported as
+    /// missing.
     fn queue(&self, host: &str, path: &str) -> Result<Option<Queue>, StoreError> {
         let find = || self.shared.config()?.find(host, path).cloned();
-        let fresh = !self.shared.is_silent();
-        if let Some(queue) = find().filter(|_| fresh) {
+        let is_fresh = !self.shared.is_store_silent();
+        if let Some(queue) = find().filter(|_| is_fresh) {
             return Ok(Some(queue));
         }
         refresh(&self.shared)?;
@@ -124,12 +122,12 @@
 
     fn refuse(&self) -> Response {
         self.shared.metrics.count(Count::Refused);
-        Response::new(503, Vec::new()).with_header("retry-after", COME_BACK)
+        Response::new(503, Vec::new()).with_header("retry-after", RETRY_AFTER_S)
     }
 
     fn unclear(&self) -> Response {
         self.shared.metrics.count(Count::Unclear);
-        Response::new(504, Vec::new()).with_header("retry-after", COME_BACK)
+        Response::new(504, Vec::new()).with_header("retry-after", RETRY_AFTER_S)
     }
 
     fn submit(&self, request: &Request, queue: &Queue, id: JobId, start: u64) -> Response {
@@ -141,7 +139,7 @@
             }
         };
         if let Err(err) = spec.validate() {
-            log::info!(job = id.to_string().as_str(), err = err.to_string().as_str(); "front: job refused");
+            log::info!(job = id.to_string().as_str(), err = err.to_string().as_str(); "front: invalid job");
             return Response::new(400, Vec::new());
         }
         let job = Job {
@@ -166,57 +164,57 @@
             removes: Vec::new(),
         };
         match self.write(&tx, request, start) {
-            Written::Done => {
+            WriteResult::Done => {
                 let ms = self.shared.clock.now() - start;
-                self.shared.metrics.accepted(ms);
+                self.shared.metrics.record_accepted(ms);
                 Response::new(200, Vec::new())
             }
-            Written::Refused(err) => {
+            WriteResult::Refused(err) => {
                 log::warn!(job = id.to_string().as_str(), err = err.to_string().as_str(); "front: job not taken");
                 self.refuse()
             }
-            Written::Unclear => {
-                log::warn!(job = id.to_string().as_str(); "front: unclear whether job is taken");
+            WriteResult::Unclear => {
+                log::warn!(job = id.to_string().as_str(); "front: unknown whether the job was accepted");
                 self.unclear()
             }
         }
     }
 
-    /// Runs an idempotent write until its effect is known or the caller has
-    /// waited long enough.
-    fn write(&self, tx: &Tx, request: &Request, start: u64) -> Written {
-        let patience = self.shared.protocol.patience(request);
-        let end = start + patience.unwrap_or(DEFAULT_PATIENCE) * PATIENCE / 100;
+    /// Repeats an idempotent write until its result is known or the caller's time is used up.
+    fn write(&self, tx: &Tx, request: &Request, start: u64) -> WriteResult {
+        let caller_timeout = self.shared.protocol.caller_timeout(request);
+        let deadline = start
+            + caller_timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT_MS) * WRITE_TIMEOUT_PERCENT / 100;
         let mut unclear = false;
-        let mut tried = false;
+        let mut has_retried = false;
         loop {
-            let left = end.saturating_sub(self.shared.clock.now());
-            let limit = Duration::from_millis(left.max(LEAST));
+            let remaining = deadline.saturating_sub(self.shared.clock.now());
+            let limit = Duration::from_millis(remaining.max(MIN_WRITE_TIMEOUT_MS));
             match self.shared.store(Duty::Callers).commit(tx, limit) {
                 Ok(_) => {
-                    self.shared.touched();
-                    return Written::Done;
+                    self.shared.record_store_answer();
+                    return WriteResult::Done;
                 }
                 Err(err @ StoreError::Unknown { .. }) => {
-                    log::debug!(err = err.to_string().as_str(); "front: write unclear");
+                    log::debug!(err = err.to_string().as_str(); "front: result of a write is unknown");
                     unclear = true;
-                    self.shared.untouched();
-                    std::thread::sleep(RESEND);
+                    self.shared.record_store_failure();
+                    std::thread::sleep(UNCLEAR_RETRY_PAUSE);
                 }
-                Err(err) if !unclear && tried => return Written::Refused(err),
+                Err(err) if !unclear && has_retried => return WriteResult::Refused(err),
                 Err(_) => {
-                    tried = true;
-                    std::thread::sleep(RETRY);
+                    has_retried = true;
+                    std::thread::sleep(REFUSED_RETRY_PAUSE);
                 }
             }
             self.shared.metrics.count(Count::StoreErrors);
-            if self.shared.clock.now() >= end && unclear {
-                return Written::Unclear;
+            if self.shared.clock.now() >= deadline && unclear {
+                return WriteResult::Unclear;
             }
         }
     }
 
-    /// Reads what became of a job; nothing if it was never accepted.
+    /// Reads the state of a job; `None` if it was never accepted.
     fn outcome(&self, id: JobId) -> Result<Option<Outcome>, StoreError> {
         let store = self.shared.store(Duty::Callers);
         let row = store.read_one(RECORDS, OWNER_PART, &id.to_string())?;
@@ -258,12 +256,12 @@
             removes: Vec::new(),
         };
         match self.write(&tx, request, start) {
-            Written::Done => {
+            WriteResult::Done => {
                 self.shared.metrics.count(Count::Cancelled);
                 Response::new(200, Vec::new())
             }
-            Written::Refused(err) => self.store_failed(&err),
-            Written::Unclear => self.unclear(),
+            WriteResult::Refused(err) => self.store_failed(&err),
+            WriteResult::Unclear => self.unclear(),
         }
     }
 
@@ -271,7 +269,7 @@
         let row = match self
             .shared
             .store(Duty::Callers)
-            .read_one(LEASE, OWNER_PART, OWNER)
+            .read_one(LEASE, OWNER_PART, OWNER_KEY)
         {
             Ok(row) => row,
             Err(err) => return self.store_failed(&err),
@@ -285,8 +283,8 @@
     }
 
     fn store_failed(&self, err: &StoreError) -> Response {
-        log::warn!(err = err.to_string().as_str(); "front: store failed");
-        self.shared.untouched();
+        log::warn!(err = err.to_string().as_str(); "front: call to the store failed");
+        self.shared.record_store_failure();
         self.shared.metrics.count(Count::StoreErrors);
         self.refuse()
     }
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -1,4 +1,4 @@
-//! Structured logs on standard output: one JSON object a line, never blocking.
+//! Structured logging to standard output: one JSON object per line, never blocking the caller.
 
 use std::{
     fmt,
@@ -17,24 +17,24 @@
     kv::{Error, Key, Value, VisitSource},
 };
 
-/// Lines that may wait to be written; more are dropped and counted.
-const WAITING: usize = 4096;
+/// Limit on queued lines; further lines are dropped and counted.
+const MAX_QUEUED_LINES: usize = 4096;
 
-/// Bytes of a usual line.
-const LINE: usize = 256;
+/// Initial capacity of a line, in bytes.
+const LINE_BYTES: usize = 256;
 
-/// Lines are written together this often, to save system calls.
-const PERIOD: Duration = Duration::from_millis(50);
+/// Period of writes; lines are written in batches to save system calls.
+const WRITE_PERIOD: Duration = Duration::from_millis(50);
 
-/// Takes formatted lines and passes them to the thread that writes.
+/// Passes formatted lines to the thread that writes them.
 #[derive(Debug)]
-struct Ring {
+struct LineQueue {
     lines: flume::Sender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
     partial: Vec<u8>,
 }
 
-impl Write for Ring {
+impl Write for LineQueue {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.partial.extend_from_slice(buf);
         if buf.ends_with(b"\n") {
@@ -51,14 +51,14 @@
     }
 }
 
-/// Writes a line's fields as members of a JSON object, without a tree in between: an
-/// owner writes thousands of lines a second.
+/// Writes a line's fields as members of a JSON object, without building a tree: the owner writes
+/// thousands of lines a second.
 pub(crate) struct Fields(String);
 
 impl Fields {
-    /// Begins a line with what every line has.
+    /// Begins a line with the fields that every line has.
     pub(crate) fn begin(ms: u64, level: &str, node: &str, msg: &str) -> Fields {
-        let mut fields = Fields(String::with_capacity(LINE));
+        let mut fields = Fields(String::with_capacity(LINE_BYTES));
         fields.plain("ms", ms);
         fields.text("level", level);
         fields.text("node", node);
@@ -90,7 +90,7 @@
 
     fn quote(&mut self, text: &str) {
         if text.bytes().any(|b| b < b' ' || b == b'"' || b == b'\\') {
-            // A text can always be written.
+            // Encoding a string can't fail.
             let quoted = serde_json::to_string(text).unwrap_or_default();
             return self.0.push_str(&quoted);
         }
@@ -116,8 +116,8 @@
     }
 }
 
-/// Returns the name of a line's own field: none of those that every line has, since an object
-/// with one name twice can't be read.
+/// Renames a line's own field if its name is one of those that every line has, since JSON objects
+/// with duplicate names can't be parsed.
 fn own_key(key: &str) -> &str {
     match key {
         "ms" => "took_ms",
@@ -132,9 +132,9 @@
 ///
 /// Errors: a logger was installed before, or no thread can be started.
 pub fn start(level: LevelFilter, name: &str) -> io::Result<()> {
-    let (lines, incoming) = flume::bounded(WAITING);
+    let (lines, incoming) = flume::bounded(MAX_QUEUED_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
-    let ring = Ring {
+    let queue = LineQueue {
         lines,
         dropped: dropped.clone(),
         partial: Vec::new(),
@@ -154,14 +154,14 @@
             }
             out.finish(format_args!("{}", fields.end()));
         })
-        .chain(Box::new(ring) as Box<dyn Write + Send>);
+        .chain(Box::new(queue) as Box<dyn Write + Send>);
     dispatch.apply().map_err(io::Error::other)
 }
 
 fn write_lines(incoming: &flume::Receiver<Vec<u8>>, dropped: &AtomicU64) {
     let mut out = io::stdout();
     while let Ok(mut bytes) = incoming.recv() {
-        thread::sleep(PERIOD);
+        thread::sleep(WRITE_PERIOD);
         for line in incoming.try_iter() {
             bytes.extend_from_slice(&line);
         }
@@ -171,7 +171,7 @@
                 format!("{{\"level\":\"WARN\",\"msg\":\"log: lines dropped\",\"count\":{lost}}}\n");
             bytes.extend_from_slice(note.as_bytes());
         }
-        // Nobody reads the output: there is nowhere to say so.
+        // If standard output fails, there is nowhere to report it.
         let _ = out.write_all(&bytes).and_then(|()| out.flush());
     }
 }
--- a/crates/node/src/logging_tests.rs
+++ b/crates/node/src/logging_tests.rs
@@ -1,4 +1,4 @@
-//! Lines that can be read again.
+//! Tests of the format of log lines.
 
 use std::collections::BTreeMap;
 
@@ -6,9 +6,10 @@
 
 use super::logging::Fields;
 
-/// A caller's line named its duration as every line names its time: nothing could read it.
+/// Guards against duplicate names: a line of the job API gave its duration the name of every line's
+/// time, and could not be parsed.
 #[test]
-fn no_name_stands_twice_in_a_line() {
+fn names_in_a_line_are_unique() {
     let mut fields = Fields::begin(1000, "INFO", "a", "front: answered");
     for key in ["ms", "node", "level", "msg", "status"] {
         let visited = fields.visit_pair(Key::from_str(key), Value::from(7_u64));
--- a/crates/node/src/owner/gather.rs
+++ b/crates/node/src/owner/contents.rs
@@ -1,14 +1,13 @@
-//! Reads what the store holds, after a takeover.
+//! Reads the contents of the store after a takeover.
 //!
-//! The load pattern that this answers: a store that takes a quarter of a second for an answer.
-//! Until all is read nothing is renewed at the workers, and what runs there lapses. So tables and
-//! parts are read side by side.
+//! A slow store takes a quarter of a second for an answer. Until everything is read, no worker
+//! lease is renewed, and runs lapse. So tables and parts are read concurrently.
 //!
-//! Limits: the pages of one part follow each other; a page holds 500 rows.
+//! Limits: the pages of one part are read one after another; a page has at most 500 rows.
 
 use std::thread::{self, Scope, ScopedJoinHandle};
 
-use super::STACK;
+use super::STACK_BYTES;
 use crate::{
     metrics::Duty,
     rows::{JOBS, LOG, OWNER_PART, RECORDS, job_parts},
@@ -16,42 +15,42 @@
     store::{Page, Row, StoreError},
 };
 
-/// Parts of the jobs that are read at a time.
-const READERS: usize = 8;
+/// Number of threads that read parts of the jobs.
+const JOB_READERS: usize = 8;
 
-/// What the store holds.
-pub(super) struct Holdings {
+/// Contents of the store.
+pub(super) struct StoreContents {
     /// Rows of accepted jobs and of cancellations.
     pub(super) jobs: Vec<Row>,
-    /// The store's version from which changes of these are to be followed.
+    /// Version of the store after which changes of the jobs have to be followed.
     pub(super) version: u64,
     pub(super) records: Vec<Row>,
-    /// The log's rows, the oldest one first.
+    /// Rows of the log, oldest first.
     pub(super) log: Vec<Row>,
-    pub(super) workers: Listing,
+    pub(super) workers: WorkerListing,
 }
 
-/// The workers' announcements.
-pub(super) struct Listing {
+/// A listing of the workers' announcements.
+pub(super) struct WorkerListing {
     pub(super) page: Page,
-    /// When they were asked for, in milliseconds.
-    pub(super) asked: u64,
+    /// When the listing was requested, in milliseconds.
+    pub(super) asked_at: u64,
 }
 
-/// Rows of several parts, and the version before the first of them was read.
-struct Parts {
+/// Rows of several parts, and a version from before the first one was read.
+struct JobRows {
     rows: Vec<Row>,
     version: u64,
 }
 
-/// Reads all that an owner has to know.
-pub(super) fn gather(shared: &Shared) -> Result<Holdings, StoreError> {
+/// Reads everything that the owner needs.
+pub(super) fn read_contents(shared: &Shared) -> Result<StoreContents, StoreError> {
     thread::scope(|scope| {
         let workers = spawn(scope, || list_workers(shared))?;
         let records = spawn(scope, || read(shared, RECORDS, OWNER_PART))?;
         let log = spawn(scope, || read(shared, LOG, OWNER_PART))?;
-        let jobs = all_jobs(shared)?;
-        Ok(Holdings {
+        let jobs = read_jobs(shared)?;
+        Ok(StoreContents {
             jobs: jobs.0,
             version: jobs.1,
             records: join(records)?.rows,
@@ -62,19 +61,19 @@
 }
 
 /// Reads all announcements of workers.
-pub(super) fn list_workers(shared: &Shared) -> Result<Listing, StoreError> {
-    let asked = shared.clock.now();
+pub(super) fn list_workers(shared: &Shared) -> Result<WorkerListing, StoreError> {
+    let asked_at = shared.clock.now();
     let table = shared.protocol.workers_table();
     let page = shared.store(Duty::Workers).read_all(table, "")?;
-    Ok(Listing { page, asked })
+    Ok(WorkerListing { page, asked_at })
 }
 
-/// Reads the rows of all accepted jobs, and the version before the first read.
-pub(super) fn all_jobs(shared: &Shared) -> Result<(Vec<Row>, u64), StoreError> {
+/// Reads the rows of all accepted jobs; also returns a version from before the first read.
+pub(super) fn read_jobs(shared: &Shared) -> Result<(Vec<Row>, u64), StoreError> {
     let parts: Vec<String> = job_parts().collect();
     thread::scope(|scope| {
-        let shares = parts.chunks(parts.len().div_ceil(READERS));
-        let readers = shares.map(|share| spawn(scope, || read_parts(shared, share)));
+        let chunks = parts.chunks(parts.len().div_ceil(JOB_READERS));
+        let readers = chunks.map(|chunk| spawn(scope, || read_parts(shared, chunk)));
         let readers: Vec<_> = readers.collect::<Result<_, _>>()?;
         let (mut rows, mut version) = (Vec::new(), u64::MAX);
         for reader in readers {
@@ -86,8 +85,8 @@
     })
 }
 
-fn read_parts(shared: &Shared, parts: &[String]) -> Result<Parts, StoreError> {
-    let mut all = Parts {
+fn read_parts(shared: &Shared, parts: &[String]) -> Result<JobRows, StoreError> {
+    let mut all = JobRows {
         rows: Vec::new(),
         version: u64::MAX,
     };
@@ -108,15 +107,15 @@
     reader: impl FnOnce() -> Result<T, StoreError> + Send + 'scope,
 ) -> Result<ScopedJoinHandle<'scope, Result<T, StoreError>>, StoreError> {
     let builder = thread::Builder::new().name("reader".into());
-    let spawned = builder.stack_size(STACK).spawn_scoped(scope, reader);
+    let spawned = builder.stack_size(STACK_BYTES).spawn_scoped(scope, reader);
     spawned.map_err(|err| StoreError::Unavailable {
-        reason: format!("no thread to read it: {err}"),
+        reason: format!("can't start a reader thread: {err}"),
     })
 }
 
 fn join<T>(reader: ScopedJoinHandle<'_, Result<T, StoreError>>) -> Result<T, StoreError> {
     let failed = |_| StoreError::Unavailable {
-        reason: "the thread that reads it has failed".into(),
+        reason: "a reader thread panicked".into(),
     };
     reader.join().map_err(failed)?
 }
--- a/crates/node/src/owner/journal_tests.rs
+++ b/crates/node/src/owner/journal_tests.rs
@@ -1,4 +1,4 @@
-//! How long the journal waits for an answer, and what it tells other instances.
+//! Tests of the journal's time limits, and of what it publishes to other instances.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::{
     Tenure,
     inbox::Inbox,
-    journal::{Entry, contact, limit, write},
+    journal::{JournalInput, contact_time, write, write_timeout},
 };
 use crate::{
     census::Census,
@@ -16,23 +16,23 @@
     rows::LeaseRow,
 };
 
-/// A slow store answers others; one that answers nobody is asked again soon, but for the
-/// first try, which may have met either.
-#[test_case(false, false, 2500; "first try")]
-#[test_case(false, true, 2500; "first try while others get no answer")]
+/// A slow store answers some calls; an unreachable one answers none and is called again soon,
+/// except that a first attempt may meet either.
+#[test_case(false, false, 2500; "first attempt")]
+#[test_case(false, true, 2500; "first attempt while other calls get no answer")]
 #[test_case(true, false, 2500; "slow")]
-#[test_case(true, true, 700; "silent")]
-fn a_silent_store_is_asked_again_soon(again: bool, lost: bool, ms: u64) {
-    assert_eq!(limit(again, lost), Duration::from_millis(ms));
+#[test_case(true, true, 700; "unreachable")]
+fn an_unreachable_store_is_retried_soon(again: bool, lost: bool, ms: u64) {
+    assert_eq!(write_timeout(again, lost), Duration::from_millis(ms));
 }
 
-/// A lease that is given back still tells of leases of owners before its own.
+/// A released lease still publishes when worker leases of owners before the last one end.
 #[test]
-fn a_lease_that_is_given_back_tells_of_earlier_leases() {
+fn a_released_lease_publishes_when_earlier_leases_end() {
     let store = LeaseStore::new(LeaseRow::default());
     let shared = shared(store.clone());
-    // So far ahead that it does not matter how long the test takes.
-    let inherited = u64::MAX / 2;
+    // Far enough in the future that the duration of the test does not matter.
+    let prior_leases_end = u64::MAX / 2;
     let tenure = Tenure {
         epoch: 1,
         largest: 500,
@@ -41,24 +41,24 @@
         head: 1,
         takeover: Takeover {
             asked_at: 0,
-            prior_leases_end: inherited,
+            prior_leases_end,
         },
     };
-    let (ring, entries) = flume::bounded(1);
-    ring.send(Entry::Release).expect("room");
+    let (sender, inputs) = flume::bounded(1);
+    sender.send(JournalInput::Release).expect("room");
     let inbox = Inbox::new().expect("an event loop");
-    write(&shared, &tenure, &entries, &inbox.input());
+    write(&shared, &tenure, &inputs, &inbox.sender());
     let newest = store.newest();
     assert!(newest.released);
-    assert!(newest.earlier > inherited / 2, "{}", newest.earlier);
+    assert!(newest.earlier > prior_leases_end / 2, "{}", newest.earlier);
 }
 
-/// Counted from its first try, the first write that is done after a silence would be a contact
-/// as old as the silence, and renew no worker's lease.
+/// Guards against counting the first write after an outage from its first attempt: that contact
+/// would be as old as the outage, and renew no worker lease.
 #[test_case(true, true, 6000; "done, and others see it")]
 #[test_case(true, false, 0; "done, and others do not see it")]
-#[test_case(false, true, 0; "done by an earlier try")]
-#[test_case(false, false, 0; "done by an earlier try, and others do not see it")]
-fn a_write_is_a_contact_from_the_try_that_others_see(done: bool, renews: bool, at: u64) {
-    assert_eq!(contact(done, renews, 0, 6000), at);
+#[test_case(false, true, 0; "done by an earlier attempt")]
+#[test_case(false, false, 0; "done by an earlier attempt, and others do not see it")]
+fn a_contact_counts_from_the_attempt_that_others_see(done: bool, renews: bool, at: u64) {
+    assert_eq!(contact_time(done, renews, 0, 6000), at);
 }
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -1,27 +1,28 @@
-//! What the owner of the lease does: it decides about all jobs.
+//! The owner of the lease, which decides about all jobs.
 //!
-//! Threads: one follows the accepted jobs, one the workers' announcements, one
-//! writes the journal, and one decides and talks with the workers over
-//! connections that never block. Each has a bounded ring to the last.
+//! Threads: one follows the accepted jobs, one follows the workers' announcements, one counts the
+//! instances, one writes the journal, and one decides and exchanges messages with the workers over
+//! non-blocking connections. The two followers of jobs and workers and the journal have a bounded
+//! queue to the deciding thread.
 
 mod census;
+mod connections;
+#[cfg(test)]
+mod connections_tests;
+mod contents;
+mod decision_loop;
 mod feed;
 #[cfg(test)]
 mod feed_tests;
-mod gather;
 mod inbox;
 pub(crate) mod journal;
 #[cfg(test)]
 mod journal_tests;
-mod lines;
-#[cfg(test)]
-mod lines_tests;
 mod load;
-mod post;
-pub(crate) mod pulse;
+pub(crate) mod renewal_gaps;
 #[cfg(test)]
-mod pulse_tests;
-mod turn;
+mod renewal_gaps_tests;
+mod worker_connections;
 
 use std::{sync::Arc, thread};
 
@@ -29,76 +30,90 @@
 use gorsespur_jobs::Takeover;
 use gorsespur_runtime::cancel::CancelToken;
 
-use self::{inbox::Inbox, journal::Entry, load::Loaded, turn::Turn};
+use self::{decision_loop::DecisionLoop, inbox::Inbox, journal::JournalInput, load::Loaded};
 use crate::{census::Census, shared::Shared};
 
-/// Inputs that may wait for the thread that decides.
-const RING: usize = 1024;
+/// Capacity of the queues to the deciding thread and to the journal.
+const MAX_QUEUED_INPUTS: usize = 1024;
 
-/// Stack of a thread in bytes.
-const STACK: usize = 512 << 10;
+/// Stack size of a thread.
+const STACK_BYTES: usize = 512 << 10;
 
-/// A time of owning the lease.
+/// One period of owning the lease.
 #[derive(Debug)]
 pub(crate) struct Tenure {
-    /// The fencing token at the workers.
+    /// Epoch, the fencing token that workers check.
     pub(crate) epoch: u64,
-    /// The largest share of a processor of any owner so far, in thousandths.
+    /// The largest CPU share of any owner so far, in thousandths.
     pub(crate) largest: u64,
-    /// How many instances there are, as the earlier owner counted them.
+    /// Counts of instances by the previous owner.
     pub(crate) census: Census,
-    /// Waiting jobs by queue, as the earlier owner counted them.
+    /// Number of jobs without a started task, by queue, from the previous owner.
     pub(crate) pending: Vec<(Arc<str>, u64)>,
-    /// Version of the journal's end.
+    /// Version of the row of the journal's head.
     pub(crate) head: u64,
-    /// What is known of the time before.
+    /// What is known about previous owners.
     pub(crate) takeover: Takeover,
 }
 
-/// Decides until the lease is lost or `cancel` is cancelled; then gives it back.
+/// Runs the owner until the lease is lost or `cancel` is cancelled; then releases the lease.
 ///
-/// The lease is renewed from the first moment: a small instance may take seconds to
-/// read all jobs, and would lose it meanwhile to another that fares no better.
+/// The lease is renewed from the start: a small instance may take seconds to read all jobs, and
+/// would otherwise lose the lease to another instance that is no faster.
 pub(crate) fn run(shared: &Arc<Shared>, tenure: Tenure, cancel: &CancelToken) {
     let inbox = match Inbox::new() {
         Ok(inbox) => inbox,
         Err(err) => {
-            log::error!(err = err.to_string().as_str(); "owner: no event loop");
+            log::error!(err = err.to_string().as_str(); "owner: can't create the event loop");
             return;
         }
     };
-    // Its own questions and renewals are answered more often than those of other instances.
-    shared.asks_each(feed::WAIT);
-    let mine = CancelToken::new();
-    let input = inbox.input();
-    let (batches, journal) = flume::bounded(RING);
+    // The owner's own long polls and renewals are answered more often than those of other
+    // instances.
+    shared.set_poll_wait(feed::LONG_POLL_WAIT);
+    let owner_cancel = CancelToken::new();
+    let sender = inbox.sender();
+    let (journal_inputs, journal) = flume::bounded(MAX_QUEUED_INPUTS);
     thread::scope(|scope| {
-        let spawn = |name: &str| thread::Builder::new().name(name.into()).stack_size(STACK);
+        let spawn = |name: &str| {
+            thread::Builder::new()
+                .name(name.into())
+                .stack_size(STACK_BYTES)
+        };
         let writer = spawn("journal")
-            .spawn_scoped(scope, || journal::write(shared, &tenure, &journal, &input));
-        if let Some(loaded) = load_jobs(shared, &tenure, &batches).filter(|_| writer.is_ok()) {
+            .spawn_scoped(scope, || journal::write(shared, &tenure, &journal, &sender));
+        if let Some(loaded) = load_jobs(shared, &tenure, &journal_inputs).filter(|_| writer.is_ok())
+        {
             let (jobs, workers) = (loaded.jobs, loaded.workers);
-            let jobs =
-                spawn("jobs").spawn_scoped(scope, || feed::jobs(shared, jobs, &input, &mine));
-            let workers = spawn("workers")
-                .spawn_scoped(scope, || feed::workers(shared, workers, &input, &mine));
-            let census = spawn("census").spawn_scoped(scope, || census::count(shared, &mine));
+            let jobs = spawn("jobs").spawn_scoped(scope, || {
+                feed::follow_jobs(shared, jobs, &sender, &owner_cancel)
+            });
+            let workers = spawn("workers").spawn_scoped(scope, || {
+                feed::follow_workers(shared, workers, &sender, &owner_cancel)
+            });
+            let census =
+                spawn("census").spawn_scoped(scope, || census::count(shared, &owner_cancel));
             if jobs.is_err() || workers.is_err() || census.is_err() {
                 log::error!("owner: can't start threads");
             } else {
-                send(&batches, Entry::Log(loaded.log));
-                Turn::new(shared, tenure.epoch, loaded.machine, inbox).run(&batches, cancel);
+                send(&journal_inputs, JournalInput::Log(loaded.log));
+                DecisionLoop::new(shared, tenure.epoch, loaded.machine, inbox)
+                    .run(&journal_inputs, cancel);
             }
         }
-        mine.cancel();
-        drop(batches);
+        owner_cancel.cancel();
+        drop(journal_inputs);
     });
-    shared.asks_each(shared.config_wait());
+    shared.set_poll_wait(shared.config_wait());
     log::info!(epoch = tenure.epoch; "owner: ends");
 }
 
-/// Reads all jobs; if that fails, the lease is given back.
-fn load_jobs(shared: &Arc<Shared>, tenure: &Tenure, batches: &Sender<Entry>) -> Option<Loaded> {
+/// Reads all jobs; if that fails, releases the lease.
+fn load_jobs(
+    shared: &Arc<Shared>,
+    tenure: &Tenure,
+    journal_inputs: &Sender<JournalInput>,
+) -> Option<Loaded> {
     let start = shared.clock.now();
     match load::load(shared, tenure) {
         Ok(loaded) => {
@@ -108,14 +123,14 @@
         }
         Err(err) => {
             log::warn!(epoch = tenure.epoch, err = err.to_string().as_str(); "owner: can't read the jobs");
-            send(batches, Entry::Release);
+            send(journal_inputs, JournalInput::Release);
             None
         }
     }
 }
 
-fn send(journal: &Sender<Entry>, entry: Entry) {
-    if journal.send(entry).is_err() {
-        log::debug!("owner: journal has ended");
+fn send(journal: &Sender<JournalInput>, input: JournalInput) {
+    if journal.send(input).is_err() {
+        log::debug!("owner: journal thread has ended");
     }
 }
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a node.
+//! Starts and stops the servers and threads of a node.
 
 use std::{
     net::SocketAddr,
@@ -27,35 +27,35 @@
     store::Store,
 };
 
-/// Stack of a thread in bytes.
-const STACK: usize = 512 << 10;
+/// Stack size of a thread.
+const STACK_BYTES: usize = 512 << 10;
 
-/// Time for a caller's whole request after its first byte.
-const HEAD: Duration = Duration::from_secs(3);
+/// Time limit of a request, from its first byte to its last.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time that a caller's connection may be idle.
-const IDLE: Duration = Duration::from_secs(30);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Connections of the balancer and of those who read metrics.
-const FEW: usize = 16;
+/// Limit on connections to each of the readiness and metrics servers.
+const MAX_PROBE_CONNECTIONS: usize = 16;
 
-/// Time for answers under way when the process ends.
-const LAST_ANSWERS: Duration = Duration::from_millis(800);
+/// Time that requests in progress have to finish when the process stops.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time for the last log lines to be written.
-const LAST_LINES: Duration = Duration::from_millis(60);
+/// Time that the logging thread has to write the last lines; it writes every 50 ms.
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(60);
 
-/// Tells the balancer whether the instance takes requests.
-struct Ready {
+/// Answers the load balancer's readiness checks.
+struct ReadinessHandler {
     shared: Arc<Shared>,
 }
 
-impl Handler for Ready {
+impl Handler for ReadinessHandler {
     fn handle(&self, _request: Request) -> Option<Response> {
         let shared = &self.shared;
-        // Without the store it would refuse what others can take.
-        let able = shared.config().is_some() && !shared.store_is_lost();
-        let status = if able && !shared.is_leaving() {
+        // Without the store, this instance would refuse requests that others can accept.
+        let can_serve = shared.config().is_some() && !shared.is_store_lost();
+        let status = if can_serve && !shared.is_leaving() {
             200
         } else {
             503
@@ -71,19 +71,19 @@
     }
 }
 
-/// Tells the metrics.
-struct Figures {
+/// Serves the metrics as text.
+struct MetricsHandler {
     shared: Arc<Shared>,
 }
 
-impl Handler for Figures {
+impl Handler for MetricsHandler {
     fn handle(&self, _request: Request) -> Option<Response> {
         let text = self.shared.metrics.text();
         Some(Response::new(200, text.into_bytes()))
     }
 }
 
-/// A node that runs.
+/// A running node.
 pub struct Node {
     shared: Arc<Shared>,
     cancel: CancelToken,
@@ -96,7 +96,7 @@
 impl Node {
     /// Starts a node.
     ///
-    /// Errors: an address can't be bound, a thread can't be started.
+    /// Errors: an address can't be bound, or a thread can't be started.
     pub fn start(
         settings: NodeSettings,
         store: Box<dyn Store>,
@@ -105,15 +105,16 @@
         let shared = Arc::new(Shared::new(settings, store, protocol));
         let cancel = CancelToken::new();
         log::info!(name = &*shared.settings.name, share = shared.settings.share; "node: starts");
-        let handler = Ready {
+        let handler = ReadinessHandler {
             shared: shared.clone(),
         };
-        let ready = serve(shared.settings.ready, FEW, handler)?;
-        let handler = Figures {
+        let ready = serve(shared.settings.ready, MAX_PROBE_CONNECTIONS, handler)?;
+        let handler = MetricsHandler {
             shared: shared.clone(),
         };
-        let metrics = serve(shared.settings.metrics, FEW, handler)?;
-        // The configuration is followed to the very end: a stopping instance answers.
+        let metrics = serve(shared.settings.metrics, MAX_PROBE_CONNECTIONS, handler)?;
+        // Never cancelled: a stopping instance still answers requests, which needs the
+        // configuration.
         spawn("config", &shared, &CancelToken::new(), follow)?;
         let handler = Front {
             shared: shared.clone(),
@@ -131,42 +132,43 @@
         })
     }
 
-    /// Returns where callers' requests arrive, if the node takes any.
+    /// Returns the address of the job API, if it is served.
     pub fn front(&self) -> Option<SocketAddr> {
         self.front.as_ref().map(Server::addr)
     }
 
-    /// Returns where the balancer asks, if it does.
+    /// Returns the address of the readiness check, if it is served.
     pub fn ready(&self) -> Option<SocketAddr> {
         self.ready.as_ref().map(Server::addr)
     }
 
-    /// Returns where metrics are read, if they are.
+    /// Returns the address of the metrics, if they are served.
     pub fn metrics(&self) -> Option<SocketAddr> {
         self.metrics.as_ref().map(Server::addr)
     }
 
-    /// Gives the lease back, goes on answering for a while, and lets answers finish.
+    /// Releases the lease, keeps answering for [`NodeSettings::linger`], then drains requests in
+    /// progress.
     pub fn stop(self) {
         self.shared.leaving.store(true, Ordering::Relaxed);
         self.cancel.cancel();
         if let Some(front) = &self.front {
             front.start_draining();
             thread::sleep(self.shared.settings.linger);
-            if !front.wait_until_idle(LAST_ANSWERS) {
-                log::warn!("node: answers were cut by the stop");
+            if !front.wait_until_idle(DRAIN_TIMEOUT) {
+                log::warn!("node: requests in progress were cut off by the stop");
             }
         }
         if self.watcher.join().is_err() {
-            log::error!("node: the lease's thread has failed");
+            log::error!("node: lease thread panicked");
         }
         log::info!("node: stopped");
     }
 }
 
-/// Runs a node until SIGTERM; `reload` is called at SIGHUP.
+/// Runs a node until SIGTERM or SIGINT; calls `reload` on SIGHUP.
 ///
-/// Errors: as [`Node::start`], and signals that can't be handled.
+/// Errors: as [`Node::start`], and signal handlers that can't be installed.
 pub fn run(
     settings: NodeSettings,
     store: Box<dyn Store>,
@@ -184,7 +186,7 @@
         reload();
     }
     node.stop();
-    thread::sleep(LAST_LINES);
+    thread::sleep(LOG_FLUSH_TIME);
     Ok(())
 }
 
@@ -198,8 +200,8 @@
     };
     let settings = ServerSettings {
         max_connections: connections,
-        request_timeout: HEAD,
-        idle_timeout: IDLE,
+        request_timeout: REQUEST_TIMEOUT,
+        idle_timeout: IDLE_TIMEOUT,
     };
     let server = Server::start(addr, settings, Arc::new(handler));
     server.map(Some).context(ListenSnafu { addr })
@@ -209,12 +211,12 @@
     name: &'static str,
     shared: &Arc<Shared>,
     cancel: &CancelToken,
-    duty: fn(&Arc<Shared>, &CancelToken),
+    thread_main: fn(&Arc<Shared>, &CancelToken),
 ) -> Result<thread::JoinHandle<()>, NodeError> {
     let (shared, cancel) = (shared.clone(), cancel.clone());
     thread::Builder::new()
         .name(name.into())
-        .stack_size(STACK)
-        .spawn(move || duty(&shared, &cancel))
+        .stack_size(STACK_BYTES)
+        .spawn(move || thread_main(&shared, &cancel))
         .context(ThreadSnafu { name })
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a node share.
+//! State that the threads of a node share.
 
 use std::{
     fmt,
@@ -14,40 +14,39 @@
 use crate::{
     census::Census,
     config::Config,
+    long_poll,
     metrics::{Duty, Metrics},
     protocol::Protocol,
-    question,
     settings::NodeSettings,
     store::{DutyStore, Store},
 };
 
-/// After a call without an answer, callers are not held up by another for this long
-/// unless one is answered meanwhile, in milliseconds.
-const BREAK: u64 = 1000;
+/// Pause after a failed call to the store before another request may probe it, in milliseconds.
+const PROBE_PAUSE_MS: u64 = 1000;
 
-/// Leave to call the store; given back when it is dropped.
-pub(crate) struct Try<'a> {
-    alone: Option<&'a AtomicBool>,
+/// Permission to call the store, returned when dropped.
+pub(crate) struct StorePermit<'a> {
+    probing: Option<&'a AtomicBool>,
 }
 
-impl Drop for Try<'_> {
+impl Drop for StorePermit<'_> {
     fn drop(&mut self) {
-        if let Some(alone) = self.alone {
-            alone.store(false, Ordering::SeqCst);
+        if let Some(probing) = self.probing {
+            probing.store(false, Ordering::SeqCst);
         }
     }
 }
 
-/// Which availability zones are evacuated.
+/// The evacuated availability zones.
 #[derive(Debug, Default)]
 struct Evacuated {
-    /// The store's version up to which changes are known.
+    /// Store version up to which changes have been read.
     version: u64,
-    /// Their names, sorted.
+    /// Names of the zones, sorted.
     zones: Arc<[Arc<str>]>,
 }
 
-/// What the threads of a node share.
+/// State that the threads of a node share.
 pub(crate) struct Shared {
     pub(crate) settings: NodeSettings,
     store: Box<dyn Store>,
@@ -56,19 +55,19 @@
     pub(crate) metrics: Metrics,
     config: Mutex<Option<Arc<Config>>>,
     evacuated: Mutex<Evacuated>,
-    /// The instances as this one counted them when it last was the owner.
+    /// The counts of instances from this instance's last time as the owner.
     census: Mutex<Option<Census>>,
-    /// Held by a caller who reads the configuration whole.
-    pub(crate) reading: Mutex<()>,
+    /// Held while a request reads the whole configuration.
+    pub(crate) config_read: Mutex<()>,
     /// When the store last answered, in milliseconds.
-    contact: AtomicU64,
-    /// For how long nothing comes from a store that answers, in milliseconds.
-    longest_silence: AtomicU64,
-    /// When a call to the store last got no answer, in milliseconds.
-    lost: AtomicU64,
-    /// Whether a caller tries a store that did not answer.
-    trying: AtomicBool,
-    /// Whether the process is about to end.
+    answered_at: AtomicU64,
+    /// Longest time between answers of a reachable store, in milliseconds.
+    max_silence: AtomicU64,
+    /// When a call to the store last failed, in milliseconds.
+    failed_at: AtomicU64,
+    /// Whether a request is probing an unreachable store.
+    probing: AtomicBool,
+    /// Whether the process is stopping.
     pub(crate) leaving: AtomicBool,
 }
 
@@ -86,7 +85,7 @@
         store: Box<dyn Store>,
         protocol: Box<dyn Protocol>,
     ) -> Shared {
-        let wait = question::wait(settings.apply);
+        let wait = long_poll::wait(settings.apply);
         let shared = Shared {
             settings,
             store,
@@ -96,41 +95,42 @@
             config: Mutex::new(None),
             evacuated: Mutex::default(),
             census: Mutex::default(),
-            reading: Mutex::new(()),
-            contact: AtomicU64::new(0),
-            longest_silence: AtomicU64::new(0),
-            lost: AtomicU64::new(0),
-            trying: AtomicBool::new(false),
+            config_read: Mutex::new(()),
+            answered_at: AtomicU64::new(0),
+            max_silence: AtomicU64::new(0),
+            failed_at: AtomicU64::new(0),
+            probing: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
         };
-        shared.asks_each(wait);
+        shared.set_poll_wait(wait);
         shared
     }
 
-    /// Takes note that the store is asked anew after `wait` at the latest.
-    pub(crate) fn asks_each(&self, wait: Duration) {
-        let silence = question::longest_silence(wait).as_millis() as u64;
-        self.longest_silence.store(silence, Ordering::Relaxed);
+    /// Sets the longest wait of long polls, from which the longest silence of a reachable store
+    /// follows.
+    pub(crate) fn set_poll_wait(&self, wait: Duration) {
+        let silence = long_poll::max_silence(wait).as_millis() as u64;
+        self.max_silence.store(silence, Ordering::Relaxed);
     }
 
-    /// Returns how long questions about the configuration wait.
+    /// Returns the wait of long polls for the configuration.
     pub(crate) fn config_wait(&self) -> Duration {
-        question::wait(self.settings.apply)
+        long_poll::wait(self.settings.apply)
     }
 
-    /// Returns the store for the calls of a duty.
+    /// Returns the store, with calls counted under `duty`.
     pub(crate) fn store(&self, duty: Duty) -> DutyStore<'_> {
         DutyStore::new(&*self.store, self.metrics.traffic(duty))
     }
 
-    /// Returns the newest configuration, if any was read.
+    /// Returns the configuration in force, if one has been read.
     pub(crate) fn config(&self) -> Option<Arc<Config>> {
         let config = self.config.lock().unwrap_or_else(PoisonError::into_inner);
         config.clone()
     }
 
-    /// Puts a configuration in force unless that or a newer one is.
-    pub(crate) fn offer(&self, new: Config) {
+    /// Puts a configuration in force unless it is older than, or the same as, the current one.
+    pub(crate) fn apply_config(&self, new: Config) {
         let mut config = self.config.lock().unwrap_or_else(PoisonError::into_inner);
         if config.as_ref().is_some_and(|c| c.version >= new.version) {
             return;
@@ -139,90 +139,95 @@
         *config = Some(Arc::new(new));
     }
 
-    /// Returns the store's version up to which changes of the configuration's table are known;
-    /// nothing if it was never read.
+    /// Returns the store version up to which changes of the configuration's table have been read;
+    /// `None` if it was never read.
     pub(crate) fn config_known(&self) -> Option<u64> {
-        let known = self.evacuated.lock();
-        let version = known.unwrap_or_else(PoisonError::into_inner).version;
+        let evacuated = self.evacuated.lock();
+        let version = evacuated.unwrap_or_else(PoisonError::into_inner).version;
         (version > 0).then_some(version)
     }
 
-    /// Returns the availability zones that are evacuated, sorted.
+    /// Returns the evacuated availability zones, sorted.
     pub(crate) fn evacuated(&self) -> Arc<[Arc<str>]> {
-        let known = self.evacuated.lock();
-        known.unwrap_or_else(PoisonError::into_inner).zones.clone()
+        let evacuated = self.evacuated.lock();
+        evacuated
+            .unwrap_or_else(PoisonError::into_inner)
+            .zones
+            .clone()
     }
 
-    /// Takes over which zones are evacuated, as of a version of the store.
+    /// Updates the evacuated zones, as of a version of the store.
     ///
-    /// Two threads read them: what is older than what is known changes nothing.
-    pub(crate) fn evacuate(&self, version: u64, change: impl FnOnce(&mut Vec<Arc<str>>)) {
-        let known = self.evacuated.lock();
-        let mut known = known.unwrap_or_else(PoisonError::into_inner);
-        if version < known.version {
+    /// Two threads read them, so an update older than the current state is ignored.
+    pub(crate) fn update_evacuated(&self, version: u64, change: impl FnOnce(&mut Vec<Arc<str>>)) {
+        let evacuated = self.evacuated.lock();
+        let mut evacuated = evacuated.unwrap_or_else(PoisonError::into_inner);
+        if version < evacuated.version {
             return;
         }
-        known.version = version;
-        let mut zones = known.zones.to_vec();
+        evacuated.version = version;
+        let mut zones = evacuated.zones.to_vec();
         change(&mut zones);
-        if *zones == *known.zones {
+        if *zones == *evacuated.zones {
             return;
         }
         log::info!(version, zones = zones.join(",").as_str(); "zones: evacuated");
-        known.zones = zones.into();
+        evacuated.zones = zones.into();
     }
 
-    /// Returns the number of instances, if this one has counted them.
+    /// Returns the counts of instances, if this instance has counted them.
     pub(crate) fn census(&self) -> Option<Census> {
         *self.census.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes note of the number of instances.
-    pub(crate) fn counted(&self, census: Census) {
+    /// Stores the counts of instances.
+    pub(crate) fn set_census(&self, census: Census) {
         *self.census.lock().unwrap_or_else(PoisonError::into_inner) = Some(census);
     }
 
-    /// Takes note that the store answered.
-    pub(crate) fn touched(&self) {
-        self.contact.store(self.clock.now(), Ordering::Relaxed);
+    /// Records that the store answered.
+    pub(crate) fn record_store_answer(&self) {
+        self.answered_at.store(self.clock.now(), Ordering::Relaxed);
     }
 
-    /// Takes note that the store did not answer.
-    pub(crate) fn untouched(&self) {
-        self.lost.store(self.clock.now(), Ordering::Relaxed);
+    /// Records that a call to the store failed.
+    pub(crate) fn record_store_failure(&self) {
+        self.failed_at.store(self.clock.now(), Ordering::Relaxed);
     }
 
-    /// Tells whether the store's last call got no answer, or none came lately.
-    pub(crate) fn store_is_lost(&self) -> bool {
-        let lost = self.lost.load(Ordering::Relaxed);
-        lost > self.contact.load(Ordering::Relaxed) || self.is_silent()
+    /// Returns whether the last call to the store failed, or no answer came for longer than a long
+    /// poll takes.
+    pub(crate) fn is_store_lost(&self) -> bool {
+        let failed_at = self.failed_at.load(Ordering::Relaxed);
+        failed_at > self.answered_at.load(Ordering::Relaxed) || self.is_store_silent()
     }
 
-    /// Tells whether nothing came from the store for longer than a question takes.
-    pub(crate) fn is_silent(&self) -> bool {
-        self.silence() > self.longest_silence.load(Ordering::Relaxed)
+    /// Returns whether no answer came from the store for longer than a long poll takes.
+    pub(crate) fn is_store_silent(&self) -> bool {
+        self.silence() > self.max_silence.load(Ordering::Relaxed)
     }
 
-    /// Gives leave to hold a caller up by a call to the store: while that does not
-    /// answer only one at a time, and after a pause.
-    pub(crate) fn may_try(&self) -> Option<Try<'_>> {
-        if !self.store_is_lost() {
-            return Some(Try { alone: None });
+    /// Returns permission for a request to call the store. While the store is lost, only one
+    /// request at a time gets it, and only after [`PROBE_PAUSE_MS`].
+    pub(crate) fn store_permit(&self) -> Option<StorePermit<'_>> {
+        if !self.is_store_lost() {
+            return Some(StorePermit { probing: None });
         }
-        let rested = self.clock.now() >= self.lost.load(Ordering::Relaxed) + BREAK;
-        let alone = rested && !self.trying.swap(true, Ordering::SeqCst);
-        alone.then_some(Try {
-            alone: Some(&self.trying),
+        let has_paused =
+            self.clock.now() >= self.failed_at.load(Ordering::Relaxed) + PROBE_PAUSE_MS;
+        let probing = has_paused && !self.probing.swap(true, Ordering::SeqCst);
+        probing.then_some(StorePermit {
+            probing: Some(&self.probing),
         })
     }
 
     /// Returns the milliseconds since the store last answered.
     fn silence(&self) -> u64 {
-        let last = self.contact.load(Ordering::Relaxed);
+        let last = self.answered_at.load(Ordering::Relaxed);
         self.clock.now().saturating_sub(last)
     }
 
-    /// Tells whether the process is about to end.
+    /// Returns whether the process is stopping.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,15 +1,15 @@
-//! MessagePack with a format byte.
+//! MessagePack encoding with a leading format byte.
 
 use serde::{Serialize, de::DeserializeOwned};
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-/// Format of every message of this release.
+/// Format byte of every message of this release.
 pub const FORMAT: u8 = 1;
 
 /// Content type of encoded messages.
 pub const CONTENT_TYPE: &str = "application/vnd.gorsespur.v1+msgpack";
 
-/// Why a message can't be read or written.
+/// Why a message can't be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum CodecError {
     /// The message is empty.
@@ -18,19 +18,19 @@
     /// The message has another format.
     #[snafu(display("message has format {found}, not {FORMAT}"))]
     Format {
-        /// Its format.
+        /// The format found.
         found: u8,
     },
     /// The message is malformed.
     #[snafu(display("message is malformed"))]
     Decode {
-        /// The library's answer.
+        /// Error from the library.
         source: rmp_serde::decode::Error,
     },
     /// The value can't be encoded.
     #[snafu(display("value can't be encoded"))]
     Encode {
-        /// The library's answer.
+        /// Error from the library.
         source: rmp_serde::encode::Error,
     },
 }
