--- a/crates/jobs/tests/all/apart.rs
+++ b/crates/jobs/tests/all/apart.rs
@@ -11,7 +11,7 @@
         ..WorldSettings::default()
     });
     for worker in &mut world.workers[1..] {
-        worker.cut = true;
+        worker.partitioned = true;
     }
     world.run(2000);
     let gang = Step {
@@ -23,7 +23,7 @@
     assert_eq!(world.workers[0].runs.len(), members as usize);
     world.crash(0);
     for worker in &mut world.workers[1..] {
-        worker.cut = false;
+        worker.partitioned = false;
     }
     world.run(6000);
     world
--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -17,10 +17,10 @@
         workers,
         attempts: 3,
         seed,
-        lost: 0,
-        lives: false,
+        lost_percent: 0,
+        reuse_names: false,
     });
-    world.judge.calm = true;
+    world.checker.all_healthy = true;
     world.run(100);
     world
 }
@@ -32,8 +32,8 @@
 fn late_turns_start_nothing_twice(turns: u64) {
     for seed in 0..12 {
         let mut world = world(6, seed);
-        world.turns = turns;
-        world.unread = 30;
+        world.max_turn_ms = turns;
+        world.unread_percent = 30;
         let mut rng = SmallRng::seed_from_u64(seed);
         for id in 1..=JOBS {
             let estimate = rng.random_range(200..1500);
@@ -61,8 +61,8 @@
         world.pause(true);
         world.run(100);
         let over = world.now;
-        world.turns = 1000;
-        world.unread = 50;
+        world.max_turn_ms = 1000;
+        world.unread_percent = 50;
         world.take_over(over);
         assert!(world.run_until_done(60_000), "seed {seed}");
         check_seed(&world, seed);
@@ -81,8 +81,8 @@
         world.pause(true);
         world.run(9000);
         let over = world.now;
-        world.turns = 200;
-        world.unread = 50;
+        world.max_turn_ms = 200;
+        world.unread_percent = 50;
         world.take_over(over);
         assert!(world.run_until_done(60_000), "seed {seed}");
         check_seed(&world, seed);
@@ -97,11 +97,11 @@
     world.run(1000);
     let begun: Vec<_> = world.workers.iter().map(|w| w.runs.len()).collect();
     assert_eq!(begun.iter().sum::<usize>(), 3);
-    world.workers[0].cut = true;
+    world.workers[0].partitioned = true;
     world.run(3200);
     world.pause(true);
     for worker in &mut world.workers {
-        worker.cut = false;
+        worker.partitioned = false;
         // What runs is to outlast the pause: another owner could have renewed it.
         worker.deadline = u64::MAX;
     }
@@ -109,7 +109,7 @@
     world.pause(false);
     assert!(world.run_until_done(20_000));
     check_seed(&world, 1);
-    assert_eq!(world.figures().starts, 3);
+    assert_eq!(world.stats().starts, 3);
 }
 
 /// Progress that stood still only while the owner did not read is no reason to stop.
@@ -119,17 +119,17 @@
         let mut world = world(3, seed);
         for worker in &mut world.workers {
             // Guessed at a second, the tasks take four.
-            worker.length = Some(4000);
+            worker.task_ms = Some(4000);
         }
         world.submit(1, chain(vec![short(6, 1000)]));
         world.run(1800);
-        world.turns = 1000;
-        world.unread = 60;
+        world.max_turn_ms = 1000;
+        world.unread_percent = 60;
         world.run(8000);
-        world.turns = 0;
-        world.unread = 0;
+        world.max_turn_ms = 0;
+        world.unread_percent = 0;
         assert!(world.run_until_done(30_000), "seed {seed}");
-        assert_eq!(world.figures().starts, 6, "seed {seed}");
+        assert_eq!(world.stats().starts, 6, "seed {seed}");
     }
 }
 
@@ -151,7 +151,7 @@
     let over = world.lease_end();
     world.run(5000);
     // The answer to what was asked five seconds ago is read only now.
-    world.tell(Event::Renewed { asked_at: asked });
+    world.notify(Event::Renewed { asked_at: asked });
     world.run(9000);
     assert!(world.workers[0].deadline <= world.workers[0].clock(over));
 }
@@ -183,8 +183,8 @@
     world.run(late);
     // Only the record is late: what the workers announce is known.
     let now = world.now;
-    world.tell(Event::WorkersSynced { asked_at: now });
-    world.tell(Event::Committed { asked_at: asked });
+    world.notify(Event::WorkersSynced { asked_at: now });
+    world.notify(Event::Committed { asked_at: asked });
     world.run(300);
     assert_eq!(world.workers[0].runs.len(), 2, "nothing was started");
     assert!(world.workers[0].deadline <= world.workers[0].clock(over));
@@ -200,9 +200,9 @@
     let asked = world.now;
     world.submit(1, chain(vec![short(2, 60_000)]));
     world.run(late);
-    world.tell(Event::Committed { asked_at: asked });
+    world.notify(Event::Committed { asked_at: asked });
     world.run(300);
-    assert_eq!(world.figures().starts, 0);
+    assert_eq!(world.stats().starts, 0);
 }
 
 /// An owner stood still for four seconds, and its successor needs as long to read the jobs: up
@@ -265,11 +265,11 @@
     }
     let cancelled = world.submit(100, chain(vec![short(4, 60_000)]));
     world.run(1000);
-    assert!(world.figures().tasks > 0);
+    assert!(world.stats().tasks > 0);
     world.cancel(cancelled);
     assert!(world.run_until_done(30_000));
     world.run(2000);
-    assert_eq!(world.figures().tasks, 0);
+    assert_eq!(world.stats().tasks, 0);
     check_seed(&world, 1);
 }
 
@@ -284,10 +284,10 @@
     }
     // The first starts go out before any answer tells of the link.
     world.run(12_000);
-    let before = world.figures();
+    let before = world.stats();
     let id = world.submit(1000, chain(vec![lasting(2)]));
     world.run(4000);
-    let after = world.figures();
+    let after = world.stats();
     assert_eq!(world.outcome(id), Outcome::Active);
     assert_eq!(
         after.unanswered_starts, before.unanswered_starts,
@@ -303,12 +303,12 @@
 fn nothing_starts_while_it_is_not_known_which_workers_leave() {
     let mut world = World::new(WorldSettings::default());
     world.run(500);
-    world.unheard = true;
+    world.watch_down = true;
     world.run(2_500);
     let id = world.submit(1, chain(vec![short(4, 500)]));
     world.run(3_000);
     assert_eq!(world.outcome(id), Outcome::Pending);
-    assert!(world.figures().skipped_passes > 0);
-    world.unheard = false;
+    assert!(world.stats().skipped_passes > 0);
+    world.watch_down = false;
     assert!(world.run_until_done(3_000));
 }
--- a/crates/jobs/tests/all/checkpoints.rs
+++ b/crates/jobs/tests/all/checkpoints.rs
@@ -37,7 +37,7 @@
     assert!(world.run_until_done(8000));
     assert_eq!(world.outcome(id), Outcome::Complete);
     check_seed(&world, 0);
-    let brought = world.judge.checkpoints.brought;
+    let brought = world.checker.checkpoints.brought;
     assert_eq!((brought.starts, brought.none), (2, 0), "{brought:?}");
 }
 
@@ -73,13 +73,13 @@
     let members = if gang { 0..3 } else { 0..1 };
     for worker in &mut world.workers[members] {
         // With more progress than it will have, so that it writes no other one.
-        worker.runs[0].saved = ("another's".into(), 3000);
+        worker.runs[0].checkpoint = ("another's".into(), 3000);
     }
     world.run(1000);
     world.crash(0);
     world.run_until_done(15_000);
     check_seed(&world, 0);
-    assert_eq!(world.judge.checkpoints.rejected.len(), rejected);
+    assert_eq!(world.checker.checkpoints.rejected.len(), rejected);
     assert_eq!(world.outcome(id), Outcome::Complete);
 }
 
@@ -95,16 +95,16 @@
         ..saving(short(12, 3000))
     };
     let mut world = World::new(WorldSettings::default());
-    world.away = 60_000;
+    world.restart_ms = 60_000;
     world.run(100);
     let id = world.submit(1, chain(vec![gang]));
     world.run(1500);
     for run in world.workers.iter_mut().flat_map(|w| &mut w.runs) {
-        run.saved = ("another's".into(), 3000);
+        run.checkpoint = ("another's".into(), 3000);
     }
     world.run(1000);
     world.crash(0);
-    while world.judge.checkpoints.rejected.len() < 12 {
+    while world.checker.checkpoints.rejected.len() < 12 {
         world.run(20);
     }
     let began = world.now;
@@ -114,7 +114,7 @@
     }
     let took = world.now - began;
     assert!(took < 1000, "the other job took {took} ms");
-    assert_eq!(world.figures().rejected, 12, "the other job took {took} ms");
+    assert_eq!(world.stats().rejected, 12, "the other job took {took} ms");
     assert!(world.run_until_done(15_000));
     assert_eq!(world.outcome(id), Outcome::Complete);
     check_seed(&world, 0);
@@ -148,18 +148,18 @@
 #[test]
 fn a_rejection_may_be_lost_with_its_owner_once() {
     let (mut world, id) = world(saving(short(3, 3000)));
-    world.workers[0].runs[0].saved = ("another's".into(), 3000);
+    world.workers[0].runs[0].checkpoint = ("another's".into(), 3000);
     world.run(1000);
     world.crash(0);
-    while world.judge.checkpoints.rejected.is_empty() {
+    while world.checker.checkpoints.rejected.is_empty() {
         world.run(5);
     }
     world.pause(true);
     world.take_over(world.lease_end());
     assert!(world.run_until_done(30_000));
     assert_eq!(world.outcome(id), Outcome::Complete);
-    let rejected = world.judge.checkpoints.rejected.len();
-    assert_eq!((rejected, world.judge.wrong.len()), (2, 1));
+    let rejected = world.checker.checkpoints.rejected.len();
+    assert_eq!((rejected, world.checker.violations.len()), (2, 1));
 }
 
 /// What one worker that rejects all costs the tasks that go on elsewhere.
@@ -181,7 +181,7 @@
     let rejected = &world.workers[3].rejected;
     let texts = rejected.iter().filter(|(_, s)| !s.is_empty()).count();
     let all = rejected.len();
-    let brought = world.judge.checkpoints.brought;
+    let brought = world.checker.checkpoints.brought;
     assert!(texts <= 3, "{texts} of {all} rejected, {brought:?}");
 }
 
@@ -256,14 +256,14 @@
     match rng.random_range(0..22) {
         0 => world.crash(at),
         1 => world.lose_power(at),
-        2 => world.workers[at].cut = true,
-        3 => world.workers[at].late = ms,
+        2 => world.workers[at].partitioned = true,
+        3 => world.workers[at].delay_ms = ms,
         4 => world.workers[at].mode = Mode::FailsAll,
         5 => world.workers[at].mode = Mode::Hangs,
         6 => world.workers[at].mode = Mode::Slow(6),
         7 => world.announce(at, false),
-        8 => world.workers[at].deaf = true,
-        9 | 10 => world.workers[at].tails = vec![200],
+        8 => world.workers[at].refusing = true,
+        9 | 10 => world.workers[at].tail_percents = vec![200],
         11 => world.store_down = true,
         12 => {
             world.pause(true);
@@ -275,7 +275,7 @@
             world.pause(true);
             world.take_over(world.lease_end());
             world.run(ms);
-            world.wake_earlier();
+            world.resume_earlier();
         }
         15 => world.suspend(ms),
         16 => {
@@ -283,14 +283,14 @@
             world.run(ms);
             world.pause(false);
         }
-        17 => (world.turns, world.unread) = (ms / 4, 40),
+        17 => (world.max_turn_ms, world.unread_percent) = (ms / 4, 40),
         18 => {
             let spec = world.spec(JobId(job));
             world.cancel(JobId(job));
             world.run(ms / 2);
             world.submit(job, spec);
         }
-        19 => world.wake_earlier(),
+        19 => world.resume_earlier(),
         _ => mend(world),
     }
 }
@@ -298,14 +298,14 @@
 /// All is well again.
 fn mend(world: &mut World) {
     world.store_down = false;
-    (world.turns, world.unread) = (0, 0);
-    world.wake_earlier();
+    (world.max_turn_ms, world.unread_percent) = (0, 0);
+    world.resume_earlier();
     world.pause(false);
     for at in 0..WORKERS {
         let worker = &mut world.workers[at];
-        (worker.cut, worker.deaf, worker.late) = (false, false, 0);
-        worker.mode = Mode::Well;
-        worker.tails.clear();
+        (worker.partitioned, worker.refusing, worker.delay_ms) = (false, false, 0);
+        worker.mode = Mode::Healthy;
+        worker.tail_percents.clear();
         world.announce(at, true);
     }
 }
@@ -317,12 +317,12 @@
         workers: WORKERS,
         attempts: 100,
         seed,
-        lost: rng.random_range(0..10),
-        lives: false,
+        lost_percent: rng.random_range(0..10),
+        reuse_names: false,
     });
-    world.unaware = rng.random_range(1..3000);
+    world.unaware_ms = rng.random_range(1..3000);
     for worker in &mut world.workers {
-        worker.flaky = 5;
+        worker.failure_percent = 5;
     }
     world.run(100);
     world.submit(1000, chain(vec![serving(WORKERS as u32)]));
@@ -347,7 +347,7 @@
     for seed in 0..60 {
         let world = play(seed, shape);
         check_seed(&world, seed);
-        all += world.judge.checkpoints.brought;
+        all += world.checker.checkpoints.brought;
     }
     // Else the plays tell nothing.
     assert!(all.starts > 200 && all.starts > 2 * all.none, "{all:?}");
--- a/crates/jobs/tests/all/common/crash.rs
+++ b/crates/jobs/tests/all/common/crash.rs
@@ -5,10 +5,10 @@
 use super::World;
 
 /// Milliseconds until a crashed worker's next life usually begins.
-pub(super) const RETURNS: u64 = 3000;
+pub(super) const RESTART_MS: u64 = 3000;
 
 /// Milliseconds until the announcement of a worker that has ended is gone.
-const LISTED: u64 = 4500;
+const ROW_EXPIRY_MS: u64 = 4500;
 
 /// A task that crashes each worker that starts it.
 #[derive(Debug, Clone, Copy)]
@@ -26,61 +26,61 @@
             let runs = &self.workers[at].runs;
             let culprit = runs.iter().find(|r| {
                 let crasher = self.crashers.iter().find(|c| c.task == r.task);
-                crasher.is_some_and(|c| now >= r.begun + c.after)
+                crasher.is_some_and(|c| now >= r.started_at + c.after)
             });
             let others = runs.len().saturating_sub(1);
             if let Some(task) = culprit.map(|r| r.task) {
-                self.judge.crashes(task, others);
+                self.checker.record_crash(task, others);
                 self.crash(at);
             }
-            if self.workers[at].returns.is_some_and(|t| t <= now) {
-                self.begin_life(at);
+            if self.workers[at].restarts_at.is_some_and(|t| t <= now) {
+                self.restart_worker(at);
             }
         }
-        while let Some(at) = self.unlisted.iter().position(|(t, _)| *t <= now) {
-            let (_, id) = self.unlisted.remove(at);
+        while let Some(at) = self.expiring_rows.iter().position(|(t, _)| *t <= now) {
+            let (_, id) = self.expiring_rows.remove(at);
             let at = self.workers.iter().position(|w| w.id == id);
-            match at.filter(|_| self.settings.lives) {
-                Some(at) => self.lapse_row(at),
-                None => self.tell(Event::WorkerRemoved(id)),
+            match at.filter(|_| self.settings.reuse_names) {
+                Some(at) => self.expire_row(at),
+                None => self.notify(Event::WorkerRemoved(id)),
             }
         }
-        self.tell_arrivals();
+        self.publish_due_rows();
     }
 
     /// A worker's process ends, for whatever cause; it is back after some seconds.
     pub fn crash(&mut self, at: usize) {
         let now = self.now;
-        self.workers[at].crash(now + self.away);
+        self.workers[at].crash(now + self.restart_ms);
         let id = self.workers[at].id.clone();
-        self.unlisted.push((now + LISTED, id));
-        self.scatter(at);
+        self.expiring_rows.push((now + ROW_EXPIRY_MS, id));
+        self.delay_in_flight(at);
     }
 
     /// A worker's machine loses its power: nothing is heard of it until it is back.
     pub fn lose_power(&mut self, at: usize) {
         self.crash(at);
-        self.workers[at].absent = false;
+        self.workers[at].process_down = false;
     }
 
     /// What answers an order that is meant for a life which has ended, if anything does.
     pub(super) fn refusal(&self, at: usize, action: &Action, meant: &str) -> Option<Answer> {
         let worker = &self.workers[at];
-        if worker.cut {
+        if worker.partitioned {
             return None;
         }
-        if worker.alive && !worker.deaf {
+        if worker.alive && !worker.refusing {
             return (*worker.id != *meant).then_some(Answer::Dead);
         }
-        if !worker.absent && !worker.deaf {
+        if !worker.process_down && !worker.refusing {
             return None;
         }
-        refused(action)
+        refusal_answer(action)
     }
 }
 
 /// What answers an order at an address where nobody listens.
-pub(super) fn refused(action: &Action) -> Option<Answer> {
+pub(super) fn refusal_answer(action: &Action) -> Option<Answer> {
     match action {
         Action::Poll { .. } => Some(Answer::ConnectionRefused),
         Action::Start(_, order) => {
--- a/crates/jobs/tests/all/common/lives.rs
+++ b/crates/jobs/tests/all/common/lives.rs
@@ -13,28 +13,28 @@
 const MOVED_PORT: u16 = 30_000;
 
 /// What the clocks of first lives show when the world begins, in milliseconds.
-const UPTIME: u64 = 500_000;
+const INITIAL_UPTIME_MS: u64 = 500_000;
 
 /// How a worker starts again that keeps its name.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Restart {
     /// Whether the wall clock was set back, so that the later life seems the earlier one.
-    pub back: bool,
+    pub clock_back: bool,
     /// Whether it listens at another address from then on.
-    pub moves: bool,
+    pub new_address: bool,
     /// Milliseconds until its row is told; that of the life before is there until then.
-    pub told: u64,
+    pub row_delay_ms: u64,
 }
 
 impl World {
     /// Has the first lives say when they began, and writes their rows.
-    pub(super) fn found_lives(&mut self) {
+    pub(super) fn init_workers(&mut self) {
         for at in 0..self.workers.len() {
             let worker = &mut self.workers[at];
             worker.port = FIRST_PORT + at as u16;
-            if self.settings.lives {
-                worker.born = Some(self.now - 60_000 - at as u64);
-                worker.uptime = UPTIME;
+            if self.settings.reuse_names {
+                worker.start_time = Some(self.now - 60_000 - at as u64);
+                worker.uptime = INITIAL_UPTIME_MS;
             }
             let row = self.row(at, self.workers[at].id.clone(), true);
             self.rows.push(Some(row));
@@ -44,31 +44,31 @@
     /// Tells the newest owner of a worker.
     pub fn announce(&mut self, at: usize, ready: bool) {
         let worker = &self.workers[at];
-        if worker.cut || !worker.alive {
+        if worker.partitioned || !worker.alive {
             return;
         }
         let id = worker.id.clone();
-        if self.settings.lives {
-            self.unlisted.retain(|(_, gone)| *gone != id);
+        if self.settings.reuse_names {
+            self.expiring_rows.retain(|(_, gone)| *gone != id);
         }
         let row = self.row(at, id, ready);
         self.rows[at] = Some(row.clone());
-        self.tell(Event::WorkerUpdated(row));
+        self.notify(Event::WorkerUpdated(row));
     }
 
     /// Tells a new owner of the workers that have rows.
     pub(super) fn announce_all(&mut self) {
-        if self.settings.lives {
+        if self.settings.reuse_names {
             for row in self.rows.clone().into_iter().flatten() {
-                self.tell(Event::WorkerUpdated(row));
+                self.notify(Event::WorkerUpdated(row));
             }
             return;
         }
-        for (_, id) in self.unlisted.clone() {
+        for (_, id) in self.expiring_rows.clone() {
             let at = self.workers.iter().position(|w| w.id == id);
             let at = at.unwrap_or_else(|| self.lives[&id]);
             let row = self.row(at, id, true);
-            self.tell(Event::WorkerUpdated(row));
+            self.notify(Event::WorkerUpdated(row));
         }
         for at in 0..self.workers.len() {
             self.announce(at, true);
@@ -76,9 +76,9 @@
     }
 
     /// A worker's row is gone, though the worker may be there.
-    pub fn lapse_row(&mut self, at: usize) {
+    pub fn expire_row(&mut self, at: usize) {
         self.rows[at] = None;
-        self.tell(Event::WorkerRemoved(self.workers[at].id.clone()));
+        self.notify(Event::WorkerRemoved(self.workers[at].id.clone()));
     }
 
     /// What a worker announces under a name.
@@ -86,15 +86,15 @@
         let worker = &self.workers[at];
         WorkerInfo {
             id,
-            start_time: worker.born,
+            start_time: worker.start_time,
             addr: ([127, 0, 0, 1], worker.port).into(),
             service: "s".into(),
             zone: World::zone(at),
             labels: vec!["a".into(), format!("r{}", at / 2).into()],
             rack: format!("r{}", at / 2).into(),
             capacity: Capacity {
-                cpu: worker.room.0,
-                memory: worker.room.1,
+                cpu: worker.capacity.0,
+                memory: worker.capacity.1,
                 gpu: 0,
             },
             ready,
@@ -103,50 +103,55 @@
     }
 
     /// A worker's next life begins.
-    pub(super) fn begin_life(&mut self, at: usize) {
+    pub(super) fn restart_worker(&mut self, at: usize) {
         let now = self.now;
         let old = &self.workers[at];
-        let (id, rate, room, port) = (old.id.clone(), old.rate, old.room, old.port);
-        if !self.settings.lives {
+        let (id, rate, room, port) = (old.id.clone(), old.rate, old.capacity, old.port);
+        if !self.settings.reuse_names {
             let name = format!("w{at}-{}", self.lives.len());
             self.lives.insert(id, at);
             self.workers[at] = SimWorker::new(&name, now, rate);
-            self.workers[at].room = room;
+            self.workers[at].capacity = room;
             self.workers[at].port = port;
             return self.announce(at, true);
         }
-        self.past.push((at, self.row(at, id.clone(), true)));
-        let born = match self.restart.back {
-            true => old.born.map(|b| b - 1000),
+        self.past_rows.push((at, self.row(at, id.clone(), true)));
+        let born = match self.restart.clock_back {
+            true => old.start_time.map(|b| b - 1000),
             false => Some(now),
         };
-        let moved = MOVED_PORT + self.past.len() as u16;
+        let moved = MOVED_PORT + self.past_rows.len() as u16;
         let mut worker = SimWorker::new(&id, now, rate);
-        worker.born = born;
+        worker.start_time = born;
         worker.uptime = 0;
-        worker.port = if self.restart.moves { moved } else { port };
-        worker.room = room;
+        worker.port = if self.restart.new_address {
+            moved
+        } else {
+            port
+        };
+        worker.capacity = room;
         self.workers[at] = worker;
-        self.arrivals.push((now + self.restart.told, at, born));
-        self.tell_arrivals();
+        self.pending_rows
+            .push((now + self.restart.row_delay_ms, at, born));
+        self.publish_due_rows();
     }
 
     /// Tells of the lives whose rows are due.
-    pub(super) fn tell_arrivals(&mut self) {
+    pub(super) fn publish_due_rows(&mut self) {
         let now = self.now;
         let due = |(t, _, _): &(u64, usize, Option<u64>)| *t <= now;
-        while let Some(next) = self.arrivals.iter().position(due) {
-            let (_, at, born) = self.arrivals.remove(next);
-            if self.workers[at].born == born {
+        while let Some(next) = self.pending_rows.iter().position(due) {
+            let (_, at, born) = self.pending_rows.remove(next);
+            if self.workers[at].start_time == born {
                 self.announce(at, true);
             }
         }
     }
 
     /// Tells the newest owner again of all lives that have ended.
-    pub fn tell_past(&mut self) {
-        for (_, row) in self.past.clone() {
-            self.tell(Event::WorkerUpdated(row));
+    pub fn republish_past_rows(&mut self) {
+        for (_, row) in self.past_rows.clone() {
+            self.notify(Event::WorkerUpdated(row));
         }
     }
 
--- a/crates/jobs/tests/all/common/mod.rs
+++ b/crates/jobs/tests/all/common/mod.rs
@@ -11,7 +11,7 @@
 
 pub use checkpoints::Brought;
 pub use crash::Crasher;
-pub use judge::Judge;
+pub use judge::Checker;
 pub use lives::Restart;
 pub use sim::{Mode, SimWorker};
 pub use world::{World, WorldSettings};
@@ -64,7 +64,7 @@
 
 /// Asserts that no promise was broken in the world of a seed.
 pub fn check_seed(world: &World, seed: u64) {
-    let wrong = &world.judge.wrong;
+    let wrong = &world.checker.violations;
     assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
 }
 
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -5,21 +5,21 @@
 use gorsespur_jobs::{Action, Answer, Event, Started, Stopped, TaskId};
 use rand::Rng;
 
-use super::{Mode, World, crash::refused};
+use super::{Mode, World, crash::refusal_answer};
 
 /// Milliseconds after which an order without an answer is given up.
-const ORDER_LIMIT: u64 = 700;
+const ORDER_TIMEOUT_MS: u64 = 700;
 
 /// Milliseconds beyond its wait after which a look without an answer is given up.
-const LOOK_LIMIT: u64 = 900;
+const POLL_TIMEOUT_MS: u64 = 900;
 
 /// Milliseconds after the request from which on no start reaches an evacuated zone, as the
 /// users have it: an owner may be paused, and one that was sent before is on its way.
-const EVACUATED: u64 = 5000;
+const EVACUATION_GRACE_MS: u64 = 5000;
 
 /// Something on its way.
 #[derive(Debug, Clone)]
-pub(super) enum Parcel {
+pub(super) enum Message {
     Order(Order),
     Answer(u32, u64, Answer),
 }
@@ -42,11 +42,11 @@
         let now = self.now;
         let worker = match &action {
             Action::Commit(batch) => {
-                self.owners[at].commit = Some((now + self.write, batch.clone()));
+                self.owners[at].commit = Some((now + self.write_ms, batch.clone()));
                 return;
             }
             Action::StepDown => {
-                self.owners[at].deposed = true;
+                self.owners[at].stepped_down = true;
                 return;
             }
             Action::Poll { worker, .. }
@@ -65,20 +65,20 @@
                 index
             }
         };
-        let late = self.workers[index].late;
+        let late = self.workers[index].delay_ms;
         let cost = if matches!(action, Action::Start(..)) {
             self.link
         } else {
             0
         };
         owner.link = owner.link.max(now) + cost;
-        let extra = if is_look(&action) { 0 } else { late } + (owner.link - now);
+        let extra = if is_poll(&action) { 0 } else { late } + (owner.link - now);
         let due = now + 2 + extra;
-        let stray = extra > limit(&action);
+        let stray = extra > timeout(&action);
         if stray {
-            let (slot, answer) = silence(&action);
-            let given_up = (now + limit(&action), Parcel::Answer(slot, now, answer));
-            owner.parcels.push(given_up);
+            let (slot, answer) = timeout_answer(&action);
+            let given_up = (now + timeout(&action), Message::Answer(slot, now, answer));
+            owner.messages.push(given_up);
         }
         let order = Order {
             at: index,
@@ -88,18 +88,18 @@
             sent: now,
             stray,
         };
-        owner.parcels.push((due, Parcel::Order(order)));
+        owner.messages.push((due, Message::Order(order)));
     }
 
     pub(super) fn deliver(&mut self, at: usize) {
         let now = self.now;
-        let paused = self.owners[at].paused || self.owners[at].busy > now;
-        let (unread, rng) = (self.unread, &mut self.rng);
-        let parcels = &mut self.owners[at].parcels;
+        let paused = self.owners[at].paused || self.owners[at].busy_until > now;
+        let (unread, rng) = (self.unread_percent, &mut self.rng);
+        let parcels = &mut self.owners[at].messages;
         let mut due = Vec::new();
         parcels.retain(|(t, parcel)| {
             // Answers wait for a paused process, and for one that is busy.
-            let answer = matches!(parcel, Parcel::Answer(..));
+            let answer = matches!(parcel, Message::Answer(..));
             let held = paused || unread > 0 && rng.random_range(0..100) < unread;
             let waits = *t > now || answer && held;
             if !waits {
@@ -109,12 +109,12 @@
         });
         for parcel in due {
             match parcel {
-                Parcel::Answer(worker, sent, answer) => {
+                Message::Answer(worker, sent, answer) => {
                     let owner = &mut self.owners[at];
-                    if !owner.deposed {
+                    if !owner.stepped_down {
                         if let Answer::Report(look) = &answer {
                             let (_, id) = owner.machine.worker_address(worker).expect("announced");
-                            self.judge.read(now, owner.epoch, id, look);
+                            self.checker.read(now, owner.epoch, id, look);
                         }
                         let event = Event::Answer {
                             worker,
@@ -124,7 +124,7 @@
                         owner.machine.handle(owner.clock.read(now), now, event);
                     }
                 }
-                Parcel::Order(order) => self.carry_out(at, order),
+                Message::Order(order) => self.carry_out(at, order),
             }
         }
     }
@@ -139,29 +139,29 @@
         };
         let refusal = match listener {
             Some(index) => self.refusal(index, &order.action, &order.id),
-            None => refused(&order.action),
+            None => refusal_answer(&order.action),
         };
         if let Some(answer) = refusal {
             let parcel = (
                 now + 2,
-                Parcel::Answer(slot_of(&order.action), sent, answer),
+                Message::Answer(slot_of(&order.action), sent, answer),
             );
             if !order.stray {
-                self.owners[at].parcels.push(parcel);
+                self.owners[at].messages.push(parcel);
             }
             return;
         }
         let index = listener.unwrap_or(order.at);
-        let late = order.stray || now > sent + limit(&order.action);
-        let lost = self.rng.random_range(0..100) < self.settings.lost;
-        let silent = lost || !self.workers[index].alive || self.workers[index].cut;
-        if silent && !late && self.is_echoed(&order.action) {
-            return self.put_off(at, order);
+        let late = order.stray || now > sent + timeout(&order.action);
+        let lost = self.rng.random_range(0..100) < self.settings.lost_percent;
+        let silent = lost || !self.workers[index].alive || self.workers[index].partitioned;
+        if silent && !late && self.draws_stray(&order.action) {
+            return self.delay_order(at, order);
         }
         let action = order.action;
         let worker = &mut self.workers[index];
-        let reached = worker.alive && !worker.cut;
-        let (slot, silence) = silence(&action);
+        let reached = worker.alive && !worker.partitioned;
+        let (slot, silence) = timeout_answer(&action);
         let answer = match &action {
             Action::Poll {
                 observed, deadline, ..
@@ -169,13 +169,13 @@
                 let look = reached
                     .then(|| {
                         if fence >= worker.fence {
-                            self.judge.observed(now, worker, *observed, late);
+                            self.checker.record_observed(now, worker, *observed, late);
                         }
-                        let look = worker.look(now, fence, *observed, *deadline)?;
+                        let look = worker.report(now, fence, *observed, *deadline)?;
                         if !late {
                             let jobs = &self.jobs;
                             let step = |id: TaskId| &jobs[&id.job].spec.steps[id.step as usize];
-                            let checkpoints = &mut self.judge.checkpoints;
+                            let checkpoints = &mut self.checker.checkpoints;
                             checkpoints.listed(&look, |id| step(id).gang);
                         }
                         Some(look)
@@ -189,32 +189,34 @@
                 if reached && (malformed || worker.mode == Mode::Rejects) {
                     started = Started::Rejected;
                     worker.rejected.push((order.task, order.checkpoint.clone()));
-                } else if reached && !self.judge.checkpoints.is_own(order) {
+                } else if reached && !self.checker.checkpoints.is_own(order) {
                     started = Started::Rejected;
-                    self.judge.rejected(now, order);
+                    self.checker.rejected(now, order);
                 } else if reached {
                     let before = worker.runs.len();
-                    let progress = self.judge.checkpoints.progress(&order.checkpoint);
+                    let progress = self.checker.checkpoints.progress(&order.checkpoint);
                     started = worker.start(now, fence, order, progress);
                     let excuse = match late {
-                        true => self.judge.excuse(now, self.epoch, worker, order),
+                        true => self.checker.excuse(now, self.epoch, worker, order),
                         false => 0,
                     };
                     if let Some(run) = worker.runs.get_mut(before) {
-                        run.excused = excuse;
+                        run.exempt_until = excuse;
                     }
                     if worker.runs.len() > before && excuse == 0 {
                         let since = self.evacuated.get(&World::zone(index));
-                        if worker.late == 0 && since.is_some_and(|&at| now > at + EVACUATED) {
+                        if worker.delay_ms == 0
+                            && since.is_some_and(|&at| now > at + EVACUATION_GRACE_MS)
+                        {
                             let wrong =
                                 format!("{now}: {} begins in an evacuated zone", order.task);
-                            self.judge.wrong.push(wrong);
+                            self.checker.violations.push(wrong);
                         }
                         let attempts = self.settings.attempts;
-                        self.judge.begun(now, order.task, attempts, &order.spec);
-                        self.judge.brought(now, order);
-                        self.judge.told(now, order.task);
-                        self.judge.fitted(now, worker);
+                        self.checker.begun(now, order.task, attempts, &order.spec);
+                        self.checker.brought(now, order);
+                        self.checker.told(now, order.task);
+                        self.checker.check_capacity(now, worker);
                     }
                 }
                 Answer::Started(order.task, order.run, started)
@@ -223,7 +225,7 @@
                 let mut stopped = Stopped::Unknown;
                 if reached {
                     stopped = worker.stop(now, fence, *task, *run);
-                    self.judge.bars(*task, *run);
+                    self.checker.record_bar(*task, *run);
                 }
                 Answer::Stopped(*task, *run, stopped)
             }
@@ -244,76 +246,76 @@
             // Its sender has given it up already.
             return;
         }
-        let lag = match self.lag {
+        let lag = match self.max_lag_ms {
             0 => 0,
-            lag if is_look(&action) => self.rng.random_range(0..lag),
+            lag if is_poll(&action) => self.rng.random_range(0..lag),
             _ => 0,
         };
         let parcel = match reached && !lost {
             // A waiting worker answers at an end; here it is asked again soon.
-            true if waits && idle => (now + 100 + lag, Parcel::Answer(slot, sent, answer)),
-            true => (now + 2 + lag, Parcel::Answer(slot, sent, answer)),
+            true if waits && idle => (now + 100 + lag, Message::Answer(slot, sent, answer)),
+            true => (now + 2 + lag, Message::Answer(slot, sent, answer)),
             false => {
-                let due = (sent + ORDER_LIMIT).max(now);
-                (due, Parcel::Answer(slot, sent, silence))
+                let due = (sent + ORDER_TIMEOUT_MS).max(now);
+                (due, Message::Answer(slot, sent, silence))
             }
         };
-        self.owners[at].parcels.push(parcel);
+        self.owners[at].messages.push(parcel);
     }
 
     /// Tells whether an order that gets no answer is carried out later all the same.
-    fn is_echoed(&mut self, action: &Action) -> bool {
-        let may = self.echoes > 0 && (self.echo_looks || !is_look(action));
-        may && self.rng.random_range(0..100) < self.echoes
+    fn draws_stray(&mut self, action: &Action) -> bool {
+        let may = self.stray_percent > 0 && (self.stray_polls || !is_poll(action));
+        may && self.rng.random_range(0..100) < self.stray_percent
     }
 
     /// Has an order carried out later; its sender gets no answer.
-    fn put_off(&mut self, at: usize, mut order: Order) {
-        let (slot, answer) = silence(&order.action);
-        let given_up = (order.sent + limit(&order.action)).max(self.now);
-        let due = self.now + self.rng.random_range(0..self.echo.max(1));
+    fn delay_order(&mut self, at: usize, mut order: Order) {
+        let (slot, answer) = timeout_answer(&order.action);
+        let given_up = (order.sent + timeout(&order.action)).max(self.now);
+        let due = self.now + self.rng.random_range(0..self.max_stray_ms.max(1));
         order.stray = true;
-        let parcels = &mut self.owners[at].parcels;
-        parcels.push((given_up, Parcel::Answer(slot, order.sent, answer)));
-        parcels.push((due, Parcel::Order(order)));
+        let parcels = &mut self.owners[at].messages;
+        parcels.push((given_up, Message::Answer(slot, order.sent, answer)));
+        parcels.push((due, Message::Order(order)));
     }
 
     /// Some of the orders on their way to a worker whose process ends arrive later.
-    pub(super) fn scatter(&mut self, index: usize) {
+    pub(super) fn delay_in_flight(&mut self, index: usize) {
         for at in 0..self.owners.len() {
-            for (due, parcel) in std::mem::take(&mut self.owners[at].parcels) {
+            for (due, parcel) in std::mem::take(&mut self.owners[at].messages) {
                 match parcel {
-                    Parcel::Order(order)
-                        if order.at == index && !order.stray && self.is_echoed(&order.action) =>
+                    Message::Order(order)
+                        if order.at == index && !order.stray && self.draws_stray(&order.action) =>
                     {
-                        self.put_off(at, order);
+                        self.delay_order(at, order);
                     }
-                    parcel => self.owners[at].parcels.push((due, parcel)),
+                    parcel => self.owners[at].messages.push((due, parcel)),
                 }
             }
         }
     }
 }
 
-fn is_look(action: &Action) -> bool {
+fn is_poll(action: &Action) -> bool {
     matches!(action, Action::Poll { .. })
 }
 
 /// The slot of the worker that an order is for.
 fn slot_of(action: &Action) -> u32 {
-    silence(action).0
+    timeout_answer(action).0
 }
 
 /// Milliseconds after which an order is given up.
-fn limit(action: &Action) -> u64 {
+fn timeout(action: &Action) -> u64 {
     match action {
-        Action::Poll { wait, .. } => wait + LOOK_LIMIT,
-        _ => ORDER_LIMIT,
+        Action::Poll { wait, .. } => wait + POLL_TIMEOUT_MS,
+        _ => ORDER_TIMEOUT_MS,
     }
 }
 
 /// What the owner is told of an order that gets no answer.
-fn silence(action: &Action) -> (u32, Answer) {
+fn timeout_answer(action: &Action) -> (u32, Answer) {
     match action {
         Action::Poll { worker, .. } => (*worker, Answer::NoReply),
         Action::Start(worker, order) => {
--- a/crates/jobs/tests/all/common/sim.rs
+++ b/crates/jobs/tests/all/common/sim.rs
@@ -8,25 +8,25 @@
 };
 
 /// Ends that one answer holds at most.
-const FULL_LIST: usize = 500;
+const MAX_REPORTED_ENDS: usize = 500;
 
 /// A member of a gang waits for the others for this long, in milliseconds.
-const GANG_WAIT: u64 = 3000;
+const GANG_TIMEOUT_MS: u64 = 3000;
 
 /// A lease that would last longer from its arrival on is cut to this, in milliseconds.
-const LONGEST_LEASE: u64 = 10_000;
+const MAX_LEASE_MS: u64 = 10_000;
 
 /// Work after which a run that saves its progress writes a checkpoint, in milliseconds.
-const CHECKPOINT: u64 = 500;
+const CHECKPOINT_INTERVAL_MS: u64 = 500;
 
 /// Milliseconds that a run takes to go on from a checkpoint.
-const RESTORE: u64 = 250;
+const RESTORE_MS: u64 = 250;
 
 /// What is wrong with a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
     /// Nothing.
-    Well,
+    Healthy,
     /// Whatever it starts fails after a tenth of its time.
     FailsAll,
     /// What it runs makes no progress.
@@ -36,7 +36,7 @@
     /// It calls every start malformed.
     Rejects,
     /// It takes no order for a pace.
-    KeepsPace,
+    IgnoresPace,
 }
 
 /// A run on a worker.
@@ -45,35 +45,35 @@
     pub task: TaskId,
     pub run: u32,
     /// When it began, by the world's clock.
-    pub begun: u64,
+    pub started_at: u64,
     pub work: u64,
     pub done: u64,
     /// Ten-thousandths of a millisecond beyond that.
-    pub rest: u64,
+    pub remainder: u64,
     /// What had been done when it began.
-    pub first: u64,
+    pub initial: u64,
     /// When it works: it goes on from a checkpoint before.
-    pub ready: u64,
-    pub saves: bool,
+    pub ready_at: u64,
+    pub checkpoints: bool,
     /// The last checkpoint and what had been done by then; empty for none.
-    pub saved: (Arc<str>, u64),
-    pub lasting: bool,
+    pub checkpoint: (Arc<str>, u64),
+    pub long_running: bool,
     /// Members that its gang has; none if it belongs to none.
     pub gang: Option<u32>,
     /// Whether members of its gang are missing: it does no work meanwhile.
-    pub waits: bool,
+    pub blocked: bool,
     /// Whether all members of its gang have been there.
-    pub joined: bool,
+    pub assembled: bool,
     /// Whether a member of its gang is done, which stands for all.
-    pub joint: bool,
-    pub fill: bool,
+    pub gang_done: bool,
+    pub best_effort: bool,
     pub image: Option<Arc<str>>,
-    pub target: u64,
+    pub latency_target: u64,
     pub pace: u32,
-    pub stops: Option<u64>,
+    pub stops_at: Option<u64>,
     pub size: (u64, u64),
     /// Until when no owner can help that it runs.
-    pub excused: u64,
+    pub exempt_until: u64,
 }
 
 /// A worker.
@@ -81,19 +81,19 @@
 pub struct SimWorker {
     pub id: Arc<str>,
     /// When this life began, if it says so.
-    pub born: Option<u64>,
+    pub start_time: Option<u64>,
     pub port: u16,
     pub alive: bool,
     /// Whether its process has ended on a machine that is up: it refuses connections.
-    pub absent: bool,
+    pub process_down: bool,
     /// Whether it refuses connections though it runs on.
-    pub deaf: bool,
+    pub refusing: bool,
     /// When its next life begins.
-    pub returns: Option<u64>,
+    pub restarts_at: Option<u64>,
     /// Nobody reaches it, and it reaches nobody.
-    pub cut: bool,
+    pub partitioned: bool,
     /// Orders are carried out this much later and not answered, in milliseconds.
-    pub late: u64,
+    pub delay_ms: u64,
     pub mode: Mode,
     pub fence: u64,
     /// End of its lease on its own clock.
@@ -103,78 +103,78 @@
     pub begun: u64,
     /// What its clock showed then, in milliseconds.
     pub uptime: u64,
-    pub room: (u64, u64),
+    pub capacity: (u64, u64),
     /// What it could hold before its room changed, and when that was.
-    pub roomier: Option<((u64, u64), u64)>,
+    pub old_capacity: Option<((u64, u64), u64)>,
     /// Whether it refuses what goes beyond its room.
-    pub guards: bool,
+    pub enforces_capacity: bool,
     pub runs: Vec<SimRun>,
-    pub ends: Vec<RunEnd>,
+    pub finished: Vec<RunEnd>,
     /// Checkpoints that it wrote of late.
-    pub written: Vec<Checkpoint>,
+    pub new_checkpoints: Vec<Checkpoint>,
     /// Runs at or below these never begin any more.
     pub barred: Vec<(TaskId, u32)>,
-    next: u64,
+    next_end: u64,
     /// Tails of serving tasks in percent of their targets, one
     /// each half second in turn; computed if empty.
-    pub tails: Vec<u64>,
+    pub tail_percents: Vec<u64>,
     /// Logarithm by which a core of what fills lengthens tails here.
-    pub press: f64,
+    pub tail_growth: f64,
     /// Whether tails grow as in a queue, where the load of a job swings.
-    pub queues: bool,
+    pub queueing: bool,
     /// Headroom that a core of the image "heavy" takes then.
-    pub heavy: f64,
+    pub heavy_cost: f64,
     /// Headroom that a core of any other image that fills takes.
-    pub light: f64,
+    pub light_cost: f64,
     /// Time that every task takes that does not last, whatever its caller guessed;
     /// none for what was guessed.
-    pub length: Option<u64>,
+    pub task_ms: Option<u64>,
     /// Whether what fills shares the processors that others leave.
-    pub shares: bool,
+    pub shares_cpu: bool,
     /// Runs of a hundred that fail half-way by their task's own fault.
-    pub flaky: u64,
+    pub failure_percent: u64,
     /// Starts that it called malformed though nothing was wrong with them.
     pub rejected: Vec<(TaskId, Arc<str>)>,
     /// Orders for a pace that it did not take.
-    pub paces: u64,
+    pub ignored_paces: u64,
 }
 
 impl SimWorker {
     pub fn new(id: &str, now: u64, rate: u64) -> SimWorker {
         SimWorker {
             id: id.into(),
-            born: None,
+            start_time: None,
             port: 0,
             alive: true,
-            absent: false,
-            deaf: false,
-            returns: None,
-            cut: false,
-            late: 0,
-            mode: Mode::Well,
+            process_down: false,
+            refusing: false,
+            restarts_at: None,
+            partitioned: false,
+            delay_ms: 0,
+            mode: Mode::Healthy,
             fence: 0,
             deadline: 0,
             rate,
             begun: now,
             uptime: 7000,
-            room: (8000, 16000),
-            roomier: None,
-            guards: true,
+            capacity: (8000, 16000),
+            old_capacity: None,
+            enforces_capacity: true,
             runs: Vec::new(),
-            ends: Vec::new(),
-            written: Vec::new(),
+            finished: Vec::new(),
+            new_checkpoints: Vec::new(),
             barred: Vec::new(),
-            next: 1,
-            tails: Vec::new(),
-            press: 0.0,
-            queues: false,
-            heavy: 0.5,
-            light: 0.0,
-            length: None,
-            shares: false,
-            flaky: 0,
+            next_end: 1,
+            tail_percents: Vec::new(),
+            tail_growth: 0.0,
+            queueing: false,
+            heavy_cost: 0.5,
+            light_cost: 0.0,
+            task_ms: None,
+            shares_cpu: false,
+            failure_percent: 0,
             rejected: Vec::new(),
-            paces: 0,
+            ignored_paces: 0,
         }
     }
 
@@ -185,14 +185,14 @@
     /// Its process ends, and with it all that runs; another life begins at `returns`.
     pub fn crash(&mut self, returns: u64) {
         self.alive = false;
-        self.absent = true;
-        self.returns = Some(returns);
+        self.process_down = true;
+        self.restarts_at = Some(returns);
         self.runs.clear();
-        self.ends.clear();
+        self.finished.clear();
     }
 
     fn grant(&mut self, now: u64, deadline: Option<u64>) {
-        let longest = self.clock(now) + LONGEST_LEASE;
+        let longest = self.clock(now) + MAX_LEASE_MS;
         self.deadline = self.deadline.max(deadline.unwrap_or(0).min(longest));
     }
 
@@ -202,63 +202,65 @@
         let checkpoint = Checkpoint {
             task: run.task,
             run: run.run,
-            life: format!("{}{:?}", self.id, self.born).into(),
+            life: format!("{}{:?}", self.id, self.start_time).into(),
             progress: run.done,
         };
-        run.saved = (checkpoint.text(), run.done);
-        self.written.push(checkpoint);
+        run.checkpoint = (checkpoint.text(), run.done);
+        self.new_checkpoints.push(checkpoint);
     }
 
     fn end(&mut self, at: usize, ending: Ending) {
-        if ending == Ending::Stopped && self.runs[at].saves && self.runs[at].done > 0 {
+        if ending == Ending::Stopped && self.runs[at].checkpoints && self.runs[at].done > 0 {
             self.save(at);
         }
         let run = self.runs.remove(at);
         self.barred.push((run.task, run.run));
-        self.ends.push(RunEnd {
-            number: self.next,
+        self.finished.push(RunEnd {
+            number: self.next_end,
             task: run.task,
             run: run.run,
             ending,
-            checkpoint: run.saved.0,
+            checkpoint: run.checkpoint.0,
         });
-        self.next += 1;
+        self.next_end += 1;
     }
 
     /// Works for `ms` until `now`; ends what lapses, stops, fails or is done.
     pub fn advance(&mut self, now: u64, ms: u64) {
         let lapsed = self.clock(now) > self.deadline;
-        let speed = self.fill_speed(now);
+        let speed = self.best_effort_speed(now);
         let mut at = 0;
         while at < self.runs.len() {
             let mode = self.mode;
             let run = &mut self.runs[at];
             run.done += match mode {
                 Mode::Hangs => 0,
-                _ if run.waits || now <= run.ready => 0,
+                _ if run.blocked || now <= run.ready_at => 0,
                 Mode::Slow(times) => ms / times,
-                _ if run.fill => {
-                    let gained = ms * u64::from(run.pace) * speed + run.rest;
-                    run.rest = gained % 10_000;
+                _ if run.best_effort => {
+                    let gained = ms * u64::from(run.pace) * speed + run.remainder;
+                    run.remainder = gained % 10_000;
                     gained / 10_000
                 }
                 _ => ms * u64::from(run.pace) / 100,
             };
-            if run.saves && run.done >= run.saved.1 + CHECKPOINT {
+            if run.checkpoints && run.done >= run.checkpoint.1 + CHECKPOINT_INTERVAL_MS {
                 self.save(at);
             }
             let run = &self.runs[at];
             let ending = match () {
                 () if lapsed => Some(Ending::Lapsed),
-                () if run.joint => Some(Ending::Done),
-                () if run.waits && run.joined => Some(Ending::Broken),
-                () if run.waits && now > run.begun + GANG_WAIT => Some(Ending::Alone),
-                () if run.stops.is_some_and(|t| t <= now) => Some(Ending::Stopped),
-                () if mode == Mode::FailsAll && (run.done - run.first) * 10 >= run.work => {
+                () if run.gang_done => Some(Ending::Done),
+                () if run.blocked && run.assembled => Some(Ending::Broken),
+                () if run.blocked && now > run.started_at + GANG_TIMEOUT_MS => Some(Ending::Alone),
+                () if run.stops_at.is_some_and(|t| t <= now) => Some(Ending::Stopped),
+                () if mode == Mode::FailsAll && (run.done - run.initial) * 10 >= run.work => {
+                    Some(Ending::Failed)
+                }
+                () if run.done * 2 >= run.work && has_failed(run, self.failure_percent) => {
                     Some(Ending::Failed)
                 }
-                () if run.done * 2 >= run.work && fails(run, self.flaky) => Some(Ending::Failed),
-                () if !run.lasting && run.done >= run.work => Some(Ending::Done),
+                () if !run.long_running && run.done >= run.work => Some(Ending::Done),
                 () => None,
             };
             match ending {
@@ -268,7 +270,7 @@
         }
     }
 
-    pub fn look(
+    pub fn report(
         &mut self,
         now: u64,
         fence: u64,
@@ -280,54 +282,59 @@
         }
         self.fence = fence;
         self.grant(now, deadline);
-        self.ends.retain(|e| e.number > observed);
+        self.finished.retain(|e| e.number > observed);
         let running = self.runs.iter().map(|r| ReportedRun {
             task: r.task,
             run: r.run,
-            checkpoint: r.saved.0.clone(),
-            percent: match r.lasting {
+            checkpoint: r.checkpoint.0.clone(),
+            percent: match r.long_running {
                 true => 100,
                 false => (r.done * 100 / r.work.max(1)).min(99) as u32,
             },
-            metric: Some(self.figure(now, r)),
+            metric: Some(self.metric(now, r)),
         });
         Some(WorkerReport {
-            start_time: self.born,
+            start_time: self.start_time,
             clock: self.clock(now),
             running: running.collect(),
-            finished: self.ends.iter().take(FULL_LIST).cloned().collect(),
+            finished: self
+                .finished
+                .iter()
+                .take(MAX_REPORTED_ENDS)
+                .cloned()
+                .collect(),
         })
     }
 
-    fn figure(&self, now: u64, run: &SimRun) -> u64 {
-        if run.target == 0 {
+    fn metric(&self, now: u64, run: &SimRun) -> u64 {
+        if run.latency_target == 0 {
             return run.size.0 * u64::from(run.pace) / 100;
         }
-        let fills = self.runs.iter().filter(|r| r.fill);
+        let fills = self.runs.iter().filter(|r| r.best_effort);
         let cores: f64 = fills
             .map(|r| r.size.0 as f64 * f64::from(r.pace) / 1e5)
             .sum();
-        if !self.tails.is_empty() {
-            let at = (now / 500) as usize % self.tails.len();
-            return run.target * self.tails[at] / 100;
+        if !self.tail_percents.is_empty() {
+            let at = (now / 500) as usize % self.tail_percents.len();
+            return run.latency_target * self.tail_percents[at] / 100;
         }
-        if self.queues {
-            let tail = run.target as f64 / self.headroom(now, run);
-            return (tail * rough(now, run.task)) as u64;
+        if self.queueing {
+            let tail = run.latency_target as f64 / self.headroom(now, run);
+            return (tail * noise(now, run.task)) as u64;
         }
-        (run.target as f64 * 0.4 * (self.press * cores).exp()) as u64
+        (run.latency_target as f64 * 0.4 * (self.tail_growth * cores).exp()) as u64
     }
 
     /// Returns the speed of what fills, in percent.
-    fn fill_speed(&self, now: u64) -> u64 {
-        if !self.shares {
+    fn best_effort_speed(&self, now: u64) -> u64 {
+        if !self.shares_cpu {
             return 100;
         }
-        let (mut left, mut asked) = (self.room.0 as f64, 0.0);
+        let (mut left, mut asked) = (self.capacity.0 as f64, 0.0);
         for run in &self.runs {
-            match run.fill {
+            match run.best_effort {
                 true => asked += run.size.0 as f64 * f64::from(run.pace) / 100.0,
-                false if run.target > 0 => left -= run.size.0 as f64 * load(now, run),
+                false if run.latency_target > 0 => left -= run.size.0 as f64 * load(now, run),
                 false => left -= run.size.0 as f64,
             }
         }
@@ -338,10 +345,10 @@
     /// disturbs it.
     pub fn headroom(&self, now: u64, run: &SimRun) -> f64 {
         let mut headroom = 6.0 * (1.0 - load(now, run));
-        for fill in self.runs.iter().filter(|r| r.fill) {
+        for fill in self.runs.iter().filter(|r| r.best_effort) {
             let weight = match fill.image.as_deref() {
-                Some("heavy") => self.heavy,
-                _ => self.light,
+                Some("heavy") => self.heavy_cost,
+                _ => self.light_cost,
             };
             headroom -= weight * fill.size.0 as f64 * f64::from(fill.pace) / 1e5;
         }
@@ -369,34 +376,34 @@
         let step = &order.spec.steps[order.task.step as usize];
         let size = (if step.best_effort { 0 } else { step.cpu }, step.memory);
         let used = self.used();
-        let over = used.0 + size.0 > self.room.0 || used.1 + size.1 > self.room.1;
-        if over && self.guards {
+        let over = used.0 + size.0 > self.capacity.0 || used.1 + size.1 > self.capacity.1;
+        if over && self.enforces_capacity {
             return Started::NoRoom;
         }
         let restores = !order.checkpoint.is_empty();
         self.runs.push(SimRun {
             task: order.task,
             run: order.run,
-            begun: now,
-            work: self.length.unwrap_or(step.estimate).max(1),
+            started_at: now,
+            work: self.task_ms.unwrap_or(step.estimate).max(1),
             done: progress,
-            rest: 0,
-            first: progress,
-            ready: if restores { now + RESTORE } else { now },
-            saves: step.checkpoints,
-            saved: (order.checkpoint.clone(), progress),
-            lasting: step.long_running,
+            remainder: 0,
+            initial: progress,
+            ready_at: if restores { now + RESTORE_MS } else { now },
+            checkpoints: step.checkpoints,
+            checkpoint: (order.checkpoint.clone(), progress),
+            long_running: step.long_running,
             gang: step.gang.then_some(step.count),
-            waits: false,
-            joined: false,
-            joint: false,
-            fill: step.best_effort,
+            blocked: false,
+            assembled: false,
+            gang_done: false,
+            best_effort: step.best_effort,
             image: step.image.clone(),
-            target: step.latency_target,
+            latency_target: step.latency_target,
             pace: 100,
-            stops: None,
+            stops_at: None,
             size: (step.cpu, step.memory),
-            excused: 0,
+            exempt_until: 0,
         });
         Started::Done
     }
@@ -404,22 +411,22 @@
     /// What its runs take up, also those that are being stopped.
     pub fn used(&self) -> (u64, u64) {
         self.runs.iter().fold((0, 0), |u, r| {
-            let cpu = if r.fill { 0 } else { r.size.0 };
+            let cpu = if r.best_effort { 0 } else { r.size.0 };
             (u.0 + cpu, u.1 + r.size.1)
         })
     }
 
     /// Has it hold another amount from now on.
     pub fn resize(&mut self, room: (u64, u64), now: u64) {
-        self.roomier = Some((self.room, now));
-        self.room = room;
+        self.old_capacity = Some((self.capacity, now));
+        self.capacity = room;
     }
 
     /// Tells whether it holds more than it may: room that has shrunk counts for `grace`
     /// milliseconds more.
     pub fn is_over(&self, now: u64, grace: u64) -> bool {
-        let (mut room, used) = (self.room, self.used());
-        if let Some((before, _)) = self.roomier.filter(|(_, at)| now <= at + grace) {
+        let (mut room, used) = (self.capacity, self.used());
+        if let Some((before, _)) = self.old_capacity.filter(|(_, at)| now <= at + grace) {
             room = (room.0.max(before.0), room.1.max(before.1));
         }
         used.0 > room.0 || used.1 > room.1
@@ -436,14 +443,14 @@
             .iter_mut()
             .find(|r| r.task == task && r.run == run);
         if let Some(found) = found {
-            found.stops.get_or_insert(now + 200);
+            found.stops_at.get_or_insert(now + 200);
         }
         Stopped::Done
     }
 
     pub fn pace(&mut self, task: TaskId, run: u32, percent: u32) -> bool {
-        if self.mode == Mode::KeepsPace {
-            self.paces += 1;
+        if self.mode == Mode::IgnoresPace {
+            self.ignored_paces += 1;
             return false;
         }
         let found = self
@@ -461,14 +468,14 @@
 }
 
 /// Tells whether a run fails by its task's own fault, by an order without pattern.
-fn fails(run: &SimRun, percent: u64) -> bool {
+fn has_failed(run: &SimRun, percent: u64) -> bool {
     let name = run.task.job.0 << 32 ^ u64::from(run.task.index) << 8 ^ u64::from(run.run);
     let mixed = name.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
-    !run.lasting && mixed % 100 < percent
+    !run.long_running && mixed % 100 < percent
 }
 
 /// Returns what a figure is off by: up to a tenth, by an order without pattern.
-fn rough(now: u64, task: TaskId) -> f64 {
+fn noise(now: u64, task: TaskId) -> f64 {
     let mixed =
         (now ^ task.job.0 << 20 ^ u64::from(task.index) << 40).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     0.9 + 0.2 * (mixed >> 32) as f64 / f64::from(u32::MAX)
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -11,21 +11,21 @@
 use crate::ledger::Ledger;
 
 use super::{
-    Judge, Restart, SimWorker,
+    Checker, Restart, SimWorker,
     clock::OwnerClock,
-    crash::{Crasher, RETURNS},
-    orders::Parcel,
+    crash::{Crasher, RESTART_MS},
+    orders::Message,
     sim::SimRun,
 };
 
 /// Milliseconds of one step of the world.
-pub const TICK: u64 = 5;
+pub const TICK_MS: u64 = 5;
 
 /// Milliseconds that a write usually takes.
-const WRITE: u64 = 10;
+const WRITE_MS: u64 = 10;
 
 /// Rows of the log beyond which it is shortened: so few that it always is.
-const LOG_ROWS: usize = 6;
+const MAX_LOG_ROWS: usize = 6;
 
 /// Availability zones, to which workers belong in turn.
 pub const ZONES: usize = 2;
@@ -37,9 +37,9 @@
     pub attempts: u32,
     pub seed: u64,
     /// Share of answers that are lost, in percent.
-    pub lost: u32,
+    pub lost_percent: u32,
     /// Whether workers say when they began, and start again under their names.
-    pub lives: bool,
+    pub reuse_names: bool,
 }
 
 impl Default for WorldSettings {
@@ -48,8 +48,8 @@
             workers: 4,
             attempts: 3,
             seed: 1,
-            lost: 0,
-            lives: false,
+            lost_percent: 0,
+            reuse_names: false,
         }
     }
 }
@@ -62,18 +62,18 @@
     pub(super) machine: Machine,
     pub(super) epoch: u64,
     pub(super) slots: BTreeMap<u32, usize>,
-    pub(super) parcels: Vec<(u64, Parcel)>,
+    pub(super) messages: Vec<(u64, Message)>,
     pub(super) commit: Option<Write>,
     /// Until when it is busy with its last turn.
-    pub(super) busy: u64,
+    pub(super) busy_until: u64,
     /// Until when its link is busy with what was sent.
     pub(super) link: u64,
     pub(super) paused: bool,
     /// When it last woke up.
-    pub(super) woke: u64,
+    pub(super) woke_at: u64,
     /// When its write was done, if it has not read the answer.
-    pub(super) landed: Option<u64>,
-    pub(super) deposed: bool,
+    pub(super) unread_commit: Option<u64>,
+    pub(super) stepped_down: bool,
     pub(super) clock: OwnerClock,
 }
 
@@ -82,49 +82,49 @@
     pub now: u64,
     pub settings: WorldSettings,
     pub workers: Vec<SimWorker>,
-    pub judge: Judge,
+    pub checker: Checker,
     pub store_down: bool,
     /// Tasks that crash each worker that starts them.
     pub crashers: Vec<Crasher>,
     /// Names of workers' earlier lives, each with its worker.
     pub lives: BTreeMap<Arc<str>, usize>,
     /// Milliseconds until a crashed worker's next life begins.
-    pub away: u64,
+    pub restart_ms: u64,
     /// How it begins if it keeps its worker's name.
     pub restart: Restart,
     /// What lives announced that have ended and whose workers kept their names.
-    pub past: Vec<(usize, WorkerInfo)>,
+    pub past_rows: Vec<(usize, WorkerInfo)>,
     /// Share of orders without an answer that are carried out later all the same, in percent ...
-    pub echoes: u32,
+    pub stray_percent: u32,
     /// ... by so many milliseconds at most.
-    pub echo: u64,
+    pub max_stray_ms: u64,
     /// Whether this holds for looks as well.
-    pub echo_looks: bool,
+    pub stray_polls: bool,
     /// Milliseconds that answers to looks are late at most, drawn for each.
-    pub lag: u64,
+    pub max_lag_ms: u64,
     /// Announcements that are gone at a time.
-    pub unlisted: Vec<(u64, Arc<str>)>,
+    pub expiring_rows: Vec<(u64, Arc<str>)>,
     /// Whether owners no longer hear what workers announce.
-    pub unheard: bool,
+    pub watch_down: bool,
     /// Longest turn of an owner in milliseconds, drawn for each; 0 for none that counts.
-    pub turns: u64,
+    pub max_turn_ms: u64,
     /// Share of what has arrived that a turn does not read yet, in percent.
-    pub unread: u32,
+    pub unread_percent: u32,
     /// Milliseconds that a start takes on an owner's link.
     pub link: u64,
     /// Milliseconds from when a new owner asked for the lease until it reads the answer.
-    pub claim: u64,
+    pub claim_ms: u64,
     /// Milliseconds for which an owner that lost the lease acts on until it learns of that; a
     /// write that was under way when it was paused is done meanwhile.
-    pub unaware: u64,
+    pub unaware_ms: u64,
     /// Whether a new owner is given what the last one learned.
-    pub remembers: bool,
+    pub keeps_learned: bool,
     /// Milliseconds that a write takes.
-    pub write: u64,
+    pub write_ms: u64,
     /// The workers' rows, as the store has them.
     pub(super) rows: Vec<Option<WorkerInfo>>,
     /// Rows of new lives that are to be told at a time.
-    pub(super) arrivals: Vec<(u64, usize, Option<u64>)>,
+    pub(super) pending_rows: Vec<(u64, usize, Option<u64>)>,
     pub ledger: Ledger,
     pub(super) jobs: BTreeMap<JobId, Arc<Job>>,
     pub(super) cancelled: Vec<JobId>,
@@ -132,7 +132,7 @@
     pub(super) evacuated: BTreeMap<Arc<str>, u64>,
     pub(super) owners: Vec<Owner>,
     pub(super) epoch: u64,
-    pub(super) renewed: u64,
+    pub(super) renewed_at: u64,
     pub(super) rng: SmallRng,
 }
 
@@ -143,35 +143,35 @@
             now,
             settings,
             workers: Vec::new(),
-            judge: Judge::default(),
+            checker: Checker::default(),
             store_down: false,
             crashers: Vec::new(),
             lives: BTreeMap::new(),
-            away: RETURNS,
+            restart_ms: RESTART_MS,
             restart: Restart::default(),
-            past: Vec::new(),
-            echoes: 0,
-            echo: 0,
-            echo_looks: false,
-            lag: 0,
-            unlisted: Vec::new(),
-            unheard: false,
-            turns: 0,
-            unread: 0,
+            past_rows: Vec::new(),
+            stray_percent: 0,
+            max_stray_ms: 0,
+            stray_polls: false,
+            max_lag_ms: 0,
+            expiring_rows: Vec::new(),
+            watch_down: false,
+            max_turn_ms: 0,
+            unread_percent: 0,
             link: 0,
-            claim: 0,
-            unaware: 0,
-            remembers: true,
-            write: WRITE,
+            claim_ms: 0,
+            unaware_ms: 0,
+            keeps_learned: true,
+            write_ms: WRITE_MS,
             rows: Vec::new(),
-            arrivals: Vec::new(),
+            pending_rows: Vec::new(),
             ledger: Ledger::default(),
             jobs: BTreeMap::new(),
             cancelled: Vec::new(),
             evacuated: BTreeMap::new(),
             owners: Vec::new(),
             epoch: 0,
-            renewed: now,
+            renewed_at: now,
             rng: SmallRng::seed_from_u64(settings.seed),
         };
         for at in 0..settings.workers {
@@ -180,7 +180,7 @@
                 .workers
                 .push(SimWorker::new(&format!("w{at}"), now, rate));
         }
-        world.found_lives();
+        world.init_workers();
         world.take_over(0);
         world
     }
@@ -190,13 +190,13 @@
     pub fn take_over(&mut self, inherited: u64) {
         self.epoch += 1;
         let learned = self.owners.last().map(|o| o.machine.learned());
-        let asked = self.now - self.claim;
+        let asked = self.now - self.claim_ms;
         let takeover = Takeover {
             asked_at: asked,
             prior_leases_end: inherited,
         };
         let mut machine = Machine::new(settings(), self.now, takeover);
-        if let Some(learned) = learned.filter(|_| self.remembers) {
+        if let Some(learned) = learned.filter(|_| self.keeps_learned) {
             machine.import_learned(&learned);
         }
         self.ledger.restore(&mut machine, self.jobs.values());
@@ -204,14 +204,14 @@
             machine,
             epoch: self.epoch,
             slots: BTreeMap::new(),
-            parcels: Vec::new(),
+            messages: Vec::new(),
             commit: None,
-            busy: 0,
+            busy_until: 0,
             link: 0,
             paused: false,
-            woke: self.now,
-            landed: None,
-            deposed: false,
+            woke_at: self.now,
+            unread_commit: None,
+            stepped_down: false,
             clock: OwnerClock::new(self.now),
         };
         let policy = QueuePolicy {
@@ -251,13 +251,13 @@
     }
 
     /// All earlier owners wake up that were stopped.
-    pub fn wake_earlier(&mut self) {
+    pub fn resume_earlier(&mut self) {
         let now = self.now;
         let earlier = self.owners.len() - 1;
         for owner in &mut self.owners[..earlier] {
             if owner.paused {
                 owner.paused = false;
-                owner.woke = now;
+                owner.woke_at = now;
             }
         }
     }
@@ -266,7 +266,7 @@
     /// contact may be newer by half a second than the renewal that this one saw.
     pub fn lease_end(&self) -> u64 {
         let settings = Settings::default();
-        self.renewed.max(self.now) + 500 + settings.store_grace * 100 / 98 + 100
+        self.renewed_at.max(self.now) + 500 + settings.store_grace * 100 / 98 + 100
     }
 
     /// The newest owner's machine is suspended for so many milliseconds.
@@ -279,7 +279,7 @@
         }
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn notify(&mut self, event: Event) {
         let now = self.now;
         if let Some(owner) = self.owners.last_mut() {
             let at = owner.clock.read(now);
@@ -296,7 +296,7 @@
             spec: Arc::new(spec),
         });
         self.jobs.insert(id, job.clone());
-        self.tell(Event::Accepted(job));
+        self.notify(Event::Accepted(job));
         id
     }
 
@@ -318,12 +318,12 @@
             self.evacuated.entry(zone.clone()).or_insert(now);
         }
         let zones: Vec<Arc<str>> = self.evacuated.keys().cloned().collect();
-        self.tell(Event::Evacuated(zones.into()));
+        self.notify(Event::Evacuated(zones.into()));
     }
 
     pub fn cancel(&mut self, id: JobId) {
         self.cancelled.push(id);
-        self.tell(Event::Cancelled(id));
+        self.notify(Event::Cancelled(id));
     }
 
     /// All jobs that were handed in.
@@ -352,7 +352,7 @@
     }
 
     /// What the newest owner counted.
-    pub fn figures(&self) -> Stats {
+    pub fn stats(&self) -> Stats {
         let owner = self.owners.last();
         owner.map(|o| o.machine.stats()).unwrap_or_default()
     }
@@ -365,25 +365,25 @@
     }
 
     fn step(&mut self) {
-        self.now += TICK;
-        self.hold_gangs();
+        self.now += TICK_MS;
+        self.sync_gangs();
         for worker in self.workers.iter_mut().filter(|w| w.alive) {
-            worker.advance(self.now, TICK);
-            for checkpoint in worker.written.drain(..) {
-                self.judge.checkpoints.write(checkpoint);
+            worker.advance(self.now, TICK_MS);
+            for checkpoint in worker.new_checkpoints.drain(..) {
+                self.checker.checkpoints.write(checkpoint);
             }
         }
         self.crash_workers();
         for at in 0..self.owners.len() {
             self.deliver(at);
             self.write(at);
-            self.settle(at);
+            self.decide(at);
         }
-        self.judge.check(self.now, &self.workers);
+        self.checker.check(self.now, &self.workers);
     }
 
     /// Members of a gang work only while all of them are there, and end jointly.
-    fn hold_gangs(&mut self) {
+    fn sync_gangs(&mut self) {
         let mut there: BTreeMap<(JobId, u32, u32, u32), u32> = BTreeMap::new();
         let key = |r: &SimRun| (r.task.job, r.task.repetition, r.task.step, r.run);
         for worker in self.workers.iter().filter(|w| w.alive) {
@@ -393,51 +393,51 @@
         }
         for run in self.workers.iter_mut().flat_map(|w| &mut w.runs) {
             let members = there.get(&key(run)).copied().unwrap_or(0);
-            run.waits = run.gang.is_some_and(|count| members < count);
+            run.blocked = run.gang.is_some_and(|count| members < count);
             // Of the others only the ends that they wait for are played.
-            let Some(count) = run.gang.filter(|_| run.saves) else {
+            let Some(count) = run.gang.filter(|_| run.checkpoints) else {
                 continue;
             };
-            run.joined |= !run.waits;
+            run.assembled |= !run.blocked;
             let mut gang = (0..count).map(|index| TaskId { index, ..run.task });
-            run.joint = gang.any(|t| self.judge.done.contains(&t));
+            run.gang_done = gang.any(|t| self.checker.done.contains(&t));
         }
     }
 
     fn write(&mut self, at: usize) {
         let (now, epoch, down) = (self.now, self.epoch, self.store_down);
         let owner = &mut self.owners[at];
-        if owner.paused && self.unaware > 0 && !down && owner.epoch == epoch {
+        if owner.paused && self.unaware_ms > 0 && !down && owner.epoch == epoch {
             let due = owner.commit.take_if(|(due, _)| *due <= now);
             if let Some((due, batch)) = due {
-                owner.landed = Some(due);
+                owner.unread_commit = Some(due);
                 self.ledger.apply(batch);
-                self.renewed = now;
+                self.renewed_at = now;
             }
         }
-        if owner.paused || owner.deposed || down || owner.busy > now {
+        if owner.paused || owner.stepped_down || down || owner.busy_until > now {
             return;
         }
         let at_owner = owner.clock.read(now);
-        if let Some(due) = owner.landed.take() {
-            let asked = due - self.write;
+        if let Some(due) = owner.unread_commit.take() {
+            let asked = due - self.write_ms;
             owner
                 .machine
                 .handle(at_owner, now, Event::Committed { asked_at: asked });
         }
         if owner.epoch < epoch {
             // The journal's end has moved: its next write fails.
-            owner.deposed = now >= owner.woke + self.unaware;
+            owner.stepped_down = now >= owner.woke_at + self.unaware_ms;
             return;
         }
         if now.is_multiple_of(400) {
             owner
                 .machine
                 .handle(at_owner, now, Event::Renewed { asked_at: at_owner });
-            self.renewed = now;
+            self.renewed_at = now;
         }
         let owner = &mut self.owners[at];
-        if !self.unheard {
+        if !self.watch_down {
             owner
                 .machine
                 .handle(at_owner, now, Event::WorkersSynced { asked_at: at_owner });
@@ -446,21 +446,21 @@
             return;
         };
         self.ledger.apply(batch);
-        self.renewed = now;
-        let asked = due - self.write;
+        self.renewed_at = now;
+        let asked = due - self.write_ms;
         owner
             .machine
             .handle(at_owner, now, Event::Committed { asked_at: asked });
     }
 
-    fn settle(&mut self, at: usize) {
+    fn decide(&mut self, at: usize) {
         let now = self.now;
         let owner = &mut self.owners[at];
-        if owner.paused || owner.deposed || owner.busy > now {
+        if owner.paused || owner.stepped_down || owner.busy_until > now {
             return;
         }
-        if self.turns > 0 {
-            owner.busy = now + self.rng.random_range(0..self.turns);
+        if self.max_turn_ms > 0 {
+            owner.busy_until = now + self.rng.random_range(0..self.max_turn_ms);
         }
         let actions = owner.machine.decide(owner.clock.read(now), now);
         for action in actions {
@@ -472,7 +472,7 @@
 /// Settings of the machine.
 fn settings() -> Settings {
     Settings {
-        log_rows: LOG_ROWS,
+        log_rows: MAX_LOG_ROWS,
         ..Settings::default()
     }
 }
--- a/crates/jobs/tests/all/crashing/crowds.rs
+++ b/crates/jobs/tests/all/crashing/crowds.rs
@@ -31,7 +31,7 @@
         ..WorldSettings::default()
     });
     for worker in &mut world.workers[1..] {
-        worker.cut = true;
+        worker.partitioned = true;
     }
     world.run(2000);
     for id in 0..SUSPECTS {
@@ -55,7 +55,7 @@
     world.run(100);
     assert_eq!(world.workers[0].runs.len(), SUSPECTS as usize);
     for worker in &mut world.workers[1..] {
-        worker.cut = false;
+        worker.partitioned = false;
     }
     world
 }
--- a/crates/jobs/tests/all/crashing/culprits.rs
+++ b/crates/jobs/tests/all/crashing/culprits.rs
@@ -39,13 +39,13 @@
 #[test_case(1200)]
 fn a_task_that_crashes_workers_beside_others_is_given_up(after: u64) {
     let mut world = world(4);
-    world.away = 20_000;
+    world.restart_ms = 20_000;
     world.submit(2, chain(vec![lasting(3 * WORKERS as u32)]));
     world.run(1500);
     submit_culprit(&mut world, chain(vec![short(3, 6000)]), after);
     run_busy(&mut world, 60_000);
     let name = format!("after {after} ms");
-    let later = &world.judge.taken[1..];
+    let later = &world.checker.other_runs[1..];
     assert!(later.iter().any(|&t| t > 0), "{name}: always apart");
     assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
     check_outcomes(&mut world, &name);
@@ -90,7 +90,7 @@
         submit_culprit(&mut world, chain(vec![step]), 10);
         run_busy(&mut world, 30_000);
         assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
-        let taken = &world.judge.taken;
+        let taken = &world.checker.other_runs;
         assert!(taken.len() <= 4, "{name}: {taken:?}");
         assert!(taken[1..].iter().all(|&t| t == 0), "{name}: {taken:?}");
     }
--- a/crates/jobs/tests/all/crashing/losses.rs
+++ b/crates/jobs/tests/all/crashing/losses.rs
@@ -18,9 +18,9 @@
         world.run(700);
         let at = world.workers.iter().position(|w| !w.runs.is_empty());
         let at = at.expect("it runs");
-        world.workers[at].deaf = true;
+        world.workers[at].refusing = true;
         world.run(2000);
-        world.workers[at].deaf = false;
+        world.workers[at].refusing = false;
         world.run(1500);
         // It moves to another worker, each time one that it was not on.
         world.announce(at, false);
@@ -49,7 +49,7 @@
         for &at in lost {
             match self {
                 Loss::Power => world.lose_power(at),
-                Loss::Cut => world.workers[at].cut = true,
+                Loss::Cut => world.workers[at].partitioned = true,
                 Loss::Spot => world.announce(at, false),
                 Loss::Crash => world.crash(at),
             }
@@ -66,7 +66,7 @@
         if matches!(self, Loss::Cut) {
             run_busy(world, 5000);
             for worker in &mut world.workers {
-                worker.cut = false;
+                worker.partitioned = false;
             }
         }
     }
@@ -119,17 +119,17 @@
                 0 => world.lose_power(at),
                 1 => (at..at + 4).for_each(|at| world.lose_power(at % WORKERS)),
                 2 => world.crash(at),
-                3 => world.workers[at].cut = true,
+                3 => world.workers[at].partitioned = true,
                 4 | 5 => {
                     world.pause(true);
                     world.take_over(world.lease_end());
                 }
-                _ => world.workers.iter_mut().for_each(|w| w.cut = false),
+                _ => world.workers.iter_mut().for_each(|w| w.partitioned = false),
             }
             let ms = rng.random_range(100..2500);
             run_busy(&mut world, ms);
         }
-        world.workers.iter_mut().for_each(|w| w.cut = false);
+        world.workers.iter_mut().for_each(|w| w.partitioned = false);
         run_busy(&mut world, 40_000);
         check_seed(&world, seed);
         for id in world.job_ids() {
@@ -158,7 +158,7 @@
     }
     world.run(1500);
     let lasting = world.workers.iter().flat_map(|w| &w.runs);
-    let lasting = lasting.filter(|r| r.lasting).count();
+    let lasting = lasting.filter(|r| r.long_running).count();
     assert_eq!(lasting, 2 * WORKERS, "they run again");
     world.pause(true);
     world.take_over(world.lease_end());
--- a/crates/jobs/tests/all/crashing/owners.rs
+++ b/crates/jobs/tests/all/crashing/owners.rs
@@ -49,7 +49,7 @@
     submit_culprit(&mut world, chain(vec![short(3, 800)]), 10);
     for crash in 1..=5 {
         for _ in 0..400 {
-            if world.judge.taken.len() >= crash {
+            if world.checker.other_runs.len() >= crash {
                 break;
             }
             run_busy(&mut world, 20);
@@ -61,7 +61,7 @@
     }
     run_busy(&mut world, 5000);
     assert_eq!(world.outcome(CULPRIT), Outcome::Failed);
-    let taken = &world.judge.taken;
+    let taken = &world.checker.other_runs;
     assert!(taken.len() <= 3, "{taken:?}");
     check_outcomes(&mut world, "unseen");
 }
@@ -85,7 +85,7 @@
     for crowded in [false, true] {
         for (name, step) in shapes() {
             let mut world = world(1);
-            world.away = away;
+            world.restart_ms = away;
             if crowded {
                 world.submit(2, chain(vec![lasting(3 * WORKERS as u32)]));
                 world.run(1500);
@@ -103,7 +103,7 @@
             let untold = after < WRITTEN && (crowded || away < OWNERLESS);
             let more = if untold { kills } else { 0 };
             let most = (LOST + more).min(MOST_STARTS);
-            let taken = &world.judge.taken;
+            let taken = &world.checker.other_runs;
             assert!(taken.len() <= most, "{name}: {taken:?}");
         }
     }
@@ -127,7 +127,7 @@
     run_busy(&mut world, 40_000);
     check_seed(&world, 1);
     assert_eq!(world.outcome(CULPRIT), Outcome::Failed);
-    let taken = &world.judge.taken;
+    let taken = &world.checker.other_runs;
     assert!(taken.len() <= MOST_STARTS, "{taken:?}");
     assert!(taken[3..].iter().all(|&t| t == 0), "{taken:?}");
 }
@@ -138,7 +138,7 @@
     while world.now < end {
         let mut runs = world.workers.iter().flat_map(|w| &w.runs);
         let is_there = runs.any(|r| r.task == culprit());
-        if is_there && world.judge.taken.len() + 1 >= start {
+        if is_there && world.checker.other_runs.len() + 1 >= start {
             return;
         }
         run_finely(world, 5);
--- a/crates/jobs/tests/all/empty.rs
+++ b/crates/jobs/tests/all/empty.rs
@@ -36,7 +36,7 @@
         ..WorldSettings::default()
     });
     for worker in &mut world.workers {
-        worker.flaky = [5, 30, 60][rng.random_range(0..3)];
+        worker.failure_percent = [5, 30, 60][rng.random_range(0..3)];
     }
     world.run(EVERY);
     let (mut since, mut longest) = (world.now, 0);
--- a/crates/jobs/tests/all/evacuation.rs
+++ b/crates/jobs/tests/all/evacuation.rs
@@ -87,8 +87,8 @@
             workers: 6,
             attempts: 40,
             seed,
-            lost: rng.random_range(0..4),
-            lives: false,
+            lost_percent: rng.random_range(0..4),
+            reuse_names: false,
         });
         world.run(100);
         for round in 0..rng.random_range(3..9) {
--- a/crates/jobs/tests/all/guards.rs
+++ b/crates/jobs/tests/all/guards.rs
@@ -14,9 +14,13 @@
         world.run(100);
         world.submit(1, chain(vec![short(8, 30_000)]));
         world.run(1500);
-        world.workers[at].cut = true;
+        world.workers[at].partitioned = true;
         world.run(12_000);
-        assert!(world.judge.wrong.is_empty(), "{:#?}", world.judge.wrong);
+        assert!(
+            world.checker.violations.is_empty(),
+            "{:#?}",
+            world.checker.violations
+        );
         let running: usize = world.workers.iter().map(|w| w.runs.len()).sum();
         assert_eq!(running, 8, "the tasks run elsewhere");
     }
@@ -28,15 +32,15 @@
     for late in [800, 1500, 3000, 5000] {
         let mut world = World::new(WorldSettings::default());
         world.run(100);
-        world.workers[2].late = late;
+        world.workers[2].delay_ms = late;
         world.submit(1, chain(vec![short(8, 7000)]));
         world.run(400);
-        world.workers[2].late = 0;
+        world.workers[2].delay_ms = 0;
         assert!(world.run_until_done(60_000));
         assert!(
-            world.judge.wrong.is_empty(),
+            world.checker.violations.is_empty(),
             "{late}: {:#?}",
-            world.judge.wrong
+            world.checker.violations
         );
     }
 }
@@ -56,22 +60,22 @@
         }
         world.submit(1, chain(vec![short(1, 500)]));
         for _ in 0..200 {
-            if world.workers.iter().any(|w| !w.ends.is_empty()) {
+            if world.workers.iter().any(|w| !w.finished.is_empty()) {
                 break;
             }
             world.run(5);
         }
         for worker in &mut world.workers {
-            worker.mode = Mode::Well;
+            worker.mode = Mode::Healthy;
         }
         // The owner learns of the end, and can't tell the worker so any more.
         world.run(delay);
         for worker in &mut world.workers {
-            worker.cut = true;
+            worker.partitioned = true;
         }
         world.run(50);
         for worker in &mut world.workers {
-            worker.cut = false;
+            worker.partitioned = false;
         }
         let end = world.lease_end();
         world.take_over(end);
--- a/crates/jobs/tests/all/lives.rs
+++ b/crates/jobs/tests/all/lives.rs
@@ -24,7 +24,7 @@
 fn world(workers: usize) -> World {
     let mut world = World::new(WorldSettings {
         workers,
-        lives: true,
+        reuse_names: true,
         ..WorldSettings::default()
     });
     world.run(100);
@@ -42,13 +42,13 @@
 /// A world of three workers, the first of which has the only task of a job.
 fn world_with(step: Step) -> World {
     let mut world = world(3);
-    world.workers[1].cut = true;
-    world.workers[2].cut = true;
+    world.workers[1].partitioned = true;
+    world.workers[2].partitioned = true;
     world.run(2000);
     world.submit(FIRST.0, chain(vec![step]));
     world.run(500);
-    world.workers[1].cut = false;
-    world.workers[2].cut = false;
+    world.workers[1].partitioned = false;
+    world.workers[2].partitioned = false;
     world.run(1500);
     assert_eq!(world.workers[0].runs.len(), 1);
     world
@@ -56,7 +56,7 @@
 
 /// Cuts a worker off and waits until the owner knows that it gets no answer.
 fn cut_off(world: &mut World, at: usize) {
-    world.workers[at].cut = true;
+    world.workers[at].partitioned = true;
     world.run(SOON);
 }
 
@@ -73,7 +73,14 @@
     for away in ABSENCES {
         for told in TOLD {
             for (back, moves) in [(false, false), (false, true), (true, false)] {
-                out.push((away, Restart { back, moves, told }));
+                out.push((
+                    away,
+                    Restart {
+                        clock_back: back,
+                        new_address: moves,
+                        row_delay_ms: told,
+                    },
+                ));
             }
         }
     }
@@ -82,7 +89,7 @@
 
 /// Has a worker start again and be there.
 fn restart(world: &mut World, at: usize, away: u64) {
-    world.away = away;
+    world.restart_ms = away;
     world.crash(at);
     world.run(away + 10);
     assert!(world.workers[at].alive);
@@ -91,7 +98,7 @@
 /// Asserts that all jobs are done soon, and that nothing was wrong.
 fn check_done(world: &mut World, limit: u64, what: &str) {
     let done = world.run_until_done(limit);
-    let wrong = &world.judge.wrong;
+    let wrong = &world.checker.violations;
     assert!(wrong.is_empty(), "{what}: {wrong:#?}");
     assert!(done, "{what}: jobs are left");
 }
@@ -107,9 +114,9 @@
         check_done(&mut world, 5000, &what);
         restart(&mut world, 0, away);
         world.submit(2, chain(vec![short(8, 300), short(4, 200)]));
-        check_done(&mut world, how.told + 5000, &what);
+        check_done(&mut world, how.row_delay_ms + 5000, &what);
         world.run(SOON);
-        assert_eq!(world.workers[0].ends.len(), 0, "{what}: ends are left");
+        assert_eq!(world.workers[0].finished.len(), 0, "{what}: ends are left");
     }
 }
 
@@ -154,7 +161,7 @@
             let mut world = world_with(step);
             world.restart = how;
             restart(&mut world, 0, away);
-            let unknown = if how.moves { how.told } else { 0 };
+            let unknown = if how.new_address { how.row_delay_ms } else { 0 };
             world.run(unknown + SOON);
             let what = format!("{away} {how:?}");
             assert_eq!(running(&world), 1, "{what}");
@@ -172,11 +179,11 @@
         world.restart = how;
         cut_off(&mut world, 1);
         restart(&mut world, 0, away);
-        world.run(how.told + SOON);
+        world.run(how.row_delay_ms + SOON);
         assert_eq!(world.workers[0].runs.len(), 1, "{what}");
-        world.workers[1].cut = false;
+        world.workers[1].partitioned = false;
         world.run(SOON);
-        world.away = 600_000;
+        world.restart_ms = 600_000;
         world.lose_power(0);
         world.run(LEASES);
         assert_eq!(running(&world), 1, "{what}");
@@ -187,7 +194,7 @@
 /// Asserts that the first worker, the only one that can be reached, takes work.
 fn check_takes_work(world: &mut World, what: &str) {
     for worker in &mut world.workers[1..] {
-        worker.cut = true;
+        worker.partitioned = true;
     }
     world.run(SOON);
     world.submit(90, chain(vec![first_rack(short(2, 200))]));
@@ -198,8 +205,8 @@
 fn a_worker_takes_work_again_after_its_leases_were_over() {
     for told in TOLD {
         let mut world = world_with(lasting(1));
-        world.restart.told = told;
-        world.away = LEASES + 3000;
+        world.restart.row_delay_ms = told;
+        world.restart_ms = LEASES + 3000;
         world.lose_power(0);
         world.run(LEASES);
         assert_eq!(running(&world), 1);
@@ -214,10 +221,10 @@
     for (away, how) in restarts() {
         let mut world = world_with(lasting(1));
         world.restart = how;
-        world.lapse_row(0);
+        world.expire_row(0);
         world.run(500);
         restart(&mut world, 0, away);
-        world.run(how.told + 500);
+        world.run(how.row_delay_ms + 500);
         check_takes_work(&mut world, &format!("{away} {how:?}"));
     }
 }
@@ -227,8 +234,8 @@
 fn a_worker_takes_work_again_after_another_one_answered_for_it() {
     for told in [0, 1000, 3000] {
         let mut world = world_with(lasting(1));
-        world.restart.told = told;
-        world.away = 50;
+        world.restart.row_delay_ms = told;
+        world.restart_ms = 50;
         world.crash(0);
         world.crash(1);
         world.run(45);
@@ -247,14 +254,14 @@
         for late in [800, 1500, 3000, 5000] {
             let mut world = world(3);
             world.restart = how;
-            world.workers[0].late = late;
-            world.workers[1].cut = true;
-            world.workers[2].cut = true;
+            world.workers[0].delay_ms = late;
+            world.workers[1].partitioned = true;
+            world.workers[2].partitioned = true;
             world.run(2000);
             world.submit(FIRST.0, chain(vec![short(1, 4000)]));
             world.run(150);
-            world.workers[1].cut = false;
-            world.workers[2].cut = false;
+            world.workers[1].partitioned = false;
+            world.workers[2].partitioned = false;
             restart(&mut world, 0, away);
             check_done(&mut world, 20_000, &format!("{late} {away} {how:?}"));
         }
@@ -269,13 +276,13 @@
         for late in [800, 1500, 3000] {
             let mut world = world_with(first_rack(lasting(1)));
             cut_off(&mut world, 1);
-            world.workers[0].late = late;
+            world.workers[0].delay_ms = late;
             world.submit(2, chain(vec![short(3, 300)]));
             world.run(100);
             restart(&mut world, 0, away);
             world.run(late);
-            world.workers[0].cut = true;
-            world.workers[1].cut = false;
+            world.workers[0].partitioned = true;
+            world.workers[1].partitioned = false;
             world.run(LEASES + SOON);
             let what = format!("{late} {away}");
             check_done(&mut world, 0, &what);
@@ -289,15 +296,15 @@
 fn a_late_start_is_waited_for_where_another_worker_answers() {
     for late in [800, 1500, 3000] {
         let mut world = world(3);
-        world.restart.told = 3000;
-        world.workers[0].late = late;
+        world.restart.row_delay_ms = 3000;
+        world.workers[0].delay_ms = late;
         cut_off(&mut world, 1);
         cut_off(&mut world, 2);
         world.submit(FIRST.0, chain(vec![short(1, 4000)]));
         world.run(100);
-        world.workers[1].cut = false;
-        world.workers[2].cut = false;
-        world.away = 50;
+        world.workers[1].partitioned = false;
+        world.workers[2].partitioned = false;
+        world.restart_ms = 50;
         world.crash(0);
         world.crash(1);
         world.run(45);
@@ -313,23 +320,23 @@
     for away in [110, 200, 300, 400] {
         let mut world = world_with(first_rack(lasting(1)));
         cut_off(&mut world, 1);
-        world.restart.told = 3000;
-        world.away = away;
+        world.restart.row_delay_ms = 3000;
+        world.restart_ms = away;
         world.lose_power(0);
         world.run(away + 20);
         world.submit(2, chain(vec![first_rack(short(1, 20_000))]));
         world.run(100);
         let mut taken = world.workers[0].runs.iter();
         assert!(taken.any(|r| r.task.job == JobId(2)), "{away}");
-        world.workers[0].cut = true;
-        world.workers[1].cut = false;
+        world.workers[0].partitioned = true;
+        world.workers[1].partitioned = false;
         check_done(&mut world, 45_000, &format!("{away}"));
     }
 }
 
 /// Takes over while a worker is away, or just after it is back, so long after its crash.
 fn take_over(world: &mut World, away: u64, after: u64) {
-    world.away = away;
+    world.restart_ms = away;
     world.pause(true);
     let end = world.lease_end();
     world.crash(0);
@@ -344,7 +351,7 @@
             let mut world = world_with(lasting(1));
             world.restart = how;
             take_over(&mut world, away, after);
-            let known = away + if how.moves { how.told } else { 0 };
+            let known = away + if how.new_address { how.row_delay_ms } else { 0 };
             world.run(known.saturating_sub(after) + SOON + 500);
             assert_eq!(running(&world), 1, "{away} {after} {how:?}");
             check_seed(&world, 0);
@@ -358,16 +365,16 @@
     for late in (300..5000).step_by(300) {
         for away in ABSENCES {
             let mut world = world(3);
-            world.restart.told = 2000;
-            world.workers[0].late = late;
+            world.restart.row_delay_ms = 2000;
+            world.workers[0].delay_ms = late;
             for at in [1, 2] {
-                world.workers[at].cut = true;
+                world.workers[at].partitioned = true;
             }
             world.run(2000);
             world.submit(FIRST.0, chain(vec![short(1, 4000)]));
             world.run(100);
             for at in [1, 2] {
-                world.workers[at].cut = false;
+                world.workers[at].partitioned = false;
             }
             take_over(&mut world, away, 200);
             check_done(&mut world, 25_000, &format!("{late} {away}"));
@@ -383,11 +390,11 @@
         world.restart = how;
         cut_off(&mut world, 1);
         restart(&mut world, 0, away);
-        world.run(how.told + SOON);
+        world.run(how.row_delay_ms + SOON);
         assert_eq!(world.workers[0].runs.len(), 1, "{what}");
         let run = world.workers[0].runs[0].run;
         for id in 10..16 {
-            world.tell_past();
+            world.republish_past_rows();
             world.submit(id, chain(vec![first_rack(short(2, 200))]));
             world.run(400);
         }
@@ -405,7 +412,7 @@
 fn a_row_that_comes_back_begins_no_life() {
     let mut world = world_with(lasting(1));
     for _ in 0..4 {
-        world.lapse_row(0);
+        world.expire_row(0);
         world.run(700);
         world.announce(0, true);
         world.run(300);
@@ -425,19 +432,19 @@
             cut_off(&mut world, 1);
             for back in back {
                 world.restart = Restart {
-                    back,
-                    moves: back,
-                    told,
+                    clock_back: back,
+                    new_address: back,
+                    row_delay_ms: told,
                 };
                 restart(&mut world, 0, 30);
-                world.tell_past();
+                world.republish_past_rows();
                 world.run(told + SOON + 500);
                 assert_eq!(world.workers[0].runs.len(), 1, "{told} {back}");
                 check_seed(&world, 0);
             }
             // The task runs apart after its crashes.
             world.run(4000);
-            world.tell_past();
+            world.republish_past_rows();
             check_takes_work(&mut world, &format!("{told} {back:?}"));
         }
     }
@@ -457,7 +464,7 @@
         let runs = world.workers.iter().flat_map(|w| &w.runs);
         assert_eq!(runs.filter(|r| r.task.job == FIRST).count(), 4, "{away}");
         check_done(&mut world, 9000, &format!("{away}"));
-        assert!(world.past.is_empty());
+        assert!(world.past_rows.is_empty());
     }
 }
 
@@ -466,7 +473,7 @@
 fn crashes_of_two_lives_count_as_two() {
     for away in [300, 700, 3000] {
         let mut world = world(1);
-        world.away = away;
+        world.restart_ms = away;
         let task = TaskId {
             job: FIRST,
             repetition: 0,
--- a/crates/jobs/tests/all/load.rs
+++ b/crates/jobs/tests/all/load.rs
@@ -73,7 +73,7 @@
         ..WorldSettings::default()
     });
     for worker in &mut world.workers {
-        worker.length = Some(LENGTH);
+        worker.task_ms = Some(LENGTH);
     }
     world.run(100);
     let mut rng = SmallRng::seed_from_u64(seed);
@@ -103,9 +103,9 @@
         ..WorldSettings::default()
     });
     for worker in &mut world.workers {
-        worker.queues = true;
-        worker.shares = true;
-        worker.length = Some(LENGTH);
+        worker.queueing = true;
+        worker.shares_cpu = true;
+        worker.task_ms = Some(LENGTH);
     }
     world.run(100);
     for id in 1..9 {
@@ -137,7 +137,7 @@
         ..WorldSettings::default()
     });
     for worker in &mut world.workers {
-        worker.flaky = 10;
+        worker.failure_percent = 10;
     }
     world.run(100);
     let took = time_to_do(&mut world, short(TASKS, LENGTH));
@@ -157,12 +157,12 @@
     for id in 0..1000 {
         world.submit(id, chain(vec![short(1, 100 + id % 50)]));
     }
-    let before = world.figures();
+    let before = world.stats();
     for id in 1000..1200 {
         world.submit(id, chain(vec![short(1, 100)]));
         world.run(5);
     }
-    let after = world.figures();
+    let after = world.stats();
     let (passes, starts) = (after.passes - before.passes, after.starts - before.starts);
     assert!(passes <= 55, "{passes} passes");
     assert!(starts >= 350, "{starts} starts");
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -172,9 +172,9 @@
         workers: count.div_ceil(20) as usize,
         ..WorldSettings::default()
     });
-    world.write = SLOW_WRITE;
+    world.write_ms = SLOW_WRITE;
     world.run(3000);
-    let commits = world.figures().commits;
+    let commits = world.stats().commits;
     for id in 1..=count {
         world.submit(
             id,
@@ -186,12 +186,8 @@
         );
     }
     world.run(2 * SLOW_WRITE + 200);
-    assert!(
-        world.figures().starts >= count,
-        "{}",
-        world.figures().starts
-    );
-    assert!(world.figures().commits <= commits + 3);
+    assert!(world.stats().starts >= count, "{}", world.stats().starts);
+    assert!(world.stats().commits <= commits + 3);
 }
 
 /// One of the tasks of a wide job changes: no more is written than for a job of one task.
@@ -229,7 +225,11 @@
         }
     }
     world.run_until_done(30_000);
-    assert!(world.judge.wrong.is_empty(), "{:?}", world.judge.wrong);
+    assert!(
+        world.checker.violations.is_empty(),
+        "{:?}",
+        world.checker.violations
+    );
     let (rows, bytes) = world.ledger.log_size();
     assert!(rows <= 16, "{rows}");
     assert!(bytes < 60_000, "{bytes}");
--- a/crates/jobs/tests/all/promises.rs
+++ b/crates/jobs/tests/all/promises.rs
@@ -42,8 +42,8 @@
 fn strike(world: &mut World, fault: Fault, at: usize) {
     match fault {
         Fault::WorkerDies => world.workers[at].alive = false,
-        Fault::WorkerCut => world.workers[at].cut = true,
-        Fault::WorkerLate => world.workers[at].late = 4000,
+        Fault::WorkerCut => world.workers[at].partitioned = true,
+        Fault::WorkerLate => world.workers[at].delay_ms = 4000,
         Fault::WorkerFailsAll => world.workers[at].mode = Mode::FailsAll,
         Fault::WorkerHangs => world.workers[at].mode = Mode::Hangs,
         Fault::WorkerSlow => world.workers[at].mode = Mode::Slow(6),
@@ -74,9 +74,9 @@
 
 fn mend(world: &mut World, at: usize) {
     let worker = &mut world.workers[at];
-    worker.cut = false;
-    worker.late = 0;
-    worker.mode = Mode::Well;
+    worker.partitioned = false;
+    worker.delay_ms = 0;
+    worker.mode = Mode::Healthy;
     world.store_down = false;
     world.announce(at, true);
 }
@@ -90,7 +90,11 @@
 }
 
 fn check(world: &World) {
-    assert!(world.judge.wrong.is_empty(), "{:#?}", world.judge.wrong);
+    assert!(
+        world.checker.violations.is_empty(),
+        "{:#?}",
+        world.checker.violations
+    );
 }
 
 #[test_case(Fault::WorkerDies)]
@@ -133,8 +137,8 @@
             workers: 5,
             attempts: 40,
             seed,
-            lost: rng.random_range(0..4),
-            lives: false,
+            lost_percent: rng.random_range(0..4),
+            reuse_names: false,
         });
         world.run(100);
         fill(&mut world);
@@ -225,7 +229,7 @@
 fn an_unlisted_worker_gets_nothing_new() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
-    world.tell(Event::WorkerRemoved("w0".into()));
+    world.notify(Event::WorkerRemoved("w0".into()));
     world.submit(1, chain(vec![short(8, 500)]));
     world.run(300);
     assert!(world.workers[0].runs.is_empty());
@@ -237,7 +241,7 @@
         workers: 1,
         ..WorldSettings::default()
     });
-    world.workers[0].press = 0.5;
+    world.workers[0].tail_growth = 0.5;
     world.run(100);
     world.submit(1, chain(vec![serving(1)]));
     world.run(1500);
@@ -249,7 +253,7 @@
     world.submit(2, chain(vec![fill]));
     world.run(5000);
     let runs = &world.workers[0].runs;
-    let fills = runs.iter().filter(|r| r.fill);
+    let fills = runs.iter().filter(|r| r.best_effort);
     let cores: f64 = fills.map(|r| f64::from(r.pace) / 100.0).sum();
     // The tail is 40 ms without what fills; e^(0.5 * 1.8) times that is the target.
     assert!(cores < 1.85, "{cores} cores fill");
--- a/crates/jobs/tests/all/regression.rs
+++ b/crates/jobs/tests/all/regression.rs
@@ -28,7 +28,7 @@
     world.workers[0].mode = Mode::FailsAll;
     world.submit(2, chain(vec![short(1, 500)]));
     world.run(400);
-    world.workers[0].mode = Mode::Well;
+    world.workers[0].mode = Mode::Healthy;
     let id = world.submit(3, chain(vec![serving(1)]));
     world.run(6000);
     assert_eq!(world.outcome(id), Outcome::Active);
@@ -47,12 +47,12 @@
     world.run(1000);
     world.submit(2, chain(vec![filling(3, 60_000)]));
     world.run(after);
-    world.workers[0].tails = tails.to_vec();
+    world.workers[0].tail_percents = tails.to_vec();
     let (mut harmed, mut longest, mut filled) = (0, 0, false);
     for _ in 0..200 {
         world.run(50);
         let runs = &world.workers[0].runs;
-        match runs.iter().any(|r| r.fill && r.pace > 0) {
+        match runs.iter().any(|r| r.best_effort && r.pace > 0) {
             true => {
                 harmed += 50;
                 filled = true;
@@ -112,14 +112,14 @@
     world.run(100);
     world.submit(1, chain(vec![serving(1)]));
     world.run(1000);
-    world.workers[0].tails = vec![105];
+    world.workers[0].tail_percents = vec![105];
     world.run(1500);
     world.submit(2, chain(vec![filling(2, 60_000)]));
     world.run(300);
-    assert!(world.workers[0].runs.iter().all(|r| !r.fill));
+    assert!(world.workers[0].runs.iter().all(|r| !r.best_effort));
     // Neither when the job has waited for long.
     world.run(2500);
-    assert!(world.workers[0].runs.iter().all(|r| !r.fill));
+    assert!(world.workers[0].runs.iter().all(|r| !r.best_effort));
 }
 
 /// A lasting task waited for 16 s beside free room on workers that had hung.
@@ -140,7 +140,7 @@
     world.run(4000);
     world.cancel(hung);
     world.run(1000);
-    world.workers[0].mode = Mode::Well;
+    world.workers[0].mode = Mode::Healthy;
     // The tries are stopped before they can tell anything.
     for id in 2..40 {
         let tried = world.submit(id, chain(vec![short(1, 5_000)]));
@@ -210,7 +210,7 @@
         world.run(40);
     }
     let runs = world.workers.iter().flat_map(|w| &w.runs);
-    assert_eq!(runs.filter(|r| r.lasting).count(), 2);
+    assert_eq!(runs.filter(|r| r.long_running).count(), 2);
 }
 
 /// A lasting task waited beside five free cores, since these were kept for a larger one that
@@ -248,7 +248,7 @@
     world.run(1500);
     world.workers[2].alive = false;
     world.workers[2].runs.clear();
-    world.tell(Event::WorkerRemoved("w2".into()));
+    world.notify(Event::WorkerRemoved("w2".into()));
     world.run(10_000);
     assert!(at(&world).is_some(), "it does not run");
 }
--- a/crates/jobs/tests/all/resizing.rs
+++ b/crates/jobs/tests/all/resizing.rs
@@ -20,7 +20,7 @@
         ..WorldSettings::default()
     });
     for worker in &mut world.workers {
-        worker.guards = false;
+        worker.enforces_capacity = false;
     }
     world.run(100);
     world
@@ -41,16 +41,16 @@
     let id = world.submit(1, chain(vec![short(12, 2000)]));
     world.run(5);
     world.store_down = true;
-    world.unheard = true;
+    world.watch_down = true;
     resize(&mut world, 0, (1000, 2000));
     resize(&mut world, 1, (1000, 2000));
     world.run(5000);
-    assert_eq!(world.figures().starts, 0, "not durable yet");
+    assert_eq!(world.stats().starts, 0, "not durable yet");
     // The write is confirmed a little before the workers' rows are read again.
     world.store_down = false;
     world.run(300);
     check_seed(&world, 0);
-    world.unheard = false;
+    world.watch_down = false;
     for at in 0..2 {
         world.announce(at, true);
     }
@@ -97,7 +97,7 @@
     world.run(7000);
     assert_eq!(world.workers[0].runs.len(), 6);
     // It is not even tried: a place that is chosen and dropped costs a write each time.
-    assert!(world.figures().commits < 10, "{:?}", world.figures());
+    assert!(world.stats().commits < 10, "{:?}", world.stats());
     check_seed(&world, 0);
 }
 
@@ -199,7 +199,7 @@
     fn new(guards: bool) -> Burst {
         let mut world = world(MANY, 0);
         for worker in &mut world.workers {
-            worker.guards = guards;
+            worker.enforces_capacity = guards;
         }
         let lasting = Step {
             max_per_worker: 2,
@@ -219,7 +219,7 @@
 
     /// Adds what the owner counted: it is about to be killed, or all is done.
     fn count(&mut self) {
-        let figures = self.world.figures();
+        let figures = self.world.stats();
         self.counted.0 += figures.starts - figures.refused;
         self.counted.1 += figures.stopped + figures.lapsed + figures.failed;
     }
@@ -237,7 +237,7 @@
             world.run(5);
             for &(at, since) in &self.shrunk {
                 let (worker, now) = (&world.workers[at], world.now);
-                let begins = worker.runs.iter().any(|r| r.begun + 5 > now);
+                let begins = worker.runs.iter().any(|r| r.started_at + 5 > now);
                 let is_late = now > since + HEARD + 50;
                 assert!(
                     !(begins && is_late && worker.is_over(now, 0)),
--- a/crates/jobs/tests/all/restarts.rs
+++ b/crates/jobs/tests/all/restarts.rs
@@ -22,15 +22,15 @@
 
 /// Something that happens in a random series.
 fn strike(world: &mut World, rng: &mut SmallRng, at: usize) {
-    world.away = match rng.random_range(0..3) {
+    world.restart_ms = match rng.random_range(0..3) {
         0 => rng.random_range(5..50),
         1 => rng.random_range(50..1500),
         _ => rng.random_range(1500..9000),
     };
     world.restart = Restart {
-        back: rng.random_bool(0.2),
-        moves: rng.random_bool(0.3),
-        told: [0, 20, 400, 3000][rng.random_range(0..4)],
+        clock_back: rng.random_bool(0.2),
+        new_address: rng.random_bool(0.3),
+        row_delay_ms: [0, 20, 400, 3000][rng.random_range(0..4)],
     };
     match rng.random_range(0..16) {
         0..5 => world.crash(at),
@@ -40,10 +40,10 @@
             world.crash((at + 1) % 5);
             world.swap_ports(at, (at + 1) % 5);
         }
-        7 => world.tell_past(),
-        8 => world.lapse_row(at),
-        9 => world.workers[at].late = rng.random_range(0..4000),
-        10..12 => world.workers[at].cut ^= true,
+        7 => world.republish_past_rows(),
+        8 => world.expire_row(at),
+        9 => world.workers[at].delay_ms = rng.random_range(0..4000),
+        10..12 => world.workers[at].partitioned ^= true,
         12 => world.store_down ^= true,
         13 => world.announce(at, true),
         14 => {
@@ -66,14 +66,14 @@
         workers: 5,
         attempts: 40,
         seed,
-        lost: rng.random_range(0..6),
-        lives,
+        lost_percent: rng.random_range(0..6),
+        reuse_names: lives,
     });
-    world.echoes = [0, 30, 100][rng.random_range(0..3)];
-    world.echo = rng.random_range(100..6000);
-    world.echo_looks = seed.is_multiple_of(4);
-    world.lag = [0, 40, 300][rng.random_range(0..3)];
-    world.unread = [0, 0, 50][rng.random_range(0..3)];
+    world.stray_percent = [0, 30, 100][rng.random_range(0..3)];
+    world.max_stray_ms = rng.random_range(100..6000);
+    world.stray_polls = seed.is_multiple_of(4);
+    world.max_lag_ms = [0, 40, 300][rng.random_range(0..3)];
+    world.unread_percent = [0, 0, 50][rng.random_range(0..3)];
     world.run(100);
     world.submit(LASTING.0, chain(vec![lasting(2)]));
     let mut id = 0;
@@ -88,11 +88,11 @@
         world.run(rng.random_range(0..2500));
     }
     for worker in &mut world.workers {
-        worker.late = 0;
-        worker.cut = false;
+        worker.delay_ms = 0;
+        worker.partitioned = false;
     }
     world.store_down = false;
-    world.restart.told = 0;
+    world.restart.row_delay_ms = 0;
     world.run(12_000);
     for at in 0..5 {
         world.announce(at, true);
@@ -103,7 +103,7 @@
     }
     let done = world.run_until_done(40_000);
     world.run(3000);
-    let mut wrong = world.judge.wrong.clone();
+    let mut wrong = world.checker.violations.clone();
     if !done {
         wrong.push("jobs are left".into());
     }
--- a/crates/jobs/tests/all/sharing.rs
+++ b/crates/jobs/tests/all/sharing.rs
@@ -20,9 +20,9 @@
     });
     for at in 0..WORKERS {
         let worker = &mut world.workers[at];
-        worker.queues = true;
-        worker.room = (8000 * times, 16_000 * times);
-        worker.heavy = 0.5 / times as f64;
+        worker.queueing = true;
+        worker.capacity = (8000 * times, 16_000 * times);
+        worker.heavy_cost = 0.5 / times as f64;
         world.announce(at, true);
     }
     world.run(100);
@@ -103,7 +103,7 @@
 fn count(world: &World, seen: &mut Seen) {
     for worker in &world.workers {
         for run in &worker.runs {
-            if run.target > 0 {
+            if run.latency_target > 0 {
                 seen.served += 0.05;
                 seen.over += 0.05 * f64::from(worker.headroom(world.now, run) < 1.0);
                 continue;
@@ -174,7 +174,7 @@
 fn pile_up() -> Seen {
     let mut world = world();
     for worker in &mut world.workers {
-        worker.light = 0.28;
+        worker.light_cost = 0.28;
     }
     let mut seen = Seen::default();
     for step in 0..800 {
@@ -218,7 +218,7 @@
     world.run(300);
     let halted = world.workers.iter().position(|w| w.runs.len() > 2);
     let halted = halted.expect("a worker that has something to fill");
-    world.workers[halted].tails = vec![200];
+    world.workers[halted].tail_percents = vec![200];
     (world, id)
 }
 
@@ -256,7 +256,7 @@
 /// The same, whose filling tasks are halted.
 fn world_of_halted() -> (World, JobId) {
     let (mut world, id) = world_of_one();
-    world.workers[0].tails = vec![200];
+    world.workers[0].tail_percents = vec![200];
     world.run(3000);
     assert_eq!(paces(&world), [0, 0], "halted");
     (world, id)
@@ -267,16 +267,16 @@
 #[test]
 fn a_pace_that_is_not_taken_is_not_sent_again_at_once() {
     let (mut world, _) = world_of_one();
-    world.workers[0].mode = Mode::KeepsPace;
-    world.workers[0].tails = vec![200];
+    world.workers[0].mode = Mode::IgnoresPace;
+    world.workers[0].tail_percents = vec![200];
     world.run(3000);
-    let sent = world.workers[0].paces;
+    let sent = world.workers[0].ignored_paces;
     assert!(sent <= 40, "{sent} orders for two runs in 3 s");
 }
 
 /// The paces of what fills on the first worker, in percent.
 fn paces(world: &World) -> Vec<u32> {
-    let fills = world.workers[0].runs.iter().filter(|r| r.fill);
+    let fills = world.workers[0].runs.iter().filter(|r| r.best_effort);
     fills.map(|r| r.pace).collect()
 }
 
@@ -298,7 +298,7 @@
 fn what_an_earlier_owner_halted_goes_on() {
     let (mut world, id) = world_of_halted();
     world.pause(true);
-    world.workers[0].tails = vec![40];
+    world.workers[0].tail_percents = vec![40];
     world.take_over(world.lease_end());
     world.run(3000);
     assert_eq!(world.outcome(id), Outcome::Complete, "{:?}", paces(&world));
@@ -314,7 +314,7 @@
     });
     world.run(100);
     world.submit(1, chain(vec![serving(1)]));
-    world.workers[0].tails = tails.to_vec();
+    world.workers[0].tail_percents = tails.to_vec();
     world.run(3000);
     let (mut filled, mut runs_seen, mut paces) = (0, 0, 0);
     for step in 0..600 {
@@ -325,11 +325,11 @@
         }
         world.run(50);
         let runs = &world.workers[0].runs;
-        filled += u32::from(runs.iter().any(|r| r.fill && r.pace > 0));
+        filled += u32::from(runs.iter().any(|r| r.best_effort && r.pace > 0));
         if step < 200 {
             continue;
         }
-        for run in runs.iter().filter(|r| r.fill) {
+        for run in runs.iter().filter(|r| r.best_effort) {
             runs_seen += 1;
             paces += run.pace;
         }
@@ -361,12 +361,12 @@
         }
         for (at, worker) in world.workers.iter_mut().enumerate() {
             let high = (step / 10 + at) % 3 == 0;
-            worker.tails = vec![if high { 105 } else { 75 }];
+            worker.tail_percents = vec![if high { 105 } else { 75 }];
         }
         world.run(50);
         if step >= 200 {
             let runs = world.workers.iter().flat_map(|w| &w.runs);
-            filled += runs.filter(|r| r.fill && r.pace == 100).count();
+            filled += runs.filter(|r| r.best_effort && r.pace == 100).count();
         }
     }
     let filled = filled as f64 / 400.0;
@@ -387,7 +387,7 @@
 fn what_fills_keeps_to_its_share_while_work_piles_up() {
     let mut world = world();
     for at in 0..WORKERS {
-        world.workers[at].room.1 = 10_000;
+        world.workers[at].capacity.1 = 10_000;
         world.announce(at, true);
     }
     let mut most = 0;
@@ -398,7 +398,7 @@
         }
         world.run(50);
         for worker in &world.workers {
-            let cores = worker.runs.iter().filter(|r| r.fill).count();
+            let cores = worker.runs.iter().filter(|r| r.best_effort).count();
             most = most.max(cores);
         }
     }
@@ -413,7 +413,7 @@
 /// what fills at full pace in the 2 s after that, in seconds of tasks.
 fn filled_after_a_takeover(remembers: bool) -> f64 {
     let mut world = world();
-    world.remembers = remembers;
+    world.keeps_learned = remembers;
     let mut seen = Seen::default();
     for step in 0..440 {
         if step % 2 == 0 {
@@ -451,11 +451,11 @@
     });
     world.run(100);
     world.submit(1, chain(vec![serving(1)]));
-    world.workers[0].tails = vec![60];
+    world.workers[0].tail_percents = vec![60];
     world.run(1000);
     let id = world.submit(2, chain(vec![filling("light", 1)]));
     world.run(200);
-    world.workers[0].tails = vec![120];
+    world.workers[0].tail_percents = vec![120];
     world.run(30_000);
     assert_eq!(world.outcome(id), Outcome::Complete, "{:?}", paces(&world));
 }
@@ -471,7 +471,7 @@
         });
         world.run(100);
         world.submit(1, chain(vec![serving(1)]));
-        world.workers[0].tails = vec![120];
+        world.workers[0].tail_percents = vec![120];
         world.run(7000);
         for job in 0..60 {
             world.submit(100 + job, chain(vec![filling("light", 3)]));
@@ -479,8 +479,11 @@
         world.run(2000 + phase);
         let (mut harmed, mut longest) = (0, 0);
         for _ in 0..400 {
-            let fills = world.workers[0].runs.iter().any(|r| r.fill && r.pace > 0);
-            world.workers[0].tails = vec![if fills { 110 } else { 90 }];
+            let fills = world.workers[0]
+                .runs
+                .iter()
+                .any(|r| r.best_effort && r.pace > 0);
+            world.workers[0].tail_percents = vec![if fills { 110 } else { 90 }];
             harmed = if fills { harmed + 50 } else { 0 };
             longest = longest.max(harmed);
             world.run(50);
--- a/crates/jobs/tests/all/still.rs
+++ b/crates/jobs/tests/all/still.rs
@@ -58,8 +58,8 @@
             ..WorldSettings::default()
         });
         for worker in &mut world.workers {
-            worker.queues = true;
-            worker.shares = true;
+            worker.queueing = true;
+            worker.shares_cpu = true;
         }
         world.run(EVERY);
         for id in 1..4 {
@@ -166,7 +166,7 @@
 fn a_late_job_goes_on_beside_one_that_takes_all(image: &str, cpu: u64, more: u64) {
     let mut watched = Watched::new(1, cpu);
     for worker in &mut watched.world.workers {
-        worker.tails = vec![60];
+        worker.tail_percents = vec![60];
     }
     watched.submit(FIRST, chain(vec![fill("light", 1000)]));
     watched.run(10_000);
--- a/crates/jobs/tests/all/takeovers.rs
+++ b/crates/jobs/tests/all/takeovers.rs
@@ -37,11 +37,11 @@
     vanish(&mut world, 0);
     let over = world.lease_end();
     world.take_over(over);
-    assert_eq!(world.figures().unverified_runs, 4);
+    assert_eq!(world.stats().unverified_runs, 4);
     world.run(500);
-    assert_eq!(world.figures().unverified_runs, 1);
+    assert_eq!(world.stats().unverified_runs, 1);
     world.run(over - world.now + 500);
-    assert_eq!(world.figures().unverified_runs, 0);
+    assert_eq!(world.stats().unverified_runs, 0);
     check_seed(&world, 0);
 }
 
@@ -87,7 +87,7 @@
     world.store_down = true;
     world.pause(true);
     world.run(2500);
-    world.claim = 2500;
+    world.claim_ms = 2500;
     world.take_over(over);
     world.run(15_000);
     for worker in &world.workers {
@@ -102,11 +102,11 @@
     let mut world = world();
     world.store_down = true;
     world.pause(true);
-    world.claim = 9000;
+    world.claim_ms = 9000;
     world.take_over(world.lease_end());
     world.run(100);
-    assert_eq!(world.figures().unverified_runs, 0);
-    world.workers[0].cut = true;
+    assert_eq!(world.stats().unverified_runs, 0);
+    world.workers[0].partitioned = true;
     world.run(2500);
     world.store_down = false;
     world.run(10_000);
--- a/crates/jobs/tests/all/waits.rs
+++ b/crates/jobs/tests/all/waits.rs
@@ -63,7 +63,7 @@
 /// All that serves has figures like these, in percent of the targets.
 fn set_tails(world: &mut World, tails: &[u64]) {
     for worker in &mut world.workers {
-        worker.tails = tails.to_vec();
+        worker.tail_percents = tails.to_vec();
     }
 }
 
@@ -146,14 +146,14 @@
             labels: Vec::new(),
             rack: "r".into(),
             capacity: Capacity {
-                cpu: worker.room.0,
-                memory: worker.room.1,
+                cpu: worker.capacity.0,
+                memory: worker.capacity.1,
                 gpu: 0,
             },
             ready: true,
             remaining_ms: 0,
         };
-        world.tell(Event::WorkerUpdated(info));
+        world.notify(Event::WorkerUpdated(info));
     }
     let serve = Step {
         cpu: 1200,
@@ -197,7 +197,7 @@
     let id = world.submit(LAST, spec);
     world.run(10_000);
     let other = |t: &TaskId| t.job == id && t.step == 1;
-    let done = world.judge.done.iter().filter(|t| other(t)).count();
+    let done = world.checker.done.iter().filter(|t| other(t)).count();
     assert_eq!(done, 3, "tasks of the other step are done");
 }
 
@@ -248,9 +248,9 @@
     }
     world.run(5000);
     let id = world.submit(LAST, chain(vec![short(2, 500)]));
-    let held = world.figures().throttled_passes;
+    let held = world.stats().throttled_passes;
     let wait = longest_wait(&mut world, id, 30_000);
-    let held = world.figures().throttled_passes - held;
+    let held = world.stats().throttled_passes - held;
     assert!(wait < LOST, "{wait} ms, {held} passes held");
 }
 
@@ -321,7 +321,7 @@
     world.run(4000);
     world.cancel(all);
     world.run(6000);
-    let done = world.judge.done.iter().filter(|t| t.job == id).count();
+    let done = world.checker.done.iter().filter(|t| t.job == id).count();
     assert_eq!(
         done, 2000,
         "tasks that are done 6 s after there is room for all at once"
@@ -334,9 +334,9 @@
     let (mut world, all) = world_of_misfits(0);
     world.cancel(all);
     world.run(4000);
-    let before = world.figures();
+    let before = world.stats();
     world.run(1000);
-    let after = world.figures();
+    let after = world.stats();
     let each = (after.ratings - before.ratings) / (after.passes - before.passes);
     assert!(each <= 300_400, "{each} ratings in each pass");
 }
@@ -348,7 +348,7 @@
 fn what_fills_begins_beside_a_job_that_takes_all(gang: bool) {
     let mut world = serving_world(&[30]);
     for worker in &mut world.workers {
-        worker.length = Some(4000);
+        worker.task_ms = Some(4000);
     }
     world.submit(FIRST, chain(vec![fill("light", 1000, 4000)]));
     world.run(10_000);
@@ -374,7 +374,7 @@
     }
     world.run(3000);
     for worker in &mut world.workers {
-        worker.mode = Mode::Well;
+        worker.mode = Mode::Healthy;
     }
     let id = world.submit(LAST, chain(vec![short(2, 500)]));
     let wait = longest_wait(&mut world, id, 20_000);
@@ -395,7 +395,7 @@
     world.run(120);
     world.cancel(JobId(100));
     for worker in &mut world.workers {
-        worker.mode = Mode::Well;
+        worker.mode = Mode::Healthy;
     }
     world.run(1000);
     assert!(world.workers.iter().all(|w| w.runs.is_empty()));
@@ -463,7 +463,7 @@
     };
     world.submit(FIRST, chain(vec![gang]));
     world.run(1000);
-    let before = world.figures().commits;
+    let before = world.stats().commits;
     world.run(5000);
-    assert_eq!(world.figures().commits, before);
+    assert_eq!(world.stats().commits, before);
 }
