--- a/crates/jobs/benches/decide.rs
+++ b/crates/jobs/benches/decide.rs
@@ -32,12 +32,12 @@
     group.sample_size(10);
     for workers in SIZES {
         let mut site = Site::new(workers, 1);
-        site.play(WARM_UP);
+        site.run(WARM_UP);
         group.bench_function(BenchmarkId::from_parameter(workers), |b| {
             b.iter_custom(|times| {
                 let mut spent = Duration::ZERO;
                 for _ in 0..times {
-                    spent += site.play(SPAN);
+                    spent += site.run(SPAN);
                 }
                 spent
             });
@@ -57,8 +57,8 @@
                 let mut spent = Duration::ZERO;
                 for _ in 0..times {
                     let mut site = Site::new(workers, 2);
-                    site.play(WARM_UP);
-                    spent += site.play(SPAN);
+                    site.run(WARM_UP);
+                    spent += site.run(SPAN);
                     waiting = site.backlog();
                 }
                 spent
--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -16,49 +16,49 @@
 use crate::ledger::Ledger;
 
 /// Milliseconds between two wake-ups of the owner.
-const TURN: u64 = 2;
+const TURN_MS: u64 = 2;
 
 /// Milliseconds to a worker and back.
-const TRIP: u64 = 2;
+const ROUND_TRIP_MS: u64 = 2;
 
 /// Milliseconds of a write.
-const WRITE: u64 = 10;
+const WRITE_MS: u64 = 10;
 
 /// Clocks of workers begin here.
-const CLOCK: u64 = 1_000_000;
+const CLOCK_START_MS: u64 = 1_000_000;
 
 /// What is due at a time.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Committed,
     /// A run on a worker ends.
-    End(u32, TaskIndex),
+    End(u32, RunIndex),
     /// A worker's look has waited for long enough.
-    Look(u32, u64),
+    Poll(u32, u64),
 }
 
 /// Name of a run among those of the site.
-type TaskIndex = usize;
+type RunIndex = usize;
 
 #[derive(Debug, Clone)]
 struct Run {
     task: TaskId,
     number: u32,
-    begun: u64,
+    started_at: u64,
     work: u64,
-    lasting: bool,
+    long_running: bool,
     target: u64,
     cpu: u64,
-    over: bool,
+    ended: bool,
 }
 
 #[derive(Debug, Default)]
 struct Worker {
-    runs: Vec<TaskIndex>,
-    ends: Vec<RunEnd>,
-    next: u64,
+    runs: Vec<RunIndex>,
+    finished: Vec<RunEnd>,
+    last_end: u64,
     /// A look that waits: its number and when it was sent.
-    look: Option<(u64, u64)>,
+    poll: Option<(u64, u64)>,
 }
 
 /// A machine, its workers, and what is under way.
@@ -69,13 +69,13 @@
     runs: Vec<Run>,
     due: BinaryHeap<Reverse<(u64, Due)>>,
     answers: Vec<Event>,
-    looks: u64,
+    polls: u64,
     jobs: u64,
     /// Jobs that arrive against the usual.
-    times: u64,
+    load_factor: u64,
     /// Thousandths of a job that are owed, by kind.
-    owed: [u64; 2],
-    spent: Duration,
+    arrivals_due: [u64; 2],
+    decide_time: Duration,
     /// What was accepted.
     accepted: Vec<Arc<Job>>,
     /// What was committed of jobs.
@@ -112,11 +112,11 @@
             runs: Vec::new(),
             due: BinaryHeap::new(),
             answers: Vec::new(),
-            looks: 0,
+            polls: 0,
             jobs: 0,
-            times,
-            owed: [0; 2],
-            spent: Duration::ZERO,
+            load_factor: times,
+            arrivals_due: [0; 2],
+            decide_time: Duration::ZERO,
             accepted: Vec::new(),
             ledger: Ledger::default(),
         };
@@ -179,17 +179,17 @@
     }
 
     /// Hands in a job.
-    pub fn hand_in(&mut self, steps: Vec<Step>) {
+    pub fn submit_wide(&mut self, steps: Vec<Step>) {
         self.submit("wide", steps);
     }
 
     /// What the store holds: the jobs that were accepted, and what was committed of them.
-    pub fn kept(&self) -> (&[Arc<Job>], &Ledger) {
+    pub fn stored(&self) -> (&[Arc<Job>], &Ledger) {
         (&self.accepted, &self.ledger)
     }
 
     /// What the machine counted.
-    pub fn figures(&self) -> Stats {
+    pub fn stats(&self) -> Stats {
         self.machine.stats()
     }
 
@@ -202,16 +202,16 @@
     }
 
     /// Plays so many milliseconds and returns the time that deciding took.
-    pub fn play(&mut self, ms: u64) -> Duration {
-        self.spent = Duration::ZERO;
+    pub fn run(&mut self, ms: u64) -> Duration {
+        self.decide_time = Duration::ZERO;
         let end = self.now + ms;
         while self.now < end {
-            self.now += TURN;
+            self.now += TURN_MS;
             self.arrive();
-            self.happen();
+            self.process_due();
             self.decide();
         }
-        self.spent
+        self.decide_time
     }
 
     fn arrive(&mut self) {
@@ -219,9 +219,9 @@
         // A thousandth of a job each millisecond is one a second; per 1,100 workers
         // 32 jobs that fill and 24 wide ones a second.
         for (kind, rate) in [(0, 32), (1, 24)] {
-            self.owed[kind] += TURN * rate * workers * self.times;
-            while self.owed[kind] >= 1_100_000 {
-                self.owed[kind] -= 1_100_000;
+            self.arrivals_due[kind] += TURN_MS * rate * workers * self.load_factor;
+            while self.arrivals_due[kind] >= 1_100_000 {
+                self.arrivals_due[kind] -= 1_100_000;
                 let image = self.jobs % 30;
                 let fill = Step {
                     count: 40,
@@ -269,7 +269,7 @@
         self.answers.push(Event::Accepted(job));
     }
 
-    fn happen(&mut self) {
+    fn process_due(&mut self) {
         while let Some(Reverse((at, _))) = self.due.peek()
             && *at <= self.now
         {
@@ -278,53 +278,53 @@
             };
             match due {
                 Due::Committed => self.answers.push(Event::Committed {
-                    asked_at: self.now - WRITE,
+                    asked_at: self.now - WRITE_MS,
                 }),
                 Due::End(worker, run) => self.end(worker, run, Ending::Done),
-                Due::Look(worker, look) => {
+                Due::Poll(worker, look) => {
                     if self.workers[worker as usize]
-                        .look
+                        .poll
                         .is_some_and(|l| l.0 == look)
                     {
-                        self.looked(worker);
+                        self.answer_poll(worker);
                     }
                 }
             }
         }
     }
 
-    fn end(&mut self, worker: u32, run: TaskIndex, ending: Ending) {
-        if std::mem::replace(&mut self.runs[run].over, true) {
+    fn end(&mut self, worker: u32, run: RunIndex, ending: Ending) {
+        if std::mem::replace(&mut self.runs[run].ended, true) {
             return;
         }
         let at = &mut self.workers[worker as usize];
         at.runs.retain(|&r| r != run);
-        at.next += 1;
-        at.ends.push(RunEnd {
-            number: at.next,
+        at.last_end += 1;
+        at.finished.push(RunEnd {
+            number: at.last_end,
             task: self.runs[run].task,
             run: self.runs[run].number,
             ending,
             checkpoint: "".into(),
         });
-        if at.look.is_some() {
-            self.looked(worker);
+        if at.poll.is_some() {
+            self.answer_poll(worker);
         }
     }
 
-    fn looked(&mut self, worker: u32) {
+    fn answer_poll(&mut self, worker: u32) {
         let now = self.now;
         let at = &mut self.workers[worker as usize];
-        let Some((_, sent)) = at.look.take() else {
+        let Some((_, sent)) = at.poll.take() else {
             return;
         };
         let row = |r: &Run| ReportedRun {
             task: r.task,
             run: r.number,
             checkpoint: "".into(),
-            percent: match r.lasting {
+            percent: match r.long_running {
                 true => 100,
-                false => ((now - r.begun) * 100 / r.work).min(99) as u32,
+                false => ((now - r.started_at) * 100 / r.work).min(99) as u32,
             },
             metric: Some(match r.target {
                 0 => r.cpu,
@@ -333,9 +333,9 @@
         };
         let look = WorkerReport {
             start_time: None,
-            clock: CLOCK + now,
+            clock: CLOCK_START_MS + now,
             running: at.runs.iter().map(|&r| row(&self.runs[r])).collect(),
-            finished: at.ends.clone(),
+            finished: at.finished.clone(),
         };
         self.answers.push(Event::Answer {
             worker,
@@ -354,7 +354,7 @@
         self.machine
             .handle(now, now, Event::WorkersSynced { asked_at: now });
         let actions = self.machine.decide(now, now);
-        self.spent += start.elapsed();
+        self.decide_time += start.elapsed();
         for action in actions {
             self.act(action);
         }
@@ -369,21 +369,21 @@
                 wait,
                 ..
             } => {
-                self.looks += 1;
+                self.polls += 1;
                 let at = &mut self.workers[worker as usize];
-                at.ends.retain(|e| e.number > observed);
-                at.look = Some((self.looks, sent));
-                let until = match at.ends.is_empty() {
-                    true => sent + TRIP + wait,
-                    false => sent + TRIP,
+                at.finished.retain(|e| e.number > observed);
+                at.poll = Some((self.polls, sent));
+                let until = match at.finished.is_empty() {
+                    true => sent + ROUND_TRIP_MS + wait,
+                    false => sent + ROUND_TRIP_MS,
                 };
-                let due = Due::Look(worker, self.looks);
+                let due = Due::Poll(worker, self.polls);
                 self.due.push(Reverse((until, due)));
                 return;
             }
             Action::Commit(batch) => {
                 self.ledger.apply(batch);
-                self.due.push(Reverse((sent + WRITE, Due::Committed)));
+                self.due.push(Reverse((sent + WRITE_MS, Due::Committed)));
                 return;
             }
             Action::Start(worker, order) => {
@@ -418,12 +418,12 @@
         self.runs.push(Run {
             task: order.task,
             number: order.run,
-            begun: self.now,
+            started_at: self.now,
             work: step.estimate.max(1),
-            lasting: step.long_running,
+            long_running: step.long_running,
             target: step.latency_target,
             cpu: step.cpu,
-            over: false,
+            ended: false,
         });
         self.workers[worker as usize].runs.push(index);
         if !step.long_running {
--- a/crates/jobs/benches/takeover.rs
+++ b/crates/jobs/benches/takeover.rs
@@ -39,7 +39,7 @@
 fn rows(count: usize) -> Rows {
     // One worker holds the first step of one job.
     let mut site = Site::new(count as u64, 0);
-    site.play(200);
+    site.run(200);
     for _ in 0..count {
         let step = Step {
             count: 40,
@@ -52,13 +52,13 @@
             deps: vec![0],
             ..step.clone()
         };
-        site.hand_in(vec![step, next]);
+        site.submit_wide(vec![step, next]);
     }
-    site.play(500);
+    site.run(500);
     while site.pending("wide") > 0 {
-        site.play(500);
+        site.run(500);
     }
-    let (jobs, ledger) = site.kept();
+    let (jobs, ledger) = site.stored();
     let row = |job: &Arc<Job>| rmp_serde::to_vec(&**job).expect("plain data");
     Rows {
         jobs: jobs.iter().map(row).collect(),
--- a/crates/jobs/tests/all/apart.rs
+++ b/crates/jobs/tests/all/apart.rs
@@ -1,6 +1,6 @@
 //! Gangs of which several members may be what crashed a worker, and have to run apart.
 
-use crate::common::{World, WorldSettings, chain, check_seed, short};
+use crate::common::{World, WorldSettings, chain, check_invariants, short};
 use gorsespur_jobs::{Outcome, Step};
 
 /// A world of five workers, the first of which has crashed just after a whole gang had begun
@@ -35,7 +35,7 @@
         let mut world = with_crashed_gang(members);
         let id = world.submit(2, chain(vec![short(8, 300)]));
         world.run(3000);
-        check_seed(&world, 0);
+        check_invariants(&world, 0);
         assert_eq!(world.outcome(id), Outcome::Complete, "{members} members");
     }
 }
@@ -45,6 +45,6 @@
     for members in 2..=6 {
         let mut world = with_crashed_gang(members);
         assert!(world.run_until_done(30_000), "{members} members");
-        check_seed(&world, 0);
+        check_invariants(&world, 0);
     }
 }
--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -2,7 +2,7 @@
 //! workers answered meanwhile waits.
 
 use crate::{
-    common::{World, WorldSettings, chain, check_seed, lasting, short},
+    common::{World, WorldSettings, chain, check_invariants, long_running, short},
     site::Site,
 };
 use gorsespur_jobs::{Event, JobId, Outcome, Settings, Step};
@@ -41,7 +41,7 @@
             world.run(rng.random_range(0..300));
         }
         world.run_until_done(60_000 + 40 * turns);
-        check_seed(&world, seed);
+        check_invariants(&world, seed);
         for id in 1..=JOBS {
             assert_eq!(world.outcome(JobId(id)), Outcome::Complete, "seed {seed}");
         }
@@ -65,7 +65,7 @@
         world.unread_percent = 50;
         world.take_over(over);
         assert!(world.run_until_done(60_000), "seed {seed}");
-        check_seed(&world, seed);
+        check_invariants(&world, seed);
     }
 }
 
@@ -85,7 +85,7 @@
         world.unread_percent = 50;
         world.take_over(over);
         assert!(world.run_until_done(60_000), "seed {seed}");
-        check_seed(&world, seed);
+        check_invariants(&world, seed);
     }
 }
 
@@ -108,7 +108,7 @@
     world.run(6000);
     world.pause(false);
     assert!(world.run_until_done(20_000));
-    check_seed(&world, 1);
+    check_invariants(&world, 1);
     assert_eq!(world.stats().starts, 3);
 }
 
@@ -136,7 +136,7 @@
 /// A lasting task at work, and a store that has just gone away.
 fn without_store() -> World {
     let mut world = world(1, 1);
-    world.submit(1, chain(vec![lasting(1)]));
+    world.submit(1, chain(vec![long_running(1)]));
     world.run(1000);
     world.store_down = true;
     world
@@ -212,7 +212,7 @@
 #[test_case(900; "ends wait to be durable")]
 fn an_owner_that_stood_still_renews_leases_at_once(estimate: u64) {
     let mut world = world(1, 1);
-    world.submit(1, chain(vec![lasting(1)]));
+    world.submit(1, chain(vec![long_running(1)]));
     world.submit(2, chain(vec![short(2, estimate)]));
     world.run(600);
     world.store_down = true;
@@ -231,10 +231,10 @@
 #[test]
 fn a_pass_of_placement_is_bounded() {
     let mut site = Site::new(1000, 0);
-    site.play(200);
+    site.run(200);
     for job in 0..5000 {
         // Each runs something else, so that none tells of another that it does not fit.
-        site.hand_in(vec![Step {
+        site.submit_wide(vec![Step {
             count: 2,
             cpu: 30_000,
             memory: 1000,
@@ -242,10 +242,10 @@
             ..Step::default()
         }]);
     }
-    site.play(40);
-    let before = site.figures();
-    site.play(200);
-    let after = site.figures();
+    site.run(40);
+    let before = site.stats();
+    site.run(200);
+    let after = site.stats();
     let (passes, cut) = (
         after.passes - before.passes,
         after.truncated_passes - before.truncated_passes,
@@ -270,7 +270,7 @@
     assert!(world.run_until_done(30_000));
     world.run(2000);
     assert_eq!(world.stats().tasks, 0);
-    check_seed(&world, 1);
+    check_invariants(&world, 1);
 }
 
 /// A flood of starts on a link that carries fifty a second: what waits, waits where it is
@@ -285,7 +285,7 @@
     // The first starts go out before any answer tells of the link.
     world.run(12_000);
     let before = world.stats();
-    let id = world.submit(1000, chain(vec![lasting(2)]));
+    let id = world.submit(1000, chain(vec![long_running(2)]));
     world.run(4000);
     let after = world.stats();
     assert_eq!(world.outcome(id), Outcome::Active);
@@ -294,7 +294,7 @@
         "starts are given up"
     );
     assert_eq!(after.lapsed, 0);
-    check_seed(&world, 1);
+    check_invariants(&world, 1);
 }
 
 /// 3,000 workers wrote faster than they were read, and one that had said 5 s before that it
--- a/crates/jobs/tests/all/checkpoints.rs
+++ b/crates/jobs/tests/all/checkpoints.rs
@@ -5,7 +5,7 @@
 //! tell nothing, and the judge knows where each was written.
 
 use crate::common::{
-    Brought, Mode, World, WorldSettings, chain, check_seed, saving, serving, short,
+    Mode, Resumed, World, WorldSettings, chain, check_invariants, serving, short, with_checkpoints,
 };
 use gorsespur_jobs::{JobId, Outcome, Schedule, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -31,14 +31,18 @@
 /// Each task goes on from what it had done, whether its run was stopped or its worker crashed.
 #[test]
 fn a_task_goes_on_from_its_own_checkpoint() {
-    let (mut world, id) = world(saving(short(3, 3000)));
+    let (mut world, id) = world(with_checkpoints(short(3, 3000)));
     world.crash(0);
     world.announce(1, false);
     assert!(world.run_until_done(8000));
     assert_eq!(world.outcome(id), Outcome::Complete);
-    check_seed(&world, 0);
-    let brought = world.checker.checkpoints.brought;
-    assert_eq!((brought.starts, brought.none), (2, 0), "{brought:?}");
+    check_invariants(&world, 0);
+    let brought = world.checker.checkpoints.resumed;
+    assert_eq!(
+        (brought.starts, brought.without_checkpoint),
+        (2, 0),
+        "{brought:?}"
+    );
 }
 
 /// A worker of a gang crashed. The gang began again, each member with the checkpoint that it
@@ -51,11 +55,11 @@
         gang: true,
         ..short(3, 3000)
     };
-    let (mut world, id) = world(saving(gang));
+    let (mut world, id) = world(with_checkpoints(gang));
     world.crash(0);
     assert!(world.run_until_done(15_000));
     assert_eq!(world.outcome(id), Outcome::Complete);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
 /// A worker listed a checkpoint that others reject, since it is not the task's. The task was
@@ -69,7 +73,7 @@
         gang,
         ..short(3, 3000)
     };
-    let (mut world, id) = world(saving(step));
+    let (mut world, id) = world(with_checkpoints(step));
     let members = if gang { 0..3 } else { 0..1 };
     for worker in &mut world.workers[members] {
         // With more progress than it will have, so that it writes no other one.
@@ -78,7 +82,7 @@
     world.run(1000);
     world.crash(0);
     world.run_until_done(15_000);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
     assert_eq!(world.checker.checkpoints.rejected.len(), rejected);
     assert_eq!(world.outcome(id), Outcome::Complete);
 }
@@ -92,7 +96,7 @@
     let gang = Step {
         gang: true,
         max_per_worker: 4,
-        ..saving(short(12, 3000))
+        ..with_checkpoints(short(12, 3000))
     };
     let mut world = World::new(WorldSettings::default());
     world.restart_ms = 60_000;
@@ -117,7 +121,7 @@
     assert_eq!(world.stats().rejected, 12, "the other job took {took} ms");
     assert!(world.run_until_done(15_000));
     assert_eq!(world.outcome(id), Outcome::Complete);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
 /// A worker rejected all that it was told to start. The other members of the gang began with the
@@ -129,7 +133,7 @@
         gang: true,
         ..short(3, 3000)
     };
-    let (mut world, id) = world(saving(gang));
+    let (mut world, id) = world(with_checkpoints(gang));
     world.workers[3].mode = Mode::Rejects;
     world.crash(0);
     let done = world.run_until_done(60_000);
@@ -141,13 +145,13 @@
         "{rejected} rejected, {texts} of them with a checkpoint"
     );
     assert_eq!(world.outcome(id), Outcome::Complete);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
 /// The owner is gone before the record without the rejected checkpoint is durable.
 #[test]
 fn a_rejection_may_be_lost_with_its_owner_once() {
-    let (mut world, id) = world(saving(short(3, 3000)));
+    let (mut world, id) = world(with_checkpoints(short(3, 3000)));
     world.workers[0].runs[0].checkpoint = ("another's".into(), 3000);
     world.run(1000);
     world.crash(0);
@@ -170,7 +174,7 @@
         ..WorldSettings::default()
     });
     world.run(100);
-    world.submit(1, chain(vec![saving(short(24, 4000))]));
+    world.submit(1, chain(vec![with_checkpoints(short(24, 4000))]));
     world.run(2500);
     world.workers[3].mode = Mode::Rejects;
     for at in 0..3 {
@@ -181,7 +185,7 @@
     let rejected = &world.workers[3].rejected;
     let texts = rejected.iter().filter(|(_, s)| !s.is_empty()).count();
     let all = rejected.len();
-    let brought = world.checker.checkpoints.brought;
+    let brought = world.checker.checkpoints.resumed;
     assert!(texts <= 3, "{texts} of {all} rejected, {brought:?}");
 }
 
@@ -222,7 +226,7 @@
 }
 
 /// Hands in a job, most of whose tasks save their progress.
-fn hand_in(world: &mut World, rng: &mut SmallRng, id: u64, shape: Shape) {
+fn submit_random(world: &mut World, rng: &mut SmallRng, id: u64, shape: Shape) {
     let plain = short(rng.random_range(1..5), rng.random_range(300..4000));
     let step = match rng.random_range(0..4) {
         0 | 1 => Step {
@@ -237,7 +241,7 @@
         },
         _ => plain,
     };
-    let mut spec = chain(vec![short(1, 300), saving(step)]);
+    let mut spec = chain(vec![short(1, 300), with_checkpoints(step)]);
     if rng.random_bool(0.2) {
         spec.schedule = Schedule {
             repetitions: 3,
@@ -249,7 +253,7 @@
 }
 
 /// Something happens to a worker, an owner, the store or a job.
-fn disturb(world: &mut World, rng: &mut SmallRng, last: u64) {
+fn inject_fault(world: &mut World, rng: &mut SmallRng, last: u64) {
     let at = rng.random_range(0..WORKERS);
     let ms = rng.random_range(0..3500);
     let job = rng.random_range(1..=last);
@@ -291,12 +295,12 @@
             world.submit(job, spec);
         }
         19 => world.resume_earlier(),
-        _ => mend(world),
+        _ => recover(world),
     }
 }
 
 /// All is well again.
-fn mend(world: &mut World) {
+fn recover(world: &mut World) {
     world.store_down = false;
     (world.max_turn_ms, world.unread_percent) = (0, 0);
     world.resume_earlier();
@@ -311,7 +315,7 @@
 }
 
 /// Plays the world of a seed and returns it when all jobs have ended.
-fn play(seed: u64, shape: Shape) -> World {
+fn run_series(seed: u64, shape: Shape) -> World {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(WorldSettings {
         workers: WORKERS,
@@ -328,13 +332,13 @@
     world.submit(1000, chain(vec![serving(WORKERS as u32)]));
     world.run(1000);
     for id in 1..=rng.random_range(10..40) {
-        hand_in(&mut world, &mut rng, id, shape);
+        submit_random(&mut world, &mut rng, id, shape);
         if rng.random_bool(0.6) {
-            disturb(&mut world, &mut rng, id);
+            inject_fault(&mut world, &mut rng, id);
         }
         world.run(rng.random_range(20..800));
     }
-    mend(&mut world);
+    recover(&mut world);
     assert!(world.run_until_done(120_000), "seed {seed}: jobs are left");
     world
 }
@@ -343,12 +347,15 @@
 #[test_case(Shape::Single; "of single tasks")]
 #[test_case(Shape::Gang; "of gangs")]
 fn random_series_of_faults_mix_up_no_checkpoints(shape: Shape) {
-    let mut all = Brought::default();
+    let mut all = Resumed::default();
     for seed in 0..60 {
-        let world = play(seed, shape);
-        check_seed(&world, seed);
-        all += world.checker.checkpoints.brought;
+        let world = run_series(seed, shape);
+        check_invariants(&world, seed);
+        all += world.checker.checkpoints.resumed;
     }
     // Else the plays tell nothing.
-    assert!(all.starts > 200 && all.starts > 2 * all.none, "{all:?}");
+    assert!(
+        all.starts > 200 && all.starts > 2 * all.without_checkpoint,
+        "{all:?}"
+    );
 }
--- a/crates/jobs/tests/all/common/crash.rs
+++ b/crates/jobs/tests/all/common/crash.rs
@@ -15,7 +15,7 @@
 pub struct Crasher {
     pub task: TaskId,
     /// Milliseconds from its start until the worker crashes.
-    pub after: u64,
+    pub after_ms: u64,
 }
 
 impl World {
@@ -26,7 +26,7 @@
             let runs = &self.workers[at].runs;
             let culprit = runs.iter().find(|r| {
                 let crasher = self.crashers.iter().find(|c| c.task == r.task);
-                crasher.is_some_and(|c| now >= r.started_at + c.after)
+                crasher.is_some_and(|c| now >= r.started_at + c.after_ms)
             });
             let others = runs.len().saturating_sub(1);
             if let Some(task) = culprit.map(|r| r.task) {
--- a/crates/jobs/tests/all/common/judge.rs
+++ b/crates/jobs/tests/all/common/judge.rs
@@ -29,7 +29,7 @@
     /// When the end of a task was first listed, for those that ended done.
     listed: BTreeMap<TaskId, u64>,
     /// The highest end of each life that an owner has read.
-    read: BTreeMap<(Arc<str>, Option<u64>), u64>,
+    last_read: BTreeMap<(Arc<str>, Option<u64>), u64>,
     /// Runs that a life was told never to begin.
     barred: BTreeSet<(TaskId, u32)>,
     /// The owner that read each life last, and when it first did.
@@ -56,7 +56,7 @@
 
 impl Checker {
     /// A run began on a worker.
-    pub fn begun(&mut self, now: u64, task: TaskId, attempts: u32, spec: &Spec) {
+    pub fn check_start(&mut self, now: u64, task: TaskId, attempts: u32, spec: &Spec) {
         if self.counted_done.contains_key(&task) {
             self.violations
                 .push(format!("{now}: {task} begins after it was done"));
@@ -93,22 +93,22 @@
     }
 
     /// A run began on a worker with a checkpoint of its task, or without any.
-    pub fn brought(&mut self, now: u64, order: &StartOrder) {
-        if let Some(wrong) = self.checkpoints.begun(order) {
+    pub fn check_checkpoint(&mut self, now: u64, order: &StartOrder) {
+        if let Some(wrong) = self.checkpoints.check_start(order) {
             self.violations.push(format!("{now}: {wrong}"));
         }
     }
 
     /// A worker rejected the checkpoint that an order brings.
-    pub fn rejected(&mut self, now: u64, order: &StartOrder) {
-        if let Some(wrong) = self.checkpoints.rejected(order) {
+    pub fn record_rejected(&mut self, now: u64, order: &StartOrder) {
+        if let Some(wrong) = self.checkpoints.record_rejected(order) {
             self.violations.push(format!("{now}: {wrong}"));
         }
     }
 
     /// A run began on a worker, which may not be over its room by that.
     pub fn check_capacity(&mut self, now: u64, worker: &SimWorker) {
-        if worker.is_over(now, SHRINK_GRACE_MS) {
+        if worker.is_overcommitted(now, SHRINK_GRACE_MS) {
             let id = &worker.id;
             self.violations
                 .push(format!("{now}: {id} holds more than it may"));
@@ -116,7 +116,7 @@
     }
 
     /// A run began: where all is calm, not of a task that a worker lists as done.
-    pub fn told(&mut self, now: u64, task: TaskId) {
+    pub fn check_not_done(&mut self, now: u64, task: TaskId) {
         let listed = self.listed.get(&task);
         if self.all_healthy && listed.is_some_and(|at| now > at + READ_MS) {
             self.violations
@@ -131,7 +131,7 @@
     }
 
     /// An owner has read a worker's answer.
-    pub fn read(&mut self, now: u64, epoch: u64, id: Arc<str>, look: &WorkerReport) {
+    pub fn record_report(&mut self, now: u64, epoch: u64, id: Arc<str>, look: &WorkerReport) {
         let heard = self.first_read.entry((id.clone(), look.start_time));
         let heard = heard.or_insert((epoch, now));
         if heard.0 < epoch {
@@ -140,7 +140,7 @@
         let Some(last) = look.finished.last() else {
             return;
         };
-        let highest = self.read.entry((id, look.start_time)).or_insert(0);
+        let highest = self.last_read.entry((id, look.start_time)).or_insert(0);
         *highest = last.number.max(*highest);
     }
 
@@ -151,7 +151,13 @@
 
     /// Returns until when no owner can help what a late start begins: it had barred it in an
     /// earlier life, and did not know yet that this one has begun.
-    pub fn excuse(&self, now: u64, epoch: u64, worker: &SimWorker, order: &StartOrder) -> u64 {
+    pub fn exempt_until(
+        &self,
+        now: u64,
+        epoch: u64,
+        worker: &SimWorker,
+        order: &StartOrder,
+    ) -> u64 {
         if !self.barred.contains(&(order.task, order.run)) {
             return 0;
         }
@@ -166,7 +172,7 @@
     /// A worker was told that it may forget ends up to a number; by a late order perhaps, which
     /// its sender may have meant for an earlier life.
     pub fn record_observed(&mut self, now: u64, worker: &SimWorker, number: u64, late: bool) {
-        let read = self.read.get(&(worker.id.clone(), worker.start_time));
+        let read = self.last_read.get(&(worker.id.clone(), worker.start_time));
         let read = read.copied().unwrap_or(0);
         for end in worker.finished.iter().filter(|e| e.number <= number) {
             match end.ending {
@@ -193,7 +199,7 @@
                     self.done.insert(end.task);
                     self.listed.entry(end.task).or_insert(now);
                 }
-                Ending::Failed => self.checkpoints.failed(end.task, end.run),
+                Ending::Failed => self.checkpoints.record_failed(end.task, end.run),
                 _ => {}
             }
         }
--- a/crates/jobs/tests/all/common/lives.rs
+++ b/crates/jobs/tests/all/common/lives.rs
@@ -66,7 +66,7 @@
         }
         for (_, id) in self.expiring_rows.clone() {
             let at = self.workers.iter().position(|w| w.id == id);
-            let at = at.unwrap_or_else(|| self.lives[&id]);
+            let at = at.unwrap_or_else(|| self.former_ids[&id]);
             let row = self.row(at, id, true);
             self.notify(Event::WorkerUpdated(row));
         }
@@ -108,8 +108,8 @@
         let old = &self.workers[at];
         let (id, rate, room, port) = (old.id.clone(), old.rate, old.capacity, old.port);
         if !self.settings.reuse_names {
-            let name = format!("w{at}-{}", self.lives.len());
-            self.lives.insert(id, at);
+            let name = format!("w{at}-{}", self.former_ids.len());
+            self.former_ids.insert(id, at);
             self.workers[at] = SimWorker::new(&name, now, rate);
             self.workers[at].capacity = room;
             self.workers[at].port = port;
--- a/crates/jobs/tests/all/common/mod.rs
+++ b/crates/jobs/tests/all/common/mod.rs
@@ -9,7 +9,7 @@
 mod sim;
 mod world;
 
-pub use checkpoints::Brought;
+pub use checkpoints::Resumed;
 pub use crash::Crasher;
 pub use judge::Checker;
 pub use lives::Restart;
@@ -30,7 +30,7 @@
 }
 
 /// A step of tasks that last.
-pub fn lasting(count: u32) -> Step {
+pub fn long_running(count: u32) -> Step {
     Step {
         long_running: true,
         ..short(count, 0)
@@ -42,12 +42,12 @@
     Step {
         latency_target: 100,
         image: Some("serve".into()),
-        ..lasting(count)
+        ..long_running(count)
     }
 }
 
 /// The same step, whose tasks save their progress.
-pub fn saving(step: Step) -> Step {
+pub fn with_checkpoints(step: Step) -> Step {
     Step {
         checkpoints: true,
         ..step
@@ -55,15 +55,15 @@
 }
 
 /// These steps, of which every other job's save their progress.
-pub fn saving_some(id: u64, steps: Vec<Step>) -> Vec<Step> {
+pub fn some_with_checkpoints(id: u64, steps: Vec<Step>) -> Vec<Step> {
     match id.is_multiple_of(2) {
-        true => steps.into_iter().map(saving).collect(),
+        true => steps.into_iter().map(with_checkpoints).collect(),
         false => steps,
     }
 }
 
 /// Asserts that no promise was broken in the world of a seed.
-pub fn check_seed(world: &World, seed: u64) {
+pub fn check_invariants(world: &World, seed: u64) {
     let wrong = &world.checker.violations;
     assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
 }
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -32,7 +32,7 @@
     port: u16,
     id: Arc<str>,
     action: Action,
-    sent: u64,
+    sent_at: u64,
     /// Whether it is on its way for so long that its sender has given it up.
     stray: bool,
 }
@@ -60,7 +60,7 @@
             Some(&index) => index,
             None => {
                 let index = self.workers.iter().position(|w| w.id == id);
-                let index = index.unwrap_or_else(|| self.lives[&id]);
+                let index = index.unwrap_or_else(|| self.former_ids[&id]);
                 owner.slots.insert(worker, index);
                 index
             }
@@ -71,8 +71,8 @@
         } else {
             0
         };
-        owner.link = owner.link.max(now) + cost;
-        let extra = if is_poll(&action) { 0 } else { late } + (owner.link - now);
+        owner.link_until = owner.link_until.max(now) + cost;
+        let extra = if is_poll(&action) { 0 } else { late } + (owner.link_until - now);
         let due = now + 2 + extra;
         let stray = extra > timeout(&action);
         if stray {
@@ -85,7 +85,7 @@
             port: addr.port(),
             id,
             action,
-            sent: now,
+            sent_at: now,
             stray,
         };
         owner.messages.push((due, Message::Order(order)));
@@ -114,7 +114,7 @@
                     if !owner.stepped_down {
                         if let Answer::Report(look) = &answer {
                             let (_, id) = owner.machine.worker_address(worker).expect("announced");
-                            self.checker.read(now, owner.epoch, id, look);
+                            self.checker.record_report(now, owner.epoch, id, look);
                         }
                         let event = Event::Answer {
                             worker,
@@ -132,7 +132,7 @@
     fn carry_out(&mut self, at: usize, order: Order) {
         let now = self.now;
         let fence = self.owners[at].epoch;
-        let sent = order.sent;
+        let sent = order.sent_at;
         let listener = match order.stray {
             true => Some(order.at),
             false => self.listener(order.port),
@@ -144,7 +144,7 @@
         if let Some(answer) = refusal {
             let parcel = (
                 now + 2,
-                Message::Answer(slot_of(&order.action), sent, answer),
+                Message::Answer(worker_slot(&order.action), sent, answer),
             );
             if !order.stray {
                 self.owners[at].messages.push(parcel);
@@ -176,7 +176,7 @@
                             let jobs = &self.jobs;
                             let step = |id: TaskId| &jobs[&id.job].spec.steps[id.step as usize];
                             let checkpoints = &mut self.checker.checkpoints;
-                            checkpoints.listed(&look, |id| step(id).gang);
+                            checkpoints.record_listed(&look, |id| step(id).gang);
                         }
                         Some(look)
                     })
@@ -189,15 +189,15 @@
                 if reached && (malformed || worker.mode == Mode::Rejects) {
                     started = Started::Rejected;
                     worker.rejected.push((order.task, order.checkpoint.clone()));
-                } else if reached && !self.checker.checkpoints.is_own(order) {
+                } else if reached && !self.checker.checkpoints.is_valid_for(order) {
                     started = Started::Rejected;
-                    self.checker.rejected(now, order);
+                    self.checker.record_rejected(now, order);
                 } else if reached {
                     let before = worker.runs.len();
                     let progress = self.checker.checkpoints.progress(&order.checkpoint);
                     started = worker.start(now, fence, order, progress);
                     let excuse = match late {
-                        true => self.checker.excuse(now, self.epoch, worker, order),
+                        true => self.checker.exempt_until(now, self.epoch, worker, order),
                         false => 0,
                     };
                     if let Some(run) = worker.runs.get_mut(before) {
@@ -213,9 +213,10 @@
                             self.checker.violations.push(wrong);
                         }
                         let attempts = self.settings.attempts;
-                        self.checker.begun(now, order.task, attempts, &order.spec);
-                        self.checker.brought(now, order);
-                        self.checker.told(now, order.task);
+                        self.checker
+                            .check_start(now, order.task, attempts, &order.spec);
+                        self.checker.check_checkpoint(now, order);
+                        self.checker.check_not_done(now, order.task);
                         self.checker.check_capacity(now, worker);
                     }
                 }
@@ -272,11 +273,11 @@
     /// Has an order carried out later; its sender gets no answer.
     fn delay_order(&mut self, at: usize, mut order: Order) {
         let (slot, answer) = timeout_answer(&order.action);
-        let given_up = (order.sent + timeout(&order.action)).max(self.now);
+        let given_up = (order.sent_at + timeout(&order.action)).max(self.now);
         let due = self.now + self.rng.random_range(0..self.max_stray_ms.max(1));
         order.stray = true;
         let parcels = &mut self.owners[at].messages;
-        parcels.push((given_up, Message::Answer(slot, order.sent, answer)));
+        parcels.push((given_up, Message::Answer(slot, order.sent_at, answer)));
         parcels.push((due, Message::Order(order)));
     }
 
@@ -302,7 +303,7 @@
 }
 
 /// The slot of the worker that an order is for.
-fn slot_of(action: &Action) -> u32 {
+fn worker_slot(action: &Action) -> u32 {
     timeout_answer(action).0
 }
 
--- a/crates/jobs/tests/all/common/sim.rs
+++ b/crates/jobs/tests/all/common/sim.rs
@@ -100,7 +100,7 @@
     pub deadline: u64,
     /// Its clock runs at this rate, in percent, and began at an odd time.
     pub rate: u64,
-    pub begun: u64,
+    pub clock_start: u64,
     /// What its clock showed then, in milliseconds.
     pub uptime: u64,
     pub capacity: (u64, u64),
@@ -155,7 +155,7 @@
             fence: 0,
             deadline: 0,
             rate,
-            begun: now,
+            clock_start: now,
             uptime: 7000,
             capacity: (8000, 16000),
             old_capacity: None,
@@ -179,7 +179,7 @@
     }
 
     pub fn clock(&self, now: u64) -> u64 {
-        self.uptime + (now - self.begun) * self.rate / 100
+        self.uptime + (now - self.clock_start) * self.rate / 100
     }
 
     /// Its process ends, and with it all that runs; another life begins at `returns`.
@@ -191,19 +191,19 @@
         self.finished.clear();
     }
 
-    fn grant(&mut self, now: u64, deadline: Option<u64>) {
+    fn extend_lease(&mut self, now: u64, deadline: Option<u64>) {
         let longest = self.clock(now) + MAX_LEASE_MS;
         self.deadline = self.deadline.max(deadline.unwrap_or(0).min(longest));
     }
 
     /// Writes a checkpoint of a run.
-    fn save(&mut self, at: usize) {
+    fn write_checkpoint(&mut self, at: usize) {
         let run = &mut self.runs[at];
         let checkpoint = Checkpoint {
             task: run.task,
             run: run.run,
-            life: format!("{}{:?}", self.id, self.start_time).into(),
-            progress: run.done,
+            incarnation: format!("{}{:?}", self.id, self.start_time).into(),
+            progress_ms: run.done,
         };
         run.checkpoint = (checkpoint.text(), run.done);
         self.new_checkpoints.push(checkpoint);
@@ -211,7 +211,7 @@
 
     fn end(&mut self, at: usize, ending: Ending) {
         if ending == Ending::Stopped && self.runs[at].checkpoints && self.runs[at].done > 0 {
-            self.save(at);
+            self.write_checkpoint(at);
         }
         let run = self.runs.remove(at);
         self.barred.push((run.task, run.run));
@@ -245,7 +245,7 @@
                 _ => ms * u64::from(run.pace) / 100,
             };
             if run.checkpoints && run.done >= run.checkpoint.1 + CHECKPOINT_INTERVAL_MS {
-                self.save(at);
+                self.write_checkpoint(at);
             }
             let run = &self.runs[at];
             let ending = match () {
@@ -281,7 +281,7 @@
             return None;
         }
         self.fence = fence;
-        self.grant(now, deadline);
+        self.extend_lease(now, deadline);
         self.finished.retain(|e| e.number > observed);
         let running = self.runs.iter().map(|r| ReportedRun {
             task: r.task,
@@ -361,7 +361,7 @@
             return Started::Fenced;
         }
         self.fence = fence;
-        self.grant(now, Some(order.deadline));
+        self.extend_lease(now, Some(order.deadline));
         let same = |r: &SimRun| r.task == order.task && r.run == order.run;
         if self.runs.iter().any(same) {
             return Started::Done;
@@ -424,7 +424,7 @@
 
     /// Tells whether it holds more than it may: room that has shrunk counts for `grace`
     /// milliseconds more.
-    pub fn is_over(&self, now: u64, grace: u64) -> bool {
+    pub fn is_overcommitted(&self, now: u64, grace: u64) -> bool {
         let (mut room, used) = (self.capacity, self.used());
         if let Some((before, _)) = self.old_capacity.filter(|(_, at)| now <= at + grace) {
             room = (room.0.max(before.0), room.1.max(before.1));
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -67,7 +67,7 @@
     /// Until when it is busy with its last turn.
     pub(super) busy_until: u64,
     /// Until when its link is busy with what was sent.
-    pub(super) link: u64,
+    pub(super) link_until: u64,
     pub(super) paused: bool,
     /// When it last woke up.
     pub(super) woke_at: u64,
@@ -87,7 +87,7 @@
     /// Tasks that crash each worker that starts them.
     pub crashers: Vec<Crasher>,
     /// Names of workers' earlier lives, each with its worker.
-    pub lives: BTreeMap<Arc<str>, usize>,
+    pub former_ids: BTreeMap<Arc<str>, usize>,
     /// Milliseconds until a crashed worker's next life begins.
     pub restart_ms: u64,
     /// How it begins if it keeps its worker's name.
@@ -146,7 +146,7 @@
             checker: Checker::default(),
             store_down: false,
             crashers: Vec::new(),
-            lives: BTreeMap::new(),
+            former_ids: BTreeMap::new(),
             restart_ms: RESTART_MS,
             restart: Restart::default(),
             past_rows: Vec::new(),
@@ -207,7 +207,7 @@
             messages: Vec::new(),
             commit: None,
             busy_until: 0,
-            link: 0,
+            link_until: 0,
             paused: false,
             woke_at: self.now,
             unread_commit: None,
@@ -275,7 +275,7 @@
         self.run(ms);
         self.pause(false);
         if let Some(owner) = self.owners.last_mut() {
-            owner.clock.suspended += ms;
+            owner.clock.suspended_ms += ms;
         }
     }
 
@@ -370,7 +370,7 @@
         for worker in self.workers.iter_mut().filter(|w| w.alive) {
             worker.advance(self.now, TICK_MS);
             for checkpoint in worker.new_checkpoints.drain(..) {
-                self.checker.checkpoints.write(checkpoint);
+                self.checker.checkpoints.record_written(checkpoint);
             }
         }
         self.crash_workers();
--- a/crates/jobs/tests/all/crashing/crowds.rs
+++ b/crates/jobs/tests/all/crashing/crowds.rs
@@ -1,6 +1,6 @@
 //! One crash that makes suspects of many tasks: what did it is found, and the others go on.
 
-use crate::common::{Crasher, World, WorldSettings, chain, check_seed, short};
+use crate::common::{Crasher, World, WorldSettings, chain, check_invariants, short};
 use gorsespur_jobs::{JobId, Outcome, Step, TaskId};
 use test_case::test_case;
 
@@ -8,18 +8,18 @@
 const SUSPECTS: u64 = 51;
 
 /// Milliseconds after which users ask after all jobs.
-const FINISH: u64 = 60_000;
+const LIMIT_MS: u64 = 60_000;
 
 /// Milliseconds after which users count a job as lost of which nothing runs.
-const LOST: u64 = 3000;
+const JOB_LIMIT_MS: u64 = 3000;
 
 /// How a crash among many suspects went out.
 #[derive(Debug)]
-struct Found {
+struct Isolation {
     /// Milliseconds until no job was left.
-    after: u64,
+    took_ms: u64,
     /// Jobs of other tasks that failed.
-    wronged: usize,
+    wrongly_failed: usize,
 }
 
 /// A world of so many workers, one of which crashes under `SUSPECTS` tasks that have just begun. Some
@@ -49,7 +49,10 @@
         };
         let apart = SUSPECTS / culprits;
         if id % apart == 0 && id / apart < culprits {
-            world.crashers.push(Crasher { task, after: 200 });
+            world.crashers.push(Crasher {
+                task,
+                after_ms: 200,
+            });
         }
     }
     world.run(100);
@@ -61,20 +64,20 @@
 }
 
 /// Plays on until no job is left.
-fn find(workers: usize, culprits: u64, seed: u64) -> Found {
+fn isolate_culprits(workers: usize, culprits: u64, seed: u64) -> Isolation {
     let mut world = world_of_suspects(workers, culprits, seed);
     let since = world.now;
-    world.run_until_done(4 * FINISH);
-    check_seed(&world, seed);
+    world.run_until_done(4 * LIMIT_MS);
+    check_invariants(&world, seed);
     let guilty: Vec<JobId> = world.crashers.iter().map(|c| c.task.job).collect();
     let jobs = (0..SUSPECTS).map(JobId);
     let failed = jobs.filter(|&j| world.outcome(j) == Outcome::Failed);
     let wronged = failed.filter(|j| !guilty.contains(j)).count();
     let found = guilty.iter().all(|&j| world.outcome(j) == Outcome::Failed);
     assert!(found, "a culprit was not found");
-    Found {
-        after: world.now - since,
-        wronged,
+    Isolation {
+        took_ms: world.now - since,
+        wrongly_failed: wronged,
     }
 }
 
@@ -86,9 +89,9 @@
 #[test_case(100, 3)]
 fn many_suspects_of_one_crash_do_not_wait_for_each_other(workers: usize, culprits: u64) {
     for seed in 0..3 {
-        let found = find(workers, culprits, seed);
-        assert_eq!(found.wronged, 0, "jobs failed that did nothing");
-        assert!(found.after < FINISH, "{found:?}");
+        let found = isolate_culprits(workers, culprits, seed);
+        assert_eq!(found.wrongly_failed, 0, "jobs failed that did nothing");
+        assert!(found.took_ms < LIMIT_MS, "{found:?}");
     }
 }
 
@@ -103,8 +106,12 @@
     world.run(6000);
     for id in 0..12 {
         let id = world.submit(1000 + id, chain(vec![short(2, 300)]));
-        world.run(LOST);
-        assert_eq!(world.outcome(id), Outcome::Complete, "{id} after {LOST} ms");
+        world.run(JOB_LIMIT_MS);
+        assert_eq!(
+            world.outcome(id),
+            Outcome::Complete,
+            "{id} after {JOB_LIMIT_MS} ms"
+        );
     }
 }
 
--- a/crates/jobs/tests/all/crashing/culprits.rs
+++ b/crates/jobs/tests/all/crashing/culprits.rs
@@ -1,7 +1,9 @@
 //! Tasks that crash their workers under one owner: each is given up, and takes few others with it.
 
 use crate::{
-    common::{Crasher, World, WorldSettings, chain, check_seed, lasting, serving, short},
+    common::{
+        Crasher, World, WorldSettings, chain, check_invariants, long_running, serving, short,
+    },
     crashing::{
         CULPRIT, WORKERS, check_outcomes, culprit, run_busy, shapes, submit_culprit, world,
     },
@@ -15,7 +17,7 @@
         let mut world = world(1);
         submit_culprit(&mut world, chain(vec![step]), 10);
         run_busy(&mut world, 30_000);
-        check_seed(&world, 0);
+        check_invariants(&world, 0);
         assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
         check_outcomes(&mut world, name);
     }
@@ -40,7 +42,7 @@
 fn a_task_that_crashes_workers_beside_others_is_given_up(after: u64) {
     let mut world = world(4);
     world.restart_ms = 20_000;
-    world.submit(2, chain(vec![lasting(3 * WORKERS as u32)]));
+    world.submit(2, chain(vec![long_running(3 * WORKERS as u32)]));
     world.run(1500);
     submit_culprit(&mut world, chain(vec![short(3, 6000)]), after);
     run_busy(&mut world, 60_000);
@@ -62,10 +64,10 @@
             job: id,
             ..culprit()
         };
-        world.crashers.push(Crasher { task, after: 10 });
+        world.crashers.push(Crasher { task, after_ms: 10 });
     }
     run_busy(&mut world, 60_000);
-    check_seed(&world, 3);
+    check_invariants(&world, 3);
     for id in 0..5 {
         let id = JobId(CULPRIT.0 + id);
         assert_eq!(world.outcome(id), Outcome::Failed, "{id}");
--- a/crates/jobs/tests/all/crashing/losses.rs
+++ b/crates/jobs/tests/all/crashing/losses.rs
@@ -1,7 +1,7 @@
 //! Workers that are lost by no task's fault, alone and among tasks that crash them.
 
 use crate::{
-    common::{Crasher, World, WorldSettings, chain, check_seed, lasting, short},
+    common::{Crasher, World, WorldSettings, chain, check_invariants, long_running, short},
     crashing::{CULPRIT, WORKERS, check_outcomes, culprit, run_busy, shapes, world},
 };
 use gorsespur_jobs::{JobId, Outcome, Step, TaskId};
@@ -13,7 +13,7 @@
 fn a_worker_that_answers_again_has_not_crashed() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
-    let id = world.submit(1, chain(vec![lasting(1)]));
+    let id = world.submit(1, chain(vec![long_running(1)]));
     for _ in 0..3 {
         world.run(700);
         let at = world.workers.iter().position(|w| !w.runs.is_empty());
@@ -27,7 +27,7 @@
         world.run(1500);
     }
     assert_eq!(world.outcome(id), Outcome::Active);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
 /// How workers are lost by no task's fault.
@@ -45,7 +45,7 @@
 
 impl Loss {
     /// Loses these workers.
-    fn strike(self, world: &mut World, lost: &[usize]) {
+    fn inject(self, world: &mut World, lost: &[usize]) {
         for &at in lost {
             match self {
                 Loss::Power => world.lose_power(at),
@@ -61,7 +61,7 @@
     }
 
     /// Runs until the workers are back.
-    fn pass(self, world: &mut World) {
+    fn recover(self, world: &mut World) {
         run_busy(world, 3300);
         if matches!(self, Loss::Cut) {
             run_busy(world, 5000);
@@ -86,8 +86,8 @@
         for _ in 0..6 {
             let first = rng.random_range(0..WORKERS);
             let lost: Vec<usize> = (first..first + 5).map(|at| at % WORKERS).collect();
-            loss.strike(&mut world, &lost);
-            loss.pass(&mut world);
+            loss.inject(&mut world, &lost);
+            loss.recover(&mut world);
             let after = rng.random_range(0..600);
             run_busy(&mut world, after);
         }
@@ -111,7 +111,10 @@
             world.submit(job.0, chain(vec![step]));
             let task = TaskId { job, ..culprit() };
             let after = [10, 10, 10, 600][rng.random_range(0..4)];
-            world.crashers.push(Crasher { task, after });
+            world.crashers.push(Crasher {
+                task,
+                after_ms: after,
+            });
         }
         for _ in 0..24 {
             let at = rng.random_range(0..WORKERS);
@@ -131,7 +134,7 @@
         }
         world.workers.iter_mut().for_each(|w| w.partitioned = false);
         run_busy(&mut world, 40_000);
-        check_seed(&world, seed);
+        check_invariants(&world, seed);
         for id in world.job_ids() {
             let failed = world.outcome(id) == Outcome::Failed;
             let is_culprit = (CULPRIT.0..CULPRIT.0 + culprits).contains(&id.0);
@@ -148,7 +151,7 @@
     let mut world = world(6);
     let lasting = Step {
         max_per_worker: 1,
-        ..lasting(WORKERS as u32)
+        ..long_running(WORKERS as u32)
     };
     world.submit(2, chain(vec![lasting]));
     world.run(1500);
@@ -166,5 +169,5 @@
     let id = world.submit(CULPRIT.0, chain(vec![short(60, 300)]));
     world.run(1000);
     assert_eq!(world.outcome(id), Outcome::Complete);
-    check_seed(&world, 6);
+    check_invariants(&world, 6);
 }
--- a/crates/jobs/tests/all/crashing/mod.rs
+++ b/crates/jobs/tests/all/crashing/mod.rs
@@ -19,7 +19,8 @@
 mod owners;
 
 use crate::common::{
-    Crasher, World, WorldSettings, chain, check_seed, lasting, saving_some, serving, short,
+    Crasher, World, WorldSettings, chain, check_invariants, long_running, serving, short,
+    some_with_checkpoints,
 };
 use gorsespur_jobs::{JobId, Outcome, Spec, Step, TaskId};
 
@@ -30,10 +31,10 @@
 const WORKERS: usize = 10;
 
 /// Short jobs that are handed in, one each so many milliseconds.
-const EVERY: u64 = 120;
+const JOB_INTERVAL_MS: u64 = 120;
 
 /// Jobs of other callers have numbers from here on.
-const OTHERS: u64 = 1000;
+const FIRST_OTHER_JOB: u64 = 1000;
 
 /// A world with lasting tasks on all workers.
 fn world(seed: u64) -> World {
@@ -62,17 +63,20 @@
 fn submit_culprit(world: &mut World, spec: Spec, after: u64) {
     world.submit(CULPRIT.0, spec);
     let task = culprit();
-    world.crashers.push(Crasher { task, after });
+    world.crashers.push(Crasher {
+        task,
+        after_ms: after,
+    });
 }
 
 /// Runs for so long while short jobs are handed in.
 fn run_busy(world: &mut World, ms: u64) {
     let end = world.now + ms;
     while world.now < end {
-        let id = OTHERS + world.now / EVERY;
+        let id = FIRST_OTHER_JOB + world.now / JOB_INTERVAL_MS;
         let steps = vec![short(3, 500), short(2, 900)];
-        world.submit(id, chain(saving_some(id, steps)));
-        world.run(EVERY);
+        world.submit(id, chain(some_with_checkpoints(id, steps)));
+        world.run(JOB_INTERVAL_MS);
     }
 }
 
@@ -80,7 +84,7 @@
 fn check_outcomes(world: &mut World, name: &str) {
     assert!(world.run_until_done(60_000), "{name}: jobs are left");
     world.run(8000);
-    check_seed(world, 0);
+    check_invariants(world, 0);
     for id in world.job_ids().into_iter().filter(|&id| id != CULPRIT) {
         let outcome = world.outcome(id);
         let expected = [Outcome::Complete, Outcome::Active];
@@ -105,7 +109,7 @@
     };
     [
         ("plain", plain),
-        ("lasting", lasting(3)),
+        ("lasting", long_running(3)),
         ("filling", fill),
         ("gang", gang),
     ]
--- a/crates/jobs/tests/all/crashing/owners.rs
+++ b/crates/jobs/tests/all/crashing/owners.rs
@@ -1,23 +1,23 @@
 //! Tasks that crash their workers while owners change: what one owner saw counts for the next.
 
 use crate::{
-    common::{World, WorldSettings, chain, check_seed, lasting, serving, short},
+    common::{World, WorldSettings, chain, check_invariants, long_running, serving, short},
     crashing::{
-        CULPRIT, EVERY, OTHERS, WORKERS, check_outcomes, culprit, run_busy, shapes, submit_culprit,
-        world,
+        CULPRIT, FIRST_OTHER_JOB, JOB_INTERVAL_MS, WORKERS, check_outcomes, culprit, run_busy,
+        shapes, submit_culprit, world,
     },
 };
 use gorsespur_jobs::Outcome;
 use test_case::test_case;
 
 /// Workers that a task costs while no owner is killed.
-const LOST: usize = 3;
+const MAX_LOST_WORKERS: usize = 3;
 
 /// Milliseconds after its start by which an owner has written down that a task crashed its worker.
-const WRITTEN: u64 = 1100;
+const RECORD_MS: u64 = 1100;
 
 /// Milliseconds from the end of an owner until another one takes over.
-const OWNERLESS: u64 = 1500;
+const TAKEOVER_MS: u64 = 1500;
 
 /// Starts that users allow a task.
 const MOST_STARTS: usize = 5;
@@ -34,7 +34,7 @@
             world.pause(true);
             world.take_over(world.lease_end());
         }
-        check_seed(&world, period);
+        check_invariants(&world, period);
         let name = format!("each {period} ms");
         assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
         check_outcomes(&mut world, &name);
@@ -87,22 +87,22 @@
             let mut world = world(1);
             world.restart_ms = away;
             if crowded {
-                world.submit(2, chain(vec![lasting(3 * WORKERS as u32)]));
+                world.submit(2, chain(vec![long_running(3 * WORKERS as u32)]));
                 world.run(1500);
             }
             submit_culprit(&mut world, chain(vec![step]), 10);
             for start in 1..=kills {
                 run_until_culprit(&mut world, start);
-                run_finely(&mut world, after);
+                run_stepwise(&mut world, after);
                 kill_owner(&mut world);
             }
             run_busy(&mut world, 15_000);
             let name = format!("{name}, crowded: {crowded}");
             check_outcomes(&mut world, &name);
             assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
-            let untold = after < WRITTEN && (crowded || away < OWNERLESS);
+            let untold = after < RECORD_MS && (crowded || away < TAKEOVER_MS);
             let more = if untold { kills } else { 0 };
-            let most = (LOST + more).min(MOST_STARTS);
+            let most = (MAX_LOST_WORKERS + more).min(MOST_STARTS);
             let taken = &world.checker.other_runs;
             assert!(taken.len() <= most, "{name}: {taken:?}");
         }
@@ -122,10 +122,10 @@
     world.run(1000);
     submit_culprit(&mut world, chain(vec![short(3, 9000)]), 2500);
     run_until_culprit(&mut world, 4);
-    run_finely(&mut world, 200);
+    run_stepwise(&mut world, 200);
     kill_owner(&mut world);
     run_busy(&mut world, 40_000);
-    check_seed(&world, 1);
+    check_invariants(&world, 1);
     assert_eq!(world.outcome(CULPRIT), Outcome::Failed);
     let taken = &world.checker.other_runs;
     assert!(taken.len() <= MOST_STARTS, "{taken:?}");
@@ -141,17 +141,17 @@
         if is_there && world.checker.other_runs.len() + 1 >= start {
             return;
         }
-        run_finely(world, 5);
+        run_stepwise(world, 5);
     }
     panic!("start {start} has reached no worker");
 }
 
 /// Runs as [`run_busy`] does, in steps of the world.
-fn run_finely(world: &mut World, ms: u64) {
+fn run_stepwise(world: &mut World, ms: u64) {
     let end = world.now + ms;
     while world.now < end {
-        if world.now.is_multiple_of(EVERY) {
-            let id = OTHERS + world.now / EVERY;
+        if world.now.is_multiple_of(JOB_INTERVAL_MS) {
+            let id = FIRST_OTHER_JOB + world.now / JOB_INTERVAL_MS;
             world.submit(id, chain(vec![short(3, 500), short(2, 900)]));
         }
         world.run(5);
@@ -162,6 +162,6 @@
 fn kill_owner(world: &mut World) {
     world.pause(true);
     let over = world.lease_end();
-    run_finely(world, OWNERLESS);
+    run_stepwise(world, TAKEOVER_MS);
     world.take_over(over);
 }
--- a/crates/jobs/tests/all/empty.rs
+++ b/crates/jobs/tests/all/empty.rs
@@ -3,20 +3,20 @@
 //! Guards keep work from a worker for a while: after failures, beside suspects, for tasks that
 //! have waited for longer. Together they must never keep it from all workers.
 
-use crate::common::{World, WorldSettings, chain, check_seed, short};
+use crate::common::{World, WorldSettings, chain, check_invariants, short};
 use gorsespur_jobs::{JobId, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 const WORKERS: usize = 4;
 
 /// Milliseconds between two looks at what runs.
-const EVERY: u64 = 100;
+const SAMPLE_MS: u64 = 100;
 
 /// Milliseconds after which users count a job as lost of which nothing runs.
-const LOST: u64 = 3000;
+const MAX_IDLE_MS: u64 = 3000;
 
 /// Milliseconds that a series is watched.
-const LENGTH: u64 = 25_000;
+const SERIES_MS: u64 = 25_000;
 
 /// A gang of up to twice as many members as there is room for.
 fn some_gang(rng: &mut SmallRng) -> Step {
@@ -38,9 +38,9 @@
     for worker in &mut world.workers {
         worker.failure_percent = [5, 30, 60][rng.random_range(0..3)];
     }
-    world.run(EVERY);
+    world.run(SAMPLE_MS);
     let (mut since, mut longest) = (world.now, 0);
-    let end = world.now + LENGTH;
+    let end = world.now + SERIES_MS;
     let mut small: Vec<JobId> = Vec::new();
     for id in 1.. {
         if world.now >= end {
@@ -57,14 +57,14 @@
                 }
             }
         }
-        world.run(EVERY * rng.random_range(1..5));
+        world.run(SAMPLE_MS * rng.random_range(1..5));
         let is_busy = world.workers.iter().any(|w| !w.runs.is_empty());
         if is_busy || small.iter().all(|&j| world.outcome(j).is_final()) {
             since = world.now;
         }
         longest = longest.max(world.now - since);
     }
-    check_seed(&world, seed);
+    check_invariants(&world, seed);
     longest
 }
 
@@ -73,6 +73,9 @@
 fn random_series_of_failures_and_gangs_leave_no_fleet_empty() {
     for seed in 0..60 {
         let idle = longest_idle(seed);
-        assert!(idle < LOST, "seed {seed}: nothing runs for {idle} ms");
+        assert!(
+            idle < MAX_IDLE_MS,
+            "seed {seed}: nothing runs for {idle} ms"
+        );
     }
 }
--- a/crates/jobs/tests/all/evacuation.rs
+++ b/crates/jobs/tests/all/evacuation.rs
@@ -1,6 +1,6 @@
 //! Availability zones that an operator evacuates: nothing begins there, what runs goes on.
 
-use crate::common::{World, WorldSettings, chain, check_seed, short};
+use crate::common::{World, WorldSettings, chain, check_invariants, short};
 use gorsespur_jobs::{JobId, Outcome, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
@@ -130,7 +130,7 @@
             world.announce(at, true);
         }
         let done = world.run_until_done(120_000);
-        check_seed(&world, seed);
+        check_invariants(&world, seed);
         assert!(done, "seed {seed}: jobs are left");
         assert_eq!(world.outcome(JobId(0)), Outcome::Complete);
     }
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -19,18 +19,18 @@
 
 /// Runs on a worker and ends that it lists.
 #[derive(Debug, Default)]
-struct Lists {
+struct WorkerState {
     running: Vec<ReportedRun>,
     finished: Vec<RunEnd>,
     /// Ends so far.
-    ends: u64,
+    end_count: u64,
 }
 
 /// An owner, its store and its workers, all of which answer at once.
 struct Owner {
     machine: Machine,
     now: u64,
-    workers: BTreeMap<u32, Lists>,
+    workers: BTreeMap<u32, WorkerState>,
     starts: Vec<StartOrder>,
 }
 
@@ -47,7 +47,7 @@
             workers: BTreeMap::new(),
             starts: Vec::new(),
         };
-        owner.tell(Event::Queues(vec![QueuePolicy {
+        owner.notify(Event::Queues(vec![QueuePolicy {
             queue: "q".into(),
             service: "s".into(),
             priority: 0,
@@ -57,7 +57,7 @@
         }]));
         for at in 0..MEMBERS {
             let id: Arc<str> = format!("w{at}").into();
-            owner.tell(Event::WorkerUpdated(WorkerInfo {
+            owner.notify(Event::WorkerUpdated(WorkerInfo {
                 start_time: None,
                 id,
                 addr: ([127, 0, 0, 1], 1000 + at as u16).into(),
@@ -74,7 +74,7 @@
                 remaining_ms: 0,
             }));
         }
-        owner.tell(Event::Accepted(Arc::new(Job {
+        owner.notify(Event::Accepted(Arc::new(Job {
             id: JobId(1),
             queue: "q".into(),
             accepted: 0,
@@ -83,7 +83,7 @@
         owner
     }
 
-    fn tell(&mut self, event: Event) {
+    fn notify(&mut self, event: Event) {
         self.machine.handle(self.now, self.now, event);
     }
 
@@ -93,8 +93,8 @@
         while self.now < end {
             self.now += 5;
             let asked = self.now;
-            self.tell(Event::WorkersSynced { asked_at: asked });
-            self.tell(Event::Renewed { asked_at: asked });
+            self.notify(Event::WorkersSynced { asked_at: asked });
+            self.notify(Event::Renewed { asked_at: asked });
             for action in self.machine.decide(self.now, self.now) {
                 self.act(action);
             }
@@ -104,7 +104,7 @@
     fn act(&mut self, action: Action) {
         let sent = self.now;
         let (worker, answer) = match action {
-            Action::Commit(_) => return self.tell(Event::Committed { asked_at: sent }),
+            Action::Commit(_) => return self.notify(Event::Committed { asked_at: sent }),
             Action::StepDown => panic!("there is no other owner"),
             Action::Poll {
                 worker, observed, ..
@@ -142,7 +142,7 @@
                 worker, task, run, ..
             } => (worker, Answer::Paced(task, run, true)),
         };
-        self.tell(Event::Answer {
+        self.notify(Event::Answer {
             worker,
             sent,
             answer,
@@ -161,9 +161,9 @@
     fn end(&mut self, first: Ending) {
         for lists in self.workers.values_mut() {
             for run in std::mem::take(&mut lists.running) {
-                lists.ends += 1;
+                lists.end_count += 1;
                 lists.finished.push(RunEnd {
-                    number: lists.ends,
+                    number: lists.end_count,
                     task: run.task,
                     run: run.run,
                     ending: match run.task.index {
--- a/crates/jobs/tests/all/lives.rs
+++ b/crates/jobs/tests/all/lives.rs
@@ -3,23 +3,25 @@
 //! What such a worker says carries the moment of its start. It holds and knows nothing of
 //! before, and the numbers of its ends and its clock start anew.
 
-use crate::common::{Crasher, Restart, World, WorldSettings, chain, check_seed, lasting, short};
+use crate::common::{
+    Crasher, Restart, World, WorldSettings, chain, check_invariants, long_running, short,
+};
 use gorsespur_jobs::{JobId, Outcome, Step, TaskId};
 
 /// The job of the first worker's only task.
-const FIRST: JobId = JobId(1);
+const FIRST_JOB: JobId = JobId(1);
 
 /// Milliseconds in which a task runs again whose worker is there again and known to be.
-const SOON: u64 = 2000;
+const RESTART_LIMIT_MS: u64 = 2000;
 
 /// Milliseconds for which a worker may be silent before all leases on it are over.
-const LEASES: u64 = 12_000;
+const MAX_LEASES_MS: u64 = 12_000;
 
 /// Absences in milliseconds, from those that nobody notices to those that everybody does.
-const ABSENCES: [u64; 5] = [5, 50, 400, 2000, 6000];
+const ABSENCES_MS: [u64; 5] = [5, 50, 400, 2000, 6000];
 
 /// Milliseconds until the row of a new life is told.
-const TOLD: [u64; 3] = [0, 300, 3000];
+const ROW_DELAYS_MS: [u64; 3] = [0, 300, 3000];
 
 fn world(workers: usize) -> World {
     let mut world = World::new(WorldSettings {
@@ -32,7 +34,7 @@
 }
 
 /// A step whose tasks run on the first two workers only.
-fn first_rack(step: Step) -> Step {
+fn on_first_rack(step: Step) -> Step {
     Step {
         label: Some("r0".into()),
         ..step
@@ -45,7 +47,7 @@
     world.workers[1].partitioned = true;
     world.workers[2].partitioned = true;
     world.run(2000);
-    world.submit(FIRST.0, chain(vec![step]));
+    world.submit(FIRST_JOB.0, chain(vec![step]));
     world.run(500);
     world.workers[1].partitioned = false;
     world.workers[2].partitioned = false;
@@ -55,23 +57,23 @@
 }
 
 /// Cuts a worker off and waits until the owner knows that it gets no answer.
-fn cut_off(world: &mut World, at: usize) {
+fn partition(world: &mut World, at: usize) {
     world.workers[at].partitioned = true;
-    world.run(SOON);
+    world.run(RESTART_LIMIT_MS);
 }
 
 /// How often a task of the first job runs.
-fn running(world: &World) -> usize {
+fn first_job_runs(world: &World) -> usize {
     let workers = world.workers.iter().filter(|w| w.alive);
     let runs = workers.flat_map(|w| &w.runs);
-    runs.filter(|r| r.task.job == FIRST).count()
+    runs.filter(|r| r.task.job == FIRST_JOB).count()
 }
 
 /// The ways in which a worker starts again: how long it is away, and how it is back.
-fn restarts() -> Vec<(u64, Restart)> {
+fn restart_cases() -> Vec<(u64, Restart)> {
     let mut out = Vec::new();
-    for away in ABSENCES {
-        for told in TOLD {
+    for away in ABSENCES_MS {
+        for told in ROW_DELAYS_MS {
             for (back, moves) in [(false, false), (false, true), (true, false)] {
                 out.push((
                     away,
@@ -106,7 +108,7 @@
 /// Ends of the new life count, though the old one had more.
 #[test]
 fn ends_numbered_anew_are_counted() {
-    for (away, how) in restarts() {
+    for (away, how) in restart_cases() {
         let what = format!("{away} {how:?}");
         let mut world = world(1);
         world.restart = how;
@@ -115,7 +117,7 @@
         restart(&mut world, 0, away);
         world.submit(2, chain(vec![short(8, 300), short(4, 200)]));
         check_done(&mut world, how.row_delay_ms + 5000, &what);
-        world.run(SOON);
+        world.run(RESTART_LIMIT_MS);
         assert_eq!(world.workers[0].finished.len(), 0, "{what}: ends are left");
     }
 }
@@ -144,7 +146,7 @@
             let mut world = world(1);
             world.submit(1, chain(vec![short(8, 300), short(4, 200)]));
             check_done(&mut world, 5000, "first life");
-            world.run(SOON);
+            world.run(RESTART_LIMIT_MS);
             restart(&mut world, 0, away);
             world.run(delay);
             world.submit(2, chain(vec![short(8, 20)]));
@@ -156,16 +158,16 @@
 /// What ran on the old life is found to be gone at once, not only when its leases are over.
 #[test]
 fn a_task_of_the_old_life_runs_again_soon() {
-    for (away, how) in restarts() {
-        for step in [lasting(1), short(1, 30_000)] {
+    for (away, how) in restart_cases() {
+        for step in [long_running(1), short(1, 30_000)] {
             let mut world = world_with(step);
             world.restart = how;
             restart(&mut world, 0, away);
             let unknown = if how.new_address { how.row_delay_ms } else { 0 };
-            world.run(unknown + SOON);
+            world.run(unknown + RESTART_LIMIT_MS);
             let what = format!("{away} {how:?}");
-            assert_eq!(running(&world), 1, "{what}");
-            check_seed(&world, 0);
+            assert_eq!(first_job_runs(&world), 1, "{what}");
+            check_invariants(&world, 0);
         }
     }
 }
@@ -173,21 +175,21 @@
 /// The clock of a new life shows less than the end of the leases that the old one had.
 #[test]
 fn runs_of_a_new_life_are_given_up_when_its_own_leases_are_over() {
-    for (away, how) in restarts() {
+    for (away, how) in restart_cases() {
         let what = format!("{away} {how:?}");
-        let mut world = world_with(first_rack(lasting(1)));
+        let mut world = world_with(on_first_rack(long_running(1)));
         world.restart = how;
-        cut_off(&mut world, 1);
+        partition(&mut world, 1);
         restart(&mut world, 0, away);
-        world.run(how.row_delay_ms + SOON);
+        world.run(how.row_delay_ms + RESTART_LIMIT_MS);
         assert_eq!(world.workers[0].runs.len(), 1, "{what}");
         world.workers[1].partitioned = false;
-        world.run(SOON);
+        world.run(RESTART_LIMIT_MS);
         world.restart_ms = 600_000;
         world.lose_power(0);
-        world.run(LEASES);
-        assert_eq!(running(&world), 1, "{what}");
-        check_seed(&world, 0);
+        world.run(MAX_LEASES_MS);
+        assert_eq!(first_job_runs(&world), 1, "{what}");
+        check_invariants(&world, 0);
     }
 }
 
@@ -196,21 +198,21 @@
     for worker in &mut world.workers[1..] {
         worker.partitioned = true;
     }
-    world.run(SOON);
-    world.submit(90, chain(vec![first_rack(short(2, 200))]));
-    check_done(world, SOON, what);
+    world.run(RESTART_LIMIT_MS);
+    world.submit(90, chain(vec![on_first_rack(short(2, 200))]));
+    check_done(world, RESTART_LIMIT_MS, what);
 }
 
 #[test]
 fn a_worker_takes_work_again_after_its_leases_were_over() {
-    for told in TOLD {
-        let mut world = world_with(lasting(1));
+    for told in ROW_DELAYS_MS {
+        let mut world = world_with(long_running(1));
         world.restart.row_delay_ms = told;
-        world.restart_ms = LEASES + 3000;
+        world.restart_ms = MAX_LEASES_MS + 3000;
         world.lose_power(0);
-        world.run(LEASES);
-        assert_eq!(running(&world), 1);
-        check_seed(&world, 0);
+        world.run(MAX_LEASES_MS);
+        assert_eq!(first_job_runs(&world), 1);
+        check_invariants(&world, 0);
         world.run(3100 + told);
         check_takes_work(&mut world, &format!("{told}"));
     }
@@ -218,8 +220,8 @@
 
 #[test]
 fn a_worker_takes_work_again_after_it_was_unlisted() {
-    for (away, how) in restarts() {
-        let mut world = world_with(lasting(1));
+    for (away, how) in restart_cases() {
+        let mut world = world_with(long_running(1));
         world.restart = how;
         world.expire_row(0);
         world.run(500);
@@ -233,16 +235,16 @@
 #[test]
 fn a_worker_takes_work_again_after_another_one_answered_for_it() {
     for told in [0, 1000, 3000] {
-        let mut world = world_with(lasting(1));
+        let mut world = world_with(long_running(1));
         world.restart.row_delay_ms = told;
         world.restart_ms = 50;
         world.crash(0);
         world.crash(1);
         world.run(45);
         world.swap_ports(0, 1);
-        world.run(10 + told + SOON);
+        world.run(10 + told + RESTART_LIMIT_MS);
         let what = format!("{told}");
-        assert_eq!(running(&world), 1, "{what}");
+        assert_eq!(first_job_runs(&world), 1, "{what}");
         check_takes_work(&mut world, &what);
     }
 }
@@ -250,7 +252,7 @@
 /// A start without an answer begins in the new life seconds later, unless it is barred there.
 #[test]
 fn a_late_start_of_the_old_life_does_not_run_beside_the_next_run() {
-    for (away, how) in restarts() {
+    for (away, how) in restart_cases() {
         for late in [800, 1500, 3000, 5000] {
             let mut world = world(3);
             world.restart = how;
@@ -258,7 +260,7 @@
             world.workers[1].partitioned = true;
             world.workers[2].partitioned = true;
             world.run(2000);
-            world.submit(FIRST.0, chain(vec![short(1, 4000)]));
+            world.submit(FIRST_JOB.0, chain(vec![short(1, 4000)]));
             world.run(150);
             world.workers[1].partitioned = false;
             world.workers[2].partitioned = false;
@@ -274,8 +276,8 @@
 fn a_late_order_of_the_old_life_does_not_outlast_what_its_sender_waits_for() {
     for away in [5, 400] {
         for late in [800, 1500, 3000] {
-            let mut world = world_with(first_rack(lasting(1)));
-            cut_off(&mut world, 1);
+            let mut world = world_with(on_first_rack(long_running(1)));
+            partition(&mut world, 1);
             world.workers[0].delay_ms = late;
             world.submit(2, chain(vec![short(3, 300)]));
             world.run(100);
@@ -283,10 +285,10 @@
             world.run(late);
             world.workers[0].partitioned = true;
             world.workers[1].partitioned = false;
-            world.run(LEASES + SOON);
+            world.run(MAX_LEASES_MS + RESTART_LIMIT_MS);
             let what = format!("{late} {away}");
             check_done(&mut world, 0, &what);
-            assert_eq!(running(&world), 1, "{what}");
+            assert_eq!(first_job_runs(&world), 1, "{what}");
         }
     }
 }
@@ -298,9 +300,9 @@
         let mut world = world(3);
         world.restart.row_delay_ms = 3000;
         world.workers[0].delay_ms = late;
-        cut_off(&mut world, 1);
-        cut_off(&mut world, 2);
-        world.submit(FIRST.0, chain(vec![short(1, 4000)]));
+        partition(&mut world, 1);
+        partition(&mut world, 2);
+        world.submit(FIRST_JOB.0, chain(vec![short(1, 4000)]));
         world.run(100);
         world.workers[1].partitioned = false;
         world.workers[2].partitioned = false;
@@ -318,13 +320,13 @@
 #[test]
 fn a_life_that_took_a_start_and_was_never_listed_is_waited_for() {
     for away in [110, 200, 300, 400] {
-        let mut world = world_with(first_rack(lasting(1)));
-        cut_off(&mut world, 1);
+        let mut world = world_with(on_first_rack(long_running(1)));
+        partition(&mut world, 1);
         world.restart.row_delay_ms = 3000;
         world.restart_ms = away;
         world.lose_power(0);
         world.run(away + 20);
-        world.submit(2, chain(vec![first_rack(short(1, 20_000))]));
+        world.submit(2, chain(vec![on_first_rack(short(1, 20_000))]));
         world.run(100);
         let mut taken = world.workers[0].runs.iter();
         assert!(taken.any(|r| r.task.job == JobId(2)), "{away}");
@@ -346,15 +348,15 @@
 
 #[test]
 fn a_new_owner_gives_up_runs_of_the_old_life() {
-    for (away, how) in restarts() {
+    for (away, how) in restart_cases() {
         for after in [0, 20, 700, 2500] {
-            let mut world = world_with(lasting(1));
+            let mut world = world_with(long_running(1));
             world.restart = how;
             take_over(&mut world, away, after);
             let known = away + if how.new_address { how.row_delay_ms } else { 0 };
-            world.run(known.saturating_sub(after) + SOON + 500);
-            assert_eq!(running(&world), 1, "{away} {after} {how:?}");
-            check_seed(&world, 0);
+            world.run(known.saturating_sub(after) + RESTART_LIMIT_MS + 500);
+            assert_eq!(first_job_runs(&world), 1, "{away} {after} {how:?}");
+            check_invariants(&world, 0);
         }
     }
 }
@@ -363,7 +365,7 @@
 #[test]
 fn a_new_owner_adopts_no_run_that_has_gone_elsewhere() {
     for late in (300..5000).step_by(300) {
-        for away in ABSENCES {
+        for away in ABSENCES_MS {
             let mut world = world(3);
             world.restart.row_delay_ms = 2000;
             world.workers[0].delay_ms = late;
@@ -371,7 +373,7 @@
                 world.workers[at].partitioned = true;
             }
             world.run(2000);
-            world.submit(FIRST.0, chain(vec![short(1, 4000)]));
+            world.submit(FIRST_JOB.0, chain(vec![short(1, 4000)]));
             world.run(100);
             for at in [1, 2] {
                 world.workers[at].partitioned = false;
@@ -384,21 +386,21 @@
 
 #[test]
 fn a_row_of_the_old_life_does_not_undo_the_new_one() {
-    for (away, how) in restarts() {
+    for (away, how) in restart_cases() {
         let what = format!("{away} {how:?}");
-        let mut world = world_with(first_rack(lasting(1)));
+        let mut world = world_with(on_first_rack(long_running(1)));
         world.restart = how;
-        cut_off(&mut world, 1);
+        partition(&mut world, 1);
         restart(&mut world, 0, away);
-        world.run(how.row_delay_ms + SOON);
+        world.run(how.row_delay_ms + RESTART_LIMIT_MS);
         assert_eq!(world.workers[0].runs.len(), 1, "{what}");
         let run = world.workers[0].runs[0].run;
         for id in 10..16 {
             world.republish_past_rows();
-            world.submit(id, chain(vec![first_rack(short(2, 200))]));
+            world.submit(id, chain(vec![on_first_rack(short(2, 200))]));
             world.run(400);
         }
-        check_done(&mut world, SOON, &what);
+        check_done(&mut world, RESTART_LIMIT_MS, &what);
         let now = world.workers[0].runs.first().map(|r| r.run);
         assert_eq!(now, Some(run), "{what}: the run goes on");
         // Its real row is read again as well.
@@ -410,7 +412,7 @@
 /// A row that lapsed and comes back, and one that is told again, begin no new life.
 #[test]
 fn a_row_that_comes_back_begins_no_life() {
-    let mut world = world_with(lasting(1));
+    let mut world = world_with(long_running(1));
     for _ in 0..4 {
         world.expire_row(0);
         world.run(700);
@@ -420,16 +422,16 @@
     }
     let run = world.workers[0].runs.first().map(|r| r.run);
     assert_eq!(run, Some(1));
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
 /// Clocks that are set back let a later life seem the earlier one; it stays the current one.
 #[test]
 fn a_later_life_that_seems_the_earlier_one_is_kept() {
-    for told in TOLD {
+    for told in ROW_DELAYS_MS {
         for back in [[true, false], [false, true], [true, true]] {
-            let mut world = world_with(first_rack(lasting(1)));
-            cut_off(&mut world, 1);
+            let mut world = world_with(on_first_rack(long_running(1)));
+            partition(&mut world, 1);
             for back in back {
                 world.restart = Restart {
                     clock_back: back,
@@ -438,9 +440,9 @@
                 };
                 restart(&mut world, 0, 30);
                 world.republish_past_rows();
-                world.run(told + SOON + 500);
+                world.run(told + RESTART_LIMIT_MS + 500);
                 assert_eq!(world.workers[0].runs.len(), 1, "{told} {back}");
-                check_seed(&world, 0);
+                check_invariants(&world, 0);
             }
             // The task runs apart after its crashes.
             world.run(4000);
@@ -453,16 +455,20 @@
 /// Without the field a new life has a new name, as before.
 #[test]
 fn workers_that_do_not_say_when_they_began_start_again_under_new_names() {
-    for away in ABSENCES {
+    for away in ABSENCES_MS {
         let mut world = World::new(WorldSettings::default());
         world.run(100);
-        world.submit(1, chain(vec![lasting(4)]));
+        world.submit(1, chain(vec![long_running(4)]));
         world.submit(2, chain(vec![short(8, 900), short(8, 300)]));
         world.run(1500);
         restart(&mut world, 0, away);
-        world.run(SOON + 500);
+        world.run(RESTART_LIMIT_MS + 500);
         let runs = world.workers.iter().flat_map(|w| &w.runs);
-        assert_eq!(runs.filter(|r| r.task.job == FIRST).count(), 4, "{away}");
+        assert_eq!(
+            runs.filter(|r| r.task.job == FIRST_JOB).count(),
+            4,
+            "{away}"
+        );
         check_done(&mut world, 9000, &format!("{away}"));
         assert!(world.past_rows.is_empty());
     }
@@ -475,15 +481,15 @@
         let mut world = world(1);
         world.restart_ms = away;
         let task = TaskId {
-            job: FIRST,
+            job: FIRST_JOB,
             repetition: 0,
             step: 0,
             index: 0,
         };
-        world.crashers.push(Crasher { task, after: 10 });
-        world.submit(FIRST.0, chain(vec![short(1, 800)]));
+        world.crashers.push(Crasher { task, after_ms: 10 });
+        world.submit(FIRST_JOB.0, chain(vec![short(1, 800)]));
         world.run(45_000);
-        check_seed(&world, 0);
-        assert_eq!(world.outcome(FIRST), Outcome::Failed, "{away}");
+        check_invariants(&world, 0);
+        assert_eq!(world.outcome(FIRST_JOB), Outcome::Failed, "{away}");
     }
 }
--- a/crates/jobs/tests/all/load.rs
+++ b/crates/jobs/tests/all/load.rs
@@ -12,27 +12,27 @@
 use test_case::test_case;
 
 /// Milliseconds that each task takes in truth.
-const LENGTH: u64 = 2000;
+const TASK_MS: u64 = 2000;
 
 /// The objective of the worlds' queue for two steps: 1.5 times the chain and 250 ms.
-const AIM: u64 = 2 * LENGTH * 3 / 2 + 250;
+const OBJECTIVE_MS: u64 = 2 * TASK_MS * 3 / 2 + 250;
 
 /// Tasks of the jobs that take half a minute.
 const TASKS: u32 = 600;
 
 /// Time between two arrivals of the bursts.
-const EVERY: u64 = 100;
+const STEP_MS: u64 = 100;
 
 /// Jobs that were handed in, and those that ended within their objective.
 #[derive(Debug, Default)]
-struct Served {
+struct JobCounts {
     all: u32,
-    in_aim: u32,
+    in_time: u32,
     /// Not ended yet, with the time of their handing in.
     open: Vec<(JobId, u64)>,
 }
 
-impl Served {
+impl JobCounts {
     fn submit(&mut self, world: &mut World, steps: Vec<Step>) {
         self.all += 1;
         let id = world.submit(1000 + u64::from(self.all), chain(steps));
@@ -46,17 +46,17 @@
                 open.push((id, since));
                 continue;
             }
-            self.in_aim += u32::from(world.now <= since + aim);
+            self.in_time += u32::from(world.now <= since + aim);
         }
         self.open = open;
     }
 }
 
 /// Returns the milliseconds that a job of one step takes.
-fn time_to_do(world: &mut World, step: Step) -> f64 {
+fn time_to_complete(world: &mut World, step: Step) -> f64 {
     let (id, since) = (world.submit(1000, chain(vec![step])), world.now);
     while world.outcome(id) != Outcome::Complete {
-        world.run(EVERY);
+        world.run(STEP_MS);
     }
     (world.now - since) as f64
 }
@@ -73,24 +73,24 @@
         ..WorldSettings::default()
     });
     for worker in &mut world.workers {
-        worker.task_ms = Some(LENGTH);
+        worker.task_ms = Some(TASK_MS);
     }
     world.run(100);
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut served = Served::default();
+    let mut served = JobCounts::default();
     for _ in 0..600 {
         if rng.random_bool(0.75) {
-            let guess = LENGTH as f64 * rng.random_range(-2.1_f64..0.0).exp();
+            let guess = TASK_MS as f64 * rng.random_range(-2.1_f64..0.0).exp();
             let step = short(2, guess as u64);
             served.submit(&mut world, vec![step.clone(), step]);
         }
-        world.run(EVERY);
-        served.count(&world, AIM);
+        world.run(STEP_MS);
+        served.count(&world, OBJECTIVE_MS);
     }
     assert!(
-        served.in_aim * 100 >= served.all * 52,
+        served.in_time * 100 >= served.all * 52,
         "{} of {}",
-        served.in_aim,
+        served.in_time,
         served.all
     );
 }
@@ -105,7 +105,7 @@
     for worker in &mut world.workers {
         worker.queueing = true;
         worker.shares_cpu = true;
-        worker.task_ms = Some(LENGTH);
+        worker.task_ms = Some(TASK_MS);
     }
     world.run(100);
     for id in 1..9 {
@@ -119,11 +119,11 @@
     let fill = Step {
         best_effort: true,
         image: Some("light".into()),
-        ..short(TASKS, LENGTH)
+        ..short(TASKS, TASK_MS)
     };
-    let took = time_to_do(&mut world, fill);
+    let took = time_to_complete(&mut world, fill);
     // Of 64 cores what serves uses 27 on average.
-    let best = (u64::from(TASKS) * LENGTH) as f64 / 37.0;
+    let best = (u64::from(TASKS) * TASK_MS) as f64 / 37.0;
     assert!(took < 1.24 * best, "{took} of {best}");
 }
 
@@ -140,9 +140,9 @@
         worker.failure_percent = 10;
     }
     world.run(100);
-    let took = time_to_do(&mut world, short(TASKS, LENGTH));
+    let took = time_to_complete(&mut world, short(TASKS, TASK_MS));
     // Each failure wastes half of a run.
-    let best = (u64::from(TASKS) * LENGTH) as f64 * 1.055 / 64.0;
+    let best = (u64::from(TASKS) * TASK_MS) as f64 * 1.055 / 64.0;
     assert!(took < 1.2 * best, "{took} of {best}");
 }
 
@@ -175,9 +175,9 @@
 #[test_case(1100)]
 fn workers_that_join_take_their_share_at_once(workers: u64) {
     let mut site = Site::new(workers, 2);
-    site.play(4000);
+    site.run(4000);
     site.join(workers / 5);
-    site.play(500);
+    site.run(500);
     let (new, all) = (site.runs_from(workers as usize), site.runs_from(0));
     assert!(new * 2.0 >= all, "{new} runs, {all} on average");
 }
@@ -189,7 +189,7 @@
 #[test_case(1100)]
 fn short_jobs_do_not_wait_behind_what_fills(workers: u64) {
     let mut site = Site::new(workers, 2);
-    site.play(8000);
+    site.run(8000);
     let (fill, wide) = (site.pending("fill"), site.pending("wide"));
     assert!(fill >= workers / 20, "{fill} jobs that fill wait");
     // One may have come just now.
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::{
-    common::{World, WorldSettings, chain, lasting, short},
+    common::{World, WorldSettings, chain, long_running, short},
     ledger::Ledger,
 };
 use gorsespur_jobs::{
@@ -14,9 +14,9 @@
 use test_case::test_case;
 
 /// Milliseconds of a write to a store at a sixtieth of its speed.
-const SLOW_WRITE: u64 = 480;
+const SLOW_WRITE_MS: u64 = 480;
 
-const NOW: u64 = 1_000_000;
+const START_MS: u64 = 1_000_000;
 
 fn info(id: &str) -> WorkerInfo {
     WorkerInfo {
@@ -43,29 +43,29 @@
     ledger: Ledger,
     now: u64,
     /// Bytes that commits have appended to the log.
-    logged: usize,
+    logged_bytes: usize,
     /// What the worker runs.
     running: Vec<ReportedRun>,
     /// What ended there.
     finished: Vec<RunEnd>,
     /// Commits that are still done.
-    commits: usize,
+    commits_left: usize,
 }
 
 impl Owner {
     fn new(ledger: Ledger, jobs: &[Arc<Job>], settings: Settings) -> Owner {
-        let mut machine = Machine::new(settings, NOW, takeover());
+        let mut machine = Machine::new(settings, START_MS, takeover());
         ledger.restore(&mut machine, jobs);
         let mut owner = Owner {
             machine,
             ledger,
-            now: NOW,
-            logged: 0,
+            now: START_MS,
+            logged_bytes: 0,
             running: Vec::new(),
             finished: Vec::new(),
-            commits: usize::MAX,
+            commits_left: usize::MAX,
         };
-        owner.tell(Event::Queues(vec![QueuePolicy {
+        owner.notify(Event::Queues(vec![QueuePolicy {
             queue: "q".into(),
             service: "s".into(),
             priority: 0,
@@ -73,15 +73,15 @@
             stretch: 1.5,
             latency: 250,
         }]));
-        owner.tell(Event::WorkerUpdated(info("w")));
-        owner.tell(Event::WorkersSynced { asked_at: NOW });
+        owner.notify(Event::WorkerUpdated(info("w")));
+        owner.notify(Event::WorkersSynced { asked_at: START_MS });
         for job in jobs {
-            owner.tell(Event::Accepted(job.clone()));
+            owner.notify(Event::Accepted(job.clone()));
         }
         owner
     }
 
-    fn tell(&mut self, event: Event) {
+    fn notify(&mut self, event: Event) {
         self.machine.handle(self.now, self.now, event);
     }
 
@@ -90,8 +90,8 @@
         let end = self.now + ms;
         while self.now < end {
             self.now += 50;
-            self.tell(Event::WorkersSynced { asked_at: self.now });
-            self.tell(Event::Renewed { asked_at: self.now });
+            self.notify(Event::WorkersSynced { asked_at: self.now });
+            self.notify(Event::Renewed { asked_at: self.now });
             for action in self.machine.decide(self.now, self.now) {
                 self.act(action);
             }
@@ -101,12 +101,12 @@
     fn act(&mut self, action: Action) {
         let sent = self.now;
         let (worker, answer) = match action {
-            Action::Commit(_) if self.commits == 0 => return,
+            Action::Commit(_) if self.commits_left == 0 => return,
             Action::Commit(batch) => {
-                self.commits -= 1;
-                self.logged += batch.appended_rows.iter().map(Vec::len).sum::<usize>();
+                self.commits_left -= 1;
+                self.logged_bytes += batch.appended_rows.iter().map(Vec::len).sum::<usize>();
                 self.ledger.apply(batch);
-                return self.tell(Event::Committed { asked_at: sent });
+                return self.notify(Event::Committed { asked_at: sent });
             }
             Action::Start(worker, order) => {
                 self.running.push(ReportedRun {
@@ -130,7 +130,7 @@
             }
             Action::Stop { .. } | Action::Pace { .. } | Action::StepDown => return,
         };
-        self.tell(Event::Answer {
+        self.notify(Event::Answer {
             worker,
             sent,
             answer,
@@ -140,8 +140,8 @@
 
 fn takeover() -> Takeover {
     Takeover {
-        asked_at: NOW,
-        prior_leases_end: NOW,
+        asked_at: START_MS,
+        prior_leases_end: START_MS,
     }
 }
 
@@ -155,7 +155,7 @@
                 count,
                 cpu: 10,
                 memory: 1,
-                ..lasting(count)
+                ..long_running(count)
             }],
             ..Spec::default()
         }),
@@ -172,7 +172,7 @@
         workers: count.div_ceil(20) as usize,
         ..WorldSettings::default()
     });
-    world.write_ms = SLOW_WRITE;
+    world.write_ms = SLOW_WRITE_MS;
     world.run(3000);
     let commits = world.stats().commits;
     for id in 1..=count {
@@ -181,11 +181,11 @@
             chain(vec![Step {
                 cpu: 300,
                 memory: 300,
-                ..lasting(1)
+                ..long_running(1)
             }]),
         );
     }
-    world.run(2 * SLOW_WRITE + 200);
+    world.run(2 * SLOW_WRITE_MS + 200);
     assert!(world.stats().starts >= count, "{}", world.stats().starts);
     assert!(world.stats().commits <= commits + 3);
 }
@@ -196,11 +196,15 @@
     let mut owner = Owner::new(Ledger::default(), &[job(1, 1000)], Settings::default());
     owner.run(500);
     assert_eq!(owner.machine.stats().starts, 1000);
-    let before = owner.logged;
+    let before = owner.logged_bytes;
     owner.running.remove(17);
     owner.run(2500);
     assert_eq!(owner.machine.stats().starts, 1001);
-    assert!(owner.logged - before < 500, "{}", owner.logged - before);
+    assert!(
+        owner.logged_bytes - before < 500,
+        "{}",
+        owner.logged_bytes - before
+    );
 }
 
 /// Owners follow each other while jobs come and go, and each shortens the log: it grows with what
@@ -215,7 +219,7 @@
         seed,
         ..WorldSettings::default()
     });
-    world.submit(1, chain(vec![lasting(20)]));
+    world.submit(1, chain(vec![long_running(20)]));
     for id in 2..300 {
         let step = short(rng.random_range(1..6), rng.random_range(100..1500));
         world.submit(id, chain(vec![step.clone(), step]));
@@ -257,14 +261,14 @@
         });
     }
     for id in [1, 2] {
-        owner.tell(Event::Cancelled(JobId(id)));
+        owner.notify(Event::Cancelled(JobId(id)));
     }
-    owner.commits = 1;
+    owner.commits_left = 1;
     owner.run(500);
     let done = |id| owner.ledger.outcome(JobId(id)) == Outcome::Cancelled;
     assert!(done(1) != done(2), "one record is written");
     let open = if done(1) { 2 } else { 1 };
-    let mut machine = Machine::new(short, NOW, takeover());
+    let mut machine = Machine::new(short, START_MS, takeover());
     for row in owner.ledger.log() {
         machine.replay(row).expect("own row");
     }
@@ -300,7 +304,7 @@
 fn a_row_that_cannot_be_read_harms_no_other() {
     let mut owner = Owner::new(Ledger::default(), &[job(1, 3)], Settings::default());
     owner.run(500);
-    let mut machine = Machine::new(Settings::default(), NOW, takeover());
+    let mut machine = Machine::new(Settings::default(), START_MS, takeover());
     assert!(machine.replay(b"what is this").is_err());
     for row in owner.ledger.log() {
         machine.replay(row).expect("own row");
--- a/crates/jobs/tests/all/promises.rs
+++ b/crates/jobs/tests/all/promises.rs
@@ -1,7 +1,8 @@
 //! Promises under every fault, and under random series of them.
 
 use crate::common::{
-    Mode, World, WorldSettings, chain, check_seed, lasting, saving_some, serving, short,
+    Mode, World, WorldSettings, chain, check_invariants, long_running, serving, short,
+    some_with_checkpoints,
 };
 use gorsespur_jobs::{Event, Outcome, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -39,7 +40,7 @@
     Fault::AllOff,
 ];
 
-fn strike(world: &mut World, fault: Fault, at: usize) {
+fn inject(world: &mut World, fault: Fault, at: usize) {
     match fault {
         Fault::WorkerDies => world.workers[at].alive = false,
         Fault::WorkerCut => world.workers[at].partitioned = true,
@@ -72,7 +73,7 @@
     }
 }
 
-fn mend(world: &mut World, at: usize) {
+fn recover(world: &mut World, at: usize) {
     let worker = &mut world.workers[at];
     worker.partitioned = false;
     worker.delay_ms = 0;
@@ -81,12 +82,12 @@
     world.announce(at, true);
 }
 
-fn fill(world: &mut World) {
+fn submit_jobs(world: &mut World) {
     for id in 1..=6 {
         let steps = vec![short(3, 600), short(2, 900), short(1, 300)];
-        world.submit(id, chain(saving_some(id, steps)));
+        world.submit(id, chain(some_with_checkpoints(id, steps)));
     }
-    world.submit(100, chain(vec![lasting(2)]));
+    world.submit(100, chain(vec![long_running(2)]));
 }
 
 fn check(world: &World) {
@@ -116,11 +117,11 @@
             ..WorldSettings::default()
         });
         world.run(100);
-        fill(&mut world);
+        submit_jobs(&mut world);
         world.run(delay);
-        strike(&mut world, fault, 1);
+        inject(&mut world, fault, 1);
         world.run(4000);
-        mend(&mut world, 1);
+        recover(&mut world, 1);
         assert!(world.run_until_done(60_000), "{fault:?} after {delay} ms");
         check(&world);
         for id in 1..=6 {
@@ -141,26 +142,26 @@
             reuse_names: false,
         });
         world.run(100);
-        fill(&mut world);
+        submit_jobs(&mut world);
         for id in 10..rng.random_range(12..30) {
             world.run(rng.random_range(0..400));
             let steps = vec![short(2, 500), short(2, 700)];
-            world.submit(id, chain(saving_some(id, steps)));
+            world.submit(id, chain(some_with_checkpoints(id, steps)));
         }
         for _ in 0..rng.random_range(1..5) {
             let fault = FAULTS[rng.random_range(0..FAULTS.len())];
             let at = rng.random_range(0..4);
-            strike(&mut world, fault, at);
+            inject(&mut world, fault, at);
             world.run(rng.random_range(0..5000));
             if rng.random_bool(0.5) {
-                mend(&mut world, at);
+                recover(&mut world, at);
             }
         }
         for at in 0..5 {
-            mend(&mut world, at);
+            recover(&mut world, at);
         }
         let done = world.run_until_done(120_000);
-        check_seed(&world, seed);
+        check_invariants(&world, seed);
         assert!(done, "seed {seed}: jobs are left");
     }
 }
@@ -169,7 +170,7 @@
 fn a_cancelled_job_stops_everywhere() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
-    let id = world.submit(1, chain(vec![lasting(6)]));
+    let id = world.submit(1, chain(vec![long_running(6)]));
     world.run(1500);
     assert_eq!(world.outcome(id), Outcome::Active);
     world.cancel(id);
--- a/crates/jobs/tests/all/records/life.rs
+++ b/crates/jobs/tests/all/records/life.rs
@@ -12,29 +12,29 @@
 pub struct Run {
     pub task: TaskId,
     pub number: u32,
-    pub saved: Arc<str>,
+    pub checkpoint: Arc<str>,
 }
 
 /// One life of a worker.
 #[derive(Debug)]
-pub struct Life {
+pub struct Incarnation {
     pub id: Arc<str>,
     fence: u64,
     pub runs: Vec<Run>,
-    ends: Vec<RunEnd>,
-    next: u64,
+    finished: Vec<RunEnd>,
+    next_end: u64,
     /// Runs at or below these never begin any more.
     barred: Vec<(TaskId, u32)>,
 }
 
-impl Life {
-    pub fn new(id: String) -> Life {
-        Life {
+impl Incarnation {
+    pub fn new(id: String) -> Incarnation {
+        Incarnation {
             id: id.into(),
             fence: 0,
             runs: Vec::new(),
-            ends: Vec::new(),
-            next: 1,
+            finished: Vec::new(),
+            next_end: 1,
             barred: Vec::new(),
         }
     }
@@ -78,7 +78,7 @@
         self.runs.push(Run {
             task,
             number,
-            saved: order.checkpoint.clone(),
+            checkpoint: order.checkpoint.clone(),
         });
         Started::Done
     }
@@ -86,14 +86,14 @@
     pub fn end(&mut self, at: usize, ending: Ending) {
         let run = self.runs.remove(at);
         self.barred.push((run.task, run.number));
-        self.ends.push(RunEnd {
-            number: self.next,
+        self.finished.push(RunEnd {
+            number: self.next_end,
             task: run.task,
             run: run.number,
             ending,
-            checkpoint: run.saved,
+            checkpoint: run.checkpoint,
         });
-        self.next += 1;
+        self.next_end += 1;
     }
 
     pub fn stop(&mut self, task: TaskId, number: u32, fence: u64) -> Stopped {
@@ -112,16 +112,16 @@
         Stopped::Done
     }
 
-    pub fn look(&mut self, clock: u64, observed: u64, fence: u64) -> Answer {
+    pub fn report(&mut self, clock: u64, observed: u64, fence: u64) -> Answer {
         if fence < self.fence {
             return Answer::Fenced;
         }
         self.fence = fence;
-        self.ends.retain(|e| e.number > observed);
+        self.finished.retain(|e| e.number > observed);
         let rows = self.runs.iter().map(|r| ReportedRun {
             task: r.task,
             run: r.number,
-            checkpoint: r.saved.clone(),
+            checkpoint: r.checkpoint.clone(),
             percent: 50,
             metric: None,
         });
@@ -129,7 +129,7 @@
             start_time: None,
             clock,
             running: rows.collect(),
-            finished: self.ends.clone(),
+            finished: self.finished.clone(),
         })
     }
 }
--- a/crates/jobs/tests/all/records/mod.rs
+++ b/crates/jobs/tests/all/records/mod.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Arc;
 
-use crate::records::play::Play;
+use crate::records::play::Simulation;
 use gorsespur_jobs::{Ending, Event, Job, JobId, Outcome, Schedule, Spec, Step};
 use test_case::test_case;
 
@@ -54,11 +54,11 @@
         };
         let names = [1, 2, 16, 17, 1 << 60, 1 << 60 | 1];
         let jobs = names.iter().map(|&id| job(id, schedule)).collect();
-        let mut play = Play::new(seed, jobs);
+        let mut play = Simulation::new(seed, jobs);
         for _ in 0..1200 {
             play.step();
         }
-        assert!(play.brought > 50, "seed {seed}: {}", play.brought);
+        assert!(play.resumed > 50, "seed {seed}: {}", play.resumed);
     }
 }
 
@@ -69,8 +69,8 @@
 #[test_case(true; "after its end")]
 fn a_name_that_comes_again_is_the_first_job(ended: bool) {
     let first = job(1, Schedule::default());
-    let mut play = Play::new(1, vec![first.clone()]);
-    play.calm = true;
+    let mut play = Simulation::new(1, vec![first.clone()]);
+    play.no_faults = true;
     let mut other = (*first.spec).clone();
     other.payload = "another text".into();
     other.steps[0].count = 9;
@@ -80,14 +80,14 @@
     });
     for round in 0..60 {
         if round > 10 {
-            play.tell(Event::Accepted(other.clone()));
+            play.notify(Event::Accepted(other.clone()));
         }
         if round == 30 {
             play.take_over();
         }
-        for life in &mut play.lives {
+        for life in &mut play.workers {
             while ended && !life.runs.is_empty() {
-                life.runs[0].saved = "saved".into();
+                life.runs[0].checkpoint = "saved".into();
                 life.end(0, Ending::Done);
             }
         }
@@ -103,7 +103,7 @@
         expected.extend([(1, 0, 1), (1, 1, 1)]);
     }
     assert_eq!(tasks, expected);
-    assert_eq!(play.brought, 0);
+    assert_eq!(play.resumed, 0);
     let outcome = play.ledger.outcome(JobId(1));
     assert_eq!(outcome == Outcome::Complete, ended);
 }
@@ -119,16 +119,16 @@
     spec.steps.truncate(1);
     spec.steps[0].gang = true;
     gang.spec = Arc::new(spec);
-    let mut play = Play::new(1, vec![gang]);
-    play.calm = true;
+    let mut play = Simulation::new(1, vec![gang]);
+    play.no_faults = true;
     for _ in 0..20 {
         play.step();
     }
     assert_eq!(play.starts.len(), 3);
-    for life in &mut play.lives {
+    for life in &mut play.workers {
         for at in (0..life.runs.len()).rev() {
             let run = &mut life.runs[at];
-            run.saved = listed[run.task.index as usize].into();
+            run.checkpoint = listed[run.task.index as usize].into();
             life.end(at, Ending::Stopped);
         }
     }
--- a/crates/jobs/tests/all/records/play.rs
+++ b/crates/jobs/tests/all/records/play.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use crate::{ledger::Ledger, records::life::Life};
+use crate::{ledger::Ledger, records::life::Incarnation};
 use gorsespur_jobs::{
     Action, Answer, Batch, Ending, Event, Job, JobId, Machine, QueuePolicy, Settings, StartOrder,
     Started, Takeover, TaskId,
@@ -10,14 +10,14 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 
 /// Milliseconds of one step of a play.
-const TICK: u64 = 50;
+const TICK_MS: u64 = 50;
 
 /// Workers of a play.
 const WORKERS: usize = 3;
 
 /// What is on its way, and when it arrives.
 #[derive(Debug)]
-enum Parcel {
+enum Message {
     /// An answer to the owner of an epoch.
     Answer(u64, u32, u64, Answer),
     /// A start that its sender has given up.
@@ -27,44 +27,46 @@
 }
 
 /// Owners, one after another, with workers, a store, and a judge of the starts.
-pub struct Play {
+pub struct Simulation {
     rng: SmallRng,
     now: u64,
     epoch: u64,
     machine: Machine,
-    pub lives: Vec<Life>,
+    pub workers: Vec<Incarnation>,
     /// Texts that were made so far.
-    made: u64,
+    checkpoint_count: u64,
     jobs: BTreeMap<JobId, Arc<Job>>,
     pub ledger: Ledger,
-    parcels: Vec<(u64, Parcel)>,
+    messages: Vec<(u64, Message)>,
     /// What each task has listed to an owner that read it.
     listed: BTreeMap<TaskId, Vec<Arc<str>>>,
     /// Starts that brought a checkpoint.
-    pub brought: usize,
+    pub resumed: usize,
     pub starts: Vec<StartOrder>,
     /// Whether no run ends, no worker crashes and no owner is followed by another.
-    pub calm: bool,
+    pub no_faults: bool,
 }
 
-impl Play {
-    pub fn new(seed: u64, jobs: Vec<Job>) -> Play {
+impl Simulation {
+    pub fn new(seed: u64, jobs: Vec<Job>) -> Simulation {
         let now = 1_000_000;
         let jobs = jobs.into_iter().map(|j| (j.id, Arc::new(j)));
-        let mut play = Play {
+        let mut play = Simulation {
             rng: SmallRng::seed_from_u64(seed),
             now,
             epoch: 0,
             machine: machine(now),
-            lives: (0..WORKERS).map(|at| Life::new(format!("w{at}"))).collect(),
-            made: 0,
+            workers: (0..WORKERS)
+                .map(|at| Incarnation::new(format!("w{at}")))
+                .collect(),
+            checkpoint_count: 0,
             jobs: jobs.collect(),
             ledger: Ledger::default(),
-            parcels: Vec::new(),
+            messages: Vec::new(),
             listed: BTreeMap::new(),
-            brought: 0,
+            resumed: 0,
             starts: Vec::new(),
-            calm: false,
+            no_faults: false,
         };
         play.take_over();
         play
@@ -80,9 +82,9 @@
         self.ledger.restore(&mut self.machine, jobs);
         for id in ids {
             let job = self.jobs[&id].clone();
-            self.tell(Event::Accepted(job));
+            self.notify(Event::Accepted(job));
         }
-        self.tell(Event::Queues(vec![QueuePolicy {
+        self.notify(Event::Queues(vec![QueuePolicy {
             queue: "q".into(),
             service: "s".into(),
             priority: 0,
@@ -90,47 +92,50 @@
             stretch: 1.5,
             latency: 250,
         }]));
-        for at in 0..self.lives.len() {
-            self.tell(Event::WorkerUpdated(self.lives[at].info(at)));
+        for at in 0..self.workers.len() {
+            self.notify(Event::WorkerUpdated(self.workers[at].info(at)));
         }
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn notify(&mut self, event: Event) {
         self.machine.handle(self.now, self.now, event);
     }
 
     /// Milliseconds that something takes.
-    fn delay(&mut self) -> u64 {
-        self.rng.random_range(0..4) * TICK
+    fn random_delay(&mut self) -> u64 {
+        self.rng.random_range(0..4) * TICK_MS
     }
 
     pub fn step(&mut self) {
-        self.now += TICK;
-        if !self.calm {
-            self.work();
+        self.now += TICK_MS;
+        if !self.no_faults {
+            self.inject_faults();
         }
-        let due = self.parcels.extract_if(.., |p| p.0 <= self.now);
+        let due = self.messages.extract_if(.., |p| p.0 <= self.now);
         for (_, parcel) in due.collect::<Vec<_>>() {
             self.deliver(parcel);
         }
         let asked = self.now;
-        self.tell(Event::WorkersSynced { asked_at: asked });
-        self.tell(Event::Renewed { asked_at: asked });
+        self.notify(Event::WorkersSynced { asked_at: asked });
+        self.notify(Event::Renewed { asked_at: asked });
         for action in self.machine.decide(self.now, self.now) {
             self.act(action);
         }
     }
 
     /// Runs save their progress and end; workers crash, and owners are followed by others.
-    fn work(&mut self) {
-        for life in &mut self.lives {
+    fn inject_faults(&mut self) {
+        for life in &mut self.workers {
             let mut at = 0;
             while at < life.runs.len() {
                 let run = &mut life.runs[at];
                 if self.rng.random_range(0..3) == 0 {
-                    self.made += 1;
-                    run.saved =
-                        format!("{} {} {} {}", run.task, run.number, life.id, self.made).into();
+                    self.checkpoint_count += 1;
+                    run.checkpoint = format!(
+                        "{} {} {} {}",
+                        run.task, run.number, life.id, self.checkpoint_count
+                    )
+                    .into();
                 }
                 let ending = match self.rng.random_range(0..400) {
                     0 => Ending::Done,
@@ -147,18 +152,18 @@
         }
         if self.rng.random_range(0..60) == 0 {
             let at = self.rng.random_range(0..WORKERS);
-            self.made += 1;
-            self.lives[at] = Life::new(format!("w{at}.{}", self.made));
-            self.tell(Event::WorkerUpdated(self.lives[at].info(at)));
+            self.checkpoint_count += 1;
+            self.workers[at] = Incarnation::new(format!("w{at}.{}", self.checkpoint_count));
+            self.notify(Event::WorkerUpdated(self.workers[at].info(at)));
         }
         if self.rng.random_range(0..60) == 0 {
             self.take_over();
         }
     }
 
-    fn deliver(&mut self, parcel: Parcel) {
+    fn deliver(&mut self, parcel: Message) {
         match parcel {
-            Parcel::Answer(epoch, worker, sent, answer) if epoch == self.epoch => {
+            Message::Answer(epoch, worker, sent, answer) if epoch == self.epoch => {
                 if let Answer::Report(look) = &answer {
                     let running = look.running.iter().map(|r| (r.task, &r.checkpoint));
                     let ended = look.finished.iter().map(|e| (e.task, &e.checkpoint));
@@ -166,28 +171,28 @@
                         self.listed.entry(task).or_default().push(saved.clone());
                     }
                 }
-                self.tell(Event::Answer {
+                self.notify(Event::Answer {
                     worker,
                     sent,
                     answer,
                 });
             }
-            Parcel::Start(life, fence, order) => {
-                if let Some(life) = self.lives.iter_mut().find(|l| l.id == life) {
+            Message::Start(life, fence, order) => {
+                if let Some(life) = self.workers.iter_mut().find(|l| l.id == life) {
                     life.start(&order, fence);
                 }
             }
             // Each write is on condition that no other owner has written since.
-            Parcel::Batch(epoch, batch) if epoch == self.epoch => {
+            Message::Batch(epoch, batch) if epoch == self.epoch => {
                 self.ledger.apply(batch);
                 // Its answer may be lost, and with it what the owner knows of it.
-                if !self.calm && self.rng.random_range(0..40) == 0 {
+                if !self.no_faults && self.rng.random_range(0..40) == 0 {
                     return self.take_over();
                 }
                 let asked = self.now;
-                self.tell(Event::Committed { asked_at: asked });
+                self.notify(Event::Committed { asked_at: asked });
             }
-            Parcel::Answer(..) | Parcel::Batch(..) => {}
+            Message::Answer(..) | Message::Batch(..) => {}
         }
     }
 
@@ -198,7 +203,7 @@
             } => {
                 let (clock, fence) = (self.now, self.epoch);
                 let life = self.life(worker);
-                let answer = life.map_or(Answer::Dead, |l| l.look(clock, observed, fence));
+                let answer = life.map_or(Answer::Dead, |l| l.report(clock, observed, fence));
                 (worker, answer)
             }
             Action::Start(worker, order) => (worker, self.start(worker, order)),
@@ -211,21 +216,21 @@
                 (worker, answer)
             }
             Action::Commit(batch) => {
-                let due = self.now + self.delay();
-                self.parcels.push((due, Parcel::Batch(self.epoch, batch)));
+                let due = self.now + self.random_delay();
+                self.messages.push((due, Message::Batch(self.epoch, batch)));
                 return;
             }
             Action::Pace { .. } | Action::StepDown => panic!("not expected"),
         };
-        let due = self.now + self.delay();
-        let parcel = Parcel::Answer(self.epoch, worker, self.now, answer);
-        self.parcels.push((due, parcel));
+        let due = self.now + self.random_delay();
+        let parcel = Message::Answer(self.epoch, worker, self.now, answer);
+        self.messages.push((due, parcel));
     }
 
     /// Returns the life that the owner means by a worker, if that has not ended.
-    fn life(&mut self, worker: u32) -> Option<&mut Life> {
+    fn life(&mut self, worker: u32) -> Option<&mut Incarnation> {
         let (_, id) = self.machine.worker_address(worker).expect("announced");
-        self.lives.iter_mut().find(|l| l.id == id)
+        self.workers.iter_mut().find(|l| l.id == id)
     }
 
     fn start(&mut self, worker: u32, order: StartOrder) -> Answer {
@@ -233,7 +238,7 @@
         self.starts.push(order.clone());
         assert_eq!(&*order.spec.payload, format!("text of {}", task.job));
         if !order.checkpoint.is_empty() {
-            self.brought += 1;
+            self.resumed += 1;
             let step = &order.spec.steps[task.step as usize];
             // That of any member of a gang is good for all.
             let members = match step.gang {
@@ -245,12 +250,12 @@
             assert!(own, "{task} brings {}", order.checkpoint);
         }
         let fence = self.epoch;
-        if !self.calm && self.rng.random_range(0..20) == 0 {
+        if !self.no_faults && self.rng.random_range(0..20) == 0 {
             // It gets no answer, and is carried out later.
             let (_, id) = self.machine.worker_address(worker).expect("announced");
-            let due = self.now + 10 * TICK;
+            let due = self.now + 10 * TICK_MS;
             let answer = Answer::Started(task, order.run, Started::Unknown);
-            self.parcels.push((due, Parcel::Start(id, fence, order)));
+            self.messages.push((due, Message::Start(id, fence, order)));
             return answer;
         }
         let life = self.life(worker);
--- a/crates/jobs/tests/all/regression.rs
+++ b/crates/jobs/tests/all/regression.rs
@@ -3,7 +3,7 @@
 use crate::common::{Mode, World, WorldSettings, chain, serving, short};
 use gorsespur_jobs::{Event, Outcome, Step};
 
-fn filling(count: u32, estimate: u64) -> Step {
+fn best_effort(count: u32, estimate: u64) -> Step {
     Step {
         best_effort: true,
         image: Some("fill".into()),
@@ -37,7 +37,7 @@
 /// Serves and fills on one worker whose tail goes through these percents of its target,
 /// one each half second, from `after` milliseconds on; returns the longest time that
 /// something fills then, in milliseconds.
-fn longest_harm(after: u64, tails: &[u64]) -> u64 {
+fn longest_over_target(after: u64, tails: &[u64]) -> u64 {
     let mut world = World::new(WorldSettings {
         workers: 1,
         ..WorldSettings::default()
@@ -45,7 +45,7 @@
     world.run(100);
     world.submit(1, chain(vec![serving(1)]));
     world.run(1000);
-    world.submit(2, chain(vec![filling(3, 60_000)]));
+    world.submit(2, chain(vec![best_effort(3, 60_000)]));
     world.run(after);
     world.workers[0].tail_percents = tails.to_vec();
     let (mut harmed, mut longest, mut filled) = (0, 0, false);
@@ -71,7 +71,7 @@
 /// and figures are rough. Found by a hunt: tmdro, mix seed 652337052647, HARM 1.
 #[test]
 fn one_low_figure_does_not_end_the_time_over_the_target() {
-    assert!(longest_harm(1000, &[105, 102, 85, 104]) < 4000);
+    assert!(longest_over_target(1000, &[105, 102, 85, 104]) < 4000);
 }
 
 /// The same, by a figure that was off by a quarter.
@@ -81,7 +81,7 @@
 /// seed 880420665051, HARM 2; its replay did not break the rule again.
 #[test]
 fn a_very_low_figure_does_not_end_the_time_over_the_target() {
-    assert!(longest_harm(1000, &[105, 102, 76, 104]) < 4000);
+    assert!(longest_over_target(1000, &[105, 102, 76, 104]) < 4000);
 }
 
 /// The same, from the moment on at which many tasks began to fill.
@@ -92,7 +92,7 @@
 #[test]
 fn what_fills_is_stopped_half_a_second_before_it_is_harm() {
     let phases = (1000..2200).step_by(100);
-    let longest = phases.map(|after| longest_harm(after, &[120])).max();
+    let longest = phases.map(|after| longest_over_target(after, &[120])).max();
     assert!(
         longest < Some(3000),
         "{longest:?} ms, and half a second unseen"
@@ -114,7 +114,7 @@
     world.run(1000);
     world.workers[0].tail_percents = vec![105];
     world.run(1500);
-    world.submit(2, chain(vec![filling(2, 60_000)]));
+    world.submit(2, chain(vec![best_effort(2, 60_000)]));
     world.run(300);
     assert!(world.workers[0].runs.iter().all(|r| !r.best_effort));
     // Neither when the job has waited for long.
--- a/crates/jobs/tests/all/resizing.rs
+++ b/crates/jobs/tests/all/resizing.rs
@@ -4,13 +4,15 @@
 //! a store that was away in between, the place was chosen seconds before the start was sent, and
 //! on a worker that does not guard itself it began beyond the room that was left by then.
 
-use crate::common::{World, WorldSettings, chain, check_seed, saving_some, serving, short};
+use crate::common::{
+    World, WorldSettings, chain, check_invariants, serving, short, some_with_checkpoints,
+};
 use gorsespur_jobs::{JobId, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
 /// Cores and memory of a worker in full.
-const FULL: (u64, u64) = (8000, 16000);
+const FULL_CAPACITY: (u64, u64) = (8000, 16000);
 
 /// A world of workers that start whatever they are told.
 fn world(workers: usize, seed: u64) -> World {
@@ -49,18 +51,18 @@
     // The write is confirmed a little before the workers' rows are read again.
     world.store_down = false;
     world.run(300);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
     world.watch_down = false;
     for at in 0..2 {
         world.announce(at, true);
     }
     world.run(3000);
     for at in 0..2 {
-        resize(&mut world, at, FULL);
+        resize(&mut world, at, FULL_CAPACITY);
     }
     assert!(world.run_until_done(30_000));
     assert_eq!(world.outcome(id), gorsespur_jobs::Outcome::Complete);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
 /// The same if the owner has heard of it meanwhile.
@@ -76,8 +78,8 @@
     world.run(5000);
     world.store_down = false;
     world.run(2000);
-    check_seed(&world, 0);
-    resize(&mut world, 0, FULL);
+    check_invariants(&world, 0);
+    resize(&mut world, 0, FULL_CAPACITY);
     assert!(world.run_until_done(30_000));
 }
 
@@ -98,7 +100,7 @@
     assert_eq!(world.workers[0].runs.len(), 6);
     // It is not even tried: a place that is chosen and dropped costs a write each time.
     assert!(world.stats().commits < 10, "{:?}", world.stats());
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
 /// What runs on a worker when its room shrinks goes on, and nothing more begins there until
@@ -115,7 +117,7 @@
     assert_eq!(world.workers[0].runs.len(), 6, "none stopped, none begun");
     world.cancel(JobId(1));
     assert!(world.run_until_done(10_000));
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
 #[test]
@@ -126,7 +128,7 @@
         world.submit(1, chain(vec![serving(8)]));
         for id in 10..130 {
             let steps = vec![short(4, 700), short(3, 400)];
-            world.submit(id, chain(saving_some(id, steps)));
+            world.submit(id, chain(some_with_checkpoints(id, steps)));
             let at = rng.random_range(0..6);
             match rng.random_range(0..12) {
                 0 => world.store_down = true,
@@ -134,7 +136,7 @@
                     let left = rng.random_range(1..8) * 1000;
                     resize(&mut world, at, (left, left * 2));
                 }
-                3 => resize(&mut world, at, FULL),
+                3 => resize(&mut world, at, FULL_CAPACITY),
                 4 => world.pause(true),
                 _ => {
                     world.store_down = false;
@@ -146,36 +148,36 @@
         }
         world.store_down = false;
         world.pause(false);
-        (0..6).for_each(|at| resize(&mut world, at, FULL));
+        (0..6).for_each(|at| resize(&mut world, at, FULL_CAPACITY));
         assert!(world.run_until_done(60_000), "seed {seed}: jobs are left");
-        check_seed(&world, seed);
+        check_invariants(&world, seed);
     }
 }
 
 /// Workers of the world with bursts; a quarter of them shrinks.
-const MANY: usize = 8;
+const BURST_WORKERS: usize = 8;
 
 /// What is left of a worker that has shrunk to 0.55 of its room.
-const LEFT: (u64, u64) = (4400, 8800);
+const SHRUNK_CAPACITY: (u64, u64) = (4400, 8800);
 
 /// Usually a job comes each so many milliseconds ...
-const USUAL: u64 = 130;
+const NORMAL_INTERVAL_MS: u64 = 130;
 
 /// ... and in a burst each so many.
-const PRESSED: u64 = 90;
+const BURST_INTERVAL_MS: u64 = 90;
 
 /// Thousandths of a core that each task asks for.
-const SMALLEST: u64 = 1000;
+const TASK_CPU: u64 = 1000;
 
 /// Milliseconds until owners hear of a worker's room.
-const HEARD: u64 = 800;
+const NOTICE_MS: u64 = 800;
 
 /// The first of the jobs that come in turn.
-const FIRST: u64 = 10;
+const FIRST_JOB: u64 = 10;
 
 /// What happens to owners while workers are shrunk.
 #[derive(Debug, Clone, Copy)]
-enum Trouble {
+enum Fault {
     /// Nothing.
     None,
     /// The owner is killed, and another one takes over.
@@ -197,18 +199,18 @@
 
 impl Burst {
     fn new(guards: bool) -> Burst {
-        let mut world = world(MANY, 0);
+        let mut world = world(BURST_WORKERS, 0);
         for worker in &mut world.workers {
             worker.enforces_capacity = guards;
         }
         let lasting = Step {
             max_per_worker: 2,
-            ..serving(2 * MANY as u32)
+            ..serving(2 * BURST_WORKERS as u32)
         };
         world.submit(1, chain(vec![lasting]));
         world.run(1500);
         assert!(world.workers.iter().all(|w| w.runs.len() == 2));
-        let next = (FIRST, world.now);
+        let next = (FIRST_JOB, world.now);
         Burst {
             world,
             shrunk: Vec::new(),
@@ -238,9 +240,9 @@
             for &(at, since) in &self.shrunk {
                 let (worker, now) = (&world.workers[at], world.now);
                 let begins = worker.runs.iter().any(|r| r.started_at + 5 > now);
-                let is_late = now > since + HEARD + 50;
+                let is_late = now > since + NOTICE_MS + 50;
                 assert!(
-                    !(begins && is_late && worker.is_over(now, 0)),
+                    !(begins && is_late && worker.is_overcommitted(now, 0)),
                     "{now}: a task begins on {} beyond its room",
                     worker.id,
                 );
@@ -252,14 +254,14 @@
     fn resize(&mut self, room: (u64, u64), every: u64) {
         let now = self.world.now;
         self.shrunk.clear();
-        for at in 0..MANY / 4 {
+        for at in 0..BURST_WORKERS / 4 {
             self.world.workers[at].resize(room, now);
-            if room != FULL {
+            if room != FULL_CAPACITY {
                 self.shrunk.push((at, now));
             }
         }
-        self.run(HEARD, every);
-        for at in 0..MANY / 4 {
+        self.run(NOTICE_MS, every);
+        for at in 0..BURST_WORKERS / 4 {
             self.world.announce(at, true);
         }
     }
@@ -268,46 +270,50 @@
 /// A quarter of the workers has 0.55 of its room for 14 s, and a burst comes meanwhile. What runs
 /// there goes on, nothing begins beyond what is left, whether the worker guards itself or not, no
 /// task is started twice, and room that is back is used within a second.
-#[test_case(Trouble::None, true)]
-#[test_case(Trouble::None, false)]
-#[test_case(Trouble::Killed, true)]
-#[test_case(Trouble::Killed, false)]
-#[test_case(Trouble::Away, true)]
-#[test_case(Trouble::Away, false)]
-fn a_quarter_that_shrinks_under_a_burst_is_used_again(trouble: Trouble, guards: bool) {
+#[test_case(Fault::None, true)]
+#[test_case(Fault::None, false)]
+#[test_case(Fault::Killed, true)]
+#[test_case(Fault::Killed, false)]
+#[test_case(Fault::Away, true)]
+#[test_case(Fault::Away, false)]
+fn a_quarter_that_shrinks_under_a_burst_is_used_again(trouble: Fault, guards: bool) {
     let mut burst = Burst::new(guards);
-    burst.run(4000, USUAL);
-    burst.world.store_down = matches!(trouble, Trouble::Away);
-    burst.run(200, USUAL);
-    burst.resize(LEFT, USUAL);
-    burst.run(4000 - HEARD, USUAL);
+    burst.run(4000, NORMAL_INTERVAL_MS);
+    burst.world.store_down = matches!(trouble, Fault::Away);
+    burst.run(200, NORMAL_INTERVAL_MS);
+    burst.resize(SHRUNK_CAPACITY, NORMAL_INTERVAL_MS);
+    burst.run(4000 - NOTICE_MS, NORMAL_INTERVAL_MS);
     burst.world.store_down = false;
-    burst.run(1000, USUAL);
-    if matches!(trouble, Trouble::Killed) {
+    burst.run(1000, NORMAL_INTERVAL_MS);
+    if matches!(trouble, Fault::Killed) {
         burst.count();
         burst.world.pause(true);
         let over = burst.world.lease_end();
-        burst.run(1500, PRESSED);
+        burst.run(1500, BURST_INTERVAL_MS);
         burst.world.take_over(over);
     } else {
-        burst.run(1500, PRESSED);
+        burst.run(1500, BURST_INTERVAL_MS);
     }
-    burst.run(4500, PRESSED);
-    for worker in &burst.world.workers[..MANY / 4] {
+    burst.run(4500, BURST_INTERVAL_MS);
+    for worker in &burst.world.workers[..BURST_WORKERS / 4] {
         let used = worker.used().0;
-        assert!(used + SMALLEST > LEFT.0, "{} has {used}", worker.id);
+        assert!(
+            used + TASK_CPU > SHRUNK_CAPACITY.0,
+            "{} has {used}",
+            worker.id
+        );
     }
-    burst.run(3000, USUAL);
-    burst.resize(FULL, PRESSED);
-    burst.run(1000 - HEARD, PRESSED);
-    for worker in &burst.world.workers[..MANY / 4] {
+    burst.run(3000, NORMAL_INTERVAL_MS);
+    burst.resize(FULL_CAPACITY, BURST_INTERVAL_MS);
+    burst.run(1000 - NOTICE_MS, BURST_INTERVAL_MS);
+    for worker in &burst.world.workers[..BURST_WORKERS / 4] {
         let (used, _) = worker.used();
-        assert!(used > LEFT.0, "{} has {used}", worker.id);
+        assert!(used > SHRUNK_CAPACITY.0, "{} has {used}", worker.id);
     }
     let world = &mut burst.world;
     assert!(world.run_until_done(60_000), "jobs are left");
-    check_seed(world, 0);
+    check_invariants(world, 0);
     burst.count();
-    let tasks = 2 * MANY as u64 + 5 * (burst.next.0 - FIRST);
+    let tasks = 2 * BURST_WORKERS as u64 + 5 * (burst.next.0 - FIRST_JOB);
     assert_eq!(burst.counted, (tasks, 0), "begun, and ended otherwise");
 }
--- a/crates/jobs/tests/all/restarts.rs
+++ b/crates/jobs/tests/all/restarts.rs
@@ -2,12 +2,14 @@
 
 use std::{env, ops::Range};
 
-use crate::common::{Restart, World, WorldSettings, chain, lasting, saving_some, short};
+use crate::common::{
+    Restart, World, WorldSettings, chain, long_running, short, some_with_checkpoints,
+};
 use gorsespur_jobs::{JobId, Outcome, Spec, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// The job of two lasting tasks.
-const LASTING: JobId = JobId(1000);
+const LONG_RUNNING_JOB: JobId = JobId(1000);
 
 /// A job of one step or two, as the random series hand them in.
 fn some_job(rng: &mut SmallRng, id: u64) -> Spec {
@@ -17,11 +19,11 @@
         ..short(count, rng.random_range(50..1500))
     };
     let steps = vec![first, short(2, 300)];
-    chain(saving_some(id, steps))
+    chain(some_with_checkpoints(id, steps))
 }
 
 /// Something that happens in a random series.
-fn strike(world: &mut World, rng: &mut SmallRng, at: usize) {
+fn inject_fault(world: &mut World, rng: &mut SmallRng, at: usize) {
     world.restart_ms = match rng.random_range(0..3) {
         0 => rng.random_range(5..50),
         1 => rng.random_range(50..1500),
@@ -60,7 +62,7 @@
 }
 
 /// Plays the series of a seed, in which workers keep their names or do not; returns what was wrong.
-fn play(seed: u64, lives: bool) -> Vec<String> {
+fn run_series(seed: u64, lives: bool) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(WorldSettings {
         workers: 5,
@@ -75,7 +77,7 @@
     world.max_lag_ms = [0, 40, 300][rng.random_range(0..3)];
     world.unread_percent = [0, 0, 50][rng.random_range(0..3)];
     world.run(100);
-    world.submit(LASTING.0, chain(vec![lasting(2)]));
+    world.submit(LONG_RUNNING_JOB.0, chain(vec![long_running(2)]));
     let mut id = 0;
     for _ in 0..rng.random_range(2..9) {
         for _ in 0..rng.random_range(0..6) {
@@ -84,7 +86,7 @@
             world.run(rng.random_range(0..300));
         }
         let at = rng.random_range(0..5);
-        strike(&mut world, &mut rng, at);
+        inject_fault(&mut world, &mut rng, at);
         world.run(rng.random_range(0..2500));
     }
     for worker in &mut world.workers {
@@ -109,7 +111,7 @@
     }
     // A task that three workers crashed under by chance is given up.
     let runs = world.workers.iter().flat_map(|w| &w.runs);
-    if world.outcome(LASTING) == Outcome::Active && runs.count() != 2 {
+    if world.outcome(LONG_RUNNING_JOB) == Outcome::Active && runs.count() != 2 {
         wrong.push("lasting tasks do not run".into());
     }
     wrong
@@ -131,7 +133,7 @@
 fn check_series(seeds: Range<u64>, lives: bool) {
     let mut bad = Vec::new();
     for seed in seeds {
-        let wrong = play(seed, lives);
+        let wrong = run_series(seed, lives);
         if let Some(first) = wrong.first() {
             bad.push(format!("seed {seed}: {first}, {} in all", wrong.len()));
         }
--- a/crates/jobs/tests/all/sharing.rs
+++ b/crates/jobs/tests/all/sharing.rs
@@ -49,11 +49,11 @@
     }
 }
 
-fn filling(image: &str, count: u32) -> Step {
-    sized_filling(image, count, 1)
+fn best_effort(image: &str, count: u32) -> Step {
+    sized_best_effort(image, count, 1)
 }
 
-fn sized_filling(image: &str, count: u32, times: u64) -> Step {
+fn sized_best_effort(image: &str, count: u32, times: u64) -> Step {
     Step {
         best_effort: true,
         image: Some(image.into()),
@@ -63,9 +63,9 @@
 
 /// What became of 40 s in which jobs fill, in seconds of tasks.
 #[derive(Debug, Default)]
-struct Seen {
+struct Usage {
     served: f64,
-    over: f64,
+    over_target: f64,
     harmless: f64,
     /// Of these, at less than full pace.
     slowed: f64,
@@ -74,22 +74,22 @@
 
 /// Fills with four harmless images and a heavy one; what the first 10 s teach does
 /// not count.
-fn fill() -> Seen {
-    fill_workers(1)
+fn run_best_effort() -> Usage {
+    run_best_effort_on(1)
 }
 
 /// The same on workers, with tasks, that are so many times as large.
-fn fill_workers(times: u64) -> Seen {
+fn run_best_effort_on(times: u64) -> Usage {
     let mut world = sized_world(times);
-    let mut seen = Seen::default();
+    let mut seen = Usage::default();
     for step in 0..800 {
         if step % 10 == 0 {
             let image = ["light", "thin", "small", "soft"][step / 10 % 4];
             world.submit(
                 1000 + step as u64,
-                chain(vec![sized_filling(image, 4, times)]),
+                chain(vec![sized_best_effort(image, 4, times)]),
             );
-            let heavy = sized_filling("heavy", 2, times);
+            let heavy = sized_best_effort("heavy", 2, times);
             world.submit(5000 + step as u64, chain(vec![heavy]));
         }
         world.run(50);
@@ -100,12 +100,12 @@
     seen
 }
 
-fn count(world: &World, seen: &mut Seen) {
+fn count(world: &World, seen: &mut Usage) {
     for worker in &world.workers {
         for run in &worker.runs {
             if run.latency_target > 0 {
                 seen.served += 0.05;
-                seen.over += 0.05 * f64::from(worker.headroom(world.now, run) < 1.0);
+                seen.over_target += 0.05 * f64::from(worker.headroom(world.now, run) < 1.0);
                 continue;
             }
             if run.image.as_deref() == Some("heavy") {
@@ -120,14 +120,14 @@
 
 #[test]
 fn what_does_not_disturb_is_not_slowed_by_a_swinging_load() {
-    let seen = fill();
+    let seen = run_best_effort();
     assert!(seen.slowed < 0.001 * seen.harmless, "{seen:?}");
 }
 
 #[test]
 fn what_disturbs_works_as_far_as_the_load_lets_it() {
-    let seen = fill();
-    assert!(seen.over < 0.003 * seen.served, "{seen:?}");
+    let seen = run_best_effort();
+    assert!(seen.over_target < 0.003 * seen.served, "{seen:?}");
     assert!(seen.heavy > 150.0, "{seen:?}");
 }
 
@@ -135,8 +135,8 @@
 #[test_case(8; "of 64 cores")]
 #[test_case(12; "of 96 cores")]
 fn what_disturbs_is_known_on_large_workers(times: u64) {
-    let seen = fill_workers(times);
-    assert!(seen.over < 0.003 * seen.served, "{seen:?}");
+    let seen = run_best_effort_on(times);
+    assert!(seen.over_target < 0.003 * seen.served, "{seen:?}");
     assert!(seen.slowed < 0.001 * seen.harmless, "{seen:?}");
     assert!(seen.heavy > 150.0, "{seen:?}");
 }
@@ -148,7 +148,7 @@
         count: 4,
         estimate: 60_000,
         max_per_worker: 1,
-        ..filling(image, 4)
+        ..best_effort(image, 4)
     };
     world.submit(10, chain(vec![long("heavy")]));
     world.run(200);
@@ -171,16 +171,16 @@
 
 /// Fills workers with harmless images that disturb a little each, so that many of them disturb
 /// at the peak of a load; what the first 10 s teach does not count.
-fn pile_up() -> Seen {
+fn run_light() -> Usage {
     let mut world = world();
     for worker in &mut world.workers {
         worker.light_cost = 0.28;
     }
-    let mut seen = Seen::default();
+    let mut seen = Usage::default();
     for step in 0..800 {
         if step % 10 == 0 {
             let image = ["light", "thin", "small", "soft"][step / 10 % 4];
-            world.submit(1000 + step as u64, chain(vec![filling(image, 12)]));
+            world.submit(1000 + step as u64, chain(vec![best_effort(image, 12)]));
         }
         world.run(50);
         if step >= 200 {
@@ -192,8 +192,8 @@
 
 #[test]
 fn what_hardly_disturbs_does_not_pile_up_at_the_peak_of_a_load() {
-    let seen = pile_up();
-    assert!(seen.over < 0.3 * seen.served, "{seen:?}");
+    let seen = run_light();
+    assert!(seen.over_target < 0.3 * seen.served, "{seen:?}");
     assert!(seen.harmless > 1250.0, "{seen:?}");
 }
 
@@ -201,18 +201,18 @@
 /// much as before in the time between.
 #[test]
 fn what_fills_gives_way_to_a_peak_that_is_foreseen() {
-    let seen = pile_up();
-    assert!(seen.over < 0.1 * seen.served, "{seen:?}");
+    let seen = run_light();
+    assert!(seen.over_target < 0.1 * seen.served, "{seen:?}");
     assert!(seen.harmless > 1250.0, "{seen:?}");
 }
 
 /// A world in which a job of tasks that save their progress fills, and the tails of one worker
 /// that has some of it have just risen over their targets, for good.
-fn world_that_halts() -> (World, JobId) {
+fn world_with_halted_worker() -> (World, JobId) {
     let mut world = world();
     let saving = Step {
         checkpoints: true,
-        ..filling("light", WORKERS as u32)
+        ..best_effort("light", WORKERS as u32)
     };
     let id = world.submit(1000, chain(vec![saving]));
     world.run(300);
@@ -226,7 +226,7 @@
 /// tasks that save their progress go on elsewhere, on a worker that has room.
 #[test]
 fn what_is_halted_for_long_moves_to_another_worker() {
-    let (mut world, id) = world_that_halts();
+    let (mut world, id) = world_with_halted_worker();
     world.run(12_000);
     assert_eq!(world.outcome(id), Outcome::Complete);
 }
@@ -234,13 +234,13 @@
 /// The same, soon: whoever waits for the step waits for the halted task.
 #[test]
 fn what_is_halted_moves_at_once() {
-    let (mut world, id) = world_that_halts();
+    let (mut world, id) = world_with_halted_worker();
     world.run(4000);
     assert_eq!(world.outcome(id), Outcome::Complete);
 }
 
 /// A world of one worker, on which two tasks fill beside a serving one.
-fn world_of_one() -> (World, JobId) {
+fn single_worker_world() -> (World, JobId) {
     let mut world = World::new(WorldSettings {
         workers: 1,
         ..WorldSettings::default()
@@ -248,14 +248,14 @@
     world.run(100);
     world.submit(1, chain(vec![serving(1)]));
     world.run(1500);
-    let id = world.submit(2, chain(vec![filling("fill", 2)]));
+    let id = world.submit(2, chain(vec![best_effort("fill", 2)]));
     world.run(300);
     (world, id)
 }
 
 /// The same, whose filling tasks are halted.
-fn world_of_halted() -> (World, JobId) {
-    let (mut world, id) = world_of_one();
+fn halted_world() -> (World, JobId) {
+    let (mut world, id) = single_worker_world();
     world.workers[0].tail_percents = vec![200];
     world.run(3000);
     assert_eq!(paces(&world), [0, 0], "halted");
@@ -266,7 +266,7 @@
 /// answer was there, where a stop waits for 400 ms. Now it waits as well.
 #[test]
 fn a_pace_that_is_not_taken_is_not_sent_again_at_once() {
-    let (mut world, _) = world_of_one();
+    let (mut world, _) = single_worker_world();
     world.workers[0].mode = Mode::IgnoresPace;
     world.workers[0].tail_percents = vec![200];
     world.run(3000);
@@ -285,7 +285,7 @@
 /// stayed halted for good, and the worker was thought to be over its target for good.
 #[test]
 fn what_is_halted_goes_on_when_nothing_serves_beside_it() {
-    let (mut world, id) = world_of_halted();
+    let (mut world, id) = halted_world();
     world.cancel(JobId(1));
     world.run(8000);
     assert_eq!(world.outcome(id), Outcome::Complete, "{:?}", paces(&world));
@@ -296,7 +296,7 @@
 /// standing still. Now it does not know their pace until it has told one.
 #[test]
 fn what_an_earlier_owner_halted_goes_on() {
-    let (mut world, id) = world_of_halted();
+    let (mut world, id) = halted_world();
     world.pause(true);
     world.workers[0].tail_percents = vec![40];
     world.take_over(world.lease_end());
@@ -307,7 +307,7 @@
 /// Returns for how much of 30 s something fills at all beside a serving task whose tail
 /// goes through these percents of its target, one each half second, and the mean pace in
 /// percent of what is known to be harmless then.
-fn filled_beside(tails: &[u64]) -> (f64, f64) {
+fn best_effort_beside(tails: &[u64]) -> (f64, f64) {
     let mut world = World::new(WorldSettings {
         workers: 1,
         ..WorldSettings::default()
@@ -321,7 +321,7 @@
         if step % 20 == 0 {
             let images = ["light", "thin", "small", "soft"];
             let image = images[step / 20 % images.len()];
-            world.submit(1000 + step as u64, chain(vec![filling(image, 2)]));
+            world.submit(1000 + step as u64, chain(vec![best_effort(image, 2)]));
         }
         world.run(50);
         let runs = &world.workers[0].runs;
@@ -343,7 +343,7 @@
 #[test_case(&[80, 92, 79, 81, 80, 82]; "close to the target once")]
 #[test_case(&[80, 105, 79, 81, 80, 82, 78, 80, 81, 79]; "above it once")]
 fn one_high_figure_halts_nothing(tails: &[u64]) {
-    let (filled, _) = filled_beside(tails);
+    let (filled, _) = best_effort_beside(tails);
     assert!(filled > 0.9, "for {filled} of the time");
 }
 
@@ -357,7 +357,7 @@
     for step in 0..600 {
         if step % 2 == 0 {
             let image = ["light", "thin", "small", "soft"][step / 2 % 4];
-            world.submit(1000 + step as u64, chain(vec![filling(image, 6)]));
+            world.submit(1000 + step as u64, chain(vec![best_effort(image, 6)]));
         }
         for (at, worker) in world.workers.iter_mut().enumerate() {
             let high = (step / 10 + at) % 3 == 0;
@@ -376,7 +376,7 @@
 /// A tail is over its target for two seconds now and then, whatever fills beside it.
 #[test]
 fn what_is_harmless_works_on_through_a_short_peak() {
-    let (_, pace) = filled_beside(&[80, 80, 80, 80, 105, 105, 105, 105, 105]);
+    let (_, pace) = best_effort_beside(&[80, 80, 80, 80, 105, 105, 105, 105, 105]);
     assert!(pace > 99.0, "at {pace}%");
 }
 
@@ -394,7 +394,7 @@
     for step in 0..200 {
         if step % 2 == 0 {
             let image = ["light", "thin", "small", "soft"][step / 2 % 4];
-            world.submit(1000 + step as u64, chain(vec![filling(image, 9)]));
+            world.submit(1000 + step as u64, chain(vec![best_effort(image, 9)]));
         }
         world.run(50);
         for worker in &world.workers {
@@ -411,14 +411,14 @@
 
 /// Plays 20 s of filling jobs of many images, has another owner take over, and returns
 /// what fills at full pace in the 2 s after that, in seconds of tasks.
-fn filled_after_a_takeover(remembers: bool) -> f64 {
+fn best_effort_after_takeover(remembers: bool) -> f64 {
     let mut world = world();
     world.keeps_learned = remembers;
-    let mut seen = Seen::default();
+    let mut seen = Usage::default();
     for step in 0..440 {
         if step % 2 == 0 {
             let image = format!("light{}", step / 2 % IMAGES);
-            world.submit(1000 + step as u64, chain(vec![filling(&image, 5)]));
+            world.submit(1000 + step as u64, chain(vec![best_effort(&image, 5)]));
         }
         if step == 400 {
             let over = world.lease_end();
@@ -436,8 +436,8 @@
 #[test]
 fn a_new_owner_goes_on_with_what_was_learned() {
     let (with, without) = (
-        filled_after_a_takeover(true),
-        filled_after_a_takeover(false),
+        best_effort_after_takeover(true),
+        best_effort_after_takeover(false),
     );
     assert!(with > 1.15 * without, "{with} s, {without} s without");
 }
@@ -453,7 +453,7 @@
     world.submit(1, chain(vec![serving(1)]));
     world.workers[0].tail_percents = vec![60];
     world.run(1000);
-    let id = world.submit(2, chain(vec![filling("light", 1)]));
+    let id = world.submit(2, chain(vec![best_effort("light", 1)]));
     world.run(200);
     world.workers[0].tail_percents = vec![120];
     world.run(30_000);
@@ -474,7 +474,7 @@
         world.workers[0].tail_percents = vec![120];
         world.run(7000);
         for job in 0..60 {
-            world.submit(100 + job, chain(vec![filling("light", 3)]));
+            world.submit(100 + job, chain(vec![best_effort("light", 3)]));
         }
         world.run(2000 + phase);
         let (mut harmed, mut longest) = (0, 0);
--- a/crates/jobs/tests/all/still.rs
+++ b/crates/jobs/tests/all/still.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::common::{World, WorldSettings, chain, saving, short};
+use crate::common::{World, WorldSettings, chain, short, with_checkpoints};
 use gorsespur_jobs::{JobId, Spec, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
@@ -10,48 +10,48 @@
 const WORKERS: usize = 8;
 
 /// Milliseconds between two looks at what runs.
-const EVERY: u64 = 100;
+const SAMPLE_MS: u64 = 100;
 
 /// Milliseconds after which users count a job as lost of which nothing runs.
-const LOST: u64 = 3000;
+const MAX_STALL_MS: u64 = 3000;
 
 /// Milliseconds that a long task takes.
-const LENGTH: u64 = 4000;
+const TASK_MS: u64 = 4000;
 
 /// Milliseconds from the last arrival until users ask after all jobs.
-const FINISH: u64 = 14_000;
+const DRAIN_MS: u64 = 14_000;
 
 /// Processors that a serving task asks for where less than half of the room is taken ...
-const SPARSE: u64 = 1200;
+const SPARSE_CPU: u64 = 1200;
 
 /// ... and where most of it is, in thousandths of a core.
-const DENSE: u64 = 1800;
+const DENSE_CPU: u64 = 1800;
 
 /// A job whose name comes last in every order that is drawn from names.
-const LAST: u64 = 0x46a7_6c98_01ea_bfcf;
+const LAST_JOB: u64 = 0x46a7_6c98_01ea_bfcf;
 
 /// A job whose name comes first in them.
-const FIRST: u64 = 0x9345_a9f5_82f4_1895;
+const FIRST_JOB: u64 = 0x9345_a9f5_82f4_1895;
 
 /// How long a job has stood still.
 #[derive(Debug, Clone, Copy)]
-struct Still {
+struct Stall {
     /// When something of it ran last.
     since: u64,
     longest: u64,
 }
 
 /// A world whose jobs are watched.
-struct Watched {
+struct WatchedWorld {
     world: World,
     rng: SmallRng,
-    jobs: BTreeMap<JobId, Still>,
+    jobs: BTreeMap<JobId, Stall>,
 }
 
-impl Watched {
+impl WatchedWorld {
     /// Three jobs, each with a task of so many thousandths of a core on each worker, serve with
     /// loads that swing.
-    fn new(seed: u64, cpu: u64) -> Watched {
+    fn new(seed: u64, cpu: u64) -> WatchedWorld {
         let mut world = World::new(WorldSettings {
             workers: WORKERS,
             seed,
@@ -61,7 +61,7 @@
             worker.queueing = true;
             worker.shares_cpu = true;
         }
-        world.run(EVERY);
+        world.run(SAMPLE_MS);
         for id in 1..4 {
             let serve = Step {
                 cpu,
@@ -74,7 +74,7 @@
             world.submit(id, chain(vec![serve]));
         }
         world.run(5000);
-        Watched {
+        WatchedWorld {
             world,
             rng: SmallRng::seed_from_u64(seed),
             jobs: BTreeMap::new(),
@@ -83,7 +83,7 @@
 
     fn submit(&mut self, id: u64, spec: Spec) {
         let id = self.world.submit(id, spec);
-        let still = Still {
+        let still = Stall {
             since: self.world.now,
             longest: 0,
         };
@@ -94,16 +94,19 @@
     fn overload(&mut self, ms: u64, images: &[&str]) {
         let end = self.world.now + ms;
         while self.world.now < end {
-            let (first, second) = (self.filling(images), self.filling(images));
+            let (first, second) = (
+                self.random_best_effort(images),
+                self.random_best_effort(images),
+            );
             let id = self.rng.random_range(1000..u64::MAX);
             self.submit(id, chain(vec![first, second]));
             self.run(300);
         }
     }
 
-    fn filling(&mut self, images: &[&str]) -> Step {
+    fn random_best_effort(&mut self, images: &[&str]) -> Step {
         let image = images[self.rng.random_range(0..images.len())];
-        saving(Step {
+        with_checkpoints(Step {
             best_effort: true,
             cpu: self.rng.random_range(1000..2000),
             memory: 200,
@@ -118,7 +121,7 @@
     fn run(&mut self, ms: u64) {
         let end = self.world.now + ms;
         while self.world.now < end {
-            self.world.run(EVERY);
+            self.world.run(SAMPLE_MS);
             let (world, now) = (&self.world, self.world.now);
             for (&id, still) in &mut self.jobs {
                 let mut runs = world.workers.iter().flat_map(|w| &w.runs);
@@ -131,9 +134,12 @@
     }
 
     /// The jobs that have stood still for so long now that users count them as lost.
-    fn lost(&self) -> Vec<(JobId, Still)> {
+    fn stalled(&self) -> Vec<(JobId, Stall)> {
         let now = self.world.now;
-        let lost = self.jobs.iter().filter(|(_, s)| now >= s.since + LOST);
+        let lost = self
+            .jobs
+            .iter()
+            .filter(|(_, s)| now >= s.since + MAX_STALL_MS);
         lost.map(|(&id, &s)| (id, s)).collect()
     }
 }
@@ -146,10 +152,10 @@
 #[test_case(13)]
 #[test_case(15)]
 fn no_late_job_stands_still_after_the_last_arrival(seed: u64) {
-    let mut watched = Watched::new(seed, SPARSE);
+    let mut watched = WatchedWorld::new(seed, SPARSE_CPU);
     watched.overload(60_000, &["light", "thin", "heavy", "heavy"]);
-    watched.run(FINISH);
-    let lost = watched.lost();
+    watched.run(DRAIN_MS);
+    let lost = watched.stalled();
     assert!(
         lost.is_empty(),
         "{} of {}: {lost:?}",
@@ -160,28 +166,28 @@
 
 /// A job of a thousand tasks takes all that is left to what fills. One that comes last in every
 /// order goes on beside it: with most of the room taken once the next task ends.
-#[test_case("light", SPARSE, 0; "where it disturbs nothing")]
-#[test_case("unknown", SPARSE, 0; "where it may disturb everywhere")]
-#[test_case("light", DENSE, LENGTH; "where most of the room is taken")]
+#[test_case("light", SPARSE_CPU, 0; "where it disturbs nothing")]
+#[test_case("unknown", SPARSE_CPU, 0; "where it may disturb everywhere")]
+#[test_case("light", DENSE_CPU, TASK_MS; "where most of the room is taken")]
 fn a_late_job_goes_on_beside_one_that_takes_all(image: &str, cpu: u64, more: u64) {
-    let mut watched = Watched::new(1, cpu);
+    let mut watched = WatchedWorld::new(1, cpu);
     for worker in &mut watched.world.workers {
         worker.tail_percents = vec![60];
     }
-    watched.submit(FIRST, chain(vec![fill("light", 1000)]));
+    watched.submit(FIRST_JOB, chain(vec![best_effort("light", 1000)]));
     watched.run(10_000);
-    watched.submit(LAST, chain(vec![fill(image, 300)]));
+    watched.submit(LAST_JOB, chain(vec![best_effort(image, 300)]));
     watched.run(40_000);
-    let still = watched.jobs[&JobId(LAST)];
-    assert!(still.longest < LOST + more, "{still:?}");
+    let still = watched.jobs[&JobId(LAST_JOB)];
+    assert!(still.longest < MAX_STALL_MS + more, "{still:?}");
 }
 
 /// A step whose tasks fill for long, and save their progress.
-fn fill(image: &str, count: u32) -> Step {
-    saving(Step {
+fn best_effort(image: &str, count: u32) -> Step {
+    with_checkpoints(Step {
         best_effort: true,
         memory: 500,
         image: Some(image.into()),
-        ..short(count, LENGTH)
+        ..short(count, TASK_MS)
     })
 }
--- a/crates/jobs/tests/all/takeovers.rs
+++ b/crates/jobs/tests/all/takeovers.rs
@@ -1,10 +1,10 @@
 //! Takeovers, and what a new owner does not know of its workers.
 
-use crate::common::{World, WorldSettings, chain, check_seed};
+use crate::common::{World, WorldSettings, chain, check_invariants};
 use gorsespur_jobs::{JobId, Step};
 
 /// A job of four lasting tasks, one on each worker.
-const LASTING: JobId = JobId(1);
+const LONG_RUNNING_JOB: JobId = JobId(1);
 
 /// A world whose workers have one lasting task each.
 fn world() -> World {
@@ -17,14 +17,14 @@
         long_running: true,
         ..Step::default()
     };
-    world.submit(LASTING.0, chain(vec![step]));
+    world.submit(LONG_RUNNING_JOB.0, chain(vec![step]));
     world.run(1500);
     assert!(world.workers.iter().all(|w| w.runs.len() == 1));
     world
 }
 
 /// Takes a worker away, and with it its row.
-fn vanish(world: &mut World, at: usize) {
+fn remove_worker(world: &mut World, at: usize) {
     world.workers[at].alive = false;
     world.workers[at].runs.clear();
 }
@@ -34,7 +34,7 @@
 fn runs_on_a_worker_that_has_vanished_are_counted() {
     let mut world = world();
     world.pause(true);
-    vanish(&mut world, 0);
+    remove_worker(&mut world, 0);
     let over = world.lease_end();
     world.take_over(over);
     assert_eq!(world.stats().unverified_runs, 4);
@@ -42,12 +42,12 @@
     assert_eq!(world.stats().unverified_runs, 1);
     world.run(over - world.now + 500);
     assert_eq!(world.stats().unverified_runs, 0);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
 /// The users allow a lasting task to be away for 10 s after the last trouble: instances
 /// count as in touch after 3 s, and 4 s and 3 s more have to be calm.
-const ALLOWED: u64 = 10_000;
+const MAX_OUTAGE_MS: u64 = 10_000;
 
 /// A worker left while the store answered late or not at all, so that no owner could note
 /// that the two lasting tasks there had been stopped, and by the last takeover its row was
@@ -63,7 +63,7 @@
     world.run(1500);
     assert!(world.workers[0].runs.is_empty(), "stopped, and not noted");
     world.pause(true);
-    vanish(&mut world, 0);
+    remove_worker(&mut world, 0);
     // An owner that takes over just now, and whose writes get no answer.
     world.take_over(world.lease_end());
     let contact = world.now;
@@ -72,10 +72,10 @@
     world.pause(true);
     world.store_down = false;
     world.take_over(over);
-    world.run(contact + ALLOWED - world.now);
+    world.run(contact + MAX_OUTAGE_MS - world.now);
     let running: usize = world.workers.iter().map(|w| w.runs.len()).sum();
-    assert_eq!(running, 4, "{ALLOWED} ms after the last contact");
-    check_seed(&world, 0);
+    assert_eq!(running, 4, "{MAX_OUTAGE_MS} ms after the last contact");
+    check_invariants(&world, 0);
 }
 
 /// An owner whose claim was answered late grants nothing beyond what its successor waits for,
@@ -110,7 +110,7 @@
     world.run(2500);
     world.store_down = false;
     world.run(10_000);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
     let running: usize = world.workers.iter().map(|w| w.runs.len()).sum();
     assert_eq!(running, 4);
 }
--- a/crates/jobs/tests/all/waits.rs
+++ b/crates/jobs/tests/all/waits.rs
@@ -1,38 +1,40 @@
 //! What can run goes on, whatever holds others back.
 
-use crate::common::{Mode, World, WorldSettings, chain, lasting, saving, serving, short};
+use crate::common::{
+    Mode, World, WorldSettings, chain, long_running, serving, short, with_checkpoints,
+};
 use gorsespur_jobs::{Capacity, Event, JobId, Schedule, Spec, Step, TaskId, WorkerInfo};
 use test_case::test_case;
 
 const WORKERS: usize = 8;
 
 /// Milliseconds between two looks at what runs.
-const EVERY: u64 = 100;
+const SAMPLE_MS: u64 = 100;
 
 /// Milliseconds after which users count a job as lost of which nothing runs ...
-const LOST: u64 = 3000;
+const MAX_WAIT_MS: u64 = 3000;
 
 /// ... or a lasting task.
-const LASTING_LOST: u64 = 6000;
+const MAX_LONG_RUNNING_WAIT_MS: u64 = 6000;
 
 /// A job whose name comes last in every order that is drawn from names.
-const LAST: u64 = 0x46a7_6c98_01ea_bfcf;
+const LAST_JOB: u64 = 0x46a7_6c98_01ea_bfcf;
 
 /// A job whose name comes first in them.
-const FIRST: u64 = 0x9345_a9f5_82f4_1895;
+const FIRST_JOB: u64 = 0x9345_a9f5_82f4_1895;
 
 fn world(workers: usize) -> World {
     let mut world = World::new(WorldSettings {
         workers,
         ..WorldSettings::default()
     });
-    world.run(EVERY);
+    world.run(SAMPLE_MS);
     world
 }
 
 /// A step whose tasks fill, and save their progress.
-fn fill(image: &str, count: u32, estimate: u64) -> Step {
-    saving(Step {
+fn best_effort(image: &str, count: u32, estimate: u64) -> Step {
+    with_checkpoints(Step {
         best_effort: true,
         memory: 500,
         image: Some(image.into()),
@@ -51,7 +53,7 @@
     let end = world.now + ms;
     let (mut since, mut longest) = (world.now, 0);
     while world.now < end {
-        world.run(EVERY);
+        world.run(SAMPLE_MS);
         if is_running(world, id) || world.outcome(id).is_final() {
             since = world.now;
         }
@@ -85,9 +87,9 @@
 #[test]
 fn what_fills_begins_where_tails_are_over_their_targets_by_themselves() {
     let mut world = serving_world(&[120]);
-    let id = world.submit(LAST, chain(vec![fill("light", 4, 1000)]));
+    let id = world.submit(LAST_JOB, chain(vec![best_effort("light", 4, 1000)]));
     let wait = longest_wait(&mut world, id, 30_000);
-    assert!(wait < LOST, "{wait} ms");
+    assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
 /// Tails are over their targets until the load ends, and there are no figures from then on.
@@ -96,9 +98,9 @@
     let mut world = serving_world(&[120]);
     set_tails(&mut world, &[0]);
     world.run(5000);
-    let id = world.submit(LAST, chain(vec![fill("light", 4, 1000)]));
+    let id = world.submit(LAST_JOB, chain(vec![best_effort("light", 4, 1000)]));
     let wait = longest_wait(&mut world, id, 30_000);
-    assert!(wait < LOST, "{wait} ms");
+    assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
 /// What fills is halted by a peak, after which there are no figures; it can't move.
@@ -107,9 +109,9 @@
     let mut world = serving_world(&[60]);
     let step = Step {
         checkpoints: false,
-        ..fill("light", 4, 5000)
+        ..best_effort("light", 4, 5000)
     };
-    let id = world.submit(LAST, chain(vec![step]));
+    let id = world.submit(LAST_JOB, chain(vec![step]));
     world.run(2000);
     assert!(is_running(&world, id));
     set_tails(&mut world, &[130]);
@@ -130,7 +132,7 @@
             cpu,
             max_per_worker: 1,
             label: Some(rack.into()),
-            ..lasting(2)
+            ..long_running(2)
         };
         world.submit(id, chain(vec![other]));
     }
@@ -162,11 +164,11 @@
     };
     world.submit(1, chain(vec![serve]));
     world.run(5000);
-    world.submit(FIRST, chain(vec![fill("light", 1000, 4000)]));
+    world.submit(FIRST_JOB, chain(vec![best_effort("light", 1000, 4000)]));
     world.run(10_000);
-    let id = world.submit(LAST, chain(vec![fill("unknown", 300, 4000)]));
+    let id = world.submit(LAST_JOB, chain(vec![best_effort("unknown", 300, 4000)]));
     let wait = longest_wait(&mut world, id, 40_000);
-    assert!(wait < LOST, "{wait} ms");
+    assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
 /// Tasks that fill, of an image that is not known beside what serves.
@@ -177,11 +179,11 @@
     let gang = Step {
         gang,
         cpu: 2000,
-        ..fill("unknown", 2, 2000)
+        ..best_effort("unknown", 2, 2000)
     };
-    let id = world.submit(LAST, chain(vec![gang]));
+    let id = world.submit(LAST_JOB, chain(vec![gang]));
     let wait = longest_wait(&mut world, id, 30_000);
-    assert!(wait < LOST, "{wait} ms");
+    assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
 /// The first of two steps that don't depend on each other can't run; the other one can.
@@ -194,7 +196,7 @@
         steps: vec![first, short(3, 1000)],
         ..Spec::default()
     };
-    let id = world.submit(LAST, spec);
+    let id = world.submit(LAST_JOB, spec);
     world.run(10_000);
     let other = |t: &TaskId| t.job == id && t.step == 1;
     let done = world.checker.done.iter().filter(|t| other(t)).count();
@@ -202,8 +204,8 @@
 }
 
 /// What fills leaves room in pieces on each worker, and takes each that ends.
-#[test_case(Step { memory: 13_000, ..lasting(1) }, 1500, LASTING_LOST; "that lasts")]
-#[test_case(Step { memory: 11_000, ..short(1, 2000) }, 900, LOST; "that ends where less than half is taken")]
+#[test_case(Step { memory: 13_000, ..long_running(1) }, 1500, MAX_LONG_RUNNING_WAIT_MS; "that lasts")]
+#[test_case(Step { memory: 11_000, ..short(1, 2000) }, 900, MAX_WAIT_MS; "that ends where less than half is taken")]
 fn a_task_gets_room_that_lies_in_pieces(step: Step, memory: u64, lost: u64) {
     let mut world = world(WORKERS);
     for at in 0..12 {
@@ -212,13 +214,13 @@
             memory,
             max_per_worker: 1,
             estimate: 1500 + 170 * at,
-            ..fill("light", 300, 0)
+            ..best_effort("light", 300, 0)
         };
         world.submit(100 + at, chain(vec![small]));
     }
     world.run(10_000);
     let used: u64 = world.workers.iter().map(|w| w.used().1).sum();
-    let id = world.submit(LAST, chain(vec![step]));
+    let id = world.submit(LAST_JOB, chain(vec![step]));
     let wait = longest_wait(&mut world, id, 30_000);
     assert!(wait < lost, "{wait} ms, {used} MB of 128000 were taken");
 }
@@ -242,16 +244,16 @@
         let gang = Step {
             gang: true,
             cpu: 8000,
-            ..lasting(wide)
+            ..long_running(wide)
         };
-        world.submit(FIRST, chain(vec![gang]));
+        world.submit(FIRST_JOB, chain(vec![gang]));
     }
     world.run(5000);
-    let id = world.submit(LAST, chain(vec![short(2, 500)]));
+    let id = world.submit(LAST_JOB, chain(vec![short(2, 500)]));
     let held = world.stats().throttled_passes;
     let wait = longest_wait(&mut world, id, 30_000);
     let held = world.stats().throttled_passes - held;
-    assert!(wait < LOST, "{wait} ms, {held} passes held");
+    assert!(wait < MAX_WAIT_MS, "{wait} ms, {held} passes held");
 }
 
 /// Each worker has a task that may have crashed some, and most of their processors are free.
@@ -279,19 +281,19 @@
         world.run(700);
     }
     world.run(6000);
-    let id = world.submit(LAST, chain(vec![short(2, 500)]));
+    let id = world.submit(LAST_JOB, chain(vec![short(2, 500)]));
     let wait = longest_wait(&mut world, id, 60_000);
-    assert!(wait < LOST, "{wait} ms");
+    assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
 /// A world of which a lasting job takes all room, and more jobs wait for a label that no worker
 /// has than a pass can rate.
-fn world_of_misfits(times: u32) -> (World, JobId) {
+fn unplaceable_world(times: u32) -> (World, JobId) {
     let mut world = world(400);
     let all = Step {
         cpu: 8000,
         max_per_worker: 1,
-        ..lasting(400)
+        ..long_running(400)
     };
     let all = world.submit(1, chain(vec![all]));
     world.run(1000);
@@ -316,8 +318,8 @@
 #[test_case(0; "that are late")]
 #[test_case(1; "that have a time, and are never late")]
 fn jobs_that_fit_nowhere_hold_back_no_late_one(times: u32) {
-    let (mut world, all) = world_of_misfits(times);
-    let id = world.submit(FIRST, chain(vec![short(2000, 500)]));
+    let (mut world, all) = unplaceable_world(times);
+    let id = world.submit(FIRST_JOB, chain(vec![short(2000, 500)]));
     world.run(4000);
     world.cancel(all);
     world.run(6000);
@@ -331,7 +333,7 @@
 /// Late jobs that fit nowhere cost a pass no more than others do.
 #[test]
 fn late_jobs_that_fit_nowhere_are_rated_within_bounds() {
-    let (mut world, all) = world_of_misfits(0);
+    let (mut world, all) = unplaceable_world(0);
     world.cancel(all);
     world.run(4000);
     let before = world.stats();
@@ -350,16 +352,16 @@
     for worker in &mut world.workers {
         worker.task_ms = Some(4000);
     }
-    world.submit(FIRST, chain(vec![fill("light", 1000, 4000)]));
+    world.submit(FIRST_JOB, chain(vec![best_effort("light", 1000, 4000)]));
     world.run(10_000);
     // It is late at once.
     let step = Step {
         gang,
-        ..fill("light", 2, 1)
+        ..best_effort("light", 2, 1)
     };
-    let id = world.submit(LAST, chain(vec![step]));
+    let id = world.submit(LAST_JOB, chain(vec![step]));
     let wait = longest_wait(&mut world, id, 40_000);
-    assert!(wait < LOST, "{wait} ms");
+    assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
 /// Tasks fail by their own fault on all workers, and no others have ended there of late.
@@ -376,9 +378,9 @@
     for worker in &mut world.workers {
         worker.mode = Mode::Healthy;
     }
-    let id = world.submit(LAST, chain(vec![short(2, 500)]));
+    let id = world.submit(LAST_JOB, chain(vec![short(2, 500)]));
     let wait = longest_wait(&mut world, id, 20_000);
-    assert!(wait < LOST, "{wait} ms");
+    assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
 /// A world whose workers all failed of late, and that have nothing to do.
@@ -412,11 +414,11 @@
         image: Some("wide".into()),
         ..short(9 * WORKERS as u32, 1000)
     };
-    world.submit(FIRST, chain(vec![gang]));
+    world.submit(FIRST_JOB, chain(vec![gang]));
     world.run(500);
-    let id = world.submit(LAST, chain(vec![short(2, 500)]));
+    let id = world.submit(LAST_JOB, chain(vec![short(2, 500)]));
     let wait = longest_wait(&mut world, id, 20_000);
-    assert!(wait < LOST, "{wait} ms");
+    assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
 /// A gang with more tasks than workers are tried with after a failure begins there.
@@ -427,9 +429,9 @@
         gang: true,
         ..short(7 * WORKERS as u32, 1000)
     };
-    let id = world.submit(LAST, chain(vec![gang]));
+    let id = world.submit(LAST_JOB, chain(vec![gang]));
     let wait = longest_wait(&mut world, id, 20_000);
-    assert!(wait < LOST, "{wait} ms");
+    assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
 /// Room that a gang would have taken counts as free again for tasks of its size.
@@ -446,10 +448,10 @@
         count: 2 * WORKERS as u32,
         ..step.clone()
     };
-    world.submit(FIRST, chain(vec![gang]));
-    let id = world.submit(LAST, chain(vec![step]));
+    world.submit(FIRST_JOB, chain(vec![gang]));
+    let id = world.submit(LAST_JOB, chain(vec![step]));
     let wait = longest_wait(&mut world, id, 4000);
-    assert!(wait < LOST, "{wait} ms");
+    assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
 /// A gang that fits nowhere changes nothing that would have to be made durable.
@@ -461,7 +463,7 @@
         cpu: 5000,
         ..short(2 * WORKERS as u32, 1000)
     };
-    world.submit(FIRST, chain(vec![gang]));
+    world.submit(FIRST_JOB, chain(vec![gang]));
     world.run(1000);
     let before = world.stats().commits;
     world.run(5000);
