--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -281,10 +281,10 @@
                     asked_at: self.now - WRITE_MS,
                 }),
                 Due::End(worker, run) => self.end(worker, run, Ending::Done),
-                Due::Poll(worker, look) => {
+                Due::Poll(worker, poll) => {
                     if self.workers[worker as usize]
                         .poll
-                        .is_some_and(|l| l.0 == look)
+                        .is_some_and(|p| p.0 == poll)
                     {
                         self.answer_poll(worker);
                     }
@@ -331,7 +331,7 @@
                 target => target * (30 + (now / 500 + r.task.job.0) % 20) / 100,
             }),
         };
-        let look = WorkerReport {
+        let report = WorkerReport {
             start_time: None,
             clock: CLOCK_START_MS + now,
             running: at.runs.iter().map(|&r| row(&self.runs[r])).collect(),
@@ -340,7 +340,7 @@
         self.answers.push(Event::Answer {
             worker,
             sent,
-            answer: Answer::Report(look),
+            answer: Answer::Report(report),
         });
     }
 
--- a/crates/jobs/tests/all/common/checkpoints.rs
+++ b/crates/jobs/tests/all/common/checkpoints.rs
@@ -112,9 +112,9 @@
     }
 
     /// A worker sent this answer; `gang` tells whether a task belongs to one.
-    pub fn record_listed(&mut self, look: &WorkerReport, gang: impl Fn(TaskId) -> bool) {
-        let running = look.running.iter().map(|r| (r.task, &r.checkpoint));
-        let finished = look.finished.iter().map(|e| (e.task, &e.checkpoint));
+    pub fn record_listed(&mut self, report: &WorkerReport, gang: impl Fn(TaskId) -> bool) {
+        let running = report.running.iter().map(|r| (r.task, &r.checkpoint));
+        let finished = report.finished.iter().map(|e| (e.task, &e.checkpoint));
         for (task, text) in running.chain(finished) {
             if text.is_empty() {
                 continue;
--- a/crates/jobs/tests/all/common/judge.rs
+++ b/crates/jobs/tests/all/common/judge.rs
@@ -94,15 +94,15 @@
 
     /// A run began on a worker with a checkpoint of its task, or without any.
     pub fn check_checkpoint(&mut self, now: u64, order: &StartOrder) {
-        if let Some(wrong) = self.checkpoints.check_start(order) {
-            self.violations.push(format!("{now}: {wrong}"));
+        if let Some(violation) = self.checkpoints.check_start(order) {
+            self.violations.push(format!("{now}: {violation}"));
         }
     }
 
     /// A worker rejected the checkpoint that an order brings.
     pub fn record_rejected(&mut self, now: u64, order: &StartOrder) {
-        if let Some(wrong) = self.checkpoints.record_rejected(order) {
-            self.violations.push(format!("{now}: {wrong}"));
+        if let Some(violation) = self.checkpoints.record_rejected(order) {
+            self.violations.push(format!("{now}: {violation}"));
         }
     }
 
@@ -131,16 +131,16 @@
     }
 
     /// An owner has read a worker's answer.
-    pub fn record_report(&mut self, now: u64, epoch: u64, id: Arc<str>, look: &WorkerReport) {
-        let heard = self.first_read.entry((id.clone(), look.start_time));
+    pub fn record_report(&mut self, now: u64, epoch: u64, id: Arc<str>, report: &WorkerReport) {
+        let heard = self.first_read.entry((id.clone(), report.start_time));
         let heard = heard.or_insert((epoch, now));
         if heard.0 < epoch {
             *heard = (epoch, now);
         }
-        let Some(last) = look.finished.last() else {
+        let Some(last) = report.finished.last() else {
             return;
         };
-        let highest = self.last_read.entry((id, look.start_time)).or_insert(0);
+        let highest = self.last_read.entry((id, report.start_time)).or_insert(0);
         *highest = last.number.max(*highest);
     }
 
--- a/crates/jobs/tests/all/common/mod.rs
+++ b/crates/jobs/tests/all/common/mod.rs
@@ -64,8 +64,8 @@
 
 /// Asserts that no promise was broken in the world of a seed.
 pub fn check_invariants(world: &World, seed: u64) {
-    let wrong = &world.checker.violations;
-    assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
+    let violations = &world.checker.violations;
+    assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
 }
 
 /// A job of these steps, each after the one before.
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -95,26 +95,26 @@
         let now = self.now;
         let paused = self.owners[at].paused || self.owners[at].busy_until > now;
         let (unread, rng) = (self.unread_percent, &mut self.rng);
-        let parcels = &mut self.owners[at].messages;
+        let messages = &mut self.owners[at].messages;
         let mut due = Vec::new();
-        parcels.retain(|(t, parcel)| {
+        messages.retain(|(t, message)| {
             // Answers wait for a paused process, and for one that is busy.
-            let answer = matches!(parcel, Message::Answer(..));
+            let answer = matches!(message, Message::Answer(..));
             let held = paused || unread > 0 && rng.random_range(0..100) < unread;
             let waits = *t > now || answer && held;
             if !waits {
-                due.push(parcel.clone());
+                due.push(message.clone());
             }
             waits
         });
-        for parcel in due {
-            match parcel {
+        for message in due {
+            match message {
                 Message::Answer(worker, sent, answer) => {
                     let owner = &mut self.owners[at];
                     if !owner.stepped_down {
-                        if let Answer::Report(look) = &answer {
+                        if let Answer::Report(report) = &answer {
                             let (_, id) = owner.machine.worker_address(worker).expect("announced");
-                            self.checker.record_report(now, owner.epoch, id, look);
+                            self.checker.record_report(now, owner.epoch, id, report);
                         }
                         let event = Event::Answer {
                             worker,
@@ -142,12 +142,12 @@
             None => refusal_answer(&order.action),
         };
         if let Some(answer) = refusal {
-            let parcel = (
+            let message = (
                 now + 2,
                 Message::Answer(worker_slot(&order.action), sent, answer),
             );
             if !order.stray {
-                self.owners[at].messages.push(parcel);
+                self.owners[at].messages.push(message);
             }
             return;
         }
@@ -166,22 +166,22 @@
             Action::Poll {
                 observed, deadline, ..
             } => {
-                let look = reached
+                let report = reached
                     .then(|| {
                         if fence >= worker.fence {
                             self.checker.record_observed(now, worker, *observed, late);
                         }
-                        let look = worker.report(now, fence, *observed, *deadline)?;
+                        let report = worker.report(now, fence, *observed, *deadline)?;
                         if !late {
                             let jobs = &self.jobs;
                             let step = |id: TaskId| &jobs[&id.job].spec.steps[id.step as usize];
                             let checkpoints = &mut self.checker.checkpoints;
-                            checkpoints.record_listed(&look, |id| step(id).gang);
+                            checkpoints.record_listed(&report, |id| step(id).gang);
                         }
-                        Some(look)
+                        Some(report)
                     })
                     .flatten();
-                look.map_or(Answer::Fenced, Answer::Report)
+                report.map_or(Answer::Fenced, Answer::Report)
             }
             Action::Start(_, order) => {
                 let mut started = Started::Unknown;
@@ -208,9 +208,9 @@
                         if worker.delay_ms == 0
                             && since.is_some_and(|&at| now > at + EVACUATION_GRACE_MS)
                         {
-                            let wrong =
+                            let violation =
                                 format!("{now}: {} begins in an evacuated zone", order.task);
-                            self.checker.violations.push(wrong);
+                            self.checker.violations.push(violation);
                         }
                         let attempts = self.settings.attempts;
                         self.checker
@@ -240,7 +240,7 @@
         };
         let waits = matches!(&action, Action::Poll { wait, .. } if *wait > 0);
         let idle = match &answer {
-            Answer::Report(look) => look.finished.is_empty(),
+            Answer::Report(report) => report.finished.is_empty(),
             _ => false,
         };
         if late {
@@ -252,7 +252,7 @@
             lag if is_poll(&action) => self.rng.random_range(0..lag),
             _ => 0,
         };
-        let parcel = match reached && !lost {
+        let message = match reached && !lost {
             // A waiting worker answers at an end; here it is asked again soon.
             true if waits && idle => (now + 100 + lag, Message::Answer(slot, sent, answer)),
             true => (now + 2 + lag, Message::Answer(slot, sent, answer)),
@@ -261,7 +261,7 @@
                 (due, Message::Answer(slot, sent, silence))
             }
         };
-        self.owners[at].messages.push(parcel);
+        self.owners[at].messages.push(message);
     }
 
     /// Tells whether an order that gets no answer is carried out later all the same.
@@ -276,22 +276,22 @@
         let given_up = (order.sent_at + timeout(&order.action)).max(self.now);
         let due = self.now + self.rng.random_range(0..self.max_stray_ms.max(1));
         order.stray = true;
-        let parcels = &mut self.owners[at].messages;
-        parcels.push((given_up, Message::Answer(slot, order.sent_at, answer)));
-        parcels.push((due, Message::Order(order)));
+        let messages = &mut self.owners[at].messages;
+        messages.push((given_up, Message::Answer(slot, order.sent_at, answer)));
+        messages.push((due, Message::Order(order)));
     }
 
     /// Some of the orders on their way to a worker whose process ends arrive later.
     pub(super) fn delay_in_flight(&mut self, index: usize) {
         for at in 0..self.owners.len() {
-            for (due, parcel) in std::mem::take(&mut self.owners[at].messages) {
-                match parcel {
+            for (due, message) in std::mem::take(&mut self.owners[at].messages) {
+                match message {
                     Message::Order(order)
                         if order.at == index && !order.stray && self.draws_stray(&order.action) =>
                     {
                         self.delay_order(at, order);
                     }
-                    parcel => self.owners[at].messages.push((due, parcel)),
+                    message => self.owners[at].messages.push((due, message)),
                 }
             }
         }
--- a/crates/jobs/tests/all/common/sim.rs
+++ b/crates/jobs/tests/all/common/sim.rs
@@ -310,8 +310,8 @@
         if run.latency_target == 0 {
             return run.size.0 * u64::from(run.pace) / 100;
         }
-        let fills = self.runs.iter().filter(|r| r.best_effort);
-        let cores: f64 = fills
+        let best_effort_runs = self.runs.iter().filter(|r| r.best_effort);
+        let cores: f64 = best_effort_runs
             .map(|r| r.size.0 as f64 * f64::from(r.pace) / 1e5)
             .sum();
         if !self.tail_percents.is_empty() {
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -111,13 +111,13 @@
             } => {
                 let lists = self.workers.entry(worker).or_default();
                 lists.finished.retain(|e| e.number > observed);
-                let look = WorkerReport {
+                let report = WorkerReport {
                     start_time: None,
                     clock: sent,
                     running: lists.running.clone(),
                     finished: lists.finished.clone(),
                 };
-                (worker, Answer::Report(look))
+                (worker, Answer::Report(report))
             }
             Action::Start(worker, order) => {
                 self.workers
--- a/crates/jobs/tests/all/lives.rs
+++ b/crates/jobs/tests/all/lives.rs
@@ -100,8 +100,8 @@
 /// Asserts that all jobs are done soon, and that nothing was wrong.
 fn check_done(world: &mut World, limit: u64, what: &str) {
     let done = world.run_until_done(limit);
-    let wrong = &world.checker.violations;
-    assert!(wrong.is_empty(), "{what}: {wrong:#?}");
+    let violations = &world.checker.violations;
+    assert!(violations.is_empty(), "{what}: {violations:#?}");
     assert!(done, "{what}: jobs are left");
 }
 
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -120,13 +120,13 @@
                 (worker, started)
             }
             Action::Poll { worker, .. } => {
-                let look = WorkerReport {
+                let report = WorkerReport {
                     start_time: None,
                     clock: sent,
                     running: self.running.clone(),
                     finished: self.finished.clone(),
                 };
-                (worker, Answer::Report(look))
+                (worker, Answer::Report(report))
             }
             Action::Stop { .. } | Action::Pace { .. } | Action::StepDown => return,
         };
--- a/crates/jobs/tests/all/promises.rs
+++ b/crates/jobs/tests/all/promises.rs
@@ -254,8 +254,8 @@
     world.submit(2, chain(vec![fill]));
     world.run(5000);
     let runs = &world.workers[0].runs;
-    let fills = runs.iter().filter(|r| r.best_effort);
-    let cores: f64 = fills.map(|r| f64::from(r.pace) / 100.0).sum();
+    let best_effort_runs = runs.iter().filter(|r| r.best_effort);
+    let cores: f64 = best_effort_runs.map(|r| f64::from(r.pace) / 100.0).sum();
     // The tail is 40 ms without what fills; e^(0.5 * 1.8) times that is the target.
     assert!(cores < 1.85, "{cores} cores fill");
     assert!(cores > 0.1, "nothing fills any more");
--- a/crates/jobs/tests/all/records/mod.rs
+++ b/crates/jobs/tests/all/records/mod.rs
@@ -54,11 +54,15 @@
         };
         let names = [1, 2, 16, 17, 1 << 60, 1 << 60 | 1];
         let jobs = names.iter().map(|&id| job(id, schedule)).collect();
-        let mut play = Simulation::new(seed, jobs);
+        let mut simulation = Simulation::new(seed, jobs);
         for _ in 0..1200 {
-            play.step();
+            simulation.step();
         }
-        assert!(play.resumed > 50, "seed {seed}: {}", play.resumed);
+        assert!(
+            simulation.resumed > 50,
+            "seed {seed}: {}",
+            simulation.resumed
+        );
     }
 }
 
@@ -69,8 +73,8 @@
 #[test_case(true; "after its end")]
 fn a_name_that_comes_again_is_the_first_job(ended: bool) {
     let first = job(1, Schedule::default());
-    let mut play = Simulation::new(1, vec![first.clone()]);
-    play.no_faults = true;
+    let mut simulation = Simulation::new(1, vec![first.clone()]);
+    simulation.no_faults = true;
     let mut other = (*first.spec).clone();
     other.payload = "another text".into();
     other.steps[0].count = 9;
@@ -80,20 +84,20 @@
     });
     for round in 0..60 {
         if round > 10 {
-            play.notify(Event::Accepted(other.clone()));
+            simulation.notify(Event::Accepted(other.clone()));
         }
         if round == 30 {
-            play.take_over();
+            simulation.take_over();
         }
-        for life in &mut play.workers {
-            while ended && !life.runs.is_empty() {
-                life.runs[0].checkpoint = "saved".into();
-                life.end(0, Ending::Done);
+        for incarnation in &mut simulation.workers {
+            while ended && !incarnation.runs.is_empty() {
+                incarnation.runs[0].checkpoint = "saved".into();
+                incarnation.end(0, Ending::Done);
             }
         }
-        play.step();
+        simulation.step();
     }
-    let tasks: Vec<(u32, u32, u32)> = play
+    let tasks: Vec<(u32, u32, u32)> = simulation
         .starts
         .iter()
         .map(|s| (s.task.step, s.task.index, s.run))
@@ -103,8 +107,8 @@
         expected.extend([(1, 0, 1), (1, 1, 1)]);
     }
     assert_eq!(tasks, expected);
-    assert_eq!(play.resumed, 0);
-    let outcome = play.ledger.outcome(JobId(1));
+    assert_eq!(simulation.resumed, 0);
+    let outcome = simulation.ledger.outcome(JobId(1));
     assert_eq!(outcome == Outcome::Complete, ended);
 }
 
@@ -119,23 +123,26 @@
     spec.steps.truncate(1);
     spec.steps[0].gang = true;
     gang.spec = Arc::new(spec);
-    let mut play = Simulation::new(1, vec![gang]);
-    play.no_faults = true;
+    let mut simulation = Simulation::new(1, vec![gang]);
+    simulation.no_faults = true;
     for _ in 0..20 {
-        play.step();
+        simulation.step();
     }
-    assert_eq!(play.starts.len(), 3);
-    for life in &mut play.workers {
-        for at in (0..life.runs.len()).rev() {
-            let run = &mut life.runs[at];
+    assert_eq!(simulation.starts.len(), 3);
+    for incarnation in &mut simulation.workers {
+        for at in (0..incarnation.runs.len()).rev() {
+            let run = &mut incarnation.runs[at];
             run.checkpoint = listed[run.task.index as usize].into();
-            life.end(at, Ending::Stopped);
+            incarnation.end(at, Ending::Stopped);
         }
     }
     for _ in 0..20 {
-        play.step();
+        simulation.step();
     }
-    let saved: Vec<&str> = play.starts[3..].iter().map(|s| &*s.checkpoint).collect();
+    let saved: Vec<&str> = simulation.starts[3..]
+        .iter()
+        .map(|s| &*s.checkpoint)
+        .collect();
     assert!(
         matches!(saved[..], [a, b, c] if !a.is_empty() && a == b && b == c),
         "{saved:?}"
--- a/crates/jobs/tests/all/records/play.rs
+++ b/crates/jobs/tests/all/records/play.rs
@@ -51,7 +51,7 @@
     pub fn new(seed: u64, jobs: Vec<Job>) -> Simulation {
         let now = 1_000_000;
         let jobs = jobs.into_iter().map(|j| (j.id, Arc::new(j)));
-        let mut play = Simulation {
+        let mut simulation = Simulation {
             rng: SmallRng::seed_from_u64(seed),
             now,
             epoch: 0,
@@ -68,8 +68,8 @@
             starts: Vec::new(),
             no_faults: false,
         };
-        play.take_over();
-        play
+        simulation.take_over();
+        simulation
     }
 
     /// A new owner reads the rows, in any order.
@@ -112,8 +112,8 @@
             self.inject_faults();
         }
         let due = self.messages.extract_if(.., |p| p.0 <= self.now);
-        for (_, parcel) in due.collect::<Vec<_>>() {
-            self.deliver(parcel);
+        for (_, message) in due.collect::<Vec<_>>() {
+            self.deliver(message);
         }
         let asked = self.now;
         self.notify(Event::WorkersSynced { asked_at: asked });
@@ -125,15 +125,15 @@
 
     /// Runs save their progress and end; workers crash, and owners are followed by others.
     fn inject_faults(&mut self) {
-        for life in &mut self.workers {
+        for incarnation in &mut self.workers {
             let mut at = 0;
-            while at < life.runs.len() {
-                let run = &mut life.runs[at];
+            while at < incarnation.runs.len() {
+                let run = &mut incarnation.runs[at];
                 if self.rng.random_range(0..3) == 0 {
                     self.checkpoint_count += 1;
                     run.checkpoint = format!(
                         "{} {} {} {}",
-                        run.task, run.number, life.id, self.checkpoint_count
+                        run.task, run.number, incarnation.id, self.checkpoint_count
                     )
                     .into();
                 }
@@ -147,7 +147,7 @@
                         continue;
                     }
                 };
-                life.end(at, ending);
+                incarnation.end(at, ending);
             }
         }
         if self.rng.random_range(0..60) == 0 {
@@ -161,12 +161,12 @@
         }
     }
 
-    fn deliver(&mut self, parcel: Message) {
-        match parcel {
+    fn deliver(&mut self, message: Message) {
+        match message {
             Message::Answer(epoch, worker, sent, answer) if epoch == self.epoch => {
-                if let Answer::Report(look) = &answer {
-                    let running = look.running.iter().map(|r| (r.task, &r.checkpoint));
-                    let ended = look.finished.iter().map(|e| (e.task, &e.checkpoint));
+                if let Answer::Report(report) = &answer {
+                    let running = report.running.iter().map(|r| (r.task, &r.checkpoint));
+                    let ended = report.finished.iter().map(|e| (e.task, &e.checkpoint));
                     for (task, saved) in running.chain(ended) {
                         self.listed.entry(task).or_default().push(saved.clone());
                     }
@@ -177,9 +177,9 @@
                     answer,
                 });
             }
-            Message::Start(life, fence, order) => {
-                if let Some(life) = self.workers.iter_mut().find(|l| l.id == life) {
-                    life.start(&order, fence);
+            Message::Start(incarnation, fence, order) => {
+                if let Some(incarnation) = self.workers.iter_mut().find(|i| i.id == incarnation) {
+                    incarnation.start(&order, fence);
                 }
             }
             // Each write is on condition that no other owner has written since.
@@ -202,16 +202,16 @@
                 worker, observed, ..
             } => {
                 let (clock, fence) = (self.now, self.epoch);
-                let life = self.life(worker);
-                let answer = life.map_or(Answer::Dead, |l| l.report(clock, observed, fence));
+                let incarnation = self.incarnation(worker);
+                let answer = incarnation.map_or(Answer::Dead, |i| i.report(clock, observed, fence));
                 (worker, answer)
             }
             Action::Start(worker, order) => (worker, self.start(worker, order)),
             Action::Stop { worker, task, run } => {
                 let fence = self.epoch;
-                let life = self.life(worker);
-                let answer = life.map_or(Answer::Dead, |l| {
-                    Answer::Stopped(task, run, l.stop(task, run, fence))
+                let incarnation = self.incarnation(worker);
+                let answer = incarnation.map_or(Answer::Dead, |i| {
+                    Answer::Stopped(task, run, i.stop(task, run, fence))
                 });
                 (worker, answer)
             }
@@ -223,14 +223,14 @@
             Action::Pace { .. } | Action::StepDown => panic!("not expected"),
         };
         let due = self.now + self.random_delay();
-        let parcel = Message::Answer(self.epoch, worker, self.now, answer);
-        self.messages.push((due, parcel));
+        let message = Message::Answer(self.epoch, worker, self.now, answer);
+        self.messages.push((due, message));
     }
 
     /// Returns the life that the owner means by a worker, if that has not ended.
-    fn life(&mut self, worker: u32) -> Option<&mut Incarnation> {
+    fn incarnation(&mut self, worker: u32) -> Option<&mut Incarnation> {
         let (_, id) = self.machine.worker_address(worker).expect("announced");
-        self.workers.iter_mut().find(|l| l.id == id)
+        self.workers.iter_mut().find(|i| i.id == id)
     }
 
     fn start(&mut self, worker: u32, order: StartOrder) -> Answer {
@@ -258,9 +258,9 @@
             self.messages.push((due, Message::Start(id, fence, order)));
             return answer;
         }
-        let life = self.life(worker);
-        life.map_or(Answer::Dead, |l| {
-            Answer::Started(task, order.run, l.start(&order, fence))
+        let incarnation = self.incarnation(worker);
+        incarnation.map_or(Answer::Dead, |i| {
+            Answer::Started(task, order.run, i.start(&order, fence))
         })
     }
 }
--- a/crates/jobs/tests/all/restarts.rs
+++ b/crates/jobs/tests/all/restarts.rs
@@ -105,16 +105,16 @@
     }
     let done = world.run_until_done(40_000);
     world.run(3000);
-    let mut wrong = world.checker.violations.clone();
+    let mut violations = world.checker.violations.clone();
     if !done {
-        wrong.push("jobs are left".into());
+        violations.push("jobs are left".into());
     }
     // A task that three workers crashed under by chance is given up.
     let runs = world.workers.iter().flat_map(|w| &w.runs);
     if world.outcome(LONG_RUNNING_JOB) == Outcome::Active && runs.count() != 2 {
-        wrong.push("lasting tasks do not run".into());
+        violations.push("lasting tasks do not run".into());
     }
-    wrong
+    violations
 }
 
 /// `GORSESPUR_LIVES` names other seeds than these, as in `0..5000` or `7`.
@@ -133,9 +133,9 @@
 fn check_series(seeds: Range<u64>, lives: bool) {
     let mut bad = Vec::new();
     for seed in seeds {
-        let wrong = run_series(seed, lives);
-        if let Some(first) = wrong.first() {
-            bad.push(format!("seed {seed}: {first}, {} in all", wrong.len()));
+        let violations = run_series(seed, lives);
+        if let Some(first) = violations.first() {
+            bad.push(format!("seed {seed}: {first}, {} in all", violations.len()));
         }
     }
     assert!(bad.is_empty(), "{} seeds: {bad:#?}", bad.len());
--- a/crates/jobs/tests/all/sharing.rs
+++ b/crates/jobs/tests/all/sharing.rs
@@ -276,8 +276,8 @@
 
 /// The paces of what fills on the first worker, in percent.
 fn paces(world: &World) -> Vec<u32> {
-    let fills = world.workers[0].runs.iter().filter(|r| r.best_effort);
-    fills.map(|r| r.pace).collect()
+    let best_effort_runs = world.workers[0].runs.iter().filter(|r| r.best_effort);
+    best_effort_runs.map(|r| r.pace).collect()
 }
 
 /// What was halted beside a serving task goes on when that one has gone. Paces are chosen when
@@ -479,12 +479,12 @@
         world.run(2000 + phase);
         let (mut harmed, mut longest) = (0, 0);
         for _ in 0..400 {
-            let fills = world.workers[0]
+            let is_used = world.workers[0]
                 .runs
                 .iter()
                 .any(|r| r.best_effort && r.pace > 0);
-            world.workers[0].tail_percents = vec![if fills { 110 } else { 90 }];
-            harmed = if fills { harmed + 50 } else { 0 };
+            world.workers[0].tail_percents = vec![if is_used { 110 } else { 90 }];
+            harmed = if is_used { harmed + 50 } else { 0 };
             longest = longest.max(harmed);
             world.run(50);
         }
