--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -278,7 +278,7 @@
 #[test]
 fn a_full_link_holds_starts_back() {
     let mut world = world(24, 1);
-    world.link = 20;
+    world.link_ms = 20;
     for id in 1..=100 {
         world.submit(id, chain(vec![short(20, 400)]));
     }
--- a/crates/jobs/tests/all/common/mod.rs
+++ b/crates/jobs/tests/all/common/mod.rs
@@ -1,18 +1,18 @@
 //! A world for the machine: workers, a store and owners in virtual time.
 
+mod checker;
 mod checkpoints;
 mod clock;
 mod crash;
-mod judge;
-mod lives;
+mod incarnations;
 mod orders;
 mod sim;
 mod world;
 
+pub use checker::Checker;
 pub use checkpoints::Resumed;
 pub use crash::Crasher;
-pub use judge::Checker;
-pub use lives::Restart;
+pub use incarnations::Restart;
 pub use sim::{Mode, SimWorker};
 pub use world::{World, WorldSettings};
 
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -67,7 +67,7 @@
         };
         let late = self.workers[index].delay_ms;
         let cost = if matches!(action, Action::Start(..)) {
-            self.link
+            self.link_ms
         } else {
             0
         };
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -111,7 +111,7 @@
     /// Share of what has arrived that a turn does not read yet, in percent.
     pub unread_percent: u32,
     /// Milliseconds that a start takes on an owner's link.
-    pub link: u64,
+    pub link_ms: u64,
     /// Milliseconds from when a new owner asked for the lease until it reads the answer.
     pub claim_ms: u64,
     /// Milliseconds for which an owner that lost the lease acts on until it learns of that; a
@@ -158,7 +158,7 @@
             watch_down: false,
             max_turn_ms: 0,
             unread_percent: 0,
-            link: 0,
+            link_ms: 0,
             claim_ms: 0,
             unaware_ms: 0,
             keeps_learned: true,
--- a/crates/jobs/tests/all/records/mod.rs
+++ b/crates/jobs/tests/all/records/mod.rs
@@ -1,12 +1,12 @@
 //! Checkpoints over ends, lost workers, late answers and takeovers: each start brings one that
 //! its own task has listed, or none.
 
-mod life;
-mod play;
+mod incarnation;
+mod simulation;
 
 use std::sync::Arc;
 
-use crate::records::play::Simulation;
+use crate::records::simulation::Simulation;
 use gorsespur_jobs::{Ending, Event, Job, JobId, Outcome, Schedule, Spec, Step};
 use test_case::test_case;
 
--- a/crates/jobs/tests/all/records/play.rs
+++ b/crates/jobs/tests/all/records/simulation.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use crate::{ledger::Ledger, records::life::Incarnation};
+use crate::{ledger::Ledger, records::incarnation::Incarnation};
 use gorsespur_jobs::{
     Action, Answer, Batch, Ending, Event, Job, JobId, Machine, QueuePolicy, Settings, StartOrder,
     Started, Takeover, TaskId,
--- a/crates/jobs/tests/all/waits.rs
+++ b/crates/jobs/tests/all/waits.rs
@@ -231,7 +231,7 @@
 #[test_case(20; "with it")]
 fn a_gang_that_fits_nowhere_takes_no_starts_from_others(wide: u32) {
     let mut world = world(WORKERS);
-    world.link = 6;
+    world.link_ms = 6;
     let small = Step {
         cpu: 100,
         memory: 100,
@@ -239,7 +239,7 @@
     };
     world.submit(100, chain(vec![small]));
     world.run(3000);
-    world.link = 0;
+    world.link_ms = 0;
     if wide > 0 {
         let gang = Step {
             gang: true,
