--- a/crates/jobs/tests/all/common/checker.rs
+++ b/crates/jobs/tests/all/common/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold, as the workers see it.
+//! Checks of the scheduler's guarantees, as observed at the workers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,53 +9,56 @@
 
 use super::{SimWorker, checkpoints::Checkpoints};
 
-/// Watches starts and ends, and remembers what was wrong.
+/// Observes starts and ends of runs, and collects violations.
 #[derive(Debug, Default)]
 pub struct Checker {
     pub violations: Vec<String>,
     /// Tasks of which a run ended done.
     pub done: BTreeSet<TaskId>,
-    /// Ends that a durable record counts.
+    /// When an owner confirmed that it observed that the task was done.
     pub counted_done: BTreeMap<TaskId, u64>,
     pub counted_failed: BTreeMap<TaskId, u32>,
-    /// Workers that a task crashed, and starts of it since three had crashed.
+    /// Number of workers that a task crashed, and of its starts since three had crashed.
     pub crashed: BTreeMap<TaskId, (u32, u32)>,
-    /// For each such crash, how many other runs it took with it.
+    /// The number of other runs that were lost in each such crash.
     pub other_runs: Vec<usize>,
-    /// Whether nothing is wrong with workers, so that an end that one lists counts as
-    /// noted soon after, read or not.
+    /// Whether the test has no faulty workers, so that a reported end counts as observed soon
+    /// after, whether an owner has read it or not.
     pub all_healthy: bool,
     pub checkpoints: Checkpoints,
-    /// When the end of a task was first listed, for those that ended done.
+    /// When a task was first reported as done.
     listed: BTreeMap<TaskId, u64>,
-    /// The highest end of each life that an owner has read.
+    /// The highest number of an end that an owner has read from each incarnation.
     last_read: BTreeMap<(Arc<str>, Option<u64>), u64>,
-    /// Runs that a life was told never to begin.
+    /// Runs that some incarnation was ordered never to start.
     barred: BTreeSet<(TaskId, u32)>,
-    /// The owner that read each life last, and when it first did.
+    /// The epoch of the last owner that read a report of each incarnation, and when it first did
+    /// so.
     first_read: BTreeMap<(Arc<str>, Option<u64>), (u64, u64)>,
 }
 
-/// Time in which an owner has to read an end before it starts the task again.
+/// Time within which an owner has to read the end of a task, in milliseconds.
 const READ_MS: u64 = 100;
 
-/// Time in which an owner has late starts barred in a life that it has heard, in milliseconds.
+/// Time within which an owner bars late starts in an incarnation that has reported to it, in
+/// milliseconds.
 const BAR_MS: u64 = 2000;
 
-/// Time in which it has runs stopped that they began before, in milliseconds.
+/// Time within which an owner stops runs of late starts that came before the bar, in milliseconds.
 const STOP_MS: u64 = 3000;
 
-/// Room that has shrunk counts for this long, in milliseconds: time to hear of it.
+/// Time for which capacity that was taken away still counts, in milliseconds: an owner needs time
+/// to learn of the change.
 const SHRINK_GRACE_MS: u64 = 4500;
 
-/// A task is not started this often any more ...
+/// Starts after [`CRASHES`] crashes that are a violation.
 const MAX_STARTS: u32 = 3;
 
-/// ... after so many workers have crashed under it.
+/// Crashed workers after which the starts of a task are limited.
 const CRASHES: u32 = 3;
 
 impl Checker {
-    /// A run began on a worker.
+    /// Checks a start against the task's earlier ends, crashes and dependencies.
     pub fn check_start(&mut self, now: u64, task: TaskId, attempts: u32, spec: &Spec) {
         if self.counted_done.contains_key(&task) {
             self.violations
@@ -92,21 +95,21 @@
         }
     }
 
-    /// A run began on a worker with a checkpoint of its task, or without any.
+    /// Checks the checkpoint of a start.
     pub fn check_checkpoint(&mut self, now: u64, order: &StartOrder) {
         if let Some(violation) = self.checkpoints.check_start(order) {
             self.violations.push(format!("{now}: {violation}"));
         }
     }
 
-    /// A worker rejected the checkpoint that an order brings.
+    /// Records that a worker rejected the checkpoint of an order.
     pub fn record_rejected(&mut self, now: u64, order: &StartOrder) {
         if let Some(violation) = self.checkpoints.record_rejected(order) {
             self.violations.push(format!("{now}: {violation}"));
         }
     }
 
-    /// A run began on a worker, which may not be over its room by that.
+    /// Checks that a start does not exceed the capacity of its worker.
     pub fn check_capacity(&mut self, now: u64, worker: &SimWorker) {
         if worker.is_overcommitted(now, SHRINK_GRACE_MS) {
             let id = &worker.id;
@@ -115,7 +118,8 @@
         }
     }
 
-    /// A run began: where all is calm, not of a task that a worker lists as done.
+    /// Checks that a task is not started after a worker reported it as done, if all workers are
+    /// healthy.
     pub fn check_not_done(&mut self, now: u64, task: TaskId) {
         let listed = self.listed.get(&task);
         if self.all_healthy && listed.is_some_and(|at| now > at + READ_MS) {
@@ -124,13 +128,13 @@
         }
     }
 
-    /// A worker crashed since this task began there, and with it so many other runs.
+    /// Records that a task crashed its worker, and the number of other runs that were lost by it.
     pub fn record_crash(&mut self, task: TaskId, others: usize) {
         self.other_runs.push(others);
         self.crashed.entry(task).or_insert((0, 0)).0 += 1;
     }
 
-    /// An owner has read a worker's answer.
+    /// Records that an owner has read a worker's report.
     pub fn record_report(&mut self, now: u64, epoch: u64, id: Arc<str>, report: &WorkerReport) {
         let heard = self.first_read.entry((id.clone(), report.start_time));
         let heard = heard.or_insert((epoch, now));
@@ -144,13 +148,14 @@
         *highest = last.number.max(*highest);
     }
 
-    /// A life will not begin a run.
+    /// Records that an incarnation never starts a run any more.
     pub fn record_bar(&mut self, task: TaskId, run: u32) {
         self.barred.insert((task, run));
     }
 
-    /// Returns until when no owner can help what a late start begins: it had barred it in an
-    /// earlier life, and did not know yet that this one has begun.
+    /// Returns the time until which the run of a late start may overlap other runs, or 0. No owner
+    /// can prevent a late start that it had barred in an earlier incarnation if it does not know
+    /// the new one yet.
     pub fn exempt_until(
         &self,
         now: u64,
@@ -169,8 +174,8 @@
         }
     }
 
-    /// A worker was told that it may forget ends up to a number; by a late order perhaps, which
-    /// its sender may have meant for an earlier life.
+    /// Records that a worker may forget ends up to a number. A late order may have been meant for
+    /// an earlier incarnation.
     pub fn record_observed(&mut self, now: u64, worker: &SimWorker, number: u64, late: bool) {
         let read = self.last_read.get(&(worker.id.clone(), worker.start_time));
         let read = read.copied().unwrap_or(0);
@@ -190,7 +195,7 @@
         }
     }
 
-    /// No task may run twice at once on workers that are alive.
+    /// Checks that no task has two runs at a time on workers that are alive.
     pub fn check(&mut self, now: u64, workers: &[SimWorker]) {
         let mut seen: BTreeMap<TaskId, &str> = BTreeMap::new();
         for end in workers.iter().flat_map(|w| &w.finished) {
--- a/crates/jobs/tests/all/common/checkpoints.rs
+++ b/crates/jobs/tests/all/common/checkpoints.rs
@@ -1,4 +1,4 @@
-//! Checkpoints that workers write and list, and what starts bring of them.
+//! Checkpoints that workers write and report, and those that starts bring.
 
 use std::{
     collections::{BTreeMap, BTreeSet, btree_map::Entry},
@@ -14,15 +14,15 @@
 pub struct Checkpoint {
     pub task: TaskId,
     pub run: u32,
-    /// The worker's life.
+    /// Name and start time of the incarnation of the worker.
     pub incarnation: Arc<str>,
-    /// Work that was done, in milliseconds.
+    /// Work that was done at the checkpoint, in milliseconds.
     pub progress_ms: u64,
 }
 
 impl Checkpoint {
-    /// The text that workers list for it: nothing but a name to whoever reads it, with signs
-    /// that a codec may trip over.
+    /// Returns the text that workers report for the checkpoint. It is opaque to its readers and
+    /// has characters that codecs may mishandle.
     pub fn text(&self) -> Arc<str> {
         let mut hasher = DefaultHasher::new();
         let task = self.task.to_string();
@@ -31,19 +31,19 @@
     }
 }
 
-/// What starts brought, for tasks of which a checkpoint was listed before.
+/// Starts of tasks for which a checkpoint had been reported before.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Resumed {
-    /// Starts of such tasks.
+    /// Number of such starts.
     pub starts: u64,
-    /// Those that bring none.
+    /// Starts without a checkpoint.
     pub without_checkpoint: u64,
-    /// Those that bring less progress than was listed, or none.
+    /// Starts with less progress than was reported, or without a checkpoint.
     pub stale: u64,
-    /// Work that these do again, in milliseconds, in all and at the most.
+    /// Work that these starts repeat, in milliseconds: the sum and the maximum.
     pub redone_ms: u64,
     pub max_redone_ms: u64,
-    /// Those that bring a checkpoint of a run that failed.
+    /// Starts with a checkpoint of a run that failed.
     pub failed: u64,
 }
 
@@ -58,23 +58,23 @@
     }
 }
 
-/// All checkpoints, and the tasks that they were listed for.
+/// All checkpoints, and the tasks for which they were reported.
 #[derive(Debug, Default)]
 pub struct Checkpoints {
     written: BTreeMap<Arc<str>, Checkpoint>,
-    /// For a gang under its first member.
+    /// The reported checkpoints of each task; those of a gang are kept under its first member.
     listed: BTreeMap<TaskId, BTreeSet<Arc<str>>>,
-    /// What the first member of a gang brought that began under a number.
+    /// The checkpoint with which the first member of a gang started, by run number.
     gangs: BTreeMap<(TaskId, u32), Arc<str>>,
     /// Runs that failed.
     failed: BTreeSet<(TaskId, u32)>,
     pub resumed: Resumed,
-    /// What workers rejected, as it came.
+    /// Checkpoints that workers rejected, in order.
     pub rejected: Vec<(TaskId, Arc<str>)>,
 }
 
 impl Checkpoints {
-    /// A worker wrote this.
+    /// Records a checkpoint that a worker wrote.
     pub fn record_written(&mut self, checkpoint: Checkpoint) {
         match self.written.entry(checkpoint.text()) {
             Entry::Vacant(entry) => {
@@ -84,12 +84,12 @@
         }
     }
 
-    /// The work that had been done at a checkpoint, in milliseconds.
+    /// Returns the work at a checkpoint, in milliseconds.
     pub fn progress(&self, text: &str) -> u64 {
         self.written.get(text).map_or(0, |c| c.progress_ms)
     }
 
-    /// Tells whether an order brings none, or one that was written for its task or gang.
+    /// Returns whether an order has no checkpoint, or one that was written by its task or gang.
     pub fn is_valid_for(&self, order: &StartOrder) -> bool {
         let gang = order.spec.steps[order.task.step as usize].gang;
         let made = self.written.get(&order.checkpoint);
@@ -97,7 +97,8 @@
         order.checkpoint.is_empty() || own
     }
 
-    /// A worker rejected what an order brings; returns what is wrong if it did so before.
+    /// Records that a worker rejected an order's checkpoint. Returns a violation if the task's
+    /// start with this checkpoint was rejected before.
     pub fn record_rejected(&mut self, order: &StartOrder) -> Option<String> {
         self.rejected.push((order.task, order.checkpoint.clone()));
         let (task, saved) = (order.task, &order.checkpoint);
@@ -106,12 +107,12 @@
         again.then(|| format!("{task} brings {saved} again, which was rejected"))
     }
 
-    /// A run ended failed.
+    /// Records that a run failed.
     pub fn record_failed(&mut self, task: TaskId, run: u32) {
         self.failed.insert((task, run));
     }
 
-    /// A worker sent this answer; `gang` tells whether a task belongs to one.
+    /// Records the checkpoints of a report; `gang` returns whether a task belongs to a gang.
     pub fn record_listed(&mut self, report: &WorkerReport, gang: impl Fn(TaskId) -> bool) {
         let running = report.running.iter().map(|r| (r.task, &r.checkpoint));
         let finished = report.finished.iter().map(|e| (e.task, &e.checkpoint));
@@ -124,7 +125,7 @@
         }
     }
 
-    /// A worker began what this order says; returns what is wrong with what it brings.
+    /// Checks the checkpoint of an order that a worker carried out. Returns the violation, if any.
     pub fn check_start(&mut self, order: &StartOrder) -> Option<String> {
         let (task, run, saved) = (order.task, order.run, &order.checkpoint);
         let gang = order.spec.steps[task.step as usize].gang;
@@ -153,7 +154,7 @@
         None
     }
 
-    /// A task begins of which checkpoints were listed, with this much progress at the most.
+    /// Counts a start of a task whose reported checkpoints have at most this much progress.
     fn count_start(&mut self, saved: &str, most: u64) {
         let again = most.saturating_sub(self.progress(saved));
         let made = self.written.get(saved);
@@ -168,7 +169,7 @@
     }
 }
 
-/// The task that stands for all whose checkpoints are as good: the first member of its gang.
+/// Returns the task under which checkpoints are kept: the first member for a gang.
 fn group_key(task: TaskId, gang: bool) -> TaskId {
     match gang {
         true => TaskId { index: 0, ..task },
--- a/crates/jobs/tests/all/common/clock.rs
+++ b/crates/jobs/tests/all/common/clock.rs
@@ -14,13 +14,13 @@
     boot: || Duration::from_millis(BOOT_MS.get()),
 };
 
-/// The program's clock over times of the world.
+/// The scheduler's clock over virtual time.
 #[derive(Debug)]
 pub struct OwnerClock {
     clock: Clock,
-    /// Milliseconds for which the machine was suspended.
+    /// Total time for which the machine was suspended, in milliseconds.
     pub suspended_ms: u64,
-    /// What the program's clock showed when the world's time was this.
+    /// Readings of the scheduler's clock and of virtual time at the same moment.
     origin: (u64, u64),
 }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns what the owner takes for the time when the world's is `now`.
+    /// Returns the owner's time at the virtual time `now`.
     pub fn read(&self, now: u64) -> u64 {
         MONOTONIC_MS.set(now - self.suspended_ms);
         BOOT_MS.set(now);
--- a/crates/jobs/tests/all/common/crash.rs
+++ b/crates/jobs/tests/all/common/crash.rs
@@ -1,25 +1,25 @@
-//! Workers whose process ends, and tasks that bring that about.
+//! Workers whose process ends, and tasks that crash them.
 
 use gorsespur_jobs::{Action, Answer, Event, Started, Stopped, TaskId};
 
 use super::World;
 
-/// Milliseconds until a crashed worker's next life usually begins.
+/// Default time until a crashed worker restarts, in milliseconds.
 pub(super) const RESTART_MS: u64 = 3000;
 
-/// Milliseconds until the announcement of a worker that has ended is gone.
+/// Milliseconds until the row of an ended incarnation expires.
 const ROW_EXPIRY_MS: u64 = 4500;
 
 /// A task that crashes each worker that starts it.
 #[derive(Debug, Clone, Copy)]
 pub struct Crasher {
     pub task: TaskId,
-    /// Milliseconds from its start until the worker crashes.
+    /// Milliseconds from the start of the task until its worker crashes.
     pub after_ms: u64,
 }
 
 impl World {
-    /// Crashes the workers that run what crashes them, and lets others begin anew.
+    /// Crashes the workers whose runs are due to crash them, and restarts workers that are due.
     pub(super) fn crash_workers(&mut self) {
         let now = self.now;
         for at in 0..self.workers.len() {
@@ -48,7 +48,7 @@
         self.publish_due_rows();
     }
 
-    /// A worker's process ends, for whatever cause; it is back after some seconds.
+    /// Ends a worker's process. The worker restarts after `restart_ms`.
     pub fn crash(&mut self, at: usize) {
         let now = self.now;
         self.workers[at].crash(now + self.restart_ms);
@@ -57,13 +57,14 @@
         self.delay_in_flight(at);
     }
 
-    /// A worker's machine loses its power: nothing is heard of it until it is back.
+    /// Cuts the power of a worker's machine: the worker sends nothing until it restarts, not even
+    /// refused connections.
     pub fn lose_power(&mut self, at: usize) {
         self.crash(at);
         self.workers[at].process_down = false;
     }
 
-    /// What answers an order that is meant for a life which has ended, if anything does.
+    /// Returns the answer to an order that is addressed to an ended incarnation, if there is any.
     pub(super) fn refusal(&self, at: usize, action: &Action, meant: &str) -> Option<Answer> {
         let worker = &self.workers[at];
         if worker.partitioned {
@@ -79,7 +80,7 @@
     }
 }
 
-/// What answers an order at an address where nobody listens.
+/// Returns the answer to an order at an address at which nobody listens.
 pub(super) fn refusal_answer(action: &Action) -> Option<Answer> {
     match action {
         Action::Poll { .. } => Some(Answer::ConnectionRefused),
--- a/crates/jobs/tests/all/common/incarnations.rs
+++ b/crates/jobs/tests/all/common/incarnations.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under their names, and the rows by which owners know them.
+//! Workers that restart under the same or a new name, and the rows that announce them to owners.
 
 use std::sync::Arc;
 
@@ -6,28 +6,30 @@
 
 use super::{SimWorker, World};
 
-/// Where the first worker listens; the others follow.
+/// Port of the first worker; the others use the following ports.
 const FIRST_PORT: u16 = 1000;
 
-/// Where the first life listens that moves to another address.
+/// Port of the first incarnation that moves to another address.
 const MOVED_PORT: u16 = 30_000;
 
-/// What the clocks of first lives show when the world begins, in milliseconds.
+/// Clock of each worker's first incarnation when the simulation begins, in milliseconds.
 const INITIAL_UPTIME_MS: u64 = 500_000;
 
-/// How a worker starts again that keeps its name.
+/// How a worker that keeps its name restarts.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Restart {
-    /// Whether the wall clock was set back, so that the later life seems the earlier one.
+    /// Whether the wall clock was set back, so that the new incarnation has the earlier start
+    /// time.
     pub clock_back: bool,
-    /// Whether it listens at another address from then on.
+    /// Whether the new incarnation listens at another address.
     pub new_address: bool,
-    /// Milliseconds until its row is told; that of the life before is there until then.
+    /// Milliseconds until the row of the new incarnation is published. The row of the previous one
+    /// stays until then.
     pub row_delay_ms: u64,
 }
 
 impl World {
-    /// Has the first lives say when they began, and writes their rows.
+    /// Sets the start times of the first incarnations and writes their rows.
     pub(super) fn init_workers(&mut self) {
         for at in 0..self.workers.len() {
             let worker = &mut self.workers[at];
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Tells the newest owner of a worker.
+    /// Publishes a worker's row to the newest owner.
     pub fn announce(&mut self, at: usize, ready: bool) {
         let worker = &self.workers[at];
         if worker.partitioned || !worker.alive {
@@ -56,7 +58,7 @@
         self.notify(Event::WorkerUpdated(row));
     }
 
-    /// Tells a new owner of the workers that have rows.
+    /// Publishes the rows of all workers to a new owner.
     pub(super) fn announce_all(&mut self) {
         if self.settings.reuse_names {
             for row in self.rows.clone().into_iter().flatten() {
@@ -75,13 +77,13 @@
         }
     }
 
-    /// A worker's row is gone, though the worker may be there.
+    /// Removes a worker's row, although the worker may be running.
     pub fn expire_row(&mut self, at: usize) {
         self.rows[at] = None;
         self.notify(Event::WorkerRemoved(self.workers[at].id.clone()));
     }
 
-    /// What a worker announces under a name.
+    /// Returns the row that a worker announces under a name.
     fn row(&self, at: usize, id: Arc<str>, ready: bool) -> WorkerInfo {
         let worker = &self.workers[at];
         WorkerInfo {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// A worker's next life begins.
+    /// Starts a worker's next incarnation.
     pub(super) fn restart_worker(&mut self, at: usize) {
         let now = self.now;
         let old = &self.workers[at];
@@ -136,7 +138,7 @@
         self.publish_due_rows();
     }
 
-    /// Tells of the lives whose rows are due.
+    /// Publishes the rows of new incarnations that are due.
     pub(super) fn publish_due_rows(&mut self) {
         let now = self.now;
         let due = |(t, _, _): &(u64, usize, Option<u64>)| *t <= now;
@@ -148,21 +150,21 @@
         }
     }
 
-    /// Tells the newest owner again of all lives that have ended.
+    /// Publishes the rows of all ended incarnations to the newest owner again.
     pub fn republish_past_rows(&mut self) {
         for (_, row) in self.past_rows.clone() {
             self.notify(Event::WorkerUpdated(row));
         }
     }
 
-    /// Two workers change addresses.
+    /// Swaps the addresses of two workers.
     pub fn swap_ports(&mut self, one: usize, other: usize) {
         let port = self.workers[one].port;
         self.workers[one].port = self.workers[other].port;
         self.workers[other].port = port;
     }
 
-    /// The worker that listens at a port, or did when it was last up.
+    /// Returns the worker that listens at a port, or that did so when it last ran.
     pub(super) fn listener(&self, port: u16) -> Option<usize> {
         let usual = usize::from(port.wrapping_sub(FIRST_PORT));
         match self.workers.get(usual) {
--- a/crates/jobs/tests/all/common/mod.rs
+++ b/crates/jobs/tests/all/common/mod.rs
@@ -1,4 +1,4 @@
-//! A world for the machine: workers, a store and owners in virtual time.
+//! A simulation of workers, a store and owners in virtual time.
 
 mod checker;
 mod checkpoints;
@@ -18,7 +18,7 @@
 
 use gorsespur_jobs::{Spec, Step};
 
-/// A step of short tasks.
+/// Returns a step of short tasks.
 pub fn short(count: u32, estimate: u64) -> Step {
     Step {
         count,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A step of tasks that last.
+/// Returns a step of long-running tasks.
 pub fn long_running(count: u32) -> Step {
     Step {
         long_running: true,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A step of tasks that last and serve under a target.
+/// Returns a step of serving tasks, which are long-running and have a latency target.
 pub fn serving(count: u32) -> Step {
     Step {
         latency_target: 100,
@@ -46,7 +46,7 @@
     }
 }
 
-/// The same step, whose tasks save their progress.
+/// Returns the same step with tasks that write checkpoints.
 pub fn with_checkpoints(step: Step) -> Step {
     Step {
         checkpoints: true,
@@ -54,7 +54,7 @@
     }
 }
 
-/// These steps, of which every other job's save their progress.
+/// Returns the steps, with checkpoints for jobs that have an even number.
 pub fn some_with_checkpoints(id: u64, steps: Vec<Step>) -> Vec<Step> {
     match id.is_multiple_of(2) {
         true => steps.into_iter().map(with_checkpoints).collect(),
@@ -62,13 +62,13 @@
     }
 }
 
-/// Asserts that no promise was broken in the world of a seed.
+/// Asserts that the checker found no violations in the world of a seed.
 pub fn check_invariants(world: &World, seed: u64) {
     let violations = &world.checker.violations;
     assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
 }
 
-/// A job of these steps, each after the one before.
+/// Returns a job of these steps, each of which depends on the one before.
 pub fn chain(mut steps: Vec<Step>) -> Spec {
     for (at, step) in steps.iter_mut().enumerate().skip(1) {
         step.deps = vec![at as u32 - 1];
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -1,4 +1,4 @@
-//! Orders on their way to workers, and answers on their way back.
+//! Orders to workers and the answers to them.
 
 use std::sync::Arc;
 
@@ -7,33 +7,34 @@
 
 use super::{Mode, World, crash::refusal_answer};
 
-/// Milliseconds after which an order without an answer is given up.
+/// Milliseconds after which an unanswered order times out.
 const ORDER_TIMEOUT_MS: u64 = 700;
 
-/// Milliseconds beyond its wait after which a look without an answer is given up.
+/// Milliseconds beyond the requested wait after which an unanswered poll times out.
 const POLL_TIMEOUT_MS: u64 = 900;
 
-/// Milliseconds after the request from which on no start reaches an evacuated zone, as the
-/// users have it: an owner may be paused, and one that was sent before is on its way.
+/// Milliseconds after a request to evacuate a zone during which runs may still start there. Users
+/// are promised no more starts after that time: an owner may be paused when the request is made,
+/// and starts that were sent before may still be under way.
 const EVACUATION_GRACE_MS: u64 = 5000;
 
-/// Something on its way.
+/// A message in flight.
 #[derive(Debug, Clone)]
 pub(super) enum Message {
     Order(Order),
     Answer(u32, u64, Answer),
 }
 
-/// An order on its way to a worker.
+/// An order in flight to a worker.
 #[derive(Debug, Clone)]
 pub(super) struct Order {
-    /// The worker that has the name, and where it is thought to listen.
+    /// Index of the worker that has the name, and the port at which its owner expects it.
     at: usize,
     port: u16,
     id: Arc<str>,
     action: Action,
     sent_at: u64,
-    /// Whether it is on its way for so long that its sender has given it up.
+    /// Whether the order takes so long that its sender has timed out.
     stray: bool,
 }
 
@@ -98,7 +99,7 @@
         let messages = &mut self.owners[at].messages;
         let mut due = Vec::new();
         messages.retain(|(t, message)| {
-            // Answers wait for a paused process, and for one that is busy.
+            // Answers wait while the process is paused or busy.
             let answer = matches!(message, Message::Answer(..));
             let held = paused || unread > 0 && rng.random_range(0..100) < unread;
             let waits = *t > now || answer && held;
@@ -244,7 +245,7 @@
             _ => false,
         };
         if late {
-            // Its sender has given it up already.
+            // The sender has timed out already.
             return;
         }
         let lag = match self.max_lag_ms {
@@ -253,7 +254,8 @@
             _ => 0,
         };
         let message = match reached && !lost {
-            // A waiting worker answers at an end; here it is asked again soon.
+            // A real worker answers a waiting poll as soon as a run ends; this one is polled again
+            // after 100 ms.
             true if waits && idle => (now + 100 + lag, Message::Answer(slot, sent, answer)),
             true => (now + 2 + lag, Message::Answer(slot, sent, answer)),
             false => {
@@ -264,13 +266,13 @@
         self.owners[at].messages.push(message);
     }
 
-    /// Tells whether an order that gets no answer is carried out later all the same.
+    /// Returns whether an unanswered order is carried out later all the same.
     fn draws_stray(&mut self, action: &Action) -> bool {
         let may = self.stray_percent > 0 && (self.stray_polls || !is_poll(action));
         may && self.rng.random_range(0..100) < self.stray_percent
     }
 
-    /// Has an order carried out later; its sender gets no answer.
+    /// Delays an order; its sender gets no answer.
     fn delay_order(&mut self, at: usize, mut order: Order) {
         let (slot, answer) = timeout_answer(&order.action);
         let given_up = (order.sent_at + timeout(&order.action)).max(self.now);
@@ -281,7 +283,7 @@
         messages.push((due, Message::Order(order)));
     }
 
-    /// Some of the orders on their way to a worker whose process ends arrive later.
+    /// Delays some of the orders in flight to a worker whose process ends.
     pub(super) fn delay_in_flight(&mut self, index: usize) {
         for at in 0..self.owners.len() {
             for (due, message) in std::mem::take(&mut self.owners[at].messages) {
@@ -302,12 +304,12 @@
     matches!(action, Action::Poll { .. })
 }
 
-/// The slot of the worker that an order is for.
+/// Returns the slot of the worker that an order is for.
 fn worker_slot(action: &Action) -> u32 {
     timeout_answer(action).0
 }
 
-/// Milliseconds after which an order is given up.
+/// Returns the milliseconds after which an order times out.
 fn timeout(action: &Action) -> u64 {
     match action {
         Action::Poll { wait, .. } => wait + POLL_TIMEOUT_MS,
@@ -315,7 +317,7 @@
     }
 }
 
-/// What the owner is told of an order that gets no answer.
+/// Returns the answer that an owner records for an order that times out.
 fn timeout_answer(action: &Action) -> (u32, Answer) {
     match action {
         Action::Poll { worker, .. } => (*worker, Answer::NoReply),
--- a/crates/jobs/tests/all/common/sim.rs
+++ b/crates/jobs/tests/all/common/sim.rs
@@ -1,4 +1,4 @@
-//! A worker as the users' pages describe one.
+//! A worker that follows the documented worker protocol.
 
 use std::sync::Arc;
 
@@ -7,35 +7,35 @@
     Ending, ReportedRun, RunEnd, StartOrder, Started, Stopped, TaskId, WorkerReport,
 };
 
-/// Ends that one answer holds at most.
+/// Maximum number of ended runs in one report.
 const MAX_REPORTED_ENDS: usize = 500;
 
-/// A member of a gang waits for the others for this long, in milliseconds.
+/// Milliseconds for which a member of a gang waits for the other members.
 const GANG_TIMEOUT_MS: u64 = 3000;
 
-/// A lease that would last longer from its arrival on is cut to this, in milliseconds.
+/// Maximum lease in milliseconds, counted from its arrival. Longer leases are cut to this.
 const MAX_LEASE_MS: u64 = 10_000;
 
-/// Work after which a run that saves its progress writes a checkpoint, in milliseconds.
+/// Work between two checkpoints of a run, in milliseconds.
 const CHECKPOINT_INTERVAL_MS: u64 = 500;
 
-/// Milliseconds that a run takes to go on from a checkpoint.
+/// Milliseconds that a run takes to resume from a checkpoint.
 const RESTORE_MS: u64 = 250;
 
-/// What is wrong with a worker.
+/// Fault of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// Nothing.
+    /// No fault.
     Healthy,
-    /// Whatever it starts fails after a tenth of its time.
+    /// Each run fails after a tenth of its duration.
     FailsAll,
-    /// What it runs makes no progress.
+    /// Runs make no progress.
     Hangs,
-    /// What it runs takes so many times as long.
+    /// Runs take this many times as long.
     Slow(u64),
-    /// It calls every start malformed.
+    /// Rejects every start as malformed.
     Rejects,
-    /// It takes no order for a pace.
+    /// Ignores changes of the pace.
     IgnoresPace,
 }
 
@@ -44,27 +44,27 @@
 pub struct SimRun {
     pub task: TaskId,
     pub run: u32,
-    /// When it began, by the world's clock.
+    /// Start of the run in virtual time.
     pub started_at: u64,
     pub work: u64,
     pub done: u64,
-    /// Ten-thousandths of a millisecond beyond that.
+    /// Fraction of a millisecond of work beyond `done`, in ten-thousandths.
     pub remainder: u64,
-    /// What had been done when it began.
+    /// Work that was done when the run started, in milliseconds.
     pub initial: u64,
-    /// When it works: it goes on from a checkpoint before.
+    /// When the run has resumed from its checkpoint and begins to work.
     pub ready_at: u64,
     pub checkpoints: bool,
-    /// The last checkpoint and what had been done by then; empty for none.
+    /// The last checkpoint and the work done by then. The text is empty if there is none.
     pub checkpoint: (Arc<str>, u64),
     pub long_running: bool,
-    /// Members that its gang has; none if it belongs to none.
+    /// Number of members of the run's gang, if it belongs to one.
     pub gang: Option<u32>,
-    /// Whether members of its gang are missing: it does no work meanwhile.
+    /// Whether members of the gang are missing, so that the run makes no progress.
     pub blocked: bool,
-    /// Whether all members of its gang have been there.
+    /// Whether all members of the gang have run at the same time.
     pub assembled: bool,
-    /// Whether a member of its gang is done, which stands for all.
+    /// Whether a member of the gang is done, which completes the whole gang.
     pub gang_done: bool,
     pub best_effort: bool,
     pub image: Option<Arc<str>>,
@@ -72,70 +72,71 @@
     pub pace: u32,
     pub stops_at: Option<u64>,
     pub size: (u64, u64),
-    /// Until when no owner can help that it runs.
+    /// Time until which the run may overlap another run of its task, since no owner can prevent
+    /// it.
     pub exempt_until: u64,
 }
 
-/// A worker.
+/// A simulated worker.
 #[derive(Debug)]
 pub struct SimWorker {
     pub id: Arc<str>,
-    /// When this life began, if it says so.
+    /// Start time of this incarnation, if the worker reports it.
     pub start_time: Option<u64>,
     pub port: u16,
     pub alive: bool,
-    /// Whether its process has ended on a machine that is up: it refuses connections.
+    /// Whether the process has ended on a running machine, which refuses connections.
     pub process_down: bool,
-    /// Whether it refuses connections though it runs on.
+    /// Whether the worker refuses connections although it runs.
     pub refusing: bool,
-    /// When its next life begins.
+    /// When the next incarnation starts.
     pub restarts_at: Option<u64>,
-    /// Nobody reaches it, and it reaches nobody.
+    /// Whether the worker is cut off from the network.
     pub partitioned: bool,
-    /// Orders are carried out this much later and not answered, in milliseconds.
+    /// Delay of orders in milliseconds. Delayed orders are not answered.
     pub delay_ms: u64,
     pub mode: Mode,
     pub fence: u64,
-    /// End of its lease on its own clock.
+    /// End of the lease on the worker's clock.
     pub deadline: u64,
-    /// Its clock runs at this rate, in percent, and began at an odd time.
+    /// Rate of the worker's clock in percent of virtual time.
     pub rate: u64,
     pub clock_start: u64,
-    /// What its clock showed then, in milliseconds.
+    /// Clock of the worker at `clock_start`, in milliseconds.
     pub uptime: u64,
     pub capacity: (u64, u64),
-    /// What it could hold before its room changed, and when that was.
+    /// The previous capacity, and when it changed.
     pub old_capacity: Option<((u64, u64), u64)>,
-    /// Whether it refuses what goes beyond its room.
+    /// Whether the worker refuses starts beyond its capacity.
     pub enforces_capacity: bool,
     pub runs: Vec<SimRun>,
     pub finished: Vec<RunEnd>,
-    /// Checkpoints that it wrote of late.
+    /// Checkpoints that were written since the last step.
     pub new_checkpoints: Vec<Checkpoint>,
-    /// Runs at or below these never begin any more.
+    /// Tasks whose runs up to a number never start any more.
     pub barred: Vec<(TaskId, u32)>,
     next_end: u64,
-    /// Tails of serving tasks in percent of their targets, one
-    /// each half second in turn; computed if empty.
+    /// Tail latencies of serving tasks in percent of their targets, one for each half second,
+    /// repeated. Computed if empty.
     pub tail_percents: Vec<u64>,
-    /// Logarithm by which a core of what fills lengthens tails here.
+    /// Growth of the logarithm of the tail latency for each core of best-effort work.
     pub tail_growth: f64,
-    /// Whether tails grow as in a queue, where the load of a job swings.
+    /// Whether tail latencies grow as in a queue, under a load that varies by job.
     pub queueing: bool,
-    /// Headroom that a core of the image "heavy" takes then.
+    /// Headroom that a core of the image "heavy" takes if `queueing` is set.
     pub heavy_cost: f64,
-    /// Headroom that a core of any other image that fills takes.
+    /// Headroom that a core of any other best-effort image takes.
     pub light_cost: f64,
-    /// Time that every task takes that does not last, whatever its caller guessed;
-    /// none for what was guessed.
+    /// Duration of each task that is not long-running, in milliseconds. The estimate of its step
+    /// if none.
     pub task_ms: Option<u64>,
-    /// Whether what fills shares the processors that others leave.
+    /// Whether best-effort runs share the CPU that other runs leave.
     pub shares_cpu: bool,
-    /// Runs of a hundred that fail half-way by their task's own fault.
+    /// Share of runs that fail half-way by the fault of their task, in percent.
     pub failure_percent: u64,
-    /// Starts that it called malformed though nothing was wrong with them.
+    /// Well-formed starts that the worker rejected as malformed.
     pub rejected: Vec<(TaskId, Arc<str>)>,
-    /// Orders for a pace that it did not take.
+    /// Number of changes of the pace that the worker ignored.
     pub ignored_paces: u64,
 }
 
@@ -182,7 +183,7 @@
         self.uptime + (now - self.clock_start) * self.rate / 100
     }
 
-    /// Its process ends, and with it all that runs; another life begins at `returns`.
+    /// Ends the process and all its runs. The next incarnation starts at `returns`.
     pub fn crash(&mut self, returns: u64) {
         self.alive = false;
         self.process_down = true;
@@ -225,7 +226,7 @@
         self.next_end += 1;
     }
 
-    /// Works for `ms` until `now`; ends what lapses, stops, fails or is done.
+    /// Works for `ms` until `now`, and ends the runs that lapse, are stopped, fail or are done.
     pub fn advance(&mut self, now: u64, ms: u64) {
         let lapsed = self.clock(now) > self.deadline;
         let speed = self.best_effort_speed(now);
@@ -325,7 +326,7 @@
         (run.latency_target as f64 * 0.4 * (self.tail_growth * cores).exp()) as u64
     }
 
-    /// Returns the speed of what fills, in percent.
+    /// Returns the speed of best-effort runs, in percent.
     fn best_effort_speed(&self, now: u64) -> u64 {
         if !self.shares_cpu {
             return 100;
@@ -341,8 +342,8 @@
         (left.max(0.0) / asked.max(1.0) * 100.0).min(100.0) as u64
     }
 
-    /// Target over tail of a serving run: at most 4.6 and at least 1.7 if nothing
-    /// disturbs it.
+    /// Returns the latency target of a serving run divided by its tail latency. Without
+    /// interference the quotient is between 1.7 and 4.6.
     pub fn headroom(&self, now: u64, run: &SimRun) -> f64 {
         let mut headroom = 6.0 * (1.0 - load(now, run));
         for fill in self.runs.iter().filter(|r| r.best_effort) {
@@ -355,7 +356,7 @@
         headroom.max(0.1)
     }
 
-    /// Begins what an order says; `progress` is the work at the checkpoint that it brings.
+    /// Starts the run of an order; `progress` is the work at the checkpoint of the order.
     pub fn start(&mut self, now: u64, fence: u64, order: &StartOrder, progress: u64) -> Started {
         if fence < self.fence {
             return Started::Fenced;
@@ -408,7 +409,7 @@
         Started::Done
     }
 
-    /// What its runs take up, also those that are being stopped.
+    /// Returns the CPU and memory of all runs, including those that are being stopped.
     pub fn used(&self) -> (u64, u64) {
         self.runs.iter().fold((0, 0), |u, r| {
             let cpu = if r.best_effort { 0 } else { r.size.0 };
@@ -416,14 +417,14 @@
         })
     }
 
-    /// Has it hold another amount from now on.
+    /// Changes the capacity of the worker.
     pub fn resize(&mut self, room: (u64, u64), now: u64) {
         self.old_capacity = Some((self.capacity, now));
         self.capacity = room;
     }
 
-    /// Tells whether it holds more than it may: room that has shrunk counts for `grace`
-    /// milliseconds more.
+    /// Returns whether the runs exceed the capacity. Capacity that was taken away counts for
+    /// `grace` milliseconds more.
     pub fn is_overcommitted(&self, now: u64, grace: u64) -> bool {
         let (mut room, used) = (self.capacity, self.used());
         if let Some((before, _)) = self.old_capacity.filter(|(_, at)| now <= at + grace) {
@@ -461,20 +462,20 @@
     }
 }
 
-/// Returns what share of the processors that it asks for a serving run uses.
+/// Returns the share of its requested CPU that a serving run uses.
 fn load(now: u64, run: &SimRun) -> f64 {
     let turn = now as f64 / 10_000.0 + run.task.job.0 as f64 / 7.0;
     0.48 + 0.24 * (turn * std::f64::consts::TAU).sin()
 }
 
-/// Tells whether a run fails by its task's own fault, by an order without pattern.
+/// Returns whether a run fails by the fault of its task, by a hash of its name.
 fn has_failed(run: &SimRun, percent: u64) -> bool {
     let name = run.task.job.0 << 32 ^ u64::from(run.task.index) << 8 ^ u64::from(run.run);
     let mixed = name.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
     !run.long_running && mixed % 100 < percent
 }
 
-/// Returns what a figure is off by: up to a tenth, by an order without pattern.
+/// Returns a factor between 0.9 and 1.1 that varies a metric, by a hash of task and time.
 fn noise(now: u64, task: TaskId) -> f64 {
     let mixed =
         (now ^ task.job.0 << 20 ^ u64::from(task.index) << 40).wrapping_mul(0x9e37_79b9_7f4a_7c15);
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -18,19 +18,19 @@
     sim::SimRun,
 };
 
-/// Milliseconds of one step of the world.
+/// Duration of one step of the simulation, in milliseconds.
 pub const TICK_MS: u64 = 5;
 
-/// Milliseconds that a write usually takes.
+/// Default duration of a write to the store, in milliseconds.
 const WRITE_MS: u64 = 10;
 
-/// Rows of the log beyond which it is shortened: so few that it always is.
+/// Rows beyond which the log is shortened. The limit is low enough that each test reaches it.
 const MAX_LOG_ROWS: usize = 6;
 
-/// Availability zones, to which workers belong in turn.
+/// Number of availability zones. Workers are assigned to them round-robin.
 pub const ZONES: usize = 2;
 
-/// Sizes of the world.
+/// Size and fault rates of a world.
 #[derive(Debug, Clone, Copy)]
 pub struct WorldSettings {
     pub workers: usize,
@@ -38,7 +38,7 @@
     pub seed: u64,
     /// Share of answers that are lost, in percent.
     pub lost_percent: u32,
-    /// Whether workers say when they began, and start again under their names.
+    /// Whether workers report their start time and restart under the same name.
     pub reuse_names: bool,
 }
 
@@ -54,30 +54,30 @@
     }
 }
 
-/// Records on their way to the store, and when they are there.
+/// A batch being written to the store, and the time at which the write is done.
 pub(super) type Write = (u64, Batch);
 
-/// One owner's machine and what is on its way to and from it.
+/// An owner's state machine, and the messages to and from it.
 pub(super) struct Owner {
     pub(super) machine: Machine,
     pub(super) epoch: u64,
     pub(super) slots: BTreeMap<u32, usize>,
     pub(super) messages: Vec<(u64, Message)>,
     pub(super) commit: Option<Write>,
-    /// Until when it is busy with its last turn.
+    /// End of the current turn.
     pub(super) busy_until: u64,
-    /// Until when its link is busy with what was sent.
+    /// Time until which the owner's link is busy with earlier messages.
     pub(super) link_until: u64,
     pub(super) paused: bool,
-    /// When it last woke up.
+    /// When the owner last resumed after a pause.
     pub(super) woke_at: u64,
-    /// When its write was done, if it has not read the answer.
+    /// When a write was done whose answer the owner has not read yet.
     pub(super) unread_commit: Option<u64>,
     pub(super) stepped_down: bool,
     pub(super) clock: OwnerClock,
 }
 
-/// The world.
+/// A simulation of owners, a store and workers.
 pub struct World {
     pub now: u64,
     pub settings: WorldSettings,
@@ -86,49 +86,50 @@
     pub store_down: bool,
     /// Tasks that crash each worker that starts them.
     pub crashers: Vec<Crasher>,
-    /// Names of workers' earlier lives, each with its worker.
+    /// Names of earlier incarnations, each with the index of its worker.
     pub former_ids: BTreeMap<Arc<str>, usize>,
-    /// Milliseconds until a crashed worker's next life begins.
+    /// Milliseconds until a crashed worker restarts.
     pub restart_ms: u64,
-    /// How it begins if it keeps its worker's name.
+    /// How a crashed worker restarts if it keeps its name.
     pub restart: Restart,
-    /// What lives announced that have ended and whose workers kept their names.
+    /// Rows of ended incarnations whose workers kept their names.
     pub past_rows: Vec<(usize, WorkerInfo)>,
-    /// Share of orders without an answer that are carried out later all the same, in percent ...
+    /// Share of unanswered orders that are carried out later all the same, in percent.
     pub stray_percent: u32,
-    /// ... by so many milliseconds at most.
+    /// Upper bound of the delay of such an order, in milliseconds.
     pub max_stray_ms: u64,
-    /// Whether this holds for looks as well.
+    /// Whether polls may be carried out late as well.
     pub stray_polls: bool,
-    /// Milliseconds that answers to looks are late at most, drawn for each.
+    /// Upper bound of the random delay of each answer to a poll, in milliseconds.
     pub max_lag_ms: u64,
-    /// Announcements that are gone at a time.
+    /// Rows that expire, each with the time at which it does.
     pub expiring_rows: Vec<(u64, Arc<str>)>,
-    /// Whether owners no longer hear what workers announce.
+    /// Whether owners no longer receive the workers' rows.
     pub watch_down: bool,
-    /// Longest turn of an owner in milliseconds, drawn for each; 0 for none that counts.
+    /// Upper bound of the random duration of an owner's turn, in milliseconds. 0 for turns that
+    /// take no time.
     pub max_turn_ms: u64,
-    /// Share of what has arrived that a turn does not read yet, in percent.
+    /// Share of the arrived answers that a turn does not read yet, in percent.
     pub unread_percent: u32,
-    /// Milliseconds that a start takes on an owner's link.
+    /// Milliseconds for which a start occupies an owner's link.
     pub link_ms: u64,
-    /// Milliseconds from when a new owner asked for the lease until it reads the answer.
+    /// Milliseconds from a new owner's claim of the lease until it reads the answer.
     pub claim_ms: u64,
-    /// Milliseconds for which an owner that lost the lease acts on until it learns of that; a
-    /// write that was under way when it was paused is done meanwhile.
+    /// Milliseconds for which an owner that lost the lease continues before it learns of the loss.
+    /// A write that was under way when the owner was paused completes during the pause.
     pub unaware_ms: u64,
-    /// Whether a new owner is given what the last one learned.
+    /// Whether a new owner imports what the previous one learned.
     pub keeps_learned: bool,
-    /// Milliseconds that a write takes.
+    /// Duration of a write to the store, in milliseconds.
     pub write_ms: u64,
-    /// The workers' rows, as the store has them.
+    /// The workers' rows in the store.
     pub(super) rows: Vec<Option<WorkerInfo>>,
-    /// Rows of new lives that are to be told at a time.
+    /// Rows of new incarnations: when to publish each, its worker and its start time.
     pub(super) pending_rows: Vec<(u64, usize, Option<u64>)>,
     pub ledger: Ledger,
     pub(super) jobs: BTreeMap<JobId, Arc<Job>>,
     pub(super) cancelled: Vec<JobId>,
-    /// Zones that are evacuated, sorted, and since when.
+    /// Evacuated zones, each with the time of the request.
     pub(super) evacuated: BTreeMap<Arc<str>, u64>,
     pub(super) owners: Vec<Owner>,
     pub(super) epoch: u64,
@@ -185,8 +186,8 @@
         world
     }
 
-    /// A new owner takes over; the old one is not told. `inherited` is when leases
-    /// of earlier owners are over.
+    /// Starts a new owner without notifying the old one. `inherited` is the time at which all
+    /// leases of earlier owners have expired.
     pub fn take_over(&mut self, inherited: u64) {
         self.epoch += 1;
         let learned = self.owners.last().map(|o| o.machine.learned());
@@ -243,14 +244,14 @@
         self.announce_all();
     }
 
-    /// The newest owner stops and wakes up again.
+    /// Pauses or resumes the newest owner.
     pub fn pause(&mut self, paused: bool) {
         if let Some(owner) = self.owners.last_mut() {
             owner.paused = paused;
         }
     }
 
-    /// All earlier owners wake up that were stopped.
+    /// Resumes all paused owners but the newest one.
     pub fn resume_earlier(&mut self) {
         let now = self.now;
         let earlier = self.owners.len() - 1;
@@ -262,14 +263,15 @@
         }
     }
 
-    /// The end of all leases that the newest owner may have granted, as a new one has it: a
-    /// contact may be newer by half a second than the renewal that this one saw.
+    /// Returns the end of all leases that the newest owner may have granted, as its successor
+    /// computes it. The owner's last contact with the store may be half a second newer than the
+    /// renewal that the successor saw.
     pub fn lease_end(&self) -> u64 {
         let settings = Settings::default();
         self.renewed_at.max(self.now) + 500 + settings.store_grace * 100 / 98 + 100
     }
 
-    /// The newest owner's machine is suspended for so many milliseconds.
+    /// Suspends the machine of the newest owner for `ms` milliseconds.
     pub fn suspend(&mut self, ms: u64) {
         self.pause(true);
         self.run(ms);
@@ -300,17 +302,17 @@
         id
     }
 
-    /// What a job's caller handed in.
+    /// Returns the submitted spec of a job.
     pub fn spec(&self, id: JobId) -> Spec {
         (*self.jobs[&id].spec).clone()
     }
 
-    /// The zone that a worker belongs to.
+    /// Returns the zone of a worker.
     pub fn zone(at: usize) -> Arc<str> {
         format!("z{}", at % ZONES).into()
     }
 
-    /// An operator asks for exactly these zones to be evacuated.
+    /// Requests the evacuation of exactly these zones.
     pub fn evacuate(&mut self, zones: &[Arc<str>]) {
         let now = self.now;
         self.evacuated.retain(|z, _| zones.contains(z));
@@ -326,12 +328,12 @@
         self.notify(Event::Cancelled(id));
     }
 
-    /// All jobs that were handed in.
+    /// Returns all submitted jobs.
     pub fn job_ids(&self) -> Vec<JobId> {
         self.jobs.keys().copied().collect()
     }
 
-    /// What the store says became of a job.
+    /// Returns the outcome of a job in the store.
     pub fn outcome(&self, id: JobId) -> Outcome {
         self.ledger.outcome(id)
     }
@@ -351,7 +353,7 @@
         self.all_done()
     }
 
-    /// What the newest owner counted.
+    /// Returns the counters of the newest owner.
     pub fn stats(&self) -> Stats {
         let owner = self.owners.last();
         owner.map(|o| o.machine.stats()).unwrap_or_default()
@@ -382,7 +384,7 @@
         self.checker.check(self.now, &self.workers);
     }
 
-    /// Members of a gang work only while all of them are there, and end jointly.
+    /// Blocks the members of a gang until all of them run, and ends them together.
     fn sync_gangs(&mut self) {
         let mut there: BTreeMap<(JobId, u32, u32, u32), u32> = BTreeMap::new();
         let key = |r: &SimRun| (r.task.job, r.task.repetition, r.task.step, r.run);
@@ -394,7 +396,7 @@
         for run in self.workers.iter_mut().flat_map(|w| &mut w.runs) {
             let members = there.get(&key(run)).copied().unwrap_or(0);
             run.blocked = run.gang.is_some_and(|count| members < count);
-            // Of the others only the ends that they wait for are played.
+            // Gangs without checkpoints only simulate the wait for missing members.
             let Some(count) = run.gang.filter(|_| run.checkpoints) else {
                 continue;
             };
@@ -426,7 +428,7 @@
                 .handle(at_owner, now, Event::Committed { asked_at: asked });
         }
         if owner.epoch < epoch {
-            // The journal's end has moved: its next write fails.
+            // Another owner has appended to the journal, so that the next write fails.
             owner.stepped_down = now >= owner.woke_at + self.unaware_ms;
             return;
         }
@@ -469,7 +471,7 @@
     }
 }
 
-/// Settings of the machine.
+/// Returns the settings of an owner.
 fn settings() -> Settings {
     Settings {
         log_rows: MAX_LOG_ROWS,
--- a/crates/jobs/tests/all/ledger.rs
+++ b/crates/jobs/tests/all/ledger.rs
@@ -1,4 +1,4 @@
-//! What the store holds of the jobs.
+//! The records and the log of jobs in the store.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -7,7 +7,7 @@
 
 use gorsespur_jobs::{Batch, Job, JobId, Machine, Outcome, Record};
 
-/// Records and the log, as batches left them.
+/// The records and the log after the committed batches.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     records: BTreeMap<JobId, Vec<u8>>,
@@ -15,14 +15,14 @@
 }
 
 impl Ledger {
-    /// Makes a batch durable.
+    /// Applies a committed batch.
     pub fn apply(&mut self, batch: Batch) {
         self.records.extend(batch.records);
         self.log.drain(..batch.dropped_rows);
         self.log.extend(batch.appended_rows);
     }
 
-    /// What a new owner reads.
+    /// Restores a new owner from the stored rows.
     pub fn restore<'a>(&self, machine: &mut Machine, jobs: impl IntoIterator<Item = &'a Arc<Job>>) {
         for row in &self.log {
             machine.replay(row).expect("own row");
@@ -38,7 +38,7 @@
         }
     }
 
-    /// What became of a job.
+    /// Returns the outcome of a job.
     pub fn outcome(&self, id: JobId) -> Outcome {
         let record = self.records.get(&id);
         record.map_or(Outcome::Pending, |r| {
@@ -46,12 +46,12 @@
         })
     }
 
-    /// The log's rows, the oldest one first.
+    /// Returns the rows of the log, the oldest one first.
     pub fn log(&self) -> impl Iterator<Item = &Vec<u8>> {
         self.log.iter()
     }
 
-    /// Rows of the log, and their bytes.
+    /// Returns the number of rows of the log and their size in bytes.
     pub fn log_size(&self) -> (usize, usize) {
         (self.log.len(), self.log.iter().map(Vec::len).sum())
     }
