--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -1,5 +1,5 @@
-//! An owner that falls behind keeps its promises: its turns take up to seconds, and what
-//! workers answered meanwhile waits.
+//! An owner that falls behind keeps its guarantees: its turns take up to seconds, and the answers
+//! of workers wait during a turn.
 
 use crate::{
     common::{World, WorldSettings, chain, check_invariants, long_running, short},
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
-/// Jobs of each play.
+/// Jobs of each simulation.
 const JOBS: u64 = 24;
 
 fn world(workers: usize, seed: u64) -> World {
@@ -25,7 +25,7 @@
     world
 }
 
-/// Turns of up to 0.2, 1 and 5 s, with jobs that come all the time.
+/// Turns take up to 0.2, 1 and 5 s while jobs arrive continuously.
 #[test_case(200; "a fifth of a second")]
 #[test_case(1000; "a second")]
 #[test_case(5000; "five seconds")]
@@ -48,8 +48,8 @@
     }
 }
 
-/// An owner takes over from itself, or another from it, while turns take up to a second;
-/// leases of before are over by then, though nothing was asked of the workers.
+/// An owner takes over from itself or from another one while turns take up to a second. The
+/// earlier leases have expired, but the workers have not been polled yet.
 #[test]
 fn a_takeover_asks_before_it_starts_again() {
     for seed in 0..20 {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Nobody owns for so long that all leases are over, and all that ran has ended.
+/// There is no owner for so long that all leases expire and all runs end.
 #[test]
 fn what_ended_while_nobody_owned_is_not_started_again() {
     for seed in 0..20 {
@@ -89,7 +89,7 @@
     }
 }
 
-/// A worker was silent when the owner was paused, and answers again before it goes on.
+/// A worker was silent when the owner was paused, and answers again before the owner resumes.
 #[test]
 fn silence_from_before_a_pause_gives_nothing_up() {
     let mut world = world(3, 1);
@@ -102,7 +102,7 @@
     world.pause(true);
     for worker in &mut world.workers {
         worker.partitioned = false;
-        // What runs is to outlast the pause: another owner could have renewed it.
+        // The runs outlast the pause, as if another owner had renewed their leases.
         worker.deadline = u64::MAX;
     }
     world.run(6000);
@@ -112,13 +112,13 @@
     assert_eq!(world.stats().starts, 3);
 }
 
-/// Progress that stood still only while the owner did not read is no reason to stop.
+/// A run that seems to make no progress only because the owner reads no reports is not stopped.
 #[test]
 fn progress_counts_by_the_workers_clock() {
     for seed in 0..10 {
         let mut world = world(3, seed);
         for worker in &mut world.workers {
-            // Guessed at a second, the tasks take four.
+            // The tasks take four seconds, with an estimate of one.
             worker.task_ms = Some(4000);
         }
         world.submit(1, chain(vec![short(6, 1000)]));
@@ -133,7 +133,7 @@
     }
 }
 
-/// A lasting task at work, and a store that has just gone away.
+/// Returns a world with a long-running task whose store has just become unavailable.
 fn without_store() -> World {
     let mut world = world(1, 1);
     world.submit(1, chain(vec![long_running(1)]));
@@ -142,23 +142,23 @@
     world
 }
 
-/// The lease of the jobs counts from when its renewal was asked for: an owner that reads
-/// the answer seconds late renews nothing at workers beyond what its successor waits for.
+/// The owner's lease counts from the request of its renewal. An owner that reads the answer
+/// seconds late extends no lease at workers beyond the time that its successor waits for.
 #[test]
 fn a_late_answer_of_the_store_prolongs_nothing() {
     let mut world = without_store();
     let asked = world.now;
     let over = world.lease_end();
     world.run(5000);
-    // The answer to what was asked five seconds ago is read only now.
+    // The answer to the request of five seconds ago is read only now.
     world.notify(Event::Renewed { asked_at: asked });
     world.run(9000);
     assert!(world.workers[0].deadline <= world.workers[0].clock(over));
 }
 
-/// The same for an owner whose machine was suspended: to it no time may seem to have passed since
-/// its last contact. By a clock that stood still it renewed a lease until 3.9 s after the moment
-/// from which on a successor takes all leases for over.
+/// For a suspended machine no time may seem to have passed since the last contact with the store.
+/// With a clock that stops in suspension the owner would extend a lease until 3.9 s after the time
+/// at which a successor takes all leases for expired.
 #[test]
 fn a_suspended_owner_prolongs_nothing() {
     let mut world = without_store();
@@ -170,8 +170,8 @@
     assert_eq!(late, 0, "ms beyond the end of all leases");
 }
 
-/// The same for a start whose record is confirmed late: its lease is over when a successor
-/// takes it for over.
+/// The lease of a start whose record is confirmed late has expired when a successor takes it for
+/// expired.
 #[test_case(1000; "a second")]
 #[test_case(5000; "five seconds")]
 fn a_record_that_is_confirmed_late_prolongs_nothing(late: u64) {
@@ -181,7 +181,7 @@
     let over = world.lease_end();
     world.submit(1, chain(vec![short(2, 60_000)]));
     world.run(late);
-    // Only the record is late: what the workers announce is known.
+    // Only the record is late: the rows of the workers are up to date.
     let now = world.now;
     world.notify(Event::WorkersSynced { asked_at: now });
     world.notify(Event::Committed { asked_at: asked });
@@ -190,7 +190,7 @@
     assert!(world.workers[0].deadline <= world.workers[0].clock(over));
 }
 
-/// Nothing starts on a lease that is over already, or would be before it is renewed.
+/// No run starts on a lease that has expired, or that would expire before it can be renewed.
 #[test_case(6000; "before its lease could be renewed")]
 #[test_case(8000; "just before the end of all leases")]
 #[test_case(9000; "after the end of all leases")]
@@ -205,9 +205,9 @@
     assert_eq!(world.stats().starts, 0);
 }
 
-/// An owner stood still for four seconds, and its successor needs as long to read the jobs: up
-/// to 283 of 800 runs lapsed before they were asked after. The owner that wakes up renews
-/// leases at once from what the workers' clocks say now, also while ends wait to be durable.
+/// An owner was paused for four seconds, and a successor needs as long to read the jobs, so that
+/// up to 283 of 800 runs lapsed before they were polled. After the pause the owner renews leases
+/// at once from the last known clocks of the workers, also while ends wait for a commit.
 #[test_case(1; "nothing ended")]
 #[test_case(900; "ends wait to be durable")]
 fn an_owner_that_stood_still_renews_leases_at_once(estimate: u64) {
@@ -227,13 +227,13 @@
     assert!(left + 500 > reach, "{left} of {reach} ms left");
 }
 
-/// Thousands of jobs wait on a thousand workers, no two of them alike, and nothing fits.
+/// Thousands of jobs wait for a thousand workers; all of them differ, and none fits.
 #[test]
 fn a_pass_of_placement_is_bounded() {
     let mut site = Site::new(1000, 0);
     site.run(200);
     for job in 0..5000 {
-        // Each runs something else, so that none tells of another that it does not fit.
+        // Each job has its own image, so that none of them shows that another does not fit.
         site.submit_wide(vec![Step {
             count: 2,
             cpu: 30_000,
@@ -256,7 +256,7 @@
     assert!(after.polls > before.polls + 100, "leases are not renewed");
 }
 
-/// Jobs that have ended are asked after for minutes; their tasks take memory no more.
+/// Jobs can be queried for minutes after their end, but their tasks use no memory.
 #[test]
 fn the_tasks_of_a_job_that_has_ended_are_forgotten() {
     let mut world = world(4, 1);
@@ -273,8 +273,8 @@
     check_invariants(&world, 1);
 }
 
-/// A flood of starts on a link that carries fifty a second: what waits, waits where it is
-/// sorted. Lasting tasks come first, leases are renewed, and nothing is given up.
+/// More starts are due than a link can carry, which is fifty per second. Starts wait in the order
+/// of the scheduler: long-running tasks come first, leases are renewed, and no start times out.
 #[test]
 fn a_full_link_holds_starts_back() {
     let mut world = world(24, 1);
@@ -282,7 +282,7 @@
     for id in 1..=100 {
         world.submit(id, chain(vec![short(20, 400)]));
     }
-    // The first starts go out before any answer tells of the link.
+    // The first starts are sent before any answer shows the delay of the link.
     world.run(12_000);
     let before = world.stats();
     let id = world.submit(1000, chain(vec![long_running(2)]));
@@ -297,8 +297,8 @@
     check_invariants(&world, 1);
 }
 
-/// 3,000 workers wrote faster than they were read, and one that had said 5 s before that it
-/// leaves was given a task.
+/// The rows of 3,000 workers may change faster than an owner reads them. Without this check a
+/// worker that had announced 5 s before that it would leave was given a task.
 #[test]
 fn nothing_starts_while_it_is_not_known_which_workers_leave() {
     let mut world = World::new(WorldSettings::default());
--- a/crates/jobs/tests/all/checkpoints.rs
+++ b/crates/jobs/tests/all/checkpoints.rs
@@ -1,8 +1,8 @@
-//! Checkpoints that workers list, and those that starts bring.
+//! Checkpoints that workers report, and those that starts bring.
 //!
-//! A start brings a checkpoint that was listed for its very task. In a gang that of any member
-//! will do, and all members bring the same. The tests' workers write checkpoints whose texts
-//! tell nothing, and the judge knows where each was written.
+//! A start brings a checkpoint that was reported for its task. In a gang the checkpoint of any
+//! member is valid, and all members bring the same one. The workers of these tests write
+//! checkpoints whose texts are opaque, and the checker knows where each one was written.
 
 use crate::common::{
     Mode, Resumed, World, WorldSettings, chain, check_invariants, serving, short, with_checkpoints,
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
-/// A world in which a job runs, one task on a worker.
+/// Returns a world in which a job runs, with at most one task on each worker.
 fn world(step: Step) -> (World, JobId) {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
@@ -28,7 +28,7 @@
     (world, id)
 }
 
-/// Each task goes on from what it had done, whether its run was stopped or its worker crashed.
+/// Each task resumes from its own checkpoint, whether its run was stopped or its worker crashed.
 #[test]
 fn a_task_goes_on_from_its_own_checkpoint() {
     let (mut world, id) = world(with_checkpoints(short(3, 3000)));
@@ -45,10 +45,9 @@
     );
 }
 
-/// A worker of a gang crashed. The gang began again, each member with the checkpoint that it
-/// had written itself, though a gang goes on from one that all of them bring. What a start
-/// brought was each task's own last text, and nothing compared the members: run 2 of the three
-/// tasks began with three different texts. Now they share the newest one when they are placed.
+/// A gang restarts after the crash of a worker. If each member brought its own latest checkpoint,
+/// the members would resume from different progress. All members share the newest checkpoint when
+/// they are placed.
 #[test]
 fn all_members_of_a_gang_bring_the_same_checkpoint() {
     let gang = Step {
@@ -62,10 +61,9 @@
     check_invariants(&world, 0);
 }
 
-/// A worker listed a checkpoint that others reject, since it is not the task's. The task was
-/// started again with it, on one worker after the other, each of which was blamed: what a
-/// worker called malformed counted as the worker's own failure, and the same start followed
-/// 20 ms later. Now the task goes on without it.
+/// A worker reports a checkpoint that other workers reject, since it is not the task's. The task
+/// must resume without it: if the start were repeated, each worker in turn would reject it after
+/// 20 ms and be blamed for a failure.
 #[test_case(false, 1; "by a task")]
 #[test_case(true, 3; "by a gang")]
 fn a_checkpoint_that_was_rejected_is_not_brought_again(gang: bool, rejected: usize) {
@@ -76,7 +74,7 @@
     let (mut world, id) = world(with_checkpoints(step));
     let members = if gang { 0..3 } else { 0..1 };
     for worker in &mut world.workers[members] {
-        // With more progress than it will have, so that it writes no other one.
+        // With more progress than the task reaches, so that it writes no other checkpoint.
         worker.runs[0].checkpoint = ("another's".into(), 3000);
     }
     world.run(1000);
@@ -87,10 +85,10 @@
     assert_eq!(world.outcome(id), Outcome::Complete);
 }
 
-/// All members of a gang brought the same wrong text, and each start was rejected. Only the first
-/// answer found the checkpoint, which all members lost by it; the others looked like rejected
-/// starts without one, and their workers were blamed, three times each, so that the whole fleet
-/// got no work for a while. What counts is what the start brought.
+/// All members of a gang bring the same invalid checkpoint, and each start is rejected. The first
+/// answer removes the checkpoint from all members. The other answers must not look like rejected
+/// starts without a checkpoint, which would blame their workers three times each and close the
+/// whole fleet for a while. What counts is the checkpoint that the start brought.
 #[test]
 fn a_rejected_checkpoint_of_a_gang_is_no_workers_fault() {
     let gang = Step {
@@ -124,9 +122,9 @@
     check_invariants(&world, 0);
 }
 
-/// A worker rejected all that it was told to start. The other members of the gang began with the
-/// same checkpoint and listed it, so that it came back; the worker was not blamed, looked idle
-/// and got a member of each next run. Now what was rejected is not taken again.
+/// A worker rejects all starts. The other members of the gang start with the same checkpoint and
+/// report it, so that it would be used again; the worker is not blamed, looks idle and would get a
+/// member of each next run. A rejected checkpoint is not used again.
 #[test]
 fn a_worker_that_rejects_all_does_not_hold_up_a_gang() {
     let gang = Step {
@@ -148,7 +146,7 @@
     check_invariants(&world, 0);
 }
 
-/// The owner is gone before the record without the rejected checkpoint is durable.
+/// The owner is replaced before the record without the rejected checkpoint is durable.
 #[test]
 fn a_rejection_may_be_lost_with_its_owner_once() {
     let (mut world, id) = world(with_checkpoints(short(3, 3000)));
@@ -166,7 +164,7 @@
     assert_eq!((rejected, world.checker.violations.len()), (2, 1));
 }
 
-/// What one worker that rejects all costs the tasks that go on elsewhere.
+/// Bounds the checkpoints that are lost to one worker that rejects all starts.
 #[test]
 fn a_worker_that_rejects_all_costs_few_checkpoints() {
     let mut world = World::new(WorldSettings {
@@ -189,8 +187,8 @@
     assert!(texts <= 3, "{texts} of {all} rejected, {brought:?}");
 }
 
-/// Every worker called a job malformed, without any checkpoint. It was sent again at once, and
-/// each worker that said so got no work for a while, also of other jobs. Now its task pauses.
+/// All workers reject a job without checkpoints as malformed. If it were sent again at once, each
+/// worker would be closed for a while, also for other jobs. Instead its task waits.
 #[test]
 fn a_malformed_job_closes_no_workers() {
     let mut world = World::new(WorldSettings::default());
@@ -213,19 +211,19 @@
     assert!(took < 1000 && rejected <= 12, "{told}");
 }
 
-/// Workers of a random play.
+/// Workers of a random series.
 const WORKERS: usize = 6;
 
-/// What random jobs are of.
+/// The kind of jobs of a random series.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Shape {
-    /// Tasks that go on by themselves.
+    /// Independent tasks.
     Single,
-    /// Gangs, and others.
+    /// Gangs and independent tasks.
     Gang,
 }
 
-/// Hands in a job, most of whose tasks save their progress.
+/// Submits a job, most of whose tasks write checkpoints.
 fn submit_random(world: &mut World, rng: &mut SmallRng, id: u64, shape: Shape) {
     let plain = short(rng.random_range(1..5), rng.random_range(300..4000));
     let step = match rng.random_range(0..4) {
@@ -252,7 +250,7 @@
     world.submit(id, spec);
 }
 
-/// Something happens to a worker, an owner, the store or a job.
+/// Injects a fault of a worker, an owner, the store or a job.
 fn inject_fault(world: &mut World, rng: &mut SmallRng, last: u64) {
     let at = rng.random_range(0..WORKERS);
     let ms = rng.random_range(0..3500);
@@ -299,7 +297,7 @@
     }
 }
 
-/// All is well again.
+/// Ends all faults.
 fn recover(world: &mut World) {
     world.store_down = false;
     (world.max_turn_ms, world.unread_percent) = (0, 0);
@@ -314,7 +312,7 @@
     }
 }
 
-/// Plays the world of a seed and returns it when all jobs have ended.
+/// Runs the series of a seed and returns the world after all jobs have ended.
 fn run_series(seed: u64, shape: Shape) -> World {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(WorldSettings {
@@ -343,7 +341,8 @@
     world
 }
 
-/// Whatever comes together, a start brings what was listed for its task or gang.
+/// Under all combinations of faults a start brings a checkpoint that was reported for its task or
+/// gang.
 #[test_case(Shape::Single; "of single tasks")]
 #[test_case(Shape::Gang; "of gangs")]
 fn random_series_of_faults_mix_up_no_checkpoints(shape: Shape) {
@@ -353,7 +352,7 @@
         check_invariants(&world, seed);
         all += world.checker.checkpoints.resumed;
     }
-    // Else the plays tell nothing.
+    // Otherwise the series cover too few starts with checkpoints.
     assert!(
         all.starts > 200 && all.starts > 2 * all.without_checkpoint,
         "{all:?}"
--- a/crates/jobs/tests/all/lives.rs
+++ b/crates/jobs/tests/all/lives.rs
@@ -1,7 +1,7 @@
-//! Workers that start again under their names.
+//! Workers that restart under their names.
 //!
-//! What such a worker says carries the moment of its start. It holds and knows nothing of
-//! before, and the numbers of its ends and its clock start anew.
+//! Each report of such a worker carries the start time of its incarnation. A new incarnation has
+//! no state of the previous one, and its clock and the numbers of its ended runs start anew.
 
 use crate::common::{
     Crasher, Restart, World, WorldSettings, chain, check_invariants, long_running, short,
@@ -11,16 +11,17 @@
 /// The job of the first worker's only task.
 const FIRST_JOB: JobId = JobId(1);
 
-/// Milliseconds in which a task runs again whose worker is there again and known to be.
+/// Milliseconds within which a task runs again after the owner has learned of its worker's
+/// restart.
 const RESTART_LIMIT_MS: u64 = 2000;
 
-/// Milliseconds for which a worker may be silent before all leases on it are over.
+/// Milliseconds of silence after which all leases on a worker have expired.
 const MAX_LEASES_MS: u64 = 12_000;
 
-/// Absences in milliseconds, from those that nobody notices to those that everybody does.
+/// Downtimes in milliseconds, from ones that no owner notices to ones that each owner notices.
 const ABSENCES_MS: [u64; 5] = [5, 50, 400, 2000, 6000];
 
-/// Milliseconds until the row of a new life is told.
+/// Milliseconds until the row of a new incarnation is published.
 const ROW_DELAYS_MS: [u64; 3] = [0, 300, 3000];
 
 fn world(workers: usize) -> World {
@@ -33,7 +34,7 @@
     world
 }
 
-/// A step whose tasks run on the first two workers only.
+/// Restricts a step to the first two workers.
 fn on_first_rack(step: Step) -> Step {
     Step {
         label: Some("r0".into()),
@@ -41,7 +42,7 @@
     }
 }
 
-/// A world of three workers, the first of which has the only task of a job.
+/// Returns a world of three workers, the first of which runs the only task of a job.
 fn world_with(step: Step) -> World {
     let mut world = world(3);
     world.workers[1].partitioned = true;
@@ -56,20 +57,20 @@
     world
 }
 
-/// Cuts a worker off and waits until the owner knows that it gets no answer.
+/// Cuts a worker off and waits until the owner has noticed.
 fn partition(world: &mut World, at: usize) {
     world.workers[at].partitioned = true;
     world.run(RESTART_LIMIT_MS);
 }
 
-/// How often a task of the first job runs.
+/// Returns the number of runs of the first job.
 fn first_job_runs(world: &World) -> usize {
     let workers = world.workers.iter().filter(|w| w.alive);
     let runs = workers.flat_map(|w| &w.runs);
     runs.filter(|r| r.task.job == FIRST_JOB).count()
 }
 
-/// The ways in which a worker starts again: how long it is away, and how it is back.
+/// Returns the cases of a restart: the downtime in milliseconds, and how the worker restarts.
 fn restart_cases() -> Vec<(u64, Restart)> {
     let mut out = Vec::new();
     for away in ABSENCES_MS {
@@ -89,7 +90,7 @@
     out
 }
 
-/// Has a worker start again and be there.
+/// Restarts a worker.
 fn restart(world: &mut World, at: usize, away: u64) {
     world.restart_ms = away;
     world.crash(at);
@@ -97,7 +98,7 @@
     assert!(world.workers[at].alive);
 }
 
-/// Asserts that all jobs are done soon, and that nothing was wrong.
+/// Asserts that all jobs are done within `limit` milliseconds, and that there were no violations.
 fn check_done(world: &mut World, limit: u64, what: &str) {
     let done = world.run_until_done(limit);
     let violations = &world.checker.violations;
@@ -105,7 +106,8 @@
     assert!(done, "{what}: jobs are left");
 }
 
-/// Ends of the new life count, though the old one had more.
+/// Ends of the new incarnation are counted although their numbers start anew, below the numbers
+/// that the owner has observed.
 #[test]
 fn ends_numbered_anew_are_counted() {
     for (away, how) in restart_cases() {
@@ -122,8 +124,8 @@
     }
 }
 
-/// The old life's count of ends is durable by then, and the new one's ends are told to an
-/// owner that knows the count.
+/// An owner confirms the number of the last end that it has observed durably. If the number of the
+/// old incarnation went to the new one, that would forget ends that the owner has not read.
 #[test]
 fn a_new_life_does_not_forget_ends_that_nobody_read() {
     for seed in 0..20 {
@@ -137,8 +139,8 @@
     }
 }
 
-/// A start may reach a new life before a look does, and its run be over by then: the look that
-/// finds the life names the count of the one before.
+/// A start may reach the new incarnation before a poll does, and its run may end by then. The poll
+/// that discovers the incarnation names the last end observed from the previous one.
 #[test]
 fn a_look_that_finds_a_new_life_has_it_forget_nothing() {
     for away in [5, 20, 50] {
@@ -155,7 +157,7 @@
     }
 }
 
-/// What ran on the old life is found to be gone at once, not only when its leases are over.
+/// The runs of the old incarnation count as lost at once, not only when their leases expire.
 #[test]
 fn a_task_of_the_old_life_runs_again_soon() {
     for (away, how) in restart_cases() {
@@ -172,7 +174,7 @@
     }
 }
 
-/// The clock of a new life shows less than the end of the leases that the old one had.
+/// The clock of a new incarnation starts below the end of the leases that the old one had.
 #[test]
 fn runs_of_a_new_life_are_given_up_when_its_own_leases_are_over() {
     for (away, how) in restart_cases() {
@@ -193,7 +195,7 @@
     }
 }
 
-/// Asserts that the first worker, the only one that can be reached, takes work.
+/// Asserts that the first worker takes work while it is the only reachable one.
 fn check_takes_work(world: &mut World, what: &str) {
     for worker in &mut world.workers[1..] {
         worker.partitioned = true;
@@ -231,7 +233,7 @@
     }
 }
 
-/// Two workers start again, each at the other one's address.
+/// Two workers restart, each at the address of the other.
 #[test]
 fn a_worker_takes_work_again_after_another_one_answered_for_it() {
     for told in [0, 1000, 3000] {
@@ -249,7 +251,8 @@
     }
 }
 
-/// A start without an answer begins in the new life seconds later, unless it is barred there.
+/// An unanswered start may be carried out by the new incarnation seconds later, unless the owner
+/// bars it there.
 #[test]
 fn a_late_start_of_the_old_life_does_not_run_beside_the_next_run() {
     for (away, how) in restart_cases() {
@@ -270,8 +273,8 @@
     }
 }
 
-/// An order for the old life names a lease on its clock, which reaches further than any on the
-/// new one's: it is cut to the longest lease, counted from when the order arrives.
+/// An order to the old incarnation names the end of a lease on its clock, which is later than any
+/// lease on the new clock. The worker cuts it to the maximum lease from the arrival of the order.
 #[test]
 fn a_late_order_of_the_old_life_does_not_outlast_what_its_sender_waits_for() {
     for away in [5, 400] {
@@ -293,7 +296,8 @@
     }
 }
 
-/// Another worker answers for the old life, and nobody knows yet where the new one listens.
+/// Another worker answers at the address of the old incarnation, and the address of the new one is
+/// not known yet.
 #[test]
 fn a_late_start_is_waited_for_where_another_worker_answers() {
     for late in [800, 1500, 3000] {
@@ -315,8 +319,8 @@
     }
 }
 
-/// A start that the new life took holds its run there for the longest lease, though its sender
-/// knows of the old life only, whose lease is over before.
+/// A start that the new incarnation accepted keeps its run for the maximum lease, although its
+/// sender knows only the old incarnation, whose lease expires earlier.
 #[test]
 fn a_life_that_took_a_start_and_was_never_listed_is_waited_for() {
     for away in [110, 200, 300, 400] {
@@ -336,7 +340,8 @@
     }
 }
 
-/// Takes over while a worker is away, or just after it is back, so long after its crash.
+/// Starts a new owner `after` milliseconds after a worker's crash, before or after the worker has
+/// restarted.
 fn take_over(world: &mut World, away: u64, after: u64) {
     world.restart_ms = away;
     world.pause(true);
@@ -361,7 +366,7 @@
     }
 }
 
-/// The start was sent to the old life by the old owner, and begins in the new life.
+/// The old owner sent the start to the old incarnation, and the new incarnation carries it out.
 #[test]
 fn a_new_owner_adopts_no_run_that_has_gone_elsewhere() {
     for late in (300..5000).step_by(300) {
@@ -403,13 +408,13 @@
         check_done(&mut world, RESTART_LIMIT_MS, &what);
         let now = world.workers[0].runs.first().map(|r| r.run);
         assert_eq!(now, Some(run), "{what}: the run goes on");
-        // Its real row is read again as well.
+        // The row of the current incarnation is published again as well.
         world.announce(0, true);
         check_takes_work(&mut world, &what);
     }
 }
 
-/// A row that lapsed and comes back, and one that is told again, begin no new life.
+/// A row that expired and is published again, or that is published twice, is no restart.
 #[test]
 fn a_row_that_comes_back_begins_no_life() {
     let mut world = world_with(long_running(1));
@@ -425,7 +430,8 @@
     check_invariants(&world, 0);
 }
 
-/// Clocks that are set back let a later life seem the earlier one; it stays the current one.
+/// If a worker's wall clock is set back, its new incarnation has the earlier start time. The new
+/// incarnation must remain the current one.
 #[test]
 fn a_later_life_that_seems_the_earlier_one_is_kept() {
     for told in ROW_DELAYS_MS {
@@ -444,7 +450,7 @@
                 assert_eq!(world.workers[0].runs.len(), 1, "{told} {back}");
                 check_invariants(&world, 0);
             }
-            // The task runs apart after its crashes.
+            // The task is isolated after its crashes.
             world.run(4000);
             world.republish_past_rows();
             check_takes_work(&mut world, &format!("{told} {back:?}"));
@@ -452,7 +458,7 @@
     }
 }
 
-/// Without the field a new life has a new name, as before.
+/// Without a start time each incarnation has a new name.
 #[test]
 fn workers_that_do_not_say_when_they_began_start_again_under_new_names() {
     for away in ABSENCES_MS {
@@ -474,7 +480,7 @@
     }
 }
 
-/// A task that crashes whatever starts it is given up where there is one worker only.
+/// A task that crashes its worker is given up even if there is only one worker.
 #[test]
 fn crashes_of_two_lives_count_as_two() {
     for away in [300, 700, 3000] {
--- a/crates/jobs/tests/all/sharing.rs
+++ b/crates/jobs/tests/all/sharing.rs
@@ -1,4 +1,5 @@
-//! What fills beside what serves, where loads swing and tails grow as in a queue.
+//! Best-effort tasks beside serving tasks whose load varies and whose tail latencies grow as in a
+//! queue.
 
 use crate::common::{Mode, World, WorldSettings, chain, serving, short};
 use gorsespur_jobs::{JobId, Outcome, Step};
@@ -6,13 +7,13 @@
 
 const WORKERS: usize = 8;
 
-/// A world with two jobs that serve on all workers, after five calm seconds.
+/// Returns a world with two serving jobs on all workers, after five seconds without other work.
 fn world() -> World {
     sized_world(1)
 }
 
-/// The same with workers that are so many times as large, on which a core disturbs
-/// that much less.
+/// Returns such a world with workers that are `times` as large, on which a core interferes less by
+/// the same factor.
 fn sized_world(times: u64) -> World {
     let mut world = World::new(WorldSettings {
         workers: WORKERS,
@@ -40,7 +41,7 @@
     world
 }
 
-/// A step of tasks that ask for so many times as much as short ones.
+/// Returns a step of tasks that request `times` as much as short tasks.
 fn sized(count: u32, estimate: u64, times: u64) -> Step {
     Step {
         cpu: 1000 * times,
@@ -61,24 +62,24 @@
     }
 }
 
-/// What became of 40 s in which jobs fill, in seconds of tasks.
+/// Usage over 30 s, in task seconds.
 #[derive(Debug, Default)]
 struct Usage {
     served: f64,
     over_target: f64,
     harmless: f64,
-    /// Of these, at less than full pace.
+    /// The part of `harmless` at less than the full pace.
     slowed: f64,
     heavy: f64,
 }
 
-/// Fills with four harmless images and a heavy one; what the first 10 s teach does
-/// not count.
+/// Runs best-effort tasks of four harmless images and a heavy one. The first 10 s, in which the
+/// scheduler learns their interference, are not counted.
 fn run_best_effort() -> Usage {
     run_best_effort_on(1)
 }
 
-/// The same on workers, with tasks, that are so many times as large.
+/// Runs the same load with workers and tasks that are `times` as large.
 fn run_best_effort_on(times: u64) -> Usage {
     let mut world = sized_world(times);
     let mut seen = Usage::default();
@@ -169,8 +170,9 @@
     }
 }
 
-/// Fills workers with harmless images that disturb a little each, so that many of them disturb
-/// at the peak of a load; what the first 10 s teach does not count.
+/// Runs best-effort tasks that interfere a little each, so that many of them together interfere at
+/// the peak of a load. The first 10 s, in which the scheduler learns their interference, are not
+/// counted.
 fn run_light() -> Usage {
     let mut world = world();
     for worker in &mut world.workers {
@@ -197,8 +199,8 @@
     assert!(seen.harmless > 1250.0, "{seen:?}");
 }
 
-/// Loads that swing in a period are foreseen: little fills beside a peak that comes, and as
-/// much as before in the time between.
+/// Periodic loads are forecast: few best-effort tasks run at the next peak, and as many as without
+/// the forecast run between the peaks.
 #[test]
 fn what_fills_gives_way_to_a_peak_that_is_foreseen() {
     let seen = run_light();
@@ -206,8 +208,8 @@
     assert!(seen.harmless > 1250.0, "{seen:?}");
 }
 
-/// A world in which a job of tasks that save their progress fills, and the tails of one worker
-/// that has some of it have just risen over their targets, for good.
+/// Returns a world with a best-effort job with checkpoints. The tail latencies of one worker that
+/// runs some of its tasks have just risen over their targets permanently.
 fn world_with_halted_worker() -> (World, JobId) {
     let mut world = world();
     let saving = Step {
@@ -222,8 +224,8 @@
     (world, id)
 }
 
-/// A worker's tail stays over its target for long, and what fills there is halted. Filling
-/// tasks that save their progress go on elsewhere, on a worker that has room.
+/// Best-effort tasks are halted on a worker whose tail latency stays over its target. Tasks with
+/// checkpoints move to another worker that has capacity.
 #[test]
 fn what_is_halted_for_long_moves_to_another_worker() {
     let (mut world, id) = world_with_halted_worker();
@@ -231,7 +233,7 @@
     assert_eq!(world.outcome(id), Outcome::Complete);
 }
 
-/// The same, soon: whoever waits for the step waits for the halted task.
+/// A halted task moves soon, since the rest of its step waits for it.
 #[test]
 fn what_is_halted_moves_at_once() {
     let (mut world, id) = world_with_halted_worker();
@@ -239,7 +241,7 @@
     assert_eq!(world.outcome(id), Outcome::Complete);
 }
 
-/// A world of one worker, on which two tasks fill beside a serving one.
+/// Returns a world of one worker with a serving task and two best-effort tasks.
 fn single_worker_world() -> (World, JobId) {
     let mut world = World::new(WorldSettings {
         workers: 1,
@@ -253,7 +255,7 @@
     (world, id)
 }
 
-/// The same, whose filling tasks are halted.
+/// Returns the same world after the best-effort tasks were halted.
 fn halted_world() -> (World, JobId) {
     let (mut world, id) = single_worker_world();
     world.workers[0].tail_percents = vec![200];
@@ -262,8 +264,8 @@
     (world, id)
 }
 
-/// A worker that was overloaded took no orders for a pace. Each one was sent again as soon as its
-/// answer was there, where a stop waits for 400 ms. Now it waits as well.
+/// An overloaded worker ignores changes of the pace. A change that fails is sent again only after
+/// the delay that a failed stop has (400 ms), not as soon as its answer arrives.
 #[test]
 fn a_pace_that_is_not_taken_is_not_sent_again_at_once() {
     let (mut world, _) = single_worker_world();
@@ -274,15 +276,15 @@
     assert!(sent <= 40, "{sent} orders for two runs in 3 s");
 }
 
-/// The paces of what fills on the first worker, in percent.
+/// Returns the paces of the best-effort runs on the first worker, in percent.
 fn paces(world: &World) -> Vec<u32> {
     let best_effort_runs = world.workers[0].runs.iter().filter(|r| r.best_effort);
     best_effort_runs.map(|r| r.pace).collect()
 }
 
-/// What was halted beside a serving task goes on when that one has gone. Paces are chosen when
-/// the tail of a serving task is told: where none was left, nobody chose them again, the tasks
-/// stayed halted for good, and the worker was thought to be over its target for good.
+/// Paces are chosen when the tail latency of a serving task is reported. After the last serving
+/// task of a worker has gone, its halted tasks must still get a new pace, and the worker must not
+/// count as over its target any more.
 #[test]
 fn what_is_halted_goes_on_when_nothing_serves_beside_it() {
     let (mut world, id) = halted_world();
@@ -291,9 +293,10 @@
     assert_eq!(world.outcome(id), Outcome::Complete, "{:?}", paces(&world));
 }
 
-/// The same where another owner takes over and tails are well by then. It took what an earlier
-/// owner had started for runs at full pace, told them nothing, and stopped them after 7 s as
-/// standing still. Now it does not know their pace until it has told one.
+/// A new owner finds halted runs of an earlier owner when the tail latencies are below their
+/// targets again. If it assumed that the runs have the full pace, it would send them no pace, and
+/// would stop them after 7 s without progress. Their pace is unknown until the new owner has sent
+/// one.
 #[test]
 fn what_an_earlier_owner_halted_goes_on() {
     let (mut world, id) = halted_world();
@@ -304,9 +307,9 @@
     assert_eq!(world.outcome(id), Outcome::Complete, "{:?}", paces(&world));
 }
 
-/// Returns for how much of 30 s something fills at all beside a serving task whose tail
-/// goes through these percents of its target, one each half second, and the mean pace in
-/// percent of what is known to be harmless then.
+/// Returns the share of 30 s in which best-effort tasks run beside a serving task with these tail
+/// latencies in percent of its target, one for each half second, and the mean pace in percent of
+/// the images that are known to be harmless by then.
 fn best_effort_beside(tails: &[u64]) -> (f64, f64) {
     let mut world = World::new(WorldSettings {
         workers: 1,
@@ -338,8 +341,8 @@
     (f64::from(filled) / 600.0, pace)
 }
 
-/// At the peak of a load a tail is at four fifths of its target, and figures are rough: what
-/// fills is not halted for one that is higher.
+/// At the peak of a load a tail latency is at four fifths of its target, and metrics vary. A
+/// single higher value does not halt best-effort tasks.
 #[test_case(&[80, 92, 79, 81, 80, 82]; "close to the target once")]
 #[test_case(&[80, 105, 79, 81, 80, 82, 78, 80, 81, 79]; "above it once")]
 fn one_high_figure_halts_nothing(tails: &[u64]) {
@@ -347,9 +350,9 @@
     assert!(filled > 0.9, "for {filled} of the time");
 }
 
-/// The figure of each serving task is over its target in one half second of three, by turns,
-/// while most tasks of its step are at three quarters of theirs; harmless tasks fill, as many
-/// as fit.
+/// The tail latency of each serving task is over its target in one half second of three, in turn,
+/// while most tasks of its step are at three quarters of their targets. As many harmless
+/// best-effort tasks run as fit.
 #[test]
 fn one_high_figure_closes_a_calm_worker_for_a_moment_only() {
     let mut world = world();
@@ -373,16 +376,15 @@
     assert!(filled > 60.0, "{filled} tasks at a time");
 }
 
-/// A tail is over its target for two seconds now and then, whatever fills beside it.
+/// A tail latency is over its target for two seconds at times, whatever runs beside it.
 #[test]
 fn what_is_harmless_works_on_through_a_short_peak() {
     let (_, pace) = best_effort_beside(&[80, 80, 80, 80, 105, 105, 105, 105, 105]);
     assert!(pace > 99.0, "at {pace}%");
 }
 
-/// Three times as many tasks fill as there are processors for, of jobs that wait for long, and
-/// more than half of the room is taken: none goes beyond its share, by which it would only slow
-/// the others.
+/// There are three times as many best-effort tasks as there is CPU for, and more than half of the
+/// memory is taken. No task exceeds its share, which would only slow the others.
 #[test]
 fn what_fills_keeps_to_its_share_while_work_piles_up() {
     let mut world = world();
@@ -402,15 +404,16 @@
             most = most.max(cores);
         }
     }
-    // Of 8 cores what serves asks for two, and leaves at most nine tenths of them.
+    // Of 8 cores the serving tasks request two, and leave at most nine tenths of them unused.
     assert!(most <= 7, "{most} cores are asked for");
 }
 
-/// Filling images of the takeovers: each is seen beside what serves now and then only.
+/// Number of best-effort images in the test of takeovers. Each of them rarely runs beside a
+/// serving task.
 const IMAGES: usize = 40;
 
-/// Plays 20 s of filling jobs of many images, has another owner take over, and returns
-/// what fills at full pace in the 2 s after that, in seconds of tasks.
+/// Runs best-effort jobs of many images for 20 s and starts a new owner. Returns the best-effort
+/// work at full pace in the 2 s after that, in task seconds.
 fn best_effort_after_takeover(remembers: bool) -> f64 {
     let mut world = world();
     world.keeps_learned = remembers;
@@ -432,7 +435,7 @@
     seen.harmless - seen.slowed
 }
 
-/// A new owner that knows nothing takes each pair for one that disturbs.
+/// A new owner without learned interference assumes that each pair of images interferes.
 #[test]
 fn a_new_owner_goes_on_with_what_was_learned() {
     let (with, without) = (
@@ -442,7 +445,8 @@
     assert!(with > 1.15 * without, "{with} s, {without} s without");
 }
 
-/// The tail is over its target by its own load; what was halted beside it can't move.
+/// The tail latency is over its target under the load of the serving task alone. A task that was
+/// halted beside it has no checkpoints to move with.
 #[test]
 fn what_is_halted_goes_on_beside_a_tail_that_is_over_by_itself() {
     let mut world = World::new(WorldSettings {
@@ -460,8 +464,8 @@
     assert_eq!(world.outcome(id), Outcome::Complete, "{:?}", paces(&world));
 }
 
-/// The load that took the tail over its target by itself falls, and from then on the tail is
-/// over because of what fills: not for as long as users count as harm.
+/// The load falls under which the tail latency was over its target by itself, and from then on the
+/// best-effort tasks cause the excess. They must be halted before users count the time as harm.
 #[test]
 fn what_fills_beside_a_tail_that_was_over_by_itself_does_no_harm() {
     for phase in (0..4000).step_by(100) {
--- a/crates/jobs/tests/all/still.rs
+++ b/crates/jobs/tests/all/still.rs
@@ -1,4 +1,4 @@
-//! Jobs that fill go on, however late they are and whatever they disturb.
+//! Best-effort jobs make progress, however late they are and whatever they interfere with.
 
 use std::collections::BTreeMap;
 
@@ -9,39 +9,40 @@
 
 const WORKERS: usize = 8;
 
-/// Milliseconds between two looks at what runs.
+/// Milliseconds between two samples of the runs.
 const SAMPLE_MS: u64 = 100;
 
-/// Milliseconds after which users count a job as lost of which nothing runs.
+/// Milliseconds without a run after which users count a job as lost.
 const MAX_STALL_MS: u64 = 3000;
 
-/// Milliseconds that a long task takes.
+/// Duration of a long task, in milliseconds.
 const TASK_MS: u64 = 4000;
 
-/// Milliseconds from the last arrival until users ask after all jobs.
+/// Milliseconds from the last arrival until the check of all jobs.
 const DRAIN_MS: u64 = 14_000;
 
-/// Processors that a serving task asks for where less than half of the room is taken ...
+/// CPU of a serving task that leaves more than half of the capacity free, in thousandths of a
+/// core.
 const SPARSE_CPU: u64 = 1200;
 
-/// ... and where most of it is, in thousandths of a core.
+/// CPU of a serving task that takes most of the capacity, in thousandths of a core.
 const DENSE_CPU: u64 = 1800;
 
-/// A job whose name comes last in every order that is drawn from names.
+/// A job whose ID comes last in all orders by ID.
 const LAST_JOB: u64 = 0x46a7_6c98_01ea_bfcf;
 
-/// A job whose name comes first in them.
+/// A job whose ID comes first in all orders by ID.
 const FIRST_JOB: u64 = 0x9345_a9f5_82f4_1895;
 
-/// How long a job has stood still.
+/// Time for which a job had no runs.
 #[derive(Debug, Clone, Copy)]
 struct Stall {
-    /// When something of it ran last.
+    /// When a task of the job ran last.
     since: u64,
     longest: u64,
 }
 
-/// A world whose jobs are watched.
+/// A world whose jobs are watched for stalls.
 struct WatchedWorld {
     world: World,
     rng: SmallRng,
@@ -49,8 +50,8 @@
 }
 
 impl WatchedWorld {
-    /// Three jobs, each with a task of so many thousandths of a core on each worker, serve with
-    /// loads that swing.
+    /// Returns a world with three serving jobs under varying load, each with a task of `cpu`
+    /// thousandths of a core on each worker.
     fn new(seed: u64, cpu: u64) -> WatchedWorld {
         let mut world = World::new(WorldSettings {
             workers: WORKERS,
@@ -90,7 +91,7 @@
         self.jobs.insert(id, still);
     }
 
-    /// More arrives for `ms` than can be done: jobs of two steps of these images.
+    /// Overloads the workers for `ms` with jobs of two steps of these images.
     fn overload(&mut self, ms: u64, images: &[&str]) {
         let end = self.world.now + ms;
         while self.world.now < end {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The jobs that have stood still for so long now that users count them as lost.
+    /// Returns the jobs that have had no runs for so long that users count them as lost.
     fn stalled(&self) -> Vec<(JobId, Stall)> {
         let now = self.world.now;
         let lost = self
@@ -144,8 +145,8 @@
     }
 }
 
-/// More arrives for a minute than can be done, and half of it disturbs what serves. When users
-/// ask after their jobs, something of each is running.
+/// The workers are overloaded for a minute, and half of the jobs interfere with serving tasks.
+/// After the last arrival each job has runs.
 #[test_case(4)]
 #[test_case(7)]
 #[test_case(8)]
@@ -164,8 +165,8 @@
     );
 }
 
-/// A job of a thousand tasks takes all that is left to what fills. One that comes last in every
-/// order goes on beside it: with most of the room taken once the next task ends.
+/// A job of a thousand tasks takes all CPU that is left for best-effort tasks. The job that comes
+/// last in the order runs beside it; if most of the capacity is taken, once the next task ends.
 #[test_case("light", SPARSE_CPU, 0; "where it disturbs nothing")]
 #[test_case("unknown", SPARSE_CPU, 0; "where it may disturb everywhere")]
 #[test_case("light", DENSE_CPU, TASK_MS; "where most of the room is taken")]
@@ -182,7 +183,7 @@
     assert!(still.longest < MAX_STALL_MS + more, "{still:?}");
 }
 
-/// A step whose tasks fill for long, and save their progress.
+/// Returns a step of long best-effort tasks with checkpoints.
 fn best_effort(image: &str, count: u32) -> Step {
     with_checkpoints(Step {
         best_effort: true,
--- a/crates/jobs/tests/all/waits.rs
+++ b/crates/jobs/tests/all/waits.rs
@@ -1,4 +1,4 @@
-//! What can run goes on, whatever holds others back.
+//! Tasks that can run are not held up by tasks that can't.
 
 use crate::common::{
     Mode, World, WorldSettings, chain, long_running, serving, short, with_checkpoints,
@@ -8,19 +8,19 @@
 
 const WORKERS: usize = 8;
 
-/// Milliseconds between two looks at what runs.
+/// Milliseconds between two samples of the runs.
 const SAMPLE_MS: u64 = 100;
 
-/// Milliseconds after which users count a job as lost of which nothing runs ...
+/// Milliseconds without a run after which users count a job as lost.
 const MAX_WAIT_MS: u64 = 3000;
 
-/// ... or a lasting task.
+/// Milliseconds without a run after which users count a long-running task as lost.
 const MAX_LONG_RUNNING_WAIT_MS: u64 = 6000;
 
-/// A job whose name comes last in every order that is drawn from names.
+/// A job whose ID comes last in all orders by ID.
 const LAST_JOB: u64 = 0x46a7_6c98_01ea_bfcf;
 
-/// A job whose name comes first in them.
+/// A job whose ID comes first in all orders by ID.
 const FIRST_JOB: u64 = 0x9345_a9f5_82f4_1895;
 
 fn world(workers: usize) -> World {
@@ -32,7 +32,7 @@
     world
 }
 
-/// A step whose tasks fill, and save their progress.
+/// Returns a step of best-effort tasks with checkpoints.
 fn best_effort(image: &str, count: u32, estimate: u64) -> Step {
     with_checkpoints(Step {
         best_effort: true,
@@ -47,8 +47,7 @@
     runs.any(|r| r.task.job == id)
 }
 
-/// Plays on for `ms` and returns the longest time for which nothing of a job ran that was not
-/// over.
+/// Runs for `ms` and returns the longest time for which an unfinished job had no runs.
 fn longest_wait(world: &mut World, id: JobId, ms: u64) -> u64 {
     let end = world.now + ms;
     let (mut since, mut longest) = (world.now, 0);
@@ -62,14 +61,14 @@
     longest
 }
 
-/// All that serves has figures like these, in percent of the targets.
+/// Sets the tail latencies of all serving tasks, in percent of their targets.
 fn set_tails(world: &mut World, tails: &[u64]) {
     for worker in &mut world.workers {
         worker.tail_percents = tails.to_vec();
     }
 }
 
-/// A world in which a task serves on each worker, with tails like these.
+/// Returns a world with a serving task on each worker and these tail latencies.
 fn serving_world(tails: &[u64]) -> World {
     let mut world = world(WORKERS);
     set_tails(&mut world, tails);
@@ -82,8 +81,8 @@
     world
 }
 
-/// Tails are over their targets by their own load for good: what fills harms nothing then, and
-/// most of the room is free.
+/// Tail latencies stay over their targets under the load of the serving tasks alone. Best-effort
+/// tasks do no harm in that case, and most of the capacity is free.
 #[test]
 fn what_fills_begins_where_tails_are_over_their_targets_by_themselves() {
     let mut world = serving_world(&[120]);
@@ -92,7 +91,7 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
-/// Tails are over their targets until the load ends, and there are no figures from then on.
+/// Tail latencies are over their targets until the load ends, and there are no metrics after that.
 #[test]
 fn what_fills_begins_after_the_last_figure_was_over_its_target() {
     let mut world = serving_world(&[120]);
@@ -103,7 +102,8 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
-/// What fills is halted by a peak, after which there are no figures; it can't move.
+/// A peak halts best-effort tasks that have no checkpoints to move with, and there are no metrics
+/// after the peak.
 #[test]
 fn what_is_halted_goes_on_after_the_last_figure_was_over_its_target() {
     let mut world = serving_world(&[60]);
@@ -121,7 +121,7 @@
     assert!(world.outcome(id).is_final(), "it is halted for good");
 }
 
-/// Another service's workers are full, or have little on them: this one's are not full.
+/// The workers of another service are full or nearly idle, which says nothing of this service's.
 #[test_case(100; "where the other one is idle")]
 #[test_case(7500; "where the other one is full")]
 fn a_full_service_holds_back_nothing_of_another_one(cpu: u64) {
@@ -171,7 +171,7 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
-/// Tasks that fill, of an image that is not known beside what serves.
+/// The interference of an unknown image is not known beside any serving task.
 #[test_case(false; "beside others")]
 #[test_case(true; "as a gang")]
 fn what_may_disturb_everywhere_begins(gang: bool) {
@@ -186,7 +186,7 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
-/// The first of two steps that don't depend on each other can't run; the other one can.
+/// The first of two independent steps can't be placed; the second one can.
 #[test_case(Step { label: Some("none".into()), ..short(1, 1000) }; "no worker has its label")]
 #[test_case(Step { gang: true, cpu: 8000, ..short(20, 1000) }; "it is too wide")]
 fn a_step_that_can_not_run_holds_back_no_other_one(first: Step) {
@@ -203,13 +203,14 @@
     assert_eq!(done, 3, "tasks of the other step are done");
 }
 
-/// What fills leaves room in pieces on each worker, and takes each that ends.
+/// Best-effort tasks leave fragments of memory on each worker, and take each fragment that is
+/// freed.
 #[test_case(Step { memory: 13_000, ..long_running(1) }, 1500, MAX_LONG_RUNNING_WAIT_MS; "that lasts")]
 #[test_case(Step { memory: 11_000, ..short(1, 2000) }, 900, MAX_WAIT_MS; "that ends where less than half is taken")]
 fn a_task_gets_room_that_lies_in_pieces(step: Step, memory: u64, lost: u64) {
     let mut world = world(WORKERS);
     for at in 0..12 {
-        // One on each worker; they don't end at once.
+        // One on each worker, with different durations.
         let small = Step {
             memory,
             max_per_worker: 1,
@@ -225,8 +226,8 @@
     assert!(wait < lost, "{wait} ms, {used} MB of 128000 were taken");
 }
 
-/// Answers were late for a while, so that few starts may be under way; a gang comes first that
-/// is wider than that and fits nowhere.
+/// Late answers have reduced the number of starts that may be in flight. The first gang in the
+/// order is wider than this number and fits nowhere.
 #[test_case(0; "without it")]
 #[test_case(20; "with it")]
 fn a_gang_that_fits_nowhere_takes_no_starts_from_others(wide: u32) {
@@ -256,7 +257,7 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms, {held} passes held");
 }
 
-/// Each worker has a task that may have crashed some, and most of their processors are free.
+/// Each worker runs a suspect, and most of the CPU is free.
 #[test]
 fn suspects_that_wait_hold_back_no_others() {
     let mut world = world(WORKERS);
@@ -286,8 +287,8 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
-/// A world of which a lasting job takes all room, and more jobs wait for a label that no worker
-/// has than a pass can rate.
+/// Returns a world whose capacity is taken by a long-running job, with more pending jobs than a
+/// pass can rate that require a label that no worker has.
 fn unplaceable_world(times: u32) -> (World, JobId) {
     let mut world = world(400);
     let all = Step {
@@ -314,7 +315,7 @@
     (world, all)
 }
 
-/// One late job that comes before all others of the order has tasks that fit.
+/// A late job that comes first in the order has tasks that fit.
 #[test_case(0; "that are late")]
 #[test_case(1; "that have a time, and are never late")]
 fn jobs_that_fit_nowhere_hold_back_no_late_one(times: u32) {
@@ -330,7 +331,7 @@
     );
 }
 
-/// Late jobs that fit nowhere cost a pass no more than others do.
+/// Late jobs that fit nowhere cost a pass no more ratings than other jobs.
 #[test]
 fn late_jobs_that_fit_nowhere_are_rated_within_bounds() {
     let (mut world, all) = unplaceable_world(0);
@@ -343,8 +344,8 @@
     assert!(each <= 300_400, "{each} ratings in each pass");
 }
 
-/// A job takes all that is left to what fills; a gang that fills comes last in every order, and
-/// most of the room is free.
+/// A job takes all CPU that is left for best-effort tasks. A best-effort gang comes last in the
+/// order while most of the memory is free.
 #[test_case(false; "beside others")]
 #[test_case(true; "as a gang")]
 fn what_fills_begins_beside_a_job_that_takes_all(gang: bool) {
@@ -354,7 +355,7 @@
     }
     world.submit(FIRST_JOB, chain(vec![best_effort("light", 1000, 4000)]));
     world.run(10_000);
-    // It is late at once.
+    // The estimate is so short that the job is late at once.
     let step = Step {
         gang,
         ..best_effort("light", 2, 1)
@@ -364,7 +365,7 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
-/// Tasks fail by their own fault on all workers, and no others have ended there of late.
+/// Tasks fail by their own fault on all workers, and no other tasks ended there recently.
 #[test]
 fn jobs_that_fail_hold_back_no_others() {
     let mut world = world(WORKERS);
@@ -383,7 +384,7 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
-/// A world whose workers all failed of late, and that have nothing to do.
+/// Returns a world of idle workers on all of which a run failed recently.
 fn failed_world() -> World {
     let mut world = world(WORKERS);
     for worker in &mut world.workers {
@@ -404,8 +405,8 @@
     world
 }
 
-/// A gang that no room can hold is tried again and again: that uses up no trial of a worker that
-/// failed, so that a task behind it begins.
+/// Repeated attempts to place a gang that fits nowhere use up no trials of workers that failed, so
+/// that a later task starts.
 #[test]
 fn a_gang_that_fits_nowhere_uses_up_no_trials() {
     let mut world = failed_world();
@@ -421,7 +422,7 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
-/// A gang with more tasks than workers are tried with after a failure begins there.
+/// A gang with more members than a worker gets trials after a failure starts on such workers.
 #[test]
 fn a_gang_that_is_wider_than_a_trial_begins() {
     let mut world = failed_world();
@@ -434,11 +435,11 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
-/// Room that a gang would have taken counts as free again for tasks of its size.
+/// Capacity that was set aside for a gang that does not fit is available to tasks of its size.
 #[test]
 fn a_gang_that_fits_nowhere_holds_back_no_task_of_its_size() {
     let mut world = world(WORKERS);
-    // Both are in time for long, so that the gang comes first.
+    // Neither job is late for long, so that the gang comes first.
     let step = Step {
         cpu: 5000,
         ..short(1, 60_000)
@@ -454,7 +455,7 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
-/// A gang that fits nowhere changes nothing that would have to be made durable.
+/// A gang that fits nowhere changes no durable state.
 #[test]
 fn a_gang_that_fits_nowhere_is_not_written_again() {
     let mut world = world(WORKERS);
