--- a/crates/jobs/benches/decide.rs
+++ b/crates/jobs/benches/decide.rs
@@ -1,9 +1,9 @@
-//! What deciding costs: the processor time of one second of a site's load.
+//! Benchmarks of the scheduler's decisions: the CPU time for one second of a cluster's load.
 //!
-//! A site has workers of 32 cores. Serving tasks ask for four fifths of all processors;
-//! jobs of forty filling tasks and of thirteen short ones arrive, in `usual` as many as can
-//! be done, in `worst` twice as many, so that thousands of tasks wait. Workers and store
-//! answer at once and cost nothing: only the time in the machine counts.
+//! Workers have 32 cores. Serving tasks request four fifths of all CPU. Jobs of forty best-effort
+//! tasks and of thirteen short ones arrive: in `usual` as many as can be done, in `worst` twice as
+//! many, so that thousands of tasks wait. Workers and the store answer at once and at no cost:
+//! only the time in the state machine is measured.
 
 #[expect(dead_code, reason = "the tests use more of it")]
 mod site;
@@ -18,10 +18,10 @@
 
 use crate::site::Site;
 
-/// Milliseconds of virtual time before anything is measured.
+/// Virtual time before the measurement, in milliseconds.
 const WARM_UP: u64 = 8000;
 
-/// Milliseconds of virtual time that each measurement plays.
+/// Virtual time of each measurement, in milliseconds.
 const SPAN: u64 = 1000;
 
 /// Numbers of workers.
@@ -46,7 +46,7 @@
     group.finish();
 }
 
-/// What waits grows, so that each measurement begins with a new site.
+/// Each measurement uses a new site, since the number of waiting tasks grows.
 fn worst(c: &mut Criterion) {
     let mut group = c.benchmark_group("worst");
     group.sample_size(10).warm_up_time(Duration::from_millis(1));
--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -1,4 +1,4 @@
-//! A machine among workers that do what they are told, in virtual time.
+//! A state machine with workers that carry out its orders, in virtual time.
 
 use std::{
     cmp::Reverse,
@@ -15,29 +15,29 @@
 
 use crate::ledger::Ledger;
 
-/// Milliseconds between two wake-ups of the owner.
+/// Milliseconds between two turns of the owner.
 const TURN_MS: u64 = 2;
 
-/// Milliseconds to a worker and back.
+/// Milliseconds of a round trip to a worker.
 const ROUND_TRIP_MS: u64 = 2;
 
-/// Milliseconds of a write.
+/// Milliseconds of a write to the store.
 const WRITE_MS: u64 = 10;
 
-/// Clocks of workers begin here.
+/// Clock of the workers at the virtual time 0, in milliseconds.
 const CLOCK_START_MS: u64 = 1_000_000;
 
-/// What is due at a time.
+/// An event that is due at a time.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Committed,
     /// A run on a worker ends.
     End(u32, RunIndex),
-    /// A worker's look has waited for long enough.
+    /// The wait of a worker's poll is over; the second value is the number of the poll.
     Poll(u32, u64),
 }
 
-/// Name of a run among those of the site.
+/// Index of a run.
 type RunIndex = usize;
 
 #[derive(Debug, Clone)]
@@ -57,11 +57,11 @@
     runs: Vec<RunIndex>,
     finished: Vec<RunEnd>,
     last_end: u64,
-    /// A look that waits: its number and when it was sent.
+    /// A waiting poll: its number and when it was sent.
     poll: Option<(u64, u64)>,
 }
 
-/// A machine, its workers, and what is under way.
+/// A state machine, its workers, and messages in flight.
 pub struct Site {
     now: u64,
     machine: Machine,
@@ -71,21 +71,21 @@
     answers: Vec<Event>,
     polls: u64,
     jobs: u64,
-    /// Jobs that arrive against the usual.
+    /// Rate of arrivals as a multiple of the usual one.
     load_factor: u64,
-    /// Thousandths of a job that are owed, by kind.
+    /// Fractions of jobs that are due to arrive, by kind.
     arrivals_due: [u64; 2],
     decide_time: Duration,
-    /// What was accepted.
+    /// Accepted jobs.
     accepted: Vec<Arc<Job>>,
-    /// What was committed of jobs.
+    /// Committed records and log rows.
     ledger: Ledger,
 }
 
 impl Site {
-    /// Makes a site whose serving tasks are at work soon; jobs arrive at so many times the
-    /// usual rate.
-    pub fn new(workers: u64, times: u64) -> Site {
+    /// Creates a site whose serving tasks start soon. Jobs arrive at `load_factor` times the usual
+    /// rate.
+    pub fn new(workers: u64, load_factor: u64) -> Site {
         let now = 3_600_000;
         let mut machine = Machine::new(
             Settings::default(),
@@ -114,14 +114,14 @@
             answers: Vec::new(),
             polls: 0,
             jobs: 0,
-            load_factor: times,
+            load_factor,
             arrivals_due: [0; 2],
             decide_time: Duration::ZERO,
             accepted: Vec::new(),
             ledger: Ledger::default(),
         };
         site.join(workers);
-        // Four tasks of 6.4 cores to a worker of 32.
+        // Four tasks of 6.4 cores on a worker of 32.
         for _ in 0..workers * 4 / 24 {
             let image = site.jobs % 16;
             let step = Step {
@@ -138,7 +138,7 @@
         site
     }
 
-    /// Adds so many empty workers.
+    /// Adds `count` idle workers.
     pub fn join(&mut self, count: u64) {
         for _ in 0..count {
             let at = self.workers.len();
@@ -164,36 +164,36 @@
         }
     }
 
-    /// Returns how many runs a worker has on average, of those from `first` on.
+    /// Returns the average number of runs of the workers from `first` on.
     pub fn runs_from(&self, first: usize) -> f64 {
         let workers = &self.workers[first..];
         let runs: usize = workers.iter().map(|w| w.runs.len()).sum();
         runs as f64 / workers.len() as f64
     }
 
-    /// Returns how many jobs of a queue have not begun.
+    /// Returns the number of jobs of a queue that have not started.
     pub fn pending(&self, queue: &str) -> u64 {
         let pending = self.machine.pending_jobs();
         let found = pending.iter().find(|(q, _)| **q == *queue);
         found.map_or(0, |(_, count)| *count)
     }
 
-    /// Hands in a job.
+    /// Submits a job to the queue of short jobs.
     pub fn submit_wide(&mut self, steps: Vec<Step>) {
         self.submit("wide", steps);
     }
 
-    /// What the store holds: the jobs that were accepted, and what was committed of them.
+    /// Returns the contents of the store: the accepted jobs, and what was committed for them.
     pub fn stored(&self) -> (&[Arc<Job>], &Ledger) {
         (&self.accepted, &self.ledger)
     }
 
-    /// What the machine counted.
+    /// Returns the counters of the state machine.
     pub fn stats(&self) -> Stats {
         self.machine.stats()
     }
 
-    /// What waits.
+    /// Returns a description of the waiting jobs.
     pub fn backlog(&self) -> String {
         let pending = self.machine.pending_jobs();
         let figures = self.machine.stats();
@@ -201,7 +201,7 @@
         format!("{open} open, waiting {pending:?}, {cut} of {passes} passes cut")
     }
 
-    /// Plays so many milliseconds and returns the time that deciding took.
+    /// Runs for `ms` milliseconds and returns the time that the decisions took.
     pub fn run(&mut self, ms: u64) -> Duration {
         self.decide_time = Duration::ZERO;
         let end = self.now + ms;
@@ -216,8 +216,8 @@
 
     fn arrive(&mut self) {
         let workers = self.workers.len() as u64;
-        // A thousandth of a job each millisecond is one a second; per 1,100 workers
-        // 32 jobs that fill and 24 wide ones a second.
+        // A thousandth of a job per millisecond is one job per second. For 1,100 workers, 32
+        // best-effort jobs and 24 short ones arrive per second.
         for (kind, rate) in [(0, 32), (1, 24)] {
             self.arrivals_due[kind] += TURN_MS * rate * workers * self.load_factor;
             while self.arrivals_due[kind] >= 1_100_000 {
--- a/crates/jobs/benches/takeover.rs
+++ b/crates/jobs/benches/takeover.rs
@@ -1,7 +1,8 @@
-//! What a takeover costs a new owner: reading jobs, their records and the log into a machine.
+//! Benchmark of a takeover: a new owner reads jobs, their records and the log into a state
+//! machine.
 //!
-//! Each job has two steps of forty tasks, all of the first one placed on workers. The
-//! store and the network cost nothing here.
+//! Each job has two steps of forty tasks, and all tasks of the first step are placed. The store
+//! and the network cost nothing.
 
 use std::{alloc::System, hint::black_box, sync::Arc};
 
@@ -24,7 +25,7 @@
 /// Numbers of open jobs.
 const SIZES: [usize; 3] = [500, 2000, 8000];
 
-/// What the store holds: rows of jobs, and what was committed of them.
+/// The contents of the store: rows of jobs, and the records and the log that were committed.
 struct Rows {
     jobs: Vec<Vec<u8>>,
     ledger: Ledger,
@@ -37,7 +38,7 @@
 }
 
 fn rows(count: usize) -> Rows {
-    // One worker holds the first step of one job.
+    // One worker has capacity for the first step of one job.
     let mut site = Site::new(count as u64, 0);
     site.run(200);
     for _ in 0..count {
@@ -66,7 +67,7 @@
     }
 }
 
-/// Does what an owner does with the rows that it has read.
+/// Reads the rows into a new state machine, as a new owner does.
 fn take_over(rows: &Rows) -> Machine {
     let now = 3_600_000;
     let mut machine = Machine::new(
--- a/crates/jobs/tests/all/apart.rs
+++ b/crates/jobs/tests/all/apart.rs
@@ -1,10 +1,10 @@
-//! Gangs of which several members may be what crashed a worker, and have to run apart.
+//! Gangs that have to be isolated since several of their members may have crashed a worker.
 
 use crate::common::{World, WorldSettings, chain, check_invariants, short};
 use gorsespur_jobs::{Outcome, Step};
 
-/// A world of five workers, the first of which has crashed just after a whole gang had begun
-/// there, and is back: each member may be the cause.
+/// Returns a world of five workers, the first of which has crashed just after a whole gang had
+/// started there, and has restarted. Each member may be the cause.
 fn with_crashed_gang(members: u32) -> World {
     let mut world = World::new(WorldSettings {
         workers: 5,
--- a/crates/jobs/tests/all/crashing/crowds.rs
+++ b/crates/jobs/tests/all/crashing/crowds.rs
@@ -1,29 +1,29 @@
-//! One crash that makes suspects of many tasks: what did it is found, and the others go on.
+//! A crash that makes suspects of many tasks: the culprit is found, and the others run on.
 
 use crate::common::{Crasher, World, WorldSettings, chain, check_invariants, short};
 use gorsespur_jobs::{JobId, Outcome, Step, TaskId};
 use test_case::test_case;
 
-/// Suspects of the crash.
+/// Number of suspects of the crash.
 const SUSPECTS: u64 = 51;
 
-/// Milliseconds after which users ask after all jobs.
+/// Milliseconds within which all jobs have to end.
 const LIMIT_MS: u64 = 60_000;
 
-/// Milliseconds after which users count a job as lost of which nothing runs.
+/// Milliseconds without a run after which users count a job as lost.
 const JOB_LIMIT_MS: u64 = 3000;
 
-/// How a crash among many suspects went out.
+/// Outcome of a crash with many suspects.
 #[derive(Debug)]
 struct Isolation {
-    /// Milliseconds until no job was left.
+    /// Milliseconds until all jobs had ended.
     took_ms: u64,
-    /// Jobs of other tasks that failed.
+    /// Number of jobs without a culprit that failed.
     wrongly_failed: usize,
 }
 
-/// A world of so many workers, one of which crashes under `SUSPECTS` tasks that have just begun. Some
-/// of them crash whatever starts them.
+/// Returns a world in which one worker is about to crash under [`SUSPECTS`] tasks that have just
+/// started. Some of the tasks crash each worker that starts them.
 fn world_of_suspects(workers: usize, culprits: u64, seed: u64) -> World {
     let mut world = World::new(WorldSettings {
         workers,
@@ -63,7 +63,7 @@
     world
 }
 
-/// Plays on until no job is left.
+/// Runs until all jobs have ended.
 fn isolate_culprits(workers: usize, culprits: u64, seed: u64) -> Isolation {
     let mut world = world_of_suspects(workers, culprits, seed);
     let since = world.now;
@@ -95,14 +95,13 @@
     }
 }
 
-/// Many suspects run apart, one after the other, and take no more than half of the workers from
-/// others meanwhile.
+/// Many suspects are isolated one after the other, on at most half of the workers.
 #[test_case(4)]
 #[test_case(5)]
 #[test_case(12)]
 fn others_go_on_beside_many_suspects(workers: usize) {
     let mut world = world_of_suspects(workers, 1, 0);
-    // The worker is back, and all that ran there are suspects.
+    // The worker has restarted, and all its runs are suspects.
     world.run(6000);
     for id in 0..12 {
         let id = world.submit(1000 + id, chain(vec![short(2, 300)]));
@@ -115,7 +114,7 @@
     }
 }
 
-/// Only suspects wait, and half of the workers have nothing to do: they get those as well.
+/// Only suspects wait and half of the workers are idle, so that suspects use those as well.
 #[test]
 fn suspects_take_workers_that_nobody_else_needs() {
     let mut world = world_of_suspects(4, 1, 0);
--- a/crates/jobs/tests/all/crashing/culprits.rs
+++ b/crates/jobs/tests/all/crashing/culprits.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash their workers under one owner: each is given up, and takes few others with it.
+//! Tasks that crash their workers under one owner: each is given up, with few other runs lost.
 
 use crate::{
     common::{
@@ -23,7 +23,7 @@
     }
 }
 
-/// A task that crashes its worker only after a while is found as well.
+/// A task is found even if it crashes its worker only after a while.
 #[test_case(400)]
 #[test_case(1200)]
 #[test_case(2500)]
@@ -36,7 +36,7 @@
     check_outcomes(&mut world, &name);
 }
 
-/// Where no worker is empty it runs beside others, and is found as well.
+/// The task runs beside others if no worker is idle, and is found as well.
 #[test_case(10)]
 #[test_case(1200)]
 fn a_task_that_crashes_workers_beside_others_is_given_up(after: u64) {
@@ -53,7 +53,7 @@
     check_outcomes(&mut world, &name);
 }
 
-/// Tasks of several jobs crash workers at the same time. None hides behind the others.
+/// Tasks of several jobs crash workers at the same time. Each of them is found.
 #[test]
 fn several_tasks_that_crash_workers_are_given_up() {
     let mut world = world(3);
@@ -78,7 +78,7 @@
     assert_eq!(lasting, WORKERS);
 }
 
-/// Only the first crash comes beside others, as long as some worker is empty.
+/// Only the first crash affects other runs, as long as some worker is idle.
 #[test]
 fn a_suspect_takes_no_others_down_with_it() {
     for (name, step) in shapes() {
--- a/crates/jobs/tests/all/crashing/losses.rs
+++ b/crates/jobs/tests/all/crashing/losses.rs
@@ -1,4 +1,4 @@
-//! Workers that are lost by no task's fault, alone and among tasks that crash them.
+//! Workers that are lost by no task's fault, without and with tasks that crash workers.
 
 use crate::{
     common::{Crasher, World, WorldSettings, chain, check_invariants, long_running, short},
@@ -22,7 +22,7 @@
         world.run(2000);
         world.workers[at].refusing = false;
         world.run(1500);
-        // It moves to another worker, each time one that it was not on.
+        // The task moves to a worker on which it has not run.
         world.announce(at, false);
         world.run(1500);
     }
@@ -30,21 +30,21 @@
     check_invariants(&world, 0);
 }
 
-/// How workers are lost by no task's fault.
+/// A cause of lost workers that is no task's fault.
 #[derive(Debug, Clone, Copy)]
 enum Loss {
-    /// Their machines lose power, many at once.
+    /// The machines of many workers lose power at once.
     Power,
-    /// They are cut off until their leases are over.
+    /// Workers are cut off until their leases expire.
     Cut,
-    /// They are taken away, having said so just before.
+    /// Workers are removed just after they have announced it.
     Spot,
-    /// Their processes crash, many at once.
+    /// The processes of many workers crash at once.
     Crash,
 }
 
 impl Loss {
-    /// Loses these workers.
+    /// Injects the loss of these workers.
     fn inject(self, world: &mut World, lost: &[usize]) {
         for &at in lost {
             match self {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Runs until the workers are back.
+    /// Runs until the workers have recovered.
     fn recover(self, world: &mut World) {
         run_busy(world, 3300);
         if matches!(self, Loss::Cut) {
@@ -72,8 +72,8 @@
     }
 }
 
-/// Losses come one after the other, each just when what the last one took begins again. What was
-/// lost with workers again and again is no less wanted.
+/// Losses follow each other just when the runs lost in the previous one start again. A task that
+/// is lost with its worker repeatedly is not given up.
 #[test_case(Loss::Power)]
 #[test_case(Loss::Cut)]
 #[test_case(Loss::Spot)]
@@ -96,8 +96,8 @@
     }
 }
 
-/// Tasks that crash workers among takeovers, losses of power, cuts and crashes by nobody's fault.
-/// Whatever comes together, none of them is started too often, and no other job is given up.
+/// Tasks that crash workers, combined with takeovers, losses of power, partitions and crashes that
+/// are no task's fault. No culprit is started too often, and no other job is given up.
 #[test]
 fn in_any_company_only_what_crashes_workers_is_given_up() {
     for seed in (0..24).chain([129, 1510, 1539, 1598, 2234, 2579]) {
@@ -143,8 +143,8 @@
     }
 }
 
-/// After losses of power there are suspects on all workers that only chance speaks against. A new
-/// owner takes up new work beside them.
+/// After losses of power each worker runs suspects whose crashes may be chance. A new owner starts
+/// new work beside them.
 #[test_case(2)]
 #[test_case(4)]
 fn a_new_owner_starts_work_beside_what_lost_its_power(times: u32) {
--- a/crates/jobs/tests/all/crashing/mod.rs
+++ b/crates/jobs/tests/all/crashing/mod.rs
@@ -1,17 +1,8 @@
-//! Tasks that crash each worker that starts them, and workers that are lost otherwise.
+//! Tasks that crash each worker that starts them, and workers that are lost for other reasons.
 //!
-//! A task crashed each worker that started it, within 10 ms, and was started again each time the
-//! worker's next life answered, 33 times until the day ended. Nothing counted the workers that
-//! were lost under a task: a crashed worker lists no ends, and only listed failures count as
-//! attempts. Each worker took 5 to 14 runs of others with it. Of one start it was logged:
-//!
-//! ```text
-//! 26.536 start: sent  run 6, worker i-67e8862833, with four others
-//! 26.548 worker: silent  runs 5 (connection lost: closed)
-//! 26.800 order: no answer  look (connection refused), and so on each 250 ms
-//! 29.863 worker: its life has ended  runs 5
-//! 29.890 start: sent  run 7, worker i-b1f8f34693, beside 9 others; silent at 29.903
-//! ```
+//! A crashed worker reports no ended runs. If only reported failures counted as attempts, a task
+//! that crashes its worker within 10 ms would be started again whenever the worker has restarted,
+//! without end, and each crash would cost 5 to 14 other runs.
 
 mod crowds;
 mod culprits;
@@ -24,19 +15,19 @@
 };
 use gorsespur_jobs::{JobId, Outcome, Spec, Step, TaskId};
 
-/// The job one task of which crashes workers.
+/// The job with a task that crashes its workers.
 const CULPRIT: JobId = JobId(50);
 
-/// Workers of the world.
+/// Number of workers.
 const WORKERS: usize = 10;
 
-/// Short jobs that are handed in, one each so many milliseconds.
+/// Milliseconds between two short jobs.
 const JOB_INTERVAL_MS: u64 = 120;
 
-/// Jobs of other callers have numbers from here on.
+/// Jobs of other callers have IDs from this one on.
 const FIRST_OTHER_JOB: u64 = 1000;
 
-/// A world with lasting tasks on all workers.
+/// Returns a world with a serving task for each worker.
 fn world(seed: u64) -> World {
     let mut world = World::new(WorldSettings {
         workers: WORKERS,
@@ -49,7 +40,7 @@
     world
 }
 
-/// The second task of the culprit's only step.
+/// Returns the second task of the culprit's only step.
 fn culprit() -> TaskId {
     TaskId {
         job: CULPRIT,
@@ -59,7 +50,7 @@
     }
 }
 
-/// Has a job with a task that crashes its worker so many milliseconds after it began.
+/// Submits the culprit's job, whose task crashes its worker `after` milliseconds after each start.
 fn submit_culprit(world: &mut World, spec: Spec, after: u64) {
     world.submit(CULPRIT.0, spec);
     let task = culprit();
@@ -69,7 +60,7 @@
     });
 }
 
-/// Runs for so long while short jobs are handed in.
+/// Runs for `ms` milliseconds while short jobs are submitted.
 fn run_busy(world: &mut World, ms: u64) {
     let end = world.now + ms;
     while world.now < end {
@@ -80,7 +71,8 @@
     }
 }
 
-/// Asserts that just the culprit's job has failed, and that the others' tasks run or are done.
+/// Asserts that no job but the culprit's has failed, and that the tasks of the others run or are
+/// done.
 fn check_outcomes(world: &mut World, name: &str) {
     assert!(world.run_until_done(60_000), "{name}: jobs are left");
     world.run(8000);
@@ -95,7 +87,7 @@
     assert_eq!(lasting, WORKERS, "{name}: lasting tasks");
 }
 
-/// The shapes of steps that tasks which crash workers belong to.
+/// Returns the kinds of steps of the tasks that crash workers.
 fn shapes() -> [(&'static str, Step); 4] {
     let plain = short(3, 800);
     let fill = Step {
--- a/crates/jobs/tests/all/crashing/owners.rs
+++ b/crates/jobs/tests/all/crashing/owners.rs
@@ -1,4 +1,5 @@
-//! Tasks that crash their workers while owners change: what one owner saw counts for the next.
+//! Tasks that crash their workers while owners change. An owner uses the crashes that earlier
+//! owners observed.
 
 use crate::{
     common::{World, WorldSettings, chain, check_invariants, long_running, serving, short},
@@ -10,19 +11,19 @@
 use gorsespur_jobs::Outcome;
 use test_case::test_case;
 
-/// Workers that a task costs while no owner is killed.
+/// Number of workers that a task crashes while no owner is killed.
 const MAX_LOST_WORKERS: usize = 3;
 
-/// Milliseconds after its start by which an owner has written down that a task crashed its worker.
+/// Milliseconds from the start of a task until its crash of a worker is durable.
 const RECORD_MS: u64 = 1100;
 
 /// Milliseconds from the end of an owner until another one takes over.
 const TAKEOVER_MS: u64 = 1500;
 
-/// Starts that users allow a task.
+/// Maximum number of starts of a task that crashes its workers.
 const MOST_STARTS: usize = 5;
 
-/// Owners that follow each other know what crashed under the ones before.
+/// Each owner knows the crashes that earlier owners recorded.
 #[test]
 fn a_task_that_crashes_workers_is_given_up_by_changing_owners() {
     for period in [1500, 2300, 3300, 4100] {
@@ -41,8 +42,8 @@
     }
 }
 
-/// The next owner finds the next life of a worker and sees nothing of the crash: the one before
-/// has written it down.
+/// The new owner finds the next incarnation of the worker and observes no crash; the previous
+/// owner has recorded it.
 #[test]
 fn a_crash_that_a_later_owner_did_not_see_counts() {
     let mut world = world(5);
@@ -66,11 +67,11 @@
     check_outcomes(&mut world, "unseen");
 }
 
-/// The instance that gave the last order is killed while a task crashes its workers. What it knew
-/// of the crash and had not written down is lost with it: the new owner finds a worker that
-/// refuses connections, which tells something if nothing else was there, or its next life, which
-/// tells nothing. Such a crash costs one more worker for each owner that is killed, but there is
-/// no sixth start; one that is written down costs none.
+/// The owner is killed while a task crashes its workers, and a crash that it has not recorded is
+/// lost with it. The new owner finds either a worker that refuses connections, which is evidence
+/// only if no other task ran there, or its next incarnation, which is no evidence. Such a crash
+/// costs one more worker for each killed owner, with five starts at most; a recorded crash costs
+/// none.
 #[test_case(5, 1, 3000; "before the crash")]
 #[test_case(20, 1, 1000; "just after it")]
 #[test_case(300, 2, 3000; "twice before it is written down")]
@@ -109,8 +110,8 @@
     }
 }
 
-/// A task that crashes its worker only after a while runs apart once three of them tell. The owner
-/// is killed just after that start, and the new owner begins nothing beside it either.
+/// A task that crashes its worker only after a while is isolated after three crashes. The owner is
+/// killed just after the isolated start, and the new owner starts no other run beside it.
 #[test]
 fn a_new_owner_begins_nothing_beside_a_suspect() {
     let mut world = World::new(WorldSettings {
@@ -132,7 +133,7 @@
     assert!(taken[3..].iter().all(|&t| t == 0), "{taken:?}");
 }
 
-/// Runs, with short jobs, until the culprit's start with this number has reached a worker.
+/// Runs with short jobs until the culprit's start with this number has reached a worker.
 fn run_until_culprit(world: &mut World, start: usize) {
     let end = world.now + 20_000;
     while world.now < end {
@@ -146,7 +147,7 @@
     panic!("start {start} has reached no worker");
 }
 
-/// Runs as [`run_busy`] does, in steps of the world.
+/// Runs like [`run_busy`], in single steps of the world.
 fn run_stepwise(world: &mut World, ms: u64) {
     let end = world.now + ms;
     while world.now < end {
@@ -158,7 +159,7 @@
     }
 }
 
-/// Kills the owner; another one takes over once its lease on the records is free.
+/// Kills the owner; another one takes over once its lease on the records has expired.
 fn kill_owner(world: &mut World) {
     world.pause(true);
     let over = world.lease_end();
--- a/crates/jobs/tests/all/empty.rs
+++ b/crates/jobs/tests/all/empty.rs
@@ -1,7 +1,7 @@
-//! No fleet stands empty while tasks wait that fit.
+//! Workers are not all idle while tasks wait that fit.
 //!
-//! Guards keep work from a worker for a while: after failures, beside suspects, for tasks that
-//! have waited for longer. Together they must never keep it from all workers.
+//! Several rules keep work from a worker for a while: after failures, beside suspects, and for
+//! tasks that have waited longer. Together they must not keep it from all workers.
 
 use crate::common::{World, WorldSettings, chain, check_invariants, short};
 use gorsespur_jobs::{JobId, Step};
@@ -9,16 +9,16 @@
 
 const WORKERS: usize = 4;
 
-/// Milliseconds between two looks at what runs.
+/// Milliseconds between two samples of the runs.
 const SAMPLE_MS: u64 = 100;
 
-/// Milliseconds after which users count a job as lost of which nothing runs.
+/// Milliseconds without a run after which users count a job as lost.
 const MAX_IDLE_MS: u64 = 3000;
 
-/// Milliseconds that a series is watched.
+/// Duration of a series, in milliseconds.
 const SERIES_MS: u64 = 25_000;
 
-/// A gang of up to twice as many members as there is room for.
+/// Returns a gang with up to twice as many members as fit.
 fn some_gang(rng: &mut SmallRng) -> Step {
     Step {
         gang: true,
@@ -26,7 +26,8 @@
     }
 }
 
-/// Plays the series of a seed; returns for how long at most nothing ran beside a task that fits.
+/// Runs the series of a seed. Returns the longest time for which no task ran while one that fits
+/// waited.
 fn longest_idle(seed: u64) -> u64 {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(WorldSettings {
@@ -68,7 +69,7 @@
     longest
 }
 
-/// Tasks fail on all workers, and gangs wait that are wider than the fleet.
+/// Tasks fail on all workers while gangs wait that are wider than all workers together.
 #[test]
 fn random_series_of_failures_and_gangs_leave_no_fleet_empty() {
     for seed in 0..60 {
--- a/crates/jobs/tests/all/evacuation.rs
+++ b/crates/jobs/tests/all/evacuation.rs
@@ -1,15 +1,15 @@
-//! Availability zones that an operator evacuates: nothing begins there, what runs goes on.
+//! Evacuated availability zones: no run starts there, and existing runs continue.
 
 use crate::common::{World, WorldSettings, chain, check_invariants, short};
 use gorsespur_jobs::{JobId, Outcome, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// Zones of the world.
+/// Returns the zones of the world.
 fn zones() -> [std::sync::Arc<str>; 2] {
     [World::zone(0), World::zone(1)]
 }
 
-/// Returns how many runs the workers of a zone have.
+/// Returns the number of runs on the workers of a zone.
 fn runs_in(world: &World, zone: &str) -> usize {
     let workers = world.workers.iter().enumerate();
     let inside = workers.filter(|(at, _)| *World::zone(*at) == *zone);
@@ -78,7 +78,7 @@
     assert_eq!(world.outcome(id), Outcome::Complete);
 }
 
-/// Evacuations come and go while owners change, workers leave and the store is away.
+/// Evacuations come and go while owners change, workers leave and the store is unavailable.
 #[test]
 fn random_series_of_evacuations_break_no_promise() {
     for seed in 0..60 {
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -1,8 +1,8 @@
-//! Gangs that go on from saved progress.
+//! Gangs that resume from checkpoints.
 //!
-//! The members of a gang save their progress at moments of their own, so that what they list
-//! differs. That of any member is good for all, and a run of the gang has to begin with the same
-//! one everywhere.
+//! The members of a gang write checkpoints at different times, so that they report different ones.
+//! The checkpoint of any member is valid for all, and all members of a run have to start with the
+//! same one.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -14,15 +14,15 @@
 
 use crate::common::{chain, short};
 
-/// Members of the gang, and workers, each of which has room for one.
+/// Number of members of the gang, and of workers, each of which has capacity for one member.
 const MEMBERS: u32 = 3;
 
-/// Runs on a worker and ends that it lists.
+/// The runs and ended runs that a worker reports.
 #[derive(Debug, Default)]
 struct WorkerState {
     running: Vec<ReportedRun>,
     finished: Vec<RunEnd>,
-    /// Ends so far.
+    /// Number of runs that have ended.
     end_count: u64,
 }
 
@@ -87,7 +87,7 @@
         self.machine.handle(self.now, self.now, event);
     }
 
-    /// Runs for so many milliseconds.
+    /// Runs for `ms` milliseconds.
     fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -149,7 +149,7 @@
         });
     }
 
-    /// Has a member save its progress.
+    /// Sets the checkpoint of a member.
     fn save(&mut self, index: u32, saved: &str) {
         let runs = self.workers.values_mut().flat_map(|w| &mut w.running);
         for run in runs.filter(|r| r.task.index == index) {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// All runs end: the first member's so, the others' since it did.
+    /// Ends all runs: the first member's as given, the others' as broken by it.
     fn end(&mut self, first: Ending) {
         for lists in self.workers.values_mut() {
             for run in std::mem::take(&mut lists.running) {
@@ -176,7 +176,8 @@
         }
     }
 
-    /// Takes the starts that were sent: one of each member, all with the same number.
+    /// Returns the starts that were sent since the last call: one for each member, all with the
+    /// same run number.
     fn take_starts(&mut self) -> Vec<StartOrder> {
         let mut starts = std::mem::take(&mut self.starts);
         starts.sort_by_key(|s| s.task);
@@ -195,9 +196,9 @@
     }
 }
 
-/// Each member lists a text of its own when the gang is stopped, or when one of them fails, and
-/// some list none yet. Their next run brings the same one for all of them, since members that go
-/// on from different progress can't work jointly.
+/// When a gang is stopped or one of its members fails, the members report different checkpoints,
+/// and some of them none. Members that resume from different progress can't work together, so that
+/// the next run brings the same checkpoint for all of them.
 #[test_case(Ending::Stopped, &["a-20", "b-22", "c-19"]; "stopped")]
 #[test_case(Ending::Stopped, &["", "b-22", ""]; "stopped where one saved")]
 #[test_case(Ending::Failed, &["a-20", "b-22", "c-19"]; "failed")]
--- a/crates/jobs/tests/all/guards.rs
+++ b/crates/jobs/tests/all/guards.rs
@@ -1,12 +1,11 @@
-//! One test for each guard that the tables of faults did not miss when it was taken
-//! away; see docs/PROMISES.md.
+//! One test for each safeguard whose removal the tests in `promises` did not detect.
 
 use gorsespur_jobs::{JobId, Outcome};
 
 use crate::common::{Mode, World, WorldSettings, chain, short};
 
-/// A worker that nobody reaches runs on until its lease is over by its own clock,
-/// which may be slow.
+/// An unreachable worker continues its runs until the lease expires on its own clock, which may be
+/// slow.
 #[test]
 fn a_long_task_waits_for_the_lease_of_a_cut_worker() {
     for at in 0..4 {
@@ -26,7 +25,7 @@
     }
 }
 
-/// A start without an answer may be carried out seconds later.
+/// An unanswered start may be carried out seconds later.
 #[test]
 fn a_late_start_never_doubles_a_task() {
     for late in [800, 1500, 3000, 5000] {
@@ -45,7 +44,7 @@
     }
 }
 
-/// An end that was counted before a takeover is listed to the new owner again.
+/// An end that was counted before a takeover is reported to the new owner again.
 #[test]
 fn a_failure_counts_once_for_two_owners() {
     for delay in (0..80).step_by(5) {
@@ -68,7 +67,7 @@
         for worker in &mut world.workers {
             worker.mode = Mode::Healthy;
         }
-        // The owner learns of the end, and can't tell the worker so any more.
+        // The owner reads the end, and can no longer confirm it to the worker.
         world.run(delay);
         for worker in &mut world.workers {
             worker.partitioned = true;
--- a/crates/jobs/tests/all/load.rs
+++ b/crates/jobs/tests/all/load.rs
@@ -1,7 +1,7 @@
-//! Load patterns at which waiting, turning away and placing are at their worst.
+//! Load patterns that are the worst case for queueing, admission and placement.
 //!
-//! Each is drawn from a seed by a stated law and gives figures; bounds are what the
-//! decisions reach, with room, and do not depend on the machine.
+//! Each pattern is generated from a seed. The bounds follow from what the decisions achieve, with
+//! a margin, and do not depend on the machine.
 
 use crate::{
     common::{World, WorldSettings, chain, serving, short},
@@ -11,24 +11,24 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
-/// Milliseconds that each task takes in truth.
+/// Actual duration of each task, in milliseconds.
 const TASK_MS: u64 = 2000;
 
-/// The objective of the worlds' queue for two steps: 1.5 times the chain and 250 ms.
+/// The objective of the queue for two steps: 1.5 times the length of the chain and 250 ms.
 const OBJECTIVE_MS: u64 = 2 * TASK_MS * 3 / 2 + 250;
 
-/// Tasks of the jobs that take half a minute.
+/// Number of tasks of the jobs that take half a minute.
 const TASKS: u32 = 600;
 
-/// Time between two arrivals of the bursts.
+/// Time between two arrivals, in milliseconds.
 const STEP_MS: u64 = 100;
 
-/// Jobs that were handed in, and those that ended within their objective.
+/// Numbers of submitted jobs and of jobs that ended within their objective.
 #[derive(Debug, Default)]
 struct JobCounts {
     all: u32,
     in_time: u32,
-    /// Not ended yet, with the time of their handing in.
+    /// Jobs that have not ended, with the time of their submission.
     open: Vec<(JobId, u64)>,
 }
 
@@ -61,8 +61,8 @@
     (world.now - since) as f64
 }
 
-/// Jobs of two steps whose tasks all take as long arrive for a minute half as fast again
-/// as the workers can do them; their callers guess the time up to eight times too short.
+/// Jobs of two steps whose tasks all have the same duration arrive for a minute, at 1.5 times the
+/// rate that the workers can process. The callers' estimates are up to eight times too short.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
@@ -94,8 +94,9 @@
         served.all
     );
 }
-/// What serves asks for seven eighths of all processors and uses a quarter to seven
-/// tenths of that, each worker's at another time; harmless tasks fill for the rest, as many at once as take half a minute.
+/// Serving tasks request seven eighths of the CPU and use between a quarter and seven tenths of
+/// that, in different phases on each worker. Harmless best-effort tasks use the rest, as many at
+/// once as take half a minute.
 #[test]
 fn what_fills_goes_where_the_load_is_low() {
     let mut world = World::new(WorldSettings {
@@ -122,13 +123,13 @@
         ..short(TASKS, TASK_MS)
     };
     let took = time_to_complete(&mut world, fill);
-    // Of 64 cores what serves uses 27 on average.
+    // The serving tasks use 27 of 64 cores on average.
     let best = (u64::from(TASKS) * TASK_MS) as f64 / 37.0;
     assert!(took < 1.24 * best, "{took} of {best}");
 }
 
-/// One run in ten fails by its task's own fault, on all workers alike, while more tasks
-/// wait than fit.
+/// One run in ten fails by its task's own fault, on all workers alike, while more tasks wait than
+/// fit.
 #[test]
 fn tasks_that_fail_by_themselves_close_no_worker() {
     let mut world = World::new(WorldSettings {
@@ -146,7 +147,7 @@
     assert!(took < 1.2 * best, "{took} of {best}");
 }
 
-/// A thousand jobs wait while another is handed in at each step of the world.
+/// A thousand jobs wait, and another one is submitted in each step of the world.
 #[test]
 fn placement_is_paced_by_the_jobs_that_wait() {
     let mut world = World::new(WorldSettings {
@@ -168,8 +169,8 @@
     assert!(starts >= 350, "{starts} starts");
 }
 
-/// A fifth more workers join empty while twice as much work arrives as can be done: half a
-/// second later each has half as many runs as a worker has on average.
+/// A fifth more workers join idle while the workers are overloaded twofold. Half a second later
+/// each of them has at least half as many runs as the average worker.
 #[test_case(66)]
 #[test_case(490)]
 #[test_case(1100)]
@@ -182,8 +183,8 @@
     assert!(new * 2.0 >= all, "{new} runs, {all} on average");
 }
 
-/// Twice as much work arrives for eight seconds as can be done: what waits is the work that
-/// fills, and hardly a short job has to wait for it.
+/// The workers are overloaded twofold for eight seconds. Best-effort jobs wait, and hardly any
+/// short job has to wait for them.
 #[test_case(66)]
 #[test_case(490)]
 #[test_case(1100)]
@@ -192,7 +193,7 @@
     site.run(8000);
     let (fill, wide) = (site.pending("fill"), site.pending("wide"));
     assert!(fill >= workers / 20, "{fill} jobs that fill wait");
-    // One may have come just now.
+    // One job may have arrived just before.
     assert!(
         wide <= 1 + fill / 20,
         "{wide} short jobs wait, {fill} that fill"
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -1,4 +1,4 @@
-//! What commits carry, and what of it a later owner reads.
+//! The contents of commits, and what a later owner reads of them.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
-/// Milliseconds of a write to a store at a sixtieth of its speed.
+/// Milliseconds of a write to a store at a sixtieth of its usual speed.
 const SLOW_WRITE_MS: u64 = 480;
 
 const START_MS: u64 = 1_000_000;
@@ -37,18 +37,18 @@
     }
 }
 
-/// An owner of one large worker that does at once what it is told.
+/// An owner with one large worker that carries out all orders at once.
 struct Owner {
     machine: Machine,
     ledger: Ledger,
     now: u64,
     /// Bytes that commits have appended to the log.
     logged_bytes: usize,
-    /// What the worker runs.
+    /// Runs of the worker.
     running: Vec<ReportedRun>,
-    /// What ended there.
+    /// Ended runs that the worker reports.
     finished: Vec<RunEnd>,
-    /// Commits that are still done.
+    /// Number of commits that still succeed.
     commits_left: usize,
 }
 
@@ -85,7 +85,7 @@
         self.machine.handle(self.now, self.now, event);
     }
 
-    /// Decides for a while; commits are done at once, and no run ends.
+    /// Runs for `ms` milliseconds. Commits succeed at once, and no run ends.
     fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -162,8 +162,8 @@
     })
 }
 
-/// A storm of short jobs while the store takes half a second for a write: all of them begin with
-/// the next two writes.
+/// Many jobs arrive while a write to the store takes half a second. All of them start with the
+/// next two writes.
 #[test_case(30; "once")]
 #[test_case(300; "ten times")]
 #[test_case(3000; "a hundred times")]
@@ -190,7 +190,7 @@
     assert!(world.stats().commits <= commits + 3);
 }
 
-/// One of the tasks of a wide job changes: no more is written than for a job of one task.
+/// A change of one task of a wide job writes no more than a change of a job with one task.
 #[test]
 fn a_change_of_one_task_costs_the_same_in_a_wide_job() {
     let mut owner = Owner::new(Ledger::default(), &[job(1, 1000)], Settings::default());
@@ -207,8 +207,8 @@
     );
 }
 
-/// Owners follow each other while jobs come and go, and each shortens the log: it grows with what
-/// still holds and not with what was ever written.
+/// Owners take over from each other while jobs come and go, and each of them shortens the log. Its
+/// size depends on the current state, not on all that was ever written.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
@@ -239,8 +239,8 @@
     assert!(bytes < 60_000, "{bytes}");
 }
 
-/// The log is shortened by a write that has no room for the record of a job that has just ended:
-/// what the log tells of the job stays until its record is written.
+/// The log is shortened by a write that has no space for the record of a job that has just ended.
+/// The log keeps the rows of the job until its record is written.
 #[test]
 fn what_the_log_tells_of_a_job_outlasts_its_end() {
     let short = Settings {
@@ -276,8 +276,8 @@
     assert!(record.is_valid_for(&job(open, 1).spec));
 }
 
-/// A record of an earlier version tells of the job's tasks itself. Its owner's successor reads
-/// them, and so does the next one, once the record is replaced.
+/// A record of an earlier version contains the job's tasks. The next owner reads them, and so does
+/// the one after it, when the record has been replaced.
 #[test]
 fn tasks_in_a_record_of_an_earlier_version_are_kept() {
     let task = ((0, 0, 0), false, 4, Some("w"), Vec::<u32>::new(), "saved");
@@ -290,7 +290,7 @@
     });
     let jobs = [job(1, 1)];
     let mut first = Owner::new(ledger, &jobs, Settings::default());
-    // The run is gone: the next one goes on from what was saved.
+    // The run is lost, and the next one resumes from its checkpoint.
     first.run(500);
     assert_eq!(first.ledger.outcome(JobId(1)), Outcome::Active);
     let mut second = Owner::new(first.ledger, &jobs, Settings::default());
@@ -299,7 +299,7 @@
     assert_eq!(second.running[0].run, 6);
 }
 
-/// A row that somebody else wrote, or that is broken, takes nothing from the others.
+/// A row that is foreign or damaged does not affect other rows.
 #[test]
 fn a_row_that_cannot_be_read_harms_no_other() {
     let mut owner = Owner::new(Ledger::default(), &[job(1, 3)], Settings::default());
--- a/crates/jobs/tests/all/main.rs
+++ b/crates/jobs/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions about jobs, in virtual time.
+//! Tests of the job scheduler's decisions in virtual time.
 
 mod apart;
 mod behind;
--- a/crates/jobs/tests/all/promises.rs
+++ b/crates/jobs/tests/all/promises.rs
@@ -1,4 +1,4 @@
-//! Promises under every fault, and under random series of them.
+//! The scheduler's guarantees under each fault and under random series of faults.
 
 use crate::common::{
     Mode, World, WorldSettings, chain, check_invariants, long_running, serving, short,
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
-/// What can happen to the world.
+/// A fault.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     WorkerDies,
@@ -201,7 +201,7 @@
         gang: true,
         ..short(30, 500)
     };
-    // 30 tasks fit into 32 cores only while nothing else runs.
+    // 30 tasks fit on 32 cores only while no other task runs.
     world.submit(1, chain(vec![short(8, 400)]));
     world.run(100);
     let id = world.submit(2, chain(vec![gang]));
@@ -256,7 +256,8 @@
     let runs = &world.workers[0].runs;
     let best_effort_runs = runs.iter().filter(|r| r.best_effort);
     let cores: f64 = best_effort_runs.map(|r| f64::from(r.pace) / 100.0).sum();
-    // The tail is 40 ms without what fills; e^(0.5 * 1.8) times that is the target.
+    // The tail latency is 40 ms without best-effort tasks, and reaches the target at e^(0.5 * 1.8)
+    // times that.
     assert!(cores < 1.85, "{cores} cores fill");
     assert!(cores > 0.1, "nothing fills any more");
 }
--- a/crates/jobs/tests/all/records/incarnation.rs
+++ b/crates/jobs/tests/all/records/incarnation.rs
@@ -1,4 +1,4 @@
-//! Workers that a play's owners look at, and their runs.
+//! Workers of a simulation and their runs.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
     pub checkpoint: Arc<str>,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Debug)]
 pub struct Incarnation {
     pub id: Arc<str>,
@@ -23,7 +23,7 @@
     pub runs: Vec<Run>,
     finished: Vec<RunEnd>,
     next_end: u64,
-    /// Runs at or below these never begin any more.
+    /// Tasks whose runs up to a number never start any more.
     barred: Vec<(TaskId, u32)>,
 }
 
--- a/crates/jobs/tests/all/records/mod.rs
+++ b/crates/jobs/tests/all/records/mod.rs
@@ -1,5 +1,5 @@
-//! Checkpoints over ends, lost workers, late answers and takeovers: each start brings one that
-//! its own task has listed, or none.
+//! Checkpoints across ended runs, lost workers, late answers and takeovers. Each start brings a
+//! checkpoint that its own task has reported, or none.
 
 mod incarnation;
 mod simulation;
@@ -10,7 +10,7 @@
 use gorsespur_jobs::{Ending, Event, Job, JobId, Outcome, Schedule, Spec, Step};
 use test_case::test_case;
 
-/// A job of two steps, the second one after the first, at several times.
+/// Returns a job of two dependent steps that is repeated on a schedule.
 fn job(id: u64, schedule: Schedule) -> Job {
     let id = JobId(id);
     let step = Step {
@@ -41,8 +41,8 @@
     }
 }
 
-/// Names that are alike, several steps, and times of one job that overlap: the checkpoint of one
-/// task is another one's under no order of answers, whoever wrote the record.
+/// A start never brings the checkpoint of another task, in any order of answers and whoever wrote
+/// the record: not with similar IDs, several steps, or overlapping repetitions of one job.
 #[test_case(0; "once")]
 #[test_case(3; "three times")]
 fn a_start_brings_what_its_own_task_listed(times: u32) {
@@ -66,9 +66,9 @@
     }
 }
 
-/// A caller uses a name again with other steps and another text, while the first job runs or
-/// after it has ended: it remains the first job, for the owner that knows it and for a later one
-/// that reads its record.
+/// A caller submits a job under an ID that exists, with other steps and another payload, while the
+/// first job runs or after it has ended. The first job remains, for its owner and for a later
+/// owner that reads its record.
 #[test_case(false; "while it runs")]
 #[test_case(true; "after its end")]
 fn a_name_that_comes_again_is_the_first_job(ended: bool) {
@@ -112,9 +112,9 @@
     assert_eq!(outcome == Outcome::Complete, ended);
 }
 
-/// A gang goes on from one checkpoint: that of any member is good for it, and all members bring
-/// the same. Each lists its own, as far as it had come when it was looked at; a member whose
-/// worker crashed has listed an older one, or none.
+/// A gang resumes from one checkpoint: that of any member is valid, and all members bring the same
+/// one. Each member reports its own latest checkpoint; a member whose worker crashed has reported
+/// an older one or none.
 #[test_case(&["a", "b", "c"]; "each another one")]
 #[test_case(&["a", "", ""]; "one of them none")]
 fn the_members_of_a_gang_bring_the_same(listed: &[&str]) {
--- a/crates/jobs/tests/all/records/simulation.rs
+++ b/crates/jobs/tests/all/records/simulation.rs
@@ -1,4 +1,4 @@
-//! A play: owners, one after another, over workers, a store, and what is on its way.
+//! A simulation of owners, one after another, with workers, a store and messages in flight.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -9,41 +9,41 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 
-/// Milliseconds of one step of a play.
+/// Duration of one step of the simulation, in milliseconds.
 const TICK_MS: u64 = 50;
 
-/// Workers of a play.
+/// Number of workers.
 const WORKERS: usize = 3;
 
-/// What is on its way, and when it arrives.
+/// A message in flight.
 #[derive(Debug)]
 enum Message {
     /// An answer to the owner of an epoch.
     Answer(u64, u32, u64, Answer),
-    /// A start that its sender has given up.
+    /// A start that has timed out at its sender.
     Start(Arc<str>, u64, StartOrder),
     /// A batch of the owner of an epoch.
     Batch(u64, Batch),
 }
 
-/// Owners, one after another, with workers, a store, and a judge of the starts.
+/// Owners, one after another, with workers, a store and checks of the starts.
 pub struct Simulation {
     rng: SmallRng,
     now: u64,
     epoch: u64,
     machine: Machine,
     pub workers: Vec<Incarnation>,
-    /// Texts that were made so far.
+    /// Number of checkpoints written so far.
     checkpoint_count: u64,
     jobs: BTreeMap<JobId, Arc<Job>>,
     pub ledger: Ledger,
     messages: Vec<(u64, Message)>,
-    /// What each task has listed to an owner that read it.
+    /// Checkpoints that each task has reported to an owner.
     listed: BTreeMap<TaskId, Vec<Arc<str>>>,
-    /// Starts that brought a checkpoint.
+    /// Number of starts that brought a checkpoint.
     pub resumed: usize,
     pub starts: Vec<StartOrder>,
-    /// Whether no run ends, no worker crashes and no owner is followed by another.
+    /// Whether no run ends, no worker crashes and no owner is replaced.
     pub no_faults: bool,
 }
 
@@ -72,7 +72,7 @@
         simulation
     }
 
-    /// A new owner reads the rows, in any order.
+    /// Starts a new owner, which reads the rows in random order.
     pub fn take_over(&mut self) {
         self.epoch += 1;
         self.machine = machine(self.now);
@@ -101,7 +101,7 @@
         self.machine.handle(self.now, self.now, event);
     }
 
-    /// Milliseconds that something takes.
+    /// Returns a random delay in milliseconds.
     fn random_delay(&mut self) -> u64 {
         self.rng.random_range(0..4) * TICK_MS
     }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Runs save their progress and end; workers crash, and owners are followed by others.
+    /// Writes checkpoints, ends runs, crashes workers and replaces the owner, at random.
     fn inject_faults(&mut self) {
         for incarnation in &mut self.workers {
             let mut at = 0;
@@ -182,10 +182,10 @@
                     incarnation.start(&order, fence);
                 }
             }
-            // Each write is on condition that no other owner has written since.
+            // A write succeeds only if no other owner has written since.
             Message::Batch(epoch, batch) if epoch == self.epoch => {
                 self.ledger.apply(batch);
-                // Its answer may be lost, and with it what the owner knows of it.
+                // The answer may be lost together with the owner.
                 if !self.no_faults && self.rng.random_range(0..40) == 0 {
                     return self.take_over();
                 }
@@ -227,7 +227,7 @@
         self.messages.push((due, message));
     }
 
-    /// Returns the life that the owner means by a worker, if that has not ended.
+    /// Returns the incarnation that the owner addresses, unless it has ended.
     fn incarnation(&mut self, worker: u32) -> Option<&mut Incarnation> {
         let (_, id) = self.machine.worker_address(worker).expect("announced");
         self.workers.iter_mut().find(|i| i.id == id)
@@ -240,7 +240,7 @@
         if !order.checkpoint.is_empty() {
             self.resumed += 1;
             let step = &order.spec.steps[task.step as usize];
-            // That of any member of a gang is good for all.
+            // The checkpoint of any member is valid for the whole gang.
             let members = match step.gang {
                 true => 0..step.count,
                 false => task.index..task.index + 1,
@@ -251,7 +251,7 @@
         }
         let fence = self.epoch;
         if !self.no_faults && self.rng.random_range(0..20) == 0 {
-            // It gets no answer, and is carried out later.
+            // The start is not answered, and carried out later.
             let (_, id) = self.machine.worker_address(worker).expect("announced");
             let due = self.now + 10 * TICK_MS;
             let answer = Answer::Started(task, order.run, Started::Unknown);
@@ -265,7 +265,7 @@
     }
 }
 
-/// A machine of a new owner.
+/// Returns the state machine of a new owner.
 fn machine(now: u64) -> Machine {
     let takeover = Takeover {
         asked_at: now,
--- a/crates/jobs/tests/all/regression.rs
+++ b/crates/jobs/tests/all/regression.rs
@@ -1,4 +1,4 @@
-//! Bugs that were found, each with its cause and the day that showed it.
+//! Regression tests of faults that were found under load, each with its cause.
 
 use crate::common::{Mode, World, WorldSettings, chain, serving, short};
 use gorsespur_jobs::{Event, Outcome, Step};
@@ -11,11 +11,10 @@
     }
 }
 
-/// Lasting tasks waited for 16 s beside free workers.
+/// Long-running tasks waited for 16 s beside free workers.
 ///
-/// Cause: after one failure a worker with other runs got no work until one did
-/// well, and lasting tasks never end. Found by a hunt: weldcert, mix seed
-/// 990066804524, LOST 5.
+/// Cause: after one failure a worker with other runs got no work until one of them succeeded, and
+/// long-running tasks never end.
 #[test]
 fn a_worker_is_tried_again_though_its_runs_never_end() {
     let mut world = World::new(WorldSettings {
@@ -34,9 +33,9 @@
     assert_eq!(world.outcome(id), Outcome::Active);
 }
 
-/// Serves and fills on one worker whose tail goes through these percents of its target,
-/// one each half second, from `after` milliseconds on; returns the longest time that
-/// something fills then, in milliseconds.
+/// Runs a serving task and best-effort tasks on one worker. From `after` milliseconds on the tail
+/// latency has these percents of its target, one for each half second. Returns the longest time
+/// from then on for which a best-effort task runs, in milliseconds.
 fn longest_over_target(after: u64, tails: &[u64]) -> u64 {
     let mut world = World::new(WorldSettings {
         workers: 1,
@@ -65,30 +64,28 @@
     longest
 }
 
-/// A serving task stayed over its target for 4 s while others filled beside it.
+/// A serving task stayed over its target for 4 s beside best-effort tasks.
 ///
-/// Cause: the time over the target began anew with each figure a little below it,
-/// and figures are rough. Found by a hunt: tmdro, mix seed 652337052647, HARM 1.
+/// Cause: the time over the target restarted with each metric slightly below the target, and
+/// metrics vary.
 #[test]
 fn one_low_figure_does_not_end_the_time_over_the_target() {
     assert!(longest_over_target(1000, &[105, 102, 85, 104]) < 4000);
 }
 
-/// The same, by a figure that was off by a quarter.
+/// The same, by a metric that was off by a quarter.
 ///
-/// Cause: the time began anew below 0.8 of the target, and harmless tasks, as far as
-/// was known, were stopped only 2.3 s after that. Found by a hunt: weldcert, scale-2
-/// seed 880420665051, HARM 2; its replay did not break the rule again.
+/// Cause: the time over the target restarted at a metric below 0.8 of the target, and tasks that
+/// were assumed harmless were stopped only 2.3 s after that.
 #[test]
 fn a_very_low_figure_does_not_end_the_time_over_the_target() {
     assert!(longest_over_target(1000, &[105, 102, 76, 104]) < 4000);
 }
 
-/// The same, from the moment on at which many tasks began to fill.
+/// The same, from the moment at which many best-effort tasks started.
 ///
-/// Cause: how long a tail is over its target was asked at looks only, which come each
-/// second, and the first one after that moment is not yet above it. Found by a hunt:
-/// weldcert, trouble-2 seed 1055382634003 and mix 101064284358, HARM 1 and 2.
+/// Cause: the time over the target was evaluated only at polls, which are a second apart, and the
+/// first poll after that moment reports a tail latency that is not yet over the target.
 #[test]
 fn what_fills_is_stopped_half_a_second_before_it_is_harm() {
     let phases = (1000..2200).step_by(100);
@@ -99,10 +96,10 @@
     );
 }
 
-/// A filling task began at full pace beside a tail that was over its target.
+/// A best-effort task started at full pace beside a serving task that was over its target.
 ///
-/// Cause: what is slowed by force says nothing of the pairs' estimates, by which
-/// alone placement went. Found by a hunt: tmdro, scale-1 seed 316635378611, HARM 1.
+/// Cause: placement used only the estimated interference of pairs, which does not show the tasks
+/// that are slowed by force.
 #[test]
 fn nothing_begins_to_fill_beside_a_tail_over_its_target() {
     let mut world = World::new(WorldSettings {
@@ -117,16 +114,15 @@
     world.submit(2, chain(vec![best_effort(2, 60_000)]));
     world.run(300);
     assert!(world.workers[0].runs.iter().all(|r| !r.best_effort));
-    // Neither when the job has waited for long.
+    // The same holds after the job has waited for long.
     world.run(2500);
     assert!(world.workers[0].runs.iter().all(|r| !r.best_effort));
 }
 
-/// A lasting task waited for 16 s beside free room on workers that had hung.
+/// A long-running task waited for 16 s beside free capacity on workers with runs that had hung.
 ///
-/// Cause: each run that hung counted, and the time in which a worker gets no more
-/// than two tries grew with their number; tries that were stopped for other
-/// reasons told nothing. Found by a hunt: weldcert, mix seed 922267186269, LOST 3.
+/// Cause: each run that hung counted, and the time for which a worker gets no more than two trials
+/// grew with their number. Trials that were stopped for other reasons gave no result.
 #[test]
 fn a_worker_on_which_many_hung_is_tried_again_soon() {
     let mut world = World::new(WorldSettings {
@@ -141,7 +137,7 @@
     world.cancel(hung);
     world.run(1000);
     world.workers[0].mode = Mode::Healthy;
-    // The tries are stopped before they can tell anything.
+    // The trials are stopped before they give a result.
     for id in 2..40 {
         let tried = world.submit(id, chain(vec![short(1, 5_000)]));
         world.run(300);
@@ -152,11 +148,11 @@
     assert_eq!(world.outcome(id), Outcome::Active);
 }
 
-/// Lasting tasks waited for 12 s while short ones took each piece of room.
+/// Long-running tasks waited for 12 s while short tasks took all capacity that became free.
 ///
-/// Cause: short jobs that can be in time went first, and their tasks are smaller, so
-/// that no worker ever had room for a lasting one. Found by a hunt: weldcert-grown,
-/// mix seed 587888487123, LOST 19, after a seventh of the workers was lost.
+/// Cause: short jobs that can be in time came first, and their tasks are smaller, so that no
+/// worker ever had capacity for a long-running one. It occurred after a seventh of the workers had
+/// been lost.
 #[test]
 fn a_lasting_task_that_has_waited_for_long_gets_the_next_room() {
     let mut world = World::new(WorldSettings {
@@ -184,9 +180,9 @@
     assert_eq!(world.outcome(lasting), Outcome::Active);
 }
 
-/// The same, where the worker with the most room runs as many tasks of the step as it
-/// may; room was kept there in vain. Found by a hunt: tmdro, mix seed 729927415041,
-/// LOST 2. This holds without the change too; the replay of the day did not.
+/// The same, where the worker with the most free capacity runs as many tasks of the step as
+/// allowed, so that capacity was reserved there in vain. This test also passes without the fix; a
+/// replay of the recorded load does not.
 #[test]
 fn room_is_kept_where_the_task_may_run() {
     let mut world = World::new(WorldSettings {
@@ -213,9 +209,9 @@
     assert_eq!(runs.filter(|r| r.long_running).count(), 2);
 }
 
-/// A lasting task waited beside five free cores, since these were kept for a larger one that
-/// never gets room there: three cores are taken by a lasting task without a target, which
-/// placement takes for one that will end. Found while another wait was traced, in no day.
+/// A long-running task waited beside five free cores that were reserved for a larger task, which
+/// never got capacity there: a long-running task without a latency target uses three cores, and
+/// placement assumed that it would end.
 #[test]
 fn room_is_not_kept_beside_what_lasts() {
     let mut world = World::new(WorldSettings {
@@ -229,7 +225,7 @@
         label: Some(label.into()),
         ..serving(1)
     };
-    // The rack r0 has the first two workers: three cores of one are taken, all of the other.
+    // Rack r0 has the first two workers: one has three cores in use, the other one all.
     world.submit(51, chain(vec![lasting("r0", 3000, 0)]));
     world.run(100);
     world.submit(50, chain(vec![lasting("r0", 8000, 100)]));
--- a/crates/jobs/tests/all/resizing.rs
+++ b/crates/jobs/tests/all/resizing.rs
@@ -1,8 +1,8 @@
-//! Workers whose room shrinks and grows while they run.
+//! Workers whose capacity changes while they run.
 //!
-//! Placement looks at what a worker announced; the start follows once its place is durable. With
-//! a store that was away in between, the place was chosen seconds before the start was sent, and
-//! on a worker that does not guard itself it began beyond the room that was left by then.
+//! Placement uses the announced capacity of a worker, and the start is sent once the placement is
+//! durable. If the store is unavailable in between, the capacity may have shrunk for seconds by
+//! then, and a worker that does not enforce its capacity would start the run all the same.
 
 use crate::common::{
     World, WorldSettings, chain, check_invariants, serving, short, some_with_checkpoints,
@@ -11,10 +11,10 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
-/// Cores and memory of a worker in full.
+/// CPU in thousandths of a core and memory of a worker at full capacity.
 const FULL_CAPACITY: (u64, u64) = (8000, 16000);
 
-/// A world of workers that start whatever they are told.
+/// Returns a world of workers that do not enforce their capacity.
 fn world(workers: usize, seed: u64) -> World {
     let mut world = World::new(WorldSettings {
         workers,
@@ -28,7 +28,7 @@
     world
 }
 
-/// A worker's room changes; owners hear of it if they hear anything.
+/// Changes the capacity of a worker. Its row is published unless the store is unavailable.
 fn resize(world: &mut World, at: usize, room: (u64, u64)) {
     let now = world.now;
     world.workers[at].resize(room, now);
@@ -48,7 +48,7 @@
     resize(&mut world, 1, (1000, 2000));
     world.run(5000);
     assert_eq!(world.stats().starts, 0, "not durable yet");
-    // The write is confirmed a little before the workers' rows are read again.
+    // The write is confirmed shortly before the workers' rows are read again.
     world.store_down = false;
     world.run(300);
     check_invariants(&world, 0);
@@ -65,7 +65,7 @@
     check_invariants(&world, 0);
 }
 
-/// The same if the owner has heard of it meanwhile.
+/// The owner has learned of the smaller capacity before the write is confirmed.
 #[test]
 fn nothing_begins_in_room_that_is_known_to_be_gone() {
     let mut world = world(1, 0);
@@ -83,7 +83,7 @@
     assert!(world.run_until_done(30_000));
 }
 
-/// Nothing begins on a worker that has too much of one thing, though it asks for none of that.
+/// No task starts on a worker whose CPU is exceeded, even if the task requests no CPU.
 #[test]
 fn what_fills_does_not_begin_where_there_is_too_much() {
     let mut world = world(1, 0);
@@ -98,13 +98,13 @@
     world.submit(2, chain(vec![fill]));
     world.run(7000);
     assert_eq!(world.workers[0].runs.len(), 6);
-    // It is not even tried: a place that is chosen and dropped costs a write each time.
+    // No placement is attempted, since each one that is dropped costs a write.
     assert!(world.stats().commits < 10, "{:?}", world.stats());
     check_invariants(&world, 0);
 }
 
-/// What runs on a worker when its room shrinks goes on, and nothing more begins there until
-/// enough of it has ended; what is being stopped still counts.
+/// Runs continue after the capacity of their worker has shrunk, and no other run starts there
+/// until enough of them have ended. Runs that are being stopped still count.
 #[test]
 fn a_worker_that_shrank_gets_nothing_until_there_is_room() {
     let mut world = world(1, 0);
@@ -154,46 +154,46 @@
     }
 }
 
-/// Workers of the world with bursts; a quarter of them shrinks.
+/// Workers of the burst tests; the capacity of a quarter of them shrinks.
 const BURST_WORKERS: usize = 8;
 
-/// What is left of a worker that has shrunk to 0.55 of its room.
+/// Capacity of a worker after it has shrunk to 0.55 of the full capacity.
 const SHRUNK_CAPACITY: (u64, u64) = (4400, 8800);
 
-/// Usually a job comes each so many milliseconds ...
+/// Milliseconds between jobs outside of a burst.
 const NORMAL_INTERVAL_MS: u64 = 130;
 
-/// ... and in a burst each so many.
+/// Milliseconds between jobs in a burst.
 const BURST_INTERVAL_MS: u64 = 90;
 
-/// Thousandths of a core that each task asks for.
+/// CPU of each task in thousandths of a core.
 const TASK_CPU: u64 = 1000;
 
-/// Milliseconds until owners hear of a worker's room.
+/// Milliseconds until the owner reads the new capacity of a worker.
 const NOTICE_MS: u64 = 800;
 
-/// The first of the jobs that come in turn.
+/// The first of the jobs that are submitted at intervals.
 const FIRST_JOB: u64 = 10;
 
-/// What happens to owners while workers are shrunk.
+/// Fault while the capacity is reduced.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
     /// The owner is killed, and another one takes over.
     Killed,
-    /// The store is away when the room shrinks, and for some seconds.
+    /// The store is unavailable when the capacity shrinks, and for some seconds after.
     Away,
 }
 
-/// Short jobs are handed in, at times in a burst; what begins on workers is watched.
+/// A world in which short jobs are submitted, at times in a burst, and starts are checked.
 struct Burst {
     world: World,
-    /// Workers with less room than owners may think, and since when.
+    /// Workers with less capacity than the owner may know, and the time of the change.
     shrunk: Vec<(usize, u64)>,
-    /// The next job, and the time for it.
+    /// The next job and the time of its submission.
     next: (u64, u64),
-    /// Starts that workers took, and runs that did not do their work.
+    /// Numbers of starts that workers accepted, and of runs that ended without being done.
     counted: (u64, u64),
 }
 
@@ -219,14 +219,14 @@
         }
     }
 
-    /// Adds what the owner counted: it is about to be killed, or all is done.
+    /// Adds the counters of the owner, which is about to be killed, or after all jobs are done.
     fn count(&mut self) {
         let figures = self.world.stats();
         self.counted.0 += figures.starts - figures.refused;
         self.counted.1 += figures.stopped + figures.lapsed + figures.failed;
     }
 
-    /// Runs for so long while a job comes each `every` milliseconds.
+    /// Runs for `ms` and submits a job every `every` milliseconds.
     fn run(&mut self, ms: u64, every: u64) {
         let world = &mut self.world;
         let end = world.now + ms;
@@ -250,7 +250,8 @@
         }
     }
 
-    /// The room of the first quarter changes; owners hear of it a little later.
+    /// Changes the capacity of the first quarter of the workers. The owner learns of it after
+    /// [`NOTICE_MS`].
     fn resize(&mut self, room: (u64, u64), every: u64) {
         let now = self.world.now;
         self.shrunk.clear();
@@ -267,9 +268,9 @@
     }
 }
 
-/// A quarter of the workers has 0.55 of its room for 14 s, and a burst comes meanwhile. What runs
-/// there goes on, nothing begins beyond what is left, whether the worker guards itself or not, no
-/// task is started twice, and room that is back is used within a second.
+/// A quarter of the workers has 0.55 of its capacity for 14 s, with a burst of jobs in that time.
+/// Runs there continue, no run starts beyond the reduced capacity, whether the worker enforces it
+/// or not, no task is started twice, and restored capacity is used within a second.
 #[test_case(Fault::None, true)]
 #[test_case(Fault::None, false)]
 #[test_case(Fault::Killed, true)]
--- a/crates/jobs/tests/all/restarts.rs
+++ b/crates/jobs/tests/all/restarts.rs
@@ -1,4 +1,4 @@
-//! Random series of workers that start again under their names, among other faults.
+//! Random series of restarts of workers under their names, combined with other faults.
 
 use std::{env, ops::Range};
 
@@ -8,10 +8,10 @@
 use gorsespur_jobs::{JobId, Outcome, Spec, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// The job of two lasting tasks.
+/// The job of two long-running tasks.
 const LONG_RUNNING_JOB: JobId = JobId(1000);
 
-/// A job of one step or two, as the random series hand them in.
+/// Returns a random job of two steps.
 fn some_job(rng: &mut SmallRng, id: u64) -> Spec {
     let count = rng.random_range(1..6);
     let first = Step {
@@ -22,7 +22,7 @@
     chain(some_with_checkpoints(id, steps))
 }
 
-/// Something that happens in a random series.
+/// Injects a random fault.
 fn inject_fault(world: &mut World, rng: &mut SmallRng, at: usize) {
     world.restart_ms = match rng.random_range(0..3) {
         0 => rng.random_range(5..50),
@@ -61,15 +61,16 @@
     }
 }
 
-/// Plays the series of a seed, in which workers keep their names or do not; returns what was wrong.
-fn run_series(seed: u64, lives: bool) -> Vec<String> {
+/// Runs the series of a seed and returns the violations; `reuse_names` is whether workers keep their
+/// names.
+fn run_series(seed: u64, reuse_names: bool) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(WorldSettings {
         workers: 5,
         attempts: 40,
         seed,
         lost_percent: rng.random_range(0..6),
-        reuse_names: lives,
+        reuse_names,
     });
     world.stray_percent = [0, 30, 100][rng.random_range(0..3)];
     world.max_stray_ms = rng.random_range(100..6000);
@@ -109,7 +110,7 @@
     if !done {
         violations.push("jobs are left".into());
     }
-    // A task that three workers crashed under by chance is given up.
+    // A task under which three workers crashed by chance is given up.
     let runs = world.workers.iter().flat_map(|w| &w.runs);
     if world.outcome(LONG_RUNNING_JOB) == Outcome::Active && runs.count() != 2 {
         violations.push("lasting tasks do not run".into());
@@ -117,7 +118,8 @@
     violations
 }
 
-/// `GORSESPUR_LIVES` names other seeds than these, as in `0..5000` or `7`.
+/// Returns the seeds that `GORSESPUR_LIVES` selects, as in `0..5000` or `7`, or else the usual
+/// ones.
 fn seeds(usual: Range<u64>) -> Range<u64> {
     let Ok(text) = env::var("GORSESPUR_LIVES") else {
         return usual;
@@ -129,11 +131,11 @@
     }
 }
 
-/// Asserts that nothing is wrong in any of the series.
-fn check_series(seeds: Range<u64>, lives: bool) {
+/// Asserts that no series has violations.
+fn check_series(seeds: Range<u64>, reuse_names: bool) {
     let mut bad = Vec::new();
     for seed in seeds {
-        let violations = run_series(seed, lives);
+        let violations = run_series(seed, reuse_names);
         if let Some(first) = violations.first() {
             bad.push(format!("seed {seed}: {first}, {} in all", violations.len()));
         }
@@ -146,7 +148,7 @@
     check_series(seeds(0..200), true);
 }
 
-/// The same where each life has a name of its own.
+/// The same series, with a new name for each incarnation.
 #[test]
 fn random_series_of_new_names_break_no_promise() {
     check_series(seeds(0..80), false);
--- a/crates/jobs/tests/all/takeovers.rs
+++ b/crates/jobs/tests/all/takeovers.rs
@@ -1,12 +1,12 @@
-//! Takeovers, and what a new owner does not know of its workers.
+//! Takeovers by owners that do not know the state of all workers.
 
 use crate::common::{World, WorldSettings, chain, check_invariants};
 use gorsespur_jobs::{JobId, Step};
 
-/// A job of four lasting tasks, one on each worker.
+/// A job of four long-running tasks, one on each worker.
 const LONG_RUNNING_JOB: JobId = JobId(1);
 
-/// A world whose workers have one lasting task each.
+/// Returns a world whose workers run one long-running task each.
 fn world() -> World {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
@@ -23,13 +23,13 @@
     world
 }
 
-/// Takes a worker away, and with it its row.
+/// Removes a worker and its row.
 fn remove_worker(world: &mut World, at: usize) {
     world.workers[at].alive = false;
     world.workers[at].runs.clear();
 }
 
-/// An operator sees how many tasks wait for a worker that the new owner can't ask.
+/// The stats count the runs on a worker that the new owner can't poll.
 #[test]
 fn runs_on_a_worker_that_has_vanished_are_counted() {
     let mut world = world();
@@ -45,16 +45,15 @@
     check_invariants(&world, 0);
 }
 
-/// The users allow a lasting task to be away for 10 s after the last trouble: instances
-/// count as in touch after 3 s, and 4 s and 3 s more have to be calm.
+/// Milliseconds for which users allow a long-running task to be down after the last fault:
+/// instances count as in contact after 3 s, and 4 s and 3 s more have to be without faults.
 const MAX_OUTAGE_MS: u64 = 10_000;
 
-/// A worker left while the store answered late or not at all, so that no owner could note
-/// that the two lasting tasks there had been stopped, and by the last takeover its row was
-/// gone. The new owner could not ask it and waited until all leases were over that the owner
-/// before might have granted: 12.7 s after that one's last contact with the store. The tasks
-/// were stopped at 8.635 s and 8.932 s, and the store was well from 12.0 s on; both began at
-/// 23.383 s and 23.385 s, on one worker that had been there since 10.0 s.
+/// A worker with two long-running tasks leaves while the store answers late or not at all, so that
+/// no owner can record that they were stopped. When the last owner takes over, the row of the
+/// worker is gone, and the owner can't poll it. If it waited until all leases that its predecessor
+/// may have granted have expired, 12.7 s after the predecessor's last contact with the store, the
+/// tasks would start 11 s after the store had recovered.
 #[test]
 fn lasting_tasks_of_a_vanished_worker_run_again_in_time() {
     let mut world = world();
@@ -64,7 +63,7 @@
     assert!(world.workers[0].runs.is_empty(), "stopped, and not noted");
     world.pause(true);
     remove_worker(&mut world, 0);
-    // An owner that takes over just now, and whose writes get no answer.
+    // An owner that takes over at this time, and whose writes get no answer.
     world.take_over(world.lease_end());
     let contact = world.now;
     let over = world.lease_end();
@@ -78,8 +77,8 @@
     check_invariants(&world, 0);
 }
 
-/// An owner whose claim was answered late grants nothing beyond what its successor waits for,
-/// which counts from when the claim was done.
+/// An owner whose claim of the lease was answered late grants no leases beyond the time that its
+/// successor waits for, which counts from the moment at which the claim was done.
 #[test]
 fn a_claim_that_is_answered_late_prolongs_nothing() {
     let mut world = world();
@@ -95,8 +94,8 @@
     }
 }
 
-/// An owner whose claim was long ago promises a worker nothing, hears it once, and loses it:
-/// what runs there goes on under the lease of the owner before.
+/// An owner whose claim was done long ago grants no lease to a worker, polls it once and loses
+/// contact. The runs there continue under the lease of the previous owner.
 #[test]
 fn a_worker_that_was_heard_once_keeps_its_earlier_lease() {
     let mut world = world();
