--- a/crates/jobs/tests/all/apart.rs
+++ b/crates/jobs/tests/all/apart.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_gang_that_waits_for_workers_apart_keeps_none_from_others() {
+fn a_gang_waiting_for_isolation_keeps_no_workers_from_others() {
     for members in 2..=6 {
         let mut world = with_crashed_gang(members);
         let id = world.submit(2, chain(vec![short(8, 300)]));
--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -51,7 +51,7 @@
 /// An owner takes over from itself or from another one while turns take up to a second. The
 /// earlier leases have expired, but the workers have not been polled yet.
 #[test]
-fn a_takeover_asks_before_it_starts_again() {
+fn a_new_owner_polls_before_it_restarts_tasks() {
     for seed in 0..20 {
         let mut world = world(4, seed);
         for id in 1..=JOBS {
@@ -71,7 +71,7 @@
 
 /// There is no owner for so long that all leases expire and all runs end.
 #[test]
-fn what_ended_while_nobody_owned_is_not_started_again() {
+fn tasks_that_ended_without_an_owner_are_not_restarted() {
     for seed in 0..20 {
         let mut world = world(4, seed);
         for id in 1..=JOBS {
@@ -91,7 +91,7 @@
 
 /// A worker was silent when the owner was paused, and answers again before the owner resumes.
 #[test]
-fn silence_from_before_a_pause_gives_nothing_up() {
+fn silence_before_a_pause_loses_no_runs() {
     let mut world = world(3, 1);
     world.submit(1, chain(vec![short(3, 7000)]));
     world.run(1000);
@@ -145,7 +145,7 @@
 /// The owner's lease counts from the request of its renewal. An owner that reads the answer
 /// seconds late extends no lease at workers beyond the time that its successor waits for.
 #[test]
-fn a_late_answer_of_the_store_prolongs_nothing() {
+fn a_late_answer_of_the_store_extends_no_lease() {
     let mut world = without_store();
     let asked = world.now;
     let over = world.lease_end();
@@ -160,7 +160,7 @@
 /// With a clock that stops in suspension the owner would extend a lease until 3.9 s after the time
 /// at which a successor takes all leases for expired.
 #[test]
-fn a_suspended_owner_prolongs_nothing() {
+fn a_suspended_owner_extends_no_lease() {
     let mut world = without_store();
     let over = world.lease_end();
     world.suspend(5000);
@@ -174,7 +174,7 @@
 /// expired.
 #[test_case(1000; "a second")]
 #[test_case(5000; "five seconds")]
-fn a_record_that_is_confirmed_late_prolongs_nothing(late: u64) {
+fn a_late_commit_extends_no_lease(late: u64) {
     let mut world = world(1, 1);
     world.store_down = true;
     let asked = world.now;
@@ -194,7 +194,7 @@
 #[test_case(6000; "before its lease could be renewed")]
 #[test_case(8000; "just before the end of all leases")]
 #[test_case(9000; "after the end of all leases")]
-fn a_record_that_is_confirmed_too_late_starts_nothing(late: u64) {
+fn a_commit_that_is_too_late_starts_nothing(late: u64) {
     let mut world = world(1, 1);
     world.store_down = true;
     let asked = world.now;
@@ -210,7 +210,7 @@
 /// at once from the last known clocks of the workers, also while ends wait for a commit.
 #[test_case(1; "nothing ended")]
 #[test_case(900; "ends wait to be durable")]
-fn an_owner_that_stood_still_renews_leases_at_once(estimate: u64) {
+fn a_paused_owner_renews_leases_at_once(estimate: u64) {
     let mut world = world(1, 1);
     world.submit(1, chain(vec![long_running(1)]));
     world.submit(2, chain(vec![short(2, estimate)]));
@@ -300,7 +300,7 @@
 /// The rows of 3,000 workers may change faster than an owner reads them. Without this check a
 /// worker that had announced 5 s before that it would leave was given a task.
 #[test]
-fn nothing_starts_while_it_is_not_known_which_workers_leave() {
+fn nothing_starts_while_worker_rows_are_stale() {
     let mut world = World::new(WorldSettings::default());
     world.run(500);
     world.watch_down = true;
--- a/crates/jobs/tests/all/checkpoints.rs
+++ b/crates/jobs/tests/all/checkpoints.rs
@@ -30,7 +30,7 @@
 
 /// Each task resumes from its own checkpoint, whether its run was stopped or its worker crashed.
 #[test]
-fn a_task_goes_on_from_its_own_checkpoint() {
+fn a_task_resumes_from_its_own_checkpoint() {
     let (mut world, id) = world(with_checkpoints(short(3, 3000)));
     world.crash(0);
     world.announce(1, false);
@@ -66,7 +66,7 @@
 /// 20 ms and be blamed for a failure.
 #[test_case(false, 1; "by a task")]
 #[test_case(true, 3; "by a gang")]
-fn a_checkpoint_that_was_rejected_is_not_brought_again(gang: bool, rejected: usize) {
+fn a_rejected_checkpoint_is_not_used_again(gang: bool, rejected: usize) {
     let step = Step {
         gang,
         ..short(3, 3000)
--- a/crates/jobs/tests/all/crashing/crowds.rs
+++ b/crates/jobs/tests/all/crashing/crowds.rs
@@ -99,7 +99,7 @@
 #[test_case(4)]
 #[test_case(5)]
 #[test_case(12)]
-fn others_go_on_beside_many_suspects(workers: usize) {
+fn other_tasks_run_beside_many_suspects(workers: usize) {
     let mut world = world_of_suspects(workers, 1, 0);
     // The worker has restarted, and all its runs are suspects.
     world.run(6000);
@@ -116,7 +116,7 @@
 
 /// Only suspects wait and half of the workers are idle, so that suspects use those as well.
 #[test]
-fn suspects_take_workers_that_nobody_else_needs() {
+fn suspects_use_idle_workers() {
     let mut world = world_of_suspects(4, 1, 0);
     world.run(6000);
     let mut busy = 0;
--- a/crates/jobs/tests/all/crashing/culprits.rs
+++ b/crates/jobs/tests/all/crashing/culprits.rs
@@ -80,7 +80,7 @@
 
 /// Only the first crash affects other runs, as long as some worker is idle.
 #[test]
-fn a_suspect_takes_no_others_down_with_it() {
+fn an_isolated_suspect_crashes_no_other_runs() {
     for (name, step) in shapes() {
         let mut world = World::new(WorldSettings {
             workers: WORKERS,
--- a/crates/jobs/tests/all/crashing/losses.rs
+++ b/crates/jobs/tests/all/crashing/losses.rs
@@ -78,7 +78,7 @@
 #[test_case(Loss::Cut)]
 #[test_case(Loss::Spot)]
 #[test_case(Loss::Crash)]
-fn what_is_lost_with_workers_fails_no_job(loss: Loss) {
+fn lost_workers_fail_no_job(loss: Loss) {
     for seed in 0..4 {
         let mut world = world(seed);
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -99,7 +99,7 @@
 /// Tasks that crash workers, combined with takeovers, losses of power, partitions and crashes that
 /// are no task's fault. No culprit is started too often, and no other job is given up.
 #[test]
-fn in_any_company_only_what_crashes_workers_is_given_up() {
+fn only_tasks_that_crash_workers_are_given_up() {
     for seed in (0..24).chain([129, 1510, 1539, 1598, 2234, 2579]) {
         let mut world = world(seed);
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -147,7 +147,7 @@
 /// new work beside them.
 #[test_case(2)]
 #[test_case(4)]
-fn a_new_owner_starts_work_beside_what_lost_its_power(times: u32) {
+fn a_new_owner_starts_work_after_losses_of_power(times: u32) {
     let mut world = world(6);
     let lasting = Step {
         max_per_worker: 1,
--- a/crates/jobs/tests/all/crashing/owners.rs
+++ b/crates/jobs/tests/all/crashing/owners.rs
@@ -74,9 +74,9 @@
 /// none.
 #[test_case(5, 1, 3000; "before the crash")]
 #[test_case(20, 1, 1000; "just after it")]
-#[test_case(300, 2, 3000; "twice before it is written down")]
-#[test_case(1100, 1, 3000; "once it is written down")]
-#[test_case(3200, 1, 3000; "beside the next life")]
+#[test_case(300, 2, 3000; "twice before it is recorded")]
+#[test_case(1100, 1, 3000; "once it is recorded")]
+#[test_case(3200, 1, 3000; "after the next incarnation started")]
 #[test_case(20, 3, 1000; "three times just after it")]
 fn a_task_that_crashes_workers_is_given_up_though_owners_are_killed(
     after: u64,
@@ -113,7 +113,7 @@
 /// A task that crashes its worker only after a while is isolated after three crashes. The owner is
 /// killed just after the isolated start, and the new owner starts no other run beside it.
 #[test]
-fn a_new_owner_begins_nothing_beside_a_suspect() {
+fn a_new_owner_starts_nothing_beside_a_suspect() {
     let mut world = World::new(WorldSettings {
         workers: WORKERS,
         ..WorldSettings::default()
--- a/crates/jobs/tests/all/empty.rs
+++ b/crates/jobs/tests/all/empty.rs
@@ -71,7 +71,7 @@
 
 /// Tasks fail on all workers while gangs wait that are wider than all workers together.
 #[test]
-fn random_series_of_failures_and_gangs_leave_no_fleet_empty() {
+fn random_series_of_failures_and_gangs_keep_workers_busy() {
     for seed in 0..60 {
         let idle = longest_idle(seed);
         assert!(
--- a/crates/jobs/tests/all/evacuation.rs
+++ b/crates/jobs/tests/all/evacuation.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_runs_goes_on_and_what_waits_begins_elsewhere() {
+fn existing_runs_continue_and_new_ones_start_elsewhere() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
     let lasting = Step {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_zone_takes_its_share_again_once_the_request_is_gone() {
+fn a_zone_is_used_again_after_the_evacuation() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
     let [first, second] = zones();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_new_owner_and_workers_that_join_keep_to_it() {
+fn a_new_owner_and_joining_workers_respect_the_evacuation() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
     let [first, _] = zones();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_zone_that_nobody_knows_changes_nothing() {
+fn an_unknown_zone_changes_nothing() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
     world.evacuate(&["nowhere".into(), "".into()]);
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -203,7 +203,7 @@
 #[test_case(Ending::Stopped, &["", "b-22", ""]; "stopped where one saved")]
 #[test_case(Ending::Failed, &["a-20", "b-22", "c-19"]; "failed")]
 #[test_case(Ending::Failed, &["a-20", "", "c-19"]; "failed where two saved")]
-fn members_of_a_gang_go_on_from_the_same_progress(first: Ending, saved: &[&str]) {
+fn members_of_a_gang_resume_from_the_same_checkpoint(first: Ending, saved: &[&str]) {
     let mut owner = Owner::new(Step {
         gang: true,
         checkpoints: true,
--- a/crates/jobs/tests/all/guards.rs
+++ b/crates/jobs/tests/all/guards.rs
@@ -7,7 +7,7 @@
 /// An unreachable worker continues its runs until the lease expires on its own clock, which may be
 /// slow.
 #[test]
-fn a_long_task_waits_for_the_lease_of_a_cut_worker() {
+fn a_long_task_waits_for_the_lease_of_a_partitioned_worker() {
     for at in 0..4 {
         let mut world = World::new(WorldSettings::default());
         world.run(100);
@@ -27,7 +27,7 @@
 
 /// An unanswered start may be carried out seconds later.
 #[test]
-fn a_late_start_never_doubles_a_task() {
+fn a_late_start_never_runs_a_task_twice() {
     for late in [800, 1500, 3000, 5000] {
         let mut world = World::new(WorldSettings::default());
         world.run(100);
--- a/crates/jobs/tests/all/lives.rs
+++ b/crates/jobs/tests/all/lives.rs
@@ -109,7 +109,7 @@
 /// Ends of the new incarnation are counted although their numbers start anew, below the numbers
 /// that the owner has observed.
 #[test]
-fn ends_numbered_anew_are_counted() {
+fn ends_of_a_new_incarnation_are_counted() {
     for (away, how) in restart_cases() {
         let what = format!("{away} {how:?}");
         let mut world = world(1);
@@ -127,7 +127,7 @@
 /// An owner confirms the number of the last end that it has observed durably. If the number of the
 /// old incarnation went to the new one, that would forget ends that the owner has not read.
 #[test]
-fn a_new_life_does_not_forget_ends_that_nobody_read() {
+fn a_new_incarnation_keeps_unread_ends() {
     for seed in 0..20 {
         let mut world = world(2);
         world.submit(1, chain(vec![short(16, 300), short(8, 200)]));
@@ -142,7 +142,7 @@
 /// A start may reach the new incarnation before a poll does, and its run may end by then. The poll
 /// that discovers the incarnation names the last end observed from the previous one.
 #[test]
-fn a_look_that_finds_a_new_life_has_it_forget_nothing() {
+fn a_poll_that_finds_a_new_incarnation_confirms_no_ends() {
     for away in [5, 20, 50] {
         for delay in (0..100).step_by(10) {
             let mut world = world(1);
@@ -159,7 +159,7 @@
 
 /// The runs of the old incarnation count as lost at once, not only when their leases expire.
 #[test]
-fn a_task_of_the_old_life_runs_again_soon() {
+fn a_task_of_the_old_incarnation_restarts_soon() {
     for (away, how) in restart_cases() {
         for step in [long_running(1), short(1, 30_000)] {
             let mut world = world_with(step);
@@ -176,7 +176,7 @@
 
 /// The clock of a new incarnation starts below the end of the leases that the old one had.
 #[test]
-fn runs_of_a_new_life_are_given_up_when_its_own_leases_are_over() {
+fn runs_of_a_new_incarnation_are_lost_when_its_own_leases_expire() {
     for (away, how) in restart_cases() {
         let what = format!("{away} {how:?}");
         let mut world = world_with(on_first_rack(long_running(1)));
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_worker_takes_work_again_after_its_leases_were_over() {
+fn a_worker_takes_work_after_its_leases_expired() {
     for told in ROW_DELAYS_MS {
         let mut world = world_with(long_running(1));
         world.restart.row_delay_ms = told;
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_worker_takes_work_again_after_it_was_unlisted() {
+fn a_worker_takes_work_after_its_row_expired() {
     for (away, how) in restart_cases() {
         let mut world = world_with(long_running(1));
         world.restart = how;
@@ -235,7 +235,7 @@
 
 /// Two workers restart, each at the address of the other.
 #[test]
-fn a_worker_takes_work_again_after_another_one_answered_for_it() {
+fn a_worker_takes_work_after_another_one_answered_at_its_address() {
     for told in [0, 1000, 3000] {
         let mut world = world_with(long_running(1));
         world.restart.row_delay_ms = told;
@@ -254,7 +254,7 @@
 /// An unanswered start may be carried out by the new incarnation seconds later, unless the owner
 /// bars it there.
 #[test]
-fn a_late_start_of_the_old_life_does_not_run_beside_the_next_run() {
+fn a_late_start_of_the_old_incarnation_does_not_overlap_the_next_run() {
     for (away, how) in restart_cases() {
         for late in [800, 1500, 3000, 5000] {
             let mut world = world(3);
@@ -276,7 +276,7 @@
 /// An order to the old incarnation names the end of a lease on its clock, which is later than any
 /// lease on the new clock. The worker cuts it to the maximum lease from the arrival of the order.
 #[test]
-fn a_late_order_of_the_old_life_does_not_outlast_what_its_sender_waits_for() {
+fn a_late_order_to_the_old_incarnation_gets_no_longer_lease() {
     for away in [5, 400] {
         for late in [800, 1500, 3000] {
             let mut world = world_with(on_first_rack(long_running(1)));
@@ -322,7 +322,7 @@
 /// A start that the new incarnation accepted keeps its run for the maximum lease, although its
 /// sender knows only the old incarnation, whose lease expires earlier.
 #[test]
-fn a_life_that_took_a_start_and_was_never_listed_is_waited_for() {
+fn a_start_accepted_by_an_unannounced_incarnation_is_waited_for() {
     for away in [110, 200, 300, 400] {
         let mut world = world_with(on_first_rack(long_running(1)));
         partition(&mut world, 1);
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn a_new_owner_gives_up_runs_of_the_old_life() {
+fn a_new_owner_gives_up_runs_of_the_old_incarnation() {
     for (away, how) in restart_cases() {
         for after in [0, 20, 700, 2500] {
             let mut world = world_with(long_running(1));
@@ -368,7 +368,7 @@
 
 /// The old owner sent the start to the old incarnation, and the new incarnation carries it out.
 #[test]
-fn a_new_owner_adopts_no_run_that_has_gone_elsewhere() {
+fn a_new_owner_adopts_no_run_that_was_replaced() {
     for late in (300..5000).step_by(300) {
         for away in ABSENCES_MS {
             let mut world = world(3);
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn a_row_of_the_old_life_does_not_undo_the_new_one() {
+fn a_row_of_the_old_incarnation_does_not_replace_the_new_one() {
     for (away, how) in restart_cases() {
         let what = format!("{away} {how:?}");
         let mut world = world_with(on_first_rack(long_running(1)));
@@ -416,7 +416,7 @@
 
 /// A row that expired and is published again, or that is published twice, is no restart.
 #[test]
-fn a_row_that_comes_back_begins_no_life() {
+fn a_row_that_is_published_again_is_no_restart() {
     let mut world = world_with(long_running(1));
     for _ in 0..4 {
         world.expire_row(0);
@@ -433,7 +433,7 @@
 /// If a worker's wall clock is set back, its new incarnation has the earlier start time. The new
 /// incarnation must remain the current one.
 #[test]
-fn a_later_life_that_seems_the_earlier_one_is_kept() {
+fn an_incarnation_with_an_earlier_start_time_is_kept() {
     for told in ROW_DELAYS_MS {
         for back in [[true, false], [false, true], [true, true]] {
             let mut world = world_with(on_first_rack(long_running(1)));
@@ -460,7 +460,7 @@
 
 /// Without a start time each incarnation has a new name.
 #[test]
-fn workers_that_do_not_say_when_they_began_start_again_under_new_names() {
+fn workers_without_start_times_restart_under_new_names() {
     for away in ABSENCES_MS {
         let mut world = World::new(WorldSettings::default());
         world.run(100);
@@ -482,7 +482,7 @@
 
 /// A task that crashes its worker is given up even if there is only one worker.
 #[test]
-fn crashes_of_two_lives_count_as_two() {
+fn crashes_of_two_incarnations_count_as_two() {
     for away in [300, 700, 3000] {
         let mut world = world(1);
         world.restart_ms = away;
--- a/crates/jobs/tests/all/load.rs
+++ b/crates/jobs/tests/all/load.rs
@@ -66,7 +66,7 @@
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn wrong_guesses_make_few_jobs_late(seed: u64) {
+fn wrong_estimates_make_few_jobs_late(seed: u64) {
     let mut world = World::new(WorldSettings {
         workers: 5,
         seed,
@@ -98,7 +98,7 @@
 /// that, in different phases on each worker. Harmless best-effort tasks use the rest, as many at
 /// once as take half a minute.
 #[test]
-fn what_fills_goes_where_the_load_is_low() {
+fn best_effort_tasks_run_where_the_load_is_low() {
     let mut world = World::new(WorldSettings {
         workers: 8,
         ..WorldSettings::default()
@@ -188,7 +188,7 @@
 #[test_case(66)]
 #[test_case(490)]
 #[test_case(1100)]
-fn short_jobs_do_not_wait_behind_what_fills(workers: u64) {
+fn short_jobs_do_not_wait_behind_best_effort_jobs(workers: u64) {
     let mut site = Site::new(workers, 2);
     site.run(8000);
     let (fill, wide) = (site.pending("fill"), site.pending("wide"));
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -167,7 +167,7 @@
 #[test_case(30; "once")]
 #[test_case(300; "ten times")]
 #[test_case(3000; "a hundred times")]
-fn a_storm_of_jobs_begins_with_the_next_writes(count: u64) {
+fn a_burst_of_jobs_starts_with_the_next_writes(count: u64) {
     let mut world = World::new(WorldSettings {
         workers: count.div_ceil(20) as usize,
         ..WorldSettings::default()
@@ -212,7 +212,7 @@
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn the_log_is_as_long_as_what_still_holds(seed: u64) {
+fn the_log_size_depends_on_the_current_state(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(WorldSettings {
         workers: 10,
@@ -242,7 +242,7 @@
 /// The log is shortened by a write that has no space for the record of a job that has just ended.
 /// The log keeps the rows of the job until its record is written.
 #[test]
-fn what_the_log_tells_of_a_job_outlasts_its_end() {
+fn log_rows_of_a_job_are_kept_until_its_record_is_written() {
     let short = Settings {
         batch_records: 1,
         log_rows: 0,
@@ -301,7 +301,7 @@
 
 /// A row that is foreign or damaged does not affect other rows.
 #[test]
-fn a_row_that_cannot_be_read_harms_no_other() {
+fn an_unreadable_row_affects_no_other() {
     let mut owner = Owner::new(Ledger::default(), &[job(1, 3)], Settings::default());
     owner.run(500);
     let mut machine = Machine::new(Settings::default(), START_MS, takeover());
--- a/crates/jobs/tests/all/promises.rs
+++ b/crates/jobs/tests/all/promises.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_gang_starts_as_one() {
+fn a_gang_starts_together() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
     let gang = Step {
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn an_unlisted_worker_gets_nothing_new() {
+fn a_worker_without_a_row_gets_no_new_runs() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
     world.notify(Event::WorkerRemoved("w0".into()));
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn what_fills_is_slowed_where_it_disturbs() {
+fn best_effort_tasks_are_slowed_where_they_interfere() {
     let mut world = World::new(WorldSettings {
         workers: 1,
         ..WorldSettings::default()
--- a/crates/jobs/tests/all/records/mod.rs
+++ b/crates/jobs/tests/all/records/mod.rs
@@ -45,7 +45,7 @@
 /// the record: not with similar IDs, several steps, or overlapping repetitions of one job.
 #[test_case(0; "once")]
 #[test_case(3; "three times")]
-fn a_start_brings_what_its_own_task_listed(times: u32) {
+fn a_start_brings_a_checkpoint_of_its_own_task(times: u32) {
     for seed in 0..10 {
         let schedule = Schedule {
             repetitions: times,
@@ -71,7 +71,7 @@
 /// owner that reads its record.
 #[test_case(false; "while it runs")]
 #[test_case(true; "after its end")]
-fn a_name_that_comes_again_is_the_first_job(ended: bool) {
+fn a_repeated_job_id_is_the_first_job(ended: bool) {
     let first = job(1, Schedule::default());
     let mut simulation = Simulation::new(1, vec![first.clone()]);
     simulation.no_faults = true;
@@ -115,9 +115,9 @@
 /// A gang resumes from one checkpoint: that of any member is valid, and all members bring the same
 /// one. Each member reports its own latest checkpoint; a member whose worker crashed has reported
 /// an older one or none.
-#[test_case(&["a", "b", "c"]; "each another one")]
+#[test_case(&["a", "b", "c"]; "each a different one")]
 #[test_case(&["a", "", ""]; "one of them none")]
-fn the_members_of_a_gang_bring_the_same(listed: &[&str]) {
+fn members_of_a_gang_bring_the_same_checkpoint(listed: &[&str]) {
     let mut gang = job(1, Schedule::default());
     let mut spec = (*gang.spec).clone();
     spec.steps.truncate(1);
--- a/crates/jobs/tests/all/regression.rs
+++ b/crates/jobs/tests/all/regression.rs
@@ -69,7 +69,7 @@
 /// Cause: the time over the target restarted with each metric slightly below the target, and
 /// metrics vary.
 #[test]
-fn one_low_figure_does_not_end_the_time_over_the_target() {
+fn one_low_metric_does_not_end_the_time_over_the_target() {
     assert!(longest_over_target(1000, &[105, 102, 85, 104]) < 4000);
 }
 
@@ -78,7 +78,7 @@
 /// Cause: the time over the target restarted at a metric below 0.8 of the target, and tasks that
 /// were assumed harmless were stopped only 2.3 s after that.
 #[test]
-fn a_very_low_figure_does_not_end_the_time_over_the_target() {
+fn a_very_low_metric_does_not_end_the_time_over_the_target() {
     assert!(longest_over_target(1000, &[105, 102, 76, 104]) < 4000);
 }
 
@@ -87,7 +87,7 @@
 /// Cause: the time over the target was evaluated only at polls, which are a second apart, and the
 /// first poll after that moment reports a tail latency that is not yet over the target.
 #[test]
-fn what_fills_is_stopped_half_a_second_before_it_is_harm() {
+fn best_effort_tasks_stop_half_a_second_before_they_do_harm() {
     let phases = (1000..2200).step_by(100);
     let longest = phases.map(|after| longest_over_target(after, &[120])).max();
     assert!(
@@ -101,7 +101,7 @@
 /// Cause: placement used only the estimated interference of pairs, which does not show the tasks
 /// that are slowed by force.
 #[test]
-fn nothing_begins_to_fill_beside_a_tail_over_its_target() {
+fn no_best_effort_task_starts_beside_a_tail_over_its_target() {
     let mut world = World::new(WorldSettings {
         workers: 1,
         ..WorldSettings::default()
@@ -154,7 +154,7 @@
 /// worker ever had capacity for a long-running one. It occurred after a seventh of the workers had
 /// been lost.
 #[test]
-fn a_lasting_task_that_has_waited_for_long_gets_the_next_room() {
+fn a_long_running_task_that_has_waited_gets_the_next_capacity() {
     let mut world = World::new(WorldSettings {
         workers: 2,
         ..WorldSettings::default()
@@ -184,7 +184,7 @@
 /// allowed, so that capacity was reserved there in vain. This test also passes without the fix; a
 /// replay of the recorded load does not.
 #[test]
-fn room_is_kept_where_the_task_may_run() {
+fn capacity_is_reserved_where_the_task_may_run() {
     let mut world = World::new(WorldSettings {
         workers: 2,
         ..WorldSettings::default()
@@ -213,7 +213,7 @@
 /// never got capacity there: a long-running task without a latency target uses three cores, and
 /// placement assumed that it would end.
 #[test]
-fn room_is_not_kept_beside_what_lasts() {
+fn capacity_is_not_reserved_beside_long_running_tasks() {
     let mut world = World::new(WorldSettings {
         workers: 3,
         ..WorldSettings::default()
--- a/crates/jobs/tests/all/resizing.rs
+++ b/crates/jobs/tests/all/resizing.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn nothing_begins_in_room_that_is_gone_by_then() {
+fn nothing_starts_in_capacity_that_was_removed() {
     let mut world = world(2, 0);
     let id = world.submit(1, chain(vec![short(12, 2000)]));
     world.run(5);
@@ -67,7 +67,7 @@
 
 /// The owner has learned of the smaller capacity before the write is confirmed.
 #[test]
-fn nothing_begins_in_room_that_is_known_to_be_gone() {
+fn nothing_starts_in_capacity_that_is_known_to_be_removed() {
     let mut world = world(1, 0);
     world.submit(1, chain(vec![short(6, 2000)]));
     world.run(5);
@@ -85,7 +85,7 @@
 
 /// No task starts on a worker whose CPU is exceeded, even if the task requests no CPU.
 #[test]
-fn what_fills_does_not_begin_where_there_is_too_much() {
+fn no_best_effort_task_starts_on_an_overcommitted_worker() {
     let mut world = world(1, 0);
     world.submit(1, chain(vec![serving(6)]));
     world.run(1500);
@@ -106,7 +106,7 @@
 /// Runs continue after the capacity of their worker has shrunk, and no other run starts there
 /// until enough of them have ended. Runs that are being stopped still count.
 #[test]
-fn a_worker_that_shrank_gets_nothing_until_there_is_room() {
+fn a_worker_that_shrank_gets_no_runs_until_they_fit() {
     let mut world = world(1, 0);
     world.submit(1, chain(vec![serving(6)]));
     world.run(1500);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn rooms_that_shrink_and_grow_are_never_exceeded() {
+fn changing_capacities_are_never_exceeded() {
     for seed in 0..20 {
         let mut world = world(6, seed);
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -277,7 +277,7 @@
 #[test_case(Fault::Killed, false)]
 #[test_case(Fault::Away, true)]
 #[test_case(Fault::Away, false)]
-fn a_quarter_that_shrinks_under_a_burst_is_used_again(trouble: Fault, guards: bool) {
+fn workers_that_shrink_in_a_burst_are_used_again(trouble: Fault, guards: bool) {
     let mut burst = Burst::new(guards);
     burst.run(4000, NORMAL_INTERVAL_MS);
     burst.world.store_down = matches!(trouble, Fault::Away);
--- a/crates/jobs/tests/all/sharing.rs
+++ b/crates/jobs/tests/all/sharing.rs
@@ -120,13 +120,13 @@
 }
 
 #[test]
-fn what_does_not_disturb_is_not_slowed_by_a_swinging_load() {
+fn harmless_tasks_are_not_slowed_by_a_varying_load() {
     let seen = run_best_effort();
     assert!(seen.slowed < 0.001 * seen.harmless, "{seen:?}");
 }
 
 #[test]
-fn what_disturbs_works_as_far_as_the_load_lets_it() {
+fn interfering_tasks_use_what_the_load_leaves() {
     let seen = run_best_effort();
     assert!(seen.over_target < 0.003 * seen.served, "{seen:?}");
     assert!(seen.heavy > 150.0, "{seen:?}");
@@ -135,7 +135,7 @@
 #[test_case(2; "of 16 cores")]
 #[test_case(8; "of 64 cores")]
 #[test_case(12; "of 96 cores")]
-fn what_disturbs_is_known_on_large_workers(times: u64) {
+fn interference_is_learned_on_large_workers(times: u64) {
     let seen = run_best_effort_on(times);
     assert!(seen.over_target < 0.003 * seen.served, "{seen:?}");
     assert!(seen.slowed < 0.001 * seen.harmless, "{seen:?}");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn what_serves_begins_where_nothing_disturbs_it() {
+fn serving_tasks_start_where_nothing_interferes() {
     let mut world = world();
     let long = |image: &str| Step {
         count: 4,
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn what_hardly_disturbs_does_not_pile_up_at_the_peak_of_a_load() {
+fn slightly_interfering_tasks_do_not_pile_up_at_a_peak() {
     let seen = run_light();
     assert!(seen.over_target < 0.3 * seen.served, "{seen:?}");
     assert!(seen.harmless > 1250.0, "{seen:?}");
@@ -202,7 +202,7 @@
 /// Periodic loads are forecast: few best-effort tasks run at the next peak, and as many as without
 /// the forecast run between the peaks.
 #[test]
-fn what_fills_gives_way_to_a_peak_that_is_foreseen() {
+fn best_effort_tasks_yield_to_a_forecast_peak() {
     let seen = run_light();
     assert!(seen.over_target < 0.1 * seen.served, "{seen:?}");
     assert!(seen.harmless > 1250.0, "{seen:?}");
@@ -227,7 +227,7 @@
 /// Best-effort tasks are halted on a worker whose tail latency stays over its target. Tasks with
 /// checkpoints move to another worker that has capacity.
 #[test]
-fn what_is_halted_for_long_moves_to_another_worker() {
+fn a_task_halted_for_long_moves_to_another_worker() {
     let (mut world, id) = world_with_halted_worker();
     world.run(12_000);
     assert_eq!(world.outcome(id), Outcome::Complete);
@@ -235,7 +235,7 @@
 
 /// A halted task moves soon, since the rest of its step waits for it.
 #[test]
-fn what_is_halted_moves_at_once() {
+fn a_halted_task_moves_at_once() {
     let (mut world, id) = world_with_halted_worker();
     world.run(4000);
     assert_eq!(world.outcome(id), Outcome::Complete);
@@ -267,7 +267,7 @@
 /// An overloaded worker ignores changes of the pace. A change that fails is sent again only after
 /// the delay that a failed stop has (400 ms), not as soon as its answer arrives.
 #[test]
-fn a_pace_that_is_not_taken_is_not_sent_again_at_once() {
+fn an_ignored_pace_is_not_sent_again_at_once() {
     let (mut world, _) = single_worker_world();
     world.workers[0].mode = Mode::IgnoresPace;
     world.workers[0].tail_percents = vec![200];
@@ -286,7 +286,7 @@
 /// task of a worker has gone, its halted tasks must still get a new pace, and the worker must not
 /// count as over its target any more.
 #[test]
-fn what_is_halted_goes_on_when_nothing_serves_beside_it() {
+fn halted_tasks_resume_when_no_serving_task_is_left() {
     let (mut world, id) = halted_world();
     world.cancel(JobId(1));
     world.run(8000);
@@ -298,7 +298,7 @@
 /// would stop them after 7 s without progress. Their pace is unknown until the new owner has sent
 /// one.
 #[test]
-fn what_an_earlier_owner_halted_goes_on() {
+fn tasks_halted_by_an_earlier_owner_resume() {
     let (mut world, id) = halted_world();
     world.pause(true);
     world.workers[0].tail_percents = vec![40];
@@ -345,7 +345,7 @@
 /// single higher value does not halt best-effort tasks.
 #[test_case(&[80, 92, 79, 81, 80, 82]; "close to the target once")]
 #[test_case(&[80, 105, 79, 81, 80, 82, 78, 80, 81, 79]; "above it once")]
-fn one_high_figure_halts_nothing(tails: &[u64]) {
+fn one_high_metric_halts_nothing(tails: &[u64]) {
     let (filled, _) = best_effort_beside(tails);
     assert!(filled > 0.9, "for {filled} of the time");
 }
@@ -354,7 +354,7 @@
 /// while most tasks of its step are at three quarters of their targets. As many harmless
 /// best-effort tasks run as fit.
 #[test]
-fn one_high_figure_closes_a_calm_worker_for_a_moment_only() {
+fn one_high_metric_closes_a_worker_only_briefly() {
     let mut world = world();
     let mut filled = 0;
     for step in 0..600 {
@@ -378,7 +378,7 @@
 
 /// A tail latency is over its target for two seconds at times, whatever runs beside it.
 #[test]
-fn what_is_harmless_works_on_through_a_short_peak() {
+fn harmless_tasks_keep_their_pace_in_a_short_peak() {
     let (_, pace) = best_effort_beside(&[80, 80, 80, 80, 105, 105, 105, 105, 105]);
     assert!(pace > 99.0, "at {pace}%");
 }
@@ -386,7 +386,7 @@
 /// There are three times as many best-effort tasks as there is CPU for, and more than half of the
 /// memory is taken. No task exceeds its share, which would only slow the others.
 #[test]
-fn what_fills_keeps_to_its_share_while_work_piles_up() {
+fn best_effort_tasks_keep_to_their_share_under_overload() {
     let mut world = world();
     for at in 0..WORKERS {
         world.workers[at].capacity.1 = 10_000;
@@ -437,7 +437,7 @@
 
 /// A new owner without learned interference assumes that each pair of images interferes.
 #[test]
-fn a_new_owner_goes_on_with_what_was_learned() {
+fn a_new_owner_uses_what_was_learned() {
     let (with, without) = (
         best_effort_after_takeover(true),
         best_effort_after_takeover(false),
@@ -448,7 +448,7 @@
 /// The tail latency is over its target under the load of the serving task alone. A task that was
 /// halted beside it has no checkpoints to move with.
 #[test]
-fn what_is_halted_goes_on_beside_a_tail_that_is_over_by_itself() {
+fn halted_tasks_resume_beside_a_tail_over_target_by_itself() {
     let mut world = World::new(WorldSettings {
         workers: 1,
         ..WorldSettings::default()
@@ -467,7 +467,7 @@
 /// The load falls under which the tail latency was over its target by itself, and from then on the
 /// best-effort tasks cause the excess. They must be halted before users count the time as harm.
 #[test]
-fn what_fills_beside_a_tail_that_was_over_by_itself_does_no_harm() {
+fn best_effort_tasks_beside_a_tail_over_target_by_itself_do_no_harm() {
     for phase in (0..4000).step_by(100) {
         let mut world = World::new(WorldSettings {
             workers: 1,
--- a/crates/jobs/tests/all/still.rs
+++ b/crates/jobs/tests/all/still.rs
@@ -152,7 +152,7 @@
 #[test_case(8)]
 #[test_case(13)]
 #[test_case(15)]
-fn no_late_job_stands_still_after_the_last_arrival(seed: u64) {
+fn no_late_job_stalls_after_the_last_arrival(seed: u64) {
     let mut watched = WatchedWorld::new(seed, SPARSE_CPU);
     watched.overload(60_000, &["light", "thin", "heavy", "heavy"]);
     watched.run(DRAIN_MS);
@@ -167,10 +167,10 @@
 
 /// A job of a thousand tasks takes all CPU that is left for best-effort tasks. The job that comes
 /// last in the order runs beside it; if most of the capacity is taken, once the next task ends.
-#[test_case("light", SPARSE_CPU, 0; "where it disturbs nothing")]
-#[test_case("unknown", SPARSE_CPU, 0; "where it may disturb everywhere")]
-#[test_case("light", DENSE_CPU, TASK_MS; "where most of the room is taken")]
-fn a_late_job_goes_on_beside_one_that_takes_all(image: &str, cpu: u64, more: u64) {
+#[test_case("light", SPARSE_CPU, 0; "where it interferes with nothing")]
+#[test_case("unknown", SPARSE_CPU, 0; "where it may interfere everywhere")]
+#[test_case("light", DENSE_CPU, TASK_MS; "where most of the capacity is taken")]
+fn a_late_job_progresses_beside_one_that_takes_all(image: &str, cpu: u64, more: u64) {
     let mut watched = WatchedWorld::new(1, cpu);
     for worker in &mut watched.world.workers {
         worker.tail_percents = vec![60];
--- a/crates/jobs/tests/all/takeovers.rs
+++ b/crates/jobs/tests/all/takeovers.rs
@@ -31,7 +31,7 @@
 
 /// The stats count the runs on a worker that the new owner can't poll.
 #[test]
-fn runs_on_a_worker_that_has_vanished_are_counted() {
+fn runs_on_a_removed_worker_are_counted() {
     let mut world = world();
     world.pause(true);
     remove_worker(&mut world, 0);
@@ -55,7 +55,7 @@
 /// may have granted have expired, 12.7 s after the predecessor's last contact with the store, the
 /// tasks would start 11 s after the store had recovered.
 #[test]
-fn lasting_tasks_of_a_vanished_worker_run_again_in_time() {
+fn long_running_tasks_of_a_removed_worker_restart_in_time() {
     let mut world = world();
     world.store_down = true;
     world.announce(0, false);
@@ -80,7 +80,7 @@
 /// An owner whose claim of the lease was answered late grants no leases beyond the time that its
 /// successor waits for, which counts from the moment at which the claim was done.
 #[test]
-fn a_claim_that_is_answered_late_prolongs_nothing() {
+fn a_claim_that_is_answered_late_extends_no_lease() {
     let mut world = world();
     let over = world.lease_end();
     world.store_down = true;
@@ -97,7 +97,7 @@
 /// An owner whose claim was done long ago grants no lease to a worker, polls it once and loses
 /// contact. The runs there continue under the lease of the previous owner.
 #[test]
-fn a_worker_that_was_heard_once_keeps_its_earlier_lease() {
+fn a_worker_that_was_polled_once_keeps_its_earlier_lease() {
     let mut world = world();
     world.store_down = true;
     world.pause(true);
--- a/crates/jobs/tests/all/waits.rs
+++ b/crates/jobs/tests/all/waits.rs
@@ -84,7 +84,7 @@
 /// Tail latencies stay over their targets under the load of the serving tasks alone. Best-effort
 /// tasks do no harm in that case, and most of the capacity is free.
 #[test]
-fn what_fills_begins_where_tails_are_over_their_targets_by_themselves() {
+fn best_effort_tasks_start_where_tails_are_over_target_by_themselves() {
     let mut world = serving_world(&[120]);
     let id = world.submit(LAST_JOB, chain(vec![best_effort("light", 4, 1000)]));
     let wait = longest_wait(&mut world, id, 30_000);
@@ -93,7 +93,7 @@
 
 /// Tail latencies are over their targets until the load ends, and there are no metrics after that.
 #[test]
-fn what_fills_begins_after_the_last_figure_was_over_its_target() {
+fn best_effort_tasks_start_after_the_last_metric_was_over_target() {
     let mut world = serving_world(&[120]);
     set_tails(&mut world, &[0]);
     world.run(5000);
@@ -105,7 +105,7 @@
 /// A peak halts best-effort tasks that have no checkpoints to move with, and there are no metrics
 /// after the peak.
 #[test]
-fn what_is_halted_goes_on_after_the_last_figure_was_over_its_target() {
+fn halted_tasks_resume_after_the_last_metric_was_over_target() {
     let mut world = serving_world(&[60]);
     let step = Step {
         checkpoints: false,
@@ -124,7 +124,7 @@
 /// The workers of another service are full or nearly idle, which says nothing of this service's.
 #[test_case(100; "where the other one is idle")]
 #[test_case(7500; "where the other one is full")]
-fn a_full_service_holds_back_nothing_of_another_one(cpu: u64) {
+fn a_full_service_blocks_no_other_service(cpu: u64) {
     let mut world = world(WORKERS);
     set_tails(&mut world, &[60]);
     for (id, rack) in [(11, "r2"), (12, "r3")] {
@@ -174,7 +174,7 @@
 /// The interference of an unknown image is not known beside any serving task.
 #[test_case(false; "beside others")]
 #[test_case(true; "as a gang")]
-fn what_may_disturb_everywhere_begins(gang: bool) {
+fn a_task_of_unknown_interference_starts(gang: bool) {
     let mut world = serving_world(&[60]);
     let gang = Step {
         gang,
@@ -189,7 +189,7 @@
 /// The first of two independent steps can't be placed; the second one can.
 #[test_case(Step { label: Some("none".into()), ..short(1, 1000) }; "no worker has its label")]
 #[test_case(Step { gang: true, cpu: 8000, ..short(20, 1000) }; "it is too wide")]
-fn a_step_that_can_not_run_holds_back_no_other_one(first: Step) {
+fn a_step_that_cannot_run_blocks_no_other_step(first: Step) {
     let mut world = world(WORKERS);
     let spec = Spec {
         payload: "work".into(),
@@ -205,9 +205,9 @@
 
 /// Best-effort tasks leave fragments of memory on each worker, and take each fragment that is
 /// freed.
-#[test_case(Step { memory: 13_000, ..long_running(1) }, 1500, MAX_LONG_RUNNING_WAIT_MS; "that lasts")]
+#[test_case(Step { memory: 13_000, ..long_running(1) }, 1500, MAX_LONG_RUNNING_WAIT_MS; "that is long-running")]
 #[test_case(Step { memory: 11_000, ..short(1, 2000) }, 900, MAX_WAIT_MS; "that ends where less than half is taken")]
-fn a_task_gets_room_that_lies_in_pieces(step: Step, memory: u64, lost: u64) {
+fn a_task_gets_fragmented_capacity(step: Step, memory: u64, lost: u64) {
     let mut world = world(WORKERS);
     for at in 0..12 {
         // One on each worker, with different durations.
@@ -259,7 +259,7 @@
 
 /// Each worker runs a suspect, and most of the CPU is free.
 #[test]
-fn suspects_that_wait_hold_back_no_others() {
+fn waiting_suspects_block_no_others() {
     let mut world = world(WORKERS);
     world.submit(
         1,
@@ -317,8 +317,8 @@
 
 /// A late job that comes first in the order has tasks that fit.
 #[test_case(0; "that are late")]
-#[test_case(1; "that have a time, and are never late")]
-fn jobs_that_fit_nowhere_hold_back_no_late_one(times: u32) {
+#[test_case(1; "that have a schedule, and are never late")]
+fn jobs_that_fit_nowhere_block_no_late_job(times: u32) {
     let (mut world, all) = unplaceable_world(times);
     let id = world.submit(FIRST_JOB, chain(vec![short(2000, 500)]));
     world.run(4000);
@@ -348,7 +348,7 @@
 /// order while most of the memory is free.
 #[test_case(false; "beside others")]
 #[test_case(true; "as a gang")]
-fn what_fills_begins_beside_a_job_that_takes_all(gang: bool) {
+fn best_effort_tasks_start_beside_a_job_that_takes_all(gang: bool) {
     let mut world = serving_world(&[30]);
     for worker in &mut world.workers {
         worker.task_ms = Some(4000);
@@ -367,7 +367,7 @@
 
 /// Tasks fail by their own fault on all workers, and no other tasks ended there recently.
 #[test]
-fn jobs_that_fail_hold_back_no_others() {
+fn failing_jobs_block_no_others() {
     let mut world = world(WORKERS);
     for worker in &mut world.workers {
         worker.mode = Mode::FailsAll;
@@ -437,7 +437,7 @@
 
 /// Capacity that was set aside for a gang that does not fit is available to tasks of its size.
 #[test]
-fn a_gang_that_fits_nowhere_holds_back_no_task_of_its_size() {
+fn a_gang_that_fits_nowhere_blocks_no_task_of_its_size() {
     let mut world = world(WORKERS);
     // Neither job is late for long, so that the gang comes first.
     let step = Step {
