--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -198,7 +198,7 @@
         let pending = self.machine.pending_jobs();
         let figures = self.machine.stats();
         let (open, passes, cut) = (figures.open_jobs, figures.passes, figures.truncated_passes);
-        format!("{open} open, waiting {pending:?}, {cut} of {passes} passes cut")
+        format!("{open} open, waiting {pending:?}, {cut} of {passes} passes truncated")
     }
 
     /// Runs for `ms` milliseconds and returns the time that the decisions took.
--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -186,7 +186,7 @@
     world.notify(Event::WorkersSynced { asked_at: now });
     world.notify(Event::Committed { asked_at: asked });
     world.run(300);
-    assert_eq!(world.workers[0].runs.len(), 2, "nothing was started");
+    assert_eq!(world.workers[0].runs.len(), 2, "tasks were not started");
     assert!(world.workers[0].deadline <= world.workers[0].clock(over));
 }
 
@@ -251,7 +251,10 @@
         after.truncated_passes - before.truncated_passes,
     );
     let ratings = after.ratings - before.ratings;
-    assert!(passes > 0 && cut == passes, "{cut} of {passes} passes cut");
+    assert!(
+        passes > 0 && cut == passes,
+        "{cut} of {passes} passes truncated"
+    );
     assert!(ratings <= passes * 301_000, "{ratings} in {passes} passes");
     assert!(after.polls > before.polls + 100, "leases are not renewed");
 }
@@ -291,7 +294,7 @@
     assert_eq!(world.outcome(id), Outcome::Active);
     assert_eq!(
         after.unanswered_starts, before.unanswered_starts,
-        "starts are given up"
+        "starts timed out"
     );
     assert_eq!(after.lapsed, 0);
     check_invariants(&world, 1);
--- a/crates/jobs/tests/all/checkpoints.rs
+++ b/crates/jobs/tests/all/checkpoints.rs
@@ -337,7 +337,10 @@
         world.run(rng.random_range(20..800));
     }
     recover(&mut world);
-    assert!(world.run_until_done(120_000), "seed {seed}: jobs are left");
+    assert!(
+        world.run_until_done(120_000),
+        "seed {seed}: unfinished jobs"
+    );
     world
 }
 
--- a/crates/jobs/tests/all/common/checker.rs
+++ b/crates/jobs/tests/all/common/checker.rs
@@ -62,7 +62,7 @@
     pub fn check_start(&mut self, now: u64, task: TaskId, attempts: u32, spec: &Spec) {
         if self.counted_done.contains_key(&task) {
             self.violations
-                .push(format!("{now}: {task} begins after it was done"));
+                .push(format!("{now}: {task} starts after it was done"));
         }
         if let Some((crashes, starts)) = self.crashed.get_mut(&task)
             && *crashes >= CRASHES
@@ -70,7 +70,7 @@
             *starts += 1;
             if *starts == MAX_STARTS {
                 self.violations.push(format!(
-                    "{now}: {task} begins {MAX_STARTS} times after {CRASHES} crashes"
+                    "{now}: {task} starts {MAX_STARTS} times after {CRASHES} crashes"
                 ));
             }
         }
@@ -78,7 +78,7 @@
         let failed = self.counted_failed.get(&task).copied().unwrap_or(0);
         if !step.long_running && failed >= attempts {
             self.violations
-                .push(format!("{now}: {task} begins after {failed} failures"));
+                .push(format!("{now}: {task} starts after {failed} failures"));
         }
         for &dep in &step.deps {
             for index in 0..spec.steps[dep as usize].count {
@@ -89,7 +89,7 @@
                 };
                 if !self.done.contains(&before) {
                     self.violations
-                        .push(format!("{now}: {task} begins before {before} is done"));
+                        .push(format!("{now}: {task} starts before {before} is done"));
                 }
             }
         }
@@ -114,7 +114,7 @@
         if worker.is_overcommitted(now, SHRINK_GRACE_MS) {
             let id = &worker.id;
             self.violations
-                .push(format!("{now}: {id} holds more than it may"));
+                .push(format!("{now}: {id} exceeds its capacity"));
         }
     }
 
@@ -123,8 +123,9 @@
     pub fn check_not_done(&mut self, now: u64, task: TaskId) {
         let listed = self.listed.get(&task);
         if self.all_healthy && listed.is_some_and(|at| now > at + READ_MS) {
-            self.violations
-                .push(format!("{now}: {task} begins though it is listed as done"));
+            self.violations.push(format!(
+                "{now}: {task} starts although it was reported as done"
+            ));
         }
     }
 
@@ -185,7 +186,7 @@
                     if !late && end.number > read {
                         let (id, task) = (&worker.id, end.task);
                         self.violations
-                            .push(format!("{now}: {id} forgets unread that {task} was done"));
+                            .push(format!("{now}: {id} forgets the unread end of {task}"));
                     }
                     self.counted_done.entry(end.task).or_insert(now);
                 }
@@ -212,8 +213,10 @@
             for run in worker.runs.iter().filter(|r| r.exempt_until <= now) {
                 if let Some(other) = seen.insert(run.task, &worker.id) {
                     let here = &worker.id;
-                    self.violations
-                        .push(format!("{now}: {} runs on {other} and {here}", run.task));
+                    self.violations.push(format!(
+                        "{now}: {} runs on both {other} and {here}",
+                        run.task
+                    ));
                 }
             }
         }
--- a/crates/jobs/tests/all/common/checkpoints.rs
+++ b/crates/jobs/tests/all/common/checkpoints.rs
@@ -104,7 +104,7 @@
         let (task, saved) = (order.task, &order.checkpoint);
         let before = &self.rejected[..self.rejected.len() - 1];
         let again = before.iter().any(|(t, s)| *t == task && s == saved);
-        again.then(|| format!("{task} brings {saved} again, which was rejected"))
+        again.then(|| format!("{task} starts again with {saved}, which was rejected"))
     }
 
     /// Records that a run failed.
@@ -135,7 +135,7 @@
         if !saved.is_empty() && !texts().any(|t| t == saved) {
             let made = self.written.get(saved);
             return Some(format!(
-                "{task} run {run} begins with {saved}, which was never listed for it ({made:?})"
+                "{task} run {run} starts with {saved}, which was never reported for it ({made:?})"
             ));
         }
         let most = texts().map(|t| self.progress(t)).max();
@@ -147,7 +147,7 @@
             let first = first.or_insert_with(|| saved.clone());
             if first != saved {
                 return Some(format!(
-                    "{task} run {run} begins with {saved:?}, another member with {first:?}"
+                    "{task} run {run} starts with {saved:?}, another member with {first:?}"
                 ));
             }
         }
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -56,7 +56,10 @@
             Action::Start(worker, _) => *worker,
         };
         let owner = &mut self.owners[at];
-        let (addr, id) = owner.machine.worker_address(worker).expect("announced");
+        let (addr, id) = owner
+            .machine
+            .worker_address(worker)
+            .expect("announced worker");
         let index = match owner.slots.get(&worker) {
             Some(&index) => index,
             None => {
@@ -114,7 +117,10 @@
                     let owner = &mut self.owners[at];
                     if !owner.stepped_down {
                         if let Answer::Report(report) = &answer {
-                            let (_, id) = owner.machine.worker_address(worker).expect("announced");
+                            let (_, id) = owner
+                                .machine
+                                .worker_address(worker)
+                                .expect("announced worker");
                             self.checker.record_report(now, owner.epoch, id, report);
                         }
                         let event = Event::Answer {
@@ -210,7 +216,7 @@
                             && since.is_some_and(|&at| now > at + EVACUATION_GRACE_MS)
                         {
                             let violation =
-                                format!("{now}: {} begins in an evacuated zone", order.task);
+                                format!("{now}: {} starts in an evacuated zone", order.task);
                             self.checker.violations.push(violation);
                         }
                         let attempts = self.settings.attempts;
--- a/crates/jobs/tests/all/crashing/crowds.rs
+++ b/crates/jobs/tests/all/crashing/crowds.rs
@@ -90,7 +90,7 @@
 fn many_suspects_of_one_crash_do_not_wait_for_each_other(workers: usize, culprits: u64) {
     for seed in 0..3 {
         let found = isolate_culprits(workers, culprits, seed);
-        assert_eq!(found.wrongly_failed, 0, "jobs failed that did nothing");
+        assert_eq!(found.wrongly_failed, 0, "jobs without a culprit failed");
         assert!(found.took_ms < LIMIT_MS, "{found:?}");
     }
 }
@@ -124,5 +124,9 @@
         world.run(100);
         busy += world.workers.iter().filter(|w| !w.runs.is_empty()).count();
     }
-    assert!(busy > 2 * 50, "{busy} of {} looks at a worker", 4 * 50);
+    assert!(
+        busy > 2 * 50,
+        "{busy} of {} samples of busy workers",
+        4 * 50
+    );
 }
--- a/crates/jobs/tests/all/crashing/culprits.rs
+++ b/crates/jobs/tests/all/crashing/culprits.rs
@@ -48,7 +48,7 @@
     run_busy(&mut world, 60_000);
     let name = format!("after {after} ms");
     let later = &world.checker.other_runs[1..];
-    assert!(later.iter().any(|&t| t > 0), "{name}: always apart");
+    assert!(later.iter().any(|&t| t > 0), "{name}: always isolated");
     assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
     check_outcomes(&mut world, &name);
 }
--- a/crates/jobs/tests/all/crashing/losses.rs
+++ b/crates/jobs/tests/all/crashing/losses.rs
@@ -17,7 +17,7 @@
     for _ in 0..3 {
         world.run(700);
         let at = world.workers.iter().position(|w| !w.runs.is_empty());
-        let at = at.expect("it runs");
+        let at = at.expect("running task");
         world.workers[at].refusing = true;
         world.run(2000);
         world.workers[at].refusing = false;
@@ -162,7 +162,7 @@
     world.run(1500);
     let lasting = world.workers.iter().flat_map(|w| &w.runs);
     let lasting = lasting.filter(|r| r.long_running).count();
-    assert_eq!(lasting, 2 * WORKERS, "they run again");
+    assert_eq!(lasting, 2 * WORKERS, "restarted tasks");
     world.pause(true);
     world.take_over(world.lease_end());
     world.run(300);
--- a/crates/jobs/tests/all/crashing/mod.rs
+++ b/crates/jobs/tests/all/crashing/mod.rs
@@ -74,7 +74,7 @@
 /// Asserts that no job but the culprit's has failed, and that the tasks of the others run or are
 /// done.
 fn check_outcomes(world: &mut World, name: &str) {
-    assert!(world.run_until_done(60_000), "{name}: jobs are left");
+    assert!(world.run_until_done(60_000), "{name}: unfinished jobs");
     world.run(8000);
     check_invariants(world, 0);
     for id in world.job_ids().into_iter().filter(|&id| id != CULPRIT) {
@@ -84,7 +84,7 @@
     }
     let lasting = world.workers.iter().flat_map(|w| &w.runs);
     let lasting = lasting.filter(|r| r.task.job == JobId(1)).count();
-    assert_eq!(lasting, WORKERS, "{name}: lasting tasks");
+    assert_eq!(lasting, WORKERS, "{name}: long-running tasks");
 }
 
 /// Returns the kinds of steps of the tasks that crash workers.
--- a/crates/jobs/tests/all/crashing/owners.rs
+++ b/crates/jobs/tests/all/crashing/owners.rs
@@ -36,7 +36,7 @@
             world.take_over(world.lease_end());
         }
         check_invariants(&world, period);
-        let name = format!("each {period} ms");
+        let name = format!("every {period} ms");
         assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
         check_outcomes(&mut world, &name);
     }
@@ -144,7 +144,7 @@
         }
         run_stepwise(world, 5);
     }
-    panic!("start {start} has reached no worker");
+    panic!("start {start} did not reach a worker");
 }
 
 /// Runs like [`run_busy`], in single steps of the world.
--- a/crates/jobs/tests/all/evacuation.rs
+++ b/crates/jobs/tests/all/evacuation.rs
@@ -131,7 +131,7 @@
         }
         let done = world.run_until_done(120_000);
         check_invariants(&world, seed);
-        assert!(done, "seed {seed}: jobs are left");
+        assert!(done, "seed {seed}: unfinished jobs");
         assert_eq!(world.outcome(JobId(0)), Outcome::Complete);
     }
 }
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -105,7 +105,7 @@
         let sent = self.now;
         let (worker, answer) = match action {
             Action::Commit(_) => return self.notify(Event::Committed { asked_at: sent }),
-            Action::StepDown => panic!("there is no other owner"),
+            Action::StepDown => panic!("unexpected step-down"),
             Action::Poll {
                 worker, observed, ..
             } => {
--- a/crates/jobs/tests/all/guards.rs
+++ b/crates/jobs/tests/all/guards.rs
@@ -1,4 +1,5 @@
-//! One test for each safeguard whose removal the tests in `promises` did not detect.
+//! One test for each safeguard whose removal the tables of faults did not detect; see
+//! docs/PROMISES.md.
 
 use gorsespur_jobs::{JobId, Outcome};
 
@@ -21,7 +22,7 @@
             world.checker.violations
         );
         let running: usize = world.workers.iter().map(|w| w.runs.len()).sum();
-        assert_eq!(running, 8, "the tasks run elsewhere");
+        assert_eq!(running, 8, "tasks were started elsewhere");
     }
 }
 
--- a/crates/jobs/tests/all/lives.rs
+++ b/crates/jobs/tests/all/lives.rs
@@ -103,7 +103,7 @@
     let done = world.run_until_done(limit);
     let violations = &world.checker.violations;
     assert!(violations.is_empty(), "{what}: {violations:#?}");
-    assert!(done, "{what}: jobs are left");
+    assert!(done, "{what}: unfinished jobs");
 }
 
 /// Ends of the new incarnation are counted although their numbers start anew, below the numbers
@@ -120,7 +120,11 @@
         world.submit(2, chain(vec![short(8, 300), short(4, 200)]));
         check_done(&mut world, how.row_delay_ms + 5000, &what);
         world.run(RESTART_LIMIT_MS);
-        assert_eq!(world.workers[0].finished.len(), 0, "{what}: ends are left");
+        assert_eq!(
+            world.workers[0].finished.len(),
+            0,
+            "{what}: unconfirmed ends"
+        );
     }
 }
 
@@ -131,7 +135,7 @@
     for seed in 0..20 {
         let mut world = world(2);
         world.submit(1, chain(vec![short(16, 300), short(8, 200)]));
-        check_done(&mut world, 5000, "first life");
+        check_done(&mut world, 5000, "first incarnation");
         world.submit(2, chain(vec![short(16, 400), short(8, 100), short(16, 50)]));
         world.run(seed * 37);
         restart(&mut world, 0, 5);
@@ -147,7 +151,7 @@
         for delay in (0..100).step_by(10) {
             let mut world = world(1);
             world.submit(1, chain(vec![short(8, 300), short(4, 200)]));
-            check_done(&mut world, 5000, "first life");
+            check_done(&mut world, 5000, "first incarnation");
             world.run(RESTART_LIMIT_MS);
             restart(&mut world, 0, away);
             world.run(delay);
@@ -407,7 +411,7 @@
         }
         check_done(&mut world, RESTART_LIMIT_MS, &what);
         let now = world.workers[0].runs.first().map(|r| r.run);
-        assert_eq!(now, Some(run), "{what}: the run goes on");
+        assert_eq!(now, Some(run), "{what}: the run was replaced");
         // The row of the current incarnation is published again as well.
         world.announce(0, true);
         check_takes_work(&mut world, &what);
--- a/crates/jobs/tests/all/load.rs
+++ b/crates/jobs/tests/all/load.rs
@@ -192,10 +192,10 @@
     let mut site = Site::new(workers, 2);
     site.run(8000);
     let (fill, wide) = (site.pending("fill"), site.pending("wide"));
-    assert!(fill >= workers / 20, "{fill} jobs that fill wait");
+    assert!(fill >= workers / 20, "{fill} best-effort jobs wait");
     // One job may have arrived just before.
     assert!(
         wide <= 1 + fill / 20,
-        "{wide} short jobs wait, {fill} that fill"
+        "{wide} short jobs and {fill} best-effort jobs wait"
     );
 }
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -266,13 +266,13 @@
     owner.commits_left = 1;
     owner.run(500);
     let done = |id| owner.ledger.outcome(JobId(id)) == Outcome::Cancelled;
-    assert!(done(1) != done(2), "one record is written");
+    assert!(done(1) != done(2), "not exactly one record was written");
     let open = if done(1) { 2 } else { 1 };
     let mut machine = Machine::new(short, START_MS, takeover());
     for row in owner.ledger.log() {
         machine.replay(row).expect("own row");
     }
-    let record = machine.current_record(JobId(open), None).expect("logged");
+    let record = machine.current_record(JobId(open), None).expect("log row");
     assert!(record.is_valid_for(&job(open, 1).spec));
 }
 
@@ -309,7 +309,7 @@
     for row in owner.ledger.log() {
         machine.replay(row).expect("own row");
     }
-    let record = machine.current_record(JobId(1), None).expect("logged");
+    let record = machine.current_record(JobId(1), None).expect("log row");
     assert!(record.is_valid_for(&job(1, 3).spec));
     assert!(!record.is_valid_for(&job(1, 2).spec));
     assert_eq!(machine.current_record(JobId(2), None), None::<Record>);
--- a/crates/jobs/tests/all/promises.rs
+++ b/crates/jobs/tests/all/promises.rs
@@ -162,7 +162,7 @@
         }
         let done = world.run_until_done(120_000);
         check_invariants(&world, seed);
-        assert!(done, "seed {seed}: jobs are left");
+        assert!(done, "seed {seed}: unfinished jobs");
     }
 }
 
@@ -258,6 +258,6 @@
     let cores: f64 = best_effort_runs.map(|r| f64::from(r.pace) / 100.0).sum();
     // The tail latency is 40 ms without best-effort tasks, and reaches the target at e^(0.5 * 1.8)
     // times that.
-    assert!(cores < 1.85, "{cores} cores fill");
-    assert!(cores > 0.1, "nothing fills any more");
+    assert!(cores < 1.85, "{cores} cores of best-effort work");
+    assert!(cores > 0.1, "no best-effort work is left");
 }
--- a/crates/jobs/tests/all/records/simulation.rs
+++ b/crates/jobs/tests/all/records/simulation.rs
@@ -220,7 +220,7 @@
                 self.messages.push((due, Message::Batch(self.epoch, batch)));
                 return;
             }
-            Action::Pace { .. } | Action::StepDown => panic!("not expected"),
+            Action::Pace { .. } | Action::StepDown => panic!("unexpected action"),
         };
         let due = self.now + self.random_delay();
         let message = Message::Answer(self.epoch, worker, self.now, answer);
@@ -229,7 +229,10 @@
 
     /// Returns the incarnation that the owner addresses, unless it has ended.
     fn incarnation(&mut self, worker: u32) -> Option<&mut Incarnation> {
-        let (_, id) = self.machine.worker_address(worker).expect("announced");
+        let (_, id) = self
+            .machine
+            .worker_address(worker)
+            .expect("announced worker");
         self.workers.iter_mut().find(|i| i.id == id)
     }
 
@@ -247,12 +250,19 @@
             };
             let mut listed = members.filter_map(|index| self.listed.get(&TaskId { index, ..task }));
             let own = listed.any(|l| l.contains(&order.checkpoint));
-            assert!(own, "{task} brings {}", order.checkpoint);
+            assert!(
+                own,
+                "{task} starts with {}, which it never reported",
+                order.checkpoint
+            );
         }
         let fence = self.epoch;
         if !self.no_faults && self.rng.random_range(0..20) == 0 {
             // The start is not answered, and carried out later.
-            let (_, id) = self.machine.worker_address(worker).expect("announced");
+            let (_, id) = self
+                .machine
+                .worker_address(worker)
+                .expect("announced worker");
             let due = self.now + 10 * TICK_MS;
             let answer = Answer::Started(task, order.run, Started::Unknown);
             self.messages.push((due, Message::Start(id, fence, order)));
--- a/crates/jobs/tests/all/regression.rs
+++ b/crates/jobs/tests/all/regression.rs
@@ -92,7 +92,7 @@
     let longest = phases.map(|after| longest_over_target(after, &[120])).max();
     assert!(
         longest < Some(3000),
-        "{longest:?} ms, and half a second unseen"
+        "{longest:?} ms, and half a second until it was observed"
     );
 }
 
@@ -239,12 +239,12 @@
         let has = |w: &crate::common::SimWorker| w.runs.iter().any(|r| r.task.job == small);
         world.workers.iter().position(has)
     };
-    assert_eq!(at(&world), Some(2), "beside the one of seven cores");
+    assert_eq!(at(&world), Some(2), "not beside the task of seven cores");
     world.announce(2, false);
     world.run(1500);
     world.workers[2].alive = false;
     world.workers[2].runs.clear();
     world.notify(Event::WorkerRemoved("w2".into()));
     world.run(10_000);
-    assert!(at(&world).is_some(), "it does not run");
+    assert!(at(&world).is_some(), "not running");
 }
--- a/crates/jobs/tests/all/resizing.rs
+++ b/crates/jobs/tests/all/resizing.rs
@@ -47,7 +47,7 @@
     resize(&mut world, 0, (1000, 2000));
     resize(&mut world, 1, (1000, 2000));
     world.run(5000);
-    assert_eq!(world.stats().starts, 0, "not durable yet");
+    assert_eq!(world.stats().starts, 0, "starts without a durable record");
     // The write is confirmed shortly before the workers' rows are read again.
     world.store_down = false;
     world.run(300);
@@ -114,7 +114,11 @@
     resize(&mut world, 0, (4000, 16000));
     world.submit(2, chain(vec![short(2, 300)]));
     world.run(6000);
-    assert_eq!(world.workers[0].runs.len(), 6, "none stopped, none begun");
+    assert_eq!(
+        world.workers[0].runs.len(),
+        6,
+        "runs were stopped or started"
+    );
     world.cancel(JobId(1));
     assert!(world.run_until_done(10_000));
     check_invariants(&world, 0);
@@ -149,7 +153,7 @@
         world.store_down = false;
         world.pause(false);
         (0..6).for_each(|at| resize(&mut world, at, FULL_CAPACITY));
-        assert!(world.run_until_done(60_000), "seed {seed}: jobs are left");
+        assert!(world.run_until_done(60_000), "seed {seed}: unfinished jobs");
         check_invariants(&world, seed);
     }
 }
@@ -243,7 +247,7 @@
                 let is_late = now > since + NOTICE_MS + 50;
                 assert!(
                     !(begins && is_late && worker.is_overcommitted(now, 0)),
-                    "{now}: a task begins on {} beyond its room",
+                    "{now}: a task starts on {} beyond its capacity",
                     worker.id,
                 );
             }
@@ -300,7 +304,7 @@
         let used = worker.used().0;
         assert!(
             used + TASK_CPU > SHRUNK_CAPACITY.0,
-            "{} has {used}",
+            "{} uses {used}",
             worker.id
         );
     }
@@ -309,12 +313,16 @@
     burst.run(1000 - NOTICE_MS, BURST_INTERVAL_MS);
     for worker in &burst.world.workers[..BURST_WORKERS / 4] {
         let (used, _) = worker.used();
-        assert!(used > SHRUNK_CAPACITY.0, "{} has {used}", worker.id);
+        assert!(used > SHRUNK_CAPACITY.0, "{} uses {used}", worker.id);
     }
     let world = &mut burst.world;
-    assert!(world.run_until_done(60_000), "jobs are left");
+    assert!(world.run_until_done(60_000), "unfinished jobs");
     check_invariants(world, 0);
     burst.count();
     let tasks = 2 * BURST_WORKERS as u64 + 5 * (burst.next.0 - FIRST_JOB);
-    assert_eq!(burst.counted, (tasks, 0), "begun, and ended otherwise");
+    assert_eq!(
+        burst.counted,
+        (tasks, 0),
+        "accepted starts, and runs that were not done"
+    );
 }
--- a/crates/jobs/tests/all/restarts.rs
+++ b/crates/jobs/tests/all/restarts.rs
@@ -108,12 +108,12 @@
     world.run(3000);
     let mut violations = world.checker.violations.clone();
     if !done {
-        violations.push("jobs are left".into());
+        violations.push("unfinished jobs".into());
     }
     // A task under which three workers crashed by chance is given up.
     let runs = world.workers.iter().flat_map(|w| &w.runs);
     if world.outcome(LONG_RUNNING_JOB) == Outcome::Active && runs.count() != 2 {
-        violations.push("lasting tasks do not run".into());
+        violations.push("long-running tasks do not run".into());
     }
     violations
 }
--- a/crates/jobs/tests/all/sharing.rs
+++ b/crates/jobs/tests/all/sharing.rs
@@ -219,7 +219,7 @@
     let id = world.submit(1000, chain(vec![saving]));
     world.run(300);
     let halted = world.workers.iter().position(|w| w.runs.len() > 2);
-    let halted = halted.expect("a worker that has something to fill");
+    let halted = halted.expect("a worker with a best-effort task");
     world.workers[halted].tail_percents = vec![200];
     (world, id)
 }
@@ -347,7 +347,7 @@
 #[test_case(&[80, 105, 79, 81, 80, 82, 78, 80, 81, 79]; "above it once")]
 fn one_high_metric_halts_nothing(tails: &[u64]) {
     let (filled, _) = best_effort_beside(tails);
-    assert!(filled > 0.9, "for {filled} of the time");
+    assert!(filled > 0.9, "for a share of {filled} of the time");
 }
 
 /// The tail latency of each serving task is over its target in one half second of three, in turn,
@@ -405,7 +405,7 @@
         }
     }
     // Of 8 cores the serving tasks request two, and leave at most nine tenths of them unused.
-    assert!(most <= 7, "{most} cores are asked for");
+    assert!(most <= 7, "{most} cores are requested");
 }
 
 /// Number of best-effort images in the test of takeovers. Each of them rarely runs beside a
@@ -442,7 +442,10 @@
         best_effort_after_takeover(true),
         best_effort_after_takeover(false),
     );
-    assert!(with > 1.15 * without, "{with} s, {without} s without");
+    assert!(
+        with > 1.15 * without,
+        "{with} s with and {without} s without learned interference"
+    );
 }
 
 /// The tail latency is over its target under the load of the serving task alone. A task that was
@@ -494,7 +497,7 @@
         }
         assert!(
             longest < 3500,
-            "{phase}: {longest} ms, and half a second for a pace"
+            "{phase}: {longest} ms, plus half a second to change the pace"
         );
     }
 }
--- a/crates/jobs/tests/all/takeovers.rs
+++ b/crates/jobs/tests/all/takeovers.rs
@@ -60,7 +60,7 @@
     world.store_down = true;
     world.announce(0, false);
     world.run(1500);
-    assert!(world.workers[0].runs.is_empty(), "stopped, and not noted");
+    assert!(world.workers[0].runs.is_empty(), "not stopped");
     world.pause(true);
     remove_worker(&mut world, 0);
     // An owner that takes over at this time, and whose writes get no answer.
--- a/crates/jobs/tests/all/waits.rs
+++ b/crates/jobs/tests/all/waits.rs
@@ -118,7 +118,7 @@
     world.run(4000);
     set_tails(&mut world, &[0]);
     world.run(30_000);
-    assert!(world.outcome(id).is_final(), "it is halted for good");
+    assert!(world.outcome(id).is_final(), "still halted");
 }
 
 /// The workers of another service are full or nearly idle, which says nothing of this service's.
@@ -200,7 +200,7 @@
     world.run(10_000);
     let other = |t: &TaskId| t.job == id && t.step == 1;
     let done = world.checker.done.iter().filter(|t| other(t)).count();
-    assert_eq!(done, 3, "tasks of the other step are done");
+    assert_eq!(done, 3, "done tasks of the other step");
 }
 
 /// Best-effort tasks leave fragments of memory on each worker, and take each fragment that is
@@ -223,7 +223,7 @@
     let used: u64 = world.workers.iter().map(|w| w.used().1).sum();
     let id = world.submit(LAST_JOB, chain(vec![step]));
     let wait = longest_wait(&mut world, id, 30_000);
-    assert!(wait < lost, "{wait} ms, {used} MB of 128000 were taken");
+    assert!(wait < lost, "{wait} ms, {used} of 128000 MB used");
 }
 
 /// Late answers have reduced the number of starts that may be in flight. The first gang in the
@@ -254,7 +254,7 @@
     let held = world.stats().throttled_passes;
     let wait = longest_wait(&mut world, id, 30_000);
     let held = world.stats().throttled_passes - held;
-    assert!(wait < MAX_WAIT_MS, "{wait} ms, {held} passes held");
+    assert!(wait < MAX_WAIT_MS, "{wait} ms, {held} throttled passes");
 }
 
 /// Each worker runs a suspect, and most of the CPU is free.
@@ -327,7 +327,7 @@
     let done = world.checker.done.iter().filter(|t| t.job == id).count();
     assert_eq!(
         done, 2000,
-        "tasks that are done 6 s after there is room for all at once"
+        "done tasks 6 s after capacity for all became free"
     );
 }
 
@@ -341,7 +341,7 @@
     world.run(1000);
     let after = world.stats();
     let each = (after.ratings - before.ratings) / (after.passes - before.passes);
-    assert!(each <= 300_400, "{each} ratings in each pass");
+    assert!(each <= 300_400, "{each} ratings per pass");
 }
 
 /// A job takes all CPU that is left for best-effort tasks. A best-effort gang comes last in the
