--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -60,10 +60,10 @@
         world.run(600);
         world.pause(true);
         world.run(100);
-        let over = world.now;
+        let lease_end = world.now;
         world.max_turn_ms = 1000;
         world.unread_percent = 50;
-        world.take_over(over);
+        world.take_over(lease_end);
         assert!(world.run_until_done(60_000), "seed {seed}");
         check_invariants(&world, seed);
     }
@@ -80,10 +80,10 @@
         world.run(300);
         world.pause(true);
         world.run(9000);
-        let over = world.now;
+        let lease_end = world.now;
         world.max_turn_ms = 200;
         world.unread_percent = 50;
-        world.take_over(over);
+        world.take_over(lease_end);
         assert!(world.run_until_done(60_000), "seed {seed}");
         check_invariants(&world, seed);
     }
@@ -95,8 +95,8 @@
     let mut world = world(3, 1);
     world.submit(1, chain(vec![short(3, 7000)]));
     world.run(1000);
-    let begun: Vec<_> = world.workers.iter().map(|w| w.runs.len()).collect();
-    assert_eq!(begun.iter().sum::<usize>(), 3);
+    let run_counts: Vec<_> = world.workers.iter().map(|w| w.runs.len()).collect();
+    assert_eq!(run_counts.iter().sum::<usize>(), 3);
     world.workers[0].partitioned = true;
     world.run(3200);
     world.pause(true);
@@ -147,13 +147,13 @@
 #[test]
 fn a_late_answer_of_the_store_extends_no_lease() {
     let mut world = without_store();
-    let asked = world.now;
-    let over = world.lease_end();
+    let asked_at = world.now;
+    let lease_end = world.lease_end();
     world.run(5000);
     // The answer to the request of five seconds ago is read only now.
-    world.notify(Event::Renewed { asked_at: asked });
+    world.notify(Event::Renewed { asked_at });
     world.run(9000);
-    assert!(world.workers[0].deadline <= world.workers[0].clock(over));
+    assert!(world.workers[0].deadline <= world.workers[0].clock(lease_end));
 }
 
 /// For a suspended machine no time may seem to have passed since the last contact with the store.
@@ -162,11 +162,11 @@
 #[test]
 fn a_suspended_owner_extends_no_lease() {
     let mut world = without_store();
-    let over = world.lease_end();
+    let lease_end = world.lease_end();
     world.suspend(5000);
     world.run(9000);
     let worker = &world.workers[0];
-    let late = worker.deadline.saturating_sub(worker.clock(over));
+    let late = worker.deadline.saturating_sub(worker.clock(lease_end));
     assert_eq!(late, 0, "ms beyond the end of all leases");
 }
 
@@ -177,17 +177,17 @@
 fn a_late_commit_extends_no_lease(late: u64) {
     let mut world = world(1, 1);
     world.store_down = true;
-    let asked = world.now;
-    let over = world.lease_end();
+    let asked_at = world.now;
+    let lease_end = world.lease_end();
     world.submit(1, chain(vec![short(2, 60_000)]));
     world.run(late);
     // Only the record is late: the rows of the workers are up to date.
     let now = world.now;
     world.notify(Event::WorkersSynced { asked_at: now });
-    world.notify(Event::Committed { asked_at: asked });
+    world.notify(Event::Committed { asked_at });
     world.run(300);
     assert_eq!(world.workers[0].runs.len(), 2, "tasks were not started");
-    assert!(world.workers[0].deadline <= world.workers[0].clock(over));
+    assert!(world.workers[0].deadline <= world.workers[0].clock(lease_end));
 }
 
 /// No run starts on a lease that has expired, or that would expire before it can be renewed.
@@ -197,10 +197,10 @@
 fn a_commit_that_is_too_late_starts_nothing(late: u64) {
     let mut world = world(1, 1);
     world.store_down = true;
-    let asked = world.now;
+    let asked_at = world.now;
     world.submit(1, chain(vec![short(2, 60_000)]));
     world.run(late);
-    world.notify(Event::Committed { asked_at: asked });
+    world.notify(Event::Committed { asked_at });
     world.run(300);
     assert_eq!(world.stats().starts, 0);
 }
@@ -223,8 +223,8 @@
     world.run(50);
     let worker = &world.workers[0];
     let left = worker.deadline - worker.clock(world.now);
-    let reach = contact + Settings::default().store_grace - world.now;
-    assert!(left + 500 > reach, "{left} of {reach} ms left");
+    let lease_ms = contact + Settings::default().store_grace - world.now;
+    assert!(left + 500 > lease_ms, "{left} of {lease_ms} ms left");
 }
 
 /// Thousands of jobs wait for a thousand workers; all of them differ, and none fits.
--- a/crates/jobs/tests/all/checkpoints.rs
+++ b/crates/jobs/tests/all/checkpoints.rs
@@ -23,8 +23,8 @@
         }]),
     );
     world.run(1500);
-    let begun: Vec<_> = world.workers.iter().map(|w| w.runs.len()).collect();
-    assert_eq!(begun, [1, 1, 1, 0]);
+    let run_counts: Vec<_> = world.workers.iter().map(|w| w.runs.len()).collect();
+    assert_eq!(run_counts, [1, 1, 1, 0]);
     (world, id)
 }
 
@@ -37,11 +37,11 @@
     assert!(world.run_until_done(8000));
     assert_eq!(world.outcome(id), Outcome::Complete);
     check_invariants(&world, 0);
-    let brought = world.checker.checkpoints.resumed;
+    let resumed = world.checker.checkpoints.resumed;
     assert_eq!(
-        (brought.starts, brought.without_checkpoint),
+        (resumed.starts, resumed.without_checkpoint),
         (2, 0),
-        "{brought:?}"
+        "{resumed:?}"
     );
 }
 
@@ -109,12 +109,12 @@
     while world.checker.checkpoints.rejected.len() < 12 {
         world.run(20);
     }
-    let began = world.now;
+    let submitted_at = world.now;
     let other = world.submit(2, chain(vec![short(4, 200)]));
     while !world.outcome(other).is_final() {
         world.run(20);
     }
-    let took = world.now - began;
+    let took = world.now - submitted_at;
     assert!(took < 1000, "the other job took {took} ms");
     assert_eq!(world.stats().rejected, 12, "the other job took {took} ms");
     assert!(world.run_until_done(15_000));
@@ -183,8 +183,8 @@
     let rejected = &world.workers[3].rejected;
     let texts = rejected.iter().filter(|(_, s)| !s.is_empty()).count();
     let all = rejected.len();
-    let brought = world.checker.checkpoints.resumed;
-    assert!(texts <= 3, "{texts} of {all} rejected, {brought:?}");
+    let resumed = world.checker.checkpoints.resumed;
+    assert!(texts <= 3, "{texts} of {all} rejected, {resumed:?}");
 }
 
 /// All workers reject a job without checkpoints as malformed. If it were sent again at once, each
@@ -197,18 +197,18 @@
     spec.payload = "malformed".into();
     world.submit(1, spec);
     world.run(1000);
-    let began = world.now;
+    let submitted_at = world.now;
     let other = world.submit(2, chain(vec![short(4, 200)]));
     let limit = world.now + 20_000;
     while world.now < limit && !world.outcome(other).is_final() {
         world.run(20);
     }
-    let took = world.now - began;
+    let took = world.now - submitted_at;
     world.run(limit - world.now.min(limit));
     let rejected: usize = world.workers.iter().map(|w| w.rejected.len()).sum();
     let outcome = world.outcome(JobId(1));
-    let told = format!("{rejected} rejected, {outcome:?}; the other job took {took} ms");
-    assert!(took < 1000 && rejected <= 12, "{told}");
+    let details = format!("{rejected} rejected, {outcome:?}; the other job took {took} ms");
+    assert!(took < 1000 && rejected <= 12, "{details}");
 }
 
 /// Workers of a random series.
--- a/crates/jobs/tests/all/common/checker.rs
+++ b/crates/jobs/tests/all/common/checker.rs
@@ -121,8 +121,8 @@
     /// Checks that a task is not started after a worker reported it as done, if all workers are
     /// healthy.
     pub fn check_not_done(&mut self, now: u64, task: TaskId) {
-        let listed = self.listed.get(&task);
-        if self.all_healthy && listed.is_some_and(|at| now > at + READ_MS) {
+        let reported_at = self.listed.get(&task);
+        if self.all_healthy && reported_at.is_some_and(|at| now > at + READ_MS) {
             self.violations.push(format!(
                 "{now}: {task} starts although it was reported as done"
             ));
@@ -130,17 +130,17 @@
     }
 
     /// Records that a task crashed its worker, and the number of other runs that were lost by it.
-    pub fn record_crash(&mut self, task: TaskId, others: usize) {
-        self.other_runs.push(others);
+    pub fn record_crash(&mut self, task: TaskId, other_runs: usize) {
+        self.other_runs.push(other_runs);
         self.crashed.entry(task).or_insert((0, 0)).0 += 1;
     }
 
     /// Records that an owner has read a worker's report.
     pub fn record_report(&mut self, now: u64, epoch: u64, id: Arc<str>, report: &WorkerReport) {
-        let heard = self.first_read.entry((id.clone(), report.start_time));
-        let heard = heard.or_insert((epoch, now));
-        if heard.0 < epoch {
-            *heard = (epoch, now);
+        let first_read = self.first_read.entry((id.clone(), report.start_time));
+        let first_read = first_read.or_insert((epoch, now));
+        if first_read.0 < epoch {
+            *first_read = (epoch, now);
         }
         let Some(last) = report.finished.last() else {
             return;
@@ -167,8 +167,8 @@
         if !self.barred.contains(&(order.task, order.run)) {
             return 0;
         }
-        let heard = self.first_read.get(&(worker.id.clone(), worker.start_time));
-        let known = heard.is_some_and(|(e, at)| *e == epoch && now > at + BAR_MS);
+        let first_read = self.first_read.get(&(worker.id.clone(), worker.start_time));
+        let known = first_read.is_some_and(|(e, at)| *e == epoch && now > at + BAR_MS);
         match worker.start_time {
             Some(_) if !known => now + STOP_MS,
             _ => 0,
@@ -212,11 +212,9 @@
         for worker in workers.iter().filter(|w| w.alive) {
             for run in worker.runs.iter().filter(|r| r.exempt_until <= now) {
                 if let Some(other) = seen.insert(run.task, &worker.id) {
-                    let here = &worker.id;
-                    self.violations.push(format!(
-                        "{now}: {} runs on both {other} and {here}",
-                        run.task
-                    ));
+                    let id = &worker.id;
+                    self.violations
+                        .push(format!("{now}: {} runs on both {other} and {id}", run.task));
                 }
             }
         }
--- a/crates/jobs/tests/all/common/checkpoints.rs
+++ b/crates/jobs/tests/all/common/checkpoints.rs
@@ -92,9 +92,10 @@
     /// Returns whether an order has no checkpoint, or one that was written by its task or gang.
     pub fn is_valid_for(&self, order: &StartOrder) -> bool {
         let gang = order.spec.steps[order.task.step as usize].gang;
-        let made = self.written.get(&order.checkpoint);
-        let own = made.is_some_and(|c| group_key(c.task, gang) == group_key(order.task, gang));
-        order.checkpoint.is_empty() || own
+        let written = self.written.get(&order.checkpoint);
+        let is_own =
+            written.is_some_and(|c| group_key(c.task, gang) == group_key(order.task, gang));
+        order.checkpoint.is_empty() || is_own
     }
 
     /// Records that a worker rejected an order's checkpoint. Returns a violation if the task's
@@ -103,8 +104,8 @@
         self.rejected.push((order.task, order.checkpoint.clone()));
         let (task, saved) = (order.task, &order.checkpoint);
         let before = &self.rejected[..self.rejected.len() - 1];
-        let again = before.iter().any(|(t, s)| *t == task && s == saved);
-        again.then(|| format!("{task} starts again with {saved}, which was rejected"))
+        let repeated = before.iter().any(|(t, s)| *t == task && s == saved);
+        repeated.then(|| format!("{task} starts again with {saved}, which was rejected"))
     }
 
     /// Records that a run failed.
@@ -120,8 +121,8 @@
             if text.is_empty() {
                 continue;
             }
-            let holder = group_key(task, gang(task));
-            self.listed.entry(holder).or_default().insert(text.clone());
+            let key = group_key(task, gang(task));
+            self.listed.entry(key).or_default().insert(text.clone());
         }
     }
 
@@ -129,13 +130,13 @@
     pub fn check_start(&mut self, order: &StartOrder) -> Option<String> {
         let (task, run, saved) = (order.task, order.run, &order.checkpoint);
         let gang = order.spec.steps[task.step as usize].gang;
-        let holder = group_key(task, gang);
-        let listed = self.listed.get(&holder);
+        let key = group_key(task, gang);
+        let listed = self.listed.get(&key);
         let texts = || listed.into_iter().flatten();
         if !saved.is_empty() && !texts().any(|t| t == saved) {
-            let made = self.written.get(saved);
+            let written = self.written.get(saved);
             return Some(format!(
-                "{task} run {run} starts with {saved}, which was never reported for it ({made:?})"
+                "{task} run {run} starts with {saved}, which was never reported for it ({written:?})"
             ));
         }
         let most = texts().map(|t| self.progress(t)).max();
@@ -143,7 +144,7 @@
             self.count_start(saved, most);
         }
         if gang {
-            let first = self.gangs.entry((holder, run));
+            let first = self.gangs.entry((key, run));
             let first = first.or_insert_with(|| saved.clone());
             if first != saved {
                 return Some(format!(
@@ -156,16 +157,16 @@
 
     /// Counts a start of a task whose reported checkpoints have at most this much progress.
     fn count_start(&mut self, saved: &str, most: u64) {
-        let again = most.saturating_sub(self.progress(saved));
-        let made = self.written.get(saved);
-        let failed = made.is_some_and(|c| self.failed.contains(&(c.task, c.run)));
-        let brought = &mut self.resumed;
-        brought.starts += 1;
-        brought.without_checkpoint += u64::from(saved.is_empty());
-        brought.stale += u64::from(again > 0);
-        brought.redone_ms += again;
-        brought.max_redone_ms = brought.max_redone_ms.max(again);
-        brought.failed += u64::from(failed);
+        let repeated = most.saturating_sub(self.progress(saved));
+        let written = self.written.get(saved);
+        let failed = written.is_some_and(|c| self.failed.contains(&(c.task, c.run)));
+        let resumed = &mut self.resumed;
+        resumed.starts += 1;
+        resumed.without_checkpoint += u64::from(saved.is_empty());
+        resumed.stale += u64::from(repeated > 0);
+        resumed.redone_ms += repeated;
+        resumed.max_redone_ms = resumed.max_redone_ms.max(repeated);
+        resumed.failed += u64::from(failed);
     }
 }
 
--- a/crates/jobs/tests/all/common/crash.rs
+++ b/crates/jobs/tests/all/common/crash.rs
@@ -28,9 +28,9 @@
                 let crasher = self.crashers.iter().find(|c| c.task == r.task);
                 crasher.is_some_and(|c| now >= r.started_at + c.after_ms)
             });
-            let others = runs.len().saturating_sub(1);
+            let other_runs = runs.len().saturating_sub(1);
             if let Some(task) = culprit.map(|r| r.task) {
-                self.checker.record_crash(task, others);
+                self.checker.record_crash(task, other_runs);
                 self.crash(at);
             }
             if self.workers[at].restarts_at.is_some_and(|t| t <= now) {
@@ -65,13 +65,13 @@
     }
 
     /// Returns the answer to an order that is addressed to an ended incarnation, if there is any.
-    pub(super) fn refusal(&self, at: usize, action: &Action, meant: &str) -> Option<Answer> {
+    pub(super) fn refusal(&self, at: usize, action: &Action, addressee: &str) -> Option<Answer> {
         let worker = &self.workers[at];
         if worker.partitioned {
             return None;
         }
         if worker.alive && !worker.refusing {
-            return (*worker.id != *meant).then_some(Answer::Dead);
+            return (*worker.id != *addressee).then_some(Answer::Dead);
         }
         if !worker.process_down && !worker.refusing {
             return None;
--- a/crates/jobs/tests/all/common/incarnations.rs
+++ b/crates/jobs/tests/all/common/incarnations.rs
@@ -118,13 +118,13 @@
             return self.announce(at, true);
         }
         self.past_rows.push((at, self.row(at, id.clone(), true)));
-        let born = match self.restart.clock_back {
+        let start_time = match self.restart.clock_back {
             true => old.start_time.map(|b| b - 1000),
             false => Some(now),
         };
         let moved = MOVED_PORT + self.past_rows.len() as u16;
         let mut worker = SimWorker::new(&id, now, rate);
-        worker.start_time = born;
+        worker.start_time = start_time;
         worker.uptime = 0;
         worker.port = if self.restart.new_address {
             moved
@@ -134,7 +134,7 @@
         worker.capacity = room;
         self.workers[at] = worker;
         self.pending_rows
-            .push((now + self.restart.row_delay_ms, at, born));
+            .push((now + self.restart.row_delay_ms, at, start_time));
         self.publish_due_rows();
     }
 
@@ -143,8 +143,8 @@
         let now = self.now;
         let due = |(t, _, _): &(u64, usize, Option<u64>)| *t <= now;
         while let Some(next) = self.pending_rows.iter().position(due) {
-            let (_, at, born) = self.pending_rows.remove(next);
-            if self.workers[at].start_time == born {
+            let (_, at, start_time) = self.pending_rows.remove(next);
+            if self.workers[at].start_time == start_time {
                 self.announce(at, true);
             }
         }
@@ -166,9 +166,9 @@
 
     /// Returns the worker that listens at a port, or that did so when it last ran.
     pub(super) fn listener(&self, port: u16) -> Option<usize> {
-        let usual = usize::from(port.wrapping_sub(FIRST_PORT));
-        match self.workers.get(usual) {
-            Some(worker) if worker.port == port => Some(usual),
+        let index = usize::from(port.wrapping_sub(FIRST_PORT));
+        match self.workers.get(index) {
+            Some(worker) if worker.port == port => Some(index),
             _ => self.workers.iter().position(|w| w.port == port),
         }
     }
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -69,20 +69,20 @@
                 index
             }
         };
-        let late = self.workers[index].delay_ms;
+        let delay = self.workers[index].delay_ms;
         let cost = if matches!(action, Action::Start(..)) {
             self.link_ms
         } else {
             0
         };
         owner.link_until = owner.link_until.max(now) + cost;
-        let extra = if is_poll(&action) { 0 } else { late } + (owner.link_until - now);
+        let extra = if is_poll(&action) { 0 } else { delay } + (owner.link_until - now);
         let due = now + 2 + extra;
         let stray = extra > timeout(&action);
         if stray {
             let (slot, answer) = timeout_answer(&action);
-            let given_up = (now + timeout(&action), Message::Answer(slot, now, answer));
-            owner.messages.push(given_up);
+            let timed_out = (now + timeout(&action), Message::Answer(slot, now, answer));
+            owner.messages.push(timed_out);
         }
         let order = Order {
             at: index,
@@ -104,12 +104,12 @@
         messages.retain(|(t, message)| {
             // Answers wait while the process is paused or busy.
             let answer = matches!(message, Message::Answer(..));
-            let held = paused || unread > 0 && rng.random_range(0..100) < unread;
-            let waits = *t > now || answer && held;
-            if !waits {
+            let is_held = paused || unread > 0 && rng.random_range(0..100) < unread;
+            let is_waiting = *t > now || answer && is_held;
+            if !is_waiting {
                 due.push(message.clone());
             }
-            waits
+            is_waiting
         });
         for message in due {
             match message {
@@ -159,10 +159,11 @@
             return;
         }
         let index = listener.unwrap_or(order.at);
-        let late = order.stray || now > sent + timeout(&order.action);
-        let lost = self.rng.random_range(0..100) < self.settings.lost_percent;
-        let silent = lost || !self.workers[index].alive || self.workers[index].partitioned;
-        if silent && !late && self.draws_stray(&order.action) {
+        let is_late = order.stray || now > sent + timeout(&order.action);
+        let is_lost = self.rng.random_range(0..100) < self.settings.lost_percent;
+        let is_unanswered =
+            is_lost || !self.workers[index].alive || self.workers[index].partitioned;
+        if is_unanswered && !is_late && self.draws_stray(&order.action) {
             return self.delay_order(at, order);
         }
         let action = order.action;
@@ -176,10 +177,11 @@
                 let report = reached
                     .then(|| {
                         if fence >= worker.fence {
-                            self.checker.record_observed(now, worker, *observed, late);
+                            self.checker
+                                .record_observed(now, worker, *observed, is_late);
                         }
                         let report = worker.report(now, fence, *observed, *deadline)?;
-                        if !late {
+                        if !is_late {
                             let jobs = &self.jobs;
                             let step = |id: TaskId| &jobs[&id.job].spec.steps[id.step as usize];
                             let checkpoints = &mut self.checker.checkpoints;
@@ -192,8 +194,8 @@
             }
             Action::Start(_, order) => {
                 let mut started = Started::Unknown;
-                let malformed = &*order.spec.payload == "malformed";
-                if reached && (malformed || worker.mode == Mode::Rejects) {
+                let is_malformed = &*order.spec.payload == "malformed";
+                if reached && (is_malformed || worker.mode == Mode::Rejects) {
                     started = Started::Rejected;
                     worker.rejected.push((order.task, order.checkpoint.clone()));
                 } else if reached && !self.checker.checkpoints.is_valid_for(order) {
@@ -203,14 +205,14 @@
                     let before = worker.runs.len();
                     let progress = self.checker.checkpoints.progress(&order.checkpoint);
                     started = worker.start(now, fence, order, progress);
-                    let excuse = match late {
+                    let exempt_until = match is_late {
                         true => self.checker.exempt_until(now, self.epoch, worker, order),
                         false => 0,
                     };
                     if let Some(run) = worker.runs.get_mut(before) {
-                        run.exempt_until = excuse;
+                        run.exempt_until = exempt_until;
                     }
-                    if worker.runs.len() > before && excuse == 0 {
+                    if worker.runs.len() > before && exempt_until == 0 {
                         let since = self.evacuated.get(&World::zone(index));
                         if worker.delay_ms == 0
                             && since.is_some_and(|&at| now > at + EVACUATION_GRACE_MS)
@@ -245,12 +247,12 @@
             }
             Action::Commit(_) | Action::StepDown => return,
         };
-        let waits = matches!(&action, Action::Poll { wait, .. } if *wait > 0);
-        let idle = match &answer {
+        let is_waiting = matches!(&action, Action::Poll { wait, .. } if *wait > 0);
+        let is_idle = match &answer {
             Answer::Report(report) => report.finished.is_empty(),
             _ => false,
         };
-        if late {
+        if is_late {
             // The sender has timed out already.
             return;
         }
@@ -259,10 +261,10 @@
             lag if is_poll(&action) => self.rng.random_range(0..lag),
             _ => 0,
         };
-        let message = match reached && !lost {
+        let message = match reached && !is_lost {
             // A real worker answers a waiting poll as soon as a run ends; this one is polled again
             // after 100 ms.
-            true if waits && idle => (now + 100 + lag, Message::Answer(slot, sent, answer)),
+            true if is_waiting && is_idle => (now + 100 + lag, Message::Answer(slot, sent, answer)),
             true => (now + 2 + lag, Message::Answer(slot, sent, answer)),
             false => {
                 let due = (sent + ORDER_TIMEOUT_MS).max(now);
@@ -274,18 +276,18 @@
 
     /// Returns whether an unanswered order is carried out later all the same.
     fn draws_stray(&mut self, action: &Action) -> bool {
-        let may = self.stray_percent > 0 && (self.stray_polls || !is_poll(action));
-        may && self.rng.random_range(0..100) < self.stray_percent
+        let is_eligible = self.stray_percent > 0 && (self.stray_polls || !is_poll(action));
+        is_eligible && self.rng.random_range(0..100) < self.stray_percent
     }
 
     /// Delays an order; its sender gets no answer.
     fn delay_order(&mut self, at: usize, mut order: Order) {
         let (slot, answer) = timeout_answer(&order.action);
-        let given_up = (order.sent_at + timeout(&order.action)).max(self.now);
+        let timed_out = (order.sent_at + timeout(&order.action)).max(self.now);
         let due = self.now + self.rng.random_range(0..self.max_stray_ms.max(1));
         order.stray = true;
         let messages = &mut self.owners[at].messages;
-        messages.push((given_up, Message::Answer(slot, order.sent_at, answer)));
+        messages.push((timed_out, Message::Answer(slot, order.sent_at, answer)));
         messages.push((due, Message::Order(order)));
     }
 
--- a/crates/jobs/tests/all/common/sim.rs
+++ b/crates/jobs/tests/all/common/sim.rs
@@ -184,10 +184,10 @@
     }
 
     /// Ends the process and all its runs. The next incarnation starts at `returns`.
-    pub fn crash(&mut self, returns: u64) {
+    pub fn crash(&mut self, restarts_at: u64) {
         self.alive = false;
         self.process_down = true;
-        self.restarts_at = Some(returns);
+        self.restarts_at = Some(restarts_at);
         self.runs.clear();
         self.finished.clear();
     }
@@ -239,9 +239,9 @@
                 _ if run.blocked || now <= run.ready_at => 0,
                 Mode::Slow(times) => ms / times,
                 _ if run.best_effort => {
-                    let gained = ms * u64::from(run.pace) * speed + run.remainder;
-                    run.remainder = gained % 10_000;
-                    gained / 10_000
+                    let work = ms * u64::from(run.pace) * speed + run.remainder;
+                    run.remainder = work % 10_000;
+                    work / 10_000
                 }
                 _ => ms * u64::from(run.pace) / 100,
             };
@@ -346,12 +346,12 @@
     /// interference the quotient is between 1.7 and 4.6.
     pub fn headroom(&self, now: u64, run: &SimRun) -> f64 {
         let mut headroom = 6.0 * (1.0 - load(now, run));
-        for fill in self.runs.iter().filter(|r| r.best_effort) {
-            let weight = match fill.image.as_deref() {
+        for other in self.runs.iter().filter(|r| r.best_effort) {
+            let weight = match other.image.as_deref() {
                 Some("heavy") => self.heavy_cost,
                 _ => self.light_cost,
             };
-            headroom -= weight * fill.size.0 as f64 * f64::from(fill.pace) / 1e5;
+            headroom -= weight * other.size.0 as f64 * f64::from(other.pace) / 1e5;
         }
         headroom.max(0.1)
     }
@@ -377,8 +377,8 @@
         let step = &order.spec.steps[order.task.step as usize];
         let size = (if step.best_effort { 0 } else { step.cpu }, step.memory);
         let used = self.used();
-        let over = used.0 + size.0 > self.capacity.0 || used.1 + size.1 > self.capacity.1;
-        if over && self.enforces_capacity {
+        let is_over = used.0 + size.0 > self.capacity.0 || used.1 + size.1 > self.capacity.1;
+        if is_over && self.enforces_capacity {
             return Started::NoRoom;
         }
         let restores = !order.checkpoint.is_empty();
@@ -464,20 +464,20 @@
 
 /// Returns the share of its requested CPU that a serving run uses.
 fn load(now: u64, run: &SimRun) -> f64 {
-    let turn = now as f64 / 10_000.0 + run.task.job.0 as f64 / 7.0;
-    0.48 + 0.24 * (turn * std::f64::consts::TAU).sin()
+    let phase = now as f64 / 10_000.0 + run.task.job.0 as f64 / 7.0;
+    0.48 + 0.24 * (phase * std::f64::consts::TAU).sin()
 }
 
 /// Returns whether a run fails by the fault of its task, by a hash of its name.
 fn has_failed(run: &SimRun, percent: u64) -> bool {
     let name = run.task.job.0 << 32 ^ u64::from(run.task.index) << 8 ^ u64::from(run.run);
-    let mixed = name.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
-    !run.long_running && mixed % 100 < percent
+    let hash = name.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
+    !run.long_running && hash % 100 < percent
 }
 
 /// Returns a factor between 0.9 and 1.1 that varies a metric, by a hash of task and time.
 fn noise(now: u64, task: TaskId) -> f64 {
-    let mixed =
+    let hash =
         (now ^ task.job.0 << 20 ^ u64::from(task.index) << 40).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    0.9 + 0.2 * (mixed >> 32) as f64 / f64::from(u32::MAX)
+    0.9 + 0.2 * (hash >> 32) as f64 / f64::from(u32::MAX)
 }
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -191,9 +191,9 @@
     pub fn take_over(&mut self, inherited: u64) {
         self.epoch += 1;
         let learned = self.owners.last().map(|o| o.machine.learned());
-        let asked = self.now - self.claim_ms;
+        let asked_at = self.now - self.claim_ms;
         let takeover = Takeover {
-            asked_at: asked,
+            asked_at,
             prior_leases_end: inherited,
         };
         let mut machine = Machine::new(settings(), self.now, takeover);
@@ -340,8 +340,8 @@
 
     pub fn all_done(&self) -> bool {
         self.jobs.keys().all(|&id| {
-            let lasting = self.jobs[&id].spec.steps.iter().any(|s| s.long_running);
-            lasting || self.outcome(id).is_final()
+            let is_long_running = self.jobs[&id].spec.steps.iter().any(|s| s.long_running);
+            is_long_running || self.outcome(id).is_final()
         })
     }
 
@@ -386,15 +386,15 @@
 
     /// Blocks the members of a gang until all of them run, and ends them together.
     fn sync_gangs(&mut self) {
-        let mut there: BTreeMap<(JobId, u32, u32, u32), u32> = BTreeMap::new();
+        let mut member_counts: BTreeMap<(JobId, u32, u32, u32), u32> = BTreeMap::new();
         let key = |r: &SimRun| (r.task.job, r.task.repetition, r.task.step, r.run);
         for worker in self.workers.iter().filter(|w| w.alive) {
             for run in worker.runs.iter().filter(|r| r.gang.is_some()) {
-                *there.entry(key(run)).or_insert(0) += 1;
+                *member_counts.entry(key(run)).or_insert(0) += 1;
             }
         }
         for run in self.workers.iter_mut().flat_map(|w| &mut w.runs) {
-            let members = there.get(&key(run)).copied().unwrap_or(0);
+            let members = member_counts.get(&key(run)).copied().unwrap_or(0);
             run.blocked = run.gang.is_some_and(|count| members < count);
             // Gangs without checkpoints only simulate the wait for missing members.
             let Some(count) = run.gang.filter(|_| run.checkpoints) else {
@@ -422,10 +422,10 @@
         }
         let at_owner = owner.clock.read(now);
         if let Some(due) = owner.unread_commit.take() {
-            let asked = due - self.write_ms;
+            let asked_at = due - self.write_ms;
             owner
                 .machine
-                .handle(at_owner, now, Event::Committed { asked_at: asked });
+                .handle(at_owner, now, Event::Committed { asked_at });
         }
         if owner.epoch < epoch {
             // Another owner has appended to the journal, so that the next write fails.
@@ -449,10 +449,10 @@
         };
         self.ledger.apply(batch);
         self.renewed_at = now;
-        let asked = due - self.write_ms;
+        let asked_at = due - self.write_ms;
         owner
             .machine
-            .handle(at_owner, now, Event::Committed { asked_at: asked });
+            .handle(at_owner, now, Event::Committed { asked_at });
     }
 
     fn decide(&mut self, at: usize) {
--- a/crates/jobs/tests/all/crashing/crowds.rs
+++ b/crates/jobs/tests/all/crashing/crowds.rs
@@ -47,8 +47,8 @@
             step: 0,
             index: 0,
         };
-        let apart = SUSPECTS / culprits;
-        if id % apart == 0 && id / apart < culprits {
+        let spacing = SUSPECTS / culprits;
+        if id % spacing == 0 && id / spacing < culprits {
             world.crashers.push(Crasher {
                 task,
                 after_ms: 200,
@@ -69,15 +69,17 @@
     let since = world.now;
     world.run_until_done(4 * LIMIT_MS);
     check_invariants(&world, seed);
-    let guilty: Vec<JobId> = world.crashers.iter().map(|c| c.task.job).collect();
+    let culprit_jobs: Vec<JobId> = world.crashers.iter().map(|c| c.task.job).collect();
     let jobs = (0..SUSPECTS).map(JobId);
     let failed = jobs.filter(|&j| world.outcome(j) == Outcome::Failed);
-    let wronged = failed.filter(|j| !guilty.contains(j)).count();
-    let found = guilty.iter().all(|&j| world.outcome(j) == Outcome::Failed);
+    let wrongly_failed = failed.filter(|j| !culprit_jobs.contains(j)).count();
+    let found = culprit_jobs
+        .iter()
+        .all(|&j| world.outcome(j) == Outcome::Failed);
     assert!(found, "a culprit was not found");
     Isolation {
         took_ms: world.now - since,
-        wrongly_failed: wronged,
+        wrongly_failed,
     }
 }
 
--- a/crates/jobs/tests/all/crashing/culprits.rs
+++ b/crates/jobs/tests/all/crashing/culprits.rs
@@ -47,8 +47,11 @@
     submit_culprit(&mut world, chain(vec![short(3, 6000)]), after);
     run_busy(&mut world, 60_000);
     let name = format!("after {after} ms");
-    let later = &world.checker.other_runs[1..];
-    assert!(later.iter().any(|&t| t > 0), "{name}: always isolated");
+    let later_crashes = &world.checker.other_runs[1..];
+    assert!(
+        later_crashes.iter().any(|&t| t > 0),
+        "{name}: always isolated"
+    );
     assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
     check_outcomes(&mut world, &name);
 }
@@ -73,9 +76,9 @@
         assert_eq!(world.outcome(id), Outcome::Failed, "{id}");
     }
     world.run(8000);
-    let lasting = world.workers.iter().flat_map(|w| &w.runs);
-    let lasting = lasting.filter(|r| r.task.job == JobId(1)).count();
-    assert_eq!(lasting, WORKERS);
+    let long_runs = world.workers.iter().flat_map(|w| &w.runs);
+    let long_runs = long_runs.filter(|r| r.task.job == JobId(1)).count();
+    assert_eq!(long_runs, WORKERS);
 }
 
 /// Only the first crash affects other runs, as long as some worker is idle.
@@ -92,8 +95,11 @@
         submit_culprit(&mut world, chain(vec![step]), 10);
         run_busy(&mut world, 30_000);
         assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
-        let taken = &world.checker.other_runs;
-        assert!(taken.len() <= 4, "{name}: {taken:?}");
-        assert!(taken[1..].iter().all(|&t| t == 0), "{name}: {taken:?}");
+        let other_runs = &world.checker.other_runs;
+        assert!(other_runs.len() <= 4, "{name}: {other_runs:?}");
+        assert!(
+            other_runs[1..].iter().all(|&t| t == 0),
+            "{name}: {other_runs:?}"
+        );
     }
 }
--- a/crates/jobs/tests/all/crashing/losses.rs
+++ b/crates/jobs/tests/all/crashing/losses.rs
@@ -149,20 +149,20 @@
 #[test_case(4)]
 fn a_new_owner_starts_work_after_losses_of_power(times: u32) {
     let mut world = world(6);
-    let lasting = Step {
+    let long_runs = Step {
         max_per_worker: 1,
         ..long_running(WORKERS as u32)
     };
-    world.submit(2, chain(vec![lasting]));
+    world.submit(2, chain(vec![long_runs]));
     world.run(1500);
     for _ in 0..times {
         (0..WORKERS).for_each(|at| world.lose_power(at));
         run_busy(&mut world, 6000);
     }
     world.run(1500);
-    let lasting = world.workers.iter().flat_map(|w| &w.runs);
-    let lasting = lasting.filter(|r| r.long_running).count();
-    assert_eq!(lasting, 2 * WORKERS, "restarted tasks");
+    let long_runs = world.workers.iter().flat_map(|w| &w.runs);
+    let long_runs = long_runs.filter(|r| r.long_running).count();
+    assert_eq!(long_runs, 2 * WORKERS, "restarted tasks");
     world.pause(true);
     world.take_over(world.lease_end());
     world.run(300);
--- a/crates/jobs/tests/all/crashing/mod.rs
+++ b/crates/jobs/tests/all/crashing/mod.rs
@@ -82,15 +82,15 @@
         let expected = [Outcome::Complete, Outcome::Active];
         assert!(expected.contains(&outcome), "{name}: {id} is {outcome:?}");
     }
-    let lasting = world.workers.iter().flat_map(|w| &w.runs);
-    let lasting = lasting.filter(|r| r.task.job == JobId(1)).count();
-    assert_eq!(lasting, WORKERS, "{name}: long-running tasks");
+    let long_runs = world.workers.iter().flat_map(|w| &w.runs);
+    let long_runs = long_runs.filter(|r| r.task.job == JobId(1)).count();
+    assert_eq!(long_runs, WORKERS, "{name}: long-running tasks");
 }
 
 /// Returns the kinds of steps of the tasks that crash workers.
 fn shapes() -> [(&'static str, Step); 4] {
     let plain = short(3, 800);
-    let fill = Step {
+    let best_effort = Step {
         best_effort: true,
         image: Some("fill".into()),
         ..short(3, 3000)
@@ -101,8 +101,8 @@
     };
     [
         ("plain", plain),
-        ("lasting", long_running(3)),
-        ("filling", fill),
+        ("long-running", long_running(3)),
+        ("best-effort", best_effort),
         ("gang", gang),
     ]
 }
--- a/crates/jobs/tests/all/crashing/owners.rs
+++ b/crates/jobs/tests/all/crashing/owners.rs
@@ -62,8 +62,8 @@
     }
     run_busy(&mut world, 5000);
     assert_eq!(world.outcome(CULPRIT), Outcome::Failed);
-    let taken = &world.checker.other_runs;
-    assert!(taken.len() <= 3, "{taken:?}");
+    let other_runs = &world.checker.other_runs;
+    assert!(other_runs.len() <= 3, "{other_runs:?}");
     check_outcomes(&mut world, "unseen");
 }
 
@@ -101,11 +101,11 @@
             let name = format!("{name}, crowded: {crowded}");
             check_outcomes(&mut world, &name);
             assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
-            let untold = after < RECORD_MS && (crowded || away < TAKEOVER_MS);
-            let more = if untold { kills } else { 0 };
+            let unrecorded = after < RECORD_MS && (crowded || away < TAKEOVER_MS);
+            let more = if unrecorded { kills } else { 0 };
             let most = (MAX_LOST_WORKERS + more).min(MOST_STARTS);
-            let taken = &world.checker.other_runs;
-            assert!(taken.len() <= most, "{name}: {taken:?}");
+            let other_runs = &world.checker.other_runs;
+            assert!(other_runs.len() <= most, "{name}: {other_runs:?}");
         }
     }
 }
@@ -128,9 +128,9 @@
     run_busy(&mut world, 40_000);
     check_invariants(&world, 1);
     assert_eq!(world.outcome(CULPRIT), Outcome::Failed);
-    let taken = &world.checker.other_runs;
-    assert!(taken.len() <= MOST_STARTS, "{taken:?}");
-    assert!(taken[3..].iter().all(|&t| t == 0), "{taken:?}");
+    let other_runs = &world.checker.other_runs;
+    assert!(other_runs.len() <= MOST_STARTS, "{other_runs:?}");
+    assert!(other_runs[3..].iter().all(|&t| t == 0), "{other_runs:?}");
 }
 
 /// Runs with short jobs until the culprit's start with this number has reached a worker.
@@ -162,7 +162,7 @@
 /// Kills the owner; another one takes over once its lease on the records has expired.
 fn kill_owner(world: &mut World) {
     world.pause(true);
-    let over = world.lease_end();
+    let lease_end = world.lease_end();
     run_stepwise(world, TAKEOVER_MS);
-    world.take_over(over);
+    world.take_over(lease_end);
 }
--- a/crates/jobs/tests/all/evacuation.rs
+++ b/crates/jobs/tests/all/evacuation.rs
@@ -20,11 +20,11 @@
 fn existing_runs_continue_and_new_ones_start_elsewhere() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
-    let lasting = Step {
+    let step = Step {
         long_running: true,
         ..short(8, 0)
     };
-    world.submit(1, chain(vec![lasting]));
+    world.submit(1, chain(vec![step]));
     world.run(1000);
     let [first, second] = zones();
     let before = runs_in(&world, &first);
@@ -59,8 +59,8 @@
     let [first, _] = zones();
     world.evacuate(std::slice::from_ref(&first));
     world.run(100);
-    let over = world.lease_end();
-    world.take_over(over);
+    let lease_end = world.lease_end();
+    world.take_over(lease_end);
     world.announce(0, false);
     world.announce(0, true);
     world.submit(1, chain(vec![short(8, 60_000)]));
@@ -96,16 +96,16 @@
                 let steps = vec![short(3, 400), short(2, 700)];
                 world.submit(round * 10 + id, chain(steps));
             }
-            let asked: Vec<_> = zones()
+            let requested: Vec<_> = zones()
                 .into_iter()
                 .filter(|_| rng.random_bool(0.5))
                 .collect();
-            world.evacuate(&asked);
+            world.evacuate(&requested);
             world.run(rng.random_range(0..3000));
             match rng.random_range(0..6) {
                 0 => {
-                    let over = world.lease_end();
-                    world.take_over(over);
+                    let lease_end = world.lease_end();
+                    world.take_over(lease_end);
                 }
                 1 => {
                     world.pause(true);
@@ -114,9 +114,9 @@
                 }
                 2 => {
                     world.pause(true);
-                    let over = world.lease_end();
+                    let lease_end = world.lease_end();
                     world.run(9000);
-                    world.take_over(over);
+                    world.take_over(lease_end);
                 }
                 3 => world.store_down = true,
                 4 => world.announce(rng.random_range(0..6), false),
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -92,9 +92,9 @@
         let end = self.now + ms;
         while self.now < end {
             self.now += 5;
-            let asked = self.now;
-            self.notify(Event::WorkersSynced { asked_at: asked });
-            self.notify(Event::Renewed { asked_at: asked });
+            let asked_at = self.now;
+            self.notify(Event::WorkersSynced { asked_at });
+            self.notify(Event::Renewed { asked_at });
             for action in self.machine.decide(self.now, self.now) {
                 self.act(action);
             }
@@ -109,13 +109,13 @@
             Action::Poll {
                 worker, observed, ..
             } => {
-                let lists = self.workers.entry(worker).or_default();
-                lists.finished.retain(|e| e.number > observed);
+                let state = self.workers.entry(worker).or_default();
+                state.finished.retain(|e| e.number > observed);
                 let report = WorkerReport {
                     start_time: None,
                     clock: sent,
-                    running: lists.running.clone(),
-                    finished: lists.finished.clone(),
+                    running: state.running.clone(),
+                    finished: state.finished.clone(),
                 };
                 (worker, Answer::Report(report))
             }
@@ -150,20 +150,20 @@
     }
 
     /// Sets the checkpoint of a member.
-    fn save(&mut self, index: u32, saved: &str) {
+    fn save(&mut self, index: u32, checkpoint: &str) {
         let runs = self.workers.values_mut().flat_map(|w| &mut w.running);
         for run in runs.filter(|r| r.task.index == index) {
-            run.checkpoint = saved.into();
+            run.checkpoint = checkpoint.into();
         }
     }
 
     /// Ends all runs: the first member's as given, the others' as broken by it.
     fn end(&mut self, first: Ending) {
-        for lists in self.workers.values_mut() {
-            for run in std::mem::take(&mut lists.running) {
-                lists.end_count += 1;
-                lists.finished.push(RunEnd {
-                    number: lists.end_count,
+        for state in self.workers.values_mut() {
+            for run in std::mem::take(&mut state.running) {
+                state.end_count += 1;
+                state.finished.push(RunEnd {
+                    number: state.end_count,
                     task: run.task,
                     run: run.run,
                     ending: match run.task.index {
@@ -203,7 +203,7 @@
 #[test_case(Ending::Stopped, &["", "b-22", ""]; "stopped where one saved")]
 #[test_case(Ending::Failed, &["a-20", "b-22", "c-19"]; "failed")]
 #[test_case(Ending::Failed, &["a-20", "", "c-19"]; "failed where two saved")]
-fn members_of_a_gang_resume_from_the_same_checkpoint(first: Ending, saved: &[&str]) {
+fn members_of_a_gang_resume_from_the_same_checkpoint(first: Ending, reported: &[&str]) {
     let mut owner = Owner::new(Step {
         gang: true,
         checkpoints: true,
@@ -212,14 +212,17 @@
     owner.run(500);
     let starts = owner.take_starts();
     assert!(starts.iter().all(|s| s.checkpoint.is_empty()));
-    for (index, saved) in (0..).zip(saved) {
-        owner.save(index, saved);
+    for (index, checkpoint) in (0..).zip(reported) {
+        owner.save(index, checkpoint);
     }
     owner.run(1000);
     owner.end(first);
     owner.run(2000);
     let starts = owner.take_starts();
-    let brought: Vec<&str> = starts.iter().map(|s| &*s.checkpoint).collect();
-    assert!(brought.iter().all(|&s| s == brought[0]), "{brought:?}");
-    assert!(!brought[0].is_empty() && saved.contains(&brought[0]));
+    let checkpoints: Vec<&str> = starts.iter().map(|s| &*s.checkpoint).collect();
+    assert!(
+        checkpoints.iter().all(|&s| s == checkpoints[0]),
+        "{checkpoints:?}"
+    );
+    assert!(!checkpoints[0].is_empty() && reported.contains(&checkpoints[0]));
 }
--- a/crates/jobs/tests/all/lives.rs
+++ b/crates/jobs/tests/all/lives.rs
@@ -73,15 +73,15 @@
 /// Returns the cases of a restart: the downtime in milliseconds, and how the worker restarts.
 fn restart_cases() -> Vec<(u64, Restart)> {
     let mut out = Vec::new();
-    for away in ABSENCES_MS {
-        for told in ROW_DELAYS_MS {
-            for (back, moves) in [(false, false), (false, true), (true, false)] {
+    for downtime in ABSENCES_MS {
+        for row_delay in ROW_DELAYS_MS {
+            for (clock_back, new_address) in [(false, false), (false, true), (true, false)] {
                 out.push((
-                    away,
+                    downtime,
                     Restart {
-                        clock_back: back,
-                        new_address: moves,
-                        row_delay_ms: told,
+                        clock_back,
+                        new_address,
+                        row_delay_ms: row_delay,
                     },
                 ));
             }
@@ -91,10 +91,10 @@
 }
 
 /// Restarts a worker.
-fn restart(world: &mut World, at: usize, away: u64) {
-    world.restart_ms = away;
+fn restart(world: &mut World, at: usize, downtime: u64) {
+    world.restart_ms = downtime;
     world.crash(at);
-    world.run(away + 10);
+    world.run(downtime + 10);
     assert!(world.workers[at].alive);
 }
 
@@ -110,15 +110,15 @@
 /// that the owner has observed.
 #[test]
 fn ends_of_a_new_incarnation_are_counted() {
-    for (away, how) in restart_cases() {
-        let what = format!("{away} {how:?}");
+    for (downtime, case) in restart_cases() {
+        let what = format!("{downtime} {case:?}");
         let mut world = world(1);
-        world.restart = how;
+        world.restart = case;
         world.submit(1, chain(vec![short(8, 300), short(4, 200)]));
         check_done(&mut world, 5000, &what);
-        restart(&mut world, 0, away);
+        restart(&mut world, 0, downtime);
         world.submit(2, chain(vec![short(8, 300), short(4, 200)]));
-        check_done(&mut world, how.row_delay_ms + 5000, &what);
+        check_done(&mut world, case.row_delay_ms + 5000, &what);
         world.run(RESTART_LIMIT_MS);
         assert_eq!(
             world.workers[0].finished.len(),
@@ -147,16 +147,16 @@
 /// that discovers the incarnation names the last end observed from the previous one.
 #[test]
 fn a_poll_that_finds_a_new_incarnation_confirms_no_ends() {
-    for away in [5, 20, 50] {
+    for downtime in [5, 20, 50] {
         for delay in (0..100).step_by(10) {
             let mut world = world(1);
             world.submit(1, chain(vec![short(8, 300), short(4, 200)]));
             check_done(&mut world, 5000, "first incarnation");
             world.run(RESTART_LIMIT_MS);
-            restart(&mut world, 0, away);
+            restart(&mut world, 0, downtime);
             world.run(delay);
             world.submit(2, chain(vec![short(8, 20)]));
-            check_done(&mut world, 5000, &format!("{away} {delay}"));
+            check_done(&mut world, 5000, &format!("{downtime} {delay}"));
         }
     }
 }
@@ -164,14 +164,18 @@
 /// The runs of the old incarnation count as lost at once, not only when their leases expire.
 #[test]
 fn a_task_of_the_old_incarnation_restarts_soon() {
-    for (away, how) in restart_cases() {
+    for (downtime, case) in restart_cases() {
         for step in [long_running(1), short(1, 30_000)] {
             let mut world = world_with(step);
-            world.restart = how;
-            restart(&mut world, 0, away);
-            let unknown = if how.new_address { how.row_delay_ms } else { 0 };
+            world.restart = case;
+            restart(&mut world, 0, downtime);
+            let unknown = if case.new_address {
+                case.row_delay_ms
+            } else {
+                0
+            };
             world.run(unknown + RESTART_LIMIT_MS);
-            let what = format!("{away} {how:?}");
+            let what = format!("{downtime} {case:?}");
             assert_eq!(first_job_runs(&world), 1, "{what}");
             check_invariants(&world, 0);
         }
@@ -181,13 +185,13 @@
 /// The clock of a new incarnation starts below the end of the leases that the old one had.
 #[test]
 fn runs_of_a_new_incarnation_are_lost_when_its_own_leases_expire() {
-    for (away, how) in restart_cases() {
-        let what = format!("{away} {how:?}");
+    for (downtime, case) in restart_cases() {
+        let what = format!("{downtime} {case:?}");
         let mut world = world_with(on_first_rack(long_running(1)));
-        world.restart = how;
+        world.restart = case;
         partition(&mut world, 1);
-        restart(&mut world, 0, away);
-        world.run(how.row_delay_ms + RESTART_LIMIT_MS);
+        restart(&mut world, 0, downtime);
+        world.run(case.row_delay_ms + RESTART_LIMIT_MS);
         assert_eq!(world.workers[0].runs.len(), 1, "{what}");
         world.workers[1].partitioned = false;
         world.run(RESTART_LIMIT_MS);
@@ -211,45 +215,45 @@
 
 #[test]
 fn a_worker_takes_work_after_its_leases_expired() {
-    for told in ROW_DELAYS_MS {
+    for row_delay in ROW_DELAYS_MS {
         let mut world = world_with(long_running(1));
-        world.restart.row_delay_ms = told;
+        world.restart.row_delay_ms = row_delay;
         world.restart_ms = MAX_LEASES_MS + 3000;
         world.lose_power(0);
         world.run(MAX_LEASES_MS);
         assert_eq!(first_job_runs(&world), 1);
         check_invariants(&world, 0);
-        world.run(3100 + told);
-        check_takes_work(&mut world, &format!("{told}"));
+        world.run(3100 + row_delay);
+        check_takes_work(&mut world, &format!("{row_delay}"));
     }
 }
 
 #[test]
 fn a_worker_takes_work_after_its_row_expired() {
-    for (away, how) in restart_cases() {
+    for (downtime, case) in restart_cases() {
         let mut world = world_with(long_running(1));
-        world.restart = how;
+        world.restart = case;
         world.expire_row(0);
         world.run(500);
-        restart(&mut world, 0, away);
-        world.run(how.row_delay_ms + 500);
-        check_takes_work(&mut world, &format!("{away} {how:?}"));
+        restart(&mut world, 0, downtime);
+        world.run(case.row_delay_ms + 500);
+        check_takes_work(&mut world, &format!("{downtime} {case:?}"));
     }
 }
 
 /// Two workers restart, each at the address of the other.
 #[test]
 fn a_worker_takes_work_after_another_one_answered_at_its_address() {
-    for told in [0, 1000, 3000] {
+    for row_delay in [0, 1000, 3000] {
         let mut world = world_with(long_running(1));
-        world.restart.row_delay_ms = told;
+        world.restart.row_delay_ms = row_delay;
         world.restart_ms = 50;
         world.crash(0);
         world.crash(1);
         world.run(45);
         world.swap_ports(0, 1);
-        world.run(10 + told + RESTART_LIMIT_MS);
-        let what = format!("{told}");
+        world.run(10 + row_delay + RESTART_LIMIT_MS);
+        let what = format!("{row_delay}");
         assert_eq!(first_job_runs(&world), 1, "{what}");
         check_takes_work(&mut world, &what);
     }
@@ -259,10 +263,10 @@
 /// bars it there.
 #[test]
 fn a_late_start_of_the_old_incarnation_does_not_overlap_the_next_run() {
-    for (away, how) in restart_cases() {
+    for (downtime, case) in restart_cases() {
         for late in [800, 1500, 3000, 5000] {
             let mut world = world(3);
-            world.restart = how;
+            world.restart = case;
             world.workers[0].delay_ms = late;
             world.workers[1].partitioned = true;
             world.workers[2].partitioned = true;
@@ -271,8 +275,8 @@
             world.run(150);
             world.workers[1].partitioned = false;
             world.workers[2].partitioned = false;
-            restart(&mut world, 0, away);
-            check_done(&mut world, 20_000, &format!("{late} {away} {how:?}"));
+            restart(&mut world, 0, downtime);
+            check_done(&mut world, 20_000, &format!("{late} {downtime} {case:?}"));
         }
     }
 }
@@ -281,19 +285,19 @@
 /// lease on the new clock. The worker cuts it to the maximum lease from the arrival of the order.
 #[test]
 fn a_late_order_to_the_old_incarnation_gets_no_longer_lease() {
-    for away in [5, 400] {
+    for downtime in [5, 400] {
         for late in [800, 1500, 3000] {
             let mut world = world_with(on_first_rack(long_running(1)));
             partition(&mut world, 1);
             world.workers[0].delay_ms = late;
             world.submit(2, chain(vec![short(3, 300)]));
             world.run(100);
-            restart(&mut world, 0, away);
+            restart(&mut world, 0, downtime);
             world.run(late);
             world.workers[0].partitioned = true;
             world.workers[1].partitioned = false;
             world.run(MAX_LEASES_MS + RESTART_LIMIT_MS);
-            let what = format!("{late} {away}");
+            let what = format!("{late} {downtime}");
             check_done(&mut world, 0, &what);
             assert_eq!(first_job_runs(&world), 1, "{what}");
         }
@@ -327,27 +331,27 @@
 /// sender knows only the old incarnation, whose lease expires earlier.
 #[test]
 fn a_start_accepted_by_an_unannounced_incarnation_is_waited_for() {
-    for away in [110, 200, 300, 400] {
+    for downtime in [110, 200, 300, 400] {
         let mut world = world_with(on_first_rack(long_running(1)));
         partition(&mut world, 1);
         world.restart.row_delay_ms = 3000;
-        world.restart_ms = away;
+        world.restart_ms = downtime;
         world.lose_power(0);
-        world.run(away + 20);
+        world.run(downtime + 20);
         world.submit(2, chain(vec![on_first_rack(short(1, 20_000))]));
         world.run(100);
-        let mut taken = world.workers[0].runs.iter();
-        assert!(taken.any(|r| r.task.job == JobId(2)), "{away}");
+        let mut accepted = world.workers[0].runs.iter();
+        assert!(accepted.any(|r| r.task.job == JobId(2)), "{downtime}");
         world.workers[0].partitioned = true;
         world.workers[1].partitioned = false;
-        check_done(&mut world, 45_000, &format!("{away}"));
+        check_done(&mut world, 45_000, &format!("{downtime}"));
     }
 }
 
 /// Starts a new owner `after` milliseconds after a worker's crash, before or after the worker has
 /// restarted.
-fn take_over(world: &mut World, away: u64, after: u64) {
-    world.restart_ms = away;
+fn take_over(world: &mut World, downtime: u64, after: u64) {
+    world.restart_ms = downtime;
     world.pause(true);
     let end = world.lease_end();
     world.crash(0);
@@ -357,14 +361,19 @@
 
 #[test]
 fn a_new_owner_gives_up_runs_of_the_old_incarnation() {
-    for (away, how) in restart_cases() {
+    for (downtime, case) in restart_cases() {
         for after in [0, 20, 700, 2500] {
             let mut world = world_with(long_running(1));
-            world.restart = how;
-            take_over(&mut world, away, after);
-            let known = away + if how.new_address { how.row_delay_ms } else { 0 };
+            world.restart = case;
+            take_over(&mut world, downtime, after);
+            let known = downtime
+                + if case.new_address {
+                    case.row_delay_ms
+                } else {
+                    0
+                };
             world.run(known.saturating_sub(after) + RESTART_LIMIT_MS + 500);
-            assert_eq!(first_job_runs(&world), 1, "{away} {after} {how:?}");
+            assert_eq!(first_job_runs(&world), 1, "{downtime} {after} {case:?}");
             check_invariants(&world, 0);
         }
     }
@@ -374,7 +383,7 @@
 #[test]
 fn a_new_owner_adopts_no_run_that_was_replaced() {
     for late in (300..5000).step_by(300) {
-        for away in ABSENCES_MS {
+        for downtime in ABSENCES_MS {
             let mut world = world(3);
             world.restart.row_delay_ms = 2000;
             world.workers[0].delay_ms = late;
@@ -387,21 +396,21 @@
             for at in [1, 2] {
                 world.workers[at].partitioned = false;
             }
-            take_over(&mut world, away, 200);
-            check_done(&mut world, 25_000, &format!("{late} {away}"));
+            take_over(&mut world, downtime, 200);
+            check_done(&mut world, 25_000, &format!("{late} {downtime}"));
         }
     }
 }
 
 #[test]
 fn a_row_of_the_old_incarnation_does_not_replace_the_new_one() {
-    for (away, how) in restart_cases() {
-        let what = format!("{away} {how:?}");
+    for (downtime, case) in restart_cases() {
+        let what = format!("{downtime} {case:?}");
         let mut world = world_with(on_first_rack(long_running(1)));
-        world.restart = how;
+        world.restart = case;
         partition(&mut world, 1);
-        restart(&mut world, 0, away);
-        world.run(how.row_delay_ms + RESTART_LIMIT_MS);
+        restart(&mut world, 0, downtime);
+        world.run(case.row_delay_ms + RESTART_LIMIT_MS);
         assert_eq!(world.workers[0].runs.len(), 1, "{what}");
         let run = world.workers[0].runs[0].run;
         for id in 10..16 {
@@ -438,26 +447,26 @@
 /// incarnation must remain the current one.
 #[test]
 fn an_incarnation_with_an_earlier_start_time_is_kept() {
-    for told in ROW_DELAYS_MS {
-        for back in [[true, false], [false, true], [true, true]] {
+    for row_delay in ROW_DELAYS_MS {
+        for sequence in [[true, false], [false, true], [true, true]] {
             let mut world = world_with(on_first_rack(long_running(1)));
             partition(&mut world, 1);
-            for back in back {
+            for clock_back in sequence {
                 world.restart = Restart {
-                    clock_back: back,
-                    new_address: back,
-                    row_delay_ms: told,
+                    clock_back,
+                    new_address: clock_back,
+                    row_delay_ms: row_delay,
                 };
                 restart(&mut world, 0, 30);
                 world.republish_past_rows();
-                world.run(told + RESTART_LIMIT_MS + 500);
-                assert_eq!(world.workers[0].runs.len(), 1, "{told} {back}");
+                world.run(row_delay + RESTART_LIMIT_MS + 500);
+                assert_eq!(world.workers[0].runs.len(), 1, "{row_delay} {clock_back}");
                 check_invariants(&world, 0);
             }
             // The task is isolated after its crashes.
             world.run(4000);
             world.republish_past_rows();
-            check_takes_work(&mut world, &format!("{told} {back:?}"));
+            check_takes_work(&mut world, &format!("{row_delay} {sequence:?}"));
         }
     }
 }
@@ -465,21 +474,21 @@
 /// Without a start time each incarnation has a new name.
 #[test]
 fn workers_without_start_times_restart_under_new_names() {
-    for away in ABSENCES_MS {
+    for downtime in ABSENCES_MS {
         let mut world = World::new(WorldSettings::default());
         world.run(100);
         world.submit(1, chain(vec![long_running(4)]));
         world.submit(2, chain(vec![short(8, 900), short(8, 300)]));
         world.run(1500);
-        restart(&mut world, 0, away);
+        restart(&mut world, 0, downtime);
         world.run(RESTART_LIMIT_MS + 500);
         let runs = world.workers.iter().flat_map(|w| &w.runs);
         assert_eq!(
             runs.filter(|r| r.task.job == FIRST_JOB).count(),
             4,
-            "{away}"
+            "{downtime}"
         );
-        check_done(&mut world, 9000, &format!("{away}"));
+        check_done(&mut world, 9000, &format!("{downtime}"));
         assert!(world.past_rows.is_empty());
     }
 }
@@ -487,9 +496,9 @@
 /// A task that crashes its worker is given up even if there is only one worker.
 #[test]
 fn crashes_of_two_incarnations_count_as_two() {
-    for away in [300, 700, 3000] {
+    for downtime in [300, 700, 3000] {
         let mut world = world(1);
-        world.restart_ms = away;
+        world.restart_ms = downtime;
         let task = TaskId {
             job: FIRST_JOB,
             repetition: 0,
@@ -500,6 +509,6 @@
         world.submit(FIRST_JOB.0, chain(vec![short(1, 800)]));
         world.run(45_000);
         check_invariants(&world, 0);
-        assert_eq!(world.outcome(FIRST_JOB), Outcome::Failed, "{away}");
+        assert_eq!(world.outcome(FIRST_JOB), Outcome::Failed, "{downtime}");
     }
 }
--- a/crates/jobs/tests/all/load.rs
+++ b/crates/jobs/tests/all/load.rs
@@ -39,14 +39,14 @@
         self.open.push((id, world.now));
     }
 
-    fn count(&mut self, world: &World, aim: u64) {
+    fn count(&mut self, world: &World, objective_ms: u64) {
         let mut open = Vec::new();
         for (id, since) in self.open.drain(..) {
             if world.outcome(id) != Outcome::Complete {
                 open.push((id, since));
                 continue;
             }
-            self.in_time += u32::from(world.now <= since + aim);
+            self.in_time += u32::from(world.now <= since + objective_ms);
         }
         self.open = open;
     }
@@ -77,21 +77,21 @@
     }
     world.run(100);
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut served = JobCounts::default();
+    let mut counts = JobCounts::default();
     for _ in 0..600 {
         if rng.random_bool(0.75) {
-            let guess = TASK_MS as f64 * rng.random_range(-2.1_f64..0.0).exp();
-            let step = short(2, guess as u64);
-            served.submit(&mut world, vec![step.clone(), step]);
+            let estimate = TASK_MS as f64 * rng.random_range(-2.1_f64..0.0).exp();
+            let step = short(2, estimate as u64);
+            counts.submit(&mut world, vec![step.clone(), step]);
         }
         world.run(STEP_MS);
-        served.count(&world, OBJECTIVE_MS);
+        counts.count(&world, OBJECTIVE_MS);
     }
     assert!(
-        served.in_time * 100 >= served.all * 52,
+        counts.in_time * 100 >= counts.all * 52,
         "{} of {}",
-        served.in_time,
-        served.all
+        counts.in_time,
+        counts.all
     );
 }
 /// Serving tasks request seven eighths of the CPU and use between a quarter and seven tenths of
@@ -117,12 +117,12 @@
         world.submit(id, chain(vec![serve]));
     }
     world.run(5000);
-    let fill = Step {
+    let best_effort = Step {
         best_effort: true,
         image: Some("light".into()),
         ..short(TASKS, TASK_MS)
     };
-    let took = time_to_complete(&mut world, fill);
+    let took = time_to_complete(&mut world, best_effort);
     // The serving tasks use 27 of 64 cores on average.
     let best = (u64::from(TASKS) * TASK_MS) as f64 / 37.0;
     assert!(took < 1.24 * best, "{took} of {best}");
@@ -191,11 +191,14 @@
 fn short_jobs_do_not_wait_behind_best_effort_jobs(workers: u64) {
     let mut site = Site::new(workers, 2);
     site.run(8000);
-    let (fill, wide) = (site.pending("fill"), site.pending("wide"));
-    assert!(fill >= workers / 20, "{fill} best-effort jobs wait");
+    let (best_effort, short_jobs) = (site.pending("fill"), site.pending("wide"));
+    assert!(
+        best_effort >= workers / 20,
+        "{best_effort} best-effort jobs wait"
+    );
     // One job may have arrived just before.
     assert!(
-        wide <= 1 + fill / 20,
-        "{wide} short jobs and {fill} best-effort jobs wait"
+        short_jobs <= 1 + best_effort / 20,
+        "{short_jobs} short jobs and {best_effort} best-effort jobs wait"
     );
 }
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -243,13 +243,13 @@
 /// The log keeps the rows of the job until its record is written.
 #[test]
 fn log_rows_of_a_job_are_kept_until_its_record_is_written() {
-    let short = Settings {
+    let settings = Settings {
         batch_records: 1,
         log_rows: 0,
         ..Settings::default()
     };
     let jobs = [job(1, 1), job(2, 1)];
-    let mut owner = Owner::new(Ledger::default(), &jobs, short);
+    let mut owner = Owner::new(Ledger::default(), &jobs, settings);
     owner.run(500);
     for running in std::mem::take(&mut owner.running) {
         owner.finished.push(RunEnd {
@@ -268,7 +268,7 @@
     let done = |id| owner.ledger.outcome(JobId(id)) == Outcome::Cancelled;
     assert!(done(1) != done(2), "not exactly one record was written");
     let open = if done(1) { 2 } else { 1 };
-    let mut machine = Machine::new(short, START_MS, takeover());
+    let mut machine = Machine::new(settings, START_MS, takeover());
     for row in owner.ledger.log() {
         machine.replay(row).expect("own row");
     }
--- a/crates/jobs/tests/all/promises.rs
+++ b/crates/jobs/tests/all/promises.rs
@@ -246,12 +246,12 @@
     world.run(100);
     world.submit(1, chain(vec![serving(1)]));
     world.run(1500);
-    let fill = Step {
+    let best_effort = Step {
         best_effort: true,
         image: Some("fill".into()),
         ..short(5, 20_000)
     };
-    world.submit(2, chain(vec![fill]));
+    world.submit(2, chain(vec![best_effort]));
     world.run(5000);
     let runs = &world.workers[0].runs;
     let best_effort_runs = runs.iter().filter(|r| r.best_effort);
--- a/crates/jobs/tests/all/records/mod.rs
+++ b/crates/jobs/tests/all/records/mod.rs
@@ -139,12 +139,12 @@
     for _ in 0..20 {
         simulation.step();
     }
-    let saved: Vec<&str> = simulation.starts[3..]
+    let checkpoints: Vec<&str> = simulation.starts[3..]
         .iter()
         .map(|s| &*s.checkpoint)
         .collect();
     assert!(
-        matches!(saved[..], [a, b, c] if !a.is_empty() && a == b && b == c),
-        "{saved:?}"
+        matches!(checkpoints[..], [a, b, c] if !a.is_empty() && a == b && b == c),
+        "{checkpoints:?}"
     );
 }
--- a/crates/jobs/tests/all/records/simulation.rs
+++ b/crates/jobs/tests/all/records/simulation.rs
@@ -115,9 +115,9 @@
         for (_, message) in due.collect::<Vec<_>>() {
             self.deliver(message);
         }
-        let asked = self.now;
-        self.notify(Event::WorkersSynced { asked_at: asked });
-        self.notify(Event::Renewed { asked_at: asked });
+        let asked_at = self.now;
+        self.notify(Event::WorkersSynced { asked_at });
+        self.notify(Event::Renewed { asked_at });
         for action in self.machine.decide(self.now, self.now) {
             self.act(action);
         }
@@ -167,8 +167,11 @@
                 if let Answer::Report(report) = &answer {
                     let running = report.running.iter().map(|r| (r.task, &r.checkpoint));
                     let ended = report.finished.iter().map(|e| (e.task, &e.checkpoint));
-                    for (task, saved) in running.chain(ended) {
-                        self.listed.entry(task).or_default().push(saved.clone());
+                    for (task, checkpoint) in running.chain(ended) {
+                        self.listed
+                            .entry(task)
+                            .or_default()
+                            .push(checkpoint.clone());
                     }
                 }
                 self.notify(Event::Answer {
@@ -189,8 +192,8 @@
                 if !self.no_faults && self.rng.random_range(0..40) == 0 {
                     return self.take_over();
                 }
-                let asked = self.now;
-                self.notify(Event::Committed { asked_at: asked });
+                let asked_at = self.now;
+                self.notify(Event::Committed { asked_at });
             }
             Message::Answer(..) | Message::Batch(..) => {}
         }
@@ -249,9 +252,9 @@
                 false => task.index..task.index + 1,
             };
             let mut listed = members.filter_map(|index| self.listed.get(&TaskId { index, ..task }));
-            let own = listed.any(|l| l.contains(&order.checkpoint));
+            let is_own = listed.any(|l| l.contains(&order.checkpoint));
             assert!(
-                own,
+                is_own,
                 "{task} starts with {}, which it never reported",
                 order.checkpoint
             );
--- a/crates/jobs/tests/all/regression.rs
+++ b/crates/jobs/tests/all/regression.rs
@@ -47,20 +47,20 @@
     world.submit(2, chain(vec![best_effort(3, 60_000)]));
     world.run(after);
     world.workers[0].tail_percents = tails.to_vec();
-    let (mut harmed, mut longest, mut filled) = (0, 0, false);
+    let (mut over_ms, mut longest, mut was_used) = (0, 0, false);
     for _ in 0..200 {
         world.run(50);
         let runs = &world.workers[0].runs;
         match runs.iter().any(|r| r.best_effort && r.pace > 0) {
             true => {
-                harmed += 50;
-                filled = true;
+                over_ms += 50;
+                was_used = true;
             }
-            false => harmed = 0,
+            false => over_ms = 0,
         }
-        longest = longest.max(harmed);
+        longest = longest.max(over_ms);
     }
-    assert!(filled);
+    assert!(was_used);
     longest
 }
 
@@ -139,9 +139,9 @@
     world.workers[0].mode = Mode::Healthy;
     // The trials are stopped before they give a result.
     for id in 2..40 {
-        let tried = world.submit(id, chain(vec![short(1, 5_000)]));
+        let trial = world.submit(id, chain(vec![short(1, 5_000)]));
         world.run(300);
-        world.cancel(tried);
+        world.cancel(trial);
     }
     let id = world.submit(100, chain(vec![serving(1)]));
     world.run(5000);
--- a/crates/jobs/tests/all/resizing.rs
+++ b/crates/jobs/tests/all/resizing.rs
@@ -90,12 +90,12 @@
     world.submit(1, chain(vec![serving(6)]));
     world.run(1500);
     resize(&mut world, 0, (4000, 16000));
-    let fill = Step {
+    let best_effort = Step {
         best_effort: true,
         image: Some("fill".into()),
         ..short(1, 500)
     };
-    world.submit(2, chain(vec![fill]));
+    world.submit(2, chain(vec![best_effort]));
     world.run(7000);
     assert_eq!(world.workers[0].runs.len(), 6);
     // No placement is attempted, since each one that is dropped costs a write.
@@ -207,11 +207,11 @@
         for worker in &mut world.workers {
             worker.enforces_capacity = guards;
         }
-        let lasting = Step {
+        let serve = Step {
             max_per_worker: 2,
             ..serving(2 * BURST_WORKERS as u32)
         };
-        world.submit(1, chain(vec![lasting]));
+        world.submit(1, chain(vec![serve]));
         world.run(1500);
         assert!(world.workers.iter().all(|w| w.runs.len() == 2));
         let next = (FIRST_JOB, world.now);
@@ -225,9 +225,9 @@
 
     /// Adds the counters of the owner, which is about to be killed, or after all jobs are done.
     fn count(&mut self) {
-        let figures = self.world.stats();
-        self.counted.0 += figures.starts - figures.refused;
-        self.counted.1 += figures.stopped + figures.lapsed + figures.failed;
+        let stats = self.world.stats();
+        self.counted.0 += stats.starts - stats.refused;
+        self.counted.1 += stats.stopped + stats.lapsed + stats.failed;
     }
 
     /// Runs for `ms` and submits a job every `every` milliseconds.
@@ -243,10 +243,10 @@
             world.run(5);
             for &(at, since) in &self.shrunk {
                 let (worker, now) = (&world.workers[at], world.now);
-                let begins = worker.runs.iter().any(|r| r.started_at + 5 > now);
+                let starts_now = worker.runs.iter().any(|r| r.started_at + 5 > now);
                 let is_late = now > since + NOTICE_MS + 50;
                 assert!(
-                    !(begins && is_late && worker.is_overcommitted(now, 0)),
+                    !(starts_now && is_late && worker.is_overcommitted(now, 0)),
                     "{now}: a task starts on {} beyond its capacity",
                     worker.id,
                 );
@@ -281,21 +281,21 @@
 #[test_case(Fault::Killed, false)]
 #[test_case(Fault::Away, true)]
 #[test_case(Fault::Away, false)]
-fn workers_that_shrink_in_a_burst_are_used_again(trouble: Fault, guards: bool) {
+fn workers_that_shrink_in_a_burst_are_used_again(fault: Fault, guards: bool) {
     let mut burst = Burst::new(guards);
     burst.run(4000, NORMAL_INTERVAL_MS);
-    burst.world.store_down = matches!(trouble, Fault::Away);
+    burst.world.store_down = matches!(fault, Fault::Away);
     burst.run(200, NORMAL_INTERVAL_MS);
     burst.resize(SHRUNK_CAPACITY, NORMAL_INTERVAL_MS);
     burst.run(4000 - NOTICE_MS, NORMAL_INTERVAL_MS);
     burst.world.store_down = false;
     burst.run(1000, NORMAL_INTERVAL_MS);
-    if matches!(trouble, Fault::Killed) {
+    if matches!(fault, Fault::Killed) {
         burst.count();
         burst.world.pause(true);
-        let over = burst.world.lease_end();
+        let lease_end = burst.world.lease_end();
         burst.run(1500, BURST_INTERVAL_MS);
-        burst.world.take_over(over);
+        burst.world.take_over(lease_end);
     } else {
         burst.run(1500, BURST_INTERVAL_MS);
     }
--- a/crates/jobs/tests/all/restarts.rs
+++ b/crates/jobs/tests/all/restarts.rs
@@ -120,9 +120,9 @@
 
 /// Returns the seeds that `GORSESPUR_LIVES` selects, as in `0..5000` or `7`, or else the usual
 /// ones.
-fn seeds(usual: Range<u64>) -> Range<u64> {
+fn seeds(default: Range<u64>) -> Range<u64> {
     let Ok(text) = env::var("GORSESPUR_LIVES") else {
-        return usual;
+        return default;
     };
     let number = |t: &str| t.parse().expect("GORSESPUR_LIVES: a number or a..b");
     match text.split_once("..") {
@@ -133,14 +133,18 @@
 
 /// Asserts that no series has violations.
 fn check_series(seeds: Range<u64>, reuse_names: bool) {
-    let mut bad = Vec::new();
+    let mut failures = Vec::new();
     for seed in seeds {
         let violations = run_series(seed, reuse_names);
         if let Some(first) = violations.first() {
-            bad.push(format!("seed {seed}: {first}, {} in all", violations.len()));
+            failures.push(format!("seed {seed}: {first}, {} in all", violations.len()));
         }
     }
-    assert!(bad.is_empty(), "{} seeds: {bad:#?}", bad.len());
+    assert!(
+        failures.is_empty(),
+        "{} seeds: {failures:#?}",
+        failures.len()
+    );
 }
 
 #[test]
--- a/crates/jobs/tests/all/sharing.rs
+++ b/crates/jobs/tests/all/sharing.rs
@@ -82,7 +82,7 @@
 /// Runs the same load with workers and tasks that are `times` as large.
 fn run_best_effort_on(times: u64) -> Usage {
     let mut world = sized_world(times);
-    let mut seen = Usage::default();
+    let mut usage = Usage::default();
     for step in 0..800 {
         if step % 10 == 0 {
             let image = ["light", "thin", "small", "soft"][step / 10 % 4];
@@ -95,51 +95,51 @@
         }
         world.run(50);
         if step >= 200 {
-            count(&world, &mut seen);
+            count(&world, &mut usage);
         }
     }
-    seen
+    usage
 }
 
-fn count(world: &World, seen: &mut Usage) {
+fn count(world: &World, usage: &mut Usage) {
     for worker in &world.workers {
         for run in &worker.runs {
             if run.latency_target > 0 {
-                seen.served += 0.05;
-                seen.over_target += 0.05 * f64::from(worker.headroom(world.now, run) < 1.0);
+                usage.served += 0.05;
+                usage.over_target += 0.05 * f64::from(worker.headroom(world.now, run) < 1.0);
                 continue;
             }
             if run.image.as_deref() == Some("heavy") {
-                seen.heavy += 0.05 * f64::from(run.pace) / 100.0;
+                usage.heavy += 0.05 * f64::from(run.pace) / 100.0;
                 continue;
             }
-            seen.harmless += 0.05;
-            seen.slowed += 0.05 * f64::from(run.pace < 100);
+            usage.harmless += 0.05;
+            usage.slowed += 0.05 * f64::from(run.pace < 100);
         }
     }
 }
 
 #[test]
 fn harmless_tasks_are_not_slowed_by_a_varying_load() {
-    let seen = run_best_effort();
-    assert!(seen.slowed < 0.001 * seen.harmless, "{seen:?}");
+    let usage = run_best_effort();
+    assert!(usage.slowed < 0.001 * usage.harmless, "{usage:?}");
 }
 
 #[test]
 fn interfering_tasks_use_what_the_load_leaves() {
-    let seen = run_best_effort();
-    assert!(seen.over_target < 0.003 * seen.served, "{seen:?}");
-    assert!(seen.heavy > 150.0, "{seen:?}");
+    let usage = run_best_effort();
+    assert!(usage.over_target < 0.003 * usage.served, "{usage:?}");
+    assert!(usage.heavy > 150.0, "{usage:?}");
 }
 
 #[test_case(2; "of 16 cores")]
 #[test_case(8; "of 64 cores")]
 #[test_case(12; "of 96 cores")]
 fn interference_is_learned_on_large_workers(times: u64) {
-    let seen = run_best_effort_on(times);
-    assert!(seen.over_target < 0.003 * seen.served, "{seen:?}");
-    assert!(seen.slowed < 0.001 * seen.harmless, "{seen:?}");
-    assert!(seen.heavy > 150.0, "{seen:?}");
+    let usage = run_best_effort_on(times);
+    assert!(usage.over_target < 0.003 * usage.served, "{usage:?}");
+    assert!(usage.slowed < 0.001 * usage.harmless, "{usage:?}");
+    assert!(usage.heavy > 150.0, "{usage:?}");
 }
 
 #[test]
@@ -165,8 +165,8 @@
     for (worker, before) in world.workers.iter().zip(before) {
         let mut images = worker.runs.iter().filter_map(|r| r.image.as_deref());
         let disturbed = images.any(|i| i == "heavy");
-        let begun = worker.runs.len() > before;
-        assert!(!(begun && disturbed), "{:?}", worker.runs);
+        let has_started = worker.runs.len() > before;
+        assert!(!(has_started && disturbed), "{:?}", worker.runs);
     }
 }
 
@@ -178,7 +178,7 @@
     for worker in &mut world.workers {
         worker.light_cost = 0.28;
     }
-    let mut seen = Usage::default();
+    let mut usage = Usage::default();
     for step in 0..800 {
         if step % 10 == 0 {
             let image = ["light", "thin", "small", "soft"][step / 10 % 4];
@@ -186,26 +186,26 @@
         }
         world.run(50);
         if step >= 200 {
-            count(&world, &mut seen);
+            count(&world, &mut usage);
         }
     }
-    seen
+    usage
 }
 
 #[test]
 fn slightly_interfering_tasks_do_not_pile_up_at_a_peak() {
-    let seen = run_light();
-    assert!(seen.over_target < 0.3 * seen.served, "{seen:?}");
-    assert!(seen.harmless > 1250.0, "{seen:?}");
+    let usage = run_light();
+    assert!(usage.over_target < 0.3 * usage.served, "{usage:?}");
+    assert!(usage.harmless > 1250.0, "{usage:?}");
 }
 
 /// Periodic loads are forecast: few best-effort tasks run at the next peak, and as many as without
 /// the forecast run between the peaks.
 #[test]
 fn best_effort_tasks_yield_to_a_forecast_peak() {
-    let seen = run_light();
-    assert!(seen.over_target < 0.1 * seen.served, "{seen:?}");
-    assert!(seen.harmless > 1250.0, "{seen:?}");
+    let usage = run_light();
+    assert!(usage.over_target < 0.1 * usage.served, "{usage:?}");
+    assert!(usage.harmless > 1250.0, "{usage:?}");
 }
 
 /// Returns a world with a best-effort job with checkpoints. The tail latencies of one worker that
@@ -319,7 +319,7 @@
     world.submit(1, chain(vec![serving(1)]));
     world.workers[0].tail_percents = tails.to_vec();
     world.run(3000);
-    let (mut filled, mut runs_seen, mut paces) = (0, 0, 0);
+    let (mut used, mut runs_seen, mut paces) = (0, 0, 0);
     for step in 0..600 {
         if step % 20 == 0 {
             let images = ["light", "thin", "small", "soft"];
@@ -328,7 +328,7 @@
         }
         world.run(50);
         let runs = &world.workers[0].runs;
-        filled += u32::from(runs.iter().any(|r| r.best_effort && r.pace > 0));
+        used += u32::from(runs.iter().any(|r| r.best_effort && r.pace > 0));
         if step < 200 {
             continue;
         }
@@ -338,7 +338,7 @@
         }
     }
     let pace = f64::from(paces) / f64::from(runs_seen.max(1));
-    (f64::from(filled) / 600.0, pace)
+    (f64::from(used) / 600.0, pace)
 }
 
 /// At the peak of a load a tail latency is at four fifths of its target, and metrics vary. A
@@ -346,8 +346,8 @@
 #[test_case(&[80, 92, 79, 81, 80, 82]; "close to the target once")]
 #[test_case(&[80, 105, 79, 81, 80, 82, 78, 80, 81, 79]; "above it once")]
 fn one_high_metric_halts_nothing(tails: &[u64]) {
-    let (filled, _) = best_effort_beside(tails);
-    assert!(filled > 0.9, "for a share of {filled} of the time");
+    let (used, _) = best_effort_beside(tails);
+    assert!(used > 0.9, "for a share of {used} of the time");
 }
 
 /// The tail latency of each serving task is over its target in one half second of three, in turn,
@@ -356,7 +356,7 @@
 #[test]
 fn one_high_metric_closes_a_worker_only_briefly() {
     let mut world = world();
-    let mut filled = 0;
+    let mut used = 0;
     for step in 0..600 {
         if step % 2 == 0 {
             let image = ["light", "thin", "small", "soft"][step / 2 % 4];
@@ -369,11 +369,11 @@
         world.run(50);
         if step >= 200 {
             let runs = world.workers.iter().flat_map(|w| &w.runs);
-            filled += runs.filter(|r| r.best_effort && r.pace == 100).count();
+            used += runs.filter(|r| r.best_effort && r.pace == 100).count();
         }
     }
-    let filled = filled as f64 / 400.0;
-    assert!(filled > 60.0, "{filled} tasks at a time");
+    let used = used as f64 / 400.0;
+    assert!(used > 60.0, "{used} tasks at a time");
 }
 
 /// A tail latency is over its target for two seconds at times, whatever runs beside it.
@@ -417,7 +417,7 @@
 fn best_effort_after_takeover(remembers: bool) -> f64 {
     let mut world = world();
     world.keeps_learned = remembers;
-    let mut seen = Usage::default();
+    let mut usage = Usage::default();
     for step in 0..440 {
         if step % 2 == 0 {
             let image = format!("light{}", step / 2 % IMAGES);
@@ -429,10 +429,10 @@
         }
         world.run(50);
         if step >= 400 {
-            count(&world, &mut seen);
+            count(&world, &mut usage);
         }
     }
-    seen.harmless - seen.slowed
+    usage.harmless - usage.slowed
 }
 
 /// A new owner without learned interference assumes that each pair of images interferes.
@@ -484,15 +484,15 @@
             world.submit(100 + job, chain(vec![best_effort("light", 3)]));
         }
         world.run(2000 + phase);
-        let (mut harmed, mut longest) = (0, 0);
+        let (mut over_ms, mut longest) = (0, 0);
         for _ in 0..400 {
             let is_used = world.workers[0]
                 .runs
                 .iter()
                 .any(|r| r.best_effort && r.pace > 0);
             world.workers[0].tail_percents = vec![if is_used { 110 } else { 90 }];
-            harmed = if is_used { harmed + 50 } else { 0 };
-            longest = longest.max(harmed);
+            over_ms = if is_used { over_ms + 50 } else { 0 };
+            longest = longest.max(over_ms);
             world.run(50);
         }
         assert!(
--- a/crates/jobs/tests/all/still.rs
+++ b/crates/jobs/tests/all/still.rs
@@ -84,11 +84,11 @@
 
     fn submit(&mut self, id: u64, spec: Spec) {
         let id = self.world.submit(id, spec);
-        let still = Stall {
+        let stall = Stall {
             since: self.world.now,
             longest: 0,
         };
-        self.jobs.insert(id, still);
+        self.jobs.insert(id, stall);
     }
 
     /// Overloads the workers for `ms` with jobs of two steps of these images.
@@ -124,12 +124,12 @@
         while self.world.now < end {
             self.world.run(SAMPLE_MS);
             let (world, now) = (&self.world, self.world.now);
-            for (&id, still) in &mut self.jobs {
+            for (&id, stall) in &mut self.jobs {
                 let mut runs = world.workers.iter().flat_map(|w| &w.runs);
                 if runs.any(|r| r.task.job == id) || world.outcome(id).is_final() {
-                    still.since = now;
+                    stall.since = now;
                 }
-                still.longest = still.longest.max(now - still.since);
+                stall.longest = stall.longest.max(now - stall.since);
             }
         }
     }
@@ -137,11 +137,11 @@
     /// Returns the jobs that have had no runs for so long that users count them as lost.
     fn stalled(&self) -> Vec<(JobId, Stall)> {
         let now = self.world.now;
-        let lost = self
+        let stalled = self
             .jobs
             .iter()
             .filter(|(_, s)| now >= s.since + MAX_STALL_MS);
-        lost.map(|(&id, &s)| (id, s)).collect()
+        stalled.map(|(&id, &s)| (id, s)).collect()
     }
 }
 
@@ -156,11 +156,11 @@
     let mut watched = WatchedWorld::new(seed, SPARSE_CPU);
     watched.overload(60_000, &["light", "thin", "heavy", "heavy"]);
     watched.run(DRAIN_MS);
-    let lost = watched.stalled();
+    let stalled = watched.stalled();
     assert!(
-        lost.is_empty(),
-        "{} of {}: {lost:?}",
-        lost.len(),
+        stalled.is_empty(),
+        "{} of {}: {stalled:?}",
+        stalled.len(),
         watched.jobs.len()
     );
 }
@@ -179,8 +179,8 @@
     watched.run(10_000);
     watched.submit(LAST_JOB, chain(vec![best_effort(image, 300)]));
     watched.run(40_000);
-    let still = watched.jobs[&JobId(LAST_JOB)];
-    assert!(still.longest < MAX_STALL_MS + more, "{still:?}");
+    let stall = watched.jobs[&JobId(LAST_JOB)];
+    assert!(stall.longest < MAX_STALL_MS + more, "{stall:?}");
 }
 
 /// Returns a step of long best-effort tasks with checkpoints.
--- a/crates/jobs/tests/all/takeovers.rs
+++ b/crates/jobs/tests/all/takeovers.rs
@@ -35,12 +35,12 @@
     let mut world = world();
     world.pause(true);
     remove_worker(&mut world, 0);
-    let over = world.lease_end();
-    world.take_over(over);
+    let lease_end = world.lease_end();
+    world.take_over(lease_end);
     assert_eq!(world.stats().unverified_runs, 4);
     world.run(500);
     assert_eq!(world.stats().unverified_runs, 1);
-    world.run(over - world.now + 500);
+    world.run(lease_end - world.now + 500);
     assert_eq!(world.stats().unverified_runs, 0);
     check_invariants(&world, 0);
 }
@@ -66,11 +66,11 @@
     // An owner that takes over at this time, and whose writes get no answer.
     world.take_over(world.lease_end());
     let contact = world.now;
-    let over = world.lease_end();
+    let lease_end = world.lease_end();
     world.run(1800);
     world.pause(true);
     world.store_down = false;
-    world.take_over(over);
+    world.take_over(lease_end);
     world.run(contact + MAX_OUTAGE_MS - world.now);
     let running: usize = world.workers.iter().map(|w| w.runs.len()).sum();
     assert_eq!(running, 4, "{MAX_OUTAGE_MS} ms after the last contact");
@@ -82,15 +82,15 @@
 #[test]
 fn a_claim_that_is_answered_late_extends_no_lease() {
     let mut world = world();
-    let over = world.lease_end();
+    let lease_end = world.lease_end();
     world.store_down = true;
     world.pause(true);
     world.run(2500);
     world.claim_ms = 2500;
-    world.take_over(over);
+    world.take_over(lease_end);
     world.run(15_000);
     for worker in &world.workers {
-        assert!(worker.deadline <= worker.clock(over), "{}", worker.id);
+        assert!(worker.deadline <= worker.clock(lease_end), "{}", worker.id);
     }
 }
 
--- a/crates/jobs/tests/all/waits.rs
+++ b/crates/jobs/tests/all/waits.rs
@@ -207,7 +207,7 @@
 /// freed.
 #[test_case(Step { memory: 13_000, ..long_running(1) }, 1500, MAX_LONG_RUNNING_WAIT_MS; "that is long-running")]
 #[test_case(Step { memory: 11_000, ..short(1, 2000) }, 900, MAX_WAIT_MS; "that ends where less than half is taken")]
-fn a_task_gets_fragmented_capacity(step: Step, memory: u64, lost: u64) {
+fn a_task_gets_fragmented_capacity(step: Step, memory: u64, max_wait_ms: u64) {
     let mut world = world(WORKERS);
     for at in 0..12 {
         // One on each worker, with different durations.
@@ -223,7 +223,7 @@
     let used: u64 = world.workers.iter().map(|w| w.used().1).sum();
     let id = world.submit(LAST_JOB, chain(vec![step]));
     let wait = longest_wait(&mut world, id, 30_000);
-    assert!(wait < lost, "{wait} ms, {used} of 128000 MB used");
+    assert!(wait < max_wait_ms, "{wait} ms, {used} of 128000 MB used");
 }
 
 /// Late answers have reduced the number of starts that may be in flight. The first gang in the
@@ -251,10 +251,13 @@
     }
     world.run(5000);
     let id = world.submit(LAST_JOB, chain(vec![short(2, 500)]));
-    let held = world.stats().throttled_passes;
+    let throttled = world.stats().throttled_passes;
     let wait = longest_wait(&mut world, id, 30_000);
-    let held = world.stats().throttled_passes - held;
-    assert!(wait < MAX_WAIT_MS, "{wait} ms, {held} throttled passes");
+    let throttled = world.stats().throttled_passes - throttled;
+    assert!(
+        wait < MAX_WAIT_MS,
+        "{wait} ms, {throttled} throttled passes"
+    );
 }
 
 /// Each worker runs a suspect, and most of the CPU is free.
