--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -223,7 +223,7 @@
             while self.arrivals_due[kind] >= 1_100_000 {
                 self.arrivals_due[kind] -= 1_100_000;
                 let image = self.jobs % 30;
-                let fill = Step {
+                let best_effort = Step {
                     count: 40,
                     cpu: 3500,
                     memory: 6400,
@@ -233,7 +233,7 @@
                     image: Some(format!("fill{image}").into()),
                     ..Step::default()
                 };
-                let wide = Step {
+                let short = Step {
                     count: 13,
                     cpu: 6400,
                     memory: 13_000,
@@ -245,8 +245,8 @@
                     ..step.clone()
                 };
                 match kind {
-                    0 => self.submit("fill", vec![fill.clone(), after(&fill)]),
-                    _ => self.submit("wide", vec![wide.clone(), after(&wide)]),
+                    0 => self.submit("fill", vec![best_effort.clone(), after(&best_effort)]),
+                    _ => self.submit("wide", vec![short.clone(), after(&short)]),
                 }
             }
         }
--- a/crates/jobs/tests/all/common/checker.rs
+++ b/crates/jobs/tests/all/common/checker.rs
@@ -27,7 +27,7 @@
     pub all_healthy: bool,
     pub checkpoints: Checkpoints,
     /// When a task was first reported as done.
-    listed: BTreeMap<TaskId, u64>,
+    reported_done: BTreeMap<TaskId, u64>,
     /// The highest number of an end that an owner has read from each incarnation.
     last_read: BTreeMap<(Arc<str>, Option<u64>), u64>,
     /// Runs that some incarnation was ordered never to start.
@@ -121,7 +121,7 @@
     /// Checks that a task is not started after a worker reported it as done, if all workers are
     /// healthy.
     pub fn check_not_done(&mut self, now: u64, task: TaskId) {
-        let reported_at = self.listed.get(&task);
+        let reported_at = self.reported_done.get(&task);
         if self.all_healthy && reported_at.is_some_and(|at| now > at + READ_MS) {
             self.violations.push(format!(
                 "{now}: {task} starts although it was reported as done"
@@ -203,7 +203,7 @@
             match end.ending {
                 Ending::Done => {
                     self.done.insert(end.task);
-                    self.listed.entry(end.task).or_insert(now);
+                    self.reported_done.entry(end.task).or_insert(now);
                 }
                 Ending::Failed => self.checkpoints.record_failed(end.task, end.run),
                 _ => {}
--- a/crates/jobs/tests/all/common/checkpoints.rs
+++ b/crates/jobs/tests/all/common/checkpoints.rs
@@ -63,7 +63,7 @@
 pub struct Checkpoints {
     written: BTreeMap<Arc<str>, Checkpoint>,
     /// The reported checkpoints of each task; those of a gang are kept under its first member.
-    listed: BTreeMap<TaskId, BTreeSet<Arc<str>>>,
+    reported: BTreeMap<TaskId, BTreeSet<Arc<str>>>,
     /// The checkpoint with which the first member of a gang started, by run number.
     gangs: BTreeMap<(TaskId, u32), Arc<str>>,
     /// Runs that failed.
@@ -122,7 +122,7 @@
                 continue;
             }
             let key = group_key(task, gang(task));
-            self.listed.entry(key).or_default().insert(text.clone());
+            self.reported.entry(key).or_default().insert(text.clone());
         }
     }
 
@@ -131,8 +131,8 @@
         let (task, run, saved) = (order.task, order.run, &order.checkpoint);
         let gang = order.spec.steps[task.step as usize].gang;
         let key = group_key(task, gang);
-        let listed = self.listed.get(&key);
-        let texts = || listed.into_iter().flatten();
+        let reported = self.reported.get(&key);
+        let texts = || reported.into_iter().flatten();
         if !saved.is_empty() && !texts().any(|t| t == saved) {
             let written = self.written.get(saved);
             return Some(format!(
--- a/crates/jobs/tests/all/common/incarnations.rs
+++ b/crates/jobs/tests/all/common/incarnations.rs
@@ -108,12 +108,12 @@
     pub(super) fn restart_worker(&mut self, at: usize) {
         let now = self.now;
         let old = &self.workers[at];
-        let (id, rate, room, port) = (old.id.clone(), old.rate, old.capacity, old.port);
+        let (id, rate, capacity, port) = (old.id.clone(), old.rate, old.capacity, old.port);
         if !self.settings.reuse_names {
             let name = format!("w{at}-{}", self.former_ids.len());
             self.former_ids.insert(id, at);
             self.workers[at] = SimWorker::new(&name, now, rate);
-            self.workers[at].capacity = room;
+            self.workers[at].capacity = capacity;
             self.workers[at].port = port;
             return self.announce(at, true);
         }
@@ -131,7 +131,7 @@
         } else {
             port
         };
-        worker.capacity = room;
+        worker.capacity = capacity;
         self.workers[at] = worker;
         self.pending_rows
             .push((now + self.restart.row_delay_ms, at, start_time));
--- a/crates/jobs/tests/all/common/sim.rs
+++ b/crates/jobs/tests/all/common/sim.rs
@@ -331,15 +331,15 @@
         if !self.shares_cpu {
             return 100;
         }
-        let (mut left, mut asked) = (self.capacity.0 as f64, 0.0);
+        let (mut left, mut requested) = (self.capacity.0 as f64, 0.0);
         for run in &self.runs {
             match run.best_effort {
-                true => asked += run.size.0 as f64 * f64::from(run.pace) / 100.0,
+                true => requested += run.size.0 as f64 * f64::from(run.pace) / 100.0,
                 false if run.latency_target > 0 => left -= run.size.0 as f64 * load(now, run),
                 false => left -= run.size.0 as f64,
             }
         }
-        (left.max(0.0) / asked.max(1.0) * 100.0).min(100.0) as u64
+        (left.max(0.0) / requested.max(1.0) * 100.0).min(100.0) as u64
     }
 
     /// Returns the latency target of a serving run divided by its tail latency. Without
@@ -418,19 +418,19 @@
     }
 
     /// Changes the capacity of the worker.
-    pub fn resize(&mut self, room: (u64, u64), now: u64) {
+    pub fn resize(&mut self, capacity: (u64, u64), now: u64) {
         self.old_capacity = Some((self.capacity, now));
-        self.capacity = room;
+        self.capacity = capacity;
     }
 
     /// Returns whether the runs exceed the capacity. Capacity that was taken away counts for
     /// `grace` milliseconds more.
     pub fn is_overcommitted(&self, now: u64, grace: u64) -> bool {
-        let (mut room, used) = (self.capacity, self.used());
+        let (mut capacity, used) = (self.capacity, self.used());
         if let Some((before, _)) = self.old_capacity.filter(|(_, at)| now <= at + grace) {
-            room = (room.0.max(before.0), room.1.max(before.1));
+            capacity = (capacity.0.max(before.0), capacity.1.max(before.1));
         }
-        used.0 > room.0 || used.1 > room.1
+        used.0 > capacity.0 || used.1 > capacity.1
     }
 
     pub fn stop(&mut self, now: u64, fence: u64, task: TaskId, run: u32) -> Stopped {
--- a/crates/jobs/tests/all/crashing/owners.rs
+++ b/crates/jobs/tests/all/crashing/owners.rs
@@ -81,12 +81,12 @@
 fn a_task_that_crashes_workers_is_given_up_though_owners_are_killed(
     after: u64,
     kills: usize,
-    away: u64,
+    downtime: u64,
 ) {
     for crowded in [false, true] {
         for (name, step) in shapes() {
             let mut world = world(1);
-            world.restart_ms = away;
+            world.restart_ms = downtime;
             if crowded {
                 world.submit(2, chain(vec![long_running(3 * WORKERS as u32)]));
                 world.run(1500);
@@ -101,7 +101,7 @@
             let name = format!("{name}, crowded: {crowded}");
             check_outcomes(&mut world, &name);
             assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
-            let unrecorded = after < RECORD_MS && (crowded || away < TAKEOVER_MS);
+            let unrecorded = after < RECORD_MS && (crowded || downtime < TAKEOVER_MS);
             let more = if unrecorded { kills } else { 0 };
             let most = (MAX_LOST_WORKERS + more).min(MOST_STARTS);
             let other_runs = &world.checker.other_runs;
--- a/crates/jobs/tests/all/lives.rs
+++ b/crates/jobs/tests/all/lives.rs
@@ -99,11 +99,11 @@
 }
 
 /// Asserts that all jobs are done within `limit` milliseconds, and that there were no violations.
-fn check_done(world: &mut World, limit: u64, what: &str) {
+fn check_done(world: &mut World, limit: u64, context: &str) {
     let done = world.run_until_done(limit);
     let violations = &world.checker.violations;
-    assert!(violations.is_empty(), "{what}: {violations:#?}");
-    assert!(done, "{what}: unfinished jobs");
+    assert!(violations.is_empty(), "{context}: {violations:#?}");
+    assert!(done, "{context}: unfinished jobs");
 }
 
 /// Ends of the new incarnation are counted although their numbers start anew, below the numbers
@@ -111,19 +111,19 @@
 #[test]
 fn ends_of_a_new_incarnation_are_counted() {
     for (downtime, case) in restart_cases() {
-        let what = format!("{downtime} {case:?}");
+        let context = format!("{downtime} {case:?}");
         let mut world = world(1);
         world.restart = case;
         world.submit(1, chain(vec![short(8, 300), short(4, 200)]));
-        check_done(&mut world, 5000, &what);
+        check_done(&mut world, 5000, &context);
         restart(&mut world, 0, downtime);
         world.submit(2, chain(vec![short(8, 300), short(4, 200)]));
-        check_done(&mut world, case.row_delay_ms + 5000, &what);
+        check_done(&mut world, case.row_delay_ms + 5000, &context);
         world.run(RESTART_LIMIT_MS);
         assert_eq!(
             world.workers[0].finished.len(),
             0,
-            "{what}: unconfirmed ends"
+            "{context}: unconfirmed ends"
         );
     }
 }
@@ -175,8 +175,8 @@
                 0
             };
             world.run(unknown + RESTART_LIMIT_MS);
-            let what = format!("{downtime} {case:?}");
-            assert_eq!(first_job_runs(&world), 1, "{what}");
+            let context = format!("{downtime} {case:?}");
+            assert_eq!(first_job_runs(&world), 1, "{context}");
             check_invariants(&world, 0);
         }
     }
@@ -186,31 +186,31 @@
 #[test]
 fn runs_of_a_new_incarnation_are_lost_when_its_own_leases_expire() {
     for (downtime, case) in restart_cases() {
-        let what = format!("{downtime} {case:?}");
+        let context = format!("{downtime} {case:?}");
         let mut world = world_with(on_first_rack(long_running(1)));
         world.restart = case;
         partition(&mut world, 1);
         restart(&mut world, 0, downtime);
         world.run(case.row_delay_ms + RESTART_LIMIT_MS);
-        assert_eq!(world.workers[0].runs.len(), 1, "{what}");
+        assert_eq!(world.workers[0].runs.len(), 1, "{context}");
         world.workers[1].partitioned = false;
         world.run(RESTART_LIMIT_MS);
         world.restart_ms = 600_000;
         world.lose_power(0);
         world.run(MAX_LEASES_MS);
-        assert_eq!(first_job_runs(&world), 1, "{what}");
+        assert_eq!(first_job_runs(&world), 1, "{context}");
         check_invariants(&world, 0);
     }
 }
 
 /// Asserts that the first worker takes work while it is the only reachable one.
-fn check_takes_work(world: &mut World, what: &str) {
+fn check_takes_work(world: &mut World, context: &str) {
     for worker in &mut world.workers[1..] {
         worker.partitioned = true;
     }
     world.run(RESTART_LIMIT_MS);
     world.submit(90, chain(vec![on_first_rack(short(2, 200))]));
-    check_done(world, RESTART_LIMIT_MS, what);
+    check_done(world, RESTART_LIMIT_MS, context);
 }
 
 #[test]
@@ -253,9 +253,9 @@
         world.run(45);
         world.swap_ports(0, 1);
         world.run(10 + row_delay + RESTART_LIMIT_MS);
-        let what = format!("{row_delay}");
-        assert_eq!(first_job_runs(&world), 1, "{what}");
-        check_takes_work(&mut world, &what);
+        let context = format!("{row_delay}");
+        assert_eq!(first_job_runs(&world), 1, "{context}");
+        check_takes_work(&mut world, &context);
     }
 }
 
@@ -297,9 +297,9 @@
             world.workers[0].partitioned = true;
             world.workers[1].partitioned = false;
             world.run(MAX_LEASES_MS + RESTART_LIMIT_MS);
-            let what = format!("{late} {downtime}");
-            check_done(&mut world, 0, &what);
-            assert_eq!(first_job_runs(&world), 1, "{what}");
+            let context = format!("{late} {downtime}");
+            check_done(&mut world, 0, &context);
+            assert_eq!(first_job_runs(&world), 1, "{context}");
         }
     }
 }
@@ -405,25 +405,25 @@
 #[test]
 fn a_row_of_the_old_incarnation_does_not_replace_the_new_one() {
     for (downtime, case) in restart_cases() {
-        let what = format!("{downtime} {case:?}");
+        let context = format!("{downtime} {case:?}");
         let mut world = world_with(on_first_rack(long_running(1)));
         world.restart = case;
         partition(&mut world, 1);
         restart(&mut world, 0, downtime);
         world.run(case.row_delay_ms + RESTART_LIMIT_MS);
-        assert_eq!(world.workers[0].runs.len(), 1, "{what}");
+        assert_eq!(world.workers[0].runs.len(), 1, "{context}");
         let run = world.workers[0].runs[0].run;
         for id in 10..16 {
             world.republish_past_rows();
             world.submit(id, chain(vec![on_first_rack(short(2, 200))]));
             world.run(400);
         }
-        check_done(&mut world, RESTART_LIMIT_MS, &what);
+        check_done(&mut world, RESTART_LIMIT_MS, &context);
         let now = world.workers[0].runs.first().map(|r| r.run);
-        assert_eq!(now, Some(run), "{what}: the run was replaced");
+        assert_eq!(now, Some(run), "{context}: the run was replaced");
         // The row of the current incarnation is published again as well.
         world.announce(0, true);
-        check_takes_work(&mut world, &what);
+        check_takes_work(&mut world, &context);
     }
 }
 
--- a/crates/jobs/tests/all/main.rs
+++ b/crates/jobs/tests/all/main.rs
@@ -20,7 +20,7 @@
 mod restarts;
 mod sharing;
 #[path = "../../benches/site.rs"]
-#[expect(dead_code, reason = "the benchmarks use all of it")]
+#[expect(dead_code, reason = "the benchmarks use more of it")]
 mod site;
 mod still;
 mod takeovers;
--- a/crates/jobs/tests/all/records/simulation.rs
+++ b/crates/jobs/tests/all/records/simulation.rs
@@ -39,7 +39,7 @@
     pub ledger: Ledger,
     messages: Vec<(u64, Message)>,
     /// Checkpoints that each task has reported to an owner.
-    listed: BTreeMap<TaskId, Vec<Arc<str>>>,
+    reported: BTreeMap<TaskId, Vec<Arc<str>>>,
     /// Number of starts that brought a checkpoint.
     pub resumed: usize,
     pub starts: Vec<StartOrder>,
@@ -63,7 +63,7 @@
             jobs: jobs.collect(),
             ledger: Ledger::default(),
             messages: Vec::new(),
-            listed: BTreeMap::new(),
+            reported: BTreeMap::new(),
             resumed: 0,
             starts: Vec::new(),
             no_faults: false,
@@ -168,7 +168,7 @@
                     let running = report.running.iter().map(|r| (r.task, &r.checkpoint));
                     let ended = report.finished.iter().map(|e| (e.task, &e.checkpoint));
                     for (task, checkpoint) in running.chain(ended) {
-                        self.listed
+                        self.reported
                             .entry(task)
                             .or_default()
                             .push(checkpoint.clone());
@@ -251,8 +251,9 @@
                 true => 0..step.count,
                 false => task.index..task.index + 1,
             };
-            let mut listed = members.filter_map(|index| self.listed.get(&TaskId { index, ..task }));
-            let is_own = listed.any(|l| l.contains(&order.checkpoint));
+            let mut reported =
+                members.filter_map(|index| self.reported.get(&TaskId { index, ..task }));
+            let is_own = reported.any(|l| l.contains(&order.checkpoint));
             assert!(
                 is_own,
                 "{task} starts with {}, which it never reported",
--- a/crates/jobs/tests/all/regression.rs
+++ b/crates/jobs/tests/all/regression.rs
@@ -172,12 +172,12 @@
         cpu: 6000,
         ..serving(1)
     };
-    let lasting = world.submit(1, chain(vec![large]));
+    let waiting = world.submit(1, chain(vec![large]));
     for id in 110..190 {
         world.submit(id, chain(vec![small(id)]));
         world.run(100);
     }
-    assert_eq!(world.outcome(lasting), Outcome::Active);
+    assert_eq!(world.outcome(waiting), Outcome::Active);
 }
 
 /// The same, where the worker with the most free capacity runs as many tasks of the step as
@@ -219,21 +219,21 @@
         ..WorldSettings::default()
     });
     world.run(100);
-    let lasting = |label: &str, cpu: u64, target: u64| Step {
+    let serving_step = |label: &str, cpu: u64, target: u64| Step {
         cpu,
         latency_target: target,
         label: Some(label.into()),
         ..serving(1)
     };
     // Rack r0 has the first two workers: one has three cores in use, the other one all.
-    world.submit(51, chain(vec![lasting("r0", 3000, 0)]));
+    world.submit(51, chain(vec![serving_step("r0", 3000, 0)]));
     world.run(100);
-    world.submit(50, chain(vec![lasting("r0", 8000, 100)]));
-    world.submit(53, chain(vec![lasting("r1", 7000, 100)]));
+    world.submit(50, chain(vec![serving_step("r0", 8000, 100)]));
+    world.submit(53, chain(vec![serving_step("r1", 7000, 100)]));
     world.run(500);
-    let small = world.submit(1, chain(vec![lasting("a", 1000, 100)]));
+    let small = world.submit(1, chain(vec![serving_step("a", 1000, 100)]));
     world.run(500);
-    world.submit(2, chain(vec![lasting("r0", 6000, 100)]));
+    world.submit(2, chain(vec![serving_step("r0", 6000, 100)]));
     world.run(3000);
     let at = |world: &World| {
         let has = |w: &crate::common::SimWorker| w.runs.iter().any(|r| r.task.job == small);
--- a/crates/jobs/tests/all/resizing.rs
+++ b/crates/jobs/tests/all/resizing.rs
@@ -29,9 +29,9 @@
 }
 
 /// Changes the capacity of a worker. Its row is published unless the store is unavailable.
-fn resize(world: &mut World, at: usize, room: (u64, u64)) {
+fn resize(world: &mut World, at: usize, capacity: (u64, u64)) {
     let now = world.now;
-    world.workers[at].resize(room, now);
+    world.workers[at].resize(capacity, now);
     if !world.store_down {
         world.announce(at, true);
     }
@@ -187,7 +187,7 @@
     /// The owner is killed, and another one takes over.
     Killed,
     /// The store is unavailable when the capacity shrinks, and for some seconds after.
-    Away,
+    StoreDown,
 }
 
 /// A world in which short jobs are submitted, at times in a burst, and starts are checked.
@@ -198,14 +198,14 @@
     /// The next job and the time of its submission.
     next: (u64, u64),
     /// Numbers of starts that workers accepted, and of runs that ended without being done.
-    counted: (u64, u64),
+    start_counts: (u64, u64),
 }
 
 impl Burst {
-    fn new(guards: bool) -> Burst {
+    fn new(enforces: bool) -> Burst {
         let mut world = world(BURST_WORKERS, 0);
         for worker in &mut world.workers {
-            worker.enforces_capacity = guards;
+            worker.enforces_capacity = enforces;
         }
         let serve = Step {
             max_per_worker: 2,
@@ -219,15 +219,15 @@
             world,
             shrunk: Vec::new(),
             next,
-            counted: (0, 0),
+            start_counts: (0, 0),
         }
     }
 
     /// Adds the counters of the owner, which is about to be killed, or after all jobs are done.
     fn count(&mut self) {
         let stats = self.world.stats();
-        self.counted.0 += stats.starts - stats.refused;
-        self.counted.1 += stats.stopped + stats.lapsed + stats.failed;
+        self.start_counts.0 += stats.starts - stats.refused;
+        self.start_counts.1 += stats.stopped + stats.lapsed + stats.failed;
     }
 
     /// Runs for `ms` and submits a job every `every` milliseconds.
@@ -256,12 +256,12 @@
 
     /// Changes the capacity of the first quarter of the workers. The owner learns of it after
     /// [`NOTICE_MS`].
-    fn resize(&mut self, room: (u64, u64), every: u64) {
+    fn resize(&mut self, capacity: (u64, u64), every: u64) {
         let now = self.world.now;
         self.shrunk.clear();
         for at in 0..BURST_WORKERS / 4 {
-            self.world.workers[at].resize(room, now);
-            if room != FULL_CAPACITY {
+            self.world.workers[at].resize(capacity, now);
+            if capacity != FULL_CAPACITY {
                 self.shrunk.push((at, now));
             }
         }
@@ -279,12 +279,12 @@
 #[test_case(Fault::None, false)]
 #[test_case(Fault::Killed, true)]
 #[test_case(Fault::Killed, false)]
-#[test_case(Fault::Away, true)]
-#[test_case(Fault::Away, false)]
-fn workers_that_shrink_in_a_burst_are_used_again(fault: Fault, guards: bool) {
-    let mut burst = Burst::new(guards);
+#[test_case(Fault::StoreDown, true)]
+#[test_case(Fault::StoreDown, false)]
+fn workers_that_shrink_in_a_burst_are_used_again(fault: Fault, enforces: bool) {
+    let mut burst = Burst::new(enforces);
     burst.run(4000, NORMAL_INTERVAL_MS);
-    burst.world.store_down = matches!(fault, Fault::Away);
+    burst.world.store_down = matches!(fault, Fault::StoreDown);
     burst.run(200, NORMAL_INTERVAL_MS);
     burst.resize(SHRUNK_CAPACITY, NORMAL_INTERVAL_MS);
     burst.run(4000 - NOTICE_MS, NORMAL_INTERVAL_MS);
@@ -321,7 +321,7 @@
     burst.count();
     let tasks = 2 * BURST_WORKERS as u64 + 5 * (burst.next.0 - FIRST_JOB);
     assert_eq!(
-        burst.counted,
+        burst.start_counts,
         (tasks, 0),
         "accepted starts, and runs that were not done"
     );
--- a/crates/jobs/tests/all/sharing.rs
+++ b/crates/jobs/tests/all/sharing.rs
@@ -164,9 +164,9 @@
     world.run(300);
     for (worker, before) in world.workers.iter().zip(before) {
         let mut images = worker.runs.iter().filter_map(|r| r.image.as_deref());
-        let disturbed = images.any(|i| i == "heavy");
+        let has_interference = images.any(|i| i == "heavy");
         let has_started = worker.runs.len() > before;
-        assert!(!(has_started && disturbed), "{:?}", worker.runs);
+        assert!(!(has_started && has_interference), "{:?}", worker.runs);
     }
 }
 
--- a/crates/jobs/tests/all/takeovers.rs
+++ b/crates/jobs/tests/all/takeovers.rs
@@ -1,4 +1,4 @@
-//! Takeovers by owners that do not know the state of all workers.
+//! Takeovers by owners that lack the state of some workers.
 
 use crate::common::{World, WorldSettings, chain, check_invariants};
 use gorsespur_jobs::{JobId, Step};
