--- a/crates/jobs/tests/all/restarts.rs
+++ b/crates/jobs/tests/all/restarts.rs
@@ -61,8 +61,8 @@
     }
 }
 
-/// Runs the series of a seed and returns the violations; `reuse_names` is whether workers keep their
-/// names.
+/// Runs the series of a seed and returns the violations; `reuse_names` is whether workers keep
+/// their names.
 fn run_series(seed: u64, reuse_names: bool) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(WorldSettings {
