--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -1,15 +1,15 @@
-//! An owner that falls behind keeps its promises: its turns take up to seconds, and what
-//! workers answered meanwhile waits.
+//! An owner that falls behind keeps its guarantees: its turns take up to seconds, and the answers
+//! of workers wait during a turn.
 
 use crate::{
-    common::{World, WorldSettings, chain, check_seed, lasting, short},
+    common::{World, WorldSettings, chain, check_invariants, long_running, short},
     site::Site,
 };
 use gorsespur_jobs::{Event, JobId, Outcome, Settings, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
-/// Jobs of each play.
+/// Jobs of each simulation.
 const JOBS: u64 = 24;
 
 fn world(workers: usize, seed: u64) -> World {
@@ -17,23 +17,23 @@
         workers,
         attempts: 3,
         seed,
-        lost: 0,
-        lives: false,
+        lost_percent: 0,
+        reuse_names: false,
     });
-    world.judge.calm = true;
+    world.checker.all_healthy = true;
     world.run(100);
     world
 }
 
-/// Turns of up to 0.2, 1 and 5 s, with jobs that come all the time.
+/// Turns take up to 0.2, 1 and 5 s while jobs arrive continuously.
 #[test_case(200; "a fifth of a second")]
 #[test_case(1000; "a second")]
 #[test_case(5000; "five seconds")]
 fn late_turns_start_nothing_twice(turns: u64) {
     for seed in 0..12 {
         let mut world = world(6, seed);
-        world.turns = turns;
-        world.unread = 30;
+        world.max_turn_ms = turns;
+        world.unread_percent = 30;
         let mut rng = SmallRng::seed_from_u64(seed);
         for id in 1..=JOBS {
             let estimate = rng.random_range(200..1500);
@@ -41,17 +41,17 @@
             world.run(rng.random_range(0..300));
         }
         world.run_until_done(60_000 + 40 * turns);
-        check_seed(&world, seed);
+        check_invariants(&world, seed);
         for id in 1..=JOBS {
             assert_eq!(world.outcome(JobId(id)), Outcome::Complete, "seed {seed}");
         }
     }
 }
 
-/// An owner takes over from itself, or another from it, while turns take up to a second;
-/// leases of before are over by then, though nothing was asked of the workers.
+/// An owner takes over from itself or from another one while turns take up to a second. The
+/// earlier leases have expired, but the workers have not been polled yet.
 #[test]
-fn a_takeover_asks_before_it_starts_again() {
+fn a_new_owner_polls_before_it_restarts_tasks() {
     for seed in 0..20 {
         let mut world = world(4, seed);
         for id in 1..=JOBS {
@@ -60,18 +60,18 @@
         world.run(600);
         world.pause(true);
         world.run(100);
-        let over = world.now;
-        world.turns = 1000;
-        world.unread = 50;
-        world.take_over(over);
+        let lease_end = world.now;
+        world.max_turn_ms = 1000;
+        world.unread_percent = 50;
+        world.take_over(lease_end);
         assert!(world.run_until_done(60_000), "seed {seed}");
-        check_seed(&world, seed);
+        check_invariants(&world, seed);
     }
 }
 
-/// Nobody owns for so long that all leases are over, and all that ran has ended.
+/// There is no owner for so long that all leases expire and all runs end.
 #[test]
-fn what_ended_while_nobody_owned_is_not_started_again() {
+fn tasks_that_ended_without_an_owner_are_not_restarted() {
     for seed in 0..20 {
         let mut world = world(4, seed);
         for id in 1..=JOBS {
@@ -80,139 +80,139 @@
         world.run(300);
         world.pause(true);
         world.run(9000);
-        let over = world.now;
-        world.turns = 200;
-        world.unread = 50;
-        world.take_over(over);
+        let lease_end = world.now;
+        world.max_turn_ms = 200;
+        world.unread_percent = 50;
+        world.take_over(lease_end);
         assert!(world.run_until_done(60_000), "seed {seed}");
-        check_seed(&world, seed);
+        check_invariants(&world, seed);
     }
 }
 
-/// A worker was silent when the owner was paused, and answers again before it goes on.
+/// A worker was silent when the owner was paused, and answers again before the owner resumes.
 #[test]
-fn silence_from_before_a_pause_gives_nothing_up() {
+fn silence_before_a_pause_loses_no_runs() {
     let mut world = world(3, 1);
     world.submit(1, chain(vec![short(3, 7000)]));
     world.run(1000);
-    let begun: Vec<_> = world.workers.iter().map(|w| w.runs.len()).collect();
-    assert_eq!(begun.iter().sum::<usize>(), 3);
-    world.workers[0].cut = true;
+    let run_counts: Vec<_> = world.workers.iter().map(|w| w.runs.len()).collect();
+    assert_eq!(run_counts.iter().sum::<usize>(), 3);
+    world.workers[0].partitioned = true;
     world.run(3200);
     world.pause(true);
     for worker in &mut world.workers {
-        worker.cut = false;
-        // What runs is to outlast the pause: another owner could have renewed it.
+        worker.partitioned = false;
+        // The runs outlast the pause, as if another owner had renewed their leases.
         worker.deadline = u64::MAX;
     }
     world.run(6000);
     world.pause(false);
     assert!(world.run_until_done(20_000));
-    check_seed(&world, 1);
-    assert_eq!(world.figures().starts, 3);
+    check_invariants(&world, 1);
+    assert_eq!(world.stats().starts, 3);
 }
 
-/// Progress that stood still only while the owner did not read is no reason to stop.
+/// A run that seems to make no progress only because the owner reads no reports is not stopped.
 #[test]
 fn progress_counts_by_the_workers_clock() {
     for seed in 0..10 {
         let mut world = world(3, seed);
         for worker in &mut world.workers {
-            // Guessed at a second, the tasks take four.
-            worker.length = Some(4000);
+            // The tasks take four seconds, with an estimate of one.
+            worker.task_ms = Some(4000);
         }
         world.submit(1, chain(vec![short(6, 1000)]));
         world.run(1800);
-        world.turns = 1000;
-        world.unread = 60;
+        world.max_turn_ms = 1000;
+        world.unread_percent = 60;
         world.run(8000);
-        world.turns = 0;
-        world.unread = 0;
+        world.max_turn_ms = 0;
+        world.unread_percent = 0;
         assert!(world.run_until_done(30_000), "seed {seed}");
-        assert_eq!(world.figures().starts, 6, "seed {seed}");
+        assert_eq!(world.stats().starts, 6, "seed {seed}");
     }
 }
 
-/// A lasting task at work, and a store that has just gone away.
+/// Returns a world with a long-running task whose store has just become unavailable.
 fn without_store() -> World {
     let mut world = world(1, 1);
-    world.submit(1, chain(vec![lasting(1)]));
+    world.submit(1, chain(vec![long_running(1)]));
     world.run(1000);
     world.store_down = true;
     world
 }
 
-/// The lease of the jobs counts from when its renewal was asked for: an owner that reads
-/// the answer seconds late renews nothing at workers beyond what its successor waits for.
+/// The owner's lease counts from the request of its renewal. An owner that reads the answer
+/// seconds late extends no lease at workers beyond the time that its successor waits for.
 #[test]
-fn a_late_answer_of_the_store_prolongs_nothing() {
+fn a_late_answer_of_the_store_extends_no_lease() {
     let mut world = without_store();
-    let asked = world.now;
-    let over = world.lease_end();
+    let asked_at = world.now;
+    let lease_end = world.lease_end();
     world.run(5000);
-    // The answer to what was asked five seconds ago is read only now.
-    world.tell(Event::Renewed { asked_at: asked });
+    // The answer to the request of five seconds ago is read only now.
+    world.notify(Event::Renewed { asked_at });
     world.run(9000);
-    assert!(world.workers[0].deadline <= world.workers[0].clock(over));
+    assert!(world.workers[0].deadline <= world.workers[0].clock(lease_end));
 }
 
-/// The same for an owner whose machine was suspended: to it no time may seem to have passed since
-/// its last contact. By a clock that stood still it renewed a lease until 3.9 s after the moment
-/// from which on a successor takes all leases for over.
+/// For a suspended machine no time may seem to have passed since the last contact with the store.
+/// With a clock that stops in suspension the owner would extend a lease until 3.9 s after the time
+/// at which a successor takes all leases for expired.
 #[test]
-fn a_suspended_owner_prolongs_nothing() {
+fn a_suspended_owner_extends_no_lease() {
     let mut world = without_store();
-    let over = world.lease_end();
+    let lease_end = world.lease_end();
     world.suspend(5000);
     world.run(9000);
     let worker = &world.workers[0];
-    let late = worker.deadline.saturating_sub(worker.clock(over));
+    let late = worker.deadline.saturating_sub(worker.clock(lease_end));
     assert_eq!(late, 0, "ms beyond the end of all leases");
 }
 
-/// The same for a start whose record is confirmed late: its lease is over when a successor
-/// takes it for over.
+/// The lease of a start whose record is confirmed late has expired when a successor takes it for
+/// expired.
 #[test_case(1000; "a second")]
 #[test_case(5000; "five seconds")]
-fn a_record_that_is_confirmed_late_prolongs_nothing(late: u64) {
+fn a_late_commit_extends_no_lease(late: u64) {
     let mut world = world(1, 1);
     world.store_down = true;
-    let asked = world.now;
-    let over = world.lease_end();
+    let asked_at = world.now;
+    let lease_end = world.lease_end();
     world.submit(1, chain(vec![short(2, 60_000)]));
     world.run(late);
-    // Only the record is late: what the workers announce is known.
+    // Only the record is late: the rows of the workers are up to date.
     let now = world.now;
-    world.tell(Event::WorkersSynced { asked_at: now });
-    world.tell(Event::Committed { asked_at: asked });
+    world.notify(Event::WorkersSynced { asked_at: now });
+    world.notify(Event::Committed { asked_at });
     world.run(300);
-    assert_eq!(world.workers[0].runs.len(), 2, "nothing was started");
-    assert!(world.workers[0].deadline <= world.workers[0].clock(over));
+    assert_eq!(world.workers[0].runs.len(), 2, "tasks were not started");
+    assert!(world.workers[0].deadline <= world.workers[0].clock(lease_end));
 }
 
-/// Nothing starts on a lease that is over already, or would be before it is renewed.
+/// No run starts on a lease that has expired, or that would expire before it can be renewed.
 #[test_case(6000; "before its lease could be renewed")]
 #[test_case(8000; "just before the end of all leases")]
 #[test_case(9000; "after the end of all leases")]
-fn a_record_that_is_confirmed_too_late_starts_nothing(late: u64) {
+fn a_commit_that_is_too_late_starts_nothing(late: u64) {
     let mut world = world(1, 1);
     world.store_down = true;
-    let asked = world.now;
+    let asked_at = world.now;
     world.submit(1, chain(vec![short(2, 60_000)]));
     world.run(late);
-    world.tell(Event::Committed { asked_at: asked });
+    world.notify(Event::Committed { asked_at });
     world.run(300);
-    assert_eq!(world.figures().starts, 0);
+    assert_eq!(world.stats().starts, 0);
 }
 
-/// An owner stood still for four seconds, and its successor needs as long to read the jobs: up
-/// to 283 of 800 runs lapsed before they were asked after. The owner that wakes up renews
-/// leases at once from what the workers' clocks say now, also while ends wait to be durable.
+/// An owner was paused for four seconds, and a successor needs as long to read the jobs, so that
+/// up to 283 of 800 runs lapsed before they were polled. After the pause the owner renews leases
+/// at once from the last known clocks of the workers, also while ends wait for a commit.
 #[test_case(1; "nothing ended")]
 #[test_case(900; "ends wait to be durable")]
-fn an_owner_that_stood_still_renews_leases_at_once(estimate: u64) {
+fn a_paused_owner_renews_leases_at_once(estimate: u64) {
     let mut world = world(1, 1);
-    world.submit(1, chain(vec![lasting(1)]));
+    world.submit(1, chain(vec![long_running(1)]));
     world.submit(2, chain(vec![short(2, estimate)]));
     world.run(600);
     world.store_down = true;
@@ -223,18 +223,18 @@
     world.run(50);
     let worker = &world.workers[0];
     let left = worker.deadline - worker.clock(world.now);
-    let reach = contact + Settings::default().store_grace - world.now;
-    assert!(left + 500 > reach, "{left} of {reach} ms left");
+    let lease_ms = contact + Settings::default().store_grace - world.now;
+    assert!(left + 500 > lease_ms, "{left} of {lease_ms} ms left");
 }
 
-/// Thousands of jobs wait on a thousand workers, no two of them alike, and nothing fits.
+/// Thousands of jobs wait for a thousand workers; all of them differ, and none fits.
 #[test]
 fn a_pass_of_placement_is_bounded() {
     let mut site = Site::new(1000, 0);
-    site.play(200);
+    site.run(200);
     for job in 0..5000 {
-        // Each runs something else, so that none tells of another that it does not fit.
-        site.hand_in(vec![Step {
+        // Each job has its own image, so that none of them shows that another does not fit.
+        site.submit_wide(vec![Step {
             count: 2,
             cpu: 30_000,
             memory: 1000,
@@ -242,21 +242,24 @@
             ..Step::default()
         }]);
     }
-    site.play(40);
-    let before = site.figures();
-    site.play(200);
-    let after = site.figures();
+    site.run(40);
+    let before = site.stats();
+    site.run(200);
+    let after = site.stats();
     let (passes, cut) = (
         after.passes - before.passes,
         after.truncated_passes - before.truncated_passes,
     );
     let ratings = after.ratings - before.ratings;
-    assert!(passes > 0 && cut == passes, "{cut} of {passes} passes cut");
+    assert!(
+        passes > 0 && cut == passes,
+        "{cut} of {passes} passes truncated"
+    );
     assert!(ratings <= passes * 301_000, "{ratings} in {passes} passes");
     assert!(after.polls > before.polls + 100, "leases are not renewed");
 }
 
-/// Jobs that have ended are asked after for minutes; their tasks take memory no more.
+/// Jobs can be queried for minutes after their end, but their tasks use no memory.
 #[test]
 fn the_tasks_of_a_job_that_has_ended_are_forgotten() {
     let mut world = world(4, 1);
@@ -265,50 +268,50 @@
     }
     let cancelled = world.submit(100, chain(vec![short(4, 60_000)]));
     world.run(1000);
-    assert!(world.figures().tasks > 0);
+    assert!(world.stats().tasks > 0);
     world.cancel(cancelled);
     assert!(world.run_until_done(30_000));
     world.run(2000);
-    assert_eq!(world.figures().tasks, 0);
-    check_seed(&world, 1);
+    assert_eq!(world.stats().tasks, 0);
+    check_invariants(&world, 1);
 }
 
-/// A flood of starts on a link that carries fifty a second: what waits, waits where it is
-/// sorted. Lasting tasks come first, leases are renewed, and nothing is given up.
+/// More starts are due than a link can carry, which is fifty per second. Starts wait in the order
+/// of the scheduler: long-running tasks come first, leases are renewed, and no start times out.
 #[test]
 fn a_full_link_holds_starts_back() {
     let mut world = world(24, 1);
-    world.link = 20;
+    world.link_ms = 20;
     for id in 1..=100 {
         world.submit(id, chain(vec![short(20, 400)]));
     }
-    // The first starts go out before any answer tells of the link.
+    // The first starts are sent before any answer shows the delay of the link.
     world.run(12_000);
-    let before = world.figures();
-    let id = world.submit(1000, chain(vec![lasting(2)]));
+    let before = world.stats();
+    let id = world.submit(1000, chain(vec![long_running(2)]));
     world.run(4000);
-    let after = world.figures();
+    let after = world.stats();
     assert_eq!(world.outcome(id), Outcome::Active);
     assert_eq!(
         after.unanswered_starts, before.unanswered_starts,
-        "starts are given up"
+        "starts timed out"
     );
     assert_eq!(after.lapsed, 0);
-    check_seed(&world, 1);
+    check_invariants(&world, 1);
 }
 
-/// 3,000 workers wrote faster than they were read, and one that had said 5 s before that it
-/// leaves was given a task.
+/// The rows of 3,000 workers may change faster than an owner reads them. Without this check a
+/// worker that had announced 5 s before that it would leave was given a task.
 #[test]
-fn nothing_starts_while_it_is_not_known_which_workers_leave() {
+fn nothing_starts_while_worker_rows_are_stale() {
     let mut world = World::new(WorldSettings::default());
     world.run(500);
-    world.unheard = true;
+    world.watch_down = true;
     world.run(2_500);
     let id = world.submit(1, chain(vec![short(4, 500)]));
     world.run(3_000);
     assert_eq!(world.outcome(id), Outcome::Pending);
-    assert!(world.figures().skipped_passes > 0);
-    world.unheard = false;
+    assert!(world.stats().skipped_passes > 0);
+    world.watch_down = false;
     assert!(world.run_until_done(3_000));
 }
--- a/crates/jobs/tests/all/checkpoints.rs
+++ b/crates/jobs/tests/all/checkpoints.rs
@@ -1,17 +1,17 @@
-//! Checkpoints that workers list, and those that starts bring.
+//! Checkpoints that workers report, and those that starts bring.
 //!
-//! A start brings a checkpoint that was listed for its very task. In a gang that of any member
-//! will do, and all members bring the same. The tests' workers write checkpoints whose texts
-//! tell nothing, and the judge knows where each was written.
+//! A start brings a checkpoint that was reported for its task. In a gang the checkpoint of any
+//! member is valid, and all members bring the same one. The workers of these tests write
+//! checkpoints whose texts are opaque, and the checker knows where each one was written.
 
 use crate::common::{
-    Brought, Mode, World, WorldSettings, chain, check_seed, saving, serving, short,
+    Mode, Resumed, World, WorldSettings, chain, check_invariants, serving, short, with_checkpoints,
 };
 use gorsespur_jobs::{JobId, Outcome, Schedule, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
-/// A world in which a job runs, one task on a worker.
+/// Returns a world in which a job runs, with at most one task on each worker.
 fn world(step: Step) -> (World, JobId) {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
@@ -23,113 +23,115 @@
         }]),
     );
     world.run(1500);
-    let begun: Vec<_> = world.workers.iter().map(|w| w.runs.len()).collect();
-    assert_eq!(begun, [1, 1, 1, 0]);
+    let run_counts: Vec<_> = world.workers.iter().map(|w| w.runs.len()).collect();
+    assert_eq!(run_counts, [1, 1, 1, 0]);
     (world, id)
 }
 
-/// Each task goes on from what it had done, whether its run was stopped or its worker crashed.
+/// Each task resumes from its own checkpoint, whether its run was stopped or its worker crashed.
 #[test]
-fn a_task_goes_on_from_its_own_checkpoint() {
-    let (mut world, id) = world(saving(short(3, 3000)));
+fn a_task_resumes_from_its_own_checkpoint() {
+    let (mut world, id) = world(with_checkpoints(short(3, 3000)));
     world.crash(0);
     world.announce(1, false);
     assert!(world.run_until_done(8000));
     assert_eq!(world.outcome(id), Outcome::Complete);
-    check_seed(&world, 0);
-    let brought = world.judge.checkpoints.brought;
-    assert_eq!((brought.starts, brought.none), (2, 0), "{brought:?}");
+    check_invariants(&world, 0);
+    let resumed = world.checker.checkpoints.resumed;
+    assert_eq!(
+        (resumed.starts, resumed.without_checkpoint),
+        (2, 0),
+        "{resumed:?}"
+    );
 }
 
-/// A worker of a gang crashed. The gang began again, each member with the checkpoint that it
-/// had written itself, though a gang goes on from one that all of them bring. What a start
-/// brought was each task's own last text, and nothing compared the members: run 2 of the three
-/// tasks began with three different texts. Now they share the newest one when they are placed.
+/// A gang restarts after the crash of a worker. If each member brought its own latest checkpoint,
+/// the members would resume from different progress. All members share the newest checkpoint when
+/// they are placed.
 #[test]
 fn all_members_of_a_gang_bring_the_same_checkpoint() {
     let gang = Step {
         gang: true,
         ..short(3, 3000)
     };
-    let (mut world, id) = world(saving(gang));
+    let (mut world, id) = world(with_checkpoints(gang));
     world.crash(0);
     assert!(world.run_until_done(15_000));
     assert_eq!(world.outcome(id), Outcome::Complete);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
-/// A worker listed a checkpoint that others reject, since it is not the task's. The task was
-/// started again with it, on one worker after the other, each of which was blamed: what a
-/// worker called malformed counted as the worker's own failure, and the same start followed
-/// 20 ms later. Now the task goes on without it.
+/// A worker reports a checkpoint that other workers reject, since it is not the task's. The task
+/// must resume without it: if the start were repeated, each worker in turn would reject it after
+/// 20 ms and be blamed for a failure.
 #[test_case(false, 1; "by a task")]
 #[test_case(true, 3; "by a gang")]
-fn a_checkpoint_that_was_rejected_is_not_brought_again(gang: bool, rejected: usize) {
+fn a_rejected_checkpoint_is_not_used_again(gang: bool, rejected: usize) {
     let step = Step {
         gang,
         ..short(3, 3000)
     };
-    let (mut world, id) = world(saving(step));
+    let (mut world, id) = world(with_checkpoints(step));
     let members = if gang { 0..3 } else { 0..1 };
     for worker in &mut world.workers[members] {
-        // With more progress than it will have, so that it writes no other one.
-        worker.runs[0].saved = ("another's".into(), 3000);
+        // With more progress than the task reaches, so that it writes no other checkpoint.
+        worker.runs[0].checkpoint = ("another's".into(), 3000);
     }
     world.run(1000);
     world.crash(0);
     world.run_until_done(15_000);
-    check_seed(&world, 0);
-    assert_eq!(world.judge.checkpoints.rejected.len(), rejected);
+    check_invariants(&world, 0);
+    assert_eq!(world.checker.checkpoints.rejected.len(), rejected);
     assert_eq!(world.outcome(id), Outcome::Complete);
 }
 
-/// All members of a gang brought the same wrong text, and each start was rejected. Only the first
-/// answer found the checkpoint, which all members lost by it; the others looked like rejected
-/// starts without one, and their workers were blamed, three times each, so that the whole fleet
-/// got no work for a while. What counts is what the start brought.
+/// All members of a gang bring the same invalid checkpoint, and each start is rejected. The first
+/// answer removes the checkpoint from all members. The other answers must not look like rejected
+/// starts without a checkpoint, which would blame their workers three times each and close the
+/// whole fleet for a while. What counts is the checkpoint that the start brought.
 #[test]
 fn a_rejected_checkpoint_of_a_gang_is_no_workers_fault() {
     let gang = Step {
         gang: true,
         max_per_worker: 4,
-        ..saving(short(12, 3000))
+        ..with_checkpoints(short(12, 3000))
     };
     let mut world = World::new(WorldSettings::default());
-    world.away = 60_000;
+    world.restart_ms = 60_000;
     world.run(100);
     let id = world.submit(1, chain(vec![gang]));
     world.run(1500);
     for run in world.workers.iter_mut().flat_map(|w| &mut w.runs) {
-        run.saved = ("another's".into(), 3000);
+        run.checkpoint = ("another's".into(), 3000);
     }
     world.run(1000);
     world.crash(0);
-    while world.judge.checkpoints.rejected.len() < 12 {
+    while world.checker.checkpoints.rejected.len() < 12 {
         world.run(20);
     }
-    let began = world.now;
+    let submitted_at = world.now;
     let other = world.submit(2, chain(vec![short(4, 200)]));
     while !world.outcome(other).is_final() {
         world.run(20);
     }
-    let took = world.now - began;
+    let took = world.now - submitted_at;
     assert!(took < 1000, "the other job took {took} ms");
-    assert_eq!(world.figures().rejected, 12, "the other job took {took} ms");
+    assert_eq!(world.stats().rejected, 12, "the other job took {took} ms");
     assert!(world.run_until_done(15_000));
     assert_eq!(world.outcome(id), Outcome::Complete);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
-/// A worker rejected all that it was told to start. The other members of the gang began with the
-/// same checkpoint and listed it, so that it came back; the worker was not blamed, looked idle
-/// and got a member of each next run. Now what was rejected is not taken again.
+/// A worker rejects all starts. The other members of the gang start with the same checkpoint and
+/// report it, so that it would be used again; the worker is not blamed, looks idle and would get a
+/// member of each next run. A rejected checkpoint is not used again.
 #[test]
 fn a_worker_that_rejects_all_does_not_hold_up_a_gang() {
     let gang = Step {
         gang: true,
         ..short(3, 3000)
     };
-    let (mut world, id) = world(saving(gang));
+    let (mut world, id) = world(with_checkpoints(gang));
     world.workers[3].mode = Mode::Rejects;
     world.crash(0);
     let done = world.run_until_done(60_000);
@@ -141,28 +143,28 @@
         "{rejected} rejected, {texts} of them with a checkpoint"
     );
     assert_eq!(world.outcome(id), Outcome::Complete);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
-/// The owner is gone before the record without the rejected checkpoint is durable.
+/// The owner is replaced before the record without the rejected checkpoint is durable.
 #[test]
 fn a_rejection_may_be_lost_with_its_owner_once() {
-    let (mut world, id) = world(saving(short(3, 3000)));
-    world.workers[0].runs[0].saved = ("another's".into(), 3000);
+    let (mut world, id) = world(with_checkpoints(short(3, 3000)));
+    world.workers[0].runs[0].checkpoint = ("another's".into(), 3000);
     world.run(1000);
     world.crash(0);
-    while world.judge.checkpoints.rejected.is_empty() {
+    while world.checker.checkpoints.rejected.is_empty() {
         world.run(5);
     }
     world.pause(true);
     world.take_over(world.lease_end());
     assert!(world.run_until_done(30_000));
     assert_eq!(world.outcome(id), Outcome::Complete);
-    let rejected = world.judge.checkpoints.rejected.len();
-    assert_eq!((rejected, world.judge.wrong.len()), (2, 1));
+    let rejected = world.checker.checkpoints.rejected.len();
+    assert_eq!((rejected, world.checker.violations.len()), (2, 1));
 }
 
-/// What one worker that rejects all costs the tasks that go on elsewhere.
+/// Bounds the checkpoints that are lost to one worker that rejects all starts.
 #[test]
 fn a_worker_that_rejects_all_costs_few_checkpoints() {
     let mut world = World::new(WorldSettings {
@@ -170,7 +172,7 @@
         ..WorldSettings::default()
     });
     world.run(100);
-    world.submit(1, chain(vec![saving(short(24, 4000))]));
+    world.submit(1, chain(vec![with_checkpoints(short(24, 4000))]));
     world.run(2500);
     world.workers[3].mode = Mode::Rejects;
     for at in 0..3 {
@@ -181,12 +183,12 @@
     let rejected = &world.workers[3].rejected;
     let texts = rejected.iter().filter(|(_, s)| !s.is_empty()).count();
     let all = rejected.len();
-    let brought = world.judge.checkpoints.brought;
-    assert!(texts <= 3, "{texts} of {all} rejected, {brought:?}");
+    let resumed = world.checker.checkpoints.resumed;
+    assert!(texts <= 3, "{texts} of {all} rejected, {resumed:?}");
 }
 
-/// Every worker called a job malformed, without any checkpoint. It was sent again at once, and
-/// each worker that said so got no work for a while, also of other jobs. Now its task pauses.
+/// All workers reject a job without checkpoints as malformed. If it were sent again at once, each
+/// worker would be closed for a while, also for other jobs. Instead its task waits.
 #[test]
 fn a_malformed_job_closes_no_workers() {
     let mut world = World::new(WorldSettings::default());
@@ -195,34 +197,34 @@
     spec.payload = "malformed".into();
     world.submit(1, spec);
     world.run(1000);
-    let began = world.now;
+    let submitted_at = world.now;
     let other = world.submit(2, chain(vec![short(4, 200)]));
     let limit = world.now + 20_000;
     while world.now < limit && !world.outcome(other).is_final() {
         world.run(20);
     }
-    let took = world.now - began;
+    let took = world.now - submitted_at;
     world.run(limit - world.now.min(limit));
     let rejected: usize = world.workers.iter().map(|w| w.rejected.len()).sum();
     let outcome = world.outcome(JobId(1));
-    let told = format!("{rejected} rejected, {outcome:?}; the other job took {took} ms");
-    assert!(took < 1000 && rejected <= 12, "{told}");
+    let details = format!("{rejected} rejected, {outcome:?}; the other job took {took} ms");
+    assert!(took < 1000 && rejected <= 12, "{details}");
 }
 
-/// Workers of a random play.
+/// Workers of a random series.
 const WORKERS: usize = 6;
 
-/// What random jobs are of.
+/// The kind of jobs of a random series.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Shape {
-    /// Tasks that go on by themselves.
+    /// Independent tasks.
     Single,
-    /// Gangs, and others.
+    /// Gangs and independent tasks.
     Gang,
 }
 
-/// Hands in a job, most of whose tasks save their progress.
-fn hand_in(world: &mut World, rng: &mut SmallRng, id: u64, shape: Shape) {
+/// Submits a job, most of whose tasks write checkpoints.
+fn submit_random(world: &mut World, rng: &mut SmallRng, id: u64, shape: Shape) {
     let plain = short(rng.random_range(1..5), rng.random_range(300..4000));
     let step = match rng.random_range(0..4) {
         0 | 1 => Step {
@@ -237,7 +239,7 @@
         },
         _ => plain,
     };
-    let mut spec = chain(vec![short(1, 300), saving(step)]);
+    let mut spec = chain(vec![short(1, 300), with_checkpoints(step)]);
     if rng.random_bool(0.2) {
         spec.schedule = Schedule {
             repetitions: 3,
@@ -248,22 +250,22 @@
     world.submit(id, spec);
 }
 
-/// Something happens to a worker, an owner, the store or a job.
-fn disturb(world: &mut World, rng: &mut SmallRng, last: u64) {
+/// Injects a fault of a worker, an owner, the store or a job.
+fn inject_fault(world: &mut World, rng: &mut SmallRng, last: u64) {
     let at = rng.random_range(0..WORKERS);
     let ms = rng.random_range(0..3500);
     let job = rng.random_range(1..=last);
     match rng.random_range(0..22) {
         0 => world.crash(at),
         1 => world.lose_power(at),
-        2 => world.workers[at].cut = true,
-        3 => world.workers[at].late = ms,
+        2 => world.workers[at].partitioned = true,
+        3 => world.workers[at].delay_ms = ms,
         4 => world.workers[at].mode = Mode::FailsAll,
         5 => world.workers[at].mode = Mode::Hangs,
         6 => world.workers[at].mode = Mode::Slow(6),
         7 => world.announce(at, false),
-        8 => world.workers[at].deaf = true,
-        9 | 10 => world.workers[at].tails = vec![200],
+        8 => world.workers[at].refusing = true,
+        9 | 10 => world.workers[at].tail_percents = vec![200],
         11 => world.store_down = true,
         12 => {
             world.pause(true);
@@ -275,7 +277,7 @@
             world.pause(true);
             world.take_over(world.lease_end());
             world.run(ms);
-            world.wake_earlier();
+            world.resume_earlier();
         }
         15 => world.suspend(ms),
         16 => {
@@ -283,72 +285,79 @@
             world.run(ms);
             world.pause(false);
         }
-        17 => (world.turns, world.unread) = (ms / 4, 40),
+        17 => (world.max_turn_ms, world.unread_percent) = (ms / 4, 40),
         18 => {
             let spec = world.spec(JobId(job));
             world.cancel(JobId(job));
             world.run(ms / 2);
             world.submit(job, spec);
         }
-        19 => world.wake_earlier(),
-        _ => mend(world),
+        19 => world.resume_earlier(),
+        _ => recover(world),
     }
 }
 
-/// All is well again.
-fn mend(world: &mut World) {
+/// Ends all faults.
+fn recover(world: &mut World) {
     world.store_down = false;
-    (world.turns, world.unread) = (0, 0);
-    world.wake_earlier();
+    (world.max_turn_ms, world.unread_percent) = (0, 0);
+    world.resume_earlier();
     world.pause(false);
     for at in 0..WORKERS {
         let worker = &mut world.workers[at];
-        (worker.cut, worker.deaf, worker.late) = (false, false, 0);
-        worker.mode = Mode::Well;
-        worker.tails.clear();
+        (worker.partitioned, worker.refusing, worker.delay_ms) = (false, false, 0);
+        worker.mode = Mode::Healthy;
+        worker.tail_percents.clear();
         world.announce(at, true);
     }
 }
 
-/// Plays the world of a seed and returns it when all jobs have ended.
-fn play(seed: u64, shape: Shape) -> World {
+/// Runs the series of a seed and returns the world after all jobs have ended.
+fn run_series(seed: u64, shape: Shape) -> World {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(WorldSettings {
         workers: WORKERS,
         attempts: 100,
         seed,
-        lost: rng.random_range(0..10),
-        lives: false,
+        lost_percent: rng.random_range(0..10),
+        reuse_names: false,
     });
-    world.unaware = rng.random_range(1..3000);
+    world.unaware_ms = rng.random_range(1..3000);
     for worker in &mut world.workers {
-        worker.flaky = 5;
+        worker.failure_percent = 5;
     }
     world.run(100);
     world.submit(1000, chain(vec![serving(WORKERS as u32)]));
     world.run(1000);
     for id in 1..=rng.random_range(10..40) {
-        hand_in(&mut world, &mut rng, id, shape);
+        submit_random(&mut world, &mut rng, id, shape);
         if rng.random_bool(0.6) {
-            disturb(&mut world, &mut rng, id);
+            inject_fault(&mut world, &mut rng, id);
         }
         world.run(rng.random_range(20..800));
     }
-    mend(&mut world);
-    assert!(world.run_until_done(120_000), "seed {seed}: jobs are left");
+    recover(&mut world);
+    assert!(
+        world.run_until_done(120_000),
+        "seed {seed}: unfinished jobs"
+    );
     world
 }
 
-/// Whatever comes together, a start brings what was listed for its task or gang.
+/// Under all combinations of faults a start brings a checkpoint that was reported for its task or
+/// gang.
 #[test_case(Shape::Single; "of single tasks")]
 #[test_case(Shape::Gang; "of gangs")]
 fn random_series_of_faults_mix_up_no_checkpoints(shape: Shape) {
-    let mut all = Brought::default();
+    let mut all = Resumed::default();
     for seed in 0..60 {
-        let world = play(seed, shape);
-        check_seed(&world, seed);
-        all += world.judge.checkpoints.brought;
+        let world = run_series(seed, shape);
+        check_invariants(&world, seed);
+        all += world.checker.checkpoints.resumed;
     }
-    // Else the plays tell nothing.
-    assert!(all.starts > 200 && all.starts > 2 * all.none, "{all:?}");
+    // Otherwise the series cover too few starts with checkpoints.
+    assert!(
+        all.starts > 200 && all.starts > 2 * all.without_checkpoint,
+        "{all:?}"
+    );
 }
--- a/crates/jobs/tests/all/common/checkpoints.rs
+++ b/crates/jobs/tests/all/common/checkpoints.rs
@@ -1,4 +1,4 @@
-//! Checkpoints that workers write and list, and what starts bring of them.
+//! Checkpoints that workers write and report, and those that starts bring.
 
 use std::{
     collections::{BTreeMap, BTreeSet, btree_map::Entry},
@@ -14,68 +14,68 @@
 pub struct Checkpoint {
     pub task: TaskId,
     pub run: u32,
-    /// The worker's life.
-    pub life: Arc<str>,
-    /// Work that was done, in milliseconds.
-    pub progress: u64,
+    /// Name and start time of the incarnation of the worker.
+    pub incarnation: Arc<str>,
+    /// Work that was done at the checkpoint, in milliseconds.
+    pub progress_ms: u64,
 }
 
 impl Checkpoint {
-    /// The text that workers list for it: nothing but a name to whoever reads it, with signs
-    /// that a codec may trip over.
+    /// Returns the text that workers report for the checkpoint. It is opaque to its readers and
+    /// has characters that codecs may mishandle.
     pub fn text(&self) -> Arc<str> {
         let mut hasher = DefaultHasher::new();
         let task = self.task.to_string();
-        (task, self.run, &*self.life, self.progress).hash(&mut hasher);
-        format!("{:08}\"\\é\n{:016x}", self.progress, hasher.finish()).into()
+        (task, self.run, &*self.incarnation, self.progress_ms).hash(&mut hasher);
+        format!("{:08}\"\\é\n{:016x}", self.progress_ms, hasher.finish()).into()
     }
 }
 
-/// What starts brought, for tasks of which a checkpoint was listed before.
+/// Starts of tasks for which a checkpoint had been reported before.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Brought {
-    /// Starts of such tasks.
+pub struct Resumed {
+    /// Number of such starts.
     pub starts: u64,
-    /// Those that bring none.
-    pub none: u64,
-    /// Those that bring less progress than was listed, or none.
-    pub behind: u64,
-    /// Work that these do again, in milliseconds, in all and at the most.
-    pub again: u64,
-    pub worst: u64,
-    /// Those that bring a checkpoint of a run that failed.
+    /// Starts without a checkpoint.
+    pub without_checkpoint: u64,
+    /// Starts with less progress than was reported, or without a checkpoint.
+    pub stale: u64,
+    /// Work that these starts repeat, in milliseconds: the sum and the maximum.
+    pub redone_ms: u64,
+    pub max_redone_ms: u64,
+    /// Starts with a checkpoint of a run that failed.
     pub failed: u64,
 }
 
-impl AddAssign for Brought {
-    fn add_assign(&mut self, other: Brought) {
+impl AddAssign for Resumed {
+    fn add_assign(&mut self, other: Resumed) {
         self.starts += other.starts;
-        self.none += other.none;
-        self.behind += other.behind;
-        self.again += other.again;
-        self.worst = self.worst.max(other.worst);
+        self.without_checkpoint += other.without_checkpoint;
+        self.stale += other.stale;
+        self.redone_ms += other.redone_ms;
+        self.max_redone_ms = self.max_redone_ms.max(other.max_redone_ms);
         self.failed += other.failed;
     }
 }
 
-/// All checkpoints, and the tasks that they were listed for.
+/// All checkpoints, and the tasks for which they were reported.
 #[derive(Debug, Default)]
 pub struct Checkpoints {
     written: BTreeMap<Arc<str>, Checkpoint>,
-    /// For a gang under its first member.
-    listed: BTreeMap<TaskId, BTreeSet<Arc<str>>>,
-    /// What the first member of a gang brought that began under a number.
+    /// The reported checkpoints of each task; those of a gang are kept under its first member.
+    reported: BTreeMap<TaskId, BTreeSet<Arc<str>>>,
+    /// The checkpoint with which the first member of a gang started, by run number.
     gangs: BTreeMap<(TaskId, u32), Arc<str>>,
     /// Runs that failed.
     failed: BTreeSet<(TaskId, u32)>,
-    pub brought: Brought,
-    /// What workers rejected, as it came.
+    pub resumed: Resumed,
+    /// Checkpoints that workers rejected, in order.
     pub rejected: Vec<(TaskId, Arc<str>)>,
 }
 
 impl Checkpoints {
-    /// A worker wrote this.
-    pub fn write(&mut self, checkpoint: Checkpoint) {
+    /// Records a checkpoint that a worker wrote.
+    pub fn record_written(&mut self, checkpoint: Checkpoint) {
         match self.written.entry(checkpoint.text()) {
             Entry::Vacant(entry) => {
                 entry.insert(checkpoint);
@@ -84,92 +84,94 @@
         }
     }
 
-    /// The work that had been done at a checkpoint, in milliseconds.
+    /// Returns the work at a checkpoint, in milliseconds.
     pub fn progress(&self, text: &str) -> u64 {
-        self.written.get(text).map_or(0, |c| c.progress)
+        self.written.get(text).map_or(0, |c| c.progress_ms)
     }
 
-    /// Tells whether an order brings none, or one that was written for its task or gang.
-    pub fn is_own(&self, order: &StartOrder) -> bool {
+    /// Returns whether an order has no checkpoint, or one that was written by its task or gang.
+    pub fn is_valid_for(&self, order: &StartOrder) -> bool {
         let gang = order.spec.steps[order.task.step as usize].gang;
-        let made = self.written.get(&order.checkpoint);
-        let own = made.is_some_and(|c| holder(c.task, gang) == holder(order.task, gang));
-        order.checkpoint.is_empty() || own
+        let written = self.written.get(&order.checkpoint);
+        let is_own =
+            written.is_some_and(|c| group_key(c.task, gang) == group_key(order.task, gang));
+        order.checkpoint.is_empty() || is_own
     }
 
-    /// A worker rejected what an order brings; returns what is wrong if it did so before.
-    pub fn rejected(&mut self, order: &StartOrder) -> Option<String> {
+    /// Records that a worker rejected an order's checkpoint. Returns a violation if the task's
+    /// start with this checkpoint was rejected before.
+    pub fn record_rejected(&mut self, order: &StartOrder) -> Option<String> {
         self.rejected.push((order.task, order.checkpoint.clone()));
         let (task, saved) = (order.task, &order.checkpoint);
         let before = &self.rejected[..self.rejected.len() - 1];
-        let again = before.iter().any(|(t, s)| *t == task && s == saved);
-        again.then(|| format!("{task} brings {saved} again, which was rejected"))
+        let repeated = before.iter().any(|(t, s)| *t == task && s == saved);
+        repeated.then(|| format!("{task} starts again with {saved}, which was rejected"))
     }
 
-    /// A run ended failed.
-    pub fn failed(&mut self, task: TaskId, run: u32) {
+    /// Records that a run failed.
+    pub fn record_failed(&mut self, task: TaskId, run: u32) {
         self.failed.insert((task, run));
     }
 
-    /// A worker sent this answer; `gang` tells whether a task belongs to one.
-    pub fn listed(&mut self, look: &WorkerReport, gang: impl Fn(TaskId) -> bool) {
-        let running = look.running.iter().map(|r| (r.task, &r.checkpoint));
-        let finished = look.finished.iter().map(|e| (e.task, &e.checkpoint));
+    /// Records the checkpoints of a report; `gang` returns whether a task belongs to a gang.
+    pub fn record_listed(&mut self, report: &WorkerReport, gang: impl Fn(TaskId) -> bool) {
+        let running = report.running.iter().map(|r| (r.task, &r.checkpoint));
+        let finished = report.finished.iter().map(|e| (e.task, &e.checkpoint));
         for (task, text) in running.chain(finished) {
             if text.is_empty() {
                 continue;
             }
-            let holder = holder(task, gang(task));
-            self.listed.entry(holder).or_default().insert(text.clone());
+            let key = group_key(task, gang(task));
+            self.reported.entry(key).or_default().insert(text.clone());
         }
     }
 
-    /// A worker began what this order says; returns what is wrong with what it brings.
-    pub fn begun(&mut self, order: &StartOrder) -> Option<String> {
+    /// Checks the checkpoint of an order that a worker carried out. Returns the violation, if any.
+    pub fn check_start(&mut self, order: &StartOrder) -> Option<String> {
         let (task, run, saved) = (order.task, order.run, &order.checkpoint);
         let gang = order.spec.steps[task.step as usize].gang;
-        let holder = holder(task, gang);
-        let listed = self.listed.get(&holder);
-        let texts = || listed.into_iter().flatten();
+        let key = group_key(task, gang);
+        let reported = self.reported.get(&key);
+        let texts = || reported.into_iter().flatten();
         if !saved.is_empty() && !texts().any(|t| t == saved) {
-            let made = self.written.get(saved);
+            let written = self.written.get(saved);
             return Some(format!(
-                "{task} run {run} begins with {saved}, which was never listed for it ({made:?})"
+                "{task} run {run} starts with {saved}, which was never reported for it ({written:?})"
             ));
         }
         let most = texts().map(|t| self.progress(t)).max();
         if let Some(most) = most {
-            self.note_brought(saved, most);
+            self.count_start(saved, most);
         }
         if gang {
-            let first = self.gangs.entry((holder, run));
+            let first = self.gangs.entry((key, run));
             let first = first.or_insert_with(|| saved.clone());
             if first != saved {
                 return Some(format!(
-                    "{task} run {run} begins with {saved:?}, another member with {first:?}"
+                    "{task} run {run} starts with {saved:?}, another member with {first:?}"
                 ));
             }
         }
         None
     }
 
-    /// A task begins of which checkpoints were listed, with this much progress at the most.
-    fn note_brought(&mut self, saved: &str, most: u64) {
-        let again = most.saturating_sub(self.progress(saved));
-        let made = self.written.get(saved);
-        let failed = made.is_some_and(|c| self.failed.contains(&(c.task, c.run)));
-        let brought = &mut self.brought;
-        brought.starts += 1;
-        brought.none += u64::from(saved.is_empty());
-        brought.behind += u64::from(again > 0);
-        brought.again += again;
-        brought.worst = brought.worst.max(again);
-        brought.failed += u64::from(failed);
+    /// Counts a start of a task whose reported checkpoints have at most this much progress.
+    fn count_start(&mut self, saved: &str, most: u64) {
+        let repeated = most.saturating_sub(self.progress(saved));
+        let written = self.written.get(saved);
+        let failed = written.is_some_and(|c| self.failed.contains(&(c.task, c.run)));
+        let resumed = &mut self.resumed;
+        resumed.starts += 1;
+        resumed.without_checkpoint += u64::from(saved.is_empty());
+        resumed.stale += u64::from(repeated > 0);
+        resumed.redone_ms += repeated;
+        resumed.max_redone_ms = resumed.max_redone_ms.max(repeated);
+        resumed.failed += u64::from(failed);
     }
 }
 
-/// The task that stands for all whose checkpoints are as good: the first member of its gang.
-fn holder(task: TaskId, gang: bool) -> TaskId {
+/// Returns the task under which checkpoints are kept: the first member for a gang.
+fn group_key(task: TaskId, gang: bool) -> TaskId {
     match gang {
         true => TaskId { index: 0, ..task },
         false => task,
--- a/crates/jobs/tests/all/common/mod.rs
+++ b/crates/jobs/tests/all/common/mod.rs
@@ -1,24 +1,24 @@
-//! A world for the machine: workers, a store and owners in virtual time.
+//! A simulation of workers, a store and owners in virtual time.
 
+mod checker;
 mod checkpoints;
 mod clock;
 mod crash;
-mod judge;
-mod lives;
+mod incarnations;
 mod orders;
 mod sim;
 mod world;
 
-pub use checkpoints::Brought;
+pub use checker::Checker;
+pub use checkpoints::Resumed;
 pub use crash::Crasher;
-pub use judge::Judge;
-pub use lives::Restart;
+pub use incarnations::Restart;
 pub use sim::{Mode, SimWorker};
 pub use world::{World, WorldSettings};
 
 use gorsespur_jobs::{Spec, Step};
 
-/// A step of short tasks.
+/// Returns a step of short tasks.
 pub fn short(count: u32, estimate: u64) -> Step {
     Step {
         count,
@@ -29,46 +29,46 @@
     }
 }
 
-/// A step of tasks that last.
-pub fn lasting(count: u32) -> Step {
+/// Returns a step of long-running tasks.
+pub fn long_running(count: u32) -> Step {
     Step {
         long_running: true,
         ..short(count, 0)
     }
 }
 
-/// A step of tasks that last and serve under a target.
+/// Returns a step of serving tasks, which are long-running and have a latency target.
 pub fn serving(count: u32) -> Step {
     Step {
         latency_target: 100,
         image: Some("serve".into()),
-        ..lasting(count)
+        ..long_running(count)
     }
 }
 
-/// The same step, whose tasks save their progress.
-pub fn saving(step: Step) -> Step {
+/// Returns the same step with tasks that write checkpoints.
+pub fn with_checkpoints(step: Step) -> Step {
     Step {
         checkpoints: true,
         ..step
     }
 }
 
-/// These steps, of which every other job's save their progress.
-pub fn saving_some(id: u64, steps: Vec<Step>) -> Vec<Step> {
+/// Returns the steps, with checkpoints for jobs that have an even number.
+pub fn some_with_checkpoints(id: u64, steps: Vec<Step>) -> Vec<Step> {
     match id.is_multiple_of(2) {
-        true => steps.into_iter().map(saving).collect(),
+        true => steps.into_iter().map(with_checkpoints).collect(),
         false => steps,
     }
 }
 
-/// Asserts that no promise was broken in the world of a seed.
-pub fn check_seed(world: &World, seed: u64) {
-    let wrong = &world.judge.wrong;
-    assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
+/// Asserts that the checker found no violations in the world of a seed.
+pub fn check_invariants(world: &World, seed: u64) {
+    let violations = &world.checker.violations;
+    assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
 }
 
-/// A job of these steps, each after the one before.
+/// Returns a job of these steps, each of which depends on the one before.
 pub fn chain(mut steps: Vec<Step>) -> Spec {
     for (at, step) in steps.iter_mut().enumerate().skip(1) {
         step.deps = vec![at as u32 - 1];
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -11,35 +11,35 @@
 use crate::ledger::Ledger;
 
 use super::{
-    Judge, Restart, SimWorker,
+    Checker, Restart, SimWorker,
     clock::OwnerClock,
-    crash::{Crasher, RETURNS},
-    orders::Parcel,
+    crash::{Crasher, RESTART_MS},
+    orders::Message,
     sim::SimRun,
 };
 
-/// Milliseconds of one step of the world.
-pub const TICK: u64 = 5;
+/// Duration of one step of the simulation, in milliseconds.
+pub const TICK_MS: u64 = 5;
 
-/// Milliseconds that a write usually takes.
-const WRITE: u64 = 10;
+/// Default duration of a write to the store, in milliseconds.
+const WRITE_MS: u64 = 10;
 
-/// Rows of the log beyond which it is shortened: so few that it always is.
-const LOG_ROWS: usize = 6;
+/// Rows beyond which the log is shortened. The limit is low enough that each test reaches it.
+const MAX_LOG_ROWS: usize = 6;
 
-/// Availability zones, to which workers belong in turn.
+/// Number of availability zones. Workers are assigned to them round-robin.
 pub const ZONES: usize = 2;
 
-/// Sizes of the world.
+/// Size and fault rates of a world.
 #[derive(Debug, Clone, Copy)]
 pub struct WorldSettings {
     pub workers: usize,
     pub attempts: u32,
     pub seed: u64,
     /// Share of answers that are lost, in percent.
-    pub lost: u32,
-    /// Whether workers say when they began, and start again under their names.
-    pub lives: bool,
+    pub lost_percent: u32,
+    /// Whether workers report their start time and restart under the same name.
+    pub reuse_names: bool,
 }
 
 impl Default for WorldSettings {
@@ -48,91 +48,92 @@
             workers: 4,
             attempts: 3,
             seed: 1,
-            lost: 0,
-            lives: false,
+            lost_percent: 0,
+            reuse_names: false,
         }
     }
 }
 
-/// Records on their way to the store, and when they are there.
+/// A batch being written to the store, and the time at which the write is done.
 pub(super) type Write = (u64, Batch);
 
-/// One owner's machine and what is on its way to and from it.
+/// An owner's state machine, and the messages to and from it.
 pub(super) struct Owner {
     pub(super) machine: Machine,
     pub(super) epoch: u64,
     pub(super) slots: BTreeMap<u32, usize>,
-    pub(super) parcels: Vec<(u64, Parcel)>,
+    pub(super) messages: Vec<(u64, Message)>,
     pub(super) commit: Option<Write>,
-    /// Until when it is busy with its last turn.
-    pub(super) busy: u64,
-    /// Until when its link is busy with what was sent.
-    pub(super) link: u64,
+    /// End of the current turn.
+    pub(super) busy_until: u64,
+    /// Time until which the owner's link is busy with earlier messages.
+    pub(super) link_until: u64,
     pub(super) paused: bool,
-    /// When it last woke up.
-    pub(super) woke: u64,
-    /// When its write was done, if it has not read the answer.
-    pub(super) landed: Option<u64>,
-    pub(super) deposed: bool,
+    /// When the owner last resumed after a pause.
+    pub(super) woke_at: u64,
+    /// When a write was done whose answer the owner has not read yet.
+    pub(super) unread_commit: Option<u64>,
+    pub(super) stepped_down: bool,
     pub(super) clock: OwnerClock,
 }
 
-/// The world.
+/// A simulation of owners, a store and workers.
 pub struct World {
     pub now: u64,
     pub settings: WorldSettings,
     pub workers: Vec<SimWorker>,
-    pub judge: Judge,
+    pub checker: Checker,
     pub store_down: bool,
     /// Tasks that crash each worker that starts them.
     pub crashers: Vec<Crasher>,
-    /// Names of workers' earlier lives, each with its worker.
-    pub lives: BTreeMap<Arc<str>, usize>,
-    /// Milliseconds until a crashed worker's next life begins.
-    pub away: u64,
-    /// How it begins if it keeps its worker's name.
+    /// Names of earlier incarnations, each with the index of its worker.
+    pub former_ids: BTreeMap<Arc<str>, usize>,
+    /// Milliseconds until a crashed worker restarts.
+    pub restart_ms: u64,
+    /// How a crashed worker restarts if it keeps its name.
     pub restart: Restart,
-    /// What lives announced that have ended and whose workers kept their names.
-    pub past: Vec<(usize, WorkerInfo)>,
-    /// Share of orders without an answer that are carried out later all the same, in percent ...
-    pub echoes: u32,
-    /// ... by so many milliseconds at most.
-    pub echo: u64,
-    /// Whether this holds for looks as well.
-    pub echo_looks: bool,
-    /// Milliseconds that answers to looks are late at most, drawn for each.
-    pub lag: u64,
-    /// Announcements that are gone at a time.
-    pub unlisted: Vec<(u64, Arc<str>)>,
-    /// Whether owners no longer hear what workers announce.
-    pub unheard: bool,
-    /// Longest turn of an owner in milliseconds, drawn for each; 0 for none that counts.
-    pub turns: u64,
-    /// Share of what has arrived that a turn does not read yet, in percent.
-    pub unread: u32,
-    /// Milliseconds that a start takes on an owner's link.
-    pub link: u64,
-    /// Milliseconds from when a new owner asked for the lease until it reads the answer.
-    pub claim: u64,
-    /// Milliseconds for which an owner that lost the lease acts on until it learns of that; a
-    /// write that was under way when it was paused is done meanwhile.
-    pub unaware: u64,
-    /// Whether a new owner is given what the last one learned.
-    pub remembers: bool,
-    /// Milliseconds that a write takes.
-    pub write: u64,
-    /// The workers' rows, as the store has them.
+    /// Rows of ended incarnations whose workers kept their names.
+    pub past_rows: Vec<(usize, WorkerInfo)>,
+    /// Share of unanswered orders that are carried out later all the same, in percent.
+    pub stray_percent: u32,
+    /// Upper bound of the delay of such an order, in milliseconds.
+    pub max_stray_ms: u64,
+    /// Whether polls may be carried out late as well.
+    pub stray_polls: bool,
+    /// Upper bound of the random delay of each answer to a poll, in milliseconds.
+    pub max_lag_ms: u64,
+    /// Rows that expire, each with the time at which it does.
+    pub expiring_rows: Vec<(u64, Arc<str>)>,
+    /// Whether owners no longer receive the workers' rows.
+    pub watch_down: bool,
+    /// Upper bound of the random duration of an owner's turn, in milliseconds. 0 for turns that
+    /// take no time.
+    pub max_turn_ms: u64,
+    /// Share of the arrived answers that a turn does not read yet, in percent.
+    pub unread_percent: u32,
+    /// Milliseconds for which a start occupies an owner's link.
+    pub link_ms: u64,
+    /// Milliseconds from a new owner's claim of the lease until it reads the answer.
+    pub claim_ms: u64,
+    /// Milliseconds for which an owner that lost the lease continues before it learns of the loss.
+    /// A write that was under way when the owner was paused completes during the pause.
+    pub unaware_ms: u64,
+    /// Whether a new owner imports what the previous one learned.
+    pub keeps_learned: bool,
+    /// Duration of a write to the store, in milliseconds.
+    pub write_ms: u64,
+    /// The workers' rows in the store.
     pub(super) rows: Vec<Option<WorkerInfo>>,
-    /// Rows of new lives that are to be told at a time.
-    pub(super) arrivals: Vec<(u64, usize, Option<u64>)>,
+    /// Rows of new incarnations: when to publish each, its worker and its start time.
+    pub(super) pending_rows: Vec<(u64, usize, Option<u64>)>,
     pub ledger: Ledger,
     pub(super) jobs: BTreeMap<JobId, Arc<Job>>,
     pub(super) cancelled: Vec<JobId>,
-    /// Zones that are evacuated, sorted, and since when.
+    /// Evacuated zones, each with the time of the request.
     pub(super) evacuated: BTreeMap<Arc<str>, u64>,
     pub(super) owners: Vec<Owner>,
     pub(super) epoch: u64,
-    pub(super) renewed: u64,
+    pub(super) renewed_at: u64,
     pub(super) rng: SmallRng,
 }
 
@@ -143,35 +144,35 @@
             now,
             settings,
             workers: Vec::new(),
-            judge: Judge::default(),
+            checker: Checker::default(),
             store_down: false,
             crashers: Vec::new(),
-            lives: BTreeMap::new(),
-            away: RETURNS,
+            former_ids: BTreeMap::new(),
+            restart_ms: RESTART_MS,
             restart: Restart::default(),
-            past: Vec::new(),
-            echoes: 0,
-            echo: 0,
-            echo_looks: false,
-            lag: 0,
-            unlisted: Vec::new(),
-            unheard: false,
-            turns: 0,
-            unread: 0,
-            link: 0,
-            claim: 0,
-            unaware: 0,
-            remembers: true,
-            write: WRITE,
+            past_rows: Vec::new(),
+            stray_percent: 0,
+            max_stray_ms: 0,
+            stray_polls: false,
+            max_lag_ms: 0,
+            expiring_rows: Vec::new(),
+            watch_down: false,
+            max_turn_ms: 0,
+            unread_percent: 0,
+            link_ms: 0,
+            claim_ms: 0,
+            unaware_ms: 0,
+            keeps_learned: true,
+            write_ms: WRITE_MS,
             rows: Vec::new(),
-            arrivals: Vec::new(),
+            pending_rows: Vec::new(),
             ledger: Ledger::default(),
             jobs: BTreeMap::new(),
             cancelled: Vec::new(),
             evacuated: BTreeMap::new(),
             owners: Vec::new(),
             epoch: 0,
-            renewed: now,
+            renewed_at: now,
             rng: SmallRng::seed_from_u64(settings.seed),
         };
         for at in 0..settings.workers {
@@ -180,23 +181,23 @@
                 .workers
                 .push(SimWorker::new(&format!("w{at}"), now, rate));
         }
-        world.found_lives();
+        world.init_workers();
         world.take_over(0);
         world
     }
 
-    /// A new owner takes over; the old one is not told. `inherited` is when leases
-    /// of earlier owners are over.
+    /// Starts a new owner without notifying the old one. `inherited` is the time at which all
+    /// leases of earlier owners have expired.
     pub fn take_over(&mut self, inherited: u64) {
         self.epoch += 1;
         let learned = self.owners.last().map(|o| o.machine.learned());
-        let asked = self.now - self.claim;
+        let asked_at = self.now - self.claim_ms;
         let takeover = Takeover {
-            asked_at: asked,
+            asked_at,
             prior_leases_end: inherited,
         };
         let mut machine = Machine::new(settings(), self.now, takeover);
-        if let Some(learned) = learned.filter(|_| self.remembers) {
+        if let Some(learned) = learned.filter(|_| self.keeps_learned) {
             machine.import_learned(&learned);
         }
         self.ledger.restore(&mut machine, self.jobs.values());
@@ -204,14 +205,14 @@
             machine,
             epoch: self.epoch,
             slots: BTreeMap::new(),
-            parcels: Vec::new(),
+            messages: Vec::new(),
             commit: None,
-            busy: 0,
-            link: 0,
+            busy_until: 0,
+            link_until: 0,
             paused: false,
-            woke: self.now,
-            landed: None,
-            deposed: false,
+            woke_at: self.now,
+            unread_commit: None,
+            stepped_down: false,
             clock: OwnerClock::new(self.now),
         };
         let policy = QueuePolicy {
@@ -243,43 +244,44 @@
         self.announce_all();
     }
 
-    /// The newest owner stops and wakes up again.
+    /// Pauses or resumes the newest owner.
     pub fn pause(&mut self, paused: bool) {
         if let Some(owner) = self.owners.last_mut() {
             owner.paused = paused;
         }
     }
 
-    /// All earlier owners wake up that were stopped.
-    pub fn wake_earlier(&mut self) {
+    /// Resumes all paused owners but the newest one.
+    pub fn resume_earlier(&mut self) {
         let now = self.now;
         let earlier = self.owners.len() - 1;
         for owner in &mut self.owners[..earlier] {
             if owner.paused {
                 owner.paused = false;
-                owner.woke = now;
+                owner.woke_at = now;
             }
         }
     }
 
-    /// The end of all leases that the newest owner may have granted, as a new one has it: a
-    /// contact may be newer by half a second than the renewal that this one saw.
+    /// Returns the end of all leases that the newest owner may have granted, as its successor
+    /// computes it. The owner's last contact with the store may be half a second newer than the
+    /// renewal that the successor saw.
     pub fn lease_end(&self) -> u64 {
         let settings = Settings::default();
-        self.renewed.max(self.now) + 500 + settings.store_grace * 100 / 98 + 100
+        self.renewed_at.max(self.now) + 500 + settings.store_grace * 100 / 98 + 100
     }
 
-    /// The newest owner's machine is suspended for so many milliseconds.
+    /// Suspends the machine of the newest owner for `ms` milliseconds.
     pub fn suspend(&mut self, ms: u64) {
         self.pause(true);
         self.run(ms);
         self.pause(false);
         if let Some(owner) = self.owners.last_mut() {
-            owner.clock.suspended += ms;
+            owner.clock.suspended_ms += ms;
         }
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn notify(&mut self, event: Event) {
         let now = self.now;
         if let Some(owner) = self.owners.last_mut() {
             let at = owner.clock.read(now);
@@ -296,21 +298,21 @@
             spec: Arc::new(spec),
         });
         self.jobs.insert(id, job.clone());
-        self.tell(Event::Accepted(job));
+        self.notify(Event::Accepted(job));
         id
     }
 
-    /// What a job's caller handed in.
+    /// Returns the submitted spec of a job.
     pub fn spec(&self, id: JobId) -> Spec {
         (*self.jobs[&id].spec).clone()
     }
 
-    /// The zone that a worker belongs to.
+    /// Returns the zone of a worker.
     pub fn zone(at: usize) -> Arc<str> {
         format!("z{}", at % ZONES).into()
     }
 
-    /// An operator asks for exactly these zones to be evacuated.
+    /// Requests the evacuation of exactly these zones.
     pub fn evacuate(&mut self, zones: &[Arc<str>]) {
         let now = self.now;
         self.evacuated.retain(|z, _| zones.contains(z));
@@ -318,28 +320,28 @@
             self.evacuated.entry(zone.clone()).or_insert(now);
         }
         let zones: Vec<Arc<str>> = self.evacuated.keys().cloned().collect();
-        self.tell(Event::Evacuated(zones.into()));
+        self.notify(Event::Evacuated(zones.into()));
     }
 
     pub fn cancel(&mut self, id: JobId) {
         self.cancelled.push(id);
-        self.tell(Event::Cancelled(id));
+        self.notify(Event::Cancelled(id));
     }
 
-    /// All jobs that were handed in.
+    /// Returns all submitted jobs.
     pub fn job_ids(&self) -> Vec<JobId> {
         self.jobs.keys().copied().collect()
     }
 
-    /// What the store says became of a job.
+    /// Returns the outcome of a job in the store.
     pub fn outcome(&self, id: JobId) -> Outcome {
         self.ledger.outcome(id)
     }
 
     pub fn all_done(&self) -> bool {
         self.jobs.keys().all(|&id| {
-            let lasting = self.jobs[&id].spec.steps.iter().any(|s| s.long_running);
-            lasting || self.outcome(id).is_final()
+            let is_long_running = self.jobs[&id].spec.steps.iter().any(|s| s.long_running);
+            is_long_running || self.outcome(id).is_final()
         })
     }
 
@@ -351,8 +353,8 @@
         self.all_done()
     }
 
-    /// What the newest owner counted.
-    pub fn figures(&self) -> Stats {
+    /// Returns the counters of the newest owner.
+    pub fn stats(&self) -> Stats {
         let owner = self.owners.last();
         owner.map(|o| o.machine.stats()).unwrap_or_default()
     }
@@ -365,79 +367,79 @@
     }
 
     fn step(&mut self) {
-        self.now += TICK;
-        self.hold_gangs();
+        self.now += TICK_MS;
+        self.sync_gangs();
         for worker in self.workers.iter_mut().filter(|w| w.alive) {
-            worker.advance(self.now, TICK);
-            for checkpoint in worker.written.drain(..) {
-                self.judge.checkpoints.write(checkpoint);
+            worker.advance(self.now, TICK_MS);
+            for checkpoint in worker.new_checkpoints.drain(..) {
+                self.checker.checkpoints.record_written(checkpoint);
             }
         }
         self.crash_workers();
         for at in 0..self.owners.len() {
             self.deliver(at);
             self.write(at);
-            self.settle(at);
+            self.decide(at);
         }
-        self.judge.check(self.now, &self.workers);
+        self.checker.check(self.now, &self.workers);
     }
 
-    /// Members of a gang work only while all of them are there, and end jointly.
-    fn hold_gangs(&mut self) {
-        let mut there: BTreeMap<(JobId, u32, u32, u32), u32> = BTreeMap::new();
+    /// Blocks the members of a gang until all of them run, and ends them together.
+    fn sync_gangs(&mut self) {
+        let mut member_counts: BTreeMap<(JobId, u32, u32, u32), u32> = BTreeMap::new();
         let key = |r: &SimRun| (r.task.job, r.task.repetition, r.task.step, r.run);
         for worker in self.workers.iter().filter(|w| w.alive) {
             for run in worker.runs.iter().filter(|r| r.gang.is_some()) {
-                *there.entry(key(run)).or_insert(0) += 1;
+                *member_counts.entry(key(run)).or_insert(0) += 1;
             }
         }
         for run in self.workers.iter_mut().flat_map(|w| &mut w.runs) {
-            let members = there.get(&key(run)).copied().unwrap_or(0);
-            run.waits = run.gang.is_some_and(|count| members < count);
-            // Of the others only the ends that they wait for are played.
-            let Some(count) = run.gang.filter(|_| run.saves) else {
+            let members = member_counts.get(&key(run)).copied().unwrap_or(0);
+            run.blocked = run.gang.is_some_and(|count| members < count);
+            // Gangs without checkpoints only simulate the wait for missing members.
+            let Some(count) = run.gang.filter(|_| run.checkpoints) else {
                 continue;
             };
-            run.joined |= !run.waits;
+            run.assembled |= !run.blocked;
             let mut gang = (0..count).map(|index| TaskId { index, ..run.task });
-            run.joint = gang.any(|t| self.judge.done.contains(&t));
+            run.gang_done = gang.any(|t| self.checker.done.contains(&t));
         }
     }
 
     fn write(&mut self, at: usize) {
         let (now, epoch, down) = (self.now, self.epoch, self.store_down);
         let owner = &mut self.owners[at];
-        if owner.paused && self.unaware > 0 && !down && owner.epoch == epoch {
+        if owner.paused && self.unaware_ms > 0 && !down && owner.epoch == epoch {
             let due = owner.commit.take_if(|(due, _)| *due <= now);
             if let Some((due, batch)) = due {
-                owner.landed = Some(due);
+                owner.unread_commit = Some(due);
                 self.ledger.apply(batch);
-                self.renewed = now;
+                self.renewed_at = now;
             }
         }
-        if owner.paused || owner.deposed || down || owner.busy > now {
+        if owner.paused || owner.stepped_down || down || owner.busy_until > now {
             return;
         }
         let at_owner = owner.clock.read(now);
-        if let Some(due) = owner.landed.take() {
-            let asked = due - self.write;
+        if let Some(due) = owner.unread_commit.take() {
+            let asked_at = due - self.write_ms;
             owner
                 .machine
-                .handle(at_owner, now, Event::Committed { asked_at: asked });
+                .handle(at_owner, now, Event::Committed { asked_at });
         }
         if owner.epoch < epoch {
-            // The journal's end has moved: its next write fails.
-            owner.deposed = now >= owner.woke + self.unaware;
+            // Another owner has appended to the journal, so that the next write fails.
+            owner.stepped_down = now >= owner.woke_at + self.unaware_ms;
             return;
         }
         if now.is_multiple_of(400) {
             owner
                 .machine
                 .handle(at_owner, now, Event::Renewed { asked_at: at_owner });
-            self.renewed = now;
+            self.renewed_at = now;
         }
         let owner = &mut self.owners[at];
-        if !self.unheard {
+        if !self.watch_down {
             owner
                 .machine
                 .handle(at_owner, now, Event::WorkersSynced { asked_at: at_owner });
@@ -446,21 +448,21 @@
             return;
         };
         self.ledger.apply(batch);
-        self.renewed = now;
-        let asked = due - self.write;
+        self.renewed_at = now;
+        let asked_at = due - self.write_ms;
         owner
             .machine
-            .handle(at_owner, now, Event::Committed { asked_at: asked });
+            .handle(at_owner, now, Event::Committed { asked_at });
     }
 
-    fn settle(&mut self, at: usize) {
+    fn decide(&mut self, at: usize) {
         let now = self.now;
         let owner = &mut self.owners[at];
-        if owner.paused || owner.deposed || owner.busy > now {
+        if owner.paused || owner.stepped_down || owner.busy_until > now {
             return;
         }
-        if self.turns > 0 {
-            owner.busy = now + self.rng.random_range(0..self.turns);
+        if self.max_turn_ms > 0 {
+            owner.busy_until = now + self.rng.random_range(0..self.max_turn_ms);
         }
         let actions = owner.machine.decide(owner.clock.read(now), now);
         for action in actions {
@@ -469,10 +471,10 @@
     }
 }
 
-/// Settings of the machine.
+/// Returns the settings of an owner.
 fn settings() -> Settings {
     Settings {
-        log_rows: LOG_ROWS,
+        log_rows: MAX_LOG_ROWS,
         ..Settings::default()
     }
 }
--- a/crates/jobs/tests/all/crashing/crowds.rs
+++ b/crates/jobs/tests/all/crashing/crowds.rs
@@ -1,29 +1,29 @@
-//! One crash that makes suspects of many tasks: what did it is found, and the others go on.
+//! A crash that makes suspects of many tasks: the culprit is found, and the others run on.
 
-use crate::common::{Crasher, World, WorldSettings, chain, check_seed, short};
+use crate::common::{Crasher, World, WorldSettings, chain, check_invariants, short};
 use gorsespur_jobs::{JobId, Outcome, Step, TaskId};
 use test_case::test_case;
 
-/// Suspects of the crash.
+/// Number of suspects of the crash.
 const SUSPECTS: u64 = 51;
 
-/// Milliseconds after which users ask after all jobs.
-const FINISH: u64 = 60_000;
+/// Milliseconds within which all jobs have to end.
+const LIMIT_MS: u64 = 60_000;
 
-/// Milliseconds after which users count a job as lost of which nothing runs.
-const LOST: u64 = 3000;
+/// Milliseconds without a run after which users count a job as lost.
+const JOB_LIMIT_MS: u64 = 3000;
 
-/// How a crash among many suspects went out.
+/// Outcome of a crash with many suspects.
 #[derive(Debug)]
-struct Found {
-    /// Milliseconds until no job was left.
-    after: u64,
-    /// Jobs of other tasks that failed.
-    wronged: usize,
+struct Isolation {
+    /// Milliseconds until all jobs had ended.
+    took_ms: u64,
+    /// Number of jobs without a culprit that failed.
+    wrongly_failed: usize,
 }
 
-/// A world of so many workers, one of which crashes under `SUSPECTS` tasks that have just begun. Some
-/// of them crash whatever starts them.
+/// Returns a world in which one worker is about to crash under [`SUSPECTS`] tasks that have just
+/// started. Some of the tasks crash each worker that starts them.
 fn world_of_suspects(workers: usize, culprits: u64, seed: u64) -> World {
     let mut world = World::new(WorldSettings {
         workers,
@@ -31,7 +31,7 @@
         ..WorldSettings::default()
     });
     for worker in &mut world.workers[1..] {
-        worker.cut = true;
+        worker.partitioned = true;
     }
     world.run(2000);
     for id in 0..SUSPECTS {
@@ -47,34 +47,39 @@
             step: 0,
             index: 0,
         };
-        let apart = SUSPECTS / culprits;
-        if id % apart == 0 && id / apart < culprits {
-            world.crashers.push(Crasher { task, after: 200 });
+        let spacing = SUSPECTS / culprits;
+        if id % spacing == 0 && id / spacing < culprits {
+            world.crashers.push(Crasher {
+                task,
+                after_ms: 200,
+            });
         }
     }
     world.run(100);
     assert_eq!(world.workers[0].runs.len(), SUSPECTS as usize);
     for worker in &mut world.workers[1..] {
-        worker.cut = false;
+        worker.partitioned = false;
     }
     world
 }
 
-/// Plays on until no job is left.
-fn find(workers: usize, culprits: u64, seed: u64) -> Found {
+/// Runs until all jobs have ended.
+fn isolate_culprits(workers: usize, culprits: u64, seed: u64) -> Isolation {
     let mut world = world_of_suspects(workers, culprits, seed);
     let since = world.now;
-    world.run_until_done(4 * FINISH);
-    check_seed(&world, seed);
-    let guilty: Vec<JobId> = world.crashers.iter().map(|c| c.task.job).collect();
+    world.run_until_done(4 * LIMIT_MS);
+    check_invariants(&world, seed);
+    let culprit_jobs: Vec<JobId> = world.crashers.iter().map(|c| c.task.job).collect();
     let jobs = (0..SUSPECTS).map(JobId);
     let failed = jobs.filter(|&j| world.outcome(j) == Outcome::Failed);
-    let wronged = failed.filter(|j| !guilty.contains(j)).count();
-    let found = guilty.iter().all(|&j| world.outcome(j) == Outcome::Failed);
+    let wrongly_failed = failed.filter(|j| !culprit_jobs.contains(j)).count();
+    let found = culprit_jobs
+        .iter()
+        .all(|&j| world.outcome(j) == Outcome::Failed);
     assert!(found, "a culprit was not found");
-    Found {
-        after: world.now - since,
-        wronged,
+    Isolation {
+        took_ms: world.now - since,
+        wrongly_failed,
     }
 }
 
@@ -86,31 +91,34 @@
 #[test_case(100, 3)]
 fn many_suspects_of_one_crash_do_not_wait_for_each_other(workers: usize, culprits: u64) {
     for seed in 0..3 {
-        let found = find(workers, culprits, seed);
-        assert_eq!(found.wronged, 0, "jobs failed that did nothing");
-        assert!(found.after < FINISH, "{found:?}");
+        let found = isolate_culprits(workers, culprits, seed);
+        assert_eq!(found.wrongly_failed, 0, "jobs without a culprit failed");
+        assert!(found.took_ms < LIMIT_MS, "{found:?}");
     }
 }
 
-/// Many suspects run apart, one after the other, and take no more than half of the workers from
-/// others meanwhile.
+/// Many suspects are isolated one after the other, on at most half of the workers.
 #[test_case(4)]
 #[test_case(5)]
 #[test_case(12)]
-fn others_go_on_beside_many_suspects(workers: usize) {
+fn other_tasks_run_beside_many_suspects(workers: usize) {
     let mut world = world_of_suspects(workers, 1, 0);
-    // The worker is back, and all that ran there are suspects.
+    // The worker has restarted, and all its runs are suspects.
     world.run(6000);
     for id in 0..12 {
         let id = world.submit(1000 + id, chain(vec![short(2, 300)]));
-        world.run(LOST);
-        assert_eq!(world.outcome(id), Outcome::Complete, "{id} after {LOST} ms");
+        world.run(JOB_LIMIT_MS);
+        assert_eq!(
+            world.outcome(id),
+            Outcome::Complete,
+            "{id} after {JOB_LIMIT_MS} ms"
+        );
     }
 }
 
-/// Only suspects wait, and half of the workers have nothing to do: they get those as well.
+/// Only suspects wait and half of the workers are idle, so that suspects use those as well.
 #[test]
-fn suspects_take_workers_that_nobody_else_needs() {
+fn suspects_use_idle_workers() {
     let mut world = world_of_suspects(4, 1, 0);
     world.run(6000);
     let mut busy = 0;
@@ -118,5 +126,9 @@
         world.run(100);
         busy += world.workers.iter().filter(|w| !w.runs.is_empty()).count();
     }
-    assert!(busy > 2 * 50, "{busy} of {} looks at a worker", 4 * 50);
+    assert!(
+        busy > 2 * 50,
+        "{busy} of {} samples of busy workers",
+        4 * 50
+    );
 }
--- a/crates/jobs/tests/all/crashing/mod.rs
+++ b/crates/jobs/tests/all/crashing/mod.rs
@@ -1,17 +1,8 @@
-//! Tasks that crash each worker that starts them, and workers that are lost otherwise.
+//! Tasks that crash each worker that starts them, and workers that are lost for other reasons.
 //!
-//! A task crashed each worker that started it, within 10 ms, and was started again each time the
-//! worker's next life answered, 33 times until the day ended. Nothing counted the workers that
-//! were lost under a task: a crashed worker lists no ends, and only listed failures count as
-//! attempts. Each worker took 5 to 14 runs of others with it. Of one start it was logged:
-//!
-//! ```text
-//! 26.536 start: sent  run 6, worker i-67e8862833, with four others
-//! 26.548 worker: silent  runs 5 (connection lost: closed)
-//! 26.800 order: no answer  look (connection refused), and so on each 250 ms
-//! 29.863 worker: its life has ended  runs 5
-//! 29.890 start: sent  run 7, worker i-b1f8f34693, beside 9 others; silent at 29.903
-//! ```
+//! A crashed worker reports no ended runs. If only reported failures counted as attempts, a task
+//! that crashes its worker within 10 ms would be started again whenever the worker has restarted,
+//! without end, and each crash would cost 5 to 14 other runs.
 
 mod crowds;
 mod culprits;
@@ -19,23 +10,24 @@
 mod owners;
 
 use crate::common::{
-    Crasher, World, WorldSettings, chain, check_seed, lasting, saving_some, serving, short,
+    Crasher, World, WorldSettings, chain, check_invariants, long_running, serving, short,
+    some_with_checkpoints,
 };
 use gorsespur_jobs::{JobId, Outcome, Spec, Step, TaskId};
 
-/// The job one task of which crashes workers.
+/// The job with a task that crashes its workers.
 const CULPRIT: JobId = JobId(50);
 
-/// Workers of the world.
+/// Number of workers.
 const WORKERS: usize = 10;
 
-/// Short jobs that are handed in, one each so many milliseconds.
-const EVERY: u64 = 120;
+/// Milliseconds between two short jobs.
+const JOB_INTERVAL_MS: u64 = 120;
 
-/// Jobs of other callers have numbers from here on.
-const OTHERS: u64 = 1000;
+/// Jobs of other callers have IDs from this one on.
+const FIRST_OTHER_JOB: u64 = 1000;
 
-/// A world with lasting tasks on all workers.
+/// Returns a world with a serving task for each worker.
 fn world(seed: u64) -> World {
     let mut world = World::new(WorldSettings {
         workers: WORKERS,
@@ -48,7 +40,7 @@
     world
 }
 
-/// The second task of the culprit's only step.
+/// Returns the second task of the culprit's only step.
 fn culprit() -> TaskId {
     TaskId {
         job: CULPRIT,
@@ -58,43 +50,47 @@
     }
 }
 
-/// Has a job with a task that crashes its worker so many milliseconds after it began.
+/// Submits the culprit's job, whose task crashes its worker `after` milliseconds after each start.
 fn submit_culprit(world: &mut World, spec: Spec, after: u64) {
     world.submit(CULPRIT.0, spec);
     let task = culprit();
-    world.crashers.push(Crasher { task, after });
+    world.crashers.push(Crasher {
+        task,
+        after_ms: after,
+    });
 }
 
-/// Runs for so long while short jobs are handed in.
+/// Runs for `ms` milliseconds while short jobs are submitted.
 fn run_busy(world: &mut World, ms: u64) {
     let end = world.now + ms;
     while world.now < end {
-        let id = OTHERS + world.now / EVERY;
+        let id = FIRST_OTHER_JOB + world.now / JOB_INTERVAL_MS;
         let steps = vec![short(3, 500), short(2, 900)];
-        world.submit(id, chain(saving_some(id, steps)));
-        world.run(EVERY);
+        world.submit(id, chain(some_with_checkpoints(id, steps)));
+        world.run(JOB_INTERVAL_MS);
     }
 }
 
-/// Asserts that just the culprit's job has failed, and that the others' tasks run or are done.
+/// Asserts that no job but the culprit's has failed, and that the tasks of the others run or are
+/// done.
 fn check_outcomes(world: &mut World, name: &str) {
-    assert!(world.run_until_done(60_000), "{name}: jobs are left");
+    assert!(world.run_until_done(60_000), "{name}: unfinished jobs");
     world.run(8000);
-    check_seed(world, 0);
+    check_invariants(world, 0);
     for id in world.job_ids().into_iter().filter(|&id| id != CULPRIT) {
         let outcome = world.outcome(id);
         let expected = [Outcome::Complete, Outcome::Active];
         assert!(expected.contains(&outcome), "{name}: {id} is {outcome:?}");
     }
-    let lasting = world.workers.iter().flat_map(|w| &w.runs);
-    let lasting = lasting.filter(|r| r.task.job == JobId(1)).count();
-    assert_eq!(lasting, WORKERS, "{name}: lasting tasks");
+    let long_runs = world.workers.iter().flat_map(|w| &w.runs);
+    let long_runs = long_runs.filter(|r| r.task.job == JobId(1)).count();
+    assert_eq!(long_runs, WORKERS, "{name}: long-running tasks");
 }
 
-/// The shapes of steps that tasks which crash workers belong to.
+/// Returns the kinds of steps of the tasks that crash workers.
 fn shapes() -> [(&'static str, Step); 4] {
     let plain = short(3, 800);
-    let fill = Step {
+    let best_effort = Step {
         best_effort: true,
         image: Some("fill".into()),
         ..short(3, 3000)
@@ -105,8 +101,8 @@
     };
     [
         ("plain", plain),
-        ("lasting", lasting(3)),
-        ("filling", fill),
+        ("long-running", long_running(3)),
+        ("best-effort", best_effort),
         ("gang", gang),
     ]
 }
--- a/crates/jobs/tests/all/evacuation.rs
+++ b/crates/jobs/tests/all/evacuation.rs
@@ -1,15 +1,15 @@
-//! Availability zones that an operator evacuates: nothing begins there, what runs goes on.
+//! Evacuated availability zones: no run starts there, and existing runs continue.
 
-use crate::common::{World, WorldSettings, chain, check_seed, short};
+use crate::common::{World, WorldSettings, chain, check_invariants, short};
 use gorsespur_jobs::{JobId, Outcome, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// Zones of the world.
+/// Returns the zones of the world.
 fn zones() -> [std::sync::Arc<str>; 2] {
     [World::zone(0), World::zone(1)]
 }
 
-/// Returns how many runs the workers of a zone have.
+/// Returns the number of runs on the workers of a zone.
 fn runs_in(world: &World, zone: &str) -> usize {
     let workers = world.workers.iter().enumerate();
     let inside = workers.filter(|(at, _)| *World::zone(*at) == *zone);
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn what_runs_goes_on_and_what_waits_begins_elsewhere() {
+fn existing_runs_continue_and_new_ones_start_elsewhere() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
-    let lasting = Step {
+    let step = Step {
         long_running: true,
         ..short(8, 0)
     };
-    world.submit(1, chain(vec![lasting]));
+    world.submit(1, chain(vec![step]));
     world.run(1000);
     let [first, second] = zones();
     let before = runs_in(&world, &first);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_zone_takes_its_share_again_once_the_request_is_gone() {
+fn a_zone_is_used_again_after_the_evacuation() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
     let [first, second] = zones();
@@ -53,14 +53,14 @@
 }
 
 #[test]
-fn a_new_owner_and_workers_that_join_keep_to_it() {
+fn a_new_owner_and_joining_workers_respect_the_evacuation() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
     let [first, _] = zones();
     world.evacuate(std::slice::from_ref(&first));
     world.run(100);
-    let over = world.lease_end();
-    world.take_over(over);
+    let lease_end = world.lease_end();
+    world.take_over(lease_end);
     world.announce(0, false);
     world.announce(0, true);
     world.submit(1, chain(vec![short(8, 60_000)]));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_zone_that_nobody_knows_changes_nothing() {
+fn an_unknown_zone_changes_nothing() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
     world.evacuate(&["nowhere".into(), "".into()]);
@@ -78,7 +78,7 @@
     assert_eq!(world.outcome(id), Outcome::Complete);
 }
 
-/// Evacuations come and go while owners change, workers leave and the store is away.
+/// Evacuations come and go while owners change, workers leave and the store is unavailable.
 #[test]
 fn random_series_of_evacuations_break_no_promise() {
     for seed in 0..60 {
@@ -87,8 +87,8 @@
             workers: 6,
             attempts: 40,
             seed,
-            lost: rng.random_range(0..4),
-            lives: false,
+            lost_percent: rng.random_range(0..4),
+            reuse_names: false,
         });
         world.run(100);
         for round in 0..rng.random_range(3..9) {
@@ -96,16 +96,16 @@
                 let steps = vec![short(3, 400), short(2, 700)];
                 world.submit(round * 10 + id, chain(steps));
             }
-            let asked: Vec<_> = zones()
+            let requested: Vec<_> = zones()
                 .into_iter()
                 .filter(|_| rng.random_bool(0.5))
                 .collect();
-            world.evacuate(&asked);
+            world.evacuate(&requested);
             world.run(rng.random_range(0..3000));
             match rng.random_range(0..6) {
                 0 => {
-                    let over = world.lease_end();
-                    world.take_over(over);
+                    let lease_end = world.lease_end();
+                    world.take_over(lease_end);
                 }
                 1 => {
                     world.pause(true);
@@ -114,9 +114,9 @@
                 }
                 2 => {
                     world.pause(true);
-                    let over = world.lease_end();
+                    let lease_end = world.lease_end();
                     world.run(9000);
-                    world.take_over(over);
+                    world.take_over(lease_end);
                 }
                 3 => world.store_down = true,
                 4 => world.announce(rng.random_range(0..6), false),
@@ -130,8 +130,8 @@
             world.announce(at, true);
         }
         let done = world.run_until_done(120_000);
-        check_seed(&world, seed);
-        assert!(done, "seed {seed}: jobs are left");
+        check_invariants(&world, seed);
+        assert!(done, "seed {seed}: unfinished jobs");
         assert_eq!(world.outcome(JobId(0)), Outcome::Complete);
     }
 }
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -1,8 +1,8 @@
-//! Gangs that go on from saved progress.
+//! Gangs that resume from checkpoints.
 //!
-//! The members of a gang save their progress at moments of their own, so that what they list
-//! differs. That of any member is good for all, and a run of the gang has to begin with the same
-//! one everywhere.
+//! The members of a gang write checkpoints at different times, so that they report different ones.
+//! The checkpoint of any member is valid for all, and all members of a run have to start with the
+//! same one.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -14,23 +14,23 @@
 
 use crate::common::{chain, short};
 
-/// Members of the gang, and workers, each of which has room for one.
+/// Number of members of the gang, and of workers, each of which has capacity for one member.
 const MEMBERS: u32 = 3;
 
-/// Runs on a worker and ends that it lists.
+/// The runs and ended runs that a worker reports.
 #[derive(Debug, Default)]
-struct Lists {
+struct WorkerState {
     running: Vec<ReportedRun>,
     finished: Vec<RunEnd>,
-    /// Ends so far.
-    ends: u64,
+    /// Number of runs that have ended.
+    end_count: u64,
 }
 
 /// An owner, its store and its workers, all of which answer at once.
 struct Owner {
     machine: Machine,
     now: u64,
-    workers: BTreeMap<u32, Lists>,
+    workers: BTreeMap<u32, WorkerState>,
     starts: Vec<StartOrder>,
 }
 
@@ -47,7 +47,7 @@
             workers: BTreeMap::new(),
             starts: Vec::new(),
         };
-        owner.tell(Event::Queues(vec![QueuePolicy {
+        owner.notify(Event::Queues(vec![QueuePolicy {
             queue: "q".into(),
             service: "s".into(),
             priority: 0,
@@ -57,7 +57,7 @@
         }]));
         for at in 0..MEMBERS {
             let id: Arc<str> = format!("w{at}").into();
-            owner.tell(Event::WorkerUpdated(WorkerInfo {
+            owner.notify(Event::WorkerUpdated(WorkerInfo {
                 start_time: None,
                 id,
                 addr: ([127, 0, 0, 1], 1000 + at as u16).into(),
@@ -74,7 +74,7 @@
                 remaining_ms: 0,
             }));
         }
-        owner.tell(Event::Accepted(Arc::new(Job {
+        owner.notify(Event::Accepted(Arc::new(Job {
             id: JobId(1),
             queue: "q".into(),
             accepted: 0,
@@ -83,18 +83,18 @@
         owner
     }
 
-    fn tell(&mut self, event: Event) {
+    fn notify(&mut self, event: Event) {
         self.machine.handle(self.now, self.now, event);
     }
 
-    /// Runs for so many milliseconds.
+    /// Runs for `ms` milliseconds.
     fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
             self.now += 5;
-            let asked = self.now;
-            self.tell(Event::WorkersSynced { asked_at: asked });
-            self.tell(Event::Renewed { asked_at: asked });
+            let asked_at = self.now;
+            self.notify(Event::WorkersSynced { asked_at });
+            self.notify(Event::Renewed { asked_at });
             for action in self.machine.decide(self.now, self.now) {
                 self.act(action);
             }
@@ -104,20 +104,20 @@
     fn act(&mut self, action: Action) {
         let sent = self.now;
         let (worker, answer) = match action {
-            Action::Commit(_) => return self.tell(Event::Committed { asked_at: sent }),
-            Action::StepDown => panic!("there is no other owner"),
+            Action::Commit(_) => return self.notify(Event::Committed { asked_at: sent }),
+            Action::StepDown => panic!("unexpected step-down"),
             Action::Poll {
                 worker, observed, ..
             } => {
-                let lists = self.workers.entry(worker).or_default();
-                lists.finished.retain(|e| e.number > observed);
-                let look = WorkerReport {
+                let state = self.workers.entry(worker).or_default();
+                state.finished.retain(|e| e.number > observed);
+                let report = WorkerReport {
                     start_time: None,
                     clock: sent,
-                    running: lists.running.clone(),
-                    finished: lists.finished.clone(),
+                    running: state.running.clone(),
+                    finished: state.finished.clone(),
                 };
-                (worker, Answer::Report(look))
+                (worker, Answer::Report(report))
             }
             Action::Start(worker, order) => {
                 self.workers
@@ -142,28 +142,28 @@
                 worker, task, run, ..
             } => (worker, Answer::Paced(task, run, true)),
         };
-        self.tell(Event::Answer {
+        self.notify(Event::Answer {
             worker,
             sent,
             answer,
         });
     }
 
-    /// Has a member save its progress.
-    fn save(&mut self, index: u32, saved: &str) {
+    /// Sets the checkpoint of a member.
+    fn save(&mut self, index: u32, checkpoint: &str) {
         let runs = self.workers.values_mut().flat_map(|w| &mut w.running);
         for run in runs.filter(|r| r.task.index == index) {
-            run.checkpoint = saved.into();
+            run.checkpoint = checkpoint.into();
         }
     }
 
-    /// All runs end: the first member's so, the others' since it did.
+    /// Ends all runs: the first member's as given, the others' as broken by it.
     fn end(&mut self, first: Ending) {
-        for lists in self.workers.values_mut() {
-            for run in std::mem::take(&mut lists.running) {
-                lists.ends += 1;
-                lists.finished.push(RunEnd {
-                    number: lists.ends,
+        for state in self.workers.values_mut() {
+            for run in std::mem::take(&mut state.running) {
+                state.end_count += 1;
+                state.finished.push(RunEnd {
+                    number: state.end_count,
                     task: run.task,
                     run: run.run,
                     ending: match run.task.index {
@@ -176,7 +176,8 @@
         }
     }
 
-    /// Takes the starts that were sent: one of each member, all with the same number.
+    /// Returns the starts that were sent since the last call: one for each member, all with the
+    /// same run number.
     fn take_starts(&mut self) -> Vec<StartOrder> {
         let mut starts = std::mem::take(&mut self.starts);
         starts.sort_by_key(|s| s.task);
@@ -195,14 +196,14 @@
     }
 }
 
-/// Each member lists a text of its own when the gang is stopped, or when one of them fails, and
-/// some list none yet. Their next run brings the same one for all of them, since members that go
-/// on from different progress can't work jointly.
+/// When a gang is stopped or one of its members fails, the members report different checkpoints,
+/// and some of them none. Members that resume from different progress can't work together, so that
+/// the next run brings the same checkpoint for all of them.
 #[test_case(Ending::Stopped, &["a-20", "b-22", "c-19"]; "stopped")]
 #[test_case(Ending::Stopped, &["", "b-22", ""]; "stopped where one saved")]
 #[test_case(Ending::Failed, &["a-20", "b-22", "c-19"]; "failed")]
 #[test_case(Ending::Failed, &["a-20", "", "c-19"]; "failed where two saved")]
-fn members_of_a_gang_go_on_from_the_same_progress(first: Ending, saved: &[&str]) {
+fn members_of_a_gang_resume_from_the_same_checkpoint(first: Ending, reported: &[&str]) {
     let mut owner = Owner::new(Step {
         gang: true,
         checkpoints: true,
@@ -211,14 +212,17 @@
     owner.run(500);
     let starts = owner.take_starts();
     assert!(starts.iter().all(|s| s.checkpoint.is_empty()));
-    for (index, saved) in (0..).zip(saved) {
-        owner.save(index, saved);
+    for (index, checkpoint) in (0..).zip(reported) {
+        owner.save(index, checkpoint);
     }
     owner.run(1000);
     owner.end(first);
     owner.run(2000);
     let starts = owner.take_starts();
-    let brought: Vec<&str> = starts.iter().map(|s| &*s.checkpoint).collect();
-    assert!(brought.iter().all(|&s| s == brought[0]), "{brought:?}");
-    assert!(!brought[0].is_empty() && saved.contains(&brought[0]));
+    let checkpoints: Vec<&str> = starts.iter().map(|s| &*s.checkpoint).collect();
+    assert!(
+        checkpoints.iter().all(|&s| s == checkpoints[0]),
+        "{checkpoints:?}"
+    );
+    assert!(!checkpoints[0].is_empty() && reported.contains(&checkpoints[0]));
 }
--- a/crates/jobs/tests/all/guards.rs
+++ b/crates/jobs/tests/all/guards.rs
@@ -1,47 +1,51 @@
-//! One test for each guard that the tables of faults did not miss when it was taken
-//! away; see docs/PROMISES.md.
+//! One test for each safeguard whose removal the tables of faults did not detect; see
+//! docs/PROMISES.md.
 
 use gorsespur_jobs::{JobId, Outcome};
 
 use crate::common::{Mode, World, WorldSettings, chain, short};
 
-/// A worker that nobody reaches runs on until its lease is over by its own clock,
-/// which may be slow.
+/// An unreachable worker continues its runs until the lease expires on its own clock, which may be
+/// slow.
 #[test]
-fn a_long_task_waits_for_the_lease_of_a_cut_worker() {
+fn a_long_task_waits_for_the_lease_of_a_partitioned_worker() {
     for at in 0..4 {
         let mut world = World::new(WorldSettings::default());
         world.run(100);
         world.submit(1, chain(vec![short(8, 30_000)]));
         world.run(1500);
-        world.workers[at].cut = true;
+        world.workers[at].partitioned = true;
         world.run(12_000);
-        assert!(world.judge.wrong.is_empty(), "{:#?}", world.judge.wrong);
+        assert!(
+            world.checker.violations.is_empty(),
+            "{:#?}",
+            world.checker.violations
+        );
         let running: usize = world.workers.iter().map(|w| w.runs.len()).sum();
-        assert_eq!(running, 8, "the tasks run elsewhere");
+        assert_eq!(running, 8, "tasks were started elsewhere");
     }
 }
 
-/// A start without an answer may be carried out seconds later.
+/// An unanswered start may be carried out seconds later.
 #[test]
-fn a_late_start_never_doubles_a_task() {
+fn a_late_start_never_runs_a_task_twice() {
     for late in [800, 1500, 3000, 5000] {
         let mut world = World::new(WorldSettings::default());
         world.run(100);
-        world.workers[2].late = late;
+        world.workers[2].delay_ms = late;
         world.submit(1, chain(vec![short(8, 7000)]));
         world.run(400);
-        world.workers[2].late = 0;
+        world.workers[2].delay_ms = 0;
         assert!(world.run_until_done(60_000));
         assert!(
-            world.judge.wrong.is_empty(),
+            world.checker.violations.is_empty(),
             "{late}: {:#?}",
-            world.judge.wrong
+            world.checker.violations
         );
     }
 }
 
-/// An end that was counted before a takeover is listed to the new owner again.
+/// An end that was counted before a takeover is reported to the new owner again.
 #[test]
 fn a_failure_counts_once_for_two_owners() {
     for delay in (0..80).step_by(5) {
@@ -56,22 +60,22 @@
         }
         world.submit(1, chain(vec![short(1, 500)]));
         for _ in 0..200 {
-            if world.workers.iter().any(|w| !w.ends.is_empty()) {
+            if world.workers.iter().any(|w| !w.finished.is_empty()) {
                 break;
             }
             world.run(5);
         }
         for worker in &mut world.workers {
-            worker.mode = Mode::Well;
+            worker.mode = Mode::Healthy;
         }
-        // The owner learns of the end, and can't tell the worker so any more.
+        // The owner reads the end, and can no longer confirm it to the worker.
         world.run(delay);
         for worker in &mut world.workers {
-            worker.cut = true;
+            worker.partitioned = true;
         }
         world.run(50);
         for worker in &mut world.workers {
-            worker.cut = false;
+            worker.partitioned = false;
         }
         let end = world.lease_end();
         world.take_over(end);
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -1,9 +1,9 @@
-//! What commits carry, and what of it a later owner reads.
+//! The contents of commits, and what a later owner reads of them.
 
 use std::sync::Arc;
 
 use crate::{
-    common::{World, WorldSettings, chain, lasting, short},
+    common::{World, WorldSettings, chain, long_running, short},
     ledger::Ledger,
 };
 use gorsespur_jobs::{
@@ -13,10 +13,10 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
-/// Milliseconds of a write to a store at a sixtieth of its speed.
-const SLOW_WRITE: u64 = 480;
+/// Milliseconds of a write to a store at a sixtieth of its usual speed.
+const SLOW_WRITE_MS: u64 = 480;
 
-const NOW: u64 = 1_000_000;
+const START_MS: u64 = 1_000_000;
 
 fn info(id: &str) -> WorkerInfo {
     WorkerInfo {
@@ -37,35 +37,35 @@
     }
 }
 
-/// An owner of one large worker that does at once what it is told.
+/// An owner with one large worker that carries out all orders at once.
 struct Owner {
     machine: Machine,
     ledger: Ledger,
     now: u64,
     /// Bytes that commits have appended to the log.
-    logged: usize,
-    /// What the worker runs.
+    logged_bytes: usize,
+    /// Runs of the worker.
     running: Vec<ReportedRun>,
-    /// What ended there.
+    /// Ended runs that the worker reports.
     finished: Vec<RunEnd>,
-    /// Commits that are still done.
-    commits: usize,
+    /// Number of commits that still succeed.
+    commits_left: usize,
 }
 
 impl Owner {
     fn new(ledger: Ledger, jobs: &[Arc<Job>], settings: Settings) -> Owner {
-        let mut machine = Machine::new(settings, NOW, takeover());
+        let mut machine = Machine::new(settings, START_MS, takeover());
         ledger.restore(&mut machine, jobs);
         let mut owner = Owner {
             machine,
             ledger,
-            now: NOW,
-            logged: 0,
+            now: START_MS,
+            logged_bytes: 0,
             running: Vec::new(),
             finished: Vec::new(),
-            commits: usize::MAX,
+            commits_left: usize::MAX,
         };
-        owner.tell(Event::Queues(vec![QueuePolicy {
+        owner.notify(Event::Queues(vec![QueuePolicy {
             queue: "q".into(),
             service: "s".into(),
             priority: 0,
@@ -73,25 +73,25 @@
             stretch: 1.5,
             latency: 250,
         }]));
-        owner.tell(Event::WorkerUpdated(info("w")));
-        owner.tell(Event::WorkersSynced { asked_at: NOW });
+        owner.notify(Event::WorkerUpdated(info("w")));
+        owner.notify(Event::WorkersSynced { asked_at: START_MS });
         for job in jobs {
-            owner.tell(Event::Accepted(job.clone()));
+            owner.notify(Event::Accepted(job.clone()));
         }
         owner
     }
 
-    fn tell(&mut self, event: Event) {
+    fn notify(&mut self, event: Event) {
         self.machine.handle(self.now, self.now, event);
     }
 
-    /// Decides for a while; commits are done at once, and no run ends.
+    /// Runs for `ms` milliseconds. Commits succeed at once, and no run ends.
     fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
             self.now += 50;
-            self.tell(Event::WorkersSynced { asked_at: self.now });
-            self.tell(Event::Renewed { asked_at: self.now });
+            self.notify(Event::WorkersSynced { asked_at: self.now });
+            self.notify(Event::Renewed { asked_at: self.now });
             for action in self.machine.decide(self.now, self.now) {
                 self.act(action);
             }
@@ -101,12 +101,12 @@
     fn act(&mut self, action: Action) {
         let sent = self.now;
         let (worker, answer) = match action {
-            Action::Commit(_) if self.commits == 0 => return,
+            Action::Commit(_) if self.commits_left == 0 => return,
             Action::Commit(batch) => {
-                self.commits -= 1;
-                self.logged += batch.appended_rows.iter().map(Vec::len).sum::<usize>();
+                self.commits_left -= 1;
+                self.logged_bytes += batch.appended_rows.iter().map(Vec::len).sum::<usize>();
                 self.ledger.apply(batch);
-                return self.tell(Event::Committed { asked_at: sent });
+                return self.notify(Event::Committed { asked_at: sent });
             }
             Action::Start(worker, order) => {
                 self.running.push(ReportedRun {
@@ -120,17 +120,17 @@
                 (worker, started)
             }
             Action::Poll { worker, .. } => {
-                let look = WorkerReport {
+                let report = WorkerReport {
                     start_time: None,
                     clock: sent,
                     running: self.running.clone(),
                     finished: self.finished.clone(),
                 };
-                (worker, Answer::Report(look))
+                (worker, Answer::Report(report))
             }
             Action::Stop { .. } | Action::Pace { .. } | Action::StepDown => return,
         };
-        self.tell(Event::Answer {
+        self.notify(Event::Answer {
             worker,
             sent,
             answer,
@@ -140,8 +140,8 @@
 
 fn takeover() -> Takeover {
     Takeover {
-        asked_at: NOW,
-        prior_leases_end: NOW,
+        asked_at: START_MS,
+        prior_leases_end: START_MS,
     }
 }
 
@@ -155,71 +155,71 @@
                 count,
                 cpu: 10,
                 memory: 1,
-                ..lasting(count)
+                ..long_running(count)
             }],
             ..Spec::default()
         }),
     })
 }
 
-/// A storm of short jobs while the store takes half a second for a write: all of them begin with
-/// the next two writes.
+/// Many jobs arrive while a write to the store takes half a second. All of them start with the
+/// next two writes.
 #[test_case(30; "once")]
 #[test_case(300; "ten times")]
 #[test_case(3000; "a hundred times")]
-fn a_storm_of_jobs_begins_with_the_next_writes(count: u64) {
+fn a_burst_of_jobs_starts_with_the_next_writes(count: u64) {
     let mut world = World::new(WorldSettings {
         workers: count.div_ceil(20) as usize,
         ..WorldSettings::default()
     });
-    world.write = SLOW_WRITE;
+    world.write_ms = SLOW_WRITE_MS;
     world.run(3000);
-    let commits = world.figures().commits;
+    let commits = world.stats().commits;
     for id in 1..=count {
         world.submit(
             id,
             chain(vec![Step {
                 cpu: 300,
                 memory: 300,
-                ..lasting(1)
+                ..long_running(1)
             }]),
         );
     }
-    world.run(2 * SLOW_WRITE + 200);
-    assert!(
-        world.figures().starts >= count,
-        "{}",
-        world.figures().starts
-    );
-    assert!(world.figures().commits <= commits + 3);
+    world.run(2 * SLOW_WRITE_MS + 200);
+    assert!(world.stats().starts >= count, "{}", world.stats().starts);
+    assert!(world.stats().commits <= commits + 3);
 }
 
-/// One of the tasks of a wide job changes: no more is written than for a job of one task.
+/// A change of one task of a wide job writes no more than a change of a job with one task.
 #[test]
 fn a_change_of_one_task_costs_the_same_in_a_wide_job() {
     let mut owner = Owner::new(Ledger::default(), &[job(1, 1000)], Settings::default());
     owner.run(500);
     assert_eq!(owner.machine.stats().starts, 1000);
-    let before = owner.logged;
+    let before = owner.logged_bytes;
     owner.running.remove(17);
     owner.run(2500);
     assert_eq!(owner.machine.stats().starts, 1001);
-    assert!(owner.logged - before < 500, "{}", owner.logged - before);
+    assert!(
+        owner.logged_bytes - before < 500,
+        "{}",
+        owner.logged_bytes - before
+    );
 }
 
-/// Owners follow each other while jobs come and go, and each shortens the log: it grows with what
-/// still holds and not with what was ever written.
+/// Owners take over from each other while jobs come and go, and each of them shortens the log. Its
+/// size depends on the current state, not on all that was ever written.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn the_log_is_as_long_as_what_still_holds(seed: u64) {
+fn the_log_size_depends_on_the_current_state(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(WorldSettings {
         workers: 10,
         seed,
         ..WorldSettings::default()
     });
-    world.submit(1, chain(vec![lasting(20)]));
+    world.submit(1, chain(vec![long_running(20)]));
     for id in 2..300 {
         let step = short(rng.random_range(1..6), rng.random_range(100..1500));
         world.submit(id, chain(vec![step.clone(), step]));
@@ -229,23 +229,27 @@
         }
     }
     world.run_until_done(30_000);
-    assert!(world.judge.wrong.is_empty(), "{:?}", world.judge.wrong);
+    assert!(
+        world.checker.violations.is_empty(),
+        "{:?}",
+        world.checker.violations
+    );
     let (rows, bytes) = world.ledger.log_size();
     assert!(rows <= 16, "{rows}");
     assert!(bytes < 60_000, "{bytes}");
 }
 
-/// The log is shortened by a write that has no room for the record of a job that has just ended:
-/// what the log tells of the job stays until its record is written.
+/// The log is shortened by a write that has no space for the record of a job that has just ended.
+/// The log keeps the rows of the job until its record is written.
 #[test]
-fn what_the_log_tells_of_a_job_outlasts_its_end() {
-    let short = Settings {
+fn log_rows_of_a_job_are_kept_until_its_record_is_written() {
+    let settings = Settings {
         batch_records: 1,
         log_rows: 0,
         ..Settings::default()
     };
     let jobs = [job(1, 1), job(2, 1)];
-    let mut owner = Owner::new(Ledger::default(), &jobs, short);
+    let mut owner = Owner::new(Ledger::default(), &jobs, settings);
     owner.run(500);
     for running in std::mem::take(&mut owner.running) {
         owner.finished.push(RunEnd {
@@ -257,23 +261,23 @@
         });
     }
     for id in [1, 2] {
-        owner.tell(Event::Cancelled(JobId(id)));
+        owner.notify(Event::Cancelled(JobId(id)));
     }
-    owner.commits = 1;
+    owner.commits_left = 1;
     owner.run(500);
     let done = |id| owner.ledger.outcome(JobId(id)) == Outcome::Cancelled;
-    assert!(done(1) != done(2), "one record is written");
+    assert!(done(1) != done(2), "not exactly one record was written");
     let open = if done(1) { 2 } else { 1 };
-    let mut machine = Machine::new(short, NOW, takeover());
+    let mut machine = Machine::new(settings, START_MS, takeover());
     for row in owner.ledger.log() {
         machine.replay(row).expect("own row");
     }
-    let record = machine.current_record(JobId(open), None).expect("logged");
+    let record = machine.current_record(JobId(open), None).expect("log row");
     assert!(record.is_valid_for(&job(open, 1).spec));
 }
 
-/// A record of an earlier version tells of the job's tasks itself. Its owner's successor reads
-/// them, and so does the next one, once the record is replaced.
+/// A record of an earlier version contains the job's tasks. The next owner reads them, and so does
+/// the one after it, when the record has been replaced.
 #[test]
 fn tasks_in_a_record_of_an_earlier_version_are_kept() {
     let task = ((0, 0, 0), false, 4, Some("w"), Vec::<u32>::new(), "saved");
@@ -286,7 +290,7 @@
     });
     let jobs = [job(1, 1)];
     let mut first = Owner::new(ledger, &jobs, Settings::default());
-    // The run is gone: the next one goes on from what was saved.
+    // The run is lost, and the next one resumes from its checkpoint.
     first.run(500);
     assert_eq!(first.ledger.outcome(JobId(1)), Outcome::Active);
     let mut second = Owner::new(first.ledger, &jobs, Settings::default());
@@ -295,17 +299,17 @@
     assert_eq!(second.running[0].run, 6);
 }
 
-/// A row that somebody else wrote, or that is broken, takes nothing from the others.
+/// A row that is foreign or damaged does not affect other rows.
 #[test]
-fn a_row_that_cannot_be_read_harms_no_other() {
+fn an_unreadable_row_affects_no_other() {
     let mut owner = Owner::new(Ledger::default(), &[job(1, 3)], Settings::default());
     owner.run(500);
-    let mut machine = Machine::new(Settings::default(), NOW, takeover());
+    let mut machine = Machine::new(Settings::default(), START_MS, takeover());
     assert!(machine.replay(b"what is this").is_err());
     for row in owner.ledger.log() {
         machine.replay(row).expect("own row");
     }
-    let record = machine.current_record(JobId(1), None).expect("logged");
+    let record = machine.current_record(JobId(1), None).expect("log row");
     assert!(record.is_valid_for(&job(1, 3).spec));
     assert!(!record.is_valid_for(&job(1, 2).spec));
     assert_eq!(machine.current_record(JobId(2), None), None::<Record>);
--- a/crates/jobs/tests/all/promises.rs
+++ b/crates/jobs/tests/all/promises.rs
@@ -1,13 +1,14 @@
-//! Promises under every fault, and under random series of them.
+//! The scheduler's guarantees under each fault and under random series of faults.
 
 use crate::common::{
-    Mode, World, WorldSettings, chain, check_seed, lasting, saving_some, serving, short,
+    Mode, World, WorldSettings, chain, check_invariants, long_running, serving, short,
+    some_with_checkpoints,
 };
 use gorsespur_jobs::{Event, Outcome, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
-/// What can happen to the world.
+/// A fault.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     WorkerDies,
@@ -39,11 +40,11 @@
     Fault::AllOff,
 ];
 
-fn strike(world: &mut World, fault: Fault, at: usize) {
+fn inject(world: &mut World, fault: Fault, at: usize) {
     match fault {
         Fault::WorkerDies => world.workers[at].alive = false,
-        Fault::WorkerCut => world.workers[at].cut = true,
-        Fault::WorkerLate => world.workers[at].late = 4000,
+        Fault::WorkerCut => world.workers[at].partitioned = true,
+        Fault::WorkerLate => world.workers[at].delay_ms = 4000,
         Fault::WorkerFailsAll => world.workers[at].mode = Mode::FailsAll,
         Fault::WorkerHangs => world.workers[at].mode = Mode::Hangs,
         Fault::WorkerSlow => world.workers[at].mode = Mode::Slow(6),
@@ -72,25 +73,29 @@
     }
 }
 
-fn mend(world: &mut World, at: usize) {
+fn recover(world: &mut World, at: usize) {
     let worker = &mut world.workers[at];
-    worker.cut = false;
-    worker.late = 0;
-    worker.mode = Mode::Well;
+    worker.partitioned = false;
+    worker.delay_ms = 0;
+    worker.mode = Mode::Healthy;
     world.store_down = false;
     world.announce(at, true);
 }
 
-fn fill(world: &mut World) {
+fn submit_jobs(world: &mut World) {
     for id in 1..=6 {
         let steps = vec![short(3, 600), short(2, 900), short(1, 300)];
-        world.submit(id, chain(saving_some(id, steps)));
+        world.submit(id, chain(some_with_checkpoints(id, steps)));
     }
-    world.submit(100, chain(vec![lasting(2)]));
+    world.submit(100, chain(vec![long_running(2)]));
 }
 
 fn check(world: &World) {
-    assert!(world.judge.wrong.is_empty(), "{:#?}", world.judge.wrong);
+    assert!(
+        world.checker.violations.is_empty(),
+        "{:#?}",
+        world.checker.violations
+    );
 }
 
 #[test_case(Fault::WorkerDies)]
@@ -112,11 +117,11 @@
             ..WorldSettings::default()
         });
         world.run(100);
-        fill(&mut world);
+        submit_jobs(&mut world);
         world.run(delay);
-        strike(&mut world, fault, 1);
+        inject(&mut world, fault, 1);
         world.run(4000);
-        mend(&mut world, 1);
+        recover(&mut world, 1);
         assert!(world.run_until_done(60_000), "{fault:?} after {delay} ms");
         check(&world);
         for id in 1..=6 {
@@ -133,31 +138,31 @@
             workers: 5,
             attempts: 40,
             seed,
-            lost: rng.random_range(0..4),
-            lives: false,
+            lost_percent: rng.random_range(0..4),
+            reuse_names: false,
         });
         world.run(100);
-        fill(&mut world);
+        submit_jobs(&mut world);
         for id in 10..rng.random_range(12..30) {
             world.run(rng.random_range(0..400));
             let steps = vec![short(2, 500), short(2, 700)];
-            world.submit(id, chain(saving_some(id, steps)));
+            world.submit(id, chain(some_with_checkpoints(id, steps)));
         }
         for _ in 0..rng.random_range(1..5) {
             let fault = FAULTS[rng.random_range(0..FAULTS.len())];
             let at = rng.random_range(0..4);
-            strike(&mut world, fault, at);
+            inject(&mut world, fault, at);
             world.run(rng.random_range(0..5000));
             if rng.random_bool(0.5) {
-                mend(&mut world, at);
+                recover(&mut world, at);
             }
         }
         for at in 0..5 {
-            mend(&mut world, at);
+            recover(&mut world, at);
         }
         let done = world.run_until_done(120_000);
-        check_seed(&world, seed);
-        assert!(done, "seed {seed}: jobs are left");
+        check_invariants(&world, seed);
+        assert!(done, "seed {seed}: unfinished jobs");
     }
 }
 
@@ -165,7 +170,7 @@
 fn a_cancelled_job_stops_everywhere() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
-    let id = world.submit(1, chain(vec![lasting(6)]));
+    let id = world.submit(1, chain(vec![long_running(6)]));
     world.run(1500);
     assert_eq!(world.outcome(id), Outcome::Active);
     world.cancel(id);
@@ -189,14 +194,14 @@
 }
 
 #[test]
-fn a_gang_starts_as_one() {
+fn a_gang_starts_together() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
     let gang = Step {
         gang: true,
         ..short(30, 500)
     };
-    // 30 tasks fit into 32 cores only while nothing else runs.
+    // 30 tasks fit on 32 cores only while no other task runs.
     world.submit(1, chain(vec![short(8, 400)]));
     world.run(100);
     let id = world.submit(2, chain(vec![gang]));
@@ -222,36 +227,37 @@
 }
 
 #[test]
-fn an_unlisted_worker_gets_nothing_new() {
+fn a_worker_without_a_row_gets_no_new_runs() {
     let mut world = World::new(WorldSettings::default());
     world.run(100);
-    world.tell(Event::WorkerRemoved("w0".into()));
+    world.notify(Event::WorkerRemoved("w0".into()));
     world.submit(1, chain(vec![short(8, 500)]));
     world.run(300);
     assert!(world.workers[0].runs.is_empty());
 }
 
 #[test]
-fn what_fills_is_slowed_where_it_disturbs() {
+fn best_effort_tasks_are_slowed_where_they_interfere() {
     let mut world = World::new(WorldSettings {
         workers: 1,
         ..WorldSettings::default()
     });
-    world.workers[0].press = 0.5;
+    world.workers[0].tail_growth = 0.5;
     world.run(100);
     world.submit(1, chain(vec![serving(1)]));
     world.run(1500);
-    let fill = Step {
+    let best_effort = Step {
         best_effort: true,
         image: Some("fill".into()),
         ..short(5, 20_000)
     };
-    world.submit(2, chain(vec![fill]));
+    world.submit(2, chain(vec![best_effort]));
     world.run(5000);
     let runs = &world.workers[0].runs;
-    let fills = runs.iter().filter(|r| r.fill);
-    let cores: f64 = fills.map(|r| f64::from(r.pace) / 100.0).sum();
-    // The tail is 40 ms without what fills; e^(0.5 * 1.8) times that is the target.
-    assert!(cores < 1.85, "{cores} cores fill");
-    assert!(cores > 0.1, "nothing fills any more");
+    let best_effort_runs = runs.iter().filter(|r| r.best_effort);
+    let cores: f64 = best_effort_runs.map(|r| f64::from(r.pace) / 100.0).sum();
+    // The tail latency is 40 ms without best-effort tasks, and reaches the target at e^(0.5 * 1.8)
+    // times that.
+    assert!(cores < 1.85, "{cores} cores of best-effort work");
+    assert!(cores > 0.1, "no best-effort work is left");
 }
--- a/crates/jobs/tests/all/records/mod.rs
+++ b/crates/jobs/tests/all/records/mod.rs
@@ -1,16 +1,16 @@
-//! Checkpoints over ends, lost workers, late answers and takeovers: each start brings one that
-//! its own task has listed, or none.
+//! Checkpoints across ended runs, lost workers, late answers and takeovers. Each start brings a
+//! checkpoint that its own task has reported, or none.
 
-mod life;
-mod play;
+mod incarnation;
+mod simulation;
 
 use std::sync::Arc;
 
-use crate::records::play::Play;
+use crate::records::simulation::Simulation;
 use gorsespur_jobs::{Ending, Event, Job, JobId, Outcome, Schedule, Spec, Step};
 use test_case::test_case;
 
-/// A job of two steps, the second one after the first, at several times.
+/// Returns a job of two dependent steps that is repeated on a schedule.
 fn job(id: u64, schedule: Schedule) -> Job {
     let id = JobId(id);
     let step = Step {
@@ -41,11 +41,11 @@
     }
 }
 
-/// Names that are alike, several steps, and times of one job that overlap: the checkpoint of one
-/// task is another one's under no order of answers, whoever wrote the record.
+/// A start never brings the checkpoint of another task, in any order of answers and whoever wrote
+/// the record: not with similar IDs, several steps, or overlapping repetitions of one job.
 #[test_case(0; "once")]
 #[test_case(3; "three times")]
-fn a_start_brings_what_its_own_task_listed(times: u32) {
+fn a_start_brings_a_checkpoint_of_its_own_task(times: u32) {
     for seed in 0..10 {
         let schedule = Schedule {
             repetitions: times,
@@ -54,23 +54,27 @@
         };
         let names = [1, 2, 16, 17, 1 << 60, 1 << 60 | 1];
         let jobs = names.iter().map(|&id| job(id, schedule)).collect();
-        let mut play = Play::new(seed, jobs);
+        let mut simulation = Simulation::new(seed, jobs);
         for _ in 0..1200 {
-            play.step();
+            simulation.step();
         }
-        assert!(play.brought > 50, "seed {seed}: {}", play.brought);
+        assert!(
+            simulation.resumed > 50,
+            "seed {seed}: {}",
+            simulation.resumed
+        );
     }
 }
 
-/// A caller uses a name again with other steps and another text, while the first job runs or
-/// after it has ended: it remains the first job, for the owner that knows it and for a later one
-/// that reads its record.
+/// A caller submits a job under an ID that exists, with other steps and another payload, while the
+/// first job runs or after it has ended. The first job remains, for its owner and for a later
+/// owner that reads its record.
 #[test_case(false; "while it runs")]
 #[test_case(true; "after its end")]
-fn a_name_that_comes_again_is_the_first_job(ended: bool) {
+fn a_repeated_job_id_is_the_first_job(ended: bool) {
     let first = job(1, Schedule::default());
-    let mut play = Play::new(1, vec![first.clone()]);
-    play.calm = true;
+    let mut simulation = Simulation::new(1, vec![first.clone()]);
+    simulation.no_faults = true;
     let mut other = (*first.spec).clone();
     other.payload = "another text".into();
     other.steps[0].count = 9;
@@ -80,20 +84,20 @@
     });
     for round in 0..60 {
         if round > 10 {
-            play.tell(Event::Accepted(other.clone()));
+            simulation.notify(Event::Accepted(other.clone()));
         }
         if round == 30 {
-            play.take_over();
+            simulation.take_over();
         }
-        for life in &mut play.lives {
-            while ended && !life.runs.is_empty() {
-                life.runs[0].saved = "saved".into();
-                life.end(0, Ending::Done);
+        for incarnation in &mut simulation.workers {
+            while ended && !incarnation.runs.is_empty() {
+                incarnation.runs[0].checkpoint = "saved".into();
+                incarnation.end(0, Ending::Done);
             }
         }
-        play.step();
+        simulation.step();
     }
-    let tasks: Vec<(u32, u32, u32)> = play
+    let tasks: Vec<(u32, u32, u32)> = simulation
         .starts
         .iter()
         .map(|s| (s.task.step, s.task.index, s.run))
@@ -103,41 +107,44 @@
         expected.extend([(1, 0, 1), (1, 1, 1)]);
     }
     assert_eq!(tasks, expected);
-    assert_eq!(play.brought, 0);
-    let outcome = play.ledger.outcome(JobId(1));
+    assert_eq!(simulation.resumed, 0);
+    let outcome = simulation.ledger.outcome(JobId(1));
     assert_eq!(outcome == Outcome::Complete, ended);
 }
 
-/// A gang goes on from one checkpoint: that of any member is good for it, and all members bring
-/// the same. Each lists its own, as far as it had come when it was looked at; a member whose
-/// worker crashed has listed an older one, or none.
-#[test_case(&["a", "b", "c"]; "each another one")]
+/// A gang resumes from one checkpoint: that of any member is valid, and all members bring the same
+/// one. Each member reports its own latest checkpoint; a member whose worker crashed has reported
+/// an older one or none.
+#[test_case(&["a", "b", "c"]; "each a different one")]
 #[test_case(&["a", "", ""]; "one of them none")]
-fn the_members_of_a_gang_bring_the_same(listed: &[&str]) {
+fn members_of_a_gang_bring_the_same_checkpoint(listed: &[&str]) {
     let mut gang = job(1, Schedule::default());
     let mut spec = (*gang.spec).clone();
     spec.steps.truncate(1);
     spec.steps[0].gang = true;
     gang.spec = Arc::new(spec);
-    let mut play = Play::new(1, vec![gang]);
-    play.calm = true;
+    let mut simulation = Simulation::new(1, vec![gang]);
+    simulation.no_faults = true;
     for _ in 0..20 {
-        play.step();
+        simulation.step();
     }
-    assert_eq!(play.starts.len(), 3);
-    for life in &mut play.lives {
-        for at in (0..life.runs.len()).rev() {
-            let run = &mut life.runs[at];
-            run.saved = listed[run.task.index as usize].into();
-            life.end(at, Ending::Stopped);
+    assert_eq!(simulation.starts.len(), 3);
+    for incarnation in &mut simulation.workers {
+        for at in (0..incarnation.runs.len()).rev() {
+            let run = &mut incarnation.runs[at];
+            run.checkpoint = listed[run.task.index as usize].into();
+            incarnation.end(at, Ending::Stopped);
         }
     }
     for _ in 0..20 {
-        play.step();
+        simulation.step();
     }
-    let saved: Vec<&str> = play.starts[3..].iter().map(|s| &*s.checkpoint).collect();
+    let checkpoints: Vec<&str> = simulation.starts[3..]
+        .iter()
+        .map(|s| &*s.checkpoint)
+        .collect();
     assert!(
-        matches!(saved[..], [a, b, c] if !a.is_empty() && a == b && b == c),
-        "{saved:?}"
+        matches!(checkpoints[..], [a, b, c] if !a.is_empty() && a == b && b == c),
+        "{checkpoints:?}"
     );
 }
--- a/crates/jobs/tests/all/resizing.rs
+++ b/crates/jobs/tests/all/resizing.rs
@@ -1,18 +1,20 @@
-//! Workers whose room shrinks and grows while they run.
+//! Workers whose capacity changes while they run.
 //!
-//! Placement looks at what a worker announced; the start follows once its place is durable. With
-//! a store that was away in between, the place was chosen seconds before the start was sent, and
-//! on a worker that does not guard itself it began beyond the room that was left by then.
+//! Placement uses the announced capacity of a worker, and the start is sent once the placement is
+//! durable. If the store is unavailable in between, the capacity may have shrunk for seconds by
+//! then, and a worker that does not enforce its capacity would start the run all the same.
 
-use crate::common::{World, WorldSettings, chain, check_seed, saving_some, serving, short};
+use crate::common::{
+    World, WorldSettings, chain, check_invariants, serving, short, some_with_checkpoints,
+};
 use gorsespur_jobs::{JobId, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
-/// Cores and memory of a worker in full.
-const FULL: (u64, u64) = (8000, 16000);
+/// CPU in thousandths of a core and memory of a worker at full capacity.
+const FULL_CAPACITY: (u64, u64) = (8000, 16000);
 
-/// A world of workers that start whatever they are told.
+/// Returns a world of workers that do not enforce their capacity.
 fn world(workers: usize, seed: u64) -> World {
     let mut world = World::new(WorldSettings {
         workers,
@@ -20,52 +22,52 @@
         ..WorldSettings::default()
     });
     for worker in &mut world.workers {
-        worker.guards = false;
+        worker.enforces_capacity = false;
     }
     world.run(100);
     world
 }
 
-/// A worker's room changes; owners hear of it if they hear anything.
-fn resize(world: &mut World, at: usize, room: (u64, u64)) {
+/// Changes the capacity of a worker. Its row is published unless the store is unavailable.
+fn resize(world: &mut World, at: usize, capacity: (u64, u64)) {
     let now = world.now;
-    world.workers[at].resize(room, now);
+    world.workers[at].resize(capacity, now);
     if !world.store_down {
         world.announce(at, true);
     }
 }
 
 #[test]
-fn nothing_begins_in_room_that_is_gone_by_then() {
+fn nothing_starts_in_capacity_that_was_removed() {
     let mut world = world(2, 0);
     let id = world.submit(1, chain(vec![short(12, 2000)]));
     world.run(5);
     world.store_down = true;
-    world.unheard = true;
+    world.watch_down = true;
     resize(&mut world, 0, (1000, 2000));
     resize(&mut world, 1, (1000, 2000));
     world.run(5000);
-    assert_eq!(world.figures().starts, 0, "not durable yet");
-    // The write is confirmed a little before the workers' rows are read again.
+    assert_eq!(world.stats().starts, 0, "starts without a durable record");
+    // The write is confirmed shortly before the workers' rows are read again.
     world.store_down = false;
     world.run(300);
-    check_seed(&world, 0);
-    world.unheard = false;
+    check_invariants(&world, 0);
+    world.watch_down = false;
     for at in 0..2 {
         world.announce(at, true);
     }
     world.run(3000);
     for at in 0..2 {
-        resize(&mut world, at, FULL);
+        resize(&mut world, at, FULL_CAPACITY);
     }
     assert!(world.run_until_done(30_000));
     assert_eq!(world.outcome(id), gorsespur_jobs::Outcome::Complete);
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
-/// The same if the owner has heard of it meanwhile.
+/// The owner has learned of the smaller capacity before the write is confirmed.
 #[test]
-fn nothing_begins_in_room_that_is_known_to_be_gone() {
+fn nothing_starts_in_capacity_that_is_known_to_be_removed() {
     let mut world = world(1, 0);
     world.submit(1, chain(vec![short(6, 2000)]));
     world.run(5);
@@ -76,35 +78,35 @@
     world.run(5000);
     world.store_down = false;
     world.run(2000);
-    check_seed(&world, 0);
-    resize(&mut world, 0, FULL);
+    check_invariants(&world, 0);
+    resize(&mut world, 0, FULL_CAPACITY);
     assert!(world.run_until_done(30_000));
 }
 
-/// Nothing begins on a worker that has too much of one thing, though it asks for none of that.
+/// No task starts on a worker whose CPU is exceeded, even if the task requests no CPU.
 #[test]
-fn what_fills_does_not_begin_where_there_is_too_much() {
+fn no_best_effort_task_starts_on_an_overcommitted_worker() {
     let mut world = world(1, 0);
     world.submit(1, chain(vec![serving(6)]));
     world.run(1500);
     resize(&mut world, 0, (4000, 16000));
-    let fill = Step {
+    let best_effort = Step {
         best_effort: true,
         image: Some("fill".into()),
         ..short(1, 500)
     };
-    world.submit(2, chain(vec![fill]));
+    world.submit(2, chain(vec![best_effort]));
     world.run(7000);
     assert_eq!(world.workers[0].runs.len(), 6);
-    // It is not even tried: a place that is chosen and dropped costs a write each time.
-    assert!(world.figures().commits < 10, "{:?}", world.figures());
-    check_seed(&world, 0);
+    // No placement is attempted, since each one that is dropped costs a write.
+    assert!(world.stats().commits < 10, "{:?}", world.stats());
+    check_invariants(&world, 0);
 }
 
-/// What runs on a worker when its room shrinks goes on, and nothing more begins there until
-/// enough of it has ended; what is being stopped still counts.
+/// Runs continue after the capacity of their worker has shrunk, and no other run starts there
+/// until enough of them have ended. Runs that are being stopped still count.
 #[test]
-fn a_worker_that_shrank_gets_nothing_until_there_is_room() {
+fn a_worker_that_shrank_gets_no_runs_until_they_fit() {
     let mut world = world(1, 0);
     world.submit(1, chain(vec![serving(6)]));
     world.run(1500);
@@ -112,21 +114,25 @@
     resize(&mut world, 0, (4000, 16000));
     world.submit(2, chain(vec![short(2, 300)]));
     world.run(6000);
-    assert_eq!(world.workers[0].runs.len(), 6, "none stopped, none begun");
+    assert_eq!(
+        world.workers[0].runs.len(),
+        6,
+        "runs were stopped or started"
+    );
     world.cancel(JobId(1));
     assert!(world.run_until_done(10_000));
-    check_seed(&world, 0);
+    check_invariants(&world, 0);
 }
 
 #[test]
-fn rooms_that_shrink_and_grow_are_never_exceeded() {
+fn changing_capacities_are_never_exceeded() {
     for seed in 0..20 {
         let mut world = world(6, seed);
         let mut rng = SmallRng::seed_from_u64(seed);
         world.submit(1, chain(vec![serving(8)]));
         for id in 10..130 {
             let steps = vec![short(4, 700), short(3, 400)];
-            world.submit(id, chain(saving_some(id, steps)));
+            world.submit(id, chain(some_with_checkpoints(id, steps)));
             let at = rng.random_range(0..6);
             match rng.random_range(0..12) {
                 0 => world.store_down = true,
@@ -134,7 +140,7 @@
                     let left = rng.random_range(1..8) * 1000;
                     resize(&mut world, at, (left, left * 2));
                 }
-                3 => resize(&mut world, at, FULL),
+                3 => resize(&mut world, at, FULL_CAPACITY),
                 4 => world.pause(true),
                 _ => {
                     world.store_down = false;
@@ -146,85 +152,85 @@
         }
         world.store_down = false;
         world.pause(false);
-        (0..6).for_each(|at| resize(&mut world, at, FULL));
-        assert!(world.run_until_done(60_000), "seed {seed}: jobs are left");
-        check_seed(&world, seed);
+        (0..6).for_each(|at| resize(&mut world, at, FULL_CAPACITY));
+        assert!(world.run_until_done(60_000), "seed {seed}: unfinished jobs");
+        check_invariants(&world, seed);
     }
 }
 
-/// Workers of the world with bursts; a quarter of them shrinks.
-const MANY: usize = 8;
+/// Workers of the burst tests; the capacity of a quarter of them shrinks.
+const BURST_WORKERS: usize = 8;
 
-/// What is left of a worker that has shrunk to 0.55 of its room.
-const LEFT: (u64, u64) = (4400, 8800);
+/// Capacity of a worker after it has shrunk to 0.55 of the full capacity.
+const SHRUNK_CAPACITY: (u64, u64) = (4400, 8800);
 
-/// Usually a job comes each so many milliseconds ...
-const USUAL: u64 = 130;
+/// Milliseconds between jobs outside of a burst.
+const NORMAL_INTERVAL_MS: u64 = 130;
 
-/// ... and in a burst each so many.
-const PRESSED: u64 = 90;
+/// Milliseconds between jobs in a burst.
+const BURST_INTERVAL_MS: u64 = 90;
 
-/// Thousandths of a core that each task asks for.
-const SMALLEST: u64 = 1000;
+/// CPU of each task in thousandths of a core.
+const TASK_CPU: u64 = 1000;
 
-/// Milliseconds until owners hear of a worker's room.
-const HEARD: u64 = 800;
+/// Milliseconds until the owner reads the new capacity of a worker.
+const NOTICE_MS: u64 = 800;
 
-/// The first of the jobs that come in turn.
-const FIRST: u64 = 10;
+/// The first of the jobs that are submitted at intervals.
+const FIRST_JOB: u64 = 10;
 
-/// What happens to owners while workers are shrunk.
+/// Fault while the capacity is reduced.
 #[derive(Debug, Clone, Copy)]
-enum Trouble {
-    /// Nothing.
+enum Fault {
+    /// No fault.
     None,
     /// The owner is killed, and another one takes over.
     Killed,
-    /// The store is away when the room shrinks, and for some seconds.
-    Away,
+    /// The store is unavailable when the capacity shrinks, and for some seconds after.
+    StoreDown,
 }
 
-/// Short jobs are handed in, at times in a burst; what begins on workers is watched.
+/// A world in which short jobs are submitted, at times in a burst, and starts are checked.
 struct Burst {
     world: World,
-    /// Workers with less room than owners may think, and since when.
+    /// Workers with less capacity than the owner may know, and the time of the change.
     shrunk: Vec<(usize, u64)>,
-    /// The next job, and the time for it.
+    /// The next job and the time of its submission.
     next: (u64, u64),
-    /// Starts that workers took, and runs that did not do their work.
-    counted: (u64, u64),
+    /// Numbers of starts that workers accepted, and of runs that ended without being done.
+    start_counts: (u64, u64),
 }
 
 impl Burst {
-    fn new(guards: bool) -> Burst {
-        let mut world = world(MANY, 0);
+    fn new(enforces: bool) -> Burst {
+        let mut world = world(BURST_WORKERS, 0);
         for worker in &mut world.workers {
-            worker.guards = guards;
+            worker.enforces_capacity = enforces;
         }
-        let lasting = Step {
+        let serve = Step {
             max_per_worker: 2,
-            ..serving(2 * MANY as u32)
+            ..serving(2 * BURST_WORKERS as u32)
         };
-        world.submit(1, chain(vec![lasting]));
+        world.submit(1, chain(vec![serve]));
         world.run(1500);
         assert!(world.workers.iter().all(|w| w.runs.len() == 2));
-        let next = (FIRST, world.now);
+        let next = (FIRST_JOB, world.now);
         Burst {
             world,
             shrunk: Vec::new(),
             next,
-            counted: (0, 0),
+            start_counts: (0, 0),
         }
     }
 
-    /// Adds what the owner counted: it is about to be killed, or all is done.
+    /// Adds the counters of the owner, which is about to be killed, or after all jobs are done.
     fn count(&mut self) {
-        let figures = self.world.figures();
-        self.counted.0 += figures.starts - figures.refused;
-        self.counted.1 += figures.stopped + figures.lapsed + figures.failed;
+        let stats = self.world.stats();
+        self.start_counts.0 += stats.starts - stats.refused;
+        self.start_counts.1 += stats.stopped + stats.lapsed + stats.failed;
     }
 
-    /// Runs for so long while a job comes each `every` milliseconds.
+    /// Runs for `ms` and submits a job every `every` milliseconds.
     fn run(&mut self, ms: u64, every: u64) {
         let world = &mut self.world;
         let end = world.now + ms;
@@ -237,77 +243,86 @@
             world.run(5);
             for &(at, since) in &self.shrunk {
                 let (worker, now) = (&world.workers[at], world.now);
-                let begins = worker.runs.iter().any(|r| r.begun + 5 > now);
-                let is_late = now > since + HEARD + 50;
+                let starts_now = worker.runs.iter().any(|r| r.started_at + 5 > now);
+                let is_late = now > since + NOTICE_MS + 50;
                 assert!(
-                    !(begins && is_late && worker.is_over(now, 0)),
-                    "{now}: a task begins on {} beyond its room",
+                    !(starts_now && is_late && worker.is_overcommitted(now, 0)),
+                    "{now}: a task starts on {} beyond its capacity",
                     worker.id,
                 );
             }
         }
     }
 
-    /// The room of the first quarter changes; owners hear of it a little later.
-    fn resize(&mut self, room: (u64, u64), every: u64) {
+    /// Changes the capacity of the first quarter of the workers. The owner learns of it after
+    /// [`NOTICE_MS`].
+    fn resize(&mut self, capacity: (u64, u64), every: u64) {
         let now = self.world.now;
         self.shrunk.clear();
-        for at in 0..MANY / 4 {
-            self.world.workers[at].resize(room, now);
-            if room != FULL {
+        for at in 0..BURST_WORKERS / 4 {
+            self.world.workers[at].resize(capacity, now);
+            if capacity != FULL_CAPACITY {
                 self.shrunk.push((at, now));
             }
         }
-        self.run(HEARD, every);
-        for at in 0..MANY / 4 {
+        self.run(NOTICE_MS, every);
+        for at in 0..BURST_WORKERS / 4 {
             self.world.announce(at, true);
         }
     }
 }
 
-/// A quarter of the workers has 0.55 of its room for 14 s, and a burst comes meanwhile. What runs
-/// there goes on, nothing begins beyond what is left, whether the worker guards itself or not, no
-/// task is started twice, and room that is back is used within a second.
-#[test_case(Trouble::None, true)]
-#[test_case(Trouble::None, false)]
-#[test_case(Trouble::Killed, true)]
-#[test_case(Trouble::Killed, false)]
-#[test_case(Trouble::Away, true)]
-#[test_case(Trouble::Away, false)]
-fn a_quarter_that_shrinks_under_a_burst_is_used_again(trouble: Trouble, guards: bool) {
-    let mut burst = Burst::new(guards);
-    burst.run(4000, USUAL);
-    burst.world.store_down = matches!(trouble, Trouble::Away);
-    burst.run(200, USUAL);
-    burst.resize(LEFT, USUAL);
-    burst.run(4000 - HEARD, USUAL);
+/// A quarter of the workers has 0.55 of its capacity for 14 s, with a burst of jobs in that time.
+/// Runs there continue, no run starts beyond the reduced capacity, whether the worker enforces it
+/// or not, no task is started twice, and restored capacity is used within a second.
+#[test_case(Fault::None, true)]
+#[test_case(Fault::None, false)]
+#[test_case(Fault::Killed, true)]
+#[test_case(Fault::Killed, false)]
+#[test_case(Fault::StoreDown, true)]
+#[test_case(Fault::StoreDown, false)]
+fn workers_that_shrink_in_a_burst_are_used_again(fault: Fault, enforces: bool) {
+    let mut burst = Burst::new(enforces);
+    burst.run(4000, NORMAL_INTERVAL_MS);
+    burst.world.store_down = matches!(fault, Fault::StoreDown);
+    burst.run(200, NORMAL_INTERVAL_MS);
+    burst.resize(SHRUNK_CAPACITY, NORMAL_INTERVAL_MS);
+    burst.run(4000 - NOTICE_MS, NORMAL_INTERVAL_MS);
     burst.world.store_down = false;
-    burst.run(1000, USUAL);
-    if matches!(trouble, Trouble::Killed) {
+    burst.run(1000, NORMAL_INTERVAL_MS);
+    if matches!(fault, Fault::Killed) {
         burst.count();
         burst.world.pause(true);
-        let over = burst.world.lease_end();
-        burst.run(1500, PRESSED);
-        burst.world.take_over(over);
+        let lease_end = burst.world.lease_end();
+        burst.run(1500, BURST_INTERVAL_MS);
+        burst.world.take_over(lease_end);
     } else {
-        burst.run(1500, PRESSED);
+        burst.run(1500, BURST_INTERVAL_MS);
     }
-    burst.run(4500, PRESSED);
-    for worker in &burst.world.workers[..MANY / 4] {
+    burst.run(4500, BURST_INTERVAL_MS);
+    for worker in &burst.world.workers[..BURST_WORKERS / 4] {
         let used = worker.used().0;
-        assert!(used + SMALLEST > LEFT.0, "{} has {used}", worker.id);
+        assert!(
+            used + TASK_CPU > SHRUNK_CAPACITY.0,
+            "{} uses {used}",
+            worker.id
+        );
     }
-    burst.run(3000, USUAL);
-    burst.resize(FULL, PRESSED);
-    burst.run(1000 - HEARD, PRESSED);
-    for worker in &burst.world.workers[..MANY / 4] {
+    burst.run(3000, NORMAL_INTERVAL_MS);
+    burst.resize(FULL_CAPACITY, BURST_INTERVAL_MS);
+    burst.run(1000 - NOTICE_MS, BURST_INTERVAL_MS);
+    for worker in &burst.world.workers[..BURST_WORKERS / 4] {
         let (used, _) = worker.used();
-        assert!(used > LEFT.0, "{} has {used}", worker.id);
+        assert!(used > SHRUNK_CAPACITY.0, "{} uses {used}", worker.id);
     }
     let world = &mut burst.world;
-    assert!(world.run_until_done(60_000), "jobs are left");
-    check_seed(world, 0);
+    assert!(world.run_until_done(60_000), "unfinished jobs");
+    check_invariants(world, 0);
     burst.count();
-    let tasks = 2 * MANY as u64 + 5 * (burst.next.0 - FIRST);
-    assert_eq!(burst.counted, (tasks, 0), "begun, and ended otherwise");
+    let tasks = 2 * BURST_WORKERS as u64 + 5 * (burst.next.0 - FIRST_JOB);
+    assert_eq!(
+        burst.start_counts,
+        (tasks, 0),
+        "accepted starts, and runs that were not done"
+    );
 }
--- a/crates/jobs/tests/all/restarts.rs
+++ b/crates/jobs/tests/all/restarts.rs
@@ -1,15 +1,17 @@
-//! Random series of workers that start again under their names, among other faults.
+//! Random series of restarts of workers under their names, combined with other faults.
 
 use std::{env, ops::Range};
 
-use crate::common::{Restart, World, WorldSettings, chain, lasting, saving_some, short};
+use crate::common::{
+    Restart, World, WorldSettings, chain, long_running, short, some_with_checkpoints,
+};
 use gorsespur_jobs::{JobId, Outcome, Spec, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// The job of two lasting tasks.
-const LASTING: JobId = JobId(1000);
+/// The job of two long-running tasks.
+const LONG_RUNNING_JOB: JobId = JobId(1000);
 
-/// A job of one step or two, as the random series hand them in.
+/// Returns a random job of two steps.
 fn some_job(rng: &mut SmallRng, id: u64) -> Spec {
     let count = rng.random_range(1..6);
     let first = Step {
@@ -17,20 +19,20 @@
         ..short(count, rng.random_range(50..1500))
     };
     let steps = vec![first, short(2, 300)];
-    chain(saving_some(id, steps))
+    chain(some_with_checkpoints(id, steps))
 }
 
-/// Something that happens in a random series.
-fn strike(world: &mut World, rng: &mut SmallRng, at: usize) {
-    world.away = match rng.random_range(0..3) {
+/// Injects a random fault.
+fn inject_fault(world: &mut World, rng: &mut SmallRng, at: usize) {
+    world.restart_ms = match rng.random_range(0..3) {
         0 => rng.random_range(5..50),
         1 => rng.random_range(50..1500),
         _ => rng.random_range(1500..9000),
     };
     world.restart = Restart {
-        back: rng.random_bool(0.2),
-        moves: rng.random_bool(0.3),
-        told: [0, 20, 400, 3000][rng.random_range(0..4)],
+        clock_back: rng.random_bool(0.2),
+        new_address: rng.random_bool(0.3),
+        row_delay_ms: [0, 20, 400, 3000][rng.random_range(0..4)],
     };
     match rng.random_range(0..16) {
         0..5 => world.crash(at),
@@ -40,10 +42,10 @@
             world.crash((at + 1) % 5);
             world.swap_ports(at, (at + 1) % 5);
         }
-        7 => world.tell_past(),
-        8 => world.lapse_row(at),
-        9 => world.workers[at].late = rng.random_range(0..4000),
-        10..12 => world.workers[at].cut ^= true,
+        7 => world.republish_past_rows(),
+        8 => world.expire_row(at),
+        9 => world.workers[at].delay_ms = rng.random_range(0..4000),
+        10..12 => world.workers[at].partitioned ^= true,
         12 => world.store_down ^= true,
         13 => world.announce(at, true),
         14 => {
@@ -59,23 +61,24 @@
     }
 }
 
-/// Plays the series of a seed, in which workers keep their names or do not; returns what was wrong.
-fn play(seed: u64, lives: bool) -> Vec<String> {
+/// Runs the series of a seed and returns the violations; `reuse_names` is whether workers keep
+/// their names.
+fn run_series(seed: u64, reuse_names: bool) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(WorldSettings {
         workers: 5,
         attempts: 40,
         seed,
-        lost: rng.random_range(0..6),
-        lives,
+        lost_percent: rng.random_range(0..6),
+        reuse_names,
     });
-    world.echoes = [0, 30, 100][rng.random_range(0..3)];
-    world.echo = rng.random_range(100..6000);
-    world.echo_looks = seed.is_multiple_of(4);
-    world.lag = [0, 40, 300][rng.random_range(0..3)];
-    world.unread = [0, 0, 50][rng.random_range(0..3)];
+    world.stray_percent = [0, 30, 100][rng.random_range(0..3)];
+    world.max_stray_ms = rng.random_range(100..6000);
+    world.stray_polls = seed.is_multiple_of(4);
+    world.max_lag_ms = [0, 40, 300][rng.random_range(0..3)];
+    world.unread_percent = [0, 0, 50][rng.random_range(0..3)];
     world.run(100);
-    world.submit(LASTING.0, chain(vec![lasting(2)]));
+    world.submit(LONG_RUNNING_JOB.0, chain(vec![long_running(2)]));
     let mut id = 0;
     for _ in 0..rng.random_range(2..9) {
         for _ in 0..rng.random_range(0..6) {
@@ -84,15 +87,15 @@
             world.run(rng.random_range(0..300));
         }
         let at = rng.random_range(0..5);
-        strike(&mut world, &mut rng, at);
+        inject_fault(&mut world, &mut rng, at);
         world.run(rng.random_range(0..2500));
     }
     for worker in &mut world.workers {
-        worker.late = 0;
-        worker.cut = false;
+        worker.delay_ms = 0;
+        worker.partitioned = false;
     }
     world.store_down = false;
-    world.restart.told = 0;
+    world.restart.row_delay_ms = 0;
     world.run(12_000);
     for at in 0..5 {
         world.announce(at, true);
@@ -103,22 +106,23 @@
     }
     let done = world.run_until_done(40_000);
     world.run(3000);
-    let mut wrong = world.judge.wrong.clone();
+    let mut violations = world.checker.violations.clone();
     if !done {
-        wrong.push("jobs are left".into());
+        violations.push("unfinished jobs".into());
     }
-    // A task that three workers crashed under by chance is given up.
+    // A task under which three workers crashed by chance is given up.
     let runs = world.workers.iter().flat_map(|w| &w.runs);
-    if world.outcome(LASTING) == Outcome::Active && runs.count() != 2 {
-        wrong.push("lasting tasks do not run".into());
+    if world.outcome(LONG_RUNNING_JOB) == Outcome::Active && runs.count() != 2 {
+        violations.push("long-running tasks do not run".into());
     }
-    wrong
+    violations
 }
 
-/// `GORSESPUR_LIVES` names other seeds than these, as in `0..5000` or `7`.
-fn seeds(usual: Range<u64>) -> Range<u64> {
+/// Returns the seeds that `GORSESPUR_LIVES` selects, as in `0..5000` or `7`, or else the usual
+/// ones.
+fn seeds(default: Range<u64>) -> Range<u64> {
     let Ok(text) = env::var("GORSESPUR_LIVES") else {
-        return usual;
+        return default;
     };
     let number = |t: &str| t.parse().expect("GORSESPUR_LIVES: a number or a..b");
     match text.split_once("..") {
@@ -127,16 +131,20 @@
     }
 }
 
-/// Asserts that nothing is wrong in any of the series.
-fn check_series(seeds: Range<u64>, lives: bool) {
-    let mut bad = Vec::new();
+/// Asserts that no series has violations.
+fn check_series(seeds: Range<u64>, reuse_names: bool) {
+    let mut failures = Vec::new();
     for seed in seeds {
-        let wrong = play(seed, lives);
-        if let Some(first) = wrong.first() {
-            bad.push(format!("seed {seed}: {first}, {} in all", wrong.len()));
+        let violations = run_series(seed, reuse_names);
+        if let Some(first) = violations.first() {
+            failures.push(format!("seed {seed}: {first}, {} in all", violations.len()));
         }
     }
-    assert!(bad.is_empty(), "{} seeds: {bad:#?}", bad.len());
+    assert!(
+        failures.is_empty(),
+        "{} seeds: {failures:#?}",
+        failures.len()
+    );
 }
 
 #[test]
@@ -144,7 +152,7 @@
     check_series(seeds(0..200), true);
 }
 
-/// The same where each life has a name of its own.
+/// The same series, with a new name for each incarnation.
 #[test]
 fn random_series_of_new_names_break_no_promise() {
     check_series(seeds(0..80), false);
--- a/crates/jobs/tests/all/still.rs
+++ b/crates/jobs/tests/all/still.rs
@@ -1,67 +1,68 @@
-//! Jobs that fill go on, however late they are and whatever they disturb.
+//! Best-effort jobs make progress, however late they are and whatever they interfere with.
 
 use std::collections::BTreeMap;
 
-use crate::common::{World, WorldSettings, chain, saving, short};
+use crate::common::{World, WorldSettings, chain, short, with_checkpoints};
 use gorsespur_jobs::{JobId, Spec, Step};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
 const WORKERS: usize = 8;
 
-/// Milliseconds between two looks at what runs.
-const EVERY: u64 = 100;
+/// Milliseconds between two samples of the runs.
+const SAMPLE_MS: u64 = 100;
 
-/// Milliseconds after which users count a job as lost of which nothing runs.
-const LOST: u64 = 3000;
+/// Milliseconds without a run after which users count a job as lost.
+const MAX_STALL_MS: u64 = 3000;
 
-/// Milliseconds that a long task takes.
-const LENGTH: u64 = 4000;
+/// Duration of a long task, in milliseconds.
+const TASK_MS: u64 = 4000;
 
-/// Milliseconds from the last arrival until users ask after all jobs.
-const FINISH: u64 = 14_000;
+/// Milliseconds from the last arrival until the check of all jobs.
+const DRAIN_MS: u64 = 14_000;
 
-/// Processors that a serving task asks for where less than half of the room is taken ...
-const SPARSE: u64 = 1200;
+/// CPU of a serving task that leaves more than half of the capacity free, in thousandths of a
+/// core.
+const SPARSE_CPU: u64 = 1200;
 
-/// ... and where most of it is, in thousandths of a core.
-const DENSE: u64 = 1800;
+/// CPU of a serving task that takes most of the capacity, in thousandths of a core.
+const DENSE_CPU: u64 = 1800;
 
-/// A job whose name comes last in every order that is drawn from names.
-const LAST: u64 = 0x46a7_6c98_01ea_bfcf;
+/// A job whose ID comes last in all orders by ID.
+const LAST_JOB: u64 = 0x46a7_6c98_01ea_bfcf;
 
-/// A job whose name comes first in them.
-const FIRST: u64 = 0x9345_a9f5_82f4_1895;
+/// A job whose ID comes first in all orders by ID.
+const FIRST_JOB: u64 = 0x9345_a9f5_82f4_1895;
 
-/// How long a job has stood still.
+/// Time for which a job had no runs.
 #[derive(Debug, Clone, Copy)]
-struct Still {
-    /// When something of it ran last.
+struct Stall {
+    /// When a task of the job ran last.
     since: u64,
     longest: u64,
 }
 
-/// A world whose jobs are watched.
-struct Watched {
+/// A world whose jobs are watched for stalls.
+struct WatchedWorld {
     world: World,
     rng: SmallRng,
-    jobs: BTreeMap<JobId, Still>,
+    jobs: BTreeMap<JobId, Stall>,
 }
 
-impl Watched {
-    /// Three jobs, each with a task of so many thousandths of a core on each worker, serve with
-    /// loads that swing.
-    fn new(seed: u64, cpu: u64) -> Watched {
+impl WatchedWorld {
+    /// Returns a world with three serving jobs under varying load, each with a task of `cpu`
+    /// thousandths of a core on each worker.
+    fn new(seed: u64, cpu: u64) -> WatchedWorld {
         let mut world = World::new(WorldSettings {
             workers: WORKERS,
             seed,
             ..WorldSettings::default()
         });
         for worker in &mut world.workers {
-            worker.queues = true;
-            worker.shares = true;
+            worker.queueing = true;
+            worker.shares_cpu = true;
         }
-        world.run(EVERY);
+        world.run(SAMPLE_MS);
         for id in 1..4 {
             let serve = Step {
                 cpu,
@@ -74,7 +75,7 @@
             world.submit(id, chain(vec![serve]));
         }
         world.run(5000);
-        Watched {
+        WatchedWorld {
             world,
             rng: SmallRng::seed_from_u64(seed),
             jobs: BTreeMap::new(),
@@ -83,27 +84,30 @@
 
     fn submit(&mut self, id: u64, spec: Spec) {
         let id = self.world.submit(id, spec);
-        let still = Still {
+        let stall = Stall {
             since: self.world.now,
             longest: 0,
         };
-        self.jobs.insert(id, still);
+        self.jobs.insert(id, stall);
     }
 
-    /// More arrives for `ms` than can be done: jobs of two steps of these images.
+    /// Overloads the workers for `ms` with jobs of two steps of these images.
     fn overload(&mut self, ms: u64, images: &[&str]) {
         let end = self.world.now + ms;
         while self.world.now < end {
-            let (first, second) = (self.filling(images), self.filling(images));
+            let (first, second) = (
+                self.random_best_effort(images),
+                self.random_best_effort(images),
+            );
             let id = self.rng.random_range(1000..u64::MAX);
             self.submit(id, chain(vec![first, second]));
             self.run(300);
         }
     }
 
-    fn filling(&mut self, images: &[&str]) -> Step {
+    fn random_best_effort(&mut self, images: &[&str]) -> Step {
         let image = images[self.rng.random_range(0..images.len())];
-        saving(Step {
+        with_checkpoints(Step {
             best_effort: true,
             cpu: self.rng.random_range(1000..2000),
             memory: 200,
@@ -118,70 +122,73 @@
     fn run(&mut self, ms: u64) {
         let end = self.world.now + ms;
         while self.world.now < end {
-            self.world.run(EVERY);
+            self.world.run(SAMPLE_MS);
             let (world, now) = (&self.world, self.world.now);
-            for (&id, still) in &mut self.jobs {
+            for (&id, stall) in &mut self.jobs {
                 let mut runs = world.workers.iter().flat_map(|w| &w.runs);
                 if runs.any(|r| r.task.job == id) || world.outcome(id).is_final() {
-                    still.since = now;
+                    stall.since = now;
                 }
-                still.longest = still.longest.max(now - still.since);
+                stall.longest = stall.longest.max(now - stall.since);
             }
         }
     }
 
-    /// The jobs that have stood still for so long now that users count them as lost.
-    fn lost(&self) -> Vec<(JobId, Still)> {
+    /// Returns the jobs that have had no runs for so long that users count them as lost.
+    fn stalled(&self) -> Vec<(JobId, Stall)> {
         let now = self.world.now;
-        let lost = self.jobs.iter().filter(|(_, s)| now >= s.since + LOST);
-        lost.map(|(&id, &s)| (id, s)).collect()
+        let stalled = self
+            .jobs
+            .iter()
+            .filter(|(_, s)| now >= s.since + MAX_STALL_MS);
+        stalled.map(|(&id, &s)| (id, s)).collect()
     }
 }
 
-/// More arrives for a minute than can be done, and half of it disturbs what serves. When users
-/// ask after their jobs, something of each is running.
+/// The workers are overloaded for a minute, and half of the jobs interfere with serving tasks.
+/// After the last arrival each job has runs.
 #[test_case(4)]
 #[test_case(7)]
 #[test_case(8)]
 #[test_case(13)]
 #[test_case(15)]
-fn no_late_job_stands_still_after_the_last_arrival(seed: u64) {
-    let mut watched = Watched::new(seed, SPARSE);
+fn no_late_job_stalls_after_the_last_arrival(seed: u64) {
+    let mut watched = WatchedWorld::new(seed, SPARSE_CPU);
     watched.overload(60_000, &["light", "thin", "heavy", "heavy"]);
-    watched.run(FINISH);
-    let lost = watched.lost();
+    watched.run(DRAIN_MS);
+    let stalled = watched.stalled();
     assert!(
-        lost.is_empty(),
-        "{} of {}: {lost:?}",
-        lost.len(),
+        stalled.is_empty(),
+        "{} of {}: {stalled:?}",
+        stalled.len(),
         watched.jobs.len()
     );
 }
 
-/// A job of a thousand tasks takes all that is left to what fills. One that comes last in every
-/// order goes on beside it: with most of the room taken once the next task ends.
-#[test_case("light", SPARSE, 0; "where it disturbs nothing")]
-#[test_case("unknown", SPARSE, 0; "where it may disturb everywhere")]
-#[test_case("light", DENSE, LENGTH; "where most of the room is taken")]
-fn a_late_job_goes_on_beside_one_that_takes_all(image: &str, cpu: u64, more: u64) {
-    let mut watched = Watched::new(1, cpu);
+/// A job of a thousand tasks takes all CPU that is left for best-effort tasks. The job that comes
+/// last in the order runs beside it; if most of the capacity is taken, once the next task ends.
+#[test_case("light", SPARSE_CPU, 0; "where it interferes with nothing")]
+#[test_case("unknown", SPARSE_CPU, 0; "where it may interfere everywhere")]
+#[test_case("light", DENSE_CPU, TASK_MS; "where most of the capacity is taken")]
+fn a_late_job_progresses_beside_one_that_takes_all(image: &str, cpu: u64, more: u64) {
+    let mut watched = WatchedWorld::new(1, cpu);
     for worker in &mut watched.world.workers {
-        worker.tails = vec![60];
+        worker.tail_percents = vec![60];
     }
-    watched.submit(FIRST, chain(vec![fill("light", 1000)]));
+    watched.submit(FIRST_JOB, chain(vec![best_effort("light", 1000)]));
     watched.run(10_000);
-    watched.submit(LAST, chain(vec![fill(image, 300)]));
+    watched.submit(LAST_JOB, chain(vec![best_effort(image, 300)]));
     watched.run(40_000);
-    let still = watched.jobs[&JobId(LAST)];
-    assert!(still.longest < LOST + more, "{still:?}");
+    let stall = watched.jobs[&JobId(LAST_JOB)];
+    assert!(stall.longest < MAX_STALL_MS + more, "{stall:?}");
 }
 
-/// A step whose tasks fill for long, and save their progress.
-fn fill(image: &str, count: u32) -> Step {
-    saving(Step {
+/// Returns a step of long best-effort tasks with checkpoints.
+fn best_effort(image: &str, count: u32) -> Step {
+    with_checkpoints(Step {
         best_effort: true,
         memory: 500,
         image: Some(image.into()),
-        ..short(count, LENGTH)
+        ..short(count, TASK_MS)
     })
 }
