--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -20,7 +20,7 @@
     settings::parse_yaml,
 };
 use gorsespur_sched::{program as sched, settings as sched_settings};
-use gorsespur_services::{HttpTable, fake::own_addr};
+use gorsespur_services::{HttpTable, fake::unique_addr};
 use gorsespur_stand::{
     Gate, Ledger, Platform, PlatformFaults, SimSettings, SimWorker, Slowdown, StoredCheckpoints,
     TargetLoad, WorkerStand, serve_platform, serve_worker,
@@ -86,7 +86,7 @@
         };
         let table = HttpTable::new(gate, Duration::from_secs(2));
         apply(&table, &change).expect("accepted");
-        let free_addr = || own_addr().expect("an address");
+        let free_addr = || unique_addr().expect("an address");
         let (sched_listen, entry_listen) = (free_addr(), free_addr());
         let raw = parse_yaml(&common_settings("sched1", sched_listen, entry_listen, gate))
             .expect("good settings");
--- a/crates/http/tests/contract.rs
+++ b/crates/http/tests/contract.rs
@@ -15,7 +15,7 @@
     Client, Handler, HttpError, Limits, Method, Request, Response, Server, ServerSettings,
     parse_request, parse_response,
 };
-use gorsespur_services::fake::own_addr;
+use gorsespur_services::fake::unique_addr;
 use test_case::test_case;
 
 const LIMIT: Duration = Duration::from_secs(20);
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_refused_connection_means_not_sent() {
-    let addr = own_addr().expect("an address");
+    let addr = unique_addr().expect("an address");
     assert!(get(&Client::new(addr)).expect_err("nobody").is_not_sent());
 }
 
--- a/crates/load/src/fleet/plan.rs
+++ b/crates/load/src/fleet/plan.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, SocketAddr, TcpListener};
 
 use gorsespur_core::member::Role;
-use gorsespur_services::fake::own_addr;
+use gorsespur_services::fake::unique_addr;
 use snafu::ResultExt;
 
 use crate::error::{LoadError, PortSnafu};
@@ -91,7 +91,7 @@
 impl Plan {
     pub fn new(size: &FleetSize) -> Result<Plan, LoadError> {
         let mut ports = Ports {
-            host: own_addr().context(PortSnafu)?.ip(),
+            host: unique_addr().context(PortSnafu)?.ip(),
             held: Vec::new(),
         };
         let zones: Vec<String> = ZONES[..size.zones]
--- a/crates/peer/tests/config.rs
+++ b/crates/peer/tests/config.rs
@@ -26,7 +26,7 @@
 };
 use gorsespur_services::{
     Members, MembersError, Table, TableError,
-    fake::{FakePlatform, own_addr},
+    fake::{FakePlatform, unique_addr},
 };
 use gorsespur_wire::{
     keys,
@@ -78,7 +78,7 @@
 }
 
 fn free_addr() -> SocketAddr {
-    own_addr().expect("an address")
+    unique_addr().expect("an address")
 }
 
 fn settings(id: &str, zone: &str, listen: SocketAddr, seed: SocketAddr) -> AgentSettings {
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -12,7 +12,7 @@
     client::{Call, CallError, Response, find_header},
     server::{Limits, Reply, ServerHandle, serve},
 };
-use gorsespur_services::fake::own_addr;
+use gorsespur_services::fake::unique_addr;
 use test_case::test_case;
 
 /// Starts a peer that answers one connection with raw bytes; returns its address.
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_refused_connection_proves_that_nothing_was_sent() {
-    let addr = own_addr().expect("an address");
+    let addr = unique_addr().expect("an address");
     assert!(matches!(call(addr), Err(CallError::NotSent)));
 }
 
--- a/crates/sched/src/inquiry.rs
+++ b/crates/sched/src/inquiry.rs
@@ -39,7 +39,7 @@
     pub old_owner: Option<SocketAddr>,
     /// Address of this instance. If the old owner has the same address, its
     /// process has ended, or this process has stopped its earlier ownership.
-    pub own_addr: SocketAddr,
+    pub unique_addr: SocketAddr,
     pub hold: Duration,
     pub input: Sender<Input>,
     pub settled: Arc<AtomicBool>,
@@ -65,7 +65,7 @@
         let Some(addr) = self.old_owner else {
             return false;
         };
-        if addr == self.own_addr {
+        if addr == self.unique_addr {
             return true;
         }
         let shard = self.shard.clone();
--- a/crates/sched/src/ownership.rs
+++ b/crates/sched/src/ownership.rs
@@ -215,7 +215,7 @@
         let inquiry = Inquiry {
             shard: self.shard.place.name.clone(),
             old_owner,
-            own_addr: self.shared.settings.listen,
+            unique_addr: self.shared.settings.listen,
             hold: Duration::from_millis(hold),
             input: input.clone(),
             settled: settled.clone(),
--- a/crates/services/src/fake.rs
+++ b/crates/services/src/fake.rs
@@ -20,7 +20,7 @@
 use crate::{ObjectError, Objects, Rows, Table, TableError};
 
 /// First of the last bytes of the loopback addresses that are given out.
-const FIRST_HOST: u8 = 2;
+const FIRST_HOST_BYTE: u8 = 2;
 
 /// Returns an address that no other socket of this machine uses or is given.
 ///
@@ -29,8 +29,8 @@
 /// to unless it names it; it is derived from the process and from the call.
 ///
 /// Errors: the system has no sockets left.
-pub fn own_addr() -> io::Result<SocketAddr> {
-    static NEXT: AtomicU8 = AtomicU8::new(FIRST_HOST);
+pub fn unique_addr() -> io::Result<SocketAddr> {
+    static NEXT: AtomicU8 = AtomicU8::new(FIRST_HOST_BYTE);
     let [_, _, high, low] = process::id().to_be_bytes();
     let host = NEXT.fetch_add(1, Ordering::Relaxed);
     let address = Ipv4Addr::new(127, high | 0x80, low, host);
@@ -92,18 +92,18 @@
 }
 
 impl State {
-    fn fault(&mut self) -> Fault {
+    fn next_fault(&mut self) -> Fault {
         self.faults.pop_front().unwrap_or(Fault::None)
     }
 
-    fn read_fault(&mut self) -> Result<(), TableError> {
-        match self.fault() {
+    fn check_read(&mut self) -> Result<(), TableError> {
+        match self.next_fault() {
             Fault::None => Ok(()),
             Fault::Down | Fault::LostAnswer | Fault::Delayed => Err(TableError::Unavailable),
         }
     }
 
-    fn run(&mut self, tx: &Tx) -> Result<u64, TableError> {
+    fn apply(&mut self, tx: &Tx) -> Result<u64, TableError> {
         match self.rows.tx(tx) {
             TxAnswer::Done(version) => {
                 self.writes += 1;
@@ -117,14 +117,14 @@
 impl Table for FakePlatform {
     fn tx(&self, tx: &Tx) -> Result<u64, TableError> {
         let mut state = self.lock();
-        if let Some(late) = state.delayed.take() {
-            let _ = state.run(&late);
+        if let Some(delayed) = state.delayed.take() {
+            let _ = state.apply(&delayed);
         }
-        match state.fault() {
-            Fault::None => state.run(tx),
+        match state.next_fault() {
+            Fault::None => state.apply(tx),
             Fault::Down => Err(TableError::Unavailable),
             Fault::LostAnswer => {
-                let _ = state.run(tx);
+                let _ = state.apply(tx);
                 Err(TableError::Unknown)
             }
             Fault::Delayed => {
@@ -136,7 +136,7 @@
 
     fn get(&self, keys: &[Name]) -> Result<Vec<Option<Row>>, TableError> {
         let mut state = self.lock();
-        state.read_fault()?;
+        state.check_read()?;
         Ok(state.rows.get(keys))
     }
 
@@ -147,7 +147,7 @@
         limit: u32,
     ) -> Result<(Vec<Row>, bool), TableError> {
         let mut state = self.lock();
-        state.read_fault()?;
+        state.check_read()?;
         let answer = state.rows.scan(&ScanRequest {
             prefix: prefix.clone(),
             after,
@@ -160,7 +160,7 @@
 impl Objects for FakePlatform {
     fn put(&self, key: &str, value: &[u8]) -> Result<(), ObjectError> {
         let mut state = self.lock();
-        let fault = state.fault();
+        let fault = state.next_fault();
         if fault == Fault::Down {
             return Err(ObjectError::Unavailable);
         }
@@ -173,7 +173,7 @@
 
     fn get(&self, key: &str) -> Result<Vec<u8>, ObjectError> {
         let mut state = self.lock();
-        if state.fault() != Fault::None {
+        if state.next_fault() != Fault::None {
             return Err(ObjectError::Unavailable);
         }
         state.objects.get(key).cloned().ok_or(ObjectError::Absent)
@@ -181,7 +181,7 @@
 
     fn delete(&self, key: &str) -> Result<(), ObjectError> {
         let mut state = self.lock();
-        if state.fault() != Fault::None {
+        if state.next_fault() != Fault::None {
             return Err(ObjectError::Unavailable);
         }
         state.objects.remove(key);
--- a/crates/services/src/http_objects.rs
+++ b/crates/services/src/http_objects.rs
@@ -8,7 +8,7 @@
 use crate::{ObjectError, Objects};
 
 /// Longest object in bytes.
-const MAX_OBJECT: usize = 256 << 20;
+const MAX_OBJECT_BYTES: usize = 256 << 20;
 
 /// Client of the object store.
 #[derive(Debug, Clone)]
@@ -27,13 +27,13 @@
         Call::new(method, self.addr, &format!("{OBJECTS}{key}"))
             .body(body)
             .timeout(self.timeout)
-            .max_body(MAX_OBJECT)
+            .max_body(MAX_OBJECT_BYTES)
             .send()
             .map_err(|_| ObjectError::Unavailable)
     }
 }
 
-fn check(answer: &Response) -> Result<(), ObjectError> {
+fn check_status(answer: &Response) -> Result<(), ObjectError> {
     match answer.status {
         200 | 204 => Ok(()),
         404 => Err(ObjectError::Absent),
@@ -43,16 +43,16 @@
 
 impl Objects for HttpObjects {
     fn put(&self, key: &str, value: &[u8]) -> Result<(), ObjectError> {
-        check(&self.call("PUT", key, value.to_vec())?)
+        check_status(&self.call("PUT", key, value.to_vec())?)
     }
 
     fn get(&self, key: &str) -> Result<Vec<u8>, ObjectError> {
         let answer = self.call("GET", key, Vec::new())?;
-        check(&answer)?;
+        check_status(&answer)?;
         Ok(answer.body)
     }
 
     fn delete(&self, key: &str) -> Result<(), ObjectError> {
-        check(&self.call("DELETE", key, Vec::new())?)
+        check_status(&self.call("DELETE", key, Vec::new())?)
     }
 }
--- a/crates/services/src/http_table.rs
+++ b/crates/services/src/http_table.rs
@@ -26,7 +26,7 @@
 
 fn table_error(err: PostError) -> TableError {
     match err {
-        PostError::NotDone => TableError::Unavailable,
+        PostError::NotExecuted => TableError::Unavailable,
         PostError::Unknown => TableError::Unknown,
     }
 }
--- a/crates/services/src/post.rs
+++ b/crates/services/src/post.rs
@@ -8,14 +8,14 @@
 use snafu::Snafu;
 
 /// Longest answer in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 /// Why a message has no answer.
 #[derive(Debug, Snafu)]
 pub enum PostError {
     /// The peer did not act: nothing was sent, or it said so.
     #[snafu(display("peer did not act"))]
-    NotDone,
+    NotExecuted,
     /// The peer may have acted.
     #[snafu(display("answer was lost"))]
     Unknown,
@@ -32,20 +32,20 @@
     Q: Serialize,
     A: DeserializeOwned,
 {
-    let body = encode(message).map_err(|_| PostError::NotDone)?;
+    let body = encode(message).map_err(|_| PostError::NotExecuted)?;
     let answer = Call::new("POST", addr, path)
         .header("content-type", CONTENT_TYPE)
         .body(body)
         .timeout(timeout)
-        .max_body(MAX_ANSWER)
+        .max_body(MAX_ANSWER_BYTES)
         .send()
         .map_err(|err| match err {
-            CallError::NotSent => PostError::NotDone,
+            CallError::NotSent => PostError::NotExecuted,
             CallError::Timeout | CallError::Broken | CallError::TooLong => PostError::Unknown,
         })?;
     match answer.status {
         200 => decode(&answer.body).map_err(|_| PostError::Unknown),
-        400..=499 | 503 => Err(PostError::NotDone),
+        400..=499 | 503 => Err(PostError::NotExecuted),
         _ => Err(PostError::Unknown),
     }
 }
