--- a/crates/core/tests/common/checks.rs
+++ b/crates/core/tests/common/checks.rs
@@ -1,7 +1,7 @@
 //! Checks of the promises against the ledger of the workers.
 
 use gorsespur_core::shard::{JobState, JobStatus};
-use gorsespur_stand::{Entry, What};
+use gorsespur_stand::{Entry, EntryKind};
 
 use super::World;
 
@@ -21,27 +21,27 @@
             continue;
         }
         match e.what {
-            What::Start => out.push(Run {
+            EntryKind::Start => out.push(Run {
                 name: e.name.clone(),
                 worker: e.worker.clone(),
                 attempt: e.attempt.clone(),
                 from: e.ms,
                 to: None,
             }),
-            What::Done | What::Failed | What::Saved | What::Stopped => {
+            EntryKind::Done | EntryKind::Failed | EntryKind::Saved | EntryKind::Stopped => {
                 let same =
                     |r: &&mut Run| r.to.is_none() && r.worker == e.worker && r.attempt == e.attempt;
                 let run = out.iter_mut().rev().find(same);
                 run.expect("an end has a start").to = Some(e.ms);
             }
-            What::Killed | What::Boot => {
+            EntryKind::Killed | EntryKind::Boot => {
                 for r in &mut out {
                     if r.worker == e.worker && r.to.is_none() {
                         r.to = Some(e.ms);
                     }
                 }
             }
-            What::NoRoom | What::Stale | What::Request => {}
+            EntryKind::NoRoom | EntryKind::Stale | EntryKind::Request => {}
         }
     }
     out
@@ -60,7 +60,7 @@
         }
     }
     for e in &ledger {
-        assert_ne!(e.what, What::NoRoom, "overcommitted: {e:?}");
+        assert_ne!(e.what, EntryKind::NoRoom, "overcommitted: {e:?}");
     }
 }
 
@@ -75,7 +75,7 @@
             let name = format!("{}/{}/{task}", key.org, key.id);
             let done = ledger
                 .iter()
-                .filter(|e| e.name == name && e.what == What::Done)
+                .filter(|e| e.name == name && e.what == EntryKind::Done)
                 .count();
             if status.state == JobState::Done {
                 assert!(done > 0, "{name} is reported as done but never completed");
--- a/crates/core/tests/common/injection.rs
+++ b/crates/core/tests/common/injection.rs
@@ -1,7 +1,7 @@
 //! Injection of faults into the simulation, and their ends.
 
 use gorsespur_core::{Millis, shard::Event, template::Priority};
-use gorsespur_stand::{Entry, What, WorkerFaults};
+use gorsespur_stand::{Entry, EntryKind, WorkerFaults};
 
 use super::{
     Fault, World,
@@ -48,7 +48,7 @@
                 let mut node = self.nodes.swap_remove(w);
                 let clock = node.clock(self.now);
                 if let Some(sim) = &mut node.sim {
-                    sim.settle(clock);
+                    sim.expire_leases(clock);
                     self.boot(&mut node);
                 }
                 self.nodes.push(node);
@@ -151,12 +151,12 @@
         let Some(mut sim) = node.sim.take() else {
             return;
         };
-        sim.settle(clock);
+        sim.expire_leases(clock);
         node.listed = false;
-        self.ledger.add(Entry {
+        self.ledger.append(Entry {
             ms: self.now,
             worker: node.name.to_string(),
-            what: What::Killed,
+            what: EntryKind::Killed,
             name: String::new(),
             attempt: String::new(),
             service: false,
--- a/crates/core/tests/guards.rs
+++ b/crates/core/tests/guards.rs
@@ -12,7 +12,7 @@
     size::Size,
     template::Priority,
 };
-use gorsespur_stand::What;
+use gorsespur_stand::EntryKind;
 use test_case::test_case;
 
 const NOW_MS: u64 = 1_000_000;
@@ -273,7 +273,7 @@
     assert!(world.run_until_finished(200_000));
     check_promises(&world);
     for e in world.ledger.entries() {
-        let stopped = matches!(e.what, What::Saved | What::Stopped);
+        let stopped = matches!(e.what, EntryKind::Saved | EntryKind::Stopped);
         assert!(!stopped || e.service, "{e:?}");
     }
 }
--- a/crates/entry/tests/callers.rs
+++ b/crates/entry/tests/callers.rs
@@ -6,7 +6,7 @@
 
 use common::Zone;
 use gorsespur_runtime::client::{Response, find_header};
-use gorsespur_stand::{PlatformFaults, What, WorkerFaults, answer_body};
+use gorsespur_stand::{EntryKind, PlatformFaults, WorkerFaults, answer_body};
 use serde_json::Value;
 
 const SERVICE: &str = "/s/first/hello/x";
@@ -24,7 +24,7 @@
     let entries = zone.ledger.entries();
     entries
         .iter()
-        .filter(|e| e.what == What::Request && e.name == id)
+        .filter(|e| e.what == EntryKind::Request && e.name == id)
         .count()
 }
 
@@ -133,7 +133,7 @@
         .ledger
         .entries()
         .iter()
-        .filter(|e| e.what == What::Done)
+        .filter(|e| e.what == EntryKind::Done)
         .count();
     assert_eq!(done, 1);
     let other = "/v1/orgs/first/jobs/two";
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -22,8 +22,8 @@
 use gorsespur_sched::{program as sched, settings as sched_settings};
 use gorsespur_services::{HttpTable, fake::unique_addr};
 use gorsespur_stand::{
-    Gate, Ledger, Platform, PlatformFaults, SimSettings, SimWorker, Slowdown, StoredCheckpoints,
-    TargetLoad, WorkerStand, serve_platform, serve_worker,
+    Ledger, Platform, PlatformFaults, SimSettings, SimTarget, SimWorker, Slowdown,
+    StoredCheckpoints, WorkerServer, ZoneEndpoint, serve_platform, serve_worker,
 };
 use gorsespur_wire::members::MemberList;
 
@@ -34,7 +34,7 @@
 pub struct Zone {
     pub callers: SocketAddr,
     pub ledger: Arc<Ledger>,
-    pub worker: WorkerStand,
+    pub worker: WorkerServer,
     pub entry: Option<entry::Running>,
     platform: Arc<Mutex<Platform>>,
     sched: Option<sched::Running>,
@@ -56,7 +56,7 @@
         let platform = Platform::new(5_000, 5_000, Duration::ZERO, 1);
         let platform = Arc::new(Mutex::new(platform));
         let any_addr: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let gates = [Gate {
+        let gates = [ZoneEndpoint {
             zone: "home".into(),
             addr: any_addr,
         }];
@@ -160,7 +160,7 @@
     platform.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn start_worker(gate: SocketAddr, ledger: &Arc<Ledger>, cancel: &CancelToken) -> WorkerStand {
+fn start_worker(gate: SocketAddr, ledger: &Arc<Ledger>, cancel: &CancelToken) -> WorkerServer {
     let settings = SimSettings {
         name: Name::from("w1"),
         size: Size::new(30_000, 125 << 30, 0),
@@ -176,6 +176,15 @@
     let checkpoints = Arc::new(StoredCheckpoints::new(objects));
     let sim = SimWorker::new(settings, 9, ledger.clone(), checkpoints);
     let any_addr: SocketAddr = ([127, 0, 0, 1], 0).into();
-    let load = TargetLoad::new(8, 1.0);
-    serve_worker(any_addr, any_addr, sim, load, ledger.clone(), "w1", cancel).expect("a worker")
+    let target = SimTarget::new(8, 1.0);
+    serve_worker(
+        any_addr,
+        any_addr,
+        sim,
+        target,
+        ledger.clone(),
+        "w1",
+        cancel,
+    )
+    .expect("a worker")
 }
--- a/crates/load/src/fleet/boot.rs
+++ b/crates/load/src/fleet/boot.rs
@@ -11,7 +11,7 @@
 
 use gorsespur_core::{name::Name, shard::WorkerInfo, size::Size};
 use gorsespur_runtime::{client::Call, clock::wall_ms};
-use gorsespur_stand::{Entry, Ledger, PlatformFaults, What, WorkerFaults};
+use gorsespur_stand::{Entry, EntryKind, Ledger, PlatformFaults, WorkerFaults};
 use gorsespur_wire::{
     codec::encode,
     members::{InstanceInfo, MemberList},
@@ -260,10 +260,10 @@
         let name = self.plan.workers[i].name.clone();
         let path = self.ledger(&name);
         let ledger = Ledger::open(Some(&path)).context(LedgerSnafu)?;
-        ledger.add(Entry {
+        ledger.append(Entry {
             ms: wall_ms(),
             worker: name.clone(),
-            what: What::Killed,
+            what: EntryKind::Killed,
             name: String::new(),
             attempt: String::new(),
             service: false,
--- a/crates/load/src/judge.rs
+++ b/crates/load/src/judge.rs
@@ -1,7 +1,7 @@
 //! Judges promises by the workers' ledgers.
 
 use gorsespur_core::route::Outcome;
-use gorsespur_stand::{Entry, What};
+use gorsespur_stand::{Entry, EntryKind};
 
 use crate::kit::{JobResult, RequestTotals};
 
@@ -44,7 +44,7 @@
     let runs = runs(ledger, end);
     find_doubles(&runs, &mut verdict);
     for e in ledger {
-        if e.what == What::NoRoom {
+        if e.what == EntryKind::NoRoom {
             verdict.overcommitted += 1;
             verdict
                 .findings
@@ -62,7 +62,7 @@
     let mut open: Vec<Run> = Vec::new();
     for e in ledger {
         match e.what {
-            What::Start if !e.service => open.push(Run {
+            EntryKind::Start if !e.service => open.push(Run {
                 name: e.name.clone(),
                 worker: e.worker.clone(),
                 attempt: e.attempt.clone(),
@@ -71,7 +71,7 @@
                 done: false,
                 killed: false,
             }),
-            What::Done | What::Failed | What::Saved | What::Stopped => {
+            EntryKind::Done | EntryKind::Failed | EntryKind::Saved | EntryKind::Stopped => {
                 let same =
                     |r: &Run| r.worker == e.worker && r.attempt == e.attempt && r.name == e.name;
                 let Some(i) = open.iter().position(same) else {
@@ -79,10 +79,10 @@
                 };
                 let mut run = open.swap_remove(i);
                 run.to = e.ms;
-                run.done = e.what == What::Done;
+                run.done = e.what == EntryKind::Done;
                 out.push(run);
             }
-            What::Killed => {
+            EntryKind::Killed => {
                 for run in &mut out {
                     let late = run.to + UNREPORTED_MS >= e.ms;
                     run.killed |= run.worker == e.worker && run.done && late;
@@ -98,7 +98,11 @@
                     out.push(run);
                 }
             }
-            What::Start | What::Boot | What::NoRoom | What::Stale | What::Request => {}
+            EntryKind::Start
+            | EntryKind::Boot
+            | EntryKind::NoRoom
+            | EntryKind::Stale
+            | EntryKind::Request => {}
         }
     }
     out.extend(open);
@@ -151,7 +155,7 @@
 fn find_requests(ledger: &[Entry], req: &RequestTotals, verdict: &mut Verdict) {
     let mut ran: Vec<&str> = Vec::new();
     for e in ledger {
-        if e.what == What::Request {
+        if e.what == EntryKind::Request {
             ran.push(&e.name);
         }
     }
--- a/crates/load/src/measure/floor.rs
+++ b/crates/load/src/measure/floor.rs
@@ -276,7 +276,7 @@
         for victim in &kinds {
             for other in &kinds {
                 for (band, load) in LOADS.iter().enumerate() {
-                    let adds = slowdown.adds(victim, other, *load) as f32;
+                    let adds = slowdown.contribution(victim, other, *load) as f32;
                     self.machine
                         .set_interference((&org, victim), (&org, other), band, adds);
                 }
@@ -403,7 +403,7 @@
     /// Takes one answer's time from each replica.
     fn look(&mut self) {
         for w in &self.workers {
-            if !w.serves(SERVICE) {
+            if !w.has_replica(SERVICE) {
                 continue;
             }
             let unit: f64 = self.load_rng.random_range(1e-9..1.0);
--- a/crates/stand/src/error.rs
+++ b/crates/stand/src/error.rs
@@ -36,13 +36,13 @@
     },
     /// The members can't be read.
     #[snafu(display("members"))]
-    Members {
+    MembersFile {
         /// The reason.
         source: SettingsError,
     },
     /// The platform did not take the members.
     #[snafu(display("no platform at {gate} took the members"))]
-    NotTaken {
+    MembersRejected {
         /// Its address.
         gate: SocketAddr,
     },
--- a/crates/stand/src/ledger.rs
+++ b/crates/stand/src/ledger.rs
@@ -17,7 +17,7 @@
 /// What happened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum EntryKind {
     /// A worker began.
     Boot,
     /// A worker was killed; written by whoever killed it.
@@ -48,7 +48,7 @@
     /// Worker.
     pub worker: String,
     /// What happened.
-    pub what: What,
+    pub what: EntryKind,
     /// Organisation, job and task, or the request's id.
     pub name: String,
     /// Attempt, if a task.
@@ -73,9 +73,9 @@
 /// Appends entries to a file, or keeps them in memory.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    time: AtomicU64,
+    fixed_ms: AtomicU64,
     file: Option<Mutex<File>>,
-    memory: Mutex<Vec<Entry>>,
+    entries: Mutex<Vec<Entry>>,
 }
 
 impl Ledger {
@@ -87,29 +87,29 @@
         let file = OpenOptions::new().create(true).append(true).open(path);
         let file = file.context(FileSnafu { path })?;
         Ok(Ledger {
-            time: AtomicU64::new(0),
+            fixed_ms: AtomicU64::new(0),
             file: Some(Mutex::new(file)),
-            memory: Mutex::default(),
+            entries: Mutex::default(),
         })
     }
 
     /// Sets the time of the entries to come, where no real time passes.
     pub fn set_time(&self, ms: u64) {
-        self.time.store(ms, Ordering::Release);
+        self.fixed_ms.store(ms, Ordering::Release);
     }
 
     /// Returns the time for an entry: the one that was set, or the wall's.
-    pub fn now(&self) -> u64 {
-        match self.time.load(Ordering::Acquire) {
+    pub fn now_ms(&self) -> u64 {
+        match self.fixed_ms.load(Ordering::Acquire) {
             0 => wall_ms(),
             ms => ms,
         }
     }
 
     /// Appends an entry.
-    pub fn add(&self, entry: Entry) {
+    pub fn append(&self, entry: Entry) {
         let Some(file) = &self.file else {
-            self.memory
+            self.entries
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
                 .push(entry);
@@ -125,7 +125,7 @@
 
     /// Returns the entries in memory.
     pub fn entries(&self) -> Vec<Entry> {
-        self.memory
+        self.entries
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
@@ -134,13 +134,13 @@
     /// Reads the entries of a file; a last line that was cut by a kill is left out.
     pub fn read(path: &Path) -> Result<Vec<Entry>, LedgerError> {
         let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
-        let mut out = Vec::new();
+        let mut entries = Vec::new();
         for line in text.lines() {
             let Ok(entry) = serde_json::from_str(line) else {
                 continue;
             };
-            out.push(entry);
+            entries.push(entry);
         }
-        Ok(out)
+        Ok(entries)
     }
 }
--- a/crates/stand/src/main.rs
+++ b/crates/stand/src/main.rs
@@ -17,17 +17,17 @@
 };
 use gorsespur_services::HttpObjects;
 use gorsespur_stand::{
-    Gate, Ledger, Platform, SimSettings, SimWorker, Slowdown, StandError, StoredCheckpoints,
-    TargetLoad,
+    Ledger, Platform, SimSettings, SimTarget, SimWorker, Slowdown, StandError, StoredCheckpoints,
+    ZoneEndpoint,
     args::{PlatformArgs, StandArgs, StandRole, WorkerArgs},
     send_members, serve_platform, serve_worker,
 };
 
 /// Time limit of writing a checkpoint.
-const CHECKPOINT: Duration = Duration::from_millis(800);
+const CHECKPOINT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// How often the main thread looks for the end.
-const LOOK: Duration = Duration::from_secs(3600);
+const WAIT_INTERVAL: Duration = Duration::from_secs(3600);
 
 fn main() -> ExitCode {
     let args = StandArgs::parse();
@@ -39,7 +39,7 @@
     report_result("gorsespur-stand", result)
 }
 
-fn prepare(id: &str) -> Result<CancelToken, StandError> {
+fn start_process(id: &str) -> Result<CancelToken, StandError> {
     start(&LogSettings::default(), "stand", id).map_err(|source| StandError::Log { source })?;
     let cancel = CancelToken::new();
     cancel_on_signal(&cancel).map_err(|source| StandError::System { source })?;
@@ -47,24 +47,24 @@
 }
 
 fn run_platform(args: PlatformArgs) -> Result<(), StandError> {
-    let cancel = prepare("platform")?;
+    let cancel = start_process("platform")?;
     let lag = Duration::from_millis(args.lag);
     let platform = Platform::new(args.writes, args.reads, lag, args.seed);
-    let mut gates = Vec::new();
+    let mut endpoints = Vec::new();
     for (zone, addr) in args.gates {
         let zone = Name::from(zone);
-        gates.push(Gate { zone, addr });
+        endpoints.push(ZoneEndpoint { zone, addr });
     }
-    let gates = serve_platform(Arc::new(Mutex::new(platform)), &gates, &cancel)?;
-    for gate in gates {
-        log::info!("platform: zone {} at {}", gate.zone, gate.addr);
+    let endpoints = serve_platform(Arc::new(Mutex::new(platform)), &endpoints, &cancel)?;
+    for endpoint in endpoints {
+        log::info!("platform: zone {} at {}", endpoint.zone, endpoint.addr);
     }
-    while !cancel.wait(LOOK) {}
+    while !cancel.wait(WAIT_INTERVAL) {}
     Ok(())
 }
 
 fn run_worker(args: WorkerArgs) -> Result<(), StandError> {
-    let cancel = prepare(&args.name)?;
+    let cancel = start_process(&args.name)?;
     let ledger = Ledger::open(args.ledger.as_deref());
     let ledger = Arc::new(ledger.map_err(|source| StandError::Ledger { source })?);
     let settings = SimSettings {
@@ -78,15 +78,15 @@
             shift: 0,
         },
     };
-    let objects = HttpObjects::new(args.objects, CHECKPOINT);
+    let objects = HttpObjects::new(args.objects, CHECKPOINT_TIMEOUT);
     let checkpoints = Arc::new(StoredCheckpoints::new(objects));
     let sim = SimWorker::new(settings, wall_ms(), ledger.clone(), checkpoints);
-    let load = TargetLoad::new(args.slots, args.service_ms);
+    let target = SimTarget::new(args.slots, args.service_ms);
     let worker = serve_worker(
         args.addr,
         args.target,
         sim,
-        load,
+        target,
         ledger,
         &args.name,
         &cancel,
@@ -96,6 +96,6 @@
         worker.addr,
         worker.target
     );
-    while !cancel.wait(LOOK) {}
+    while !cancel.wait(WAIT_INTERVAL) {}
     Ok(())
 }
--- a/crates/stand/src/members_file.rs
+++ b/crates/stand/src/members_file.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     StandError,
-    error::{MembersSnafu, NotTakenSnafu},
+    error::{MembersFileSnafu, MembersRejectedSnafu},
 };
 
 #[derive(Debug, Deserialize)]
@@ -53,17 +53,17 @@
 /// Sends the members in a file to the platform at `gate`.
 pub fn send_members(gate: SocketAddr, file: &Path) -> Result<(), StandError> {
     let list = load(file, |raw: RawMembers| {
-        Ok::<MemberList, Problems>(list(raw))
+        Ok::<MemberList, Problems>(to_member_list(raw))
     });
-    let list = list.context(MembersSnafu)?;
+    let list = list.context(MembersFileSnafu)?;
     let body = encode(&list).unwrap_or_default();
     let answer = Call::new("POST", gate, "/members/set").body(body).send();
-    let taken = answer.is_ok_and(|a| a.status == 200);
-    snafu::ensure!(taken, NotTakenSnafu { gate });
+    let accepted = answer.is_ok_and(|a| a.status == 200);
+    snafu::ensure!(accepted, MembersRejectedSnafu { gate });
     Ok(())
 }
 
-fn list(raw: RawMembers) -> MemberList {
+fn to_member_list(raw: RawMembers) -> MemberList {
     let mut list = MemberList::default();
     for i in raw.instances {
         list.instances.push(InstanceInfo {
--- a/crates/stand/src/platform.rs
+++ b/crates/stand/src/platform.rs
@@ -17,11 +17,11 @@
 
 /// Why a call had no effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Refused {
+pub(crate) enum Refusal {
     /// The service is down.
     Down,
     /// Too many calls in this second.
-    Rate,
+    RateLimited,
 }
 
 /// What the platform keeps.
@@ -29,26 +29,26 @@
 pub struct Platform {
     rows: Rows,
     pub(crate) objects: BTreeMap<String, Vec<u8>>,
-    lists: VecDeque<(Instant, MemberList)>,
+    member_lists: VecDeque<(Instant, MemberList)>,
     lag: Duration,
     pub(crate) faults: PlatformFaults,
-    writes: Window,
-    reads: Window,
+    writes: RateLimit,
+    reads: RateLimit,
     rng: SmallRng,
 }
 
 /// Calls in the present second.
 #[derive(Debug)]
-struct Window {
+struct RateLimit {
     start: Instant,
     count: u32,
     limit: u32,
     total: u64,
 }
 
-impl Window {
-    fn new(limit: u32) -> Window {
-        Window {
+impl RateLimit {
+    fn new(limit: u32) -> RateLimit {
+        RateLimit {
             start: Instant::now(),
             count: 0,
             limit,
@@ -56,13 +56,13 @@
         }
     }
 
-    fn take(&mut self) -> Result<(), Refused> {
+    fn acquire(&mut self) -> Result<(), Refusal> {
         if self.start.elapsed() >= Duration::from_secs(1) {
             self.start = Instant::now();
             self.count = 0;
         }
         if self.count >= self.limit {
-            return Err(Refused::Rate);
+            return Err(Refusal::RateLimited);
         }
         self.count += 1;
         self.total += 1;
@@ -76,18 +76,19 @@
         Platform {
             rows: Rows::default(),
             objects: BTreeMap::new(),
-            lists: VecDeque::new(),
+            member_lists: VecDeque::new(),
             lag,
             faults: PlatformFaults::default(),
-            writes: Window::new(writes),
-            reads: Window::new(reads),
+            writes: RateLimit::new(writes),
+            reads: RateLimit::new(reads),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
     /// Replaces the membership list; it shows after the lag.
     pub fn set_members(&mut self, list: MemberList) {
-        self.lists.push_back((Instant::now() + self.lag, list));
+        self.member_lists
+            .push_back((Instant::now() + self.lag, list));
     }
 
     /// Replaces the faults.
@@ -100,24 +101,24 @@
         (self.writes.total, self.reads.total)
     }
 
-    pub(crate) fn members(&mut self) -> Result<MemberList, Refused> {
+    pub(crate) fn members(&mut self) -> Result<MemberList, Refusal> {
         if self.faults.members_down {
-            return Err(Refused::Down);
+            return Err(Refusal::Down);
         }
-        while self.lists.len() > 1 && self.lists[1].0 <= Instant::now() {
-            self.lists.pop_front();
+        while self.member_lists.len() > 1 && self.member_lists[1].0 <= Instant::now() {
+            self.member_lists.pop_front();
         }
-        let first = self.lists.front();
-        let shown = first.filter(|l| l.0 <= Instant::now());
-        Ok(shown.map(|l| l.1.clone()).unwrap_or_default())
+        let oldest = self.member_lists.front();
+        let visible = oldest.filter(|l| l.0 <= Instant::now());
+        Ok(visible.map(|l| l.1.clone()).unwrap_or_default())
     }
 
     /// Runs a transaction; the flag tells whether its answer is to be lost.
-    pub(crate) fn tx(&mut self, tx: &Tx) -> Result<(TxAnswer, bool), Refused> {
+    pub(crate) fn tx(&mut self, tx: &Tx) -> Result<(TxAnswer, bool), Refusal> {
         if self.faults.table_down {
-            return Err(Refused::Down);
+            return Err(Refusal::Down);
         }
-        self.writes.take()?;
+        self.writes.acquire()?;
         let answer = self.rows.tx(tx);
         if let TxAnswer::Conflict { .. } = answer {
             return Ok((answer, false));
@@ -126,21 +127,21 @@
         Ok((answer, lost))
     }
 
-    pub(crate) fn get(&mut self, keys: &[Name]) -> Result<GetAnswer, Refused> {
-        self.read()?;
+    pub(crate) fn get(&mut self, keys: &[Name]) -> Result<GetAnswer, Refusal> {
+        self.acquire_read()?;
         let rows = self.rows.get(keys);
         Ok(GetAnswer { rows })
     }
 
-    pub(crate) fn scan(&mut self, req: &ScanRequest) -> Result<ScanAnswer, Refused> {
-        self.read()?;
+    pub(crate) fn scan(&mut self, req: &ScanRequest) -> Result<ScanAnswer, Refusal> {
+        self.acquire_read()?;
         Ok(self.rows.scan(req))
     }
 
-    fn read(&mut self) -> Result<(), Refused> {
+    fn acquire_read(&mut self) -> Result<(), Refusal> {
         if self.faults.table_down {
-            return Err(Refused::Down);
+            return Err(Refusal::Down);
         }
-        self.reads.take()
+        self.reads.acquire()
     }
 }
--- a/crates/stand/src/platform_http.rs
+++ b/crates/stand/src/platform_http.rs
@@ -25,40 +25,43 @@
 use crate::{
     Platform, StandError,
     error::{BindSnafu, SystemSnafu},
-    platform::Refused,
+    platform::Refusal,
 };
 
-/// Threads of each gate.
-const THREADS: usize = 24;
+/// Threads of each endpoint.
+const THREADS_PER_ENDPOINT: usize = 24;
 
 /// An address of the platform for one availability zone.
 #[derive(Debug, Clone)]
-pub struct Gate {
+pub struct ZoneEndpoint {
     /// Zone.
     pub zone: Name,
     /// Address.
     pub addr: SocketAddr,
 }
 
-/// Serves the platform at each gate until `cancel`; returns the bound addresses.
+/// Serves the platform at each endpoint until `cancel`; returns the bound addresses.
 pub fn serve_platform(
     platform: Arc<Mutex<Platform>>,
-    gates: &[Gate],
+    endpoints: &[ZoneEndpoint],
     cancel: &CancelToken,
-) -> Result<Vec<Gate>, StandError> {
+) -> Result<Vec<ZoneEndpoint>, StandError> {
     let mut bound = Vec::new();
-    for gate in gates {
-        let addr = gate.addr;
-        let (platform, zone) = (platform.clone(), gate.zone.clone());
-        let server = Server::new(addr, move |req| answer(&platform, &zone, req));
-        let server = server.ok().context(BindSnafu { addr })?.pool_size(THREADS);
-        bound.push(Gate {
-            zone: gate.zone.clone(),
+    for endpoint in endpoints {
+        let addr = endpoint.addr;
+        let (platform, zone) = (platform.clone(), endpoint.zone.clone());
+        let server = Server::new(addr, move |req| handle(&platform, &zone, req));
+        let server = server
+            .ok()
+            .context(BindSnafu { addr })?
+            .pool_size(THREADS_PER_ENDPOINT);
+        bound.push(ZoneEndpoint {
+            zone: endpoint.zone.clone(),
             addr: server.server_addr(),
         });
         let cancel = cancel.clone();
         thread::Builder::new()
-            .name(format!("gate-{}", gate.zone))
+            .name(format!("gate-{}", endpoint.zone))
             .spawn(move || {
                 while !cancel.is_cancelled() {
                     server.poll_timeout(Duration::from_millis(50));
@@ -73,38 +76,38 @@
     platform.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn answer(platform: &Mutex<Platform>, zone: &Name, req: &Request) -> Response {
+fn handle(platform: &Mutex<Platform>, zone: &Name, req: &Request) -> Response {
     let path = req.url();
     if path == "/faults" || path == "/members/set" || path == "/totals" {
-        return control(platform, &path, req);
+        return handle_control(platform, &path, req);
     }
     let faults = lock(platform).faults.clone();
     if faults.slow_ms > 0 {
         thread::sleep(Duration::from_millis(faults.slow_ms));
     }
     if faults.cut.iter().any(|z| **z == **zone) {
-        return status(503);
+        return empty_response(503);
     }
-    let body = read(req);
+    let body = read_body(req);
     match &*path {
         TX => run_tx(platform, &body),
         GET => match decode::<GetRequest>(&body) {
-            Ok(get) => reply(lock(platform).get(&get.keys)),
-            Err(_) => status(400),
+            Ok(get) => encode_reply(lock(platform).get(&get.keys)),
+            Err(_) => empty_response(400),
         },
         SCAN => match decode::<ScanRequest>(&body) {
-            Ok(scan) => reply(lock(platform).scan(&scan)),
-            Err(_) => status(400),
+            Ok(scan) => encode_reply(lock(platform).scan(&scan)),
+            Err(_) => empty_response(400),
         },
-        MEMBERS => reply(lock(platform).members()),
+        MEMBERS => encode_reply(lock(platform).members()),
         _ => match path.strip_prefix(OBJECTS) {
-            Some(key) => object(platform, req.method(), key, body),
-            None => status(404),
+            Some(key) => handle_object(platform, req.method(), key, body),
+            None => empty_response(404),
         },
     }
 }
 
-fn read(req: &Request) -> Vec<u8> {
+fn read_body(req: &Request) -> Vec<u8> {
     let mut body = Vec::new();
     if let Some(mut data) = req.data() {
         let _ = data.read_to_end(&mut body);
@@ -112,58 +115,58 @@
     body
 }
 
-fn status(code: u16) -> Response {
+fn empty_response(code: u16) -> Response {
     Response::text("").with_status_code(code)
 }
 
-fn reply<T: Serialize>(result: Result<T, Refused>) -> Response {
+fn encode_reply<T: Serialize>(result: Result<T, Refusal>) -> Response {
     match result {
         Ok(value) => match encode(&value) {
             Ok(body) => Response::from_data("application/octet-stream", body),
-            Err(_) => status(500),
+            Err(_) => empty_response(500),
         },
-        Err(Refused::Down) => status(503),
-        Err(Refused::Rate) => status(429),
+        Err(Refusal::Down) => empty_response(503),
+        Err(Refusal::RateLimited) => empty_response(429),
     }
 }
 
 fn run_tx(platform: &Mutex<Platform>, body: &[u8]) -> Response {
     let Ok(tx) = decode::<Tx>(body) else {
-        return status(400);
+        return empty_response(400);
     };
     let result = lock(platform).tx(&tx);
     match result {
-        Ok((_, true)) => status(500),
-        Ok((answer, false)) => reply(Ok(answer)),
-        Err(refused) => reply::<()>(Err(refused)),
+        Ok((_, true)) => empty_response(500),
+        Ok((answer, false)) => encode_reply(Ok(answer)),
+        Err(refusal) => encode_reply::<()>(Err(refusal)),
     }
 }
 
-fn object(platform: &Mutex<Platform>, method: &str, key: &str, body: Vec<u8>) -> Response {
+fn handle_object(platform: &Mutex<Platform>, method: &str, key: &str, body: Vec<u8>) -> Response {
     let mut platform = lock(platform);
     if platform.faults.objects_down {
-        return status(503);
+        return empty_response(503);
     }
     match method {
         "PUT" => {
             platform.objects.insert(key.to_owned(), body);
-            status(204)
+            empty_response(204)
         }
         "GET" => match platform.objects.get(key) {
             Some(value) => Response::from_data("application/octet-stream", value.clone()),
-            None => status(404),
+            None => empty_response(404),
         },
         "DELETE" => {
             platform.objects.remove(key);
-            status(204)
+            empty_response(204)
         }
-        _ => status(405),
+        _ => empty_response(405),
     }
 }
 
 /// Switches of the stand-in, for trials.
-fn control(platform: &Mutex<Platform>, path: &str, req: &Request) -> Response {
-    let body = read(req);
+fn handle_control(platform: &Mutex<Platform>, path: &str, req: &Request) -> Response {
+    let body = read_body(req);
     let mut platform = lock(platform);
     if path == "/totals" {
         let (writes, reads) = platform.totals();
@@ -171,14 +174,14 @@
     }
     if path == "/faults" {
         let Ok(faults) = serde_json::from_slice(&body) else {
-            return status(400);
+            return empty_response(400);
         };
         platform.set_faults(faults);
-        return status(200);
+        return empty_response(200);
     }
     let Ok(list) = decode(&body) else {
-        return status(400);
+        return empty_response(400);
     };
     platform.set_members(list);
-    status(200)
+    empty_response(200)
 }
--- a/crates/stand/src/sim.rs
+++ b/crates/stand/src/sim.rs
@@ -15,7 +15,7 @@
     size::Size,
 };
 
-use crate::{Checkpoints, Entry, Ledger, Slowdown, What, WorkerFaults};
+use crate::{Checkpoints, Entry, EntryKind, Ledger, Slowdown, WorkerFaults};
 
 /// Settings of a worker.
 #[derive(Debug, Clone)]
@@ -36,7 +36,7 @@
 struct Run {
     order: StartOrder,
     lease_end: Millis,
-    percent: u32,
+    cpu_percent: u32,
     progress: f64,
 }
 
@@ -54,10 +54,10 @@
     runs: Vec<Run>,
     ended: Vec<EndReport>,
     samples: VecDeque<(Millis, Sample)>,
-    sampled: Millis,
-    running_then: Vec<(AttemptId, u32)>,
-    slows: Vec<f64>,
-    late: Millis,
+    last_sample: Millis,
+    slowdown_inputs: Vec<(AttemptId, u32)>,
+    slowdowns: Vec<f64>,
+    expired_ago: Millis,
 }
 
 impl SimWorker {
@@ -81,12 +81,12 @@
             runs: Vec::new(),
             ended: Vec::new(),
             samples: VecDeque::new(),
-            sampled: 0,
-            running_then: Vec::new(),
-            slows: Vec::new(),
-            late: 0,
+            last_sample: 0,
+            slowdown_inputs: Vec::new(),
+            slowdowns: Vec::new(),
+            expired_ago: 0,
         };
-        worker.note(What::Boot, "", "", false);
+        worker.record(EntryKind::Boot, "", "", false);
         worker
     }
 
@@ -103,20 +103,20 @@
     /// Replaces the hidden slowdowns.
     pub fn set_slowdown(&mut self, slowdown: Slowdown) {
         self.settings.slowdown = slowdown;
-        self.running_then.clear();
+        self.slowdown_inputs.clear();
     }
 
     /// Returns what is reserved.
-    pub fn used(&self) -> Size {
-        let mut used = Size::default();
+    pub fn reserved(&self) -> Size {
+        let mut reserved = Size::default();
         for r in &self.runs {
-            used = used.saturating_add(&r.order.size);
+            reserved = reserved.saturating_add(&r.order.size);
         }
-        used
+        reserved
     }
 
     /// Tells whether a replica of a service runs here.
-    pub fn serves(&self, kind: &str) -> bool {
+    pub fn has_replica(&self, kind: &str) -> bool {
         self.runs
             .iter()
             .any(|r| r.order.service && *r.order.kind == *kind)
@@ -130,33 +130,33 @@
     /// Returns the present slowdown of a service; 1 is not slowed.
     pub fn service_slowdown(&self, kind: &str) -> f64 {
         let load = self.load();
-        let mut skipped = false;
+        let mut own_found = false;
         let others = self.runs.iter().filter(|r| {
-            let me = r.order.service && *r.order.kind == *kind && !skipped;
-            skipped |= me;
-            !me
+            let own = r.order.service && *r.order.kind == *kind && !own_found;
+            own_found |= own;
+            !own
         });
-        let others = others.map(|r| (&*r.order.kind, r.percent));
+        let others = others.map(|r| (&*r.order.kind, r.cpu_percent));
         self.settings.slowdown.total(kind, others, load)
     }
 
     fn load(&self) -> f64 {
-        self.used().load(&self.settings.size)
+        self.reserved().load(&self.settings.size)
     }
 
     /// Lets time pass up to `clock` on the worker's own clock.
     pub fn advance(&mut self, clock: Millis) {
         let passed = clock.saturating_sub(self.clock);
         self.clock = self.clock.max(clock);
-        self.lapse();
-        self.progress(passed);
-        self.measure();
+        self.stop_expired();
+        self.advance_runs(passed);
+        self.take_samples();
     }
 
     /// Ends what lapsed up to `clock`, before the worker is killed in a pause.
-    pub fn settle(&mut self, clock: Millis) {
+    pub fn expire_leases(&mut self, clock: Millis) {
         self.clock = self.clock.max(clock);
-        self.lapse();
+        self.stop_expired();
     }
 
     /// Handles an exchange.
@@ -168,19 +168,19 @@
         self.shard = Some(req.shard.clone());
         self.epoch = req.epoch;
         self.seq = req.seq;
-        let known = req.boot == self.boot && req.echo > 0;
+        let echo_is_valid = req.boot == self.boot && req.echo > 0;
         self.ended.retain(|e| !req.acks.contains(&e.attempt));
-        if known && req.renew {
-            self.renew(req);
+        if echo_is_valid && req.renew {
+            self.renew_leases(req);
         }
         self.stop_all(req);
-        if known {
+        if echo_is_valid {
             self.start_all(req);
         }
         for t in &req.throttles {
             let found = self.runs.iter_mut().find(|r| r.order.attempt == t.attempt);
             if let Some(r) = found {
-                r.percent = t.cpu_percent.clamp(1, 100);
+                r.cpu_percent = t.cpu_percent.clamp(1, 100);
             }
         }
         self.answer(req.seq, None)
@@ -202,7 +202,7 @@
         (req.seq <= self.seq).then_some(ExchangeRefusal::OldSeq)
     }
 
-    fn renew(&mut self, req: &WorkerRequest) {
+    fn renew_leases(&mut self, req: &WorkerRequest) {
         let end = req.echo + req.lease;
         for r in &mut self.runs {
             if !req.lapse.contains(&r.order.attempt) {
@@ -218,13 +218,23 @@
             if running || self.ended.iter().any(|e| e.attempt == id) {
                 continue;
             }
-            let room = self.settings.size.saturating_sub(&self.used());
+            let room = self.settings.size.saturating_sub(&self.reserved());
             if req.echo + req.lease <= self.clock {
-                self.end(id, WorkerEnd::Refused);
-                self.note(What::Stale, &order.name, &id.to_string(), order.service);
+                self.report_end(id, WorkerEnd::Refused);
+                self.record(
+                    EntryKind::Stale,
+                    &order.name,
+                    &id.to_string(),
+                    order.service,
+                );
             } else if !order.size.fits_in(&room) {
-                self.end(id, WorkerEnd::Refused);
-                self.note(What::NoRoom, &order.name, &id.to_string(), order.service);
+                self.report_end(id, WorkerEnd::Refused);
+                self.record(
+                    EntryKind::NoRoom,
+                    &order.name,
+                    &id.to_string(),
+                    order.service,
+                );
             } else {
                 self.start(order, req.echo + req.lease);
             }
@@ -236,8 +246,8 @@
             .resume
             .as_ref()
             .map_or(0, |k| self.checkpoints.load(k));
-        self.note(
-            What::Start,
+        self.record(
+            EntryKind::Start,
             &order.name,
             &order.attempt.to_string(),
             order.service,
@@ -245,12 +255,12 @@
         self.runs.push(Run {
             order: order.clone(),
             lease_end,
-            percent: 100,
+            cpu_percent: 100,
             progress: progress as f64,
         });
-        let kind = self.faults.fail_kinds.iter().any(|k| **k == *order.kind);
-        if !order.service && (self.faults.fail_all || kind) {
-            self.finish(self.runs.len() - 1, WorkerEnd::Failed, What::Failed);
+        let kind_fails = self.faults.fail_kinds.iter().any(|k| **k == *order.kind);
+        if !order.service && (self.faults.fail_all || kind_fails) {
+            self.end_run(self.runs.len() - 1, WorkerEnd::Failed, EntryKind::Failed);
         }
     }
 
@@ -269,32 +279,36 @@
         let r = &self.runs[i];
         let key = r.order.checkpoint.clone().filter(|_| save);
         let saved = key.is_some_and(|k| self.checkpoints.save(&k, r.progress as u64));
-        let what = if saved { What::Saved } else { What::Stopped };
-        self.finish(i, WorkerEnd::Stopped { saved }, what);
+        let kind = if saved {
+            EntryKind::Saved
+        } else {
+            EntryKind::Stopped
+        };
+        self.end_run(i, WorkerEnd::Stopped { saved }, kind);
     }
 
     /// Stops the tasks whose leases lapsed.
     ///
     /// A worker that was paused with its tasks notices late; nothing ran in
     /// between, so that the ledger gets the end of the lease.
-    fn lapse(&mut self) {
+    fn stop_expired(&mut self) {
         let mut i = 0;
         while i < self.runs.len() {
             if self.runs[i].lease_end > self.clock {
                 i += 1;
                 continue;
             }
-            let late = self.clock - self.runs[i].lease_end;
-            self.late = late;
+            let expired_ago = self.clock - self.runs[i].lease_end;
+            self.expired_ago = expired_ago;
             self.stop(i, true);
-            self.late = 0;
+            self.expired_ago = 0;
         }
     }
 
-    fn progress(&mut self, passed: Millis) {
-        self.refresh();
-        for (r, slow) in self.runs.iter_mut().zip(&self.slows) {
-            r.progress += passed as f64 * f64::from(r.percent) / 100.0 / slow;
+    fn advance_runs(&mut self, passed: Millis) {
+        self.update_slowdowns();
+        for (r, slowdown) in self.runs.iter_mut().zip(&self.slowdowns) {
+            r.progress += passed as f64 * f64::from(r.cpu_percent) / 100.0 / slowdown;
         }
         let mut i = 0;
         while i < self.runs.len() {
@@ -303,41 +317,41 @@
                 i += 1;
                 continue;
             }
-            self.finish(i, WorkerEnd::Done, What::Done);
+            self.end_run(i, WorkerEnd::Done, EntryKind::Done);
         }
     }
 
     /// Works the slowdowns out anew if what runs has changed.
-    fn refresh(&mut self) {
+    fn update_slowdowns(&mut self) {
         let mut running = Vec::with_capacity(self.runs.len());
         for r in &self.runs {
-            running.push((r.order.attempt, r.percent));
+            running.push((r.order.attempt, r.cpu_percent));
         }
-        if running == self.running_then {
+        if running == self.slowdown_inputs {
             return;
         }
-        self.running_then = running;
-        self.slows.clear();
+        self.slowdown_inputs = running;
+        self.slowdowns.clear();
         let load = self.load();
         for (i, r) in self.runs.iter().enumerate() {
             let others = self.runs.iter().enumerate().filter(|(k, _)| *k != i);
-            let others = others.map(|(_, o)| (&*o.order.kind, o.percent));
-            let slow = self.settings.slowdown.total(&r.order.kind, others, load);
-            self.slows.push(slow);
+            let others = others.map(|(_, o)| (&*o.order.kind, o.cpu_percent));
+            let slowdown = self.settings.slowdown.total(&r.order.kind, others, load);
+            self.slowdowns.push(slowdown);
         }
     }
 
-    fn measure(&mut self) {
-        if self.clock < self.sampled + self.settings.period {
+    fn take_samples(&mut self) {
+        if self.clock < self.last_sample + self.settings.period {
             return;
         }
-        self.sampled = self.clock;
-        self.refresh();
-        for (r, slow) in self.runs.iter().zip(&self.slows) {
+        self.last_sample = self.clock;
+        self.update_slowdowns();
+        for (r, slowdown) in self.runs.iter().zip(&self.slowdowns) {
             let sample = Sample {
                 attempt: r.order.attempt,
                 at: self.clock,
-                slowdown_permille: (*slow * 1000.0) as u32,
+                slowdown_permille: (*slowdown * 1000.0) as u32,
                 used: Size::new(r.order.size.cpu * 9 / 10, r.order.size.memory * 9 / 10, 0),
             };
             self.samples
@@ -345,24 +359,24 @@
         }
     }
 
-    fn finish(&mut self, i: usize, end: WorkerEnd, what: What) {
+    fn end_run(&mut self, i: usize, end: WorkerEnd, kind: EntryKind) {
         let r = self.runs.remove(i);
         let id = r.order.attempt;
-        self.note(what, &r.order.name, &id.to_string(), r.order.service);
-        self.end(id, end);
+        self.record(kind, &r.order.name, &id.to_string(), r.order.service);
+        self.report_end(id, end);
     }
 
-    fn end(&mut self, attempt: AttemptId, end: WorkerEnd) {
+    fn report_end(&mut self, attempt: AttemptId, end: WorkerEnd) {
         self.ended.push(EndReport { attempt, end });
     }
 
-    fn note(&self, what: What, name: &str, attempt: &str, service: bool) {
-        let now = self.ledger.now();
-        let ms = now.saturating_sub(self.late);
-        self.ledger.add(Entry {
+    fn record(&self, kind: EntryKind, name: &str, attempt: &str, service: bool) {
+        let now = self.ledger.now_ms();
+        let ms = now.saturating_sub(self.expired_ago);
+        self.ledger.append(Entry {
             ms,
             worker: self.settings.name.to_string(),
-            what,
+            what: kind,
             name: name.to_owned(),
             attempt: attempt.to_owned(),
             service,
--- a/crates/stand/src/slowdown.rs
+++ b/crates/stand/src/slowdown.rs
@@ -3,10 +3,10 @@
 use gorsespur_core::hashing::stable_hash;
 
 /// Largest share of one neighbour, before the strength is applied.
-const SCALE: f64 = 1.0;
+const MAX_CONTRIBUTION: f64 = 1.0;
 
 /// Power that makes most pairs harmless and a few harmful.
-const SKEW: f64 = 4.0;
+const SKEW_EXPONENT: f64 = 4.0;
 
 /// The table; it is a function of its seed and shifts when the shift does.
 #[derive(Debug, Clone)]
@@ -21,18 +21,18 @@
 
 impl Slowdown {
     /// Returns what one neighbour of kind `other` adds to the slowdown of `victim`.
-    pub fn adds(&self, victim: &str, other: &str, load: f64) -> f64 {
+    pub fn contribution(&self, victim: &str, other: &str, load: f64) -> f64 {
         let seed = format!("{}.{}", self.seed, self.shift);
         let hash = stable_hash(&[&seed, victim, other]);
-        let unit = (hash >> 11) as f64 / (1u64 << 53) as f64;
-        let band = if load < 0.5 {
+        let uniform = (hash >> 11) as f64 / (1u64 << 53) as f64;
+        let load_factor = if load < 0.5 {
             0.5
         } else if load < 0.8 {
             1.0
         } else {
             1.5
         };
-        self.strength * SCALE * unit.powf(SKEW) * band
+        self.strength * MAX_CONTRIBUTION * uniform.powf(SKEW_EXPONENT) * load_factor
     }
 
     /// Returns the slowdown of `victim` beside `others`; 1 is not slowed.
@@ -44,7 +44,7 @@
     ) -> f64 {
         let mut sum = 1.0;
         for (other, percent) in others {
-            sum += self.adds(victim, other, load) * f64::from(percent) / 100.0;
+            sum += self.contribution(victim, other, load) * f64::from(percent) / 100.0;
         }
         sum
     }
--- a/crates/stand/src/target.rs
+++ b/crates/stand/src/target.rs
@@ -14,11 +14,11 @@
 use crate::WorkerFaults;
 
 /// Longest time of a request as a multiple of the mean.
-const TAIL: f64 = 6.0;
+const MAX_EXPONENTIAL: f64 = 6.0;
 
 /// Slots of the services on a worker.
 #[derive(Debug)]
-pub struct TargetLoad {
+pub struct SimTarget {
     slots: u32,
     mean_ms: f64,
     busy: AtomicU32,
@@ -26,16 +26,16 @@
 
 /// What a target knows when it runs a request.
 #[derive(Debug, Clone)]
-pub(crate) struct TargetView {
-    pub serves: bool,
+pub(crate) struct RequestContext {
+    pub has_replica: bool,
     pub slowdown: f64,
     pub faults: WorkerFaults,
 }
 
-impl TargetLoad {
+impl SimTarget {
     /// Returns a target with `slots` slots whose requests take `mean_ms` on average.
-    pub fn new(slots: u32, mean_ms: f64) -> TargetLoad {
-        TargetLoad {
+    pub fn new(slots: u32, mean_ms: f64) -> SimTarget {
+        SimTarget {
             slots,
             mean_ms,
             busy: AtomicU32::new(0),
@@ -48,23 +48,28 @@
     }
 
     /// Runs a request; `ran` is called once if it runs.
-    pub(crate) fn run(&self, req: &Incoming, view: &TargetView, ran: impl FnOnce(&str)) -> Reply {
+    pub(crate) fn run(
+        &self,
+        req: &Incoming,
+        ctx: &RequestContext,
+        on_start: impl FnOnce(&str),
+    ) -> Reply {
         let id = req.header(REQUEST_ID).unwrap_or("").to_owned();
-        if !view.serves {
-            return self.decline(&id, view, "no replica here");
+        if !ctx.has_replica {
+            return self.decline(&id, ctx, "no replica here");
         }
         let busy = self.busy.fetch_add(1, Ordering::AcqRel) + 1;
         if busy > self.slots {
             self.busy.fetch_sub(1, Ordering::AcqRel);
             return self
-                .decline(&id, view, "no slot is free")
+                .decline(&id, ctx, "no slot is free")
                 .header(BUSY, self.slots.to_string());
         }
-        ran(&id);
-        thread::sleep(self.time(&id, view));
+        on_start(&id);
+        thread::sleep(self.service_time(&id, ctx));
         self.busy.fetch_sub(1, Ordering::AcqRel);
         let body = answer_body(&id, &req.path, &req.body);
-        let id = if view.faults.swap_answers {
+        let id = if ctx.faults.swap_answers {
             "other".to_owned()
         } else {
             id
@@ -72,22 +77,22 @@
         Reply::new(200, body)
             .header(REQUEST_ID, id)
             .header(BUSY, busy.to_string())
-            .header(LEAVING, if view.faults.leaving { "yes" } else { "no" })
+            .header(LEAVING, if ctx.faults.leaving { "yes" } else { "no" })
     }
 
-    fn time(&self, id: &str, view: &TargetView) -> Duration {
+    fn service_time(&self, id: &str, ctx: &RequestContext) -> Duration {
         let mut rng = SmallRng::seed_from_u64(stable_hash(&[id]));
-        let unit: f64 = rng.random_range(1e-9..1.0);
-        let times = (-unit.ln()).min(TAIL);
-        let ms = self.mean_ms * (0.5 + 0.5 * times) * view.slowdown;
-        Duration::from_micros((ms * 1000.0) as u64) + Duration::from_millis(view.faults.slow_ms)
+        let uniform: f64 = rng.random_range(1e-9..1.0);
+        let exponential = (-uniform.ln()).min(MAX_EXPONENTIAL);
+        let ms = self.mean_ms * (0.5 + 0.5 * exponential) * ctx.slowdown;
+        Duration::from_micros((ms * 1000.0) as u64) + Duration::from_millis(ctx.faults.slow_ms)
     }
 
-    fn decline(&self, id: &str, view: &TargetView, why: &str) -> Reply {
-        Reply::text(503, why)
+    fn decline(&self, id: &str, ctx: &RequestContext, reason: &str) -> Reply {
+        Reply::text(503, reason)
             .header(REQUEST_ID, id)
             .header(OUTCOME, "not-run")
-            .header(LEAVING, if view.faults.leaving { "yes" } else { "no" })
+            .header(LEAVING, if ctx.faults.leaving { "yes" } else { "no" })
     }
 }
 
--- a/crates/stand/src/worker_http.rs
+++ b/crates/stand/src/worker_http.rs
@@ -22,25 +22,25 @@
 use snafu::ResultExt;
 
 use crate::{
-    Entry, Ledger, SimWorker, StandError, TargetLoad, What, WorkerFaults,
+    Entry, EntryKind, Ledger, SimTarget, SimWorker, StandError, WorkerFaults,
     error::{ServeSnafu, SystemSnafu},
-    target::TargetView,
+    target::RequestContext,
 };
 
 /// Time between two looks at the running tasks.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running worker.
-pub struct WorkerStand {
+pub struct WorkerServer {
     /// Address for exchanges.
     pub addr: SocketAddr,
     /// Address of its services.
     pub target: SocketAddr,
     sim: Arc<Mutex<SimWorker>>,
-    load: Arc<TargetLoad>,
+    sim_target: Arc<SimTarget>,
 }
 
-impl WorkerStand {
+impl WorkerServer {
     /// Replaces the faults.
     pub fn set_faults(&self, faults: WorkerFaults) {
         lock(&self.sim).set_faults(faults);
@@ -48,7 +48,7 @@
 
     /// Returns the slots in use.
     pub fn busy(&self) -> u32 {
-        self.load.busy()
+        self.sim_target.busy()
     }
 
     /// Returns the number of running tasks.
@@ -66,11 +66,11 @@
     addr: SocketAddr,
     target: SocketAddr,
     sim: SimWorker,
-    load: TargetLoad,
+    sim_target: SimTarget,
     ledger: Arc<Ledger>,
     name: &str,
     cancel: &CancelToken,
-) -> Result<WorkerStand, StandError> {
+) -> Result<WorkerServer, StandError> {
     let clock = Clock::new();
     let sim = Arc::new(Mutex::new(sim));
     let limits = Limits {
@@ -78,36 +78,37 @@
         body_bytes: 16 << 20,
         ..Limits::default()
     };
-    let for_exchange = sim.clone();
-    let exchange = move |req: Incoming| answer(&for_exchange, &clock, &req);
-    let exchanges = serve(addr, "exchange", limits, cancel, exchange).context(ServeSnafu)?;
+    let exchange_sim = sim.clone();
+    let handle = move |req: Incoming| handle_exchange(&exchange_sim, &clock, &req);
+    let exchanges = serve(addr, "exchange", limits, cancel, handle).context(ServeSnafu)?;
     let limits = Limits {
         handlers: 24,
         ..Limits::default()
     };
-    let load = Arc::new(load);
-    let loaded = load.clone();
-    let (for_target, name) = (sim.clone(), name.to_owned());
-    let run = move |req: Incoming| run_request(&for_target, &loaded, &ledger, &name, &req);
-    let targets = serve(target, "target", limits, cancel, run).context(ServeSnafu)?;
-    let (ticking, cancel) = (sim.clone(), cancel.clone());
+    let sim_target = Arc::new(sim_target);
+    let request_target = sim_target.clone();
+    let (request_sim, name) = (sim.clone(), name.to_owned());
+    let handle =
+        move |req: Incoming| run_request(&request_sim, &request_target, &ledger, &name, &req);
+    let targets = serve(target, "target", limits, cancel, handle).context(ServeSnafu)?;
+    let (tick_sim, cancel) = (sim.clone(), cancel.clone());
     thread::Builder::new()
         .name("tasks".into())
         .spawn(move || {
-            while !cancel.wait(TICK) {
-                lock(&ticking).advance(clock.now());
+            while !cancel.wait(TICK_INTERVAL) {
+                lock(&tick_sim).advance(clock.now());
             }
         })
         .context(SystemSnafu)?;
-    Ok(WorkerStand {
+    Ok(WorkerServer {
         addr: exchanges.addr,
         target: targets.addr,
         sim,
-        load,
+        sim_target,
     })
 }
 
-fn answer(sim: &Mutex<SimWorker>, clock: &Clock, req: &Incoming) -> Reply {
+fn handle_exchange(sim: &Mutex<SimWorker>, clock: &Clock, req: &Incoming) -> Reply {
     if req.path == "/faults" {
         let Ok(faults) = serde_json::from_slice(&req.body) else {
             return Reply::text(400, "faults are malformed");
@@ -137,35 +138,35 @@
 
 fn run_request(
     sim: &Mutex<SimWorker>,
-    load: &TargetLoad,
+    sim_target: &SimTarget,
     ledger: &Ledger,
     name: &str,
     req: &Incoming,
 ) -> Reply {
     let segments = req.segments();
     let service = segments.get(2).copied().unwrap_or("");
-    let view = {
+    let ctx = {
         let sim = lock(sim);
-        TargetView {
-            serves: sim.serves(service),
+        RequestContext {
+            has_replica: sim.has_replica(service),
             slowdown: sim.service_slowdown(service),
             faults: sim.faults().clone(),
         }
     };
-    let once = find_header(&req.headers, REPEATABLE) == Some("no");
-    let reply = load.run(req, &view, |id| {
-        if once {
-            ledger.add(Entry {
+    let run_once = find_header(&req.headers, REPEATABLE) == Some("no");
+    let reply = sim_target.run(req, &ctx, |id| {
+        if run_once {
+            ledger.append(Entry {
                 ms: wall_ms(),
                 worker: name.to_owned(),
-                what: What::Request,
+                what: EntryKind::Request,
                 name: id.to_owned(),
                 attempt: String::new(),
                 service: true,
             });
         }
     });
-    if view.faults.drop_answers && reply.status == 200 {
+    if ctx.faults.drop_answers && reply.status == 200 {
         return Reply::text(500, "answer lost");
     }
     reply
--- a/crates/stand/tests/worker.rs
+++ b/crates/stand/tests/worker.rs
@@ -6,7 +6,7 @@
     shard::{AttemptId, ExchangeRefusal, StartOrder, StopOrder, WorkerEnd, WorkerRequest},
     size::Size,
 };
-use gorsespur_stand::{Ledger, MemoryCheckpoints, SimSettings, SimWorker, Slowdown, What};
+use gorsespur_stand::{EntryKind, Ledger, MemoryCheckpoints, SimSettings, SimWorker, Slowdown};
 use test_case::test_case;
 
 const NOW: u64 = 50_000;
@@ -157,7 +157,7 @@
     r.starts.push(order(2, 9));
     let answer = w.exchange(NOW, &r);
     assert_eq!(answer.ended[0].end, WorkerEnd::Refused);
-    assert!(ledger.entries().iter().any(|e| e.what == What::NoRoom));
+    assert!(ledger.entries().iter().any(|e| e.what == EntryKind::NoRoom));
 }
 
 #[test]
@@ -187,7 +187,7 @@
     let starts = ledger
         .entries()
         .iter()
-        .filter(|e| e.what == What::Start)
+        .filter(|e| e.what == EntryKind::Start)
         .count();
     assert_eq!(starts, 1);
 }
