--- a/crates/services/src/fake.rs
+++ b/crates/services/src/fake.rs
@@ -1,6 +1,6 @@
-//! A table and an object store in memory, for tests.
+//! In-memory table service and object store for tests.
 //!
-//! Each call first takes the next fault of a list, so that a test states
+//! Each call consumes the next fault of a queue, so that a test determines
 //! exactly which call fails and how.
 
 use std::{
@@ -19,16 +19,19 @@
 
 use crate::{ObjectError, Objects, Rows, Table, TableError};
 
-/// First of the last bytes of the loopback addresses that are given out.
+/// Lowest last byte of the loopback addresses that [`unique_addr`] returns.
 const FIRST_HOST_BYTE: u8 = 2;
 
-/// Returns an address that no other socket of this machine uses or is given.
+/// Returns an address for a test server that no other socket of this machine uses.
 ///
-/// A port that is found free and given back may be taken by any socket before it is
-/// bound again. So each call has a loopback address to itself, which no socket is bound
-/// to unless it names it; it is derived from the process and from the call.
+/// If a test probed for a free port and closed it, another socket could bind the port
+/// before the server does. Each call therefore uses a loopback address of its own, derived
+/// from the process id and the number of the call; the system assigns that address only
+/// to sockets that name it.
 ///
-/// Errors: the system has no sockets left.
+/// # Errors
+///
+/// Fails if the system has no sockets left.
 pub fn unique_addr() -> io::Result<SocketAddr> {
     static NEXT: AtomicU8 = AtomicU8::new(FIRST_HOST_BYTE);
     let [_, _, high, low] = process::id().to_be_bytes();
@@ -37,16 +40,17 @@
     TcpListener::bind((address, 0))?.local_addr()
 }
 
-/// A fault of one call.
+/// A fault to inject into one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The call works.
+    /// The call succeeds.
     None,
     /// The call has no effect and fails.
     Down,
     /// The call takes effect, and its answer is lost.
     LostAnswer,
-    /// The call seems lost and takes effect only before the next write.
+    /// The answer is lost, and the transaction takes effect just before the
+    /// next one. Reads and object store calls fail like with [`Fault::LostAnswer`].
     Delayed,
 }
 
@@ -59,7 +63,7 @@
     writes: u64,
 }
 
-/// The platform's services in memory.
+/// In-memory table service and object store with injected faults.
 #[derive(Debug, Default)]
 pub struct FakePlatform {
     state: Mutex<State>,
@@ -71,7 +75,7 @@
         FakePlatform::default()
     }
 
-    /// Adds faults for the calls to come, in order.
+    /// Queues faults for the next calls, in order.
     pub fn fail_next(&self, faults: &[Fault]) {
         self.lock().faults.extend(faults);
     }
--- a/crates/services/src/http_members.rs
+++ b/crates/services/src/http_members.rs
@@ -1,4 +1,4 @@
-//! The membership list over HTTP.
+//! HTTP client of the membership list.
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/crates/services/src/http_objects.rs
+++ b/crates/services/src/http_objects.rs
@@ -1,4 +1,4 @@
-//! The object store over HTTP.
+//! HTTP client of the object store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,7 +7,7 @@
 
 use crate::{ObjectError, Objects};
 
-/// Longest object in bytes.
+/// Maximum size of an object that can be read.
 const MAX_OBJECT_BYTES: usize = 256 << 20;
 
 /// Client of the object store.
--- a/crates/services/src/http_table.rs
+++ b/crates/services/src/http_table.rs
@@ -1,4 +1,4 @@
-//! The table service over HTTP.
+//! HTTP client of the table service.
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/crates/services/src/http_worker.rs
+++ b/crates/services/src/http_worker.rs
@@ -1,4 +1,4 @@
-//! Workers over HTTP.
+//! HTTP client of workers.
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/crates/services/src/lib.rs
+++ b/crates/services/src/lib.rs
@@ -1,8 +1,9 @@
-//! Clients of the platform's services and of the workers.
+//! Clients of the platform's services and of workers.
 //!
-//! The traits are the edges of a process: programs use them, tests put fakes
-//! behind them. The HTTP clients bound each call's time and tell apart calls
-//! that had no effect from calls whose effect is unknown.
+//! Programs use the services through traits, so that tests can replace them by
+//! fakes. The HTTP clients bound the time of each call. Calls to the table
+//! service and messages sent by [`post`] distinguish failures without an effect
+//! from failures whose effect is unknown.
 
 pub mod fake;
 mod http_members;
--- a/crates/services/src/objects.rs
+++ b/crates/services/src/objects.rs
@@ -1,4 +1,4 @@
-//! The object store.
+//! Interface of the object store.
 
 use snafu::Snafu;
 
@@ -8,19 +8,19 @@
     /// There is no such object.
     #[snafu(display("no such object"))]
     Absent,
-    /// The store can't be used now, or its answer was lost.
+    /// The store is unavailable, or its answer was lost.
     #[snafu(display("object store is unavailable"))]
     Unavailable,
 }
 
-/// The object store; writing the same object twice is harmless.
+/// An object store; writes and deletes are idempotent.
 pub trait Objects: Send + Sync {
-    /// Writes an object.
+    /// Writes an object, replacing any earlier value.
     fn put(&self, key: &str, value: &[u8]) -> Result<(), ObjectError>;
 
     /// Reads an object.
     fn get(&self, key: &str) -> Result<Vec<u8>, ObjectError>;
 
-    /// Deletes an object; absent ones are passed over.
+    /// Deletes an object; an absent object is not an error.
     fn delete(&self, key: &str) -> Result<(), ObjectError>;
 }
--- a/crates/services/src/post.rs
+++ b/crates/services/src/post.rs
@@ -1,4 +1,4 @@
-//! One encoded message each way over HTTP.
+//! Request and response messages over HTTP.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,21 +7,25 @@
 use serde::{Serialize, de::DeserializeOwned};
 use snafu::Snafu;
 
-/// Longest answer in bytes.
+/// Maximum size of an answer.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Why a message has no answer.
+/// Why a message got no answer.
 #[derive(Debug, Snafu)]
 pub enum PostError {
-    /// The peer did not act: nothing was sent, or it said so.
-    #[snafu(display("peer did not act"))]
+    /// The peer did not execute the request: it was not sent, or the peer
+    /// refused it.
+    #[snafu(display("peer did not execute the request"))]
     NotExecuted,
-    /// The peer may have acted.
+    /// The peer may have executed the request.
     #[snafu(display("answer was lost"))]
     Unknown,
 }
 
 /// Sends `message` to `path` at `addr` and returns the decoded answer.
+///
+/// Status codes 400 to 499 and 503 count as not executed; other failures after
+/// sending leave the effect unknown.
 pub fn post<Q, A>(
     addr: SocketAddr,
     path: &str,
--- a/crates/services/src/rows.rs
+++ b/crates/services/src/rows.rs
@@ -1,11 +1,11 @@
-//! Rows with versions in memory, for the fake and the stand-in.
+//! In-memory versioned rows, shared by the fake and the stand-in of the table service.
 
 use std::collections::BTreeMap;
 
 use gorsespur_core::name::Name;
 use gorsespur_wire::table::{Expect, Row, ScanAnswer, ScanRequest, Tx, TxAnswer};
 
-/// Rows and the number of the last transaction.
+/// Rows by key, and the version that the last transaction wrote.
 #[derive(Debug, Default)]
 pub struct Rows {
     rows: BTreeMap<Name, Row>,
@@ -13,7 +13,7 @@
 }
 
 impl Rows {
-    /// Runs a transaction as a whole or not at all.
+    /// Runs a transaction atomically.
     pub fn tx(&mut self, tx: &Tx) -> TxAnswer {
         for check in &tx.checks {
             let found = self.rows.get(&check.key).map_or(0, |r| r.version);
@@ -41,12 +41,12 @@
         TxAnswer::Done(self.version)
     }
 
-    /// Reads rows; none where there is no row.
+    /// Reads rows by key, in the order of `keys`; `None` for an absent row.
     pub fn get(&self, keys: &[Name]) -> Vec<Option<Row>> {
         keys.iter().map(|k| self.rows.get(k).cloned()).collect()
     }
 
-    /// Reads rows by prefix.
+    /// Reads at most `limit` rows by prefix, in key order.
     pub fn scan(&self, req: &ScanRequest) -> ScanAnswer {
         let mut rows = Vec::new();
         for (key, row) in self.rows.range(req.prefix.clone()..) {
--- a/crates/services/src/table.rs
+++ b/crates/services/src/table.rs
@@ -1,4 +1,4 @@
-//! The table service.
+//! Interface of the table service.
 
 use gorsespur_core::name::Name;
 use gorsespur_wire::table::{Row, Tx};
@@ -7,15 +7,15 @@
 /// Why a call to the table service failed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum TableError {
-    /// A condition does not hold; nothing was written.
+    /// A condition of the transaction does not hold; nothing was written.
     #[snafu(display("row {key} has version {found}"))]
     Conflict {
         /// Key of the row.
         key: Name,
-        /// Its version; 0 if there is none.
+        /// Version of the row; 0 if there is none.
         found: u64,
     },
-    /// The service can't be used now; nothing was written.
+    /// The service is unavailable; nothing was written.
     #[snafu(display("table service is unavailable"))]
     Unavailable,
     /// The write may or may not have taken effect.
@@ -23,16 +23,16 @@
     Unknown,
 }
 
-/// The table service.
+/// A table service with versioned rows and conditional transactions.
 pub trait Table: Send + Sync {
-    /// Runs a transaction and returns the version of the rows it wrote.
+    /// Runs a transaction atomically and returns the version of the rows it wrote.
     fn tx(&self, tx: &Tx) -> Result<u64, TableError>;
 
-    /// Reads rows; none where there is no row.
+    /// Reads rows by key, in the order of `keys`; `None` for an absent row.
     fn get(&self, keys: &[Name]) -> Result<Vec<Option<Row>>, TableError>;
 
-    /// Reads up to `limit` rows by prefix, after the key `after`; tells
-    /// whether there are more.
+    /// Reads at most `limit` rows whose keys start with `prefix` and follow
+    /// `after`. The flag is true if more rows match.
     fn scan(
         &self,
         prefix: &Name,
