--- a/crates/stand/src/args.rs
+++ b/crates/stand/src/args.rs
@@ -8,49 +8,49 @@
 #[derive(Debug, Parser)]
 #[command(name = "gorsespur-stand", version)]
 pub struct StandArgs {
-    /// What to stand in for.
+    /// Service to run.
     #[command(subcommand)]
     pub role: StandRole,
 }
 
-/// What to stand in for.
+/// Service to run.
 #[derive(Debug, Subcommand)]
 pub enum StandRole {
-    /// Table service, object store and membership list.
+    /// Run the table service, object store and membership list.
     Platform(PlatformArgs),
-    /// One worker with its services.
+    /// Run one worker with its services.
     Worker(WorkerArgs),
-    /// Tell a running platform its members.
+    /// Replace the membership list of a running platform.
     Members(MembersArgs),
 }
 
-/// Arguments of the members.
+/// Arguments of `members`.
 #[derive(Debug, Args)]
 pub struct MembersArgs {
-    /// Address of the platform.
+    /// Address of any endpoint of the platform.
     #[arg(long)]
     pub gate: SocketAddr,
-    /// Members in YAML.
+    /// YAML file with the members.
     pub file: PathBuf,
 }
 
-/// Arguments of the platform.
+/// Arguments of `platform`.
 #[derive(Debug, Args)]
 pub struct PlatformArgs {
-    /// Address and availability zone, as ZONE=ADDRESS; one for each zone, so
-    /// that a zone can be cut off.
+    /// Endpoint of an availability zone, as ZONE=ADDRESS; give one for each zone, so
+    /// that zones can be cut off separately.
     #[arg(long = "gate", required = true, value_parser = parse_gate)]
     pub gates: Vec<(String, SocketAddr)>,
-    /// Most writes a second.
+    /// Maximum number of writes per second.
     #[arg(long, default_value_t = 500)]
     pub writes: u32,
-    /// Most reads a second.
+    /// Maximum number of reads per second.
     #[arg(long, default_value_t = 2000)]
     pub reads: u32,
-    /// Lag of the membership list in milliseconds.
+    /// Delay until a new membership list becomes visible, in milliseconds.
     #[arg(long, default_value_t = 1000)]
     pub lag: u64,
-    /// Seed of the faults.
+    /// Seed of the random faults.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
@@ -63,46 +63,46 @@
     Ok((zone.to_owned(), addr))
 }
 
-/// Arguments of a worker.
+/// Arguments of `worker`.
 #[derive(Debug, Args)]
 pub struct WorkerArgs {
-    /// Name.
+    /// Name of the worker.
     #[arg(long)]
     pub name: String,
-    /// Address for exchanges.
+    /// Address that serves exchanges.
     #[arg(long)]
     pub addr: SocketAddr,
-    /// Address of its services.
+    /// Address that serves requests to the worker's services.
     #[arg(long)]
     pub target: SocketAddr,
     /// Address of the object store.
     #[arg(long)]
     pub objects: SocketAddr,
-    /// Cores.
+    /// Number of cores.
     #[arg(long, default_value_t = 30)]
     pub cores: u64,
     /// Memory in MiB.
     #[arg(long, default_value_t = 128_000)]
     pub memory: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     #[arg(long, default_value_t = 0)]
     pub accels: u32,
-    /// Requests that each service runs at one time.
+    /// Number of requests that the worker's services run concurrently.
     #[arg(long, default_value_t = 8)]
     pub slots: u32,
-    /// Mean time of a request in milliseconds.
+    /// Mean duration of a request without interference, in milliseconds.
     #[arg(long, default_value_t = 4.0)]
     pub service_ms: f64,
-    /// Lag of usage reports in milliseconds.
+    /// Delay of usage samples in milliseconds.
     #[arg(long, default_value_t = 2000)]
     pub lag: u64,
-    /// Seed of the hidden slowdowns.
+    /// Seed of the interference table.
     #[arg(long, default_value_t = 1)]
     pub table_seed: u64,
-    /// Strength of the hidden slowdowns; 0 for none.
+    /// Strength of the interference; 0 for none.
     #[arg(long, default_value_t = 0.3)]
     pub strength: f64,
-    /// File of the ledger, appended to.
+    /// Ledger file to append to; without one the ledger stays in memory.
     #[arg(long)]
     pub ledger: Option<PathBuf>,
 }
--- a/crates/stand/src/checkpoints.rs
+++ b/crates/stand/src/checkpoints.rs
@@ -1,4 +1,4 @@
-//! Where workers keep checkpoints.
+//! Storage of checkpoints.
 
 use std::{
     collections::BTreeMap,
@@ -7,12 +7,12 @@
 
 use gorsespur_services::{HttpObjects, Objects};
 
-/// Keeps the progress of tasks.
+/// Stores the progress of tasks.
 pub trait Checkpoints: Send + Sync {
-    /// Writes the progress in milliseconds; tells whether it was confirmed.
+    /// Writes the progress in milliseconds and returns whether the write was confirmed.
     fn save(&self, key: &str, progress: u64) -> bool;
 
-    /// Reads the progress; 0 if there is none.
+    /// Reads the progress in milliseconds; 0 if the checkpoint is absent or unreadable.
     fn load(&self, key: &str) -> u64;
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl StoredCheckpoints {
-    /// Returns checkpoints in this object store.
+    /// Returns checkpoints in the object store `objects`.
     pub fn new(objects: HttpObjects) -> StoredCheckpoints {
         StoredCheckpoints { objects }
     }
--- a/crates/stand/src/error.rs
+++ b/crates/stand/src/error.rs
@@ -12,50 +12,50 @@
 
 use crate::LedgerError;
 
-/// Why a stand-in can't run.
+/// Why a stand-in can't run or be controlled.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StandError {
     /// An address can't be served.
     #[snafu(display("can't serve"))]
     Serve {
-        /// The reason.
+        /// Cause.
         source: ServeError,
     },
     /// An address can't be bound.
     #[snafu(display("can't listen on {addr}"))]
     Bind {
-        /// The address.
+        /// Address that can't be bound.
         addr: SocketAddr,
     },
     /// The ledger can't be opened.
     #[snafu(display("can't open the ledger"))]
     Ledger {
-        /// The reason.
+        /// Cause.
         source: LedgerError,
     },
-    /// The members can't be read.
-    #[snafu(display("members"))]
+    /// The file of members can't be read.
+    #[snafu(display("can't read the members"))]
     MembersFile {
-        /// The reason.
+        /// Cause.
         source: SettingsError,
     },
-    /// The platform did not take the members.
-    #[snafu(display("no platform at {gate} took the members"))]
+    /// The platform can't be reached or refused the members.
+    #[snafu(display("platform at {gate} did not accept the members"))]
     MembersRejected {
-        /// Its address.
+        /// Address of the platform.
         gate: SocketAddr,
     },
-    /// Logging can't start.
+    /// Logging can't be set up.
     #[snafu(display("can't start logging"))]
     Log {
-        /// The reason.
+        /// Cause.
         source: LogError,
     },
     /// Signals can't be handled or a thread can't be started.
-    #[snafu(display("the system refused"))]
+    #[snafu(display("can't set up signal handling or start a thread"))]
     System {
-        /// The system's answer.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
--- a/crates/stand/src/ledger.rs
+++ b/crates/stand/src/ledger.rs
@@ -1,4 +1,7 @@
 //! A worker's ledger of starts and ends.
+//!
+//! The scheduler never writes to ledgers, so that checks of its guarantees can rely
+//! on them.
 
 use std::{
     fs::{File, OpenOptions},
@@ -14,13 +17,13 @@
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
 
-/// What happened.
+/// Kind of a ledger entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EntryKind {
-    /// A worker began.
+    /// A worker started.
     Boot,
-    /// A worker was killed; written by whoever killed it.
+    /// A worker was killed; the process that kills it appends this entry.
     Killed,
     /// A task started.
     Start,
@@ -32,26 +35,26 @@
     Saved,
     /// A task was stopped without a checkpoint.
     Stopped,
-    /// A start was refused since there is no room.
+    /// A start was refused because the worker lacks room.
     NoRoom,
-    /// A start was refused since its lease would have lapsed.
+    /// A start was refused because its lease had already expired.
     Stale,
-    /// A request ran that may run once only.
+    /// A request that must not be repeated ran.
     Request,
 }
 
 /// An entry of a ledger.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Milliseconds since the Unix epoch.
+    /// Time in milliseconds; since the Unix epoch unless [`Ledger::set_time`] was called.
     pub ms: u64,
-    /// Worker.
+    /// Name of the worker.
     pub worker: String,
-    /// What happened.
+    /// Kind of the entry.
     pub what: EntryKind,
-    /// Organisation, job and task, or the request's id.
+    /// Organisation, job and task, or the id of a request; empty for a worker.
     pub name: String,
-    /// Attempt, if a task.
+    /// Attempt of the task; empty without one.
     pub attempt: String,
     /// Whether the task is a replica of a service.
     pub service: bool,
@@ -63,9 +66,9 @@
     /// The file can't be opened or read.
     #[snafu(display("{}", path.display()))]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's answer.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
@@ -79,7 +82,7 @@
 }
 
 impl Ledger {
-    /// Opens a file to append to; without one the entries stay in memory.
+    /// Opens a file to append to; without a path, entries stay in memory.
     pub fn open(path: Option<&Path>) -> Result<Ledger, LedgerError> {
         let Some(path) = path else {
             return Ok(Ledger::default());
@@ -93,12 +96,12 @@
         })
     }
 
-    /// Sets the time of the entries to come, where no real time passes.
+    /// Fixes the time of later entries, for simulations; 0 returns to the wall clock.
     pub fn set_time(&self, ms: u64) {
         self.fixed_ms.store(ms, Ordering::Release);
     }
 
-    /// Returns the time for an entry: the one that was set, or the wall's.
+    /// Returns the fixed time if one is set, else that of the wall clock.
     pub fn now_ms(&self) -> u64 {
         match self.fixed_ms.load(Ordering::Acquire) {
             0 => wall_ms(),
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Returns the entries in memory.
+    /// Returns the entries in memory; none if the ledger writes to a file.
     pub fn entries(&self) -> Vec<Entry> {
         self.entries
             .lock()
@@ -131,7 +134,9 @@
             .clone()
     }
 
-    /// Reads the entries of a file; a last line that was cut by a kill is left out.
+    /// Reads the entries of a file.
+    ///
+    /// Lines that can't be decoded are skipped, since a kill can truncate the last line.
     pub fn read(path: &Path) -> Result<Vec<Entry>, LedgerError> {
         let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
         let mut entries = Vec::new();
--- a/crates/stand/src/lib.rs
+++ b/crates/stand/src/lib.rs
@@ -1,8 +1,9 @@
 //! Stand-ins for the platform's services and for workers.
 //!
-//! They are scaffolding: small, in memory, and with faults to switch on. A
-//! worker keeps a ledger of every start and end by its own clock, which the
-//! system never writes to; promises are judged by that ledger.
+//! They exist for tests and measurements: small, in memory, and with faults
+//! that can be switched on. Each worker records its starts and ends in a ledger
+//! that the scheduler never writes to. Checks of the scheduler's guarantees use
+//! these ledgers, so that they don't depend on its own records.
 
 pub mod args;
 mod checkpoints;
--- a/crates/stand/src/main.rs
+++ b/crates/stand/src/main.rs
@@ -23,10 +23,10 @@
     send_members, serve_platform, serve_worker,
 };
 
-/// Time limit of writing a checkpoint.
+/// Time limit of each call to the object store.
 const CHECKPOINT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How often the main thread looks for the end.
+/// Time limit of one wait of the main thread; cancellation ends the wait early.
 const WAIT_INTERVAL: Duration = Duration::from_secs(3600);
 
 fn main() -> ExitCode {
@@ -57,7 +57,11 @@
     }
     let endpoints = serve_platform(Arc::new(Mutex::new(platform)), &endpoints, &cancel)?;
     for endpoint in endpoints {
-        log::info!("platform: zone {} at {}", endpoint.zone, endpoint.addr);
+        log::info!(
+            "platform: serving zone {} at {}",
+            endpoint.zone,
+            endpoint.addr
+        );
     }
     while !cancel.wait(WAIT_INTERVAL) {}
     Ok(())
@@ -92,7 +96,7 @@
         &cancel,
     )?;
     log::info!(
-        "worker: exchanges at {}, services at {}",
+        "worker: serving exchanges at {}, services at {}",
         worker.addr,
         worker.target
     );
--- a/crates/stand/src/members_file.rs
+++ b/crates/stand/src/members_file.rs
@@ -1,4 +1,4 @@
-//! Members as a file, for a trial by hand.
+//! Membership list from a YAML file, for manual trials.
 
 use std::{net::SocketAddr, path::Path};
 
@@ -50,7 +50,11 @@
     leaving: bool,
 }
 
-/// Sends the members in a file to the platform at `gate`.
+/// Sends the members in `file` to the platform endpoint at `gate`.
+///
+/// # Errors
+///
+/// Fails if the file can't be read or the platform does not accept the list.
 pub fn send_members(gate: SocketAddr, file: &Path) -> Result<(), StandError> {
     let list = load(file, |raw: RawMembers| {
         Ok::<MemberList, Problems>(to_member_list(raw))
--- a/crates/stand/src/platform.rs
+++ b/crates/stand/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's services in memory, with rate limits and faults.
+//! In-memory services of the platform, with rate limits and faults.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -20,11 +20,11 @@
 pub(crate) enum Refusal {
     /// The service is down.
     Down,
-    /// Too many calls in this second.
+    /// The rate limit of the current second is used up.
     RateLimited,
 }
 
-/// What the platform keeps.
+/// Table service, object store and membership list.
 #[derive(Debug)]
 pub struct Platform {
     rows: Rows,
@@ -37,7 +37,7 @@
     rng: SmallRng,
 }
 
-/// Calls in the present second.
+/// Limits calls per second by a fixed window.
 #[derive(Debug)]
 struct RateLimit {
     start: Instant,
@@ -71,7 +71,10 @@
 }
 
 impl Platform {
-    /// Returns an empty platform with limits a second and a lag of the membership list.
+    /// Returns an empty platform.
+    ///
+    /// `writes` and `reads` limit the calls to the table service per second; a new
+    /// membership list becomes visible after `lag`; `seed` seeds the random faults.
     pub fn new(writes: u32, reads: u32, lag: Duration, seed: u64) -> Platform {
         Platform {
             rows: Rows::default(),
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Replaces the membership list; it shows after the lag.
+    /// Replaces the membership list; the new list becomes visible after the lag.
     pub fn set_members(&mut self, list: MemberList) {
         self.member_lists
             .push_back((Instant::now() + self.lag, list));
@@ -96,7 +99,7 @@
         self.faults = faults;
     }
 
-    /// Returns the writes and reads so far.
+    /// Returns the numbers of writes and reads that were admitted so far.
     pub fn totals(&self) -> (u64, u64) {
         (self.writes.total, self.reads.total)
     }
@@ -113,7 +116,7 @@
         Ok(visible.map(|l| l.1.clone()).unwrap_or_default())
     }
 
-    /// Runs a transaction; the flag tells whether its answer is to be lost.
+    /// Runs a transaction; the flag is true if its answer must be dropped.
     pub(crate) fn tx(&mut self, tx: &Tx) -> Result<(TxAnswer, bool), Refusal> {
         if self.faults.table_down {
             return Err(Refusal::Down);
--- a/crates/stand/src/platform_http.rs
+++ b/crates/stand/src/platform_http.rs
@@ -1,7 +1,7 @@
-//! The platform's services over HTTP, by `rouille`.
+//! HTTP server of the platform's services, built on `rouille`.
 //!
-//! Its callers are the system's own processes, so the time limits that
-//! `rouille` lacks are not needed here.
+//! `rouille` has no time limits for slow clients. None are needed here, because only
+//! the project's own processes connect.
 
 use std::{
     io::Read,
@@ -28,19 +28,18 @@
     platform::Refusal,
 };
 
-/// Threads of each endpoint.
 const THREADS_PER_ENDPOINT: usize = 24;
 
-/// An address of the platform for one availability zone.
+/// Endpoint of the platform for the callers of one availability zone.
 #[derive(Debug, Clone)]
 pub struct ZoneEndpoint {
-    /// Zone.
+    /// Zone that the endpoint serves.
     pub zone: Name,
-    /// Address.
+    /// Address to bind, or the bound address.
     pub addr: SocketAddr,
 }
 
-/// Serves the platform at each endpoint until `cancel`; returns the bound addresses.
+/// Serves the platform at each endpoint until `cancel`; returns the bound endpoints.
 pub fn serve_platform(
     platform: Arc<Mutex<Platform>>,
     endpoints: &[ZoneEndpoint],
@@ -164,7 +163,7 @@
     }
 }
 
-/// Switches of the stand-in, for trials.
+/// Handles the control paths of the stand-in: faults, members and totals.
 fn handle_control(platform: &Mutex<Platform>, path: &str, req: &Request) -> Response {
     let body = read_body(req);
     let mut platform = lock(platform);
--- a/crates/stand/src/sim.rs
+++ b/crates/stand/src/sim.rs
@@ -1,7 +1,8 @@
-//! A worker without I/O or a clock of its own.
+//! Simulated worker; the caller supplies the time and the transport.
 //!
-//! It refuses what breaks the contract: an older epoch or exchange, a start
-//! whose lease would have lapsed, a start without room.
+//! The worker enforces its contract with the owner: it refuses exchanges of an older
+//! epoch or sequence number, starts whose lease has already expired, and starts that
+//! don't fit in its free room.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -17,18 +18,18 @@
 
 use crate::{Checkpoints, Entry, EntryKind, Ledger, Slowdown, WorkerFaults};
 
-/// Settings of a worker.
+/// Settings of a simulated worker.
 #[derive(Debug, Clone)]
 pub struct SimSettings {
-    /// Name.
+    /// Name of the worker.
     pub name: Name,
-    /// What it holds.
+    /// Capacity.
     pub size: Size,
-    /// Time between two measurements.
+    /// Interval between samples.
     pub period: Millis,
-    /// Lag of measurements.
+    /// Delay until a sample is reported.
     pub lag: Millis,
-    /// Hidden slowdowns.
+    /// Interference between the tasks on the worker.
     pub slowdown: Slowdown,
 }
 
@@ -40,7 +41,7 @@
     progress: f64,
 }
 
-/// A worker.
+/// A simulated worker.
 pub struct SimWorker {
     settings: SimSettings,
     ledger: Arc<Ledger>,
@@ -61,7 +62,7 @@
 }
 
 impl SimWorker {
-    /// Returns a worker that runs nothing; `boot` differs from start to start.
+    /// Returns a worker that runs nothing; `boot` differs for each start of its process.
     pub fn new(
         settings: SimSettings,
         boot: u64,
@@ -100,13 +101,13 @@
         &self.faults
     }
 
-    /// Replaces the hidden slowdowns.
+    /// Replaces the interference table.
     pub fn set_slowdown(&mut self, slowdown: Slowdown) {
         self.settings.slowdown = slowdown;
         self.slowdown_inputs.clear();
     }
 
-    /// Returns what is reserved.
+    /// Returns the resources that the running tasks reserve.
     pub fn reserved(&self) -> Size {
         let mut reserved = Size::default();
         for r in &self.runs {
@@ -115,7 +116,7 @@
         reserved
     }
 
-    /// Tells whether a replica of a service runs here.
+    /// Returns whether a replica of the service `kind` runs on the worker.
     pub fn has_replica(&self, kind: &str) -> bool {
         self.runs
             .iter()
@@ -127,7 +128,7 @@
         self.runs.len()
     }
 
-    /// Returns the present slowdown of a service; 1 is not slowed.
+    /// Returns the current slowdown of the service `kind`; 1 is undisturbed.
     pub fn service_slowdown(&self, kind: &str) -> f64 {
         let load = self.load();
         let mut own_found = false;
@@ -144,7 +145,7 @@
         self.reserved().load(&self.settings.size)
     }
 
-    /// Lets time pass up to `clock` on the worker's own clock.
+    /// Advances the simulation to `clock`, a time of the worker's own clock.
     pub fn advance(&mut self, clock: Millis) {
         let passed = clock.saturating_sub(self.clock);
         self.clock = self.clock.max(clock);
@@ -153,13 +154,18 @@
         self.take_samples();
     }
 
-    /// Ends what lapsed up to `clock`, before the worker is killed in a pause.
+    /// Stops the tasks whose leases expired up to `clock`, without any progress.
+    ///
+    /// For a worker that is killed while it is paused: its tasks ended with their leases.
     pub fn expire_leases(&mut self, clock: Millis) {
         self.clock = self.clock.max(clock);
         self.stop_expired();
     }
 
-    /// Handles an exchange.
+    /// Handles an exchange at `clock`, a time of the worker's own clock.
+    ///
+    /// Leases count from `echo`, a time that the worker reported earlier. Starts and
+    /// renewals are therefore ignored if the request is for another boot or has no echo.
     pub fn exchange(&mut self, clock: Millis, req: &WorkerRequest) -> WorkerAnswer {
         self.advance(clock);
         if let Some(reason) = self.refusal(req) {
@@ -287,10 +293,10 @@
         self.end_run(i, WorkerEnd::Stopped { saved }, kind);
     }
 
-    /// Stops the tasks whose leases lapsed.
+    /// Stops the tasks whose leases have expired.
     ///
-    /// A worker that was paused with its tasks notices late; nothing ran in
-    /// between, so that the ledger gets the end of the lease.
+    /// A paused worker detects the expiry late, but its tasks did not run in the
+    /// meantime. The ledger entry therefore gets the time at which the lease ended.
     fn stop_expired(&mut self) {
         let mut i = 0;
         while i < self.runs.len() {
@@ -321,7 +327,7 @@
         }
     }
 
-    /// Works the slowdowns out anew if what runs has changed.
+    /// Recomputes the slowdowns if the runs or their CPU percentages have changed.
     fn update_slowdowns(&mut self) {
         let mut running = Vec::with_capacity(self.runs.len());
         for r in &self.runs {
--- a/crates/stand/src/slowdown.rs
+++ b/crates/stand/src/slowdown.rs
@@ -1,26 +1,29 @@
-//! A hidden table of how kinds of tasks slow each other down.
+//! Interference between kinds of tasks.
+//!
+//! The scheduler can't read these slowdowns; it has to learn them from samples.
 
 use gorsespur_core::hashing::stable_hash;
 
-/// Largest share of one neighbour, before the strength is applied.
+/// Upper bound of a neighbour's contribution, before strength and load factor apply.
 const MAX_CONTRIBUTION: f64 = 1.0;
 
-/// Power that makes most pairs harmless and a few harmful.
+/// Exponent of the uniform hash; it makes most pairs harmless and a few harmful.
 const SKEW_EXPONENT: f64 = 4.0;
 
-/// The table; it is a function of its seed and shifts when the shift does.
+/// Slowdowns of each pair of kinds, as a pure function of `seed` and `shift`.
 #[derive(Debug, Clone)]
 pub struct Slowdown {
-    /// Seed.
+    /// Seed of the table.
     pub seed: u64,
-    /// Factor on every entry.
+    /// Factor of every entry; 0 for no interference.
     pub strength: f64,
-    /// Changes the table.
+    /// Version of the table; each value gives another table.
     pub shift: u64,
 }
 
 impl Slowdown {
-    /// Returns what one neighbour of kind `other` adds to the slowdown of `victim`.
+    /// Returns what a neighbour of kind `other` adds to the slowdown of `victim` if it
+    /// runs at full pace. `load` is the reserved share of the worker, from 0 to 1.
     pub fn contribution(&self, victim: &str, other: &str, load: f64) -> f64 {
         let seed = format!("{}.{}", self.seed, self.shift);
         let hash = stable_hash(&[&seed, victim, other]);
@@ -35,7 +38,9 @@
         self.strength * MAX_CONTRIBUTION * uniform.powf(SKEW_EXPONENT) * load_factor
     }
 
-    /// Returns the slowdown of `victim` beside `others`; 1 is not slowed.
+    /// Returns the slowdown of `victim` beside `others`; 1 is undisturbed.
+    ///
+    /// `others` gives the kind and the CPU percentage of each neighbour.
     pub fn total<'a>(
         &self,
         victim: &str,
--- a/crates/stand/src/target.rs
+++ b/crates/stand/src/target.rs
@@ -1,4 +1,4 @@
-//! The services on a worker.
+//! Simulated services on a worker.
 
 use std::{
     sync::atomic::{AtomicU32, Ordering},
@@ -13,10 +13,10 @@
 
 use crate::WorkerFaults;
 
-/// Longest time of a request as a multiple of the mean.
+/// Upper bound of the exponential variate with mean 1 in the duration of a request.
 const MAX_EXPONENTIAL: f64 = 6.0;
 
-/// Slots of the services on a worker.
+/// Services of a worker, which share a number of slots.
 #[derive(Debug)]
 pub struct SimTarget {
     slots: u32,
@@ -24,7 +24,7 @@
     busy: AtomicU32,
 }
 
-/// What a target knows when it runs a request.
+/// State of the worker that a request depends on.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestContext {
     pub has_replica: bool,
@@ -33,7 +33,8 @@
 }
 
 impl SimTarget {
-    /// Returns a target with `slots` slots whose requests take `mean_ms` on average.
+    /// Returns a target with `slots` slots whose undisturbed requests take `mean_ms` on
+    /// average.
     pub fn new(slots: u32, mean_ms: f64) -> SimTarget {
         SimTarget {
             slots,
@@ -42,12 +43,14 @@
         }
     }
 
-    /// Returns the slots in use.
+    /// Returns the number of slots in use.
     pub fn busy(&self) -> u32 {
         self.busy.load(Ordering::Acquire)
     }
 
-    /// Runs a request; `ran` is called once if it runs.
+    /// Runs a request, or declines it without a replica or a free slot.
+    ///
+    /// `on_start` is called with the id of the request just before the request runs.
     pub(crate) fn run(
         &self,
         req: &Incoming,
@@ -96,7 +99,7 @@
     }
 }
 
-/// Returns the body of the answer to a request; callers can check it.
+/// Returns the body of the answer to a request, from which callers verify the answer.
 pub fn answer_body(id: &str, path: &str, body: &[u8]) -> Vec<u8> {
     let text = String::from_utf8_lossy(body);
     let sum = stable_hash(&[path, &text]);
--- a/crates/stand/src/worker_http.rs
+++ b/crates/stand/src/worker_http.rs
@@ -1,4 +1,4 @@
-//! A worker as a process.
+//! HTTP server of a simulated worker.
 
 use std::{
     net::SocketAddr,
@@ -27,14 +27,14 @@
     target::RequestContext,
 };
 
-/// Time between two looks at the running tasks.
+/// Interval at which the simulation advances between exchanges.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running worker.
+/// A worker that is being served.
 pub struct WorkerServer {
-    /// Address for exchanges.
+    /// Address that serves exchanges.
     pub addr: SocketAddr,
-    /// Address of its services.
+    /// Address that serves requests to the worker's services.
     pub target: SocketAddr,
     sim: Arc<Mutex<SimWorker>>,
     sim_target: Arc<SimTarget>,
@@ -46,7 +46,7 @@
         lock(&self.sim).set_faults(faults);
     }
 
-    /// Returns the slots in use.
+    /// Returns the number of slots in use.
     pub fn busy(&self) -> u32 {
         self.sim_target.busy()
     }
@@ -61,7 +61,7 @@
     sim.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Serves a worker until `cancel`.
+/// Serves exchanges at `addr` and requests to services at `target` until `cancel`.
 pub fn serve_worker(
     addr: SocketAddr,
     target: SocketAddr,
@@ -124,7 +124,7 @@
     };
     let mut sim = lock(sim);
     if sim.faults().cut {
-        return Reply::text(503, "cut off");
+        return Reply::text(503, "worker is cut off");
     }
     let answer = sim.exchange(clock.now(), &request);
     if sim.faults().lose_answers {
@@ -132,7 +132,7 @@
     }
     match encode(&answer) {
         Ok(body) => Reply::new(200, body).header("content-type", CONTENT_TYPE),
-        Err(_) => Reply::text(500, "can't encode"),
+        Err(_) => Reply::text(500, "answer can't be encoded"),
     }
 }
 
--- a/crates/stand/tests/worker.rs
+++ b/crates/stand/tests/worker.rs
@@ -1,4 +1,5 @@
-//! Contract of a worker: what it refuses, and what it repeats.
+//! Contract of a simulated worker: refused exchanges and starts, leases, and
+//! idempotent starts and reports.
 
 use std::sync::Arc;
 
@@ -66,7 +67,7 @@
     }
 }
 
-/// A worker that runs job 1 for epoch 3 after exchange 5.
+/// Returns a worker that has started job 1 in exchange 5 of epoch 3.
 fn running(ledger: &Arc<Ledger>) -> SimWorker {
     let mut w = worker(ledger);
     let mut r = request(3, 5, NOW);
