--- a/crates/services/src/fake.rs
+++ b/crates/services/src/fake.rs
@@ -1,6 +1,6 @@
-//! A table and an object store in memory, for tests.
+//! In-memory table service and object store for tests.
 //!
-//! Each call first takes the next fault of a list, so that a test states
+//! Each call consumes the next fault of a queue, so that a test determines
 //! exactly which call fails and how.
 
 use std::{
@@ -19,34 +19,38 @@
 
 use crate::{ObjectError, Objects, Rows, Table, TableError};
 
-/// First of the last bytes of the loopback addresses that are given out.
-const FIRST_HOST: u8 = 2;
+/// Lowest last byte of the loopback addresses that [`unique_addr`] returns.
+const FIRST_HOST_BYTE: u8 = 2;
 
-/// Returns an address that no other socket of this machine uses or is given.
+/// Returns an address for a test server that no other socket of this machine uses.
 ///
-/// A port that is found free and given back may be taken by any socket before it is
-/// bound again. So each call has a loopback address to itself, which no socket is bound
-/// to unless it names it; it is derived from the process and from the call.
+/// If a test probed for a free port and closed it, another socket could bind the port
+/// before the server does. Each call therefore uses a loopback address of its own, derived
+/// from the process id and the number of the call; the system assigns that address only
+/// to sockets that name it.
 ///
-/// Errors: the system has no sockets left.
-pub fn own_addr() -> io::Result<SocketAddr> {
-    static NEXT: AtomicU8 = AtomicU8::new(FIRST_HOST);
+/// # Errors
+///
+/// Fails if the system has no sockets left.
+pub fn unique_addr() -> io::Result<SocketAddr> {
+    static NEXT: AtomicU8 = AtomicU8::new(FIRST_HOST_BYTE);
     let [_, _, high, low] = process::id().to_be_bytes();
     let host = NEXT.fetch_add(1, Ordering::Relaxed);
     let address = Ipv4Addr::new(127, high | 0x80, low, host);
     TcpListener::bind((address, 0))?.local_addr()
 }
 
-/// A fault of one call.
+/// A fault to inject into one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The call works.
+    /// The call succeeds.
     None,
     /// The call has no effect and fails.
     Down,
     /// The call takes effect, and its answer is lost.
     LostAnswer,
-    /// The call seems lost and takes effect only before the next write.
+    /// The answer is lost, and the transaction takes effect just before the
+    /// next one. Reads and object store calls fail like with [`Fault::LostAnswer`].
     Delayed,
 }
 
@@ -59,7 +63,7 @@
     writes: u64,
 }
 
-/// The platform's services in memory.
+/// In-memory table service and object store with injected faults.
 #[derive(Debug, Default)]
 pub struct FakePlatform {
     state: Mutex<State>,
@@ -71,7 +75,7 @@
         FakePlatform::default()
     }
 
-    /// Adds faults for the calls to come, in order.
+    /// Queues faults for the next calls, in order.
     pub fn fail_next(&self, faults: &[Fault]) {
         self.lock().faults.extend(faults);
     }
@@ -92,18 +96,18 @@
 }
 
 impl State {
-    fn fault(&mut self) -> Fault {
+    fn next_fault(&mut self) -> Fault {
         self.faults.pop_front().unwrap_or(Fault::None)
     }
 
-    fn read_fault(&mut self) -> Result<(), TableError> {
-        match self.fault() {
+    fn check_read(&mut self) -> Result<(), TableError> {
+        match self.next_fault() {
             Fault::None => Ok(()),
             Fault::Down | Fault::LostAnswer | Fault::Delayed => Err(TableError::Unavailable),
         }
     }
 
-    fn run(&mut self, tx: &Tx) -> Result<u64, TableError> {
+    fn apply(&mut self, tx: &Tx) -> Result<u64, TableError> {
         match self.rows.tx(tx) {
             TxAnswer::Done(version) => {
                 self.writes += 1;
@@ -117,14 +121,14 @@
 impl Table for FakePlatform {
     fn tx(&self, tx: &Tx) -> Result<u64, TableError> {
         let mut state = self.lock();
-        if let Some(late) = state.delayed.take() {
-            let _ = state.run(&late);
+        if let Some(delayed) = state.delayed.take() {
+            let _ = state.apply(&delayed);
         }
-        match state.fault() {
-            Fault::None => state.run(tx),
+        match state.next_fault() {
+            Fault::None => state.apply(tx),
             Fault::Down => Err(TableError::Unavailable),
             Fault::LostAnswer => {
-                let _ = state.run(tx);
+                let _ = state.apply(tx);
                 Err(TableError::Unknown)
             }
             Fault::Delayed => {
@@ -136,7 +140,7 @@
 
     fn get(&self, keys: &[Name]) -> Result<Vec<Option<Row>>, TableError> {
         let mut state = self.lock();
-        state.read_fault()?;
+        state.check_read()?;
         Ok(state.rows.get(keys))
     }
 
@@ -147,7 +151,7 @@
         limit: u32,
     ) -> Result<(Vec<Row>, bool), TableError> {
         let mut state = self.lock();
-        state.read_fault()?;
+        state.check_read()?;
         let answer = state.rows.scan(&ScanRequest {
             prefix: prefix.clone(),
             after,
@@ -160,7 +164,7 @@
 impl Objects for FakePlatform {
     fn put(&self, key: &str, value: &[u8]) -> Result<(), ObjectError> {
         let mut state = self.lock();
-        let fault = state.fault();
+        let fault = state.next_fault();
         if fault == Fault::Down {
             return Err(ObjectError::Unavailable);
         }
@@ -173,7 +177,7 @@
 
     fn get(&self, key: &str) -> Result<Vec<u8>, ObjectError> {
         let mut state = self.lock();
-        if state.fault() != Fault::None {
+        if state.next_fault() != Fault::None {
             return Err(ObjectError::Unavailable);
         }
         state.objects.get(key).cloned().ok_or(ObjectError::Absent)
@@ -181,7 +185,7 @@
 
     fn delete(&self, key: &str) -> Result<(), ObjectError> {
         let mut state = self.lock();
-        if state.fault() != Fault::None {
+        if state.next_fault() != Fault::None {
             return Err(ObjectError::Unavailable);
         }
         state.objects.remove(key);
--- a/crates/services/src/http_table.rs
+++ b/crates/services/src/http_table.rs
@@ -1,4 +1,4 @@
-//! The table service over HTTP.
+//! HTTP client of the table service.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -26,7 +26,7 @@
 
 fn table_error(err: PostError) -> TableError {
     match err {
-        PostError::NotDone => TableError::Unavailable,
+        PostError::NotExecuted => TableError::Unavailable,
         PostError::Unknown => TableError::Unknown,
     }
 }
--- a/crates/stand/src/members_file.rs
+++ b/crates/stand/src/members_file.rs
@@ -1,4 +1,4 @@
-//! Members as a file, for a trial by hand.
+//! Membership list from a YAML file, for manual trials.
 
 use std::{net::SocketAddr, path::Path};
 
@@ -13,7 +13,7 @@
 
 use crate::{
     StandError,
-    error::{MembersSnafu, NotTakenSnafu},
+    error::{MembersFileSnafu, MembersRejectedSnafu},
 };
 
 #[derive(Debug, Deserialize)]
@@ -50,20 +50,24 @@
     leaving: bool,
 }
 
-/// Sends the members in a file to the platform at `gate`.
+/// Sends the members in `file` to the platform endpoint at `gate`.
+///
+/// # Errors
+///
+/// Fails if the file can't be read or the platform does not accept the list.
 pub fn send_members(gate: SocketAddr, file: &Path) -> Result<(), StandError> {
     let list = load(file, |raw: RawMembers| {
-        Ok::<MemberList, Problems>(list(raw))
+        Ok::<MemberList, Problems>(to_member_list(raw))
     });
-    let list = list.context(MembersSnafu)?;
+    let list = list.context(MembersFileSnafu)?;
     let body = encode(&list).unwrap_or_default();
     let answer = Call::new("POST", gate, "/members/set").body(body).send();
-    let taken = answer.is_ok_and(|a| a.status == 200);
-    snafu::ensure!(taken, NotTakenSnafu { gate });
+    let accepted = answer.is_ok_and(|a| a.status == 200);
+    snafu::ensure!(accepted, MembersRejectedSnafu { gate });
     Ok(())
 }
 
-fn list(raw: RawMembers) -> MemberList {
+fn to_member_list(raw: RawMembers) -> MemberList {
     let mut list = MemberList::default();
     for i in raw.instances {
         list.instances.push(InstanceInfo {
