--- a/crates/load/src/capacity/mod.rs
+++ b/crates/load/src/capacity/mod.rs
@@ -1,7 +1,7 @@
 //! The design at the target size, worked out from measured slopes.
 
 mod rows;
-mod target;
+mod scale;
 
 use std::path::Path;
 
--- a/crates/load/src/capacity/rows.rs
+++ b/crates/load/src/capacity/rows.rs
@@ -1,6 +1,6 @@
 //! The rows of the table.
 
-use super::target as t;
+use super::scale;
 use crate::{error::LoadError, slopes::Figure};
 
 /// A quantity, how it was worked out, and its budget.
@@ -49,25 +49,25 @@
 /// Works every row out.
 pub(crate) fn rows(figures: &[Figure]) -> Result<Vec<Row>, LoadError> {
     let s = Slopes { figures };
-    let workers = t::WORKERS / t::ZONES;
-    let tasks = t::TASKS / t::ZONES;
-    let shards = (workers / t::SHARD_WORKERS).ceil();
+    let workers = scale::WORKERS / scale::ZONES;
+    let tasks = scale::TASKS / scale::ZONES;
+    let shards = (workers / scale::SHARD_WORKERS).ceil();
     let mut out = vec![
         row(
             "workers a zone",
-            format!("{} / {}", t::WORKERS, t::ZONES),
+            format!("{} / {}", scale::WORKERS, scale::ZONES),
             format!("{workers:.0}"),
             String::new(),
         ),
         row(
             "tasks a zone",
-            format!("{} / {}", t::TASKS, t::ZONES),
+            format!("{} / {}", scale::TASKS, scale::ZONES),
             format!("{tasks:.0}"),
             String::new(),
         ),
         row(
             "shards a zone",
-            format!("{workers:.0} / {} rounded up", t::SHARD_WORKERS),
+            format!("{workers:.0} / {} rounded up", scale::SHARD_WORKERS),
             format!("{shards:.0}"),
             String::new(),
         ),
@@ -90,71 +90,75 @@
     shards: f64,
     out: &mut Vec<Row>,
 ) -> Result<f64, LoadError> {
-    let each = s.get("sched_cpu_by_workers")?.slope / t::MEASURED_EXCHANGES;
-    let exchanges = workers * t::EXCHANGES;
+    let each = s.get("sched_cpu_by_workers")?.slope / scale::MEASURED_EXCHANGES;
+    let exchanges = workers * scale::EXCHANGES;
     out.push(row(
         "processor time of an exchange, network included",
-        format!("slope sched_cpu_by_workers / {}", t::MEASURED_EXCHANGES),
+        format!("slope sched_cpu_by_workers / {}", scale::MEASURED_EXCHANGES),
         format!("{each:.0} us"),
         String::new(),
     ));
     let us = exchanges * each;
     out.push(row(
         "exchanges of a zone",
-        format!("{workers:.0} x {} /s x {each:.0} us", t::EXCHANGES),
+        format!("{workers:.0} x {} /s x {each:.0} us", scale::EXCHANGES),
         format!("{us:.0} us/s"),
         String::new(),
     ));
-    let starts = t::STARTS / t::ZONES;
-    let place = s.get("placement_cpu_by_workers")?.at(t::SHARD_WORKERS);
+    let starts = scale::STARTS / scale::ZONES;
+    let place = s.get("placement_cpu_by_workers")?.at(scale::SHARD_WORKERS);
     let journal = s.get("journal_cpu_by_transitions")?.slope;
-    let busy = starts * (place + t::RECORDS * journal);
+    let busy = starts * (place + scale::RECORDS * journal);
     out.push(row(
         "placing and journalling at the peak",
         format!(
             "{starts:.0} /s x ({place:.1} + {} x {journal:.2}) us",
-            t::RECORDS
+            scale::RECORDS
         ),
         format!("{busy:.0} us/s"),
         String::new(),
     ));
     let total = us + busy;
     let idle = s.get("sched_cpu_by_workers")?.intercept;
-    let by_time = (total / (t::NODE_US - idle)).ceil().max(shards);
+    let by_time = (total / (scale::NODE_US - idle)).ceil().max(shards);
     out.push(row(
         "schedulers a zone by processor time",
         format!(
             "({us:.0} + {busy:.0}) / ({} - {idle:.0} idle) us/s rounded up, at least one a shard",
-            t::NODE_US
+            scale::NODE_US
         ),
         format!("{by_time:.0}"),
-        verdict(idle + total / by_time, t::NODE_US, "us/s each"),
+        verdict(idle + total / by_time, scale::NODE_US, "us/s each"),
     ));
     let per_worker = tasks / workers;
-    let bytes = s.get("exchange_bytes_by_tasks")?.at(per_worker) + t::HTTP_BYTES;
-    let traffic = workers * t::EXCHANGES * bytes;
+    let bytes = s.get("exchange_bytes_by_tasks")?.at(per_worker) + scale::HTTP_BYTES;
+    let traffic = workers * scale::EXCHANGES * bytes;
     out.push(row(
         "bytes of an exchange",
         format!(
             "line at {per_worker:.1} tasks + {} assumed for HTTP",
-            t::HTTP_BYTES
+            scale::HTTP_BYTES
         ),
         format!("{bytes:.0}"),
-        verdict(bytes * t::EXCHANGES, t::NODE_TRAFFIC, "B/s at a worker"),
+        verdict(
+            bytes * scale::EXCHANGES,
+            scale::NODE_TRAFFIC,
+            "B/s at a worker",
+        ),
     ));
     out.push(row(
         "traffic of a scheduler with its workers",
         format!(
             "{workers:.0} x {} x {bytes:.0} / {by_time:.0}",
-            t::EXCHANGES
+            scale::EXCHANGES
         ),
         format!("{:.0} B/s", traffic / by_time),
-        verdict(traffic / by_time, t::NODE_TRAFFIC, "B/s"),
+        verdict(traffic / by_time, scale::NODE_TRAFFIC, "B/s"),
     ));
     out.push(row(
         "schedulers a zone by traffic",
-        format!("{traffic:.0} B/s / {} rounded up", t::NODE_TRAFFIC),
-        format!("{:.0}", (traffic / t::NODE_TRAFFIC).ceil()),
+        format!("{traffic:.0} B/s / {} rounded up", scale::NODE_TRAFFIC),
+        format!("{:.0}", (traffic / scale::NODE_TRAFFIC).ceil()),
         String::new(),
     ));
     Ok(by_time)
@@ -171,100 +175,100 @@
     let task = s.get("memory_task")?.slope;
     let org = s.get("memory_organisation")?.slope;
     let base = s.get("sched_memory_by_workers")?.intercept;
-    let state = (workers * worker + tasks * task) / shards + t::ORGANISATIONS * org;
+    let state = (workers * worker + tasks * task) / shards + scale::ORGANISATIONS * org;
     let both = base + 2.0 * state;
     out.push(row(
         "memory of a scheduler with one shard",
         format!(
             "{base:.0} base + 2 x (({workers:.0} x {worker:.0} + {tasks:.0} x {task:.0}) / {shards:.0} + {} x {org:.0}), doubled while a snapshot is made",
-            t::ORGANISATIONS
+            scale::ORGANISATIONS
         ),
         format!("{:.1} MiB", both / 1024.0 / 1024.0),
-        verdict(both, t::NODE_BYTES, "B"),
+        verdict(both, scale::NODE_BYTES, "B"),
     ));
     Ok(())
 }
 
 fn membership(s: &Slopes<'_>, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
-    let zone = scheds + t::ENTRIES;
-    let beat = s.get("heartbeat_bytes_by_peers")?.at(zone * t::ZONES) + t::DATAGRAM;
-    let to = zone - 1.0 + t::CONTACTS * (t::ZONES - 1.0);
-    let sent = t::BEATS * to * beat;
+    let zone = scheds + scale::ENTRIES;
+    let beat = s.get("heartbeat_bytes_by_peers")?.at(zone * scale::ZONES) + scale::DATAGRAM;
+    let to = zone - 1.0 + scale::CONTACTS * (scale::ZONES - 1.0);
+    let sent = scale::BEATS * to * beat;
     out.push(row(
         "instances of a zone and in all",
-        format!("{scheds:.0} + {}; x {}", t::ENTRIES, t::ZONES),
-        format!("{zone:.0}; {:.0}", zone * t::ZONES),
+        format!("{scheds:.0} + {}; x {}", scale::ENTRIES, scale::ZONES),
+        format!("{zone:.0}; {:.0}", zone * scale::ZONES),
         String::new(),
     ));
     out.push(row(
         "heartbeats sent by an instance",
         format!(
             "{} /s x ({zone:.0} - 1 + {} x {}) x {beat:.0} B",
-            t::BEATS,
-            t::CONTACTS,
-            t::ZONES - 1.0
+            scale::BEATS,
+            scale::CONTACTS,
+            scale::ZONES - 1.0
         ),
         format!("{sent:.0} B/s"),
-        verdict(sent, t::NODE_TRAFFIC, "B/s"),
+        verdict(sent, scale::NODE_TRAFFIC, "B/s"),
     ));
-    let us = s.get("heartbeat_cpu_by_peers")?.at(zone * t::ZONES) * t::BEATS * to;
+    let us = s.get("heartbeat_cpu_by_peers")?.at(zone * scale::ZONES) * scale::BEATS * to;
     out.push(row(
         "processor time of heartbeats received",
         format!(
             "{} /s x {to:.0} x line at {:.0} peers",
-            t::BEATS,
-            zone * t::ZONES
+            scale::BEATS,
+            zone * scale::ZONES
         ),
         format!("{us:.0} us/s"),
-        verdict(us, t::NODE_US, "us/s"),
+        verdict(us, scale::NODE_US, "us/s"),
     ));
     Ok(())
 }
 
 fn table(s: &Slopes<'_>, shards: f64, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
-    let all = shards * t::ZONES;
-    let commits = all / t::COMMIT;
-    let others = 2.0 * t::JOBS_A_DAY / t::DAY + t::CHANGES_A_DAY / t::DAY;
+    let all = shards * scale::ZONES;
+    let commits = all / scale::COMMIT;
+    let others = 2.0 * scale::JOBS_A_DAY / scale::DAY + scale::CHANGES_A_DAY / scale::DAY;
     out.push(row(
         "writes at the table service at the peak",
         format!(
             "{all:.0} shards / {} s + 2 x {:.1} jobs/s + {:.2} changes/s",
-            t::COMMIT,
-            t::JOBS_A_DAY / t::DAY,
-            t::CHANGES_A_DAY / t::DAY
+            scale::COMMIT,
+            scale::JOBS_A_DAY / scale::DAY,
+            scale::CHANGES_A_DAY / scale::DAY
         ),
         format!("{:.0} /s", commits + others),
-        verdict(commits + others, t::WRITES, "/s"),
+        verdict(commits + others, scale::WRITES, "/s"),
     ));
-    let records = t::STARTS * t::RECORDS / commits;
+    let records = scale::STARTS * scale::RECORDS / commits;
     let bytes = s.get("journal_bytes_by_transitions")?.at(records);
     out.push(row(
         "transitions and bytes of a write",
-        format!("{} x {} / {commits:.0} /s", t::STARTS, t::RECORDS),
+        format!("{} x {} / {commits:.0} /s", scale::STARTS, scale::RECORDS),
         format!("{records:.0}; {bytes:.0} B"),
         String::new(),
     ));
     // Each shard's row is watched, and its inbox is read once a second; the head
     // of the configuration is read four times a second in each zone.
-    let reads = all * (t::WATCHERS * t::LOOKS + 1.0) + 4.0 * t::ZONES;
+    let reads = all * (scale::WATCHERS * scale::LOOKS + 1.0) + 4.0 * scale::ZONES;
     out.push(row(
         "reads at the table service",
         format!(
             "{all:.0} x ({} x {} + 1) + 4 x {} zones",
-            t::WATCHERS,
-            t::LOOKS,
-            t::ZONES
+            scale::WATCHERS,
+            scale::LOOKS,
+            scale::ZONES
         ),
         format!("{reads:.0} /s"),
-        verdict(reads, t::READS, "/s"),
+        verdict(reads, scale::READS, "/s"),
     ));
-    let lists = (scheds + t::ENTRIES) * t::ZONES;
+    let lists = (scheds + scale::ENTRIES) * scale::ZONES;
     out.push(row(
         "reads of the membership list",
         format!(
             "({scheds:.0} + {}) x {} zones, one a second each",
-            t::ENTRIES,
-            t::ZONES
+            scale::ENTRIES,
+            scale::ZONES
         ),
         format!("{lists:.0} /s"),
         "not stated".to_owned(),
@@ -273,31 +277,31 @@
 }
 
 fn changes(s: &Slopes<'_>, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
-    let rate = t::CHANGES_A_DAY / t::DAY;
-    let bytes = s.get("config_bytes_by_kinds")?.at(t::KINDS);
-    let us = s.get("config_cpu_by_kinds")?.at(t::KINDS);
-    let sent = rate * bytes * (scheds + t::ENTRIES - 1.0);
+    let rate = scale::CHANGES_A_DAY / scale::DAY;
+    let bytes = s.get("config_bytes_by_kinds")?.at(scale::KINDS);
+    let us = s.get("config_cpu_by_kinds")?.at(scale::KINDS);
+    let sent = rate * bytes * (scheds + scale::ENTRIES - 1.0);
     out.push(row(
         "changes handed on by the instance that polls",
         format!(
             "{rate:.2} /s x {bytes:.0} B x ({scheds:.0} + {} - 1) peers",
-            t::ENTRIES
+            scale::ENTRIES
         ),
         format!("{sent:.0} B/s"),
-        verdict(sent, t::NODE_TRAFFIC, "B/s"),
+        verdict(sent, scale::NODE_TRAFFIC, "B/s"),
     ));
     out.push(row(
         "processor time of changes",
         format!("{rate:.2} /s x {us:.1} us"),
         format!("{:.1} us/s", rate * us),
-        verdict(rate * us, t::NODE_US, "us/s"),
+        verdict(rate * us, scale::NODE_US, "us/s"),
     ));
     let read = rate * bytes * 2.0;
     out.push(row(
         "bytes read by the instance that polls: the templates that the log names",
         format!("{rate:.2} /s x {bytes:.0} B x 2 forms"),
         format!("{read:.0} B/s"),
-        verdict(read, t::NODE_TRAFFIC, "B/s"),
+        verdict(read, scale::NODE_TRAFFIC, "B/s"),
     ));
     Ok(())
 }
@@ -306,26 +310,26 @@
     let each = s.get("entry_cpu_by_rate")?;
     out.push(row(
         "requests a second that 1.9% of a core forwards",
-        format!("{} us/s / {:.0} us a request", t::NODE_US, each.slope),
-        format!("{:.0} /s", t::NODE_US / each.slope),
+        format!("{} us/s / {:.0} us a request", scale::NODE_US, each.slope),
+        format!("{:.0} /s", scale::NODE_US / each.slope),
         "forwarding is not control".to_owned(),
     ));
     let memory = s.get("memory_target")?.slope;
     let base = s.get("entry_memory_by_rate")?.intercept;
-    let targets = 140_000.0 / t::ZONES;
+    let targets = 140_000.0 / scale::ZONES;
     let sum = base + targets * memory;
     out.push(row(
         "memory of an entry that knows its zone's targets",
-        format!("{base:.0} base + 140000 / {} x {memory:.0}", t::ZONES),
+        format!("{base:.0} base + 140000 / {} x {memory:.0}", scale::ZONES),
         format!("{:.1} MiB", sum / 1024.0 / 1024.0),
-        verdict(sum, t::NODE_BYTES, "B"),
+        verdict(sum, scale::NODE_BYTES, "B"),
     ));
     let all = base + 140_000.0 * memory;
     out.push(row(
         "memory of an entry that knows every zone's targets, as now",
         format!("{base:.0} base + 140000 x {memory:.0}"),
         format!("{:.1} MiB", all / 1024.0 / 1024.0),
-        verdict(all, t::NODE_BYTES, "B"),
+        verdict(all, scale::NODE_BYTES, "B"),
     ));
     Ok(())
 }
@@ -338,27 +342,27 @@
     shards: f64,
     out: &mut Vec<Row>,
 ) -> Result<(), LoadError> {
-    let moves = (t::FAILURES_A_DAY + t::REPLACED_A_DAY) / t::DAY;
+    let moves = (scale::FAILURES_A_DAY + scale::REPLACED_A_DAY) / scale::DAY;
     let snapshot = tasks / shards * s.get("memory_task")?.slope / 2.0;
     out.push(row(
         "ordinary day: takeovers, if every instance lost were a scheduler",
         format!(
             "({} + {}) / {} s",
-            t::FAILURES_A_DAY,
-            t::REPLACED_A_DAY,
-            t::DAY
+            scale::FAILURES_A_DAY,
+            scale::REPLACED_A_DAY,
+            scale::DAY
         ),
         format!("{moves:.3} /s, each a write, a few reads and about {snapshot:.0} B of snapshot"),
-        verdict(moves, t::WRITES, "writes/s"),
+        verdict(moves, scale::WRITES, "writes/s"),
     ));
     let each = tasks / workers;
-    let place = s.get("placement_cpu_by_workers")?.at(t::SHARD_WORKERS);
-    let lost = t::RACK * each;
+    let place = s.get("placement_cpu_by_workers")?.at(scale::SHARD_WORKERS);
+    let lost = scale::RACK * each;
     out.push(row(
         "a lost rack",
         format!(
             "{} x {each:.1} tasks; two records each; x {place:.1} us",
-            t::RACK
+            scale::RACK
         ),
         format!(
             "{lost:.0} tasks, {:.1} ms of placing, one journal write",
@@ -372,10 +376,10 @@
         "its tasks wait; the other zones don't take them over".to_owned(),
         "see below".to_owned(),
     ));
-    let rows = t::SNAPSHOT_ROWS * t::COMMIT;
+    let rows = scale::SNAPSHOT_ROWS * scale::COMMIT;
     out.push(row(
         "time between two snapshots of a busy shard",
-        format!("{} rows x {} s", t::SNAPSHOT_ROWS, t::COMMIT),
+        format!("{} rows x {} s", scale::SNAPSHOT_ROWS, scale::COMMIT),
         format!("{rows:.0} s"),
         String::new(),
     ));
--- a/crates/load/src/fleet/boot.rs
+++ b/crates/load/src/fleet/boot.rs
@@ -18,7 +18,7 @@
 };
 use snafu::ResultExt;
 
-use super::{FleetSize, Proc, plan::Plan, texts};
+use super::{FleetSize, Proc, plan::Plan, settings};
 use crate::{
     args::TrialArgs,
     error::{FileSnafu, LedgerSnafu, LoadError, SpawnSnafu},
@@ -142,7 +142,7 @@
     /// Starts the scheduler with this index.
     pub fn start_sched(&self, i: usize) -> Result<Proc, LoadError> {
         let at = &self.plan.scheds[i];
-        let path = self.write(&at.id, &texts::sched(&self.plan, at))?;
+        let path = self.write(&at.id, &settings::sched(&self.plan, at))?;
         let mut args = vec![format!("--settings={}", path.display())];
         if self.args.record {
             args.push(format!(
@@ -156,7 +156,7 @@
     /// Starts the entry with this index.
     pub fn start_entry(&self, i: usize) -> Result<Proc, LoadError> {
         let at = &self.plan.entries[i];
-        let path = self.write(&at.id, &texts::entry(&self.plan, at))?;
+        let path = self.write(&at.id, &settings::entry(&self.plan, at))?;
         let args = [format!("--settings={}", path.display())];
         self.run("gorsespur-entry", &args, &at.id)
     }
--- a/crates/load/src/fleet/mod.rs
+++ b/crates/load/src/fleet/mod.rs
@@ -3,7 +3,7 @@
 mod boot;
 mod plan;
 mod process;
-mod texts;
+mod settings;
 
 pub(crate) use boot::Fleet;
 pub(crate) use plan::FleetSize;
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -5,11 +5,11 @@
 
 pub mod args;
 mod capacity;
+mod clients;
 pub mod error;
 mod fleet;
-mod judge;
-mod kit;
 mod measure;
 pub mod program;
 mod slopes;
 mod trial;
+mod verify;
--- a/crates/load/src/measure/faults.rs
+++ b/crates/load/src/measure/faults.rs
@@ -16,10 +16,10 @@
 
 use crate::{
     args::TrialArgs,
+    clients::{JobLoad, RequestLoad, user_paths},
     error::{FileSnafu, LoadError},
     fleet::{Fleet, FleetSize},
-    judge::judge,
-    kit::{JobLoad, RequestLoad, user_paths},
+    verify::judge,
 };
 
 /// Requests a second.
--- a/crates/load/src/measure/interference.rs
+++ b/crates/load/src/measure/interference.rs
@@ -3,7 +3,7 @@
 
 use gorsespur_core::{placement::PlacementPolicy, template::Weights};
 
-use super::floor::{Floor, FloorResult, FloorSettings};
+use super::placement_sim::{Floor, FloorResult, FloorSettings};
 use crate::{args::InterferenceArgs, error::LoadError};
 
 /// Weights of Weld and of Taipei.
--- a/crates/load/src/measure/mod.rs
+++ b/crates/load/src/measure/mod.rs
@@ -1,13 +1,13 @@
 //! Measurements, each against its baseline in one run.
 
 pub(crate) mod faults;
-mod floor;
 pub(crate) mod interference;
 pub(crate) mod membership;
+mod organisation;
 pub(crate) mod overhead;
 pub(crate) mod overload;
-mod overload_run;
-mod slopes_org;
+mod overload_sim;
+mod placement_sim;
 pub(crate) mod starts;
 
-pub(crate) use slopes_org::organisation;
+pub(crate) use organisation::organisation;
--- a/crates/load/src/measure/overhead.rs
+++ b/crates/load/src/measure/overhead.rs
@@ -15,9 +15,9 @@
 
 use crate::{
     args::TrialArgs,
+    clients::Times,
     error::LoadError,
     fleet::{Fleet, FleetSize},
-    kit::Times,
 };
 
 /// Threads that look for saturation.
--- a/crates/load/src/measure/overload.rs
+++ b/crates/load/src/measure/overload.rs
@@ -3,7 +3,7 @@
 
 use gorsespur_core::route::RoutePolicy;
 
-use super::overload_run::{Bad, OverloadResult, OverloadRun};
+use super::overload_sim::{Bad, OverloadResult, OverloadRun};
 use crate::{args::SeedArgs, error::LoadError};
 
 /// Load as a share of the capacity, in the four cases.
--- a/crates/load/src/measure/overload_run.rs
+++ b/crates/load/src/measure/overload_sim.rs
@@ -16,7 +16,7 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use crate::kit::Times;
+use crate::clients::Times;
 
 /// Sizes of one zone of today.
 const ENTRIES: usize = 3;
--- a/crates/load/src/measure/floor.rs
+++ b/crates/load/src/measure/placement_sim.rs
@@ -18,7 +18,7 @@
 use gorsespur_stand::{Ledger, MemoryCheckpoints, SimSettings, SimWorker, Slowdown};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use crate::kit::Times;
+use crate::clients::Times;
 
 /// Virtual time of one step.
 const STEP: Millis = 20;
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -18,7 +18,7 @@
     stored::{JournalRow, Snapshot},
 };
 
-use super::slopes_org::organisation;
+use super::organisation::organisation;
 use crate::{args::SeedArgs, error::LoadError};
 
 /// Start of virtual time.
--- a/crates/load/src/slopes/mod.rs
+++ b/crates/load/src/slopes/mod.rs
@@ -2,12 +2,12 @@
 //!
 //! Each is measured at four or more sizes, and a line is fitted.
 
-mod figure;
+mod linear_fit;
 mod memory;
 mod messages;
 mod processes;
 
-pub(crate) use figure::{Figure, read_figures};
+pub(crate) use linear_fit::{Figure, read_figures};
 pub(crate) use memory::beat;
 
 use crate::{args::TrialArgs, error::LoadError};
--- a/crates/load/src/slopes/processes.rs
+++ b/crates/load/src/slopes/processes.rs
@@ -5,9 +5,9 @@
 use super::Figure;
 use crate::{
     args::TrialArgs,
+    clients::RequestLoad,
     error::LoadError,
     fleet::{Fleet, FleetSize},
-    kit::RequestLoad,
 };
 
 /// Numbers of workers at which a scheduler is watched.
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -6,10 +6,10 @@
 
 use crate::{
     args::TrialArgs,
+    clients::{JobLoad, RequestLoad, user_paths},
     error::LoadError,
     fleet::{Fleet, FleetSize},
-    judge::judge,
-    kit::{JobLoad, RequestLoad, user_paths},
+    verify::judge,
 };
 
 /// Requests a second.
--- a/crates/load/src/judge.rs
+++ b/crates/load/src/verify.rs
@@ -3,7 +3,7 @@
 use gorsespur_core::route::Outcome;
 use gorsespur_stand::{Entry, What};
 
-use crate::kit::{JobResult, RequestTotals};
+use crate::clients::{JobResult, RequestTotals};
 
 /// Time before a kill in which a task that was done could not be reported.
 const UNREPORTED_MS: u64 = 2_000;
