--- a/crates/load/src/capacity/rows.rs
+++ b/crates/load/src/capacity/rows.rs
@@ -1,7 +1,7 @@
 //! The rows of the table.
 
 use super::scale;
-use crate::{error::LoadError, slopes::Figure};
+use crate::{error::LoadError, slopes::LinearFit};
 
 /// A quantity, how it was worked out, and its budget.
 #[derive(Debug, Clone)]
@@ -14,11 +14,11 @@
 
 /// Slopes by name.
 struct Slopes<'a> {
-    figures: &'a [Figure],
+    figures: &'a [LinearFit],
 }
 
 impl Slopes<'_> {
-    fn get(&self, name: &'static str) -> Result<&Figure, LoadError> {
+    fn get(&self, name: &'static str) -> Result<&LinearFit, LoadError> {
         let found = self.figures.iter().find(|f| f.name == name);
         found.ok_or(LoadError::Usage {
             flag: "--from",
@@ -47,11 +47,11 @@
 }
 
 /// Works every row out.
-pub(crate) fn rows(figures: &[Figure]) -> Result<Vec<Row>, LoadError> {
+pub(crate) fn rows(figures: &[LinearFit]) -> Result<Vec<Row>, LoadError> {
     let s = Slopes { figures };
     let workers = scale::WORKERS / scale::ZONES;
     let tasks = scale::TASKS / scale::ZONES;
-    let shards = (workers / scale::SHARD_WORKERS).ceil();
+    let shards = (workers / scale::WORKERS_PER_SHARD).ceil();
     let mut out = vec![
         row(
             "workers a zone",
@@ -67,7 +67,7 @@
         ),
         row(
             "shards a zone",
-            format!("{workers:.0} / {} rounded up", scale::SHARD_WORKERS),
+            format!("{workers:.0} / {} rounded up", scale::WORKERS_PER_SHARD),
             format!("{shards:.0}"),
             String::new(),
         ),
@@ -90,59 +90,67 @@
     shards: f64,
     out: &mut Vec<Row>,
 ) -> Result<f64, LoadError> {
-    let each = s.get("sched_cpu_by_workers")?.slope / scale::MEASURED_EXCHANGES;
-    let exchanges = workers * scale::EXCHANGES;
+    let each = s.get("sched_cpu_by_workers")?.slope / scale::MEASURED_EXCHANGES_PER_SECOND;
+    let exchanges = workers * scale::EXCHANGES_PER_SECOND;
     out.push(row(
         "processor time of an exchange, network included",
-        format!("slope sched_cpu_by_workers / {}", scale::MEASURED_EXCHANGES),
+        format!(
+            "slope sched_cpu_by_workers / {}",
+            scale::MEASURED_EXCHANGES_PER_SECOND
+        ),
         format!("{each:.0} us"),
         String::new(),
     ));
     let us = exchanges * each;
     out.push(row(
         "exchanges of a zone",
-        format!("{workers:.0} x {} /s x {each:.0} us", scale::EXCHANGES),
+        format!(
+            "{workers:.0} x {} /s x {each:.0} us",
+            scale::EXCHANGES_PER_SECOND
+        ),
         format!("{us:.0} us/s"),
         String::new(),
     ));
-    let starts = scale::STARTS / scale::ZONES;
-    let place = s.get("placement_cpu_by_workers")?.at(scale::SHARD_WORKERS);
+    let starts = scale::STARTS_PER_SECOND / scale::ZONES;
+    let place = s
+        .get("placement_cpu_by_workers")?
+        .at(scale::WORKERS_PER_SHARD);
     let journal = s.get("journal_cpu_by_transitions")?.slope;
-    let busy = starts * (place + scale::RECORDS * journal);
+    let busy = starts * (place + scale::RECORDS_PER_START * journal);
     out.push(row(
         "placing and journalling at the peak",
         format!(
             "{starts:.0} /s x ({place:.1} + {} x {journal:.2}) us",
-            scale::RECORDS
+            scale::RECORDS_PER_START
         ),
         format!("{busy:.0} us/s"),
         String::new(),
     ));
     let total = us + busy;
     let idle = s.get("sched_cpu_by_workers")?.intercept;
-    let by_time = (total / (scale::NODE_US - idle)).ceil().max(shards);
+    let by_time = (total / (scale::NODE_CPU_US - idle)).ceil().max(shards);
     out.push(row(
         "schedulers a zone by processor time",
         format!(
             "({us:.0} + {busy:.0}) / ({} - {idle:.0} idle) us/s rounded up, at least one a shard",
-            scale::NODE_US
+            scale::NODE_CPU_US
         ),
         format!("{by_time:.0}"),
-        verdict(idle + total / by_time, scale::NODE_US, "us/s each"),
+        verdict(idle + total / by_time, scale::NODE_CPU_US, "us/s each"),
     ));
     let per_worker = tasks / workers;
-    let bytes = s.get("exchange_bytes_by_tasks")?.at(per_worker) + scale::HTTP_BYTES;
-    let traffic = workers * scale::EXCHANGES * bytes;
+    let bytes = s.get("exchange_bytes_by_tasks")?.at(per_worker) + scale::HTTP_OVERHEAD_BYTES;
+    let traffic = workers * scale::EXCHANGES_PER_SECOND * bytes;
     out.push(row(
         "bytes of an exchange",
         format!(
             "line at {per_worker:.1} tasks + {} assumed for HTTP",
-            scale::HTTP_BYTES
+            scale::HTTP_OVERHEAD_BYTES
         ),
         format!("{bytes:.0}"),
         verdict(
-            bytes * scale::EXCHANGES,
-            scale::NODE_TRAFFIC,
+            bytes * scale::EXCHANGES_PER_SECOND,
+            scale::NODE_TRAFFIC_BYTES,
             "B/s at a worker",
         ),
     ));
@@ -150,15 +158,18 @@
         "traffic of a scheduler with its workers",
         format!(
             "{workers:.0} x {} x {bytes:.0} / {by_time:.0}",
-            scale::EXCHANGES
+            scale::EXCHANGES_PER_SECOND
         ),
         format!("{:.0} B/s", traffic / by_time),
-        verdict(traffic / by_time, scale::NODE_TRAFFIC, "B/s"),
+        verdict(traffic / by_time, scale::NODE_TRAFFIC_BYTES, "B/s"),
     ));
     out.push(row(
         "schedulers a zone by traffic",
-        format!("{traffic:.0} B/s / {} rounded up", scale::NODE_TRAFFIC),
-        format!("{:.0}", (traffic / scale::NODE_TRAFFIC).ceil()),
+        format!(
+            "{traffic:.0} B/s / {} rounded up",
+            scale::NODE_TRAFFIC_BYTES
+        ),
+        format!("{:.0}", (traffic / scale::NODE_TRAFFIC_BYTES).ceil()),
         String::new(),
     ));
     Ok(by_time)
@@ -184,19 +195,24 @@
             scale::ORGANISATIONS
         ),
         format!("{:.1} MiB", both / 1024.0 / 1024.0),
-        verdict(both, scale::NODE_BYTES, "B"),
+        verdict(both, scale::NODE_MEMORY_BYTES, "B"),
     ));
     Ok(())
 }
 
 fn membership(s: &Slopes<'_>, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
-    let zone = scheds + scale::ENTRIES;
-    let beat = s.get("heartbeat_bytes_by_peers")?.at(zone * scale::ZONES) + scale::DATAGRAM;
-    let to = zone - 1.0 + scale::CONTACTS * (scale::ZONES - 1.0);
-    let sent = scale::BEATS * to * beat;
+    let zone = scheds + scale::ENTRIES_PER_ZONE;
+    let beat =
+        s.get("heartbeat_bytes_by_peers")?.at(zone * scale::ZONES) + scale::DATAGRAM_OVERHEAD_BYTES;
+    let to = zone - 1.0 + scale::CONTACTS_PER_ZONE * (scale::ZONES - 1.0);
+    let sent = scale::HEARTBEATS_PER_SECOND * to * beat;
     out.push(row(
         "instances of a zone and in all",
-        format!("{scheds:.0} + {}; x {}", scale::ENTRIES, scale::ZONES),
+        format!(
+            "{scheds:.0} + {}; x {}",
+            scale::ENTRIES_PER_ZONE,
+            scale::ZONES
+        ),
         format!("{zone:.0}; {:.0}", zone * scale::ZONES),
         String::new(),
     ));
@@ -204,70 +220,78 @@
         "heartbeats sent by an instance",
         format!(
             "{} /s x ({zone:.0} - 1 + {} x {}) x {beat:.0} B",
-            scale::BEATS,
-            scale::CONTACTS,
+            scale::HEARTBEATS_PER_SECOND,
+            scale::CONTACTS_PER_ZONE,
             scale::ZONES - 1.0
         ),
         format!("{sent:.0} B/s"),
-        verdict(sent, scale::NODE_TRAFFIC, "B/s"),
+        verdict(sent, scale::NODE_TRAFFIC_BYTES, "B/s"),
     ));
-    let us = s.get("heartbeat_cpu_by_peers")?.at(zone * scale::ZONES) * scale::BEATS * to;
+    let us = s.get("heartbeat_cpu_by_peers")?.at(zone * scale::ZONES)
+        * scale::HEARTBEATS_PER_SECOND
+        * to;
     out.push(row(
         "processor time of heartbeats received",
         format!(
             "{} /s x {to:.0} x line at {:.0} peers",
-            scale::BEATS,
+            scale::HEARTBEATS_PER_SECOND,
             zone * scale::ZONES
         ),
         format!("{us:.0} us/s"),
-        verdict(us, scale::NODE_US, "us/s"),
+        verdict(us, scale::NODE_CPU_US, "us/s"),
     ));
     Ok(())
 }
 
 fn table(s: &Slopes<'_>, shards: f64, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
     let all = shards * scale::ZONES;
-    let commits = all / scale::COMMIT;
-    let others = 2.0 * scale::JOBS_A_DAY / scale::DAY + scale::CHANGES_A_DAY / scale::DAY;
+    let commits = all / scale::COMMIT_INTERVAL_S;
+    let others = 2.0 * scale::JOBS_PER_DAY / scale::SECONDS_PER_DAY
+        + scale::CHANGES_PER_DAY / scale::SECONDS_PER_DAY;
     out.push(row(
         "writes at the table service at the peak",
         format!(
             "{all:.0} shards / {} s + 2 x {:.1} jobs/s + {:.2} changes/s",
-            scale::COMMIT,
-            scale::JOBS_A_DAY / scale::DAY,
-            scale::CHANGES_A_DAY / scale::DAY
+            scale::COMMIT_INTERVAL_S,
+            scale::JOBS_PER_DAY / scale::SECONDS_PER_DAY,
+            scale::CHANGES_PER_DAY / scale::SECONDS_PER_DAY
         ),
         format!("{:.0} /s", commits + others),
-        verdict(commits + others, scale::WRITES, "/s"),
+        verdict(commits + others, scale::WRITES_PER_SECOND, "/s"),
     ));
-    let records = scale::STARTS * scale::RECORDS / commits;
+    let records = scale::STARTS_PER_SECOND * scale::RECORDS_PER_START / commits;
     let bytes = s.get("journal_bytes_by_transitions")?.at(records);
     out.push(row(
         "transitions and bytes of a write",
-        format!("{} x {} / {commits:.0} /s", scale::STARTS, scale::RECORDS),
+        format!(
+            "{} x {} / {commits:.0} /s",
+            scale::STARTS_PER_SECOND,
+            scale::RECORDS_PER_START
+        ),
         format!("{records:.0}; {bytes:.0} B"),
         String::new(),
     ));
     // Each shard's row is watched, and its inbox is read once a second; the head
     // of the configuration is read four times a second in each zone.
-    let reads = all * (scale::WATCHERS * scale::LOOKS + 1.0) + 4.0 * scale::ZONES;
+    let reads = all * (scale::WATCHERS_PER_SHARD * scale::WATCH_READS_PER_SECOND + 1.0)
+        + 4.0 * scale::ZONES;
     out.push(row(
         "reads at the table service",
         format!(
             "{all:.0} x ({} x {} + 1) + 4 x {} zones",
-            scale::WATCHERS,
-            scale::LOOKS,
+            scale::WATCHERS_PER_SHARD,
+            scale::WATCH_READS_PER_SECOND,
             scale::ZONES
         ),
         format!("{reads:.0} /s"),
-        verdict(reads, scale::READS, "/s"),
+        verdict(reads, scale::READS_PER_SECOND, "/s"),
     ));
-    let lists = (scheds + scale::ENTRIES) * scale::ZONES;
+    let lists = (scheds + scale::ENTRIES_PER_ZONE) * scale::ZONES;
     out.push(row(
         "reads of the membership list",
         format!(
             "({scheds:.0} + {}) x {} zones, one a second each",
-            scale::ENTRIES,
+            scale::ENTRIES_PER_ZONE,
             scale::ZONES
         ),
         format!("{lists:.0} /s"),
@@ -277,31 +301,31 @@
 }
 
 fn changes(s: &Slopes<'_>, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
-    let rate = scale::CHANGES_A_DAY / scale::DAY;
-    let bytes = s.get("config_bytes_by_kinds")?.at(scale::KINDS);
-    let us = s.get("config_cpu_by_kinds")?.at(scale::KINDS);
-    let sent = rate * bytes * (scheds + scale::ENTRIES - 1.0);
+    let rate = scale::CHANGES_PER_DAY / scale::SECONDS_PER_DAY;
+    let bytes = s.get("config_bytes_by_kinds")?.at(scale::JOB_KINDS);
+    let us = s.get("config_cpu_by_kinds")?.at(scale::JOB_KINDS);
+    let sent = rate * bytes * (scheds + scale::ENTRIES_PER_ZONE - 1.0);
     out.push(row(
         "changes handed on by the instance that polls",
         format!(
             "{rate:.2} /s x {bytes:.0} B x ({scheds:.0} + {} - 1) peers",
-            scale::ENTRIES
+            scale::ENTRIES_PER_ZONE
         ),
         format!("{sent:.0} B/s"),
-        verdict(sent, scale::NODE_TRAFFIC, "B/s"),
+        verdict(sent, scale::NODE_TRAFFIC_BYTES, "B/s"),
     ));
     out.push(row(
         "processor time of changes",
         format!("{rate:.2} /s x {us:.1} us"),
         format!("{:.1} us/s", rate * us),
-        verdict(rate * us, scale::NODE_US, "us/s"),
+        verdict(rate * us, scale::NODE_CPU_US, "us/s"),
     ));
     let read = rate * bytes * 2.0;
     out.push(row(
         "bytes read by the instance that polls: the templates that the log names",
         format!("{rate:.2} /s x {bytes:.0} B x 2 forms"),
         format!("{read:.0} B/s"),
-        verdict(read, scale::NODE_TRAFFIC, "B/s"),
+        verdict(read, scale::NODE_TRAFFIC_BYTES, "B/s"),
     ));
     Ok(())
 }
@@ -310,8 +334,12 @@
     let each = s.get("entry_cpu_by_rate")?;
     out.push(row(
         "requests a second that 1.9% of a core forwards",
-        format!("{} us/s / {:.0} us a request", scale::NODE_US, each.slope),
-        format!("{:.0} /s", scale::NODE_US / each.slope),
+        format!(
+            "{} us/s / {:.0} us a request",
+            scale::NODE_CPU_US,
+            each.slope
+        ),
+        format!("{:.0} /s", scale::NODE_CPU_US / each.slope),
         "forwarding is not control".to_owned(),
     ));
     let memory = s.get("memory_target")?.slope;
@@ -322,14 +350,14 @@
         "memory of an entry that knows its zone's targets",
         format!("{base:.0} base + 140000 / {} x {memory:.0}", scale::ZONES),
         format!("{:.1} MiB", sum / 1024.0 / 1024.0),
-        verdict(sum, scale::NODE_BYTES, "B"),
+        verdict(sum, scale::NODE_MEMORY_BYTES, "B"),
     ));
     let all = base + 140_000.0 * memory;
     out.push(row(
         "memory of an entry that knows every zone's targets, as now",
         format!("{base:.0} base + 140000 x {memory:.0}"),
         format!("{:.1} MiB", all / 1024.0 / 1024.0),
-        verdict(all, scale::NODE_BYTES, "B"),
+        verdict(all, scale::NODE_MEMORY_BYTES, "B"),
     ));
     Ok(())
 }
@@ -342,27 +370,29 @@
     shards: f64,
     out: &mut Vec<Row>,
 ) -> Result<(), LoadError> {
-    let moves = (scale::FAILURES_A_DAY + scale::REPLACED_A_DAY) / scale::DAY;
+    let moves = (scale::FAILURES_PER_DAY + scale::REPLACEMENTS_PER_DAY) / scale::SECONDS_PER_DAY;
     let snapshot = tasks / shards * s.get("memory_task")?.slope / 2.0;
     out.push(row(
         "ordinary day: takeovers, if every instance lost were a scheduler",
         format!(
             "({} + {}) / {} s",
-            scale::FAILURES_A_DAY,
-            scale::REPLACED_A_DAY,
-            scale::DAY
+            scale::FAILURES_PER_DAY,
+            scale::REPLACEMENTS_PER_DAY,
+            scale::SECONDS_PER_DAY
         ),
         format!("{moves:.3} /s, each a write, a few reads and about {snapshot:.0} B of snapshot"),
-        verdict(moves, scale::WRITES, "writes/s"),
+        verdict(moves, scale::WRITES_PER_SECOND, "writes/s"),
     ));
     let each = tasks / workers;
-    let place = s.get("placement_cpu_by_workers")?.at(scale::SHARD_WORKERS);
-    let lost = scale::RACK * each;
+    let place = s
+        .get("placement_cpu_by_workers")?
+        .at(scale::WORKERS_PER_SHARD);
+    let lost = scale::WORKERS_PER_RACK * each;
     out.push(row(
         "a lost rack",
         format!(
             "{} x {each:.1} tasks; two records each; x {place:.1} us",
-            scale::RACK
+            scale::WORKERS_PER_RACK
         ),
         format!(
             "{lost:.0} tasks, {:.1} ms of placing, one journal write",
@@ -376,10 +406,14 @@
         "its tasks wait; the other zones don't take them over".to_owned(),
         "see below".to_owned(),
     ));
-    let rows = scale::SNAPSHOT_ROWS * scale::COMMIT;
+    let rows = scale::SNAPSHOT_ROWS * scale::COMMIT_INTERVAL_S;
     out.push(row(
         "time between two snapshots of a busy shard",
-        format!("{} rows x {} s", scale::SNAPSHOT_ROWS, scale::COMMIT),
+        format!(
+            "{} rows x {} s",
+            scale::SNAPSHOT_ROWS,
+            scale::COMMIT_INTERVAL_S
+        ),
         format!("{rows:.0} s"),
         String::new(),
     ));
--- a/crates/load/src/clients/jobs.rs
+++ b/crates/load/src/clients/jobs.rs
@@ -11,14 +11,14 @@
 use serde_json::{Value, json};
 
 /// Time limit of a call.
-const CALL: Duration = Duration::from_millis(2_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Share of submissions that are sent twice, to two entries.
-const TWICE: f64 = 0.2;
+const DUPLICATE_SHARE: f64 = 0.2;
 
 /// A kind of job that a load submits.
 #[derive(Debug, Clone)]
-pub(crate) struct JobKindLoad {
+pub(crate) struct JobKind {
     pub org: &'static str,
     pub kind: &'static str,
     pub most: u32,
@@ -27,32 +27,32 @@
 }
 
 /// Kinds of both users.
-const KINDS: [JobKindLoad; 5] = [
-    JobKindLoad {
+const JOB_KINDS: [JobKind; 5] = [
+    JobKind {
         org: "weld",
         kind: "renewal",
         most: 4,
         long: false,
     },
-    JobKindLoad {
+    JobKind {
         org: "weld",
         kind: "urgent-renewal",
         most: 1,
         long: false,
     },
-    JobKindLoad {
+    JobKind {
         org: "weld",
         kind: "continuity-record",
         most: 1,
         long: true,
     },
-    JobKindLoad {
+    JobKind {
         org: "taipei",
         kind: "allocation",
         most: 6,
         long: false,
     },
-    JobKindLoad {
+    JobKind {
         org: "taipei",
         kind: "watcher",
         most: 1,
@@ -62,7 +62,7 @@
 
 /// A job that was accepted.
 #[derive(Debug, Clone)]
-pub(crate) struct Submitted {
+pub(crate) struct SubmittedJob {
     pub org: &'static str,
     pub id: String,
     pub tasks: u32,
@@ -72,7 +72,7 @@
 /// What became of the jobs.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct JobResult {
-    pub accepted: Vec<Submitted>,
+    pub accepted: Vec<SubmittedJob>,
     /// Submissions that were refused as not run, or whose outcome is unknown.
     pub refused: u64,
     /// Jobs that reached the state that was expected of them.
@@ -99,14 +99,18 @@
         for n in 0..self.count {
             let at = start + self.time.mul_f64(n as f64 / self.count as f64);
             thread::sleep(at.saturating_duration_since(Instant::now()));
-            let kind = &KINDS[rng.random_range(0..KINDS.len())];
-            let job = Submitted {
+            let kind = &JOB_KINDS[rng.random_range(0..JOB_KINDS.len())];
+            let job = SubmittedJob {
                 org: kind.org,
                 id: format!("j{}-{n}", self.seed),
                 tasks: rng.random_range(1..=kind.most),
                 long: kind.long,
             };
-            let sends = if rng.random_bool(TWICE) { 2 } else { 1 };
+            let sends = if rng.random_bool(DUPLICATE_SHARE) {
+                2
+            } else {
+                1
+            };
             let mut taken = false;
             for _ in 0..sends {
                 let entry = self.entries[rng.random_range(0..self.entries.len())];
@@ -141,7 +145,7 @@
     /// Waits until every job reached its end, at most for `limit`.
     pub fn watch(&self, result: &mut JobResult, limit: Duration) {
         let end = Instant::now() + limit;
-        let mut open: Vec<Submitted> = result.accepted.clone();
+        let mut open: Vec<SubmittedJob> = result.accepted.clone();
         let mut states: Vec<String> = Vec::new();
         let mut turn = 0;
         while !open.is_empty() && Instant::now() < end {
@@ -166,20 +170,20 @@
     }
 }
 
-fn submit(entry: SocketAddr, job: &Submitted, kind: &str) -> bool {
+fn submit(entry: SocketAddr, job: &SubmittedJob, kind: &str) -> bool {
     let path = format!("/v1/orgs/{}/jobs/{}", job.org, job.id);
     let body = json!({"kind": kind, "tasks": job.tasks});
     let body = serde_json::to_vec(&body).unwrap_or_default();
     let answer = Call::new("PUT", entry, &path)
         .body(body)
-        .timeout(CALL)
+        .timeout(CALL_TIMEOUT)
         .send();
     answer.is_ok_and(|a| matches!(a.status, 200 | 201))
 }
 
-fn state(entry: SocketAddr, job: &Submitted) -> String {
+fn state(entry: SocketAddr, job: &SubmittedJob) -> String {
     let path = format!("/v1/orgs/{}/jobs/{}", job.org, job.id);
-    let Ok(answer) = Call::new("GET", entry, &path).timeout(CALL).send() else {
+    let Ok(answer) = Call::new("GET", entry, &path).timeout(CALL_TIMEOUT).send() else {
         return "no answer".to_owned();
     };
     let value: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
--- a/crates/load/src/clients/latency.rs
+++ b/crates/load/src/clients/latency.rs
@@ -1,20 +1,20 @@
-//! Times of answers.
+//! LatencyHistogram of answers.
 
 use hdrhistogram::Histogram;
 
 /// Longest time that is told apart, in microseconds.
 const MAX_US: u64 = 60_000_000;
 
-/// Times in microseconds.
+/// LatencyHistogram in microseconds.
 #[derive(Debug, Clone)]
-pub(crate) struct Times {
+pub(crate) struct LatencyHistogram {
     histogram: Histogram<u64>,
 }
 
-impl Times {
-    pub fn new() -> Times {
+impl LatencyHistogram {
+    pub fn new() -> LatencyHistogram {
         let histogram = Histogram::new_with_bounds(1, MAX_US, 3);
-        Times {
+        LatencyHistogram {
             histogram: histogram
                 .unwrap_or_else(|_| Histogram::new(3).unwrap_or_else(|_| unreachable!())),
         }
@@ -24,7 +24,7 @@
         self.histogram.saturating_record(us.max(1));
     }
 
-    pub fn merge(&mut self, other: &Times) {
+    pub fn merge(&mut self, other: &LatencyHistogram) {
         let _ = self.histogram.add(&other.histogram);
     }
 
--- a/crates/load/src/clients/mod.rs
+++ b/crates/load/src/clients/mod.rs
@@ -5,5 +5,5 @@
 mod requests;
 
 pub(crate) use jobs::{JobLoad, JobResult};
-pub(crate) use latency::Times;
+pub(crate) use latency::LatencyHistogram;
 pub(crate) use requests::{RequestLoad, RequestTotals, user_paths};
--- a/crates/load/src/clients/requests.rs
+++ b/crates/load/src/clients/requests.rs
@@ -12,14 +12,14 @@
 use gorsespur_wire::fields::{IDEMPOTENCY_KEY, OUTCOME, REPEATABLE, REQUEST_ID};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use super::Times;
+use super::LatencyHistogram;
 
 /// Time limit of a request in milliseconds.
 const DEADLINE_MS: u64 = 1_000;
 
 /// What a caller was told of a request that may run once only.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Told {
+pub(crate) struct CallerOutcome {
     pub id: String,
     pub outcome: Option<Outcome>,
     /// Tries of the caller itself under one idempotency key.
@@ -35,9 +35,9 @@
     pub wrong: u64,
     pub not_run: u64,
     pub unknown: u64,
-    pub times: Times,
+    pub times: LatencyHistogram,
     /// Requests that may run once only.
-    pub once: Vec<Told>,
+    pub once: Vec<CallerOutcome>,
 }
 
 impl RequestTotals {
@@ -48,7 +48,7 @@
             wrong: 0,
             not_run: 0,
             unknown: 0,
-            times: Times::new(),
+            times: LatencyHistogram::new(),
             once: Vec::new(),
         }
     }
@@ -134,7 +134,7 @@
             Vec::new()
         };
         totals.requests += 1;
-        let mut told = Told {
+        let mut told = CallerOutcome {
             id: id.to_owned(),
             outcome: None,
             sends: 0,
--- a/crates/load/src/fleet/boot.rs
+++ b/crates/load/src/fleet/boot.rs
@@ -18,29 +18,29 @@
 };
 use snafu::ResultExt;
 
-use super::{FleetSize, Proc, plan::Plan, settings};
+use super::{ChildProcess, FleetSize, plan::FleetPlan, settings};
 use crate::{
     args::TrialArgs,
     error::{FileSnafu, LedgerSnafu, LoadError, SpawnSnafu},
 };
 
 /// Size of a stand-in worker: about 30 cores and 125 GB.
-const CORES: u64 = 30;
-const MEMORY_MIB: u64 = 128_000;
+const WORKER_CORES: u64 = 30;
+const WORKER_MEMORY_MIB: u64 = 128_000;
 
 /// Time limit of the start.
-const START: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time limit of the stop of one process.
-const STOP: Duration = Duration::from_secs(10);
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running fleet.
 pub(crate) struct Fleet {
-    pub plan: Plan,
-    _platform: Proc,
-    pub entries: Vec<Proc>,
-    pub scheds: Vec<Proc>,
-    pub workers: Vec<Proc>,
+    pub plan: FleetPlan,
+    _platform: ChildProcess,
+    pub entries: Vec<ChildProcess>,
+    pub scheds: Vec<ChildProcess>,
+    pub workers: Vec<ChildProcess>,
     args: TrialArgs,
     bin: PathBuf,
     leaving: Vec<String>,
@@ -60,7 +60,7 @@
             let path = out.join(dir);
             fs::create_dir_all(&path).context(FileSnafu { path })?;
         }
-        let plan = Plan::new(size)?;
+        let plan = FleetPlan::new(size)?;
         let platform = start_platform(&bin, out, &plan, args.seed)?;
         let mut fleet = Fleet {
             plan,
@@ -100,7 +100,7 @@
     }
 
     fn wait_for(&self, what: &str, ok: impl Fn(&Fleet) -> bool) -> Result<(), LoadError> {
-        let end = Instant::now() + START;
+        let end = Instant::now() + START_TIMEOUT;
         while !ok(self) {
             if Instant::now() >= end {
                 let what = what.to_owned();
@@ -122,7 +122,7 @@
     }
 
     /// Starts the worker with this index.
-    pub fn start_worker(&self, i: usize) -> Result<Proc, LoadError> {
+    pub fn start_worker(&self, i: usize) -> Result<ChildProcess, LoadError> {
         let w = &self.plan.workers[i];
         let gate = self.gate(&w.zone);
         let args = [
@@ -131,8 +131,8 @@
             format!("--addr={}", w.addr),
             format!("--target={}", w.target),
             format!("--objects={gate}"),
-            format!("--cores={CORES}"),
-            format!("--memory={MEMORY_MIB}"),
+            format!("--cores={WORKER_CORES}"),
+            format!("--memory={WORKER_MEMORY_MIB}"),
             format!("--table-seed={}", self.args.seed),
             format!("--ledger={}", self.ledger(&w.name).display()),
         ];
@@ -140,7 +140,7 @@
     }
 
     /// Starts the scheduler with this index.
-    pub fn start_sched(&self, i: usize) -> Result<Proc, LoadError> {
+    pub fn start_sched(&self, i: usize) -> Result<ChildProcess, LoadError> {
         let at = &self.plan.scheds[i];
         let path = self.write(&at.id, &settings::sched(&self.plan, at))?;
         let mut args = vec![format!("--settings={}", path.display())];
@@ -154,7 +154,7 @@
     }
 
     /// Starts the entry with this index.
-    pub fn start_entry(&self, i: usize) -> Result<Proc, LoadError> {
+    pub fn start_entry(&self, i: usize) -> Result<ChildProcess, LoadError> {
         let at = &self.plan.entries[i];
         let path = self.write(&at.id, &settings::entry(&self.plan, at))?;
         let args = [format!("--settings={}", path.display())];
@@ -167,9 +167,9 @@
         Ok(path)
     }
 
-    fn run(&self, program: &str, args: &[String], name: &str) -> Result<Proc, LoadError> {
+    fn run(&self, program: &str, args: &[String], name: &str) -> Result<ChildProcess, LoadError> {
         let log = self.args.out.join("logs").join(format!("{name}.log"));
-        Proc::start(&self.bin.join(program), args, name, &log)
+        ChildProcess::start(&self.bin.join(program), args, name, &log)
     }
 
     /// Returns the file of a worker's ledger.
@@ -233,7 +233,7 @@
                 rack: Name::from(&*w.rack),
                 addr: w.addr,
                 target: w.target,
-                size: Size::new(CORES * 1000, MEMORY_MIB << 20, 0),
+                size: Size::new(WORKER_CORES * 1000, WORKER_MEMORY_MIB << 20, 0),
                 leaving: self.leaving.contains(&w.name),
             });
         }
@@ -295,12 +295,12 @@
     pub fn stop_instances(&mut self) -> Vec<String> {
         let mut bad = Vec::new();
         let all = self.entries.iter_mut().chain(self.scheds.iter_mut());
-        let mut all: Vec<&mut Proc> = all.collect();
+        let mut all: Vec<&mut ChildProcess> = all.collect();
         for p in &all {
             p.term();
         }
         for p in &mut all {
-            if p.ended(STOP) != Some(true) {
+            if p.ended(STOP_TIMEOUT) != Some(true) {
                 bad.push(p.name.clone());
             }
         }
@@ -315,13 +315,18 @@
     Ok(path.parent().map(Path::to_owned).unwrap_or_default())
 }
 
-fn start_platform(bin: &Path, out: &Path, plan: &Plan, seed: u64) -> Result<Proc, LoadError> {
+fn start_platform(
+    bin: &Path,
+    out: &Path,
+    plan: &FleetPlan,
+    seed: u64,
+) -> Result<ChildProcess, LoadError> {
     let mut args = vec!["platform".to_owned(), format!("--seed={seed}")];
     for (zone, addr) in plan.zones.iter().zip(&plan.gates) {
         args.push(format!("--gate={zone}={addr}"));
     }
     let log = out.join("logs").join("platform.log");
-    Proc::start(&bin.join("gorsespur-stand"), &args, "platform", &log)
+    ChildProcess::start(&bin.join("gorsespur-stand"), &args, "platform", &log)
 }
 
 fn get(addr: SocketAddr, path: &str) -> Option<u16> {
--- a/crates/load/src/fleet/mod.rs
+++ b/crates/load/src/fleet/mod.rs
@@ -7,4 +7,4 @@
 
 pub(crate) use boot::Fleet;
 pub(crate) use plan::FleetSize;
-pub(crate) use process::Proc;
+pub(crate) use process::ChildProcess;
--- a/crates/load/src/fleet/plan.rs
+++ b/crates/load/src/fleet/plan.rs
@@ -12,7 +12,7 @@
 const ZONES: [&str; 3] = ["shah-alam", "port-klang", "cyberjaya"];
 
 /// Workers in a rack.
-const RACK: usize = 8;
+const WORKERS_PER_RACK: usize = 8;
 
 /// How many of each.
 #[derive(Debug, Clone)]
@@ -62,7 +62,7 @@
 
 /// Where everything is.
 #[derive(Debug, Clone)]
-pub(crate) struct Plan {
+pub(crate) struct FleetPlan {
     pub zones: Vec<String>,
     pub shards: u32,
     /// Address of the platform for each zone.
@@ -88,8 +88,8 @@
     }
 }
 
-impl Plan {
-    pub fn new(size: &FleetSize) -> Result<Plan, LoadError> {
+impl FleetPlan {
+    pub fn new(size: &FleetSize) -> Result<FleetPlan, LoadError> {
         let mut ports = Ports {
             host: own_addr().context(PortSnafu)?.ip(),
             held: Vec::new(),
@@ -98,7 +98,7 @@
             .iter()
             .map(|z| (*z).to_owned())
             .collect();
-        let mut plan = Plan {
+        let mut plan = FleetPlan {
             gates: Vec::new(),
             entries: Vec::new(),
             scheds: Vec::new(),
@@ -123,7 +123,7 @@
             plan.workers.push(WorkerPlan {
                 name: format!("w-{zone}-{nth:02}"),
                 zone: zone.clone(),
-                rack: format!("{zone}-r{}", nth / RACK),
+                rack: format!("{zone}-r{}", nth / WORKERS_PER_RACK),
                 addr: ports.next()?,
                 target: ports.next()?,
             });
--- a/crates/load/src/fleet/process.rs
+++ b/crates/load/src/fleet/process.rs
@@ -15,19 +15,19 @@
 
 /// A running process; it is killed when dropped.
 #[derive(Debug)]
-pub(crate) struct Proc {
+pub(crate) struct ChildProcess {
     pub name: String,
     child: Child,
 }
 
-impl Proc {
+impl ChildProcess {
     /// Starts a program; its stderr goes to a file.
     pub fn start(
         program: &Path,
         args: &[String],
         name: &str,
         log: &Path,
-    ) -> Result<Proc, LoadError> {
+    ) -> Result<ChildProcess, LoadError> {
         let opened = OpenOptions::new().create(true).append(true).open(log);
         let file: File = opened.context(FileSnafu { path: log })?;
         let child = Command::new(program)
@@ -38,7 +38,7 @@
             .spawn();
         let program = program.display().to_string();
         let child = child.context(SpawnSnafu { program })?;
-        Ok(Proc {
+        Ok(ChildProcess {
             name: name.to_owned(),
             child,
         })
@@ -100,7 +100,7 @@
     }
 }
 
-impl Drop for Proc {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
         if let Ok(None) = self.child.try_wait() {
             self.resume();
--- a/crates/load/src/fleet/settings.rs
+++ b/crates/load/src/fleet/settings.rs
@@ -2,10 +2,10 @@
 
 use std::fmt::Write;
 
-use super::plan::{InstancePlan, Plan};
+use super::plan::{FleetPlan, InstancePlan};
 
 /// Returns the settings that every instance has, indented under `instance`.
-fn common(plan: &Plan, at: &InstancePlan) -> String {
+fn common(plan: &FleetPlan, at: &InstancePlan) -> String {
     let gate = plan
         .zones
         .iter()
@@ -33,7 +33,7 @@
 }
 
 /// Returns the settings of an entry.
-pub(crate) fn entry(plan: &Plan, at: &InstancePlan) -> String {
+pub(crate) fn entry(plan: &FleetPlan, at: &InstancePlan) -> String {
     format!(
         "{}callers: {}\ndrain_ms: 1000\n",
         common(plan, at),
@@ -42,6 +42,6 @@
 }
 
 /// Returns the settings of a scheduler.
-pub(crate) fn sched(plan: &Plan, at: &InstancePlan) -> String {
+pub(crate) fn sched(plan: &FleetPlan, at: &InstancePlan) -> String {
     format!("{}ownership: {{snapshot_rows: 100}}\n", common(plan, at))
 }
--- a/crates/load/src/measure/faults.rs
+++ b/crates/load/src/measure/faults.rs
@@ -23,26 +23,26 @@
 };
 
 /// Requests a second.
-const RATE: f64 = 150.0;
+const REQUESTS_PER_SECOND: f64 = 150.0;
 
 /// Threads that send them.
-const THREADS: usize = 24;
+const REQUEST_THREADS: usize = 24;
 
 /// Jobs for each second of load.
-const JOBS: u64 = 3;
+const JOBS_PER_SECOND: u64 = 3;
 
 /// Least seconds of load: the schedule takes as long.
-const LEAST: u64 = 60;
+const MIN_SECONDS: u64 = 60;
 
 /// Longest time for the jobs to finish after the load.
-const FINISH: Duration = Duration::from_secs(90);
+const FINISH_TIMEOUT: Duration = Duration::from_secs(90);
 
 /// Longest time for a takeover or a change of configuration.
-const SOON: Duration = Duration::from_secs(20);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Times that were measured, in milliseconds.
 #[derive(Debug, Default)]
-struct Measured {
+struct FaultTimes {
     takeover: u64,
     handover: u64,
     config: u64,
@@ -51,22 +51,22 @@
 
 /// Runs the schedule and prints the figures.
 pub(crate) fn run(args: &TrialArgs) -> Result<(), LoadError> {
-    let seconds = args.seconds.max(LEAST);
+    let seconds = args.seconds.max(MIN_SECONDS);
     let mut fleet = Fleet::start(args, &FleetSize::default())?;
     let time = Duration::from_secs(seconds);
     let entries: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.callers).collect();
     let requests = RequestLoad {
         entries: entries.clone(),
         paths: user_paths(),
-        threads: THREADS,
-        rate: RATE,
+        threads: REQUEST_THREADS,
+        rate: REQUESTS_PER_SECOND,
         time,
         seed: args.seed,
         once: 0.4,
     };
     let job_load = JobLoad {
         entries,
-        count: seconds * JOBS,
+        count: seconds * JOBS_PER_SECOND,
         time: time.mul_f64(0.9),
         seed: args.seed,
     };
@@ -81,7 +81,7 @@
         return Err(LoadError::Broken);
     };
     job_load.cancel_long(&jobs);
-    job_load.watch(&mut jobs, FINISH);
+    job_load.watch(&mut jobs, FINISH_TIMEOUT);
     fleet.stop_instances();
     let ledger = fleet.ledgers()?;
     let verdict = judge(&ledger, wall_ms(), &jobs, &totals);
@@ -124,8 +124,8 @@
 }
 
 /// The schedule; about a minute.
-fn schedule(fleet: &mut Fleet, args: &TrialArgs) -> Result<Measured, LoadError> {
-    let mut out = Measured::default();
+fn schedule(fleet: &mut Fleet, args: &TrialArgs) -> Result<FaultTimes, LoadError> {
+    let mut out = FaultTimes::default();
     let pick = args.seed as usize;
     rest(3);
     out.config = change_config(fleet, args, 1, &[])?;
@@ -263,7 +263,7 @@
         .collect();
     let began = Instant::now();
     act(fleet);
-    while began.elapsed() < SOON {
+    while began.elapsed() < CHANGE_TIMEOUT {
         let now = owners(fleet);
         let moved = |key: &Name| now.iter().any(|o| o.2 == *key && o.0 != id);
         if had.iter().all(moved) {
@@ -290,7 +290,7 @@
     // The zone that is not cut off has the first gate, or the operator waits.
     fleet.apply_at(&path, on, zones)?;
     let began = Instant::now();
-    while began.elapsed() < SOON {
+    while began.elapsed() < CHANGE_TIMEOUT {
         let all = fleet.plan.entries.iter().chain(&fleet.plan.scheds);
         let mut wanted = all.filter(|i| zones.is_empty() || zones.contains(&i.zone));
         if wanted.all(|i| in_force(i.peer, on + 1)) {
--- a/crates/load/src/measure/interference.rs
+++ b/crates/load/src/measure/interference.rs
@@ -3,16 +3,16 @@
 
 use gorsespur_core::{placement::PlacementPolicy, template::Weights};
 
-use super::placement_sim::{Floor, FloorResult, FloorSettings};
+use super::placement_sim::{PlacementSim, PlacementSimResult, PlacementSimSettings};
 use crate::{args::InterferenceArgs, error::LoadError};
 
 /// Weights of Weld and of Taipei.
-const WELD: Weights = Weights {
+const WELD_WEIGHTS: Weights = Weights {
     tail_latency: 0.6,
     throughput: 0.2,
     evictions: 0.2,
 };
-const TAIPEI: Weights = Weights {
+const TAIPEI_WEIGHTS: Weights = Weights {
     tail_latency: 0.2,
     throughput: 0.4,
     evictions: 0.4,
@@ -20,8 +20,8 @@
 
 /// Measures and prints a line for each user.
 pub(crate) fn run(args: &InterferenceArgs) -> Result<(), LoadError> {
-    for (user, weights) in [("weld", WELD), ("taipei", TAIPEI)] {
-        let settings = |policy, told| FloorSettings {
+    for (user, weights) in [("weld", WELD_WEIGHTS), ("taipei", TAIPEI_WEIGHTS)] {
+        let settings = |policy, told| PlacementSimSettings {
             patience: if policy == PlacementPolicy::Interference {
                 None
             } else {
@@ -38,10 +38,10 @@
             time: args.seconds * 1_000,
             told,
         };
-        let base = Floor::new(settings(PlacementPolicy::LeastLoaded, false)).run();
-        let random = Floor::new(settings(PlacementPolicy::Random, false)).run();
-        let mine = Floor::new(settings(PlacementPolicy::Interference, false)).run();
-        let best = Floor::new(settings(PlacementPolicy::Interference, true)).run();
+        let base = PlacementSim::new(settings(PlacementPolicy::LeastLoaded, false)).run();
+        let random = PlacementSim::new(settings(PlacementPolicy::Random, false)).run();
+        let mine = PlacementSim::new(settings(PlacementPolicy::Interference, false)).run();
+        let best = PlacementSim::new(settings(PlacementPolicy::Interference, true)).run();
         println!(
             "interference: user={user} seed={} table_seed={} strength={} lag_ms={} {} {} {} {} p99_ratio={:.3} work_ratio={:.3} evictions_ratio={:.3} told_p99_ratio={:.3} told_work_ratio={:.3} told_evictions_ratio={:.3}",
             args.seed,
@@ -63,7 +63,7 @@
     Ok(())
 }
 
-fn figures(name: &str, r: &FloorResult) -> String {
+fn figures(name: &str, r: &PlacementSimResult) -> String {
     format!(
         "{name}_p50_ms={:.2} {name}_p99_ms={:.2} {name}_done={} {name}_work_s={} {name}_evictions={} {name}_urgent_mean_ms={:.0} {name}_urgent_max_ms={}",
         r.times.ms(0.5),
--- a/crates/load/src/measure/membership.rs
+++ b/crates/load/src/measure/membership.rs
@@ -4,7 +4,7 @@
 //! contacts in each other zone, and knows its zone. Partial (after Kelips,
 //! Gupta et al. 2003): instances fall into about sqrt(n) groups by hash; an
 //! instance gossips a bounded number of entries to a few members of its group
-//! and to contacts in other groups. Measured are the bytes that an instance
+//! and to contacts in other groups. ViewCosts are the bytes that an instance
 //! sends a second, the entries that it keeps, and the time until a crash or a
 //! new instance is known to all that are to know it.
 
@@ -15,26 +15,26 @@
 use crate::{args::MembershipArgs, error::LoadError, slopes::beat};
 
 /// Time of a round of both, in milliseconds.
-const ROUND: u64 = 500;
+const ROUND_MS: u64 = 500;
 
 /// Entries in one gossip message, as in the paper's rations of 272 bytes.
-const RATION: usize = 6;
+const ENTRIES_PER_MESSAGE: usize = 6;
 
 /// Gossip targets of a round: in the group, and contacts of other groups.
-const IN_GROUP: usize = 3;
-const CONTACTS: usize = 3;
+const GROUP_TARGETS: usize = 3;
+const CONTACT_TARGETS: usize = 3;
 
 /// Contacts kept of each other group.
-const KEPT: usize = 2;
+const CONTACTS_PER_GROUP: usize = 2;
 
 /// Rounds after which a run is given up.
-const MOST: u64 = 4_000;
+const MAX_ROUNDS: u64 = 4_000;
 
 /// Bytes of a datagram besides its message.
-const DATAGRAM: f64 = 28.0;
+const DATAGRAM_OVERHEAD_BYTES: f64 = 28.0;
 
 /// What came out.
-struct Measured {
+struct ViewCosts {
     bytes: f64,
     entries: f64,
     learn_s: f64,
@@ -57,20 +57,20 @@
 
 /// Everyone in the zone is told directly: one round to learn, the time limit
 /// to forget.
-fn full(args: &MembershipArgs, each: f64) -> Measured {
+fn full(args: &MembershipArgs, each: f64) -> ViewCosts {
     let zone = args.instances.div_ceil(args.zones);
     let settings = MemberSettings::default();
     let sent = (zone - 1) + settings.contacts_per_zone * (args.zones - 1);
     let rounds = 1000.0 / settings.heartbeat_interval as f64;
-    Measured {
-        bytes: sent as f64 * (each + DATAGRAM) * rounds,
+    ViewCosts {
+        bytes: sent as f64 * (each + DATAGRAM_OVERHEAD_BYTES) * rounds,
         entries: args.instances as f64,
         learn_s: settings.heartbeat_interval as f64 / 1000.0,
         forget_s: (settings.dead_after + settings.heartbeat_interval) as f64 / 1000.0,
     }
 }
 
-struct Node {
+struct GossipNode {
     group: usize,
     /// Latest heartbeat count heard of each member of the group, and when.
     heard: Vec<Option<(u64, u64)>>,
@@ -78,7 +78,7 @@
 }
 
 /// Gossip within groups, simulated round by round.
-fn partial(args: &MembershipArgs, each: f64) -> Measured {
+fn partial(args: &MembershipArgs, each: f64) -> ViewCosts {
     let n = args.instances;
     let groups = (n as f64).sqrt().round().max(1.0) as usize;
     let mut rng = SmallRng::seed_from_u64(args.seed);
@@ -86,14 +86,18 @@
     let members: Vec<Vec<usize>> = (0..groups)
         .map(|g| (0..n).filter(|i| group_of(*i) == g).collect())
         .collect();
-    let mut nodes: Vec<Node> = Vec::new();
+    let mut nodes: Vec<GossipNode> = Vec::new();
     for i in 0..n {
         let group = group_of(i);
         let mut contacts = Vec::new();
         for m in &members {
-            contacts.push(m.choose_multiple(&mut rng, KEPT).copied().collect());
+            contacts.push(
+                m.choose_multiple(&mut rng, CONTACTS_PER_GROUP)
+                    .copied()
+                    .collect(),
+            );
         }
-        nodes.push(Node {
+        nodes.push(GossipNode {
             group,
             heard: vec![Some((1, 1)); members[group].len()],
             contacts,
@@ -112,18 +116,18 @@
     // The time limit that is safe: the longest gap between news of a live
     // member at any node, as measured, with half as much again.
     let gap = longest_gap(&mut nodes, &members, &mut rng);
-    let targets = IN_GROUP + CONTACTS;
-    let message = each * RATION as f64 + DATAGRAM;
-    Measured {
-        bytes: targets as f64 * message * 1000.0 / ROUND as f64,
-        entries: (members[home].len() + KEPT * (groups - 1)) as f64,
-        learn_s: learn as f64 * ROUND as f64 / 1000.0,
-        forget_s: gap as f64 * 1.5 * ROUND as f64 / 1000.0,
+    let targets = GROUP_TARGETS + CONTACT_TARGETS;
+    let message = each * ENTRIES_PER_MESSAGE as f64 + DATAGRAM_OVERHEAD_BYTES;
+    ViewCosts {
+        bytes: targets as f64 * message * 1000.0 / ROUND_MS as f64,
+        entries: (members[home].len() + CONTACTS_PER_GROUP * (groups - 1)) as f64,
+        learn_s: learn as f64 * ROUND_MS as f64 / 1000.0,
+        forget_s: gap as f64 * 1.5 * ROUND_MS as f64 / 1000.0,
     }
 }
 
 /// Lets each node gossip once.
-fn round(nodes: &mut [Node], members: &[Vec<usize>], rng: &mut SmallRng, now: u64) {
+fn round(nodes: &mut [GossipNode], members: &[Vec<usize>], rng: &mut SmallRng, now: u64) {
     let mut messages = Vec::new();
     for (i, node) in nodes.iter_mut().enumerate() {
         let group = node.group;
@@ -132,18 +136,18 @@
         let known: Vec<usize> = (0..members[group].len())
             .filter(|p| node.heard[*p].is_some())
             .collect();
-        for _ in 0..IN_GROUP {
+        for _ in 0..GROUP_TARGETS {
             let Some(to) = known.choose(rng).map(|p| members[group][*p]) else {
                 continue;
             };
             let mut entries: Vec<(usize, u64)> = Vec::new();
             entries.push((mine, now));
-            for p in known.choose_multiple(rng, RATION - 1) {
+            for p in known.choose_multiple(rng, ENTRIES_PER_MESSAGE - 1) {
                 entries.push((*p, node.heard[*p].map_or(0, |h| h.0)));
             }
             messages.push((to, entries));
         }
-        for _ in 0..CONTACTS {
+        for _ in 0..CONTACT_TARGETS {
             let other = rng.random_range(0..node.contacts.len());
             let _ = node.contacts[other].choose(rng);
         }
@@ -159,7 +163,7 @@
 }
 
 fn spread(
-    nodes: &mut [Node],
+    nodes: &mut [GossipNode],
     members: &[Vec<usize>],
     rng: &mut SmallRng,
     newcomer: usize,
@@ -170,7 +174,7 @@
     if let Some(i) = introducer {
         nodes[i].heard[place] = Some((1, 1));
     }
-    for now in 2..MOST {
+    for now in 2..MAX_ROUNDS {
         round(nodes, members, rng, now);
         if members[home]
             .iter()
@@ -179,12 +183,12 @@
             return now - 1;
         }
     }
-    MOST
+    MAX_ROUNDS
 }
 
 /// Returns the longest time in rounds for which a node heard no news of a live
 /// member of its group.
-fn longest_gap(nodes: &mut [Node], members: &[Vec<usize>], rng: &mut SmallRng) -> u64 {
+fn longest_gap(nodes: &mut [GossipNode], members: &[Vec<usize>], rng: &mut SmallRng) -> u64 {
     let mut longest = 0;
     let start = 10_000;
     for now in start..start + 400 {
--- a/crates/load/src/measure/organisation.rs
+++ b/crates/load/src/measure/organisation.rs
@@ -8,14 +8,14 @@
 };
 
 /// Kinds of jobs of an organisation.
-const KINDS: usize = 8;
+const JOB_KINDS: usize = 8;
 
 /// Returns organisation `n` with a service, a team and eight kinds of jobs.
 pub(crate) fn organisation(n: usize) -> Arc<Organisation> {
     let n = n - 1;
     let quota = Size::new(u64::MAX / 4, u64::MAX / 4, u32::MAX / 4);
     let mut jobs = Vec::new();
-    for kind in 0..KINDS {
+    for kind in 0..JOB_KINDS {
         jobs.push(JobTemplate {
             name: format!("kind{kind}").into(),
             team: "team0".into(),
--- a/crates/load/src/measure/overhead.rs
+++ b/crates/load/src/measure/overhead.rs
@@ -15,37 +15,37 @@
 
 use crate::{
     args::TrialArgs,
-    clients::Times,
+    clients::LatencyHistogram,
     error::LoadError,
     fleet::{Fleet, FleetSize},
 };
 
 /// Threads that look for saturation.
-const PROBES: usize = 32;
+const PROBE_THREADS: usize = 32;
 
 /// Time for which they look.
-const PROBE: Duration = Duration::from_secs(3);
+const PROBE_DURATION: Duration = Duration::from_secs(3);
 
 /// Threads of the measured load.
-const THREADS: usize = 32;
+const LOAD_THREADS: usize = 32;
 
 /// Path of the requests.
-const PATH: &str = "/s/weld/qualification/check";
+const REQUEST_PATH: &str = "/s/weld/qualification/check";
 
 /// Time limit of a call.
-const LIMIT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Addresses of both ways.
 #[derive(Debug, Clone)]
-struct Ways {
+struct Addresses {
     entries: Vec<SocketAddr>,
     targets: Vec<SocketAddr>,
 }
 
-/// Times of both ways.
-struct Pair {
-    direct: Times,
-    via: Times,
+/// LatencyHistogram of both ways.
+struct PairedLatencies {
+    direct: LatencyHistogram,
+    via: LatencyHistogram,
     failed: u64,
 }
 
@@ -59,7 +59,7 @@
         shards: 1,
     };
     let fleet = Fleet::start(args, &size)?;
-    let ways = Ways {
+    let ways = Addresses {
         entries: fleet.plan.entries.iter().map(|e| e.callers).collect(),
         targets: fleet.plan.workers.iter().map(|w| w.target).collect(),
     };
@@ -95,20 +95,22 @@
 }
 
 fn get(addr: SocketAddr, id: &str) -> bool {
-    let call = Call::new("GET", addr, PATH)
+    let call = Call::new("GET", addr, REQUEST_PATH)
         .header(REQUEST_ID, id)
         .header("x-repeatable", "yes");
-    call.timeout(LIMIT).send().is_ok_and(|a| a.status == 200)
+    call.timeout(CALL_TIMEOUT)
+        .send()
+        .is_ok_and(|a| a.status == 200)
 }
 
 /// Returns the requests a second that closed-loop callers reach.
-fn saturate(ways: &Ways, seed: u64) -> f64 {
+fn saturate(ways: &Addresses, seed: u64) -> f64 {
     let mut count = 0;
     thread::scope(|scope| {
         let mut threads = Vec::new();
-        for t in 0..PROBES {
+        for t in 0..PROBE_THREADS {
             threads.push(scope.spawn(move || {
-                let end = Instant::now() + PROBE;
+                let end = Instant::now() + PROBE_DURATION;
                 let mut n = 0;
                 while Instant::now() < end {
                     let entry = ways.entries[(t + n) % ways.entries.len()];
@@ -122,18 +124,18 @@
             count += t.join().unwrap_or(0);
         }
     });
-    count as f64 / PROBE.as_secs_f64()
+    count as f64 / PROBE_DURATION.as_secs_f64()
 }
 
-fn measure(ways: &Ways, rate: f64, time: Duration, seed: u64) -> Pair {
-    let mut all = Pair {
-        direct: Times::new(),
-        via: Times::new(),
+fn measure(ways: &Addresses, rate: f64, time: Duration, seed: u64) -> PairedLatencies {
+    let mut all = PairedLatencies {
+        direct: LatencyHistogram::new(),
+        via: LatencyHistogram::new(),
         failed: 0,
     };
     thread::scope(|scope| {
         let mut threads = Vec::new();
-        for t in 0..THREADS {
+        for t in 0..LOAD_THREADS {
             threads.push(scope.spawn(move || measure_thread(ways, rate, time, seed, t)));
         }
         for t in threads {
@@ -146,18 +148,24 @@
     all
 }
 
-fn measure_thread(ways: &Ways, rate: f64, time: Duration, seed: u64, t: usize) -> Pair {
+fn measure_thread(
+    ways: &Addresses,
+    rate: f64,
+    time: Duration,
+    seed: u64,
+    t: usize,
+) -> PairedLatencies {
     let mut rng = SmallRng::seed_from_u64(seed * 1_000 + t as u64);
-    let mut pair = Pair {
-        direct: Times::new(),
-        via: Times::new(),
+    let mut pair = PairedLatencies {
+        direct: LatencyHistogram::new(),
+        via: LatencyHistogram::new(),
         failed: 0,
     };
     let start = Instant::now();
     let mut due = 0.0;
     let mut n = 0;
     loop {
-        due += -rng.random_range(1e-9..1.0f64).ln() * THREADS as f64 / rate;
+        due += -rng.random_range(1e-9..1.0f64).ln() * LOAD_THREADS as f64 / rate;
         if due > time.as_secs_f64() {
             return pair;
         }
--- a/crates/load/src/measure/overload.rs
+++ b/crates/load/src/measure/overload.rs
@@ -3,13 +3,13 @@
 
 use gorsespur_core::route::RoutePolicy;
 
-use super::overload_sim::{Bad, OverloadResult, OverloadRun};
+use super::overload_sim::{OverloadResult, OverloadSettings, TargetFault};
 use crate::{args::SeedArgs, error::LoadError};
 
 /// Load as a share of the capacity, in the four cases.
-const UNLOADED: f64 = 0.3;
-const TWICE: f64 = 2.0;
-const FITS: f64 = 0.45;
+const LIGHT_LOAD: f64 = 0.3;
+const DOUBLE_LOAD: f64 = 2.0;
+const FAULT_LOAD: f64 = 0.45;
 
 /// Measures and prints a line for each case.
 pub(crate) fn run(args: &SeedArgs) -> Result<(), LoadError> {
@@ -19,14 +19,14 @@
     ];
     for (name, policy) in policies {
         let cases = [
-            ("unloaded", UNLOADED, Bad::None),
-            ("twice", TWICE, Bad::None),
-            ("third-failing", FITS, Bad::Failing),
-            ("third-slow", FITS, Bad::Slow),
-            ("third-gone", FITS, Bad::Gone),
+            ("unloaded", LIGHT_LOAD, TargetFault::None),
+            ("twice", DOUBLE_LOAD, TargetFault::None),
+            ("third-failing", FAULT_LOAD, TargetFault::Failing),
+            ("third-slow", FAULT_LOAD, TargetFault::Slow),
+            ("third-gone", FAULT_LOAD, TargetFault::Gone),
         ];
         for (case, load, bad) in cases {
-            let run = OverloadRun {
+            let run = OverloadSettings {
                 policy,
                 load,
                 bad,
--- a/crates/load/src/measure/overload_sim.rs
+++ b/crates/load/src/measure/overload_sim.rs
@@ -16,34 +16,34 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use crate::clients::Times;
+use crate::clients::LatencyHistogram;
 
 /// Sizes of one zone of today.
-const ENTRIES: usize = 3;
-const TARGETS: usize = 18;
-const SLOTS: u32 = 8;
+const ENTRY_COUNT: usize = 3;
+const TARGET_COUNT: usize = 18;
+const SLOTS_PER_TARGET: u32 = 8;
 
 /// Mean time of an answer in milliseconds.
-const MEAN: f64 = 20.0;
+const MEAN_SERVICE_MS: f64 = 20.0;
 
 /// How much slower the slow targets are.
-const SLOWER: f64 = 10.0;
+const SLOWDOWN_FACTOR: f64 = 10.0;
 
 /// Time limit of a request.
-const DEADLINE: Millis = 1_000;
+const DEADLINE_MS: Millis = 1_000;
 
 /// Time that is not counted.
-const WARM: Millis = 2_000;
+const WARMUP_MS: Millis = 2_000;
 
 /// Start of virtual time.
-const START: Millis = 1_000_000;
+const START_MS: Millis = 1_000_000;
 
 /// Time on the way to a target or back, in milliseconds.
-const WIRE: Millis = 1;
+const NETWORK_DELAY_MS: Millis = 1;
 
-/// What is wrong with a third of the targets.
+/// SimEvent is wrong with a third of the targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Bad {
+pub(crate) enum TargetFault {
     None,
     /// They break every connection after they took the request.
     Failing,
@@ -55,15 +55,15 @@
 
 /// One run.
 #[derive(Debug, Clone)]
-pub(crate) struct OverloadRun {
+pub(crate) struct OverloadSettings {
     pub policy: RoutePolicy,
     pub load: f64,
-    pub bad: Bad,
+    pub bad: TargetFault,
     pub seed: u64,
     pub time: Millis,
 }
 
-/// What came out.
+/// SimEvent came out.
 #[derive(Debug, Clone)]
 pub(crate) struct OverloadResult {
     pub requests: u64,
@@ -76,14 +76,14 @@
     pub repeatable_ok: u64,
     /// Answers in time as a share of the capacity.
     pub goodput: f64,
-    pub urgent: Times,
-    pub all: Times,
-    /// Times after which refused requests were told so.
-    pub refused_wait: Times,
+    pub urgent: LatencyHistogram,
+    pub all: LatencyHistogram,
+    /// LatencyHistogram after which refused requests were told so.
+    pub refused_wait: LatencyHistogram,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum SimEvent {
     Arrive {
         entry: usize,
     },
@@ -103,7 +103,7 @@
         entry: usize,
         req: u64,
         attempt: u32,
-        end: Ended,
+        end: AttemptEnd,
     },
     Hedge {
         entry: usize,
@@ -113,7 +113,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Ended {
+enum AttemptEnd {
     Answered { took: Millis, busy: u32 },
     Declined { busy: u32 },
     Failed,
@@ -121,7 +121,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Open {
+struct OpenRequest {
     req: u64,
     at: Millis,
     urgent: bool,
@@ -129,29 +129,29 @@
     settled: bool,
 }
 
-struct Node {
+struct SimTarget {
     busy: u32,
     bad: bool,
 }
 
-struct Sim<'a> {
-    run: &'a OverloadRun,
+struct OverloadSim<'a> {
+    run: &'a OverloadSettings,
     rng: SmallRng,
     now: Millis,
     order: u64,
-    queue: BinaryHeap<Reverse<(Millis, u64, What)>>,
+    queue: BinaryHeap<Reverse<(Millis, u64, SimEvent)>>,
     routers: Vec<Router>,
-    open: Vec<Vec<Open>>,
-    nodes: Vec<Node>,
+    open: Vec<Vec<OpenRequest>>,
+    nodes: Vec<SimTarget>,
     next: u64,
     due: f64,
     result: OverloadResult,
 }
 
-impl OverloadRun {
+impl OverloadSettings {
     /// Runs to the end.
     pub fn run(&self) -> OverloadResult {
-        let mut sim = Sim::new(self);
+        let mut sim = OverloadSim::new(self);
         sim.prepare();
         sim.run_all();
         sim.result
@@ -159,36 +159,36 @@
 
     /// Returns the requests a millisecond at which every slot is busy.
     fn capacity(&self) -> f64 {
-        (TARGETS as u32 * SLOTS) as f64 / MEAN
+        (TARGET_COUNT as u32 * SLOTS_PER_TARGET) as f64 / MEAN_SERVICE_MS
     }
 }
 
-impl Sim<'_> {
-    fn new(run: &OverloadRun) -> Sim<'_> {
+impl OverloadSim<'_> {
+    fn new(run: &OverloadSettings) -> OverloadSim<'_> {
         let settings = RouteSettings {
             policy: run.policy,
             max_org_requests: usize::MAX,
             ..RouteSettings::default()
         };
         let mut nodes = Vec::new();
-        for i in 0..TARGETS {
-            nodes.push(Node {
+        for i in 0..TARGET_COUNT {
+            nodes.push(SimTarget {
                 busy: 0,
-                bad: run.bad != Bad::None && i % 3 == 0,
+                bad: run.bad != TargetFault::None && i % 3 == 0,
             });
         }
         let router = |e: u64| Router::new(settings.clone(), run.seed * 10 + e);
-        Sim {
+        OverloadSim {
             run,
             rng: SmallRng::seed_from_u64(run.seed),
-            now: START,
+            now: START_MS,
             order: 0,
             queue: BinaryHeap::new(),
-            routers: (0..ENTRIES as u64).map(router).collect(),
-            open: vec![Vec::new(); ENTRIES],
+            routers: (0..ENTRY_COUNT as u64).map(router).collect(),
+            open: vec![Vec::new(); ENTRY_COUNT],
             nodes,
             next: 0,
-            due: START as f64,
+            due: START_MS as f64,
             result: OverloadResult {
                 requests: 0,
                 answered: 0,
@@ -198,27 +198,27 @@
                 repeatable: 0,
                 repeatable_ok: 0,
                 goodput: 0.0,
-                urgent: Times::new(),
-                all: Times::new(),
-                refused_wait: Times::new(),
+                urgent: LatencyHistogram::new(),
+                all: LatencyHistogram::new(),
+                refused_wait: LatencyHistogram::new(),
             },
         }
     }
 
     fn prepare(&mut self) {
         let mut targets = Vec::new();
-        for i in 0..TARGETS {
+        for i in 0..TARGET_COUNT {
             targets.push(TargetInfo {
                 org: "org".into(),
                 service: "service".into(),
                 worker: format!("w{i:02}").into(),
                 addr: ([127, 0, 0, 1], 1_000 + i as u16).into(),
-                slots: SLOTS,
+                slots: SLOTS_PER_TARGET,
                 connections: 60,
                 leaving: false,
             });
         }
-        for e in 0..ENTRIES {
+        for e in 0..ENTRY_COUNT {
             let list = TargetList {
                 shard: 0,
                 epoch: 1,
@@ -226,18 +226,18 @@
                 same_zone: true,
                 targets: targets.clone(),
             };
-            self.routers[e].step(START, &RouteEvent::Targets(list));
+            self.routers[e].step(START_MS, &RouteEvent::Targets(list));
             let share = Share {
-                entries: ENTRIES as u32,
+                entries: ENTRY_COUNT as u32,
                 rank: e as u32,
             };
-            self.routers[e].step(START, &RouteEvent::Entries(share));
+            self.routers[e].step(START_MS, &RouteEvent::Entries(share));
         }
         self.arrive_later();
-        self.push(START + 10, What::Tick);
+        self.push(START_MS + 10, SimEvent::Tick);
     }
 
-    fn push(&mut self, at: Millis, what: What) {
+    fn push(&mut self, at: Millis, what: SimEvent) {
         self.order += 1;
         self.queue.push(Reverse((at, self.order, what)));
     }
@@ -245,53 +245,53 @@
     fn arrive_later(&mut self) {
         let rate = self.run.capacity() * self.run.load;
         self.due += -self.rng.random_range(1e-12..1.0f64).ln() / rate;
-        let entry = self.rng.random_range(0..ENTRIES);
-        self.push(self.due as Millis, What::Arrive { entry });
+        let entry = self.rng.random_range(0..ENTRY_COUNT);
+        self.push(self.due as Millis, SimEvent::Arrive { entry });
     }
 
     fn run_all(&mut self) {
-        let end = START + self.run.time;
+        let end = START_MS + self.run.time;
         while let Some(Reverse((at, _, what))) = self.queue.pop() {
             if at >= end {
                 break;
             }
             self.now = at;
             match what {
-                What::Arrive { entry } => self.arrive(entry),
-                What::Reach {
+                SimEvent::Arrive { entry } => self.arrive(entry),
+                SimEvent::Reach {
                     entry,
                     req,
                     attempt,
                     target,
                 } => self.reach(entry, req, attempt, target),
-                What::Finish {
+                SimEvent::Finish {
                     entry,
                     req,
                     attempt,
                     target,
                 } => self.finish(entry, req, attempt, target),
-                What::Back {
+                SimEvent::Back {
                     entry,
                     req,
                     attempt,
                     end,
                 } => self.back(entry, req, attempt, end),
-                What::Hedge { entry, req } => self.feed(entry, &RouteEvent::Hedge { req }),
-                What::Tick => {
-                    for e in 0..ENTRIES {
+                SimEvent::Hedge { entry, req } => self.feed(entry, &RouteEvent::Hedge { req }),
+                SimEvent::Tick => {
+                    for e in 0..ENTRY_COUNT {
                         self.feed(e, &RouteEvent::Tick);
                     }
-                    self.push(self.now + 10, What::Tick);
+                    self.push(self.now + 10, SimEvent::Tick);
                 }
             }
         }
-        let counted = (self.run.time - WARM) as f64;
+        let counted = (self.run.time - WARMUP_MS) as f64;
         let in_time = (self.result.answered - self.result.late) as f64;
         self.result.goodput = in_time / (self.run.capacity() * counted);
     }
 
     fn counted(&self, at: Millis) -> bool {
-        at >= START + WARM
+        at >= START_MS + WARMUP_MS
     }
 
     fn arrive(&mut self, entry: usize) {
@@ -309,7 +309,7 @@
             self.result.requests += 1;
             self.result.repeatable += u64::from(repeatable);
         }
-        self.open[entry].push(Open {
+        self.open[entry].push(OpenRequest {
             req,
             at: self.now,
             urgent: priority == Priority::Urgent,
@@ -321,7 +321,7 @@
             org: "org".into(),
             service: "service".into(),
             priority,
-            deadline: self.now + DEADLINE,
+            deadline: self.now + DEADLINE_MS,
             repeatable,
             max_queued: 64,
             retry_percent: 10,
@@ -343,11 +343,11 @@
                     let target = worker[1..].parse().unwrap_or(0);
                     self.result.tries += u64::from(self.counted(self.now));
                     if hedge > 0 && attempt == 1 {
-                        self.push(self.now + hedge, What::Hedge { entry, req });
+                        self.push(self.now + hedge, SimEvent::Hedge { entry, req });
                     }
                     self.push(
-                        self.now + WIRE,
-                        What::Reach {
+                        self.now + NETWORK_DELAY_MS,
+                        SimEvent::Reach {
                             entry,
                             req,
                             attempt,
@@ -373,31 +373,34 @@
 
     fn reach(&mut self, entry: usize, req: u64, attempt: u32, target: usize) {
         let bad = self.nodes[target].bad;
-        let back = |end| What::Back {
+        let back = |end| SimEvent::Back {
             entry,
             req,
             attempt,
             end,
         };
-        if bad && self.run.bad == Bad::Gone {
-            return self.push(self.now + WIRE, back(Ended::NotSent));
+        if bad && self.run.bad == TargetFault::Gone {
+            return self.push(self.now + NETWORK_DELAY_MS, back(AttemptEnd::NotSent));
         }
-        if bad && self.run.bad == Bad::Failing {
-            return self.push(self.now + WIRE, back(Ended::Failed));
+        if bad && self.run.bad == TargetFault::Failing {
+            return self.push(self.now + NETWORK_DELAY_MS, back(AttemptEnd::Failed));
         }
         let node = &mut self.nodes[target];
-        if node.busy >= SLOTS {
+        if node.busy >= SLOTS_PER_TARGET {
             let busy = node.busy;
-            return self.push(self.now + WIRE, back(Ended::Declined { busy }));
+            return self.push(
+                self.now + NETWORK_DELAY_MS,
+                back(AttemptEnd::Declined { busy }),
+            );
         }
         node.busy += 1;
         let unit: f64 = self.rng.random_range(1e-9..1.0);
-        let slower = if bad { SLOWER } else { 1.0 };
-        let time = MEAN * (0.5 + 0.5 * -unit.ln()) * slower;
+        let slower = if bad { SLOWDOWN_FACTOR } else { 1.0 };
+        let time = MEAN_SERVICE_MS * (0.5 + 0.5 * -unit.ln()) * slower;
         let at = self.now + time as Millis;
         self.push(
             at,
-            What::Finish {
+            SimEvent::Finish {
                 entry,
                 req,
                 attempt,
@@ -410,33 +413,35 @@
         let busy = self.nodes[target].busy;
         self.nodes[target].busy -= 1;
         let found = self.open[entry].binary_search_by_key(&req, |o| o.req);
-        let took = found.map_or(MEAN as Millis, |i| self.now - self.open[entry][i].at);
+        let took = found.map_or(MEAN_SERVICE_MS as Millis, |i| {
+            self.now - self.open[entry][i].at
+        });
         self.push(
-            self.now + WIRE,
-            What::Back {
+            self.now + NETWORK_DELAY_MS,
+            SimEvent::Back {
                 entry,
                 req,
                 attempt,
-                end: Ended::Answered { took, busy },
+                end: AttemptEnd::Answered { took, busy },
             },
         );
     }
 
-    fn back(&mut self, entry: usize, req: u64, attempt: u32, end: Ended) {
-        if let Ended::Answered { .. } = end {
+    fn back(&mut self, entry: usize, req: u64, attempt: u32, end: AttemptEnd) {
+        if let AttemptEnd::Answered { .. } = end {
             self.answered(entry, req);
         }
         let end = match end {
-            Ended::Answered { took, busy } => AttemptOutcome::Answered {
+            AttemptEnd::Answered { took, busy } => AttemptOutcome::Answered {
                 took,
                 busy: Some(busy),
             },
-            Ended::Declined { busy } => AttemptOutcome::Declined {
+            AttemptEnd::Declined { busy } => AttemptOutcome::Declined {
                 busy: Some(busy),
                 leaving: false,
             },
-            Ended::Failed => AttemptOutcome::Failed,
-            Ended::NotSent => AttemptOutcome::NotSent,
+            AttemptEnd::Failed => AttemptOutcome::Failed,
+            AttemptEnd::NotSent => AttemptOutcome::NotSent,
         };
         self.feed(entry, &RouteEvent::Ended { req, attempt, end });
     }
@@ -456,8 +461,8 @@
         }
         let time = self.now - o.at;
         self.result.answered += 1;
-        self.result.late += u64::from(time > DEADLINE);
-        self.result.repeatable_ok += u64::from(o.repeatable && time <= DEADLINE);
+        self.result.late += u64::from(time > DEADLINE_MS);
+        self.result.repeatable_ok += u64::from(o.repeatable && time <= DEADLINE_MS);
         self.result.all.add(time * 1_000);
         if o.urgent {
             self.result.urgent.add(time * 1_000);
--- a/crates/load/src/measure/placement_sim.rs
+++ b/crates/load/src/measure/placement_sim.rs
@@ -18,35 +18,35 @@
 use gorsespur_stand::{Ledger, MemoryCheckpoints, SimSettings, SimWorker, Slowdown};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use crate::clients::Times;
+use crate::clients::LatencyHistogram;
 
 /// Virtual time of one step.
-const STEP: Millis = 20;
+const STEP_MS: Millis = 20;
 
 /// Start of virtual time.
-const START: Millis = 1_000_000;
+const START_MS: Millis = 1_000_000;
 
 /// Time between two looks at the services.
-const LOOK: Millis = 100;
+const SAMPLE_INTERVAL_MS: Millis = 100;
 
 /// Time that is not counted, while workers fill up.
-const WARM: Millis = 20_000;
+const WARMUP_MS: Millis = 20_000;
 
 /// Kinds of batch tasks.
-pub(crate) const KINDS: usize = 8;
+pub(crate) const JOB_KINDS: usize = 8;
 
 /// The service.
 const SERVICE: &str = "service";
 
 /// Mean time of an answer of an undisturbed service, in microseconds.
-const BASE_US: f64 = 4_000.0;
+const BASE_LATENCY_US: f64 = 4_000.0;
 
 /// Representative loads of the bands.
-const LOADS: [f64; BAND_COUNT] = [0.3, 0.7, 0.9];
+const BAND_LOADS: [f64; BAND_COUNT] = [0.3, 0.7, 0.9];
 
 /// What is run.
 #[derive(Debug, Clone)]
-pub(crate) struct FloorSettings {
+pub(crate) struct PlacementSimSettings {
     pub workers: usize,
     pub replicas: u32,
     pub weights: Weights,
@@ -64,8 +64,8 @@
 
 /// What came out.
 #[derive(Debug, Clone)]
-pub(crate) struct FloorResult {
-    pub times: Times,
+pub(crate) struct PlacementSimResult {
+    pub times: LatencyHistogram,
     pub done: u64,
     /// Undisturbed run time of the tasks that were done, in milliseconds.
     pub work: u64,
@@ -81,8 +81,8 @@
 }
 
 /// The floor.
-pub(crate) struct Floor {
-    settings: FloorSettings,
+pub(crate) struct PlacementSim {
+    settings: PlacementSimSettings,
     machine: ShardScheduler,
     workers: Vec<SimWorker>,
     names: Vec<Name>,
@@ -92,7 +92,7 @@
     jobs: u64,
     urgent: Vec<UrgentTask>,
     waits: Vec<Millis>,
-    result: FloorResult,
+    result: PlacementSimResult,
     queued: u64,
 }
 
@@ -100,10 +100,10 @@
     format!("kind{kind}").into()
 }
 
-fn organisation(settings: &FloorSettings) -> Arc<Organisation> {
+fn organisation(settings: &PlacementSimSettings) -> Arc<Organisation> {
     let quota = Size::new(u64::MAX / 4, u64::MAX / 4, u32::MAX / 4);
     let mut teams = Vec::new();
-    for kind in 0..KINDS {
+    for kind in 0..JOB_KINDS {
         let name = kind_name(kind);
         teams.push(Team { name, quota });
     }
@@ -130,8 +130,8 @@
     })
 }
 
-impl Floor {
-    pub fn new(settings: FloorSettings) -> Floor {
+impl PlacementSim {
+    pub fn new(settings: PlacementSimSettings) -> PlacementSim {
         let place = ShardId {
             name: "floor".into(),
             index: 0,
@@ -151,7 +151,7 @@
             inherited_hold: 60_000,
             settled: true,
         };
-        let machine = ShardScheduler::new(place, shard, settings.seed, takeover, START);
+        let machine = ShardScheduler::new(place, shard, settings.seed, takeover, START_MS);
         let ledger = Arc::new(Ledger::default());
         let checkpoints = Arc::new(MemoryCheckpoints::default());
         let mut workers = Vec::new();
@@ -172,18 +172,18 @@
             workers.push(SimWorker::new(sim, 1, ledger.clone(), checkpoints.clone()));
             names.push(name);
         }
-        Floor {
+        PlacementSim {
             rng: SmallRng::seed_from_u64(settings.seed),
             load_rng: SmallRng::seed_from_u64(settings.seed + 77),
             machine,
             workers,
             names,
-            now: START,
+            now: START_MS,
             jobs: 0,
             urgent: Vec::new(),
             waits: Vec::new(),
-            result: FloorResult {
-                times: Times::new(),
+            result: PlacementSimResult {
+                times: LatencyHistogram::new(),
                 done: 0,
                 work: 0,
                 evictions: 0,
@@ -196,12 +196,12 @@
     }
 
     /// Runs to the end; the hidden table shifts half-way.
-    pub fn run(mut self) -> FloorResult {
+    pub fn run(mut self) -> PlacementSimResult {
         self.feed(&Event::Organisations(vec![organisation(&self.settings)]));
         let list = self.list();
         self.feed(&list);
-        let half = START + self.settings.time / 2;
-        let end = START + self.settings.time;
+        let half = START_MS + self.settings.time / 2;
+        let end = START_MS + self.settings.time;
         let mut shifted = false;
         while self.now < end {
             if self.now >= half && !shifted {
@@ -251,7 +251,7 @@
     }
 
     fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_MS;
         if self.settings.told && self.now.is_multiple_of(1_000) {
             self.tell();
         }
@@ -261,21 +261,21 @@
         self.arrive();
         self.feed(&Event::StoreSeen(60_000));
         self.feed(&Event::Tick);
-        if self.now >= START + WARM && self.now.is_multiple_of(LOOK) {
+        if self.now >= START_MS + WARMUP_MS && self.now.is_multiple_of(SAMPLE_INTERVAL_MS) {
             self.look();
         }
     }
 
     /// Tells the machine the hidden table as it is now.
     fn tell(&mut self) {
-        let shift = u64::from(self.now >= START + self.settings.time / 2);
+        let shift = u64::from(self.now >= START_MS + self.settings.time / 2);
         let slowdown = self.slowdown(shift);
-        let mut kinds: Vec<Name> = (0..KINDS).map(kind_name).collect();
+        let mut kinds: Vec<Name> = (0..JOB_KINDS).map(kind_name).collect();
         kinds.push(SERVICE.into());
         let org = Name::from("org");
         for victim in &kinds {
             for other in &kinds {
-                for (band, load) in LOADS.iter().enumerate() {
+                for (band, load) in BAND_LOADS.iter().enumerate() {
                     let adds = slowdown.adds(victim, other, *load) as f32;
                     self.machine
                         .set_interference((&org, victim), (&org, other), band, adds);
@@ -289,7 +289,7 @@
         let wanted = self.settings.workers as u64 * 3;
         let mut specs = Vec::new();
         while self.queued < wanted {
-            let kind = self.rng.random_range(0..KINDS);
+            let kind = self.rng.random_range(0..JOB_KINDS);
             let run = self.rng.random_range(2_000..10_000);
             specs.push(self.spec(kind, run, Priority::Normal));
             self.queued += 1;
@@ -297,9 +297,9 @@
         let rate = self.settings.workers as f64 / 24.0;
         if self
             .load_rng
-            .random_bool((rate * STEP as f64 / 1_000.0).min(1.0))
+            .random_bool((rate * STEP_MS as f64 / 1_000.0).min(1.0))
         {
-            let kind = self.load_rng.random_range(0..KINDS);
+            let kind = self.load_rng.random_range(0..JOB_KINDS);
             let spec = self.spec(kind, 1_000, Priority::Urgent);
             self.urgent.push(UrgentTask {
                 id: spec.key.id.clone(),
@@ -362,7 +362,7 @@
     }
 
     fn count(&mut self, records: &[Record]) {
-        let counted = self.now >= START + WARM;
+        let counted = self.now >= START_MS + WARMUP_MS;
         for record in records {
             match record {
                 Record::Started { attempt, .. } => {
@@ -407,7 +407,8 @@
                 continue;
             }
             let unit: f64 = self.load_rng.random_range(1e-9..1.0);
-            let us = BASE_US * (0.5 + 0.5 * (-unit.ln()).min(6.0)) * w.service_slowdown(SERVICE);
+            let us =
+                BASE_LATENCY_US * (0.5 + 0.5 * (-unit.ln()).min(6.0)) * w.service_slowdown(SERVICE);
             self.result.times.add(us as u64);
         }
     }
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -22,30 +22,30 @@
 use crate::{args::SeedArgs, error::LoadError};
 
 /// Start of virtual time.
-const START: Millis = 1_000_000;
+const START_MS: Millis = 1_000_000;
 
 /// Numbers of workers at which placement is measured.
-const WORKERS: [usize; 6] = [50, 200, 600, 1_200, 5_000, 26_000];
+const WORKER_COUNTS: [usize; 6] = [50, 200, 600, 1_200, 5_000, 26_000];
 
 /// Running tasks for each worker: 15,000 on 1,200 workers.
-const TASKS: f64 = 12.5;
+const TASKS_PER_WORKER: f64 = 12.5;
 
 /// Placements that are timed at each size.
-const PLACED: u32 = 10_000;
+const TIMED_PLACEMENTS: u32 = 10_000;
 
 /// Records of one journal row at which its cost is measured.
-const ROW: usize = 5_000;
+const JOURNAL_RECORDS: usize = 5_000;
 
 /// Jobs that are cancelled at once.
-const WAVE: usize = 10_000;
+const CANCELLED_JOBS: usize = 10_000;
 
 /// Workers of the shard whose recovery is measured.
-const RECOVERED: usize = 1_200;
+const RECOVERY_WORKERS: usize = 1_200;
 
 /// Measures and prints a line for each figure.
 pub(crate) fn run(args: &SeedArgs) -> Result<(), LoadError> {
     for policy in [PlacementPolicy::LeastLoaded, PlacementPolicy::Interference] {
-        for workers in WORKERS {
+        for workers in WORKER_COUNTS {
             place(policy, workers, args.seed);
         }
     }
@@ -74,8 +74,8 @@
         inherited_hold: 60_000,
         settled: true,
     };
-    let mut machine = ShardScheduler::new(place, settings, seed, takeover, START);
-    machine.step(START, &Event::Organisations(vec![organisation(1)]));
+    let mut machine = ShardScheduler::new(place, settings, seed, takeover, START_MS);
+    machine.step(START_MS, &Event::Organisations(vec![organisation(1)]));
     let mut list = Vec::new();
     for i in 0..workers {
         let addr = ([127, 0, 0, 1], 1_000 + (i % 60_000) as u16).into();
@@ -90,8 +90,8 @@
         });
     }
     let counts = vec![workers as u32];
-    machine.step(START, &Event::Workers { list, counts });
-    answer_all(&mut machine, START + 1);
+    machine.step(START_MS, &Event::Workers { list, counts });
+    answer_all(&mut machine, START_MS + 1);
     machine
 }
 
@@ -144,9 +144,9 @@
 
 fn place(policy: PlacementPolicy, workers: usize, seed: u64) {
     let mut machine = machine(policy, workers, seed);
-    let running = (workers as f64 * TASKS) as u32;
+    let running = (workers as f64 * TASKS_PER_WORKER) as u32;
     fill(&mut machine, running, 0);
-    let more = PLACED.min(workers as u32 * 8);
+    let more = TIMED_PLACEMENTS.min(workers as u32 * 8);
     let began = Instant::now();
     let started = fill(&mut machine, more, 1_000_000);
     let seconds = began.elapsed().as_secs_f64();
@@ -175,8 +175,8 @@
                 .count();
         }
     };
-    count(machine.step(START + 2, &Event::Submit(specs)));
-    count(machine.step(START + 3, &Event::Tick));
+    count(machine.step(START_MS + 2, &Event::Submit(specs)));
+    count(machine.step(START_MS + 3, &Event::Tick));
     started as u64
 }
 
@@ -202,15 +202,15 @@
 }
 
 fn journal() {
-    let row = journal_row(ROW as u32);
+    let row = journal_row(JOURNAL_RECORDS as u32);
     let began = Instant::now();
     let bytes = encode(&row).unwrap_or_default();
     let seconds = began.elapsed().as_secs_f64();
     println!(
-        "starts: journal_records={ROW} bytes={} bytes_each={:.1} encode_us_each={:.3}",
+        "starts: journal_records={JOURNAL_RECORDS} bytes={} bytes_each={:.1} encode_us_each={:.3}",
         bytes.len(),
-        bytes.len() as f64 / ROW as f64,
-        seconds * 1e6 / ROW as f64
+        bytes.len() as f64 / JOURNAL_RECORDS as f64,
+        seconds * 1e6 / JOURNAL_RECORDS as f64
     );
 }
 
@@ -218,13 +218,13 @@
 fn cancel(seed: u64) {
     let mut machine = machine(PlacementPolicy::Interference, 1, seed);
     let mut specs = Vec::new();
-    for i in 0..WAVE {
+    for i in 0..CANCELLED_JOBS {
         specs.push(spec(&format!("job{i}"), i, 1));
     }
     let keys = specs.iter().map(|s| s.key.clone()).collect();
-    machine.step(START + 2, &Event::Submit(specs));
+    machine.step(START_MS + 2, &Event::Submit(specs));
     let began = Instant::now();
-    let actions = machine.step(START + 3, &Event::Cancel(keys));
+    let actions = machine.step(START_MS + 3, &Event::Cancel(keys));
     let ms = began.elapsed().as_secs_f64() * 1e3;
     let mut records = 0;
     for action in actions {
@@ -232,12 +232,16 @@
             records += r.len();
         }
     }
-    println!("starts: cancelled={WAVE} records={records} ms={ms:.1}");
+    println!("starts: cancelled={CANCELLED_JOBS} records={records} ms={ms:.1}");
 }
 
 fn recovery(seed: u64) {
-    let mut machine = machine(PlacementPolicy::Interference, RECOVERED, seed);
-    fill(&mut machine, (RECOVERED as f64 * TASKS) as u32, 0);
+    let mut machine = machine(PlacementPolicy::Interference, RECOVERY_WORKERS, seed);
+    fill(
+        &mut machine,
+        (RECOVERY_WORKERS as f64 * TASKS_PER_WORKER) as u32,
+        0,
+    );
     let snapshot = Snapshot {
         next: machine.next_record(),
         book: machine.state().clone(),
@@ -261,7 +265,7 @@
         inherited_hold: 60_000,
         settled: true,
     };
-    let mut new = ShardScheduler::new(place, ShardSettings::default(), seed, takeover, START);
+    let mut new = ShardScheduler::new(place, ShardSettings::default(), seed, takeover, START_MS);
     let mut list = Vec::new();
     for w in machine.workers() {
         list.push(WorkerInfo {
@@ -274,12 +278,12 @@
             leaving: false,
         });
     }
-    new.step(START, &Event::Organisations(vec![organisation(1)]));
+    new.step(START_MS, &Event::Organisations(vec![organisation(1)]));
     let counts = vec![list.len() as u32];
-    new.step(START, &Event::Workers { list, counts });
+    new.step(START_MS, &Event::Workers { list, counts });
     let residents: usize = new.workers().iter().map(|w| w.allocations.len()).sum();
     println!(
-        "starts: recovered_tasks={residents} workers={RECOVERED} snapshot_bytes={} decode_ms={:.1} total_ms={:.1}",
+        "starts: recovered_tasks={residents} workers={RECOVERY_WORKERS} snapshot_bytes={} decode_ms={:.1} total_ms={:.1}",
         bytes.len(),
         decoded.as_secs_f64() * 1e3,
         began.elapsed().as_secs_f64() * 1e3
--- a/crates/load/src/slopes/linear_fit.rs
+++ b/crates/load/src/slopes/linear_fit.rs
@@ -8,7 +8,7 @@
 
 /// A measured quantity as a line over a size.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Figure {
+pub(crate) struct LinearFit {
     pub name: String,
     pub unit: String,
     pub slope: f64,
@@ -19,9 +19,9 @@
     pub points: Vec<(f64, f64)>,
 }
 
-impl Figure {
+impl LinearFit {
     /// Fits a line by least squares.
-    pub fn fit(name: &str, unit: &str, points: Vec<(f64, f64)>) -> Figure {
+    pub fn fit(name: &str, unit: &str, points: Vec<(f64, f64)>) -> LinearFit {
         let n = points.len() as f64;
         let mean_x = points.iter().map(|p| p.0).sum::<f64>() / n;
         let mean_y = points.iter().map(|p| p.1).sum::<f64>() / n;
@@ -38,7 +38,7 @@
             square += (y - slope * x - intercept).powi(2);
         }
         let error = (square / n).sqrt() / mean_y.abs().max(1e-12);
-        Figure {
+        LinearFit {
             name: name.to_owned(),
             unit: unit.to_owned(),
             slope,
@@ -71,13 +71,13 @@
         );
     }
 
-    fn parse(line: &str) -> Option<Figure> {
+    fn parse(line: &str) -> Option<LinearFit> {
         let rest = line.strip_prefix("slope: ")?;
         let get = |key: &str| {
             let mut words = rest.split(' ');
             words.find_map(|w| w.strip_prefix(key)?.strip_prefix('='))
         };
-        Some(Figure {
+        Some(LinearFit {
             name: get("name")?.to_owned(),
             unit: get("unit")?.to_owned(),
             slope: get("slope")?.parse().ok()?,
@@ -89,7 +89,7 @@
 }
 
 /// Reads the lines that a run printed.
-pub(crate) fn read_figures(path: &Path) -> Result<Vec<Figure>, LoadError> {
+pub(crate) fn read_figures(path: &Path) -> Result<Vec<LinearFit>, LoadError> {
     let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
-    Ok(text.lines().filter_map(Figure::parse).collect())
+    Ok(text.lines().filter_map(LinearFit::parse).collect())
 }
--- a/crates/load/src/slopes/memory.rs
+++ b/crates/load/src/slopes/memory.rs
@@ -13,7 +13,7 @@
     shard::{Event, TargetInfo},
 };
 
-use super::Figure;
+use super::LinearFit;
 use crate::measure::{organisation, starts};
 
 /// Counts what is allocated, so that state is measured and not what the
@@ -22,7 +22,7 @@
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
 /// Measures what `make` keeps at each size.
-fn grow<T>(name: &str, sizes: &[usize], mut make: impl FnMut(usize) -> T) -> Figure {
+fn grow<T>(name: &str, sizes: &[usize], mut make: impl FnMut(usize) -> T) -> LinearFit {
     let mut points = Vec::new();
     for size in sizes {
         let before = ALLOCATOR.allocated();
@@ -31,11 +31,11 @@
         drop(kept);
         points.push((*size as f64, after.saturating_sub(before) as f64));
     }
-    Figure::fit(name, "bytes", points)
+    LinearFit::fit(name, "bytes", points)
 }
 
 /// Measures all.
-pub(crate) fn all(seed: u64) -> Vec<Figure> {
+pub(crate) fn all(seed: u64) -> Vec<LinearFit> {
     vec![
         grow(
             "memory_worker",
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -13,27 +13,27 @@
 };
 use gorsespur_wire::codec::{decode, encode};
 
-use super::{Figure, memory::beat};
+use super::{LinearFit, memory::beat};
 use crate::measure::{organisation, starts};
 
 /// Rounds of each measurement.
-const ROUNDS: u32 = 200;
+const CALLS_PER_ROUND: u32 = 200;
 
 /// Returns the least time of one call in microseconds over some tries.
 fn time_us(mut f: impl FnMut()) -> f64 {
     let mut least = f64::INFINITY;
     for _ in 0..5 {
         let began = Instant::now();
-        for _ in 0..ROUNDS {
+        for _ in 0..CALLS_PER_ROUND {
             f();
         }
-        least = least.min(began.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS));
+        least = least.min(began.elapsed().as_secs_f64() * 1e6 / f64::from(CALLS_PER_ROUND));
     }
     least
 }
 
 /// Measures all.
-pub(crate) fn all(seed: u64) -> Vec<Figure> {
+pub(crate) fn all(seed: u64) -> Vec<LinearFit> {
     let mut out = heartbeats();
     out.extend(exchanges(seed));
     out.extend(placements(seed));
@@ -43,7 +43,7 @@
 }
 
 /// A heartbeat received among so many known instances.
-fn heartbeats() -> Vec<Figure> {
+fn heartbeats() -> Vec<LinearFit> {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
     for n in [10, 50, 200, 800, 3_200] {
@@ -64,13 +64,13 @@
         bytes.push((n as f64, len as f64));
     }
     vec![
-        Figure::fit("heartbeat_cpu_by_peers", "us", times),
-        Figure::fit("heartbeat_bytes_by_peers", "bytes", bytes),
+        LinearFit::fit("heartbeat_cpu_by_peers", "us", times),
+        LinearFit::fit("heartbeat_bytes_by_peers", "bytes", bytes),
     ]
 }
 
 /// An exchange with a worker that runs so many tasks, without the network.
-fn exchanges(seed: u64) -> Vec<Figure> {
+fn exchanges(seed: u64) -> Vec<LinearFit> {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
     for tasks in [0u32, 4, 8, 16, 28] {
@@ -101,8 +101,8 @@
         times.push((f64::from(tasks), us));
     }
     vec![
-        Figure::fit("exchange_cpu_by_tasks", "us", times),
-        Figure::fit("exchange_bytes_by_tasks", "bytes", bytes),
+        LinearFit::fit("exchange_cpu_by_tasks", "us", times),
+        LinearFit::fit("exchange_bytes_by_tasks", "bytes", bytes),
     ]
 }
 
@@ -133,7 +133,7 @@
 }
 
 /// A placement in a shard of so many workers.
-fn placements(seed: u64) -> Vec<Figure> {
+fn placements(seed: u64) -> Vec<LinearFit> {
     let mut times = Vec::new();
     for workers in [150, 300, 600, 1_200, 2_400] {
         let mut machine = starts::machine(PlacementPolicy::Interference, workers, seed);
@@ -143,11 +143,11 @@
         let us = began.elapsed().as_secs_f64() * 1e6 / placed.max(1) as f64;
         times.push((workers as f64, us));
     }
-    vec![Figure::fit("placement_cpu_by_workers", "us", times)]
+    vec![LinearFit::fit("placement_cpu_by_workers", "us", times)]
 }
 
 /// A row of the journal with so many transitions.
-fn journal() -> Vec<Figure> {
+fn journal() -> Vec<LinearFit> {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
     for n in [10u32, 100, 1_000, 2_500, 5_000] {
@@ -160,8 +160,8 @@
         times.push((f64::from(n), us));
     }
     vec![
-        Figure::fit("journal_cpu_by_transitions", "us", times),
-        Figure::fit("journal_bytes_by_transitions", "bytes", bytes),
+        LinearFit::fit("journal_cpu_by_transitions", "us", times),
+        LinearFit::fit("journal_bytes_by_transitions", "bytes", bytes),
     ]
 }
 
@@ -178,7 +178,7 @@
 }
 
 /// A change of a template with so many kinds of jobs: decoded and put in force.
-fn configs() -> Vec<Figure> {
+fn configs() -> Vec<LinearFit> {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
     for kinds in [4, 8, 16, 32, 64] {
@@ -201,7 +201,7 @@
         times.push((kinds as f64, us));
     }
     vec![
-        Figure::fit("config_cpu_by_kinds", "us", times),
-        Figure::fit("config_bytes_by_kinds", "bytes", bytes),
+        LinearFit::fit("config_cpu_by_kinds", "us", times),
+        LinearFit::fit("config_bytes_by_kinds", "bytes", bytes),
     ]
 }
--- a/crates/load/src/slopes/mod.rs
+++ b/crates/load/src/slopes/mod.rs
@@ -7,7 +7,7 @@
 mod messages;
 mod processes;
 
-pub(crate) use linear_fit::{Figure, read_figures};
+pub(crate) use linear_fit::{LinearFit, read_figures};
 pub(crate) use memory::beat;
 
 use crate::{args::TrialArgs, error::LoadError};
--- a/crates/load/src/slopes/processes.rs
+++ b/crates/load/src/slopes/processes.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, thread, time::Duration};
 
-use super::Figure;
+use super::LinearFit;
 use crate::{
     args::TrialArgs,
     clients::RequestLoad,
@@ -11,26 +11,26 @@
 };
 
 /// Numbers of workers at which a scheduler is watched.
-const WORKERS: [usize; 4] = [8, 16, 32, 64];
+const WORKER_COUNTS: [usize; 4] = [8, 16, 32, 64];
 
 /// Time for which it is watched.
-const WATCH: Duration = Duration::from_secs(8);
+const OBSERVATION: Duration = Duration::from_secs(8);
 
 /// Requests a second at which entries are watched.
-const RATES: [f64; 4] = [100.0, 200.0, 400.0, 800.0];
+const REQUEST_RATES: [f64; 4] = [100.0, 200.0, 400.0, 800.0];
 
 /// Measures all.
-pub(crate) fn all(args: &TrialArgs) -> Result<Vec<Figure>, LoadError> {
+pub(crate) fn all(args: &TrialArgs) -> Result<Vec<LinearFit>, LoadError> {
     let mut out = scheds(args)?;
     out.extend(entries(args)?);
     Ok(out)
 }
 
 /// A scheduler with so many workers, each with two replicas.
-fn scheds(args: &TrialArgs) -> Result<Vec<Figure>, LoadError> {
+fn scheds(args: &TrialArgs) -> Result<Vec<LinearFit>, LoadError> {
     let mut time = Vec::new();
     let mut memory = Vec::new();
-    for workers in WORKERS {
+    for workers in WORKER_COUNTS {
         let size = FleetSize {
             zones: 1,
             entries: 1,
@@ -41,20 +41,20 @@
         let fleet = Fleet::start(args, &size)?;
         thread::sleep(Duration::from_secs(2));
         let before = fleet.scheds[0].usage().unwrap_or_default();
-        thread::sleep(WATCH);
+        thread::sleep(OBSERVATION);
         let after = fleet.scheds[0].usage().unwrap_or_default();
         let ms = (after.1 - before.1) as f64;
-        time.push((workers as f64, ms * 1e3 / WATCH.as_secs_f64()));
+        time.push((workers as f64, ms * 1e3 / OBSERVATION.as_secs_f64()));
         memory.push((workers as f64, after.0 as f64 * 1024.0));
     }
     Ok(vec![
-        Figure::fit("sched_cpu_by_workers", "us_per_s", time),
-        Figure::fit("sched_memory_by_workers", "bytes", memory),
+        LinearFit::fit("sched_cpu_by_workers", "us_per_s", time),
+        LinearFit::fit("sched_memory_by_workers", "bytes", memory),
     ])
 }
 
 /// Three entries under so many requests a second.
-fn entries(args: &TrialArgs) -> Result<Vec<Figure>, LoadError> {
+fn entries(args: &TrialArgs) -> Result<Vec<LinearFit>, LoadError> {
     let size = FleetSize {
         zones: 1,
         entries: 3,
@@ -73,26 +73,26 @@
     };
     let mut time = Vec::new();
     let mut memory = Vec::new();
-    for rate in RATES {
+    for rate in REQUEST_RATES {
         let load = RequestLoad {
             entries: addrs.clone(),
             paths: vec!["/s/weld/qualification/check".into()],
             threads: 32,
             rate,
-            time: WATCH,
+            time: OBSERVATION,
             seed: args.seed,
             once: 0.0,
         };
         let before = used(&fleet);
         let totals = load.run();
         let after = used(&fleet);
-        let seconds = WATCH.as_secs_f64();
+        let seconds = OBSERVATION.as_secs_f64();
         let rate = totals.requests as f64 / seconds;
         time.push((rate, (after.1 - before.1) as f64 * 1e3 / seconds));
         memory.push((rate, after.0 as f64 * 1024.0));
     }
     Ok(vec![
-        Figure::fit("entry_cpu_by_rate", "us_per_s", time),
-        Figure::fit("entry_memory_by_rate", "bytes", memory),
+        LinearFit::fit("entry_cpu_by_rate", "us_per_s", time),
+        LinearFit::fit("entry_memory_by_rate", "bytes", memory),
     ])
 }
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -13,19 +13,19 @@
 };
 
 /// Requests a second.
-const RATE: f64 = 200.0;
+const REQUESTS_PER_SECOND: f64 = 200.0;
 
 /// Threads that send them.
-const THREADS: usize = 24;
+const REQUEST_THREADS: usize = 24;
 
 /// Jobs for each second of load.
-const JOBS: u64 = 4;
+const JOBS_PER_SECOND: u64 = 4;
 
 /// Longest time for the jobs to finish after the load.
-const FINISH: Duration = Duration::from_secs(45);
+const FINISH_TIMEOUT: Duration = Duration::from_secs(45);
 
 /// Memory that an instance may use, in KiB.
-const MEMORY_KIB: u64 = 32 << 10;
+const INSTANCE_MEMORY_KIB: u64 = 32 << 10;
 
 /// Runs a trial and prints its line.
 pub(crate) fn run(args: &TrialArgs) -> Result<(), LoadError> {
@@ -45,15 +45,15 @@
     let requests = RequestLoad {
         entries: entries.clone(),
         paths: user_paths(),
-        threads: THREADS,
-        rate: RATE,
+        threads: REQUEST_THREADS,
+        rate: REQUESTS_PER_SECOND,
         time,
         seed: args.seed,
         once: 0.3,
     };
     let job_load = JobLoad {
         entries,
-        count: args.seconds * JOBS,
+        count: args.seconds * JOBS_PER_SECOND,
         time: time.mul_f64(0.8),
         seed: args.seed,
     };
@@ -74,7 +74,7 @@
         return Err(LoadError::Broken);
     };
     job_load.cancel_long(jobs);
-    job_load.watch(jobs, FINISH);
+    job_load.watch(jobs, FINISH_TIMEOUT);
     let memory = report_memory(&fleet);
     let killed = fleet.scheds[args.seed as usize % fleet.scheds.len()]
         .name
@@ -119,8 +119,11 @@
     let mut most = 0;
     for p in fleet.entries.iter().chain(&fleet.scheds) {
         let Some((rss, _)) = p.usage() else { continue };
-        if rss > MEMORY_KIB {
-            println!("trial: {} uses {rss} KiB, over {MEMORY_KIB}", p.name);
+        if rss > INSTANCE_MEMORY_KIB {
+            println!(
+                "trial: {} uses {rss} KiB, over {INSTANCE_MEMORY_KIB}",
+                p.name
+            );
         }
         most = most.max(rss);
     }
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -6,7 +6,7 @@
 use crate::clients::{JobResult, RequestTotals};
 
 /// Time before a kill in which a task that was done could not be reported.
-const UNREPORTED_MS: u64 = 2_000;
+const UNREPORTED_WINDOW_MS: u64 = 2_000;
 
 /// One attempt on one worker.
 #[derive(Debug, Clone)]
@@ -84,7 +84,7 @@
             }
             What::Killed => {
                 for run in &mut out {
-                    let late = run.to + UNREPORTED_MS >= e.ms;
+                    let late = run.to + UNREPORTED_WINDOW_MS >= e.ms;
                     run.killed |= run.worker == e.worker && run.done && late;
                 }
                 let mut i = 0;
