--- a/crates/load/src/capacity/mod.rs
+++ b/crates/load/src/capacity/mod.rs
@@ -17,7 +17,7 @@
     for row in rows(&figures)? {
         println!(
             "| {} | {} | {} | {} |",
-            row.what, row.sum, row.result, row.budget
+            row.quantity, row.formula, row.result, row.budget
         );
     }
     Ok(())
--- a/crates/load/src/capacity/rows.rs
+++ b/crates/load/src/capacity/rows.rs
@@ -6,8 +6,8 @@
 /// A quantity, how it was worked out, and its budget.
 #[derive(Debug, Clone)]
 pub(crate) struct Row {
-    pub what: String,
-    pub sum: String,
+    pub quantity: String,
+    pub formula: String,
     pub result: String,
     pub budget: String,
 }
@@ -29,8 +29,8 @@
 
 fn row(what: &str, sum: String, result: String, budget: String) -> Row {
     Row {
-        what: what.to_owned(),
-        sum,
+        quantity: what.to_owned(),
+        formula: sum,
         result,
         budget,
     }
--- a/crates/load/src/clients/jobs.rs
+++ b/crates/load/src/clients/jobs.rs
@@ -21,7 +21,7 @@
 pub(crate) struct JobKind {
     pub org: &'static str,
     pub kind: &'static str,
-    pub most: u32,
+    pub max_tasks: u32,
     /// Runs until it is cancelled.
     pub long: bool,
 }
@@ -31,31 +31,31 @@
     JobKind {
         org: "weld",
         kind: "renewal",
-        most: 4,
+        max_tasks: 4,
         long: false,
     },
     JobKind {
         org: "weld",
         kind: "urgent-renewal",
-        most: 1,
+        max_tasks: 1,
         long: false,
     },
     JobKind {
         org: "weld",
         kind: "continuity-record",
-        most: 1,
+        max_tasks: 1,
         long: true,
     },
     JobKind {
         org: "taipei",
         kind: "allocation",
-        most: 6,
+        max_tasks: 6,
         long: false,
     },
     JobKind {
         org: "taipei",
         kind: "watcher",
-        most: 1,
+        max_tasks: 1,
         long: true,
     },
 ];
@@ -103,7 +103,7 @@
             let job = SubmittedJob {
                 org: kind.org,
                 id: format!("j{}-{n}", self.seed),
-                tasks: rng.random_range(1..=kind.most),
+                tasks: rng.random_range(1..=kind.max_tasks),
                 long: kind.long,
             };
             let sends = if rng.random_bool(DUPLICATE_SHARE) {
@@ -135,7 +135,7 @@
                 let path = format!("/v1/orgs/{org}/cancel");
                 let call = Call::new("POST", *entry, &path).body(body.clone());
                 let answer = call.timeout(Duration::from_secs(30)).send();
-                if answer.is_ok_and(|a| a.status == 200 && unreached(&a) == 0) {
+                if answer.is_ok_and(|a| a.status == 200 && unreached_count(&a) == 0) {
                     break;
                 }
             }
@@ -143,7 +143,7 @@
     }
 
     /// Waits until every job reached its end, at most for `limit`.
-    pub fn watch(&self, result: &mut JobResult, limit: Duration) {
+    pub fn wait_for_end(&self, result: &mut JobResult, limit: Duration) {
         let end = Instant::now() + limit;
         let mut open: Vec<SubmittedJob> = result.accepted.clone();
         let mut states: Vec<String> = Vec::new();
@@ -191,7 +191,7 @@
     state.to_owned()
 }
 
-fn unreached(answer: &Response) -> usize {
+fn unreached_count(answer: &Response) -> usize {
     let value: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
     value["unreached"].as_array().map_or(1, Vec::len)
 }
--- a/crates/load/src/clients/latency.rs
+++ b/crates/load/src/clients/latency.rs
@@ -20,7 +20,7 @@
         }
     }
 
-    pub fn add(&mut self, us: u64) {
+    pub fn record(&mut self, us: u64) {
         self.histogram.saturating_record(us.max(1));
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// Returns a quantile in milliseconds.
-    pub fn ms(&self, quantile: f64) -> f64 {
+    pub fn quantile_ms(&self, quantile: f64) -> f64 {
         self.histogram.value_at_quantile(quantile) as f64 / 1000.0
     }
 }
--- a/crates/load/src/clients/requests.rs
+++ b/crates/load/src/clients/requests.rs
@@ -35,7 +35,7 @@
     pub wrong: u64,
     pub not_run: u64,
     pub unknown: u64,
-    pub times: LatencyHistogram,
+    pub latencies: LatencyHistogram,
     /// Requests that may run once only.
     pub once: Vec<CallerOutcome>,
 }
@@ -48,7 +48,7 @@
             wrong: 0,
             not_run: 0,
             unknown: 0,
-            times: LatencyHistogram::new(),
+            latencies: LatencyHistogram::new(),
             once: Vec::new(),
         }
     }
@@ -59,7 +59,7 @@
         self.wrong += other.wrong;
         self.not_run += other.not_run;
         self.unknown += other.unknown;
-        self.times.merge(&other.times);
+        self.latencies.merge(&other.latencies);
         self.once.extend(other.once);
     }
 }
@@ -149,7 +149,7 @@
                 break;
             }
         }
-        totals.times.add(at.elapsed().as_micros() as u64);
+        totals.latencies.record(at.elapsed().as_micros() as u64);
         match told.outcome {
             Some(Outcome::Ran) => totals.ok += 1,
             Some(Outcome::NotRun) => totals.not_run += 1,
--- a/crates/load/src/fleet/boot.rs
+++ b/crates/load/src/fleet/boot.rs
@@ -44,7 +44,7 @@
     args: TrialArgs,
     bin: PathBuf,
     leaving: Vec<String>,
-    gone: Vec<String>,
+    removed: Vec<String>,
 }
 
 impl Fleet {
@@ -52,7 +52,7 @@
     pub fn start(args: &TrialArgs, size: &FleetSize) -> Result<Fleet, LoadError> {
         let bin = match &args.bin {
             Some(bin) => bin.clone(),
-            None => own_dir()?,
+            None => program_dir()?,
         };
         let out = &args.out;
         let _ = fs::remove_dir_all(out);
@@ -71,7 +71,7 @@
             args: args.clone(),
             bin,
             leaving: Vec::new(),
-            gone: Vec::new(),
+            removed: Vec::new(),
         };
         fleet.wait_for("platform", |f| f.set_members().is_some())?;
         for i in 0..fleet.plan.workers.len() {
@@ -87,13 +87,13 @@
             fleet.entries.push(entry);
         }
         for name in ["weld", "taipei"] {
-            fleet.apply(&args.templates.join(format!("{name}.yaml")), 0)?;
+            fleet.apply_template(&args.templates.join(format!("{name}.yaml")), 0)?;
         }
         fleet.wait_for("entries", |f| {
             let entries = &f.plan.entries;
             entries
                 .iter()
-                .all(|e| get(e.callers, "/readyz") == Some(200))
+                .all(|e| get(e.caller_addr, "/readyz") == Some(200))
         })?;
         fleet.wait_for("services", |f| f.services_answer())?;
         Ok(fleet)
@@ -115,7 +115,7 @@
         let mut ok = true;
         for e in &self.plan.entries {
             for path in ["/s/weld/qualification/ready", "/s/taipei/booking/ready"] {
-                ok = ok && get(e.callers, path) == Some(200);
+                ok = ok && get(e.caller_addr, path) == Some(200);
             }
         }
         ok
@@ -124,17 +124,17 @@
     /// Starts the worker with this index.
     pub fn start_worker(&self, i: usize) -> Result<ChildProcess, LoadError> {
         let w = &self.plan.workers[i];
-        let gate = self.gate(&w.zone);
+        let gate = self.platform_addr(&w.zone);
         let args = [
             "worker".to_owned(),
             format!("--name={}", w.name),
             format!("--addr={}", w.addr),
-            format!("--target={}", w.target),
+            format!("--target={}", w.target_addr),
             format!("--objects={gate}"),
             format!("--cores={WORKER_CORES}"),
             format!("--memory={WORKER_MEMORY_MIB}"),
             format!("--table-seed={}", self.args.seed),
-            format!("--ledger={}", self.ledger(&w.name).display()),
+            format!("--ledger={}", self.ledger_path(&w.name).display()),
         ];
         self.run("gorsespur-stand", &args, &w.name)
     }
@@ -173,7 +173,7 @@
     }
 
     /// Returns the file of a worker's ledger.
-    pub fn ledger(&self, worker: &str) -> PathBuf {
+    pub fn ledger_path(&self, worker: &str) -> PathBuf {
         self.args
             .out
             .join("ledgers")
@@ -181,20 +181,25 @@
     }
 
     /// Returns the platform's address for a zone.
-    pub fn gate(&self, zone: &str) -> SocketAddr {
+    pub fn platform_addr(&self, zone: &str) -> SocketAddr {
         let i = self.plan.zones.iter().position(|z| z == zone).unwrap_or(0);
-        self.plan.gates[i]
+        self.plan.platform_addrs[i]
     }
 
     /// Applies a template on the version that was edited.
-    pub fn apply(&self, file: &Path, on: u64) -> Result<(), LoadError> {
-        self.apply_at(file, on, &[])
+    pub fn apply_template(&self, file: &Path, on: u64) -> Result<(), LoadError> {
+        self.apply_template_avoiding(file, on, &[])
     }
 
     /// Applies a template through a zone that is not in `cut`.
-    pub fn apply_at(&self, file: &Path, on: u64, cut: &[String]) -> Result<(), LoadError> {
+    pub fn apply_template_avoiding(
+        &self,
+        file: &Path,
+        on: u64,
+        cut: &[String],
+    ) -> Result<(), LoadError> {
         let open = self.plan.zones.iter().position(|z| !cut.contains(z));
-        let gate = self.plan.gates[open.unwrap_or(0)];
+        let gate = self.plan.platform_addrs[open.unwrap_or(0)];
         let program = self.bin.join("gorsespur-ctl");
         let output = Command::new(&program)
             .arg(format!("--table={gate}"))
@@ -219,12 +224,12 @@
                 id: Name::from(&*i.id),
                 role: i.role,
                 zone: Name::from(&*i.zone),
-                addr: i.peer,
+                addr: i.peer_addr,
                 leaving: self.leaving.contains(&i.id),
             });
         }
         for w in &self.plan.workers {
-            if self.gone.contains(&w.name) {
+            if self.removed.contains(&w.name) {
                 continue;
             }
             list.workers.push(WorkerInfo {
@@ -232,25 +237,25 @@
                 zone: Name::from(&*w.zone),
                 rack: Name::from(&*w.rack),
                 addr: w.addr,
-                target: w.target,
+                target: w.target_addr,
                 size: Size::new(WORKER_CORES * 1000, WORKER_MEMORY_MIB << 20, 0),
                 leaving: self.leaving.contains(&w.name),
             });
         }
         let body = encode(&list).ok()?;
-        let answer = Call::new("POST", self.plan.gates[0], "/members/set")
+        let answer = Call::new("POST", self.plan.platform_addrs[0], "/members/set")
             .body(body)
             .send();
         (answer.ok()?.status == 200).then_some(())
     }
 
     /// Sets the platform's faults.
-    pub fn platform_faults(&self, faults: &PlatformFaults) {
-        post_json(self.plan.gates[0], faults);
+    pub fn set_platform_faults(&self, faults: &PlatformFaults) {
+        post_json(self.plan.platform_addrs[0], faults);
     }
 
     /// Sets a worker's faults.
-    pub fn worker_faults(&self, i: usize, faults: &WorkerFaults) {
+    pub fn set_worker_faults(&self, i: usize, faults: &WorkerFaults) {
         post_json(self.plan.workers[i].addr, faults);
     }
 
@@ -258,7 +263,7 @@
     pub fn kill_worker(&mut self, i: usize) -> Result<(), LoadError> {
         self.workers[i].kill();
         let name = self.plan.workers[i].name.clone();
-        let path = self.ledger(&name);
+        let path = self.ledger_path(&name);
         let ledger = Ledger::open(Some(&path)).context(LedgerSnafu)?;
         ledger.add(Entry {
             ms: wall_ms(),
@@ -268,22 +273,22 @@
             attempt: String::new(),
             service: false,
         });
-        self.gone.push(name);
+        self.removed.push(name);
         self.set_members();
         Ok(())
     }
 
     /// Lists a worker as leaving.
-    pub fn leave_worker(&mut self, i: usize) {
+    pub fn mark_leaving(&mut self, i: usize) {
         self.leaving.push(self.plan.workers[i].name.clone());
         self.set_members();
     }
 
     /// Returns the entries of all ledgers.
-    pub fn ledgers(&self) -> Result<Vec<Entry>, LoadError> {
+    pub fn read_ledgers(&self) -> Result<Vec<Entry>, LoadError> {
         let mut out = Vec::new();
         for w in &self.plan.workers {
-            let path = self.ledger(&w.name);
+            let path = self.ledger_path(&w.name);
             if path.exists() {
                 out.extend(Ledger::read(&path).context(LedgerSnafu)?);
             }
@@ -297,10 +302,10 @@
         let all = self.entries.iter_mut().chain(self.scheds.iter_mut());
         let mut all: Vec<&mut ChildProcess> = all.collect();
         for p in &all {
-            p.term();
+            p.terminate();
         }
         for p in &mut all {
-            if p.ended(STOP_TIMEOUT) != Some(true) {
+            if p.wait_for_exit(STOP_TIMEOUT) != Some(true) {
                 bad.push(p.name.clone());
             }
         }
@@ -308,7 +313,7 @@
     }
 }
 
-fn own_dir() -> Result<PathBuf, LoadError> {
+fn program_dir() -> Result<PathBuf, LoadError> {
     let path = std::env::current_exe().context(FileSnafu {
         path: "gorsespur-load",
     })?;
@@ -322,7 +327,7 @@
     seed: u64,
 ) -> Result<ChildProcess, LoadError> {
     let mut args = vec!["platform".to_owned(), format!("--seed={seed}")];
-    for (zone, addr) in plan.zones.iter().zip(&plan.gates) {
+    for (zone, addr) in plan.zones.iter().zip(&plan.platform_addrs) {
         args.push(format!("--gate={zone}={addr}"));
     }
     let log = out.join("logs").join("platform.log");
--- a/crates/load/src/fleet/plan.rs
+++ b/crates/load/src/fleet/plan.rs
@@ -46,8 +46,8 @@
     pub id: String,
     pub role: Role,
     pub zone: String,
-    pub peer: SocketAddr,
-    pub callers: SocketAddr,
+    pub peer_addr: SocketAddr,
+    pub caller_addr: SocketAddr,
 }
 
 /// A worker.
@@ -57,7 +57,7 @@
     pub zone: String,
     pub rack: String,
     pub addr: SocketAddr,
-    pub target: SocketAddr,
+    pub target_addr: SocketAddr,
 }
 
 /// Where everything is.
@@ -66,7 +66,7 @@
     pub zones: Vec<String>,
     pub shards: u32,
     /// Address of the platform for each zone.
-    pub gates: Vec<SocketAddr>,
+    pub platform_addrs: Vec<SocketAddr>,
     pub entries: Vec<InstancePlan>,
     pub scheds: Vec<InstancePlan>,
     pub workers: Vec<WorkerPlan>,
@@ -99,7 +99,7 @@
             .map(|z| (*z).to_owned())
             .collect();
         let mut plan = FleetPlan {
-            gates: Vec::new(),
+            platform_addrs: Vec::new(),
             entries: Vec::new(),
             scheds: Vec::new(),
             workers: Vec::new(),
@@ -107,7 +107,7 @@
             zones: zones.clone(),
         };
         for zone in &zones {
-            plan.gates.push(ports.next()?);
+            plan.platform_addrs.push(ports.next()?);
             for i in 0..size.entries {
                 plan.entries
                     .push(instance(Role::Entry, zone, i, &mut ports)?);
@@ -125,7 +125,7 @@
                 zone: zone.clone(),
                 rack: format!("{zone}-r{}", nth / WORKERS_PER_RACK),
                 addr: ports.next()?,
-                target: ports.next()?,
+                target_addr: ports.next()?,
             });
         }
         Ok(plan)
@@ -146,7 +146,7 @@
         id: format!("{kind}-{zone}-{i}"),
         role,
         zone: zone.to_owned(),
-        peer: ports.next()?,
-        callers: ports.next()?,
+        peer_addr: ports.next()?,
+        caller_addr: ports.next()?,
     })
 }
--- a/crates/load/src/fleet/process.rs
+++ b/crates/load/src/fleet/process.rs
@@ -58,7 +58,7 @@
     }
 
     /// Asks the process to stop.
-    pub fn term(&self) {
+    pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Waits for the end; returns whether it came in time with code 0.
-    pub fn ended(&mut self, limit: Duration) -> Option<bool> {
+    pub fn wait_for_exit(&mut self, limit: Duration) -> Option<bool> {
         let end = Instant::now() + limit;
         loop {
             if let Ok(Some(status)) = self.child.try_wait() {
--- a/crates/load/src/fleet/settings.rs
+++ b/crates/load/src/fleet/settings.rs
@@ -10,7 +10,7 @@
         .zones
         .iter()
         .position(|z| *z == at.zone)
-        .map(|i| plan.gates[i]);
+        .map(|i| plan.platform_addrs[i]);
     let gate = gate.map(|g| g.to_string()).unwrap_or_default();
     let mut out = String::from("instance:\n");
     let mut line = |text: String| {
@@ -18,8 +18,12 @@
     };
     line(format!("id: {}", at.id));
     line(format!("zone: {}", at.zone));
-    line(format!("listen: {}", at.peer));
-    let seeds: Vec<String> = plan.scheds.iter().map(|s| s.peer.to_string()).collect();
+    line(format!("listen: {}", at.peer_addr));
+    let seeds: Vec<String> = plan
+        .scheds
+        .iter()
+        .map(|s| s.peer_addr.to_string())
+        .collect();
     line(format!("seeds: [{}]", seeds.join(", ")));
     line("zones:".to_owned());
     for zone in &plan.zones {
@@ -37,7 +41,7 @@
     format!(
         "{}callers: {}\ndrain_ms: 1000\n",
         common(plan, at),
-        at.callers
+        at.caller_addr
     )
 }
 
--- a/crates/load/src/measure/faults.rs
+++ b/crates/load/src/measure/faults.rs
@@ -19,7 +19,7 @@
     clients::{JobLoad, RequestLoad, user_paths},
     error::{FileSnafu, LoadError},
     fleet::{Fleet, FleetSize},
-    verify::judge,
+    verify::verify,
 };
 
 /// Requests a second.
@@ -43,10 +43,10 @@
 /// Times that were measured, in milliseconds.
 #[derive(Debug, Default)]
 struct FaultTimes {
-    takeover: u64,
-    handover: u64,
-    config: u64,
-    config_cut: u64,
+    takeover_ms: u64,
+    handover_ms: u64,
+    config_ms: u64,
+    config_cut_ms: u64,
 }
 
 /// Runs the schedule and prints the figures.
@@ -54,7 +54,7 @@
     let seconds = args.seconds.max(MIN_SECONDS);
     let mut fleet = Fleet::start(args, &FleetSize::default())?;
     let time = Duration::from_secs(seconds);
-    let entries: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.callers).collect();
+    let entries: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.caller_addr).collect();
     let requests = RequestLoad {
         entries: entries.clone(),
         paths: user_paths(),
@@ -73,7 +73,7 @@
     let (totals, jobs, measured) = thread::scope(|scope| {
         let requests = scope.spawn(|| requests.run());
         let jobs = scope.spawn(|| job_load.submit());
-        let measured = schedule(&mut fleet, args);
+        let measured = run_schedule(&mut fleet, args);
         (requests.join(), jobs.join(), measured)
     });
     let measured = measured?;
@@ -81,10 +81,10 @@
         return Err(LoadError::Broken);
     };
     job_load.cancel_long(&jobs);
-    job_load.watch(&mut jobs, FINISH_TIMEOUT);
+    job_load.wait_for_end(&mut jobs, FINISH_TIMEOUT);
     fleet.stop_instances();
-    let ledger = fleet.ledgers()?;
-    let verdict = judge(&ledger, wall_ms(), &jobs, &totals);
+    let ledger = fleet.read_ledgers()?;
+    let verdict = verify(&ledger, wall_ms(), &jobs, &totals);
     drop(fleet);
     for finding in verdict.findings.iter().take(20) {
         println!("faults: {finding}");
@@ -104,12 +104,12 @@
         verdict.doubled,
         verdict.overcommitted,
         verdict.false_not_run,
-        measured.takeover,
-        measured.handover,
-        measured.config,
-        measured.config_cut,
-        totals.times.ms(0.5),
-        totals.times.ms(0.99),
+        measured.takeover_ms,
+        measured.handover_ms,
+        measured.config_ms,
+        measured.config_cut_ms,
+        totals.latencies.quantile_ms(0.5),
+        totals.latencies.quantile_ms(0.99),
     );
     let broken =
         wrong + verdict.lost + verdict.doubled + verdict.overcommitted + verdict.false_not_run;
@@ -119,59 +119,59 @@
     Ok(())
 }
 
-fn rest(seconds: u64) {
+fn sleep_s(seconds: u64) {
     thread::sleep(Duration::from_secs(seconds));
 }
 
 /// The schedule; about a minute.
-fn schedule(fleet: &mut Fleet, args: &TrialArgs) -> Result<FaultTimes, LoadError> {
+fn run_schedule(fleet: &mut Fleet, args: &TrialArgs) -> Result<FaultTimes, LoadError> {
     let mut out = FaultTimes::default();
     let pick = args.seed as usize;
-    rest(3);
-    out.config = change_config(fleet, args, 1, &[])?;
-    let sched = owner_index(fleet, pick);
+    sleep_s(3);
+    out.config_ms = measure_config_ms(fleet, args, 1, &[])?;
+    let sched = pick_owner(fleet, pick);
     println!("faults: kills {}", fleet.scheds[sched].name);
-    out.takeover = moved_after(fleet, sched, |f| f.scheds[sched].kill());
+    out.takeover_ms = measure_move_ms(fleet, sched, |f| f.scheds[sched].kill());
     fleet.scheds[sched] = fleet.start_sched(sched)?;
-    rest(2);
-    let sched = owner_index(fleet, pick + 1);
+    sleep_s(2);
+    let sched = pick_owner(fleet, pick + 1);
     println!("faults: stops {}", fleet.scheds[sched].name);
-    out.handover = moved_after(fleet, sched, |f| f.scheds[sched].term());
-    fleet.scheds[sched].ended(Duration::from_secs(5));
+    out.handover_ms = measure_move_ms(fleet, sched, |f| f.scheds[sched].terminate());
+    fleet.scheds[sched].wait_for_exit(Duration::from_secs(5));
     fleet.scheds[sched] = fleet.start_sched(sched)?;
-    rest(1);
-    let sched = owner_index(fleet, pick + 2);
+    sleep_s(1);
+    let sched = pick_owner(fleet, pick + 2);
     println!(
         "faults: pauses {} across its lease",
         fleet.scheds[sched].name
     );
     fleet.scheds[sched].pause();
-    rest(8);
+    sleep_s(8);
     fleet.scheds[sched].resume();
     println!("faults: loses answers of the table service");
-    fleet.platform_faults(&PlatformFaults {
+    fleet.set_platform_faults(&PlatformFaults {
         lost_percent: 25,
         ..PlatformFaults::default()
     });
-    rest(4);
+    sleep_s(4);
     println!("faults: table service and object store are down");
-    fleet.platform_faults(&PlatformFaults {
+    fleet.set_platform_faults(&PlatformFaults {
         table_down: true,
         objects_down: true,
         ..PlatformFaults::default()
     });
-    rest(6);
+    sleep_s(6);
     let zone = fleet.plan.zones[pick % fleet.plan.zones.len()].clone();
     println!("faults: {zone} is cut off from the platform");
-    fleet.platform_faults(&PlatformFaults {
+    fleet.set_platform_faults(&PlatformFaults {
         cut: vec![zone.clone()],
         ..PlatformFaults::default()
     });
-    rest(2);
-    out.config_cut = change_config(fleet, args, 2, &[zone])?;
-    rest(4);
-    fleet.platform_faults(&PlatformFaults::default());
-    break_workers(fleet, pick)?;
+    sleep_s(2);
+    out.config_cut_ms = measure_config_ms(fleet, args, 2, &[zone])?;
+    sleep_s(4);
+    fleet.set_platform_faults(&PlatformFaults::default());
+    inject_worker_faults(fleet, pick)?;
     let entry = pick % fleet.entries.len();
     println!("faults: kills {}", fleet.entries[entry].name);
     fleet.entries[entry].kill();
@@ -179,7 +179,7 @@
     Ok(out)
 }
 
-fn break_workers(fleet: &mut Fleet, pick: usize) -> Result<(), LoadError> {
+fn inject_worker_faults(fleet: &mut Fleet, pick: usize) -> Result<(), LoadError> {
     let n = fleet.workers.len();
     let (killed, paused, cut, failing, leaving) = (
         pick * 7 % n,
@@ -191,9 +191,9 @@
     println!("faults: kills {}", fleet.workers[killed].name);
     fleet.kill_worker(killed)?;
     println!("faults: {} leaves", fleet.workers[leaving].name);
-    fleet.leave_worker(leaving);
+    fleet.mark_leaving(leaving);
     println!("faults: {} fails every task", fleet.workers[failing].name);
-    fleet.worker_faults(
+    fleet.set_worker_faults(
         failing,
         &WorkerFaults {
             fail_all: true,
@@ -205,23 +205,23 @@
         fleet.workers[paused].name, fleet.workers[cut].name
     );
     fleet.workers[paused].pause();
-    fleet.worker_faults(
+    fleet.set_worker_faults(
         cut,
         &WorkerFaults {
             cut: true,
             ..WorkerFaults::default()
         },
     );
-    rest(20);
+    sleep_s(20);
     fleet.workers[paused].resume();
-    fleet.worker_faults(cut, &WorkerFaults::default());
-    fleet.worker_faults(failing, &WorkerFaults::default());
+    fleet.set_worker_faults(cut, &WorkerFaults::default());
+    fleet.set_worker_faults(failing, &WorkerFaults::default());
     Ok(())
 }
 
 /// Returns the index of a scheduler that owns a shard.
-fn owner_index(fleet: &Fleet, pick: usize) -> usize {
-    let owners = owners(fleet);
+fn pick_owner(fleet: &Fleet, pick: usize) -> usize {
+    let owners = shard_owners(fleet);
     let Some(owner) = owners.get(pick % owners.len().max(1)) else {
         return 0;
     };
@@ -235,8 +235,8 @@
 }
 
 /// Returns owner, epoch and key of each shard that has an owner.
-fn owners(fleet: &Fleet) -> Vec<(String, u64, Name)> {
-    let table = HttpTable::new(fleet.plan.gates[0], Duration::from_millis(500));
+fn shard_owners(fleet: &Fleet) -> Vec<(String, u64, Name)> {
+    let table = HttpTable::new(fleet.plan.platform_addrs[0], Duration::from_millis(500));
     let rows = table
         .scan(&Name::from("shard/"), None, 100)
         .map(|r| r.0)
@@ -254,9 +254,9 @@
 }
 
 /// Returns the time from `act` until others own the shards of a scheduler.
-fn moved_after(fleet: &mut Fleet, sched: usize, act: impl FnOnce(&mut Fleet)) -> u64 {
+fn measure_move_ms(fleet: &mut Fleet, sched: usize, act: impl FnOnce(&mut Fleet)) -> u64 {
     let id = fleet.plan.scheds[sched].id.clone();
-    let had: Vec<Name> = owners(fleet)
+    let had: Vec<Name> = shard_owners(fleet)
         .into_iter()
         .filter(|o| o.0 == id)
         .map(|o| o.2)
@@ -264,7 +264,7 @@
     let began = Instant::now();
     act(fleet);
     while began.elapsed() < CHANGE_TIMEOUT {
-        let now = owners(fleet);
+        let now = shard_owners(fleet);
         let moved = |key: &Name| now.iter().any(|o| o.2 == *key && o.0 != id);
         if had.iter().all(moved) {
             break;
@@ -276,7 +276,7 @@
 
 /// Applies a change and returns the time until it is in force everywhere; with
 /// `zones`, everywhere in these.
-fn change_config(
+fn measure_config_ms(
     fleet: &Fleet,
     args: &TrialArgs,
     on: u64,
@@ -288,12 +288,12 @@
     let text = text.replace("retry_percent: 10", &format!("retry_percent: {}", 10 + on));
     write(&path, &text)?;
     // The zone that is not cut off has the first gate, or the operator waits.
-    fleet.apply_at(&path, on, zones)?;
+    fleet.apply_template_avoiding(&path, on, zones)?;
     let began = Instant::now();
     while began.elapsed() < CHANGE_TIMEOUT {
         let all = fleet.plan.entries.iter().chain(&fleet.plan.scheds);
         let mut wanted = all.filter(|i| zones.is_empty() || zones.contains(&i.zone));
-        if wanted.all(|i| in_force(i.peer, on + 1)) {
+        if wanted.all(|i| is_in_force(i.peer_addr, on + 1)) {
             break;
         }
         thread::sleep(Duration::from_millis(20));
@@ -305,7 +305,7 @@
     std::fs::write(path, text).context(FileSnafu { path })
 }
 
-fn in_force(addr: SocketAddr, version: u64) -> bool {
+fn is_in_force(addr: SocketAddr, version: u64) -> bool {
     let status: Result<InstanceStatus, _> =
         post(addr, PEER_STATUS, &(), Duration::from_millis(800));
     status.is_ok_and(|s| {
--- a/crates/load/src/measure/interference.rs
+++ b/crates/load/src/measure/interference.rs
@@ -52,10 +52,10 @@
             figures("random", &random),
             figures("mine", &mine),
             figures("told", &best),
-            mine.times.ms(0.99) / base.times.ms(0.99),
+            mine.times.quantile_ms(0.99) / base.times.quantile_ms(0.99),
             mine.work as f64 / base.work as f64,
             mine.evictions as f64 / base.evictions.max(1) as f64,
-            best.times.ms(0.99) / base.times.ms(0.99),
+            best.times.quantile_ms(0.99) / base.times.quantile_ms(0.99),
             best.work as f64 / base.work as f64,
             best.evictions as f64 / base.evictions.max(1) as f64,
         );
@@ -66,8 +66,8 @@
 fn figures(name: &str, r: &PlacementSimResult) -> String {
     format!(
         "{name}_p50_ms={:.2} {name}_p99_ms={:.2} {name}_done={} {name}_work_s={} {name}_evictions={} {name}_urgent_mean_ms={:.0} {name}_urgent_max_ms={}",
-        r.times.ms(0.5),
-        r.times.ms(0.99),
+        r.times.quantile_ms(0.5),
+        r.times.quantile_ms(0.99),
         r.done,
         r.work / 1_000,
         r.evictions,
--- a/crates/load/src/measure/overhead.rs
+++ b/crates/load/src/measure/overhead.rs
@@ -45,7 +45,7 @@
 /// LatencyHistogram of both ways.
 struct PairedLatencies {
     direct: LatencyHistogram,
-    via: LatencyHistogram,
+    via_entry: LatencyHistogram,
     failed: u64,
 }
 
@@ -60,12 +60,12 @@
     };
     let fleet = Fleet::start(args, &size)?;
     let ways = Addresses {
-        entries: fleet.plan.entries.iter().map(|e| e.callers).collect(),
-        targets: fleet.plan.workers.iter().map(|w| w.target).collect(),
+        entries: fleet.plan.entries.iter().map(|e| e.caller_addr).collect(),
+        targets: fleet.plan.workers.iter().map(|w| w.target_addr).collect(),
     };
-    let most = saturate(&ways, args.seed);
+    let most = measure_saturation(&ways, args.seed);
     let rate = most / 2.0;
-    let before = processor_ms(&fleet);
+    let before = entry_cpu_ms(&fleet);
     let began = Instant::now();
     let pair = measure(
         &ways,
@@ -74,27 +74,30 @@
         args.seed,
     );
     let seconds = began.elapsed().as_secs_f64();
-    let used = (processor_ms(&fleet) - before) as f64;
-    let (d50, d99) = (pair.direct.ms(0.5), pair.direct.ms(0.99));
-    let (v50, v99) = (pair.via.ms(0.5), pair.via.ms(0.99));
+    let used = (entry_cpu_ms(&fleet) - before) as f64;
+    let (d50, d99) = (pair.direct.quantile_ms(0.5), pair.direct.quantile_ms(0.99));
+    let (v50, v99) = (
+        pair.via_entry.quantile_ms(0.5),
+        pair.via_entry.quantile_ms(0.99),
+    );
     println!(
         "overhead: max_rps={most:.0} rate_rps={rate:.0} requests={} failed={} direct_p50_ms={d50:.3} via_p50_ms={v50:.3} added_p50_ms={:.3} direct_p99_ms={d99:.3} via_p99_ms={v99:.3} added_p99_ms={:.3} entry_cpu_us_per_request={:.0} entry_cores={:.3}",
-        pair.via.len(),
+        pair.via_entry.len(),
         pair.failed,
         v50 - d50,
         v99 - d99,
-        used * 1000.0 / pair.via.len().max(1) as f64,
+        used * 1000.0 / pair.via_entry.len().max(1) as f64,
         used / 1000.0 / seconds,
     );
     Ok(())
 }
 
-fn processor_ms(fleet: &Fleet) -> u64 {
+fn entry_cpu_ms(fleet: &Fleet) -> u64 {
     let used = fleet.entries.iter().filter_map(|e| e.usage());
     used.map(|u| u.1).sum()
 }
 
-fn get(addr: SocketAddr, id: &str) -> bool {
+fn send_get(addr: SocketAddr, id: &str) -> bool {
     let call = Call::new("GET", addr, REQUEST_PATH)
         .header(REQUEST_ID, id)
         .header("x-repeatable", "yes");
@@ -104,7 +107,7 @@
 }
 
 /// Returns the requests a second that closed-loop callers reach.
-fn saturate(ways: &Addresses, seed: u64) -> f64 {
+fn measure_saturation(ways: &Addresses, seed: u64) -> f64 {
     let mut count = 0;
     thread::scope(|scope| {
         let mut threads = Vec::new();
@@ -114,7 +117,7 @@
                 let mut n = 0;
                 while Instant::now() < end {
                     let entry = ways.entries[(t + n) % ways.entries.len()];
-                    get(entry, &format!("p{seed}-{t}-{n}"));
+                    send_get(entry, &format!("p{seed}-{t}-{n}"));
                     n += 1;
                 }
                 n
@@ -130,7 +133,7 @@
 fn measure(ways: &Addresses, rate: f64, time: Duration, seed: u64) -> PairedLatencies {
     let mut all = PairedLatencies {
         direct: LatencyHistogram::new(),
-        via: LatencyHistogram::new(),
+        via_entry: LatencyHistogram::new(),
         failed: 0,
     };
     thread::scope(|scope| {
@@ -141,7 +144,7 @@
         for t in threads {
             let Ok(part) = t.join() else { continue };
             all.direct.merge(&part.direct);
-            all.via.merge(&part.via);
+            all.via_entry.merge(&part.via_entry);
             all.failed += part.failed;
         }
     });
@@ -158,7 +161,7 @@
     let mut rng = SmallRng::seed_from_u64(seed * 1_000 + t as u64);
     let mut pair = PairedLatencies {
         direct: LatencyHistogram::new(),
-        via: LatencyHistogram::new(),
+        via_entry: LatencyHistogram::new(),
         failed: 0,
     };
     let start = Instant::now();
@@ -183,7 +186,7 @@
         for direct in order {
             let addr = if direct { target } else { entry };
             let began = Instant::now();
-            if !get(addr, &id) {
+            if !send_get(addr, &id) {
                 pair.failed += 1;
                 continue;
             }
@@ -191,9 +194,9 @@
             let times = if direct {
                 &mut pair.direct
             } else {
-                &mut pair.via
+                &mut pair.via_entry
             };
-            times.add(us);
+            times.record(us);
         }
     }
 }
--- a/crates/load/src/measure/overload.rs
+++ b/crates/load/src/measure/overload.rs
@@ -47,11 +47,11 @@
         r.goodput,
         r.tries as f64 / r.requests.max(1) as f64,
         r.repeatable_ok as f64 / r.repeatable.max(1) as f64,
-        r.urgent.ms(0.5),
-        r.urgent.ms(0.99),
-        r.all.ms(0.99),
+        r.urgent.quantile_ms(0.5),
+        r.urgent.quantile_ms(0.99),
+        r.all.quantile_ms(0.99),
         r.refused,
         r.late,
-        r.refused_wait.ms(0.99),
+        r.refused_wait.quantile_ms(0.99),
     );
 }
--- a/crates/load/src/measure/overload_sim.rs
+++ b/crates/load/src/measure/overload_sim.rs
@@ -367,7 +367,7 @@
         let o = self.open[entry].remove(i);
         if self.counted(o.at) && !o.settled {
             self.result.refused += 1;
-            self.result.refused_wait.add((self.now - o.at) * 1_000);
+            self.result.refused_wait.record((self.now - o.at) * 1_000);
         }
     }
 
@@ -463,9 +463,9 @@
         self.result.answered += 1;
         self.result.late += u64::from(time > DEADLINE_MS);
         self.result.repeatable_ok += u64::from(o.repeatable && time <= DEADLINE_MS);
-        self.result.all.add(time * 1_000);
+        self.result.all.record(time * 1_000);
         if o.urgent {
-            self.result.urgent.add(time * 1_000);
+            self.result.urgent.record(time * 1_000);
         }
     }
 }
--- a/crates/load/src/measure/placement_sim.rs
+++ b/crates/load/src/measure/placement_sim.rs
@@ -409,7 +409,7 @@
             let unit: f64 = self.load_rng.random_range(1e-9..1.0);
             let us =
                 BASE_LATENCY_US * (0.5 + 0.5 * (-unit.ln()).min(6.0)) * w.service_slowdown(SERVICE);
-            self.result.times.add(us as u64);
+            self.result.times.record(us as u64);
         }
     }
 }
--- a/crates/load/src/slopes/processes.rs
+++ b/crates/load/src/slopes/processes.rs
@@ -63,7 +63,7 @@
         shards: 1,
     };
     let fleet = Fleet::start(args, &size)?;
-    let addrs: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.callers).collect();
+    let addrs: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.caller_addr).collect();
     let used = |fleet: &Fleet| -> (u64, u64) {
         let all: Vec<(u64, u64)> = fleet.entries.iter().filter_map(|e| e.usage()).collect();
         (
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -9,7 +9,7 @@
     clients::{JobLoad, RequestLoad, user_paths},
     error::LoadError,
     fleet::{Fleet, FleetSize},
-    verify::judge,
+    verify::verify,
 };
 
 /// Requests a second.
@@ -41,7 +41,7 @@
         fleet.plan.workers.len() + 19
     );
     let time = Duration::from_secs(args.seconds);
-    let entries: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.callers).collect();
+    let entries: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.caller_addr).collect();
     let requests = RequestLoad {
         entries: entries.clone(),
         paths: user_paths(),
@@ -74,15 +74,15 @@
         return Err(LoadError::Broken);
     };
     job_load.cancel_long(jobs);
-    job_load.watch(jobs, FINISH_TIMEOUT);
-    let memory = report_memory(&fleet);
+    job_load.wait_for_end(jobs, FINISH_TIMEOUT);
+    let memory = check_memory(&fleet);
     let killed = fleet.scheds[args.seed as usize % fleet.scheds.len()]
         .name
         .clone();
     let mut stuck = fleet.stop_instances();
     stuck.retain(|name| *name != killed);
-    let ledger = fleet.ledgers()?;
-    let verdict = judge(&ledger, wall_ms(), jobs, &totals);
+    let ledger = fleet.read_ledgers()?;
+    let verdict = verify(&ledger, wall_ms(), jobs, &totals);
     drop(fleet);
     for finding in verdict.findings.iter().take(20) {
         println!("trial: {finding}");
@@ -104,8 +104,8 @@
         verdict.lost,
         verdict.doubled,
         verdict.overcommitted,
-        totals.times.ms(0.5),
-        totals.times.ms(0.99),
+        totals.latencies.quantile_ms(0.5),
+        totals.latencies.quantile_ms(0.99),
     );
     let broken = wrong + verdict.lost + verdict.doubled + verdict.overcommitted;
     if broken > 0 || !stuck.is_empty() {
@@ -115,7 +115,7 @@
 }
 
 /// Returns the largest memory of an entry or a scheduler in KiB.
-fn report_memory(fleet: &Fleet) -> u64 {
+fn check_memory(fleet: &Fleet) -> u64 {
     let mut most = 0;
     for p in fleet.entries.iter().chain(&fleet.scheds) {
         let Some((rss, _)) = p.usage() else { continue };
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -39,10 +39,10 @@
 }
 
 /// Judges a run that ended at `end` milliseconds since the Unix epoch.
-pub(crate) fn judge(ledger: &[Entry], end: u64, jobs: &JobResult, req: &RequestTotals) -> Verdict {
+pub(crate) fn verify(ledger: &[Entry], end: u64, jobs: &JobResult, req: &RequestTotals) -> Verdict {
     let mut verdict = Verdict::default();
-    let runs = runs(ledger, end);
-    find_doubles(&runs, &mut verdict);
+    let runs = pair_runs(ledger, end);
+    find_doubled(&runs, &mut verdict);
     for e in ledger {
         if e.what == What::NoRoom {
             verdict.overcommitted += 1;
@@ -52,12 +52,12 @@
         }
     }
     find_lost(&runs, jobs, &mut verdict);
-    find_requests(ledger, req, &mut verdict);
+    check_requests(ledger, req, &mut verdict);
     verdict
 }
 
 /// Pairs starts with ends; a kill ends everything on its worker.
-fn runs(ledger: &[Entry], end: u64) -> Vec<Run> {
+fn pair_runs(ledger: &[Entry], end: u64) -> Vec<Run> {
     let mut out: Vec<Run> = Vec::new();
     let mut open: Vec<Run> = Vec::new();
     for e in ledger {
@@ -106,7 +106,7 @@
     out
 }
 
-fn find_doubles(runs: &[Run], verdict: &mut Verdict) {
+fn find_doubled(runs: &[Run], verdict: &mut Verdict) {
     for (i, a) in runs.iter().enumerate() {
         for b in &runs[i + 1..] {
             if b.name != a.name {
@@ -148,7 +148,7 @@
     }
 }
 
-fn find_requests(ledger: &[Entry], req: &RequestTotals, verdict: &mut Verdict) {
+fn check_requests(ledger: &[Entry], req: &RequestTotals, verdict: &mut Verdict) {
     let mut ran: Vec<&str> = Vec::new();
     for e in ledger {
         if e.what == What::Request {
