--- a/crates/load/src/capacity/mod.rs
+++ b/crates/load/src/capacity/mod.rs
@@ -7,11 +7,11 @@
 
 use rows::rows;
 
-use crate::{error::LoadError, slopes::read_figures};
+use crate::{error::LoadError, slopes::read_fits};
 
 /// Reads the slopes that a run printed and prints the table.
 pub(crate) fn run(from: &Path) -> Result<(), LoadError> {
-    let figures = read_figures(from)?;
+    let figures = read_fits(from)?;
     println!("| quantity | sum | result | budget |");
     println!("|---|---|---|---|");
     for row in rows(&figures)? {
--- a/crates/load/src/capacity/rows.rs
+++ b/crates/load/src/capacity/rows.rs
@@ -14,12 +14,12 @@
 
 /// Slopes by name.
 struct Slopes<'a> {
-    figures: &'a [LinearFit],
+    fits: &'a [LinearFit],
 }
 
 impl Slopes<'_> {
     fn get(&self, name: &'static str) -> Result<&LinearFit, LoadError> {
-        let found = self.figures.iter().find(|f| f.name == name);
+        let found = self.fits.iter().find(|f| f.name == name);
         found.ok_or(LoadError::Usage {
             flag: "--from",
             message: format!("has no slope {name}"),
@@ -48,7 +48,7 @@
 
 /// Works every row out.
 pub(crate) fn rows(figures: &[LinearFit]) -> Result<Vec<Row>, LoadError> {
-    let s = Slopes { figures };
+    let s = Slopes { fits: figures };
     let workers = scale::WORKERS / scale::ZONES;
     let tasks = scale::TASKS / scale::ZONES;
     let shards = (workers / scale::WORKERS_PER_SHARD).ceil();
@@ -75,10 +75,10 @@
     let scheds = schedulers(&s, workers, tasks, shards, &mut out)?;
     memory(&s, workers, tasks, shards, &mut out)?;
     membership(&s, scheds, &mut out)?;
-    table(&s, shards, scheds, &mut out)?;
-    changes(&s, scheds, &mut out)?;
+    table_service(&s, shards, scheds, &mut out)?;
+    config_changes(&s, scheds, &mut out)?;
     entries(&s, &mut out)?;
-    events(&s, workers, tasks, shards, &mut out)?;
+    failures(&s, workers, tasks, shards, &mut out)?;
     Ok(out)
 }
 
@@ -114,7 +114,7 @@
     let starts = scale::STARTS_PER_SECOND / scale::ZONES;
     let place = s
         .get("placement_cpu_by_workers")?
-        .at(scale::WORKERS_PER_SHARD);
+        .value_at(scale::WORKERS_PER_SHARD);
     let journal = s.get("journal_cpu_by_transitions")?.slope;
     let busy = starts * (place + scale::RECORDS_PER_START * journal);
     out.push(row(
@@ -139,7 +139,7 @@
         verdict(idle + total / by_time, scale::NODE_CPU_US, "us/s each"),
     ));
     let per_worker = tasks / workers;
-    let bytes = s.get("exchange_bytes_by_tasks")?.at(per_worker) + scale::HTTP_OVERHEAD_BYTES;
+    let bytes = s.get("exchange_bytes_by_tasks")?.value_at(per_worker) + scale::HTTP_OVERHEAD_BYTES;
     let traffic = workers * scale::EXCHANGES_PER_SECOND * bytes;
     out.push(row(
         "bytes of an exchange",
@@ -202,8 +202,10 @@
 
 fn membership(s: &Slopes<'_>, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
     let zone = scheds + scale::ENTRIES_PER_ZONE;
-    let beat =
-        s.get("heartbeat_bytes_by_peers")?.at(zone * scale::ZONES) + scale::DATAGRAM_OVERHEAD_BYTES;
+    let beat = s
+        .get("heartbeat_bytes_by_peers")?
+        .value_at(zone * scale::ZONES)
+        + scale::DATAGRAM_OVERHEAD_BYTES;
     let to = zone - 1.0 + scale::CONTACTS_PER_ZONE * (scale::ZONES - 1.0);
     let sent = scale::HEARTBEATS_PER_SECOND * to * beat;
     out.push(row(
@@ -227,7 +229,9 @@
         format!("{sent:.0} B/s"),
         verdict(sent, scale::NODE_TRAFFIC_BYTES, "B/s"),
     ));
-    let us = s.get("heartbeat_cpu_by_peers")?.at(zone * scale::ZONES)
+    let us = s
+        .get("heartbeat_cpu_by_peers")?
+        .value_at(zone * scale::ZONES)
         * scale::HEARTBEATS_PER_SECOND
         * to;
     out.push(row(
@@ -243,7 +247,12 @@
     Ok(())
 }
 
-fn table(s: &Slopes<'_>, shards: f64, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
+fn table_service(
+    s: &Slopes<'_>,
+    shards: f64,
+    scheds: f64,
+    out: &mut Vec<Row>,
+) -> Result<(), LoadError> {
     let all = shards * scale::ZONES;
     let commits = all / scale::COMMIT_INTERVAL_S;
     let others = 2.0 * scale::JOBS_PER_DAY / scale::SECONDS_PER_DAY
@@ -260,7 +269,7 @@
         verdict(commits + others, scale::WRITES_PER_SECOND, "/s"),
     ));
     let records = scale::STARTS_PER_SECOND * scale::RECORDS_PER_START / commits;
-    let bytes = s.get("journal_bytes_by_transitions")?.at(records);
+    let bytes = s.get("journal_bytes_by_transitions")?.value_at(records);
     out.push(row(
         "transitions and bytes of a write",
         format!(
@@ -300,10 +309,10 @@
     Ok(())
 }
 
-fn changes(s: &Slopes<'_>, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
+fn config_changes(s: &Slopes<'_>, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
     let rate = scale::CHANGES_PER_DAY / scale::SECONDS_PER_DAY;
-    let bytes = s.get("config_bytes_by_kinds")?.at(scale::JOB_KINDS);
-    let us = s.get("config_cpu_by_kinds")?.at(scale::JOB_KINDS);
+    let bytes = s.get("config_bytes_by_kinds")?.value_at(scale::JOB_KINDS);
+    let us = s.get("config_cpu_by_kinds")?.value_at(scale::JOB_KINDS);
     let sent = rate * bytes * (scheds + scale::ENTRIES_PER_ZONE - 1.0);
     out.push(row(
         "changes handed on by the instance that polls",
@@ -363,7 +372,7 @@
 }
 
 /// What failures add.
-fn events(
+fn failures(
     s: &Slopes<'_>,
     workers: f64,
     tasks: f64,
@@ -386,7 +395,7 @@
     let each = tasks / workers;
     let place = s
         .get("placement_cpu_by_workers")?
-        .at(scale::WORKERS_PER_SHARD);
+        .value_at(scale::WORKERS_PER_SHARD);
     let lost = scale::WORKERS_PER_RACK * each;
     out.push(row(
         "a lost rack",
--- a/crates/load/src/clients/requests.rs
+++ b/crates/load/src/clients/requests.rs
@@ -37,7 +37,7 @@
     pub unknown: u64,
     pub latencies: LatencyHistogram,
     /// Requests that may run once only.
-    pub once: Vec<CallerOutcome>,
+    pub non_idempotent: Vec<CallerOutcome>,
 }
 
 impl RequestTotals {
@@ -49,7 +49,7 @@
             not_run: 0,
             unknown: 0,
             latencies: LatencyHistogram::new(),
-            once: Vec::new(),
+            non_idempotent: Vec::new(),
         }
     }
 
@@ -60,7 +60,7 @@
         self.not_run += other.not_run;
         self.unknown += other.unknown;
         self.latencies.merge(&other.latencies);
-        self.once.extend(other.once);
+        self.non_idempotent.extend(other.non_idempotent);
     }
 }
 
@@ -120,11 +120,11 @@
             thread::sleep(at.saturating_duration_since(Instant::now()));
             n += 1;
             let id = format!("r{}-{thread}-{n}", self.seed);
-            self.one(&id, at, &mut rng, &mut totals);
+            self.run_request(&id, at, &mut rng, &mut totals);
         }
     }
 
-    fn one(&self, id: &str, at: Instant, rng: &mut SmallRng, totals: &mut RequestTotals) {
+    fn run_request(&self, id: &str, at: Instant, rng: &mut SmallRng, totals: &mut RequestTotals) {
         let once = rng.random_bool(self.once);
         let keyed = once && rng.random_bool(0.3);
         let path = &self.paths[rng.random_range(0..self.paths.len())];
@@ -143,7 +143,7 @@
             let entry = self.entries[rng.random_range(0..self.entries.len())];
             let answer = send(entry, path, id, once, keyed, body.clone());
             told.sends += 1;
-            told.outcome = self.judge(id, path, &body, answer, totals);
+            told.outcome = self.check_answer(id, path, &body, answer, totals);
             let again = keyed && told.outcome.is_none();
             if !again {
                 break;
@@ -156,12 +156,12 @@
             Some(Outcome::Unknown) | None => totals.unknown += 1,
         }
         if once {
-            totals.once.push(told);
+            totals.non_idempotent.push(told);
         }
     }
 
     /// Checks an answer; nothing if there was none.
-    fn judge(
+    fn check_answer(
         &self,
         id: &str,
         path: &str,
--- a/crates/load/src/measure/membership.rs
+++ b/crates/load/src/measure/membership.rs
@@ -12,7 +12,7 @@
 use gorsespur_wire::codec::encode;
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 
-use crate::{args::MembershipArgs, error::LoadError, slopes::beat};
+use crate::{args::MembershipArgs, error::LoadError, slopes::heartbeat};
 
 /// Time of a round of both, in milliseconds.
 const ROUND_MS: u64 = 500;
@@ -35,7 +35,7 @@
 
 /// What came out.
 struct ViewCosts {
-    bytes: f64,
+    sent_bytes: f64,
     entries: f64,
     learn_s: f64,
     forget_s: f64,
@@ -43,13 +43,13 @@
 
 /// Measures and prints both at the given size.
 pub(crate) fn run(args: &MembershipArgs) -> Result<(), LoadError> {
-    let each = encode(&beat(1, 1)).unwrap_or_default().len() as f64;
-    let full = full(args, each);
-    let partial = partial(args, each);
+    let each = encode(&heartbeat(1, 1)).unwrap_or_default().len() as f64;
+    let full = full_membership(args, each);
+    let partial = partial_views(args, each);
     for (name, m) in [("full", full), ("partial", partial)] {
         println!(
             "membership: views={name} instances={} zones={} heartbeat_bytes={each:.0} sent_bytes_per_s={:.0} entries={:.0} learn_s={:.2} forget_s={:.2}",
-            args.instances, args.zones, m.bytes, m.entries, m.learn_s, m.forget_s
+            args.instances, args.zones, m.sent_bytes, m.entries, m.learn_s, m.forget_s
         );
     }
     Ok(())
@@ -57,13 +57,13 @@
 
 /// Everyone in the zone is told directly: one round to learn, the time limit
 /// to forget.
-fn full(args: &MembershipArgs, each: f64) -> ViewCosts {
+fn full_membership(args: &MembershipArgs, each: f64) -> ViewCosts {
     let zone = args.instances.div_ceil(args.zones);
     let settings = MemberSettings::default();
     let sent = (zone - 1) + settings.contacts_per_zone * (args.zones - 1);
     let rounds = 1000.0 / settings.heartbeat_interval as f64;
     ViewCosts {
-        bytes: sent as f64 * (each + DATAGRAM_OVERHEAD_BYTES) * rounds,
+        sent_bytes: sent as f64 * (each + DATAGRAM_OVERHEAD_BYTES) * rounds,
         entries: args.instances as f64,
         learn_s: settings.heartbeat_interval as f64 / 1000.0,
         forget_s: (settings.dead_after + settings.heartbeat_interval) as f64 / 1000.0,
@@ -73,12 +73,12 @@
 struct GossipNode {
     group: usize,
     /// Latest heartbeat count heard of each member of the group, and when.
-    heard: Vec<Option<(u64, u64)>>,
+    heartbeats: Vec<Option<(u64, u64)>>,
     contacts: Vec<Vec<usize>>,
 }
 
 /// Gossip within groups, simulated round by round.
-fn partial(args: &MembershipArgs, each: f64) -> ViewCosts {
+fn partial_views(args: &MembershipArgs, each: f64) -> ViewCosts {
     let n = args.instances;
     let groups = (n as f64).sqrt().round().max(1.0) as usize;
     let mut rng = SmallRng::seed_from_u64(args.seed);
@@ -99,7 +99,7 @@
         }
         nodes.push(GossipNode {
             group,
-            heard: vec![Some((1, 1)); members[group].len()],
+            heartbeats: vec![Some((1, 1)); members[group].len()],
             contacts,
         });
     }
@@ -110,16 +110,16 @@
         .position(|i| *i == newcomer)
         .unwrap_or(0);
     for i in &members[home] {
-        nodes[*i].heard[place] = None;
+        nodes[*i].heartbeats[place] = None;
     }
-    let learn = spread(&mut nodes, &members, &mut rng, newcomer, home, place);
+    let learn = rounds_to_learn(&mut nodes, &members, &mut rng, newcomer, home, place);
     // The time limit that is safe: the longest gap between news of a live
     // member at any node, as measured, with half as much again.
     let gap = longest_gap(&mut nodes, &members, &mut rng);
     let targets = GROUP_TARGETS + CONTACT_TARGETS;
     let message = each * ENTRIES_PER_MESSAGE as f64 + DATAGRAM_OVERHEAD_BYTES;
     ViewCosts {
-        bytes: targets as f64 * message * 1000.0 / ROUND_MS as f64,
+        sent_bytes: targets as f64 * message * 1000.0 / ROUND_MS as f64,
         entries: (members[home].len() + CONTACTS_PER_GROUP * (groups - 1)) as f64,
         learn_s: learn as f64 * ROUND_MS as f64 / 1000.0,
         forget_s: gap as f64 * 1.5 * ROUND_MS as f64 / 1000.0,
@@ -127,14 +127,14 @@
 }
 
 /// Lets each node gossip once.
-fn round(nodes: &mut [GossipNode], members: &[Vec<usize>], rng: &mut SmallRng, now: u64) {
+fn gossip_round(nodes: &mut [GossipNode], members: &[Vec<usize>], rng: &mut SmallRng, now: u64) {
     let mut messages = Vec::new();
     for (i, node) in nodes.iter_mut().enumerate() {
         let group = node.group;
         let mine = members[group].iter().position(|m| *m == i).unwrap_or(0);
-        node.heard[mine] = Some((now, now));
+        node.heartbeats[mine] = Some((now, now));
         let known: Vec<usize> = (0..members[group].len())
-            .filter(|p| node.heard[*p].is_some())
+            .filter(|p| node.heartbeats[*p].is_some())
             .collect();
         for _ in 0..GROUP_TARGETS {
             let Some(to) = known.choose(rng).map(|p| members[group][*p]) else {
@@ -143,7 +143,7 @@
             let mut entries: Vec<(usize, u64)> = Vec::new();
             entries.push((mine, now));
             for p in known.choose_multiple(rng, ENTRIES_PER_MESSAGE - 1) {
-                entries.push((*p, node.heard[*p].map_or(0, |h| h.0)));
+                entries.push((*p, node.heartbeats[*p].map_or(0, |h| h.0)));
             }
             messages.push((to, entries));
         }
@@ -154,15 +154,15 @@
     }
     for (to, entries) in messages {
         for (p, count) in entries {
-            let old = nodes[to].heard[p];
+            let old = nodes[to].heartbeats[p];
             if old.is_none_or(|o| count > o.0) {
-                nodes[to].heard[p] = Some((count, now));
+                nodes[to].heartbeats[p] = Some((count, now));
             }
         }
     }
 }
 
-fn spread(
+fn rounds_to_learn(
     nodes: &mut [GossipNode],
     members: &[Vec<usize>],
     rng: &mut SmallRng,
@@ -172,13 +172,13 @@
 ) -> u64 {
     let introducer = members[home].iter().find(|m| **m != newcomer).copied();
     if let Some(i) = introducer {
-        nodes[i].heard[place] = Some((1, 1));
+        nodes[i].heartbeats[place] = Some((1, 1));
     }
     for now in 2..MAX_ROUNDS {
-        round(nodes, members, rng, now);
+        gossip_round(nodes, members, rng, now);
         if members[home]
             .iter()
-            .all(|m| nodes[*m].heard[place].is_some())
+            .all(|m| nodes[*m].heartbeats[place].is_some())
         {
             return now - 1;
         }
@@ -192,12 +192,12 @@
     let mut longest = 0;
     let start = 10_000;
     for now in start..start + 400 {
-        round(nodes, members, rng, now);
+        gossip_round(nodes, members, rng, now);
         if now < start + 100 {
             continue;
         }
         for node in nodes.iter() {
-            for heard in node.heard.iter().flatten() {
+            for heard in node.heartbeats.iter().flatten() {
                 longest = longest.max(now - heard.1);
             }
         }
--- a/crates/load/src/measure/overload.rs
+++ b/crates/load/src/measure/overload.rs
@@ -33,13 +33,13 @@
                 seed: args.seed,
                 time: args.seconds * 1_000,
             };
-            print(name, case, &run.run());
+            print_result(name, case, &run.run());
         }
     }
     Ok(())
 }
 
-fn print(policy: &str, case: &str, r: &OverloadResult) {
+fn print_result(policy: &str, case: &str, r: &OverloadResult) {
     println!(
         "overload: policy={policy} case={case} requests={} answered={} goodput={:.3} tries_per_request={:.3} repeatable_ok={:.4} urgent_p50_ms={:.1} urgent_p99_ms={:.1} all_p99_ms={:.1} refused={} late={} refused_wait_p99_ms={:.1}",
         r.requests,
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -46,17 +46,17 @@
 pub(crate) fn run(args: &SeedArgs) -> Result<(), LoadError> {
     for policy in [PlacementPolicy::LeastLoaded, PlacementPolicy::Interference] {
         for workers in WORKER_COUNTS {
-            place(policy, workers, args.seed);
+            measure_placement(policy, workers, args.seed);
         }
     }
-    journal();
-    recovery(args.seed);
-    cancel(args.seed);
+    measure_journal();
+    measure_recovery(args.seed);
+    measure_cancel(args.seed);
     Ok(())
 }
 
 /// Returns a machine whose workers all answered.
-pub(crate) fn machine(policy: PlacementPolicy, workers: usize, seed: u64) -> ShardScheduler {
+pub(crate) fn scheduler(policy: PlacementPolicy, workers: usize, seed: u64) -> ShardScheduler {
     let place = ShardId {
         name: "shard".into(),
         index: 0,
@@ -91,12 +91,12 @@
     }
     let counts = vec![workers as u32];
     machine.step(START_MS, &Event::Workers { list, counts });
-    answer_all(&mut machine, START_MS + 1);
+    answer_exchanges(&mut machine, START_MS + 1);
     machine
 }
 
 /// Lets every worker answer that it runs what it should.
-fn answer_all(machine: &mut ShardScheduler, now: Millis) {
+fn answer_exchanges(machine: &mut ShardScheduler, now: Millis) {
     let upto = machine.next_record();
     machine.step(now, &Event::Committed(upto));
     let mut answers = Vec::new();
@@ -124,7 +124,7 @@
 }
 
 /// Returns a job of `tasks` small tasks.
-pub(crate) fn spec(id: &str, kind: usize, tasks: u32) -> JobSpec {
+pub(crate) fn job_spec(id: &str, kind: usize, tasks: u32) -> JobSpec {
     JobSpec {
         key: JobKey {
             org: "org0".into(),
@@ -142,13 +142,13 @@
     }
 }
 
-fn place(policy: PlacementPolicy, workers: usize, seed: u64) {
-    let mut machine = machine(policy, workers, seed);
+fn measure_placement(policy: PlacementPolicy, workers: usize, seed: u64) {
+    let mut machine = scheduler(policy, workers, seed);
     let running = (workers as f64 * TASKS_PER_WORKER) as u32;
-    fill(&mut machine, running, 0);
+    place_tasks(&mut machine, running, 0);
     let more = TIMED_PLACEMENTS.min(workers as u32 * 8);
     let began = Instant::now();
-    let started = fill(&mut machine, more, 1_000_000);
+    let started = place_tasks(&mut machine, more, 1_000_000);
     let seconds = began.elapsed().as_secs_f64();
     println!(
         "starts: policy={policy:?} workers={workers} running={running} placed={started} per_second={:.0} us_each={:.2}",
@@ -158,10 +158,14 @@
 }
 
 /// Submits tasks and places them; returns how many were started.
-pub(crate) fn fill(machine: &mut ShardScheduler, tasks: u32, first: usize) -> u64 {
+pub(crate) fn place_tasks(machine: &mut ShardScheduler, tasks: u32, first: usize) -> u64 {
     let mut specs = Vec::new();
     for i in 0..tasks.div_ceil(10) {
-        specs.push(spec(&format!("job{}", first + i as usize), i as usize, 10));
+        specs.push(job_spec(
+            &format!("job{}", first + i as usize),
+            i as usize,
+            10,
+        ));
     }
     let mut started = 0;
     let mut count = |actions: Vec<Action>| {
@@ -201,7 +205,7 @@
     }
 }
 
-fn journal() {
+fn measure_journal() {
     let row = journal_row(JOURNAL_RECORDS as u32);
     let began = Instant::now();
     let bytes = encode(&row).unwrap_or_default();
@@ -215,11 +219,11 @@
 }
 
 /// A wave of cancellations of queued jobs.
-fn cancel(seed: u64) {
-    let mut machine = machine(PlacementPolicy::Interference, 1, seed);
+fn measure_cancel(seed: u64) {
+    let mut machine = scheduler(PlacementPolicy::Interference, 1, seed);
     let mut specs = Vec::new();
     for i in 0..CANCELLED_JOBS {
-        specs.push(spec(&format!("job{i}"), i, 1));
+        specs.push(job_spec(&format!("job{i}"), i, 1));
     }
     let keys = specs.iter().map(|s| s.key.clone()).collect();
     machine.step(START_MS + 2, &Event::Submit(specs));
@@ -235,9 +239,9 @@
     println!("starts: cancelled={CANCELLED_JOBS} records={records} ms={ms:.1}");
 }
 
-fn recovery(seed: u64) {
-    let mut machine = machine(PlacementPolicy::Interference, RECOVERY_WORKERS, seed);
-    fill(
+fn measure_recovery(seed: u64) {
+    let mut machine = scheduler(PlacementPolicy::Interference, RECOVERY_WORKERS, seed);
+    place_tasks(
         &mut machine,
         (RECOVERY_WORKERS as f64 * TASKS_PER_WORKER) as u32,
         0,
--- a/crates/load/src/slopes/linear_fit.rs
+++ b/crates/load/src/slopes/linear_fit.rs
@@ -14,7 +14,7 @@
     pub slope: f64,
     pub intercept: f64,
     /// Root mean square error as a share of the mean.
-    pub error: f64,
+    pub rms_error: f64,
     /// Sizes and values.
     pub points: Vec<(f64, f64)>,
 }
@@ -43,13 +43,13 @@
             unit: unit.to_owned(),
             slope,
             intercept,
-            error,
+            rms_error: error,
             points,
         }
     }
 
     /// Returns the value of the line at `x`.
-    pub fn at(&self, x: f64) -> f64 {
+    pub fn value_at(&self, x: f64) -> f64 {
         self.slope * x + self.intercept
     }
 
@@ -66,7 +66,7 @@
             self.unit,
             self.slope,
             self.intercept,
-            self.error,
+            self.rms_error,
             points.join(",")
         );
     }
@@ -82,14 +82,14 @@
             unit: get("unit")?.to_owned(),
             slope: get("slope")?.parse().ok()?,
             intercept: get("intercept")?.parse().ok()?,
-            error: get("error")?.parse().ok()?,
+            rms_error: get("error")?.parse().ok()?,
             points: Vec::new(),
         })
     }
 }
 
 /// Reads the lines that a run printed.
-pub(crate) fn read_figures(path: &Path) -> Result<Vec<LinearFit>, LoadError> {
+pub(crate) fn read_fits(path: &Path) -> Result<Vec<LinearFit>, LoadError> {
     let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
     Ok(text.lines().filter_map(LinearFit::parse).collect())
 }
--- a/crates/load/src/slopes/memory.rs
+++ b/crates/load/src/slopes/memory.rs
@@ -22,7 +22,7 @@
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
 /// Measures what `make` keeps at each size.
-fn grow<T>(name: &str, sizes: &[usize], mut make: impl FnMut(usize) -> T) -> LinearFit {
+fn fit_memory<T>(name: &str, sizes: &[usize], mut make: impl FnMut(usize) -> T) -> LinearFit {
     let mut points = Vec::new();
     for size in sizes {
         let before = ALLOCATOR.allocated();
@@ -35,32 +35,32 @@
 }
 
 /// Measures all.
-pub(crate) fn all(seed: u64) -> Vec<LinearFit> {
+pub(crate) fn measure(seed: u64) -> Vec<LinearFit> {
     vec![
-        grow(
+        fit_memory(
             "memory_worker",
             &[2_000, 4_000, 8_000, 16_000, 26_000],
-            |n| starts::machine(PlacementPolicy::Interference, n, seed),
+            |n| starts::scheduler(PlacementPolicy::Interference, n, seed),
         ),
-        grow("memory_task", &[10_000, 20_000, 40_000, 80_000], |n| {
-            let mut machine = starts::machine(PlacementPolicy::Interference, 8_000, seed);
-            starts::fill(&mut machine, n as u32, 0);
+        fit_memory("memory_task", &[10_000, 20_000, 40_000, 80_000], |n| {
+            let mut machine = starts::scheduler(PlacementPolicy::Interference, 8_000, seed);
+            starts::place_tasks(&mut machine, n as u32, 0);
             machine
         }),
-        grow(
+        fit_memory(
             "memory_queued_task",
             &[20_000, 40_000, 80_000, 160_000],
             |n| {
-                let mut machine = starts::machine(PlacementPolicy::Interference, 1, seed);
+                let mut machine = starts::scheduler(PlacementPolicy::Interference, 1, seed);
                 let mut specs = Vec::new();
                 for i in 0..n / 10 {
-                    specs.push(starts::spec(&format!("job{i}"), i, 10));
+                    specs.push(starts::job_spec(&format!("job{i}"), i, 10));
                 }
                 machine.step(1_000_010, &Event::Submit(specs));
                 machine
             },
         ),
-        grow("memory_organisation", &[500, 1_000, 2_000, 4_000], |n| {
+        fit_memory("memory_organisation", &[500, 1_000, 2_000, 4_000], |n| {
             let mut configs = Configs::default();
             for i in 1..=n {
                 configs.update(&ConfigEntry {
@@ -70,11 +70,11 @@
             }
             configs
         }),
-        grow("memory_target", &[5_000, 10_000, 20_000, 40_000], router),
-        grow("memory_peer", &[5_000, 10_000, 20_000, 40_000], |n| {
+        fit_memory("memory_target", &[5_000, 10_000, 20_000, 40_000], router),
+        fit_memory("memory_peer", &[5_000, 10_000, 20_000, 40_000], |n| {
             let mut peers = Peers::new(MemberSettings::default(), "zone0".into());
             for i in 0..n {
-                peers.record_heartbeat(1, beat(i, 1));
+                peers.record_heartbeat(1, heartbeat(i, 1));
             }
             peers
         }),
@@ -107,7 +107,7 @@
 }
 
 /// Returns a heartbeat of instance `i`.
-pub(crate) fn beat(i: usize, seq: u64) -> Heartbeat {
+pub(crate) fn heartbeat(i: usize, seq: u64) -> Heartbeat {
     Heartbeat {
         id: Name::from(format!("sched-zone-{i:04}")),
         role: Role::Sched,
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -13,7 +13,7 @@
 };
 use gorsespur_wire::codec::{decode, encode};
 
-use super::{LinearFit, memory::beat};
+use super::{LinearFit, memory::heartbeat};
 use crate::measure::{organisation, starts};
 
 /// Rounds of each measurement.
@@ -49,18 +49,18 @@
     for n in [10, 50, 200, 800, 3_200] {
         let mut peers = Peers::new(MemberSettings::default(), "zone0".into());
         for i in 0..n {
-            peers.record_heartbeat(1, beat(i, 1));
+            peers.record_heartbeat(1, heartbeat(i, 1));
         }
         let mut seq = 1;
         let us = time_us(|| {
             seq += 1;
-            let message = encode(&beat(seq as usize % n, seq)).unwrap_or_default();
+            let message = encode(&heartbeat(seq as usize % n, seq)).unwrap_or_default();
             if let Ok(beat) = decode(&message) {
                 peers.record_heartbeat(seq, beat);
             }
         });
         times.push((n as f64, us));
-        let len = encode(&beat(n, 1)).unwrap_or_default().len();
+        let len = encode(&heartbeat(n, 1)).unwrap_or_default().len();
         bytes.push((n as f64, len as f64));
     }
     vec![
@@ -74,8 +74,8 @@
     let mut times = Vec::new();
     let mut bytes = Vec::new();
     for tasks in [0u32, 4, 8, 16, 28] {
-        let mut machine = starts::machine(PlacementPolicy::Interference, 1, seed);
-        starts::fill(&mut machine, tasks, 0);
+        let mut machine = starts::scheduler(PlacementPolicy::Interference, 1, seed);
+        starts::place_tasks(&mut machine, tasks, 0);
         let mut now = 1_100_000;
         let (_, answer) = exchange(&mut machine, now);
         let worker = Name::from("w000000");
@@ -136,10 +136,10 @@
 fn placements(seed: u64) -> Vec<LinearFit> {
     let mut times = Vec::new();
     for workers in [150, 300, 600, 1_200, 2_400] {
-        let mut machine = starts::machine(PlacementPolicy::Interference, workers, seed);
-        starts::fill(&mut machine, workers as u32 * 10, 0);
+        let mut machine = starts::scheduler(PlacementPolicy::Interference, workers, seed);
+        starts::place_tasks(&mut machine, workers as u32 * 10, 0);
         let began = Instant::now();
-        let placed = starts::fill(&mut machine, workers as u32 * 5, 1_000_000);
+        let placed = starts::place_tasks(&mut machine, workers as u32 * 5, 1_000_000);
         let us = began.elapsed().as_secs_f64() * 1e6 / placed.max(1) as f64;
         times.push((workers as f64, us));
     }
--- a/crates/load/src/slopes/mod.rs
+++ b/crates/load/src/slopes/mod.rs
@@ -7,14 +7,14 @@
 mod messages;
 mod processes;
 
-pub(crate) use linear_fit::{LinearFit, read_figures};
-pub(crate) use memory::beat;
+pub(crate) use linear_fit::{LinearFit, read_fits};
+pub(crate) use memory::heartbeat;
 
 use crate::{args::TrialArgs, error::LoadError};
 
 /// Measures every slope and prints a line for each.
 pub(crate) fn run(args: &TrialArgs) -> Result<(), LoadError> {
-    for figure in memory::all(args.seed) {
+    for figure in memory::measure(args.seed) {
         figure.print();
     }
     for figure in messages::all(args.seed) {
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -156,7 +156,7 @@
         }
     }
     ran.sort_unstable();
-    for told in &req.once {
+    for told in &req.non_idempotent {
         let first = ran.partition_point(|r| *r < &*told.id);
         let count = ran[first..].iter().take_while(|r| **r == told.id).count();
         if count > 1 {
