--- a/crates/load/src/clients/requests.rs
+++ b/crates/load/src/clients/requests.rs
@@ -79,11 +79,11 @@
     pub paths: Vec<String>,
     pub threads: usize,
     /// Requests a second over all threads.
-    pub rate: f64,
+    pub requests_per_second: f64,
     pub time: Duration,
     pub seed: u64,
     /// Share of requests that may run once only.
-    pub once: f64,
+    pub non_idempotent_share: f64,
 }
 
 impl RequestLoad {
@@ -107,7 +107,7 @@
     fn run_thread(&self, thread: usize) -> RequestTotals {
         let mut rng = SmallRng::seed_from_u64(self.seed * 1_000 + thread as u64);
         let mut totals = RequestTotals::new();
-        let gap = self.threads as f64 / self.rate;
+        let gap = self.threads as f64 / self.requests_per_second;
         let start = Instant::now();
         let mut due = 0.0;
         let mut n = 0;
@@ -125,7 +125,7 @@
     }
 
     fn run_request(&self, id: &str, at: Instant, rng: &mut SmallRng, totals: &mut RequestTotals) {
-        let once = rng.random_bool(self.once);
+        let once = rng.random_bool(self.non_idempotent_share);
         let keyed = once && rng.random_bool(0.3);
         let path = &self.paths[rng.random_range(0..self.paths.len())];
         let body = if once {
--- a/crates/load/src/measure/interference.rs
+++ b/crates/load/src/measure/interference.rs
@@ -22,7 +22,7 @@
 pub(crate) fn run(args: &InterferenceArgs) -> Result<(), LoadError> {
     for (user, weights) in [("weld", WELD_WEIGHTS), ("taipei", TAIPEI_WEIGHTS)] {
         let settings = |policy, told| PlacementSimSettings {
-            patience: if policy == PlacementPolicy::Interference {
+            preempt_after: if policy == PlacementPolicy::Interference {
                 None
             } else {
                 Some(0)
@@ -34,9 +34,9 @@
             seed: args.seed,
             table_seed: args.table_seed.unwrap_or(args.seed),
             strength: args.strength,
-            lag: args.lag,
-            time: args.seconds * 1_000,
-            told,
+            report_lag: args.lag,
+            duration: args.seconds * 1_000,
+            oracle: told,
         };
         let base = PlacementSim::new(settings(PlacementPolicy::LeastLoaded, false)).run();
         let random = PlacementSim::new(settings(PlacementPolicy::Random, false)).run();
@@ -52,11 +52,11 @@
             figures("random", &random),
             figures("mine", &mine),
             figures("told", &best),
-            mine.times.quantile_ms(0.99) / base.times.quantile_ms(0.99),
-            mine.work as f64 / base.work as f64,
+            mine.latencies.quantile_ms(0.99) / base.latencies.quantile_ms(0.99),
+            mine.work_ms as f64 / base.work_ms as f64,
             mine.evictions as f64 / base.evictions.max(1) as f64,
-            best.times.quantile_ms(0.99) / base.times.quantile_ms(0.99),
-            best.work as f64 / base.work as f64,
+            best.latencies.quantile_ms(0.99) / base.latencies.quantile_ms(0.99),
+            best.work_ms as f64 / base.work_ms as f64,
             best.evictions as f64 / base.evictions.max(1) as f64,
         );
     }
@@ -66,12 +66,12 @@
 fn figures(name: &str, r: &PlacementSimResult) -> String {
     format!(
         "{name}_p50_ms={:.2} {name}_p99_ms={:.2} {name}_done={} {name}_work_s={} {name}_evictions={} {name}_urgent_mean_ms={:.0} {name}_urgent_max_ms={}",
-        r.times.quantile_ms(0.5),
-        r.times.quantile_ms(0.99),
-        r.done,
-        r.work / 1_000,
+        r.latencies.quantile_ms(0.5),
+        r.latencies.quantile_ms(0.99),
+        r.completed,
+        r.work_ms / 1_000,
         r.evictions,
-        r.urgent_mean,
-        r.urgent_max
+        r.urgent_mean_ms,
+        r.urgent_max_ms
     )
 }
--- a/crates/load/src/measure/placement_sim.rs
+++ b/crates/load/src/measure/placement_sim.rs
@@ -52,48 +52,48 @@
     pub weights: Weights,
     pub policy: PlacementPolicy,
     /// How long urgent tasks wait before others are evicted; the usual if none.
-    pub patience: Option<Millis>,
+    pub preempt_after: Option<Millis>,
     pub seed: u64,
     pub table_seed: u64,
     pub strength: f64,
-    pub lag: Millis,
-    pub time: Millis,
+    pub report_lag: Millis,
+    pub duration: Millis,
     /// Whether the machine is told the hidden table.
-    pub told: bool,
+    pub oracle: bool,
 }
 
 /// What came out.
 #[derive(Debug, Clone)]
 pub(crate) struct PlacementSimResult {
-    pub times: LatencyHistogram,
-    pub done: u64,
+    pub latencies: LatencyHistogram,
+    pub completed: u64,
     /// Undisturbed run time of the tasks that were done, in milliseconds.
-    pub work: u64,
+    pub work_ms: u64,
     pub evictions: u64,
     /// Longest and mean time that an urgent task waited, in milliseconds.
-    pub urgent_max: Millis,
-    pub urgent_mean: f64,
+    pub urgent_max_ms: Millis,
+    pub urgent_mean_ms: f64,
 }
 
 struct UrgentTask {
     id: Name,
-    at: Millis,
+    submitted_at: Millis,
 }
 
 /// The floor.
 pub(crate) struct PlacementSim {
     settings: PlacementSimSettings,
-    machine: ShardScheduler,
+    scheduler: ShardScheduler,
     workers: Vec<SimWorker>,
-    names: Vec<Name>,
+    worker_names: Vec<Name>,
     rng: SmallRng,
     load_rng: SmallRng,
     now: Millis,
-    jobs: u64,
-    urgent: Vec<UrgentTask>,
-    waits: Vec<Millis>,
+    job_count: u64,
+    pending_urgent: Vec<UrgentTask>,
+    urgent_waits: Vec<Millis>,
     result: PlacementSimResult,
-    queued: u64,
+    queued_jobs: u64,
 }
 
 fn kind_name(kind: usize) -> Name {
@@ -139,7 +139,7 @@
         };
         let usual = ShardSettings::default();
         let shard = ShardSettings {
-            preempt_after: settings.patience.unwrap_or(usual.preempt_after),
+            preempt_after: settings.preempt_after.unwrap_or(usual.preempt_after),
             policy: settings.policy,
             retention: 1_000,
             ..usual
@@ -162,7 +162,7 @@
                 name: name.clone(),
                 size: Size::new(30_000, 125 << 30, 0),
                 period: 1_000,
-                lag: settings.lag,
+                lag: settings.report_lag,
                 slowdown: Slowdown {
                     seed: settings.table_seed,
                     strength: settings.strength,
@@ -175,49 +175,49 @@
         PlacementSim {
             rng: SmallRng::seed_from_u64(settings.seed),
             load_rng: SmallRng::seed_from_u64(settings.seed + 77),
-            machine,
+            scheduler: machine,
             workers,
-            names,
+            worker_names: names,
             now: START_MS,
-            jobs: 0,
-            urgent: Vec::new(),
-            waits: Vec::new(),
+            job_count: 0,
+            pending_urgent: Vec::new(),
+            urgent_waits: Vec::new(),
             result: PlacementSimResult {
-                times: LatencyHistogram::new(),
-                done: 0,
-                work: 0,
+                latencies: LatencyHistogram::new(),
+                completed: 0,
+                work_ms: 0,
                 evictions: 0,
-                urgent_max: 0,
-                urgent_mean: 0.0,
+                urgent_max_ms: 0,
+                urgent_mean_ms: 0.0,
             },
-            queued: 0,
+            queued_jobs: 0,
             settings,
         }
     }
 
     /// Runs to the end; the hidden table shifts half-way.
     pub fn run(mut self) -> PlacementSimResult {
-        self.feed(&Event::Organisations(vec![organisation(&self.settings)]));
-        let list = self.list();
-        self.feed(&list);
-        let half = START_MS + self.settings.time / 2;
-        let end = START_MS + self.settings.time;
+        self.apply_event(&Event::Organisations(vec![organisation(&self.settings)]));
+        let list = self.worker_list();
+        self.apply_event(&list);
+        let half = START_MS + self.settings.duration / 2;
+        let end = START_MS + self.settings.duration;
         let mut shifted = false;
         while self.now < end {
             if self.now >= half && !shifted {
                 shifted = true;
-                self.shift();
+                self.shift_table();
             }
             self.step();
         }
-        let waits = &self.waits;
-        self.result.urgent_max = waits.iter().copied().max().unwrap_or(0);
+        let waits = &self.urgent_waits;
+        self.result.urgent_max_ms = waits.iter().copied().max().unwrap_or(0);
         let sum: Millis = waits.iter().sum();
-        self.result.urgent_mean = sum as f64 / waits.len().max(1) as f64;
+        self.result.urgent_mean_ms = sum as f64 / waits.len().max(1) as f64;
         self.result
     }
 
-    fn shift(&mut self) {
+    fn shift_table(&mut self) {
         let slowdown = self.slowdown(1);
         for w in &mut self.workers {
             w.set_slowdown(slowdown.clone());
@@ -232,9 +232,9 @@
         }
     }
 
-    fn list(&self) -> Event {
+    fn worker_list(&self) -> Event {
         let mut list = Vec::new();
-        for (i, name) in self.names.iter().enumerate() {
+        for (i, name) in self.worker_names.iter().enumerate() {
             let addr = ([127, 0, 0, 1], 1_000 + i as u16).into();
             list.push(WorkerInfo {
                 name: name.clone(),
@@ -252,23 +252,23 @@
 
     fn step(&mut self) {
         self.now += STEP_MS;
-        if self.settings.told && self.now.is_multiple_of(1_000) {
-            self.tell();
+        if self.settings.oracle && self.now.is_multiple_of(1_000) {
+            self.reveal_table();
         }
         for w in &mut self.workers {
             w.advance(self.now);
         }
-        self.arrive();
-        self.feed(&Event::StoreSeen(60_000));
-        self.feed(&Event::Tick);
+        self.submit_jobs();
+        self.apply_event(&Event::StoreSeen(60_000));
+        self.apply_event(&Event::Tick);
         if self.now >= START_MS + WARMUP_MS && self.now.is_multiple_of(SAMPLE_INTERVAL_MS) {
-            self.look();
+            self.sample_latencies();
         }
     }
 
     /// Tells the machine the hidden table as it is now.
-    fn tell(&mut self) {
-        let shift = u64::from(self.now >= START_MS + self.settings.time / 2);
+    fn reveal_table(&mut self) {
+        let shift = u64::from(self.now >= START_MS + self.settings.duration / 2);
         let slowdown = self.slowdown(shift);
         let mut kinds: Vec<Name> = (0..JOB_KINDS).map(kind_name).collect();
         kinds.push(SERVICE.into());
@@ -277,7 +277,7 @@
             for other in &kinds {
                 for (band, load) in BAND_LOADS.iter().enumerate() {
                     let adds = slowdown.adds(victim, other, *load) as f32;
-                    self.machine
+                    self.scheduler
                         .set_interference((&org, victim), (&org, other), band, adds);
                 }
             }
@@ -285,14 +285,14 @@
     }
 
     /// Keeps work of every kind queued, and lets urgent tasks come.
-    fn arrive(&mut self) {
+    fn submit_jobs(&mut self) {
         let wanted = self.settings.workers as u64 * 3;
         let mut specs = Vec::new();
-        while self.queued < wanted {
+        while self.queued_jobs < wanted {
             let kind = self.rng.random_range(0..JOB_KINDS);
             let run = self.rng.random_range(2_000..10_000);
-            specs.push(self.spec(kind, run, Priority::Normal));
-            self.queued += 1;
+            specs.push(self.job_spec(kind, run, Priority::Normal));
+            self.queued_jobs += 1;
         }
         let rate = self.settings.workers as f64 / 24.0;
         if self
@@ -300,24 +300,24 @@
             .random_bool((rate * STEP_MS as f64 / 1_000.0).min(1.0))
         {
             let kind = self.load_rng.random_range(0..JOB_KINDS);
-            let spec = self.spec(kind, 1_000, Priority::Urgent);
-            self.urgent.push(UrgentTask {
+            let spec = self.job_spec(kind, 1_000, Priority::Urgent);
+            self.pending_urgent.push(UrgentTask {
                 id: spec.key.id.clone(),
-                at: self.now,
+                submitted_at: self.now,
             });
             specs.push(spec);
         }
         if !specs.is_empty() {
-            self.feed(&Event::Submit(specs));
+            self.apply_event(&Event::Submit(specs));
         }
     }
 
-    fn spec(&mut self, kind: usize, run: Millis, priority: Priority) -> JobSpec {
-        self.jobs += 1;
+    fn job_spec(&mut self, kind: usize, run: Millis, priority: Priority) -> JobSpec {
+        self.job_count += 1;
         JobSpec {
             key: JobKey {
                 org: "org".into(),
-                id: format!("job{}", self.jobs).into(),
+                id: format!("job{}", self.job_count).into(),
             },
             kind: kind_name(kind),
             team: kind_name(kind),
@@ -331,20 +331,20 @@
         }
     }
 
-    fn feed(&mut self, event: &Event) {
-        let actions = self.machine.step(self.now, event);
+    fn apply_event(&mut self, event: &Event) {
+        let actions = self.scheduler.step(self.now, event);
         let mut answers = Vec::new();
         let mut committed = None;
         for action in actions {
             match action {
                 Action::Append { first, records, .. } => {
                     committed = Some(first + records.len() as u64);
-                    self.count(&records);
+                    self.count_records(&records);
                 }
                 Action::Exchange {
                     worker, request, ..
                 } => {
-                    let Ok(i) = self.names.binary_search(&worker) else {
+                    let Ok(i) = self.worker_names.binary_search(&worker) else {
                         continue;
                     };
                     let answer = self.workers[i].exchange(self.now, &request);
@@ -354,42 +354,42 @@
             }
         }
         if let Some(upto) = committed {
-            self.feed(&Event::Committed(upto));
+            self.apply_event(&Event::Committed(upto));
         }
         for event in answers {
-            self.feed(&event);
+            self.apply_event(&event);
         }
     }
 
-    fn count(&mut self, records: &[Record]) {
+    fn count_records(&mut self, records: &[Record]) {
         let counted = self.now >= START_MS + WARMUP_MS;
         for record in records {
             match record {
                 Record::Started { attempt, .. } => {
-                    let Some(job) = self.machine.state().job(attempt.job) else {
+                    let Some(job) = self.scheduler.state().job(attempt.job) else {
                         continue;
                     };
                     if job.spec.service || attempt.attempt > 1 {
                         continue;
                     }
                     if job.spec.priority != Priority::Urgent {
-                        self.queued -= 1;
+                        self.queued_jobs -= 1;
                         continue;
                     }
                     let id = &job.spec.key.id;
-                    if let Some(i) = self.urgent.iter().position(|u| u.id == *id) {
-                        let u = self.urgent.swap_remove(i);
-                        self.waits.push(self.now - u.at);
+                    if let Some(i) = self.pending_urgent.iter().position(|u| u.id == *id) {
+                        let u = self.pending_urgent.swap_remove(i);
+                        self.urgent_waits.push(self.now - u.submitted_at);
                     }
                 }
                 Record::Ended { attempt, end } if counted => {
-                    let Some(job) = self.machine.state().job(attempt.job) else {
+                    let Some(job) = self.scheduler.state().job(attempt.job) else {
                         continue;
                     };
                     match end {
                         End::Done => {
-                            self.result.done += 1;
-                            self.result.work += job.spec.run_time;
+                            self.result.completed += 1;
+                            self.result.work_ms += job.spec.run_time;
                         }
                         End::Evicted { .. } => self.result.evictions += 1,
                         End::Failed | End::Lost | End::Refused | End::Stopped => {}
@@ -401,7 +401,7 @@
     }
 
     /// Takes one answer's time from each replica.
-    fn look(&mut self) {
+    fn sample_latencies(&mut self) {
         for w in &self.workers {
             if !w.serves(SERVICE) {
                 continue;
@@ -409,7 +409,7 @@
             let unit: f64 = self.load_rng.random_range(1e-9..1.0);
             let us =
                 BASE_LATENCY_US * (0.5 + 0.5 * (-unit.ln()).min(6.0)) * w.service_slowdown(SERVICE);
-            self.result.times.record(us as u64);
+            self.result.latencies.record(us as u64);
         }
     }
 }
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -33,7 +33,7 @@
 }
 
 /// Measures all.
-pub(crate) fn all(seed: u64) -> Vec<LinearFit> {
+pub(crate) fn measure(seed: u64) -> Vec<LinearFit> {
     let mut out = heartbeats();
     out.extend(exchanges(seed));
     out.extend(placements(seed));
@@ -77,17 +77,17 @@
         let mut machine = starts::scheduler(PlacementPolicy::Interference, 1, seed);
         starts::place_tasks(&mut machine, tasks, 0);
         let mut now = 1_100_000;
-        let (_, answer) = exchange(&mut machine, now);
+        let (_, answer) = run_exchange(&mut machine, now);
         let worker = Name::from("w000000");
         machine.step(now, &Event::Answer { worker, answer });
         now += 1_000;
-        let (request, answer) = exchange(&mut machine, now);
+        let (request, answer) = run_exchange(&mut machine, now);
         let both =
             encode(&request).unwrap_or_default().len() + encode(&answer).unwrap_or_default().len();
         bytes.push((f64::from(tasks), both as f64));
         let us = time_us(|| {
             now += 1_000;
-            let (request, mut answer) = exchange(&mut machine, now);
+            let (request, mut answer) = run_exchange(&mut machine, now);
             let sent = encode(&request).unwrap_or_default();
             black_box(sent.len());
             answer.clock = now;
@@ -107,7 +107,7 @@
 }
 
 /// Lets the machine send its exchange and returns it with the worker's answer.
-fn exchange(machine: &mut ShardScheduler, now: u64) -> (Option<WorkerRequest>, WorkerAnswer) {
+fn run_exchange(machine: &mut ShardScheduler, now: u64) -> (Option<WorkerRequest>, WorkerAnswer) {
     let upto = machine.next_record();
     machine.step(now, &Event::Committed(upto));
     let mut request = None;
--- a/crates/load/src/slopes/mod.rs
+++ b/crates/load/src/slopes/mod.rs
@@ -17,7 +17,7 @@
     for figure in memory::measure(args.seed) {
         figure.print();
     }
-    for figure in messages::all(args.seed) {
+    for figure in messages::measure(args.seed) {
         figure.print();
     }
     for figure in processes::all(args)? {
--- a/crates/load/src/slopes/processes.rs
+++ b/crates/load/src/slopes/processes.rs
@@ -78,10 +78,10 @@
             entries: addrs.clone(),
             paths: vec!["/s/weld/qualification/check".into()],
             threads: 32,
-            rate,
+            requests_per_second: rate,
             time: OBSERVATION,
             seed: args.seed,
-            once: 0.0,
+            non_idempotent_share: 0.0,
         };
         let before = used(&fleet);
         let totals = load.run();
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -46,10 +46,10 @@
         entries: entries.clone(),
         paths: user_paths(),
         threads: REQUEST_THREADS,
-        rate: REQUESTS_PER_SECOND,
+        requests_per_second: REQUESTS_PER_SECOND,
         time,
         seed: args.seed,
-        once: 0.3,
+        non_idempotent_share: 0.3,
     };
     let job_load = JobLoad {
         entries,
