--- a/crates/load/src/clients/jobs.rs
+++ b/crates/load/src/clients/jobs.rs
@@ -23,7 +23,7 @@
     pub kind: &'static str,
     pub max_tasks: u32,
     /// Runs until it is cancelled.
-    pub long: bool,
+    pub long_running: bool,
 }
 
 /// Kinds of both users.
@@ -32,31 +32,31 @@
         org: "weld",
         kind: "renewal",
         max_tasks: 4,
-        long: false,
+        long_running: false,
     },
     JobKind {
         org: "weld",
         kind: "urgent-renewal",
         max_tasks: 1,
-        long: false,
+        long_running: false,
     },
     JobKind {
         org: "weld",
         kind: "continuity-record",
         max_tasks: 1,
-        long: true,
+        long_running: true,
     },
     JobKind {
         org: "taipei",
         kind: "allocation",
         max_tasks: 6,
-        long: false,
+        long_running: false,
     },
     JobKind {
         org: "taipei",
         kind: "watcher",
         max_tasks: 1,
-        long: true,
+        long_running: true,
     },
 ];
 
@@ -86,7 +86,7 @@
 pub(crate) struct JobLoad {
     pub entries: Vec<SocketAddr>,
     pub count: u64,
-    pub time: Duration,
+    pub duration: Duration,
     pub seed: u64,
 }
 
@@ -97,14 +97,14 @@
         let mut out = JobResult::default();
         let start = Instant::now();
         for n in 0..self.count {
-            let at = start + self.time.mul_f64(n as f64 / self.count as f64);
+            let at = start + self.duration.mul_f64(n as f64 / self.count as f64);
             thread::sleep(at.saturating_duration_since(Instant::now()));
             let kind = &JOB_KINDS[rng.random_range(0..JOB_KINDS.len())];
             let job = SubmittedJob {
                 org: kind.org,
                 id: format!("j{}-{n}", self.seed),
                 tasks: rng.random_range(1..=kind.max_tasks),
-                long: kind.long,
+                long: kind.long_running,
             };
             let sends = if rng.random_bool(DUPLICATE_SHARE) {
                 2
--- a/crates/load/src/measure/faults.rs
+++ b/crates/load/src/measure/faults.rs
@@ -67,7 +67,7 @@
     let job_load = JobLoad {
         entries,
         count: seconds * JOBS_PER_SECOND,
-        time: time.mul_f64(0.9),
+        duration: time.mul_f64(0.9),
         seed: args.seed,
     };
     let (totals, jobs, measured) = thread::scope(|scope| {
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -54,7 +54,7 @@
     let job_load = JobLoad {
         entries,
         count: args.seconds * JOBS_PER_SECOND,
-        time: time.mul_f64(0.8),
+        duration: time.mul_f64(0.8),
         seed: args.seed,
     };
     let (totals, mut jobs) = thread::scope(|scope| {
