--- a/crates/load/src/clients/jobs.rs
+++ b/crates/load/src/clients/jobs.rs
@@ -66,7 +66,7 @@
     pub org: &'static str,
     pub id: String,
     pub tasks: u32,
-    pub long: bool,
+    pub long_running: bool,
 }
 
 /// What became of the jobs.
@@ -104,7 +104,7 @@
                 org: kind.org,
                 id: format!("j{}-{n}", self.seed),
                 tasks: rng.random_range(1..=kind.max_tasks),
-                long: kind.long_running,
+                long_running: kind.long_running,
             };
             let sends = if rng.random_bool(DUPLICATE_SHARE) {
                 2
@@ -128,7 +128,10 @@
     /// Cancels the long-running jobs.
     pub fn cancel_long(&self, result: &JobResult) {
         for org in ["weld", "taipei"] {
-            let long = result.accepted.iter().filter(|j| j.long && j.org == org);
+            let long = result
+                .accepted
+                .iter()
+                .filter(|j| j.long_running && j.org == org);
             let ids: Vec<&str> = long.map(|j| &*j.id).collect();
             let body = serde_json::to_vec(&json!({ "ids": ids })).unwrap_or_default();
             for entry in &self.entries {
@@ -155,7 +158,11 @@
                 turn += 1;
                 let entry = self.entries[turn % self.entries.len()];
                 let state = state(entry, &job);
-                let wanted = if job.long { "cancelled" } else { "done" };
+                let wanted = if job.long_running {
+                    "cancelled"
+                } else {
+                    "done"
+                };
                 if state == wanted {
                     result.finished.push(job.id);
                     continue;
--- a/crates/load/src/clients/requests.rs
+++ b/crates/load/src/clients/requests.rs
@@ -80,7 +80,7 @@
     pub threads: usize,
     /// Requests a second over all threads.
     pub requests_per_second: f64,
-    pub time: Duration,
+    pub duration: Duration,
     pub seed: u64,
     /// Share of requests that may run once only.
     pub non_idempotent_share: f64,
@@ -114,7 +114,7 @@
         loop {
             due += -rng.random_range(1e-9..1.0f64).ln() * gap;
             let at = start + Duration::from_secs_f64(due);
-            if due > self.time.as_secs_f64() {
+            if due > self.duration.as_secs_f64() {
                 return totals;
             }
             thread::sleep(at.saturating_duration_since(Instant::now()));
--- a/crates/load/src/measure/faults.rs
+++ b/crates/load/src/measure/faults.rs
@@ -60,7 +60,7 @@
         paths: user_paths(),
         threads: REQUEST_THREADS,
         requests_per_second: REQUESTS_PER_SECOND,
-        time,
+        duration: time,
         seed: args.seed,
         non_idempotent_share: 0.4,
     };
--- a/crates/load/src/measure/overload.rs
+++ b/crates/load/src/measure/overload.rs
@@ -23,15 +23,15 @@
             ("twice", DOUBLE_LOAD, TargetFault::None),
             ("third-failing", FAULT_LOAD, TargetFault::Failing),
             ("third-slow", FAULT_LOAD, TargetFault::Slow),
-            ("third-gone", FAULT_LOAD, TargetFault::Gone),
+            ("third-gone", FAULT_LOAD, TargetFault::Unreachable),
         ];
         for (case, load, bad) in cases {
             let run = OverloadSettings {
                 policy,
                 load,
-                bad,
+                fault: bad,
                 seed: args.seed,
-                time: args.seconds * 1_000,
+                duration: args.seconds * 1_000,
             };
             print_result(name, case, &run.run());
         }
@@ -47,9 +47,9 @@
         r.goodput,
         r.tries as f64 / r.requests.max(1) as f64,
         r.repeatable_ok as f64 / r.repeatable.max(1) as f64,
-        r.urgent.quantile_ms(0.5),
-        r.urgent.quantile_ms(0.99),
-        r.all.quantile_ms(0.99),
+        r.urgent_latencies.quantile_ms(0.5),
+        r.urgent_latencies.quantile_ms(0.99),
+        r.latencies.quantile_ms(0.99),
         r.refused,
         r.late,
         r.refused_wait.quantile_ms(0.99),
--- a/crates/load/src/measure/overload_sim.rs
+++ b/crates/load/src/measure/overload_sim.rs
@@ -50,7 +50,7 @@
     /// They are ten times slower.
     Slow,
     /// They refuse connections.
-    Gone,
+    Unreachable,
 }
 
 /// One run.
@@ -58,9 +58,9 @@
 pub(crate) struct OverloadSettings {
     pub policy: RoutePolicy,
     pub load: f64,
-    pub bad: TargetFault,
+    pub fault: TargetFault,
     pub seed: u64,
-    pub time: Millis,
+    pub duration: Millis,
 }
 
 /// SimEvent came out.
@@ -76,18 +76,18 @@
     pub repeatable_ok: u64,
     /// Answers in time as a share of the capacity.
     pub goodput: f64,
-    pub urgent: LatencyHistogram,
-    pub all: LatencyHistogram,
+    pub urgent_latencies: LatencyHistogram,
+    pub latencies: LatencyHistogram,
     /// LatencyHistogram after which refused requests were told so.
     pub refused_wait: LatencyHistogram,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum SimEvent {
-    Arrive {
+    Arrival {
         entry: usize,
     },
-    Reach {
+    Receive {
         entry: usize,
         req: u64,
         attempt: u32,
@@ -99,7 +99,7 @@
         attempt: u32,
         target: usize,
     },
-    Back {
+    Response {
         entry: usize,
         req: u64,
         attempt: u32,
@@ -123,7 +123,7 @@
 #[derive(Debug, Clone)]
 struct OpenRequest {
     req: u64,
-    at: Millis,
+    arrived_at: Millis,
     urgent: bool,
     repeatable: bool,
     settled: bool,
@@ -131,20 +131,20 @@
 
 struct SimTarget {
     busy: u32,
-    bad: bool,
+    faulty: bool,
 }
 
 struct OverloadSim<'a> {
     run: &'a OverloadSettings,
     rng: SmallRng,
     now: Millis,
-    order: u64,
+    event_count: u64,
     queue: BinaryHeap<Reverse<(Millis, u64, SimEvent)>>,
     routers: Vec<Router>,
     open: Vec<Vec<OpenRequest>>,
-    nodes: Vec<SimTarget>,
-    next: u64,
-    due: f64,
+    targets: Vec<SimTarget>,
+    request_count: u64,
+    next_arrival: f64,
     result: OverloadResult,
 }
 
@@ -153,7 +153,7 @@
     pub fn run(&self) -> OverloadResult {
         let mut sim = OverloadSim::new(self);
         sim.prepare();
-        sim.run_all();
+        sim.process_events();
         sim.result
     }
 
@@ -174,7 +174,7 @@
         for i in 0..TARGET_COUNT {
             nodes.push(SimTarget {
                 busy: 0,
-                bad: run.bad != TargetFault::None && i % 3 == 0,
+                faulty: run.fault != TargetFault::None && i % 3 == 0,
             });
         }
         let router = |e: u64| Router::new(settings.clone(), run.seed * 10 + e);
@@ -182,13 +182,13 @@
             run,
             rng: SmallRng::seed_from_u64(run.seed),
             now: START_MS,
-            order: 0,
+            event_count: 0,
             queue: BinaryHeap::new(),
             routers: (0..ENTRY_COUNT as u64).map(router).collect(),
             open: vec![Vec::new(); ENTRY_COUNT],
-            nodes,
-            next: 0,
-            due: START_MS as f64,
+            targets: nodes,
+            request_count: 0,
+            next_arrival: START_MS as f64,
             result: OverloadResult {
                 requests: 0,
                 answered: 0,
@@ -198,8 +198,8 @@
                 repeatable: 0,
                 repeatable_ok: 0,
                 goodput: 0.0,
-                urgent: LatencyHistogram::new(),
-                all: LatencyHistogram::new(),
+                urgent_latencies: LatencyHistogram::new(),
+                latencies: LatencyHistogram::new(),
                 refused_wait: LatencyHistogram::new(),
             },
         }
@@ -233,71 +233,73 @@
             };
             self.routers[e].step(START_MS, &RouteEvent::Entries(share));
         }
-        self.arrive_later();
+        self.schedule_arrival();
         self.push(START_MS + 10, SimEvent::Tick);
     }
 
     fn push(&mut self, at: Millis, what: SimEvent) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order, what)));
+        self.event_count += 1;
+        self.queue.push(Reverse((at, self.event_count, what)));
     }
 
-    fn arrive_later(&mut self) {
+    fn schedule_arrival(&mut self) {
         let rate = self.run.capacity() * self.run.load;
-        self.due += -self.rng.random_range(1e-12..1.0f64).ln() / rate;
+        self.next_arrival += -self.rng.random_range(1e-12..1.0f64).ln() / rate;
         let entry = self.rng.random_range(0..ENTRY_COUNT);
-        self.push(self.due as Millis, SimEvent::Arrive { entry });
+        self.push(self.next_arrival as Millis, SimEvent::Arrival { entry });
     }
 
-    fn run_all(&mut self) {
-        let end = START_MS + self.run.time;
+    fn process_events(&mut self) {
+        let end = START_MS + self.run.duration;
         while let Some(Reverse((at, _, what))) = self.queue.pop() {
             if at >= end {
                 break;
             }
             self.now = at;
             match what {
-                SimEvent::Arrive { entry } => self.arrive(entry),
-                SimEvent::Reach {
+                SimEvent::Arrival { entry } => self.start_request(entry),
+                SimEvent::Receive {
                     entry,
                     req,
                     attempt,
                     target,
-                } => self.reach(entry, req, attempt, target),
+                } => self.receive_attempt(entry, req, attempt, target),
                 SimEvent::Finish {
                     entry,
                     req,
                     attempt,
                     target,
-                } => self.finish(entry, req, attempt, target),
-                SimEvent::Back {
+                } => self.finish_attempt(entry, req, attempt, target),
+                SimEvent::Response {
                     entry,
                     req,
                     attempt,
                     end,
-                } => self.back(entry, req, attempt, end),
-                SimEvent::Hedge { entry, req } => self.feed(entry, &RouteEvent::Hedge { req }),
+                } => self.receive_response(entry, req, attempt, end),
+                SimEvent::Hedge { entry, req } => {
+                    self.apply_event(entry, &RouteEvent::Hedge { req })
+                }
                 SimEvent::Tick => {
                     for e in 0..ENTRY_COUNT {
-                        self.feed(e, &RouteEvent::Tick);
+                        self.apply_event(e, &RouteEvent::Tick);
                     }
                     self.push(self.now + 10, SimEvent::Tick);
                 }
             }
         }
-        let counted = (self.run.time - WARMUP_MS) as f64;
+        let counted = (self.run.duration - WARMUP_MS) as f64;
         let in_time = (self.result.answered - self.result.late) as f64;
         self.result.goodput = in_time / (self.run.capacity() * counted);
     }
 
-    fn counted(&self, at: Millis) -> bool {
+    fn is_counted(&self, at: Millis) -> bool {
         at >= START_MS + WARMUP_MS
     }
 
-    fn arrive(&mut self, entry: usize) {
-        self.arrive_later();
-        self.next += 1;
-        let req = self.next;
+    fn start_request(&mut self, entry: usize) {
+        self.schedule_arrival();
+        self.request_count += 1;
+        let req = self.request_count;
         let share: f64 = self.rng.random();
         let priority = match share {
             s if s < 0.1 => Priority::Urgent,
@@ -305,13 +307,13 @@
             _ => Priority::Bulk,
         };
         let repeatable = self.rng.random_bool(0.7);
-        if self.counted(self.now) {
+        if self.is_counted(self.now) {
             self.result.requests += 1;
             self.result.repeatable += u64::from(repeatable);
         }
         self.open[entry].push(OpenRequest {
             req,
-            at: self.now,
+            arrived_at: self.now,
             urgent: priority == Priority::Urgent,
             repeatable,
             settled: false,
@@ -326,10 +328,10 @@
             max_queued: 64,
             retry_percent: 10,
         };
-        self.feed(entry, &RouteEvent::Arrive(arrival));
+        self.apply_event(entry, &RouteEvent::Arrive(arrival));
     }
 
-    fn feed(&mut self, entry: usize, event: &RouteEvent) {
+    fn apply_event(&mut self, entry: usize, event: &RouteEvent) {
         let actions = self.routers[entry].step(self.now, event);
         for action in actions {
             match action {
@@ -341,13 +343,13 @@
                     ..
                 } => {
                     let target = worker[1..].parse().unwrap_or(0);
-                    self.result.tries += u64::from(self.counted(self.now));
+                    self.result.tries += u64::from(self.is_counted(self.now));
                     if hedge > 0 && attempt == 1 {
                         self.push(self.now + hedge, SimEvent::Hedge { entry, req });
                     }
                     self.push(
                         self.now + NETWORK_DELAY_MS,
-                        SimEvent::Reach {
+                        SimEvent::Receive {
                             entry,
                             req,
                             attempt,
@@ -355,37 +357,39 @@
                         },
                     );
                 }
-                RouteAction::Refuse { req, .. } => self.refused(entry, req),
+                RouteAction::Refuse { req, .. } => self.record_refusal(entry, req),
             }
         }
     }
 
-    fn refused(&mut self, entry: usize, req: u64) {
+    fn record_refusal(&mut self, entry: usize, req: u64) {
         let Ok(i) = self.open[entry].binary_search_by_key(&req, |o| o.req) else {
             return;
         };
         let o = self.open[entry].remove(i);
-        if self.counted(o.at) && !o.settled {
+        if self.is_counted(o.arrived_at) && !o.settled {
             self.result.refused += 1;
-            self.result.refused_wait.record((self.now - o.at) * 1_000);
+            self.result
+                .refused_wait
+                .record((self.now - o.arrived_at) * 1_000);
         }
     }
 
-    fn reach(&mut self, entry: usize, req: u64, attempt: u32, target: usize) {
-        let bad = self.nodes[target].bad;
-        let back = |end| SimEvent::Back {
+    fn receive_attempt(&mut self, entry: usize, req: u64, attempt: u32, target: usize) {
+        let bad = self.targets[target].faulty;
+        let back = |end| SimEvent::Response {
             entry,
             req,
             attempt,
             end,
         };
-        if bad && self.run.bad == TargetFault::Gone {
+        if bad && self.run.fault == TargetFault::Unreachable {
             return self.push(self.now + NETWORK_DELAY_MS, back(AttemptEnd::NotSent));
         }
-        if bad && self.run.bad == TargetFault::Failing {
+        if bad && self.run.fault == TargetFault::Failing {
             return self.push(self.now + NETWORK_DELAY_MS, back(AttemptEnd::Failed));
         }
-        let node = &mut self.nodes[target];
+        let node = &mut self.targets[target];
         if node.busy >= SLOTS_PER_TARGET {
             let busy = node.busy;
             return self.push(
@@ -409,16 +413,16 @@
         );
     }
 
-    fn finish(&mut self, entry: usize, req: u64, attempt: u32, target: usize) {
-        let busy = self.nodes[target].busy;
-        self.nodes[target].busy -= 1;
+    fn finish_attempt(&mut self, entry: usize, req: u64, attempt: u32, target: usize) {
+        let busy = self.targets[target].busy;
+        self.targets[target].busy -= 1;
         let found = self.open[entry].binary_search_by_key(&req, |o| o.req);
         let took = found.map_or(MEAN_SERVICE_MS as Millis, |i| {
-            self.now - self.open[entry][i].at
+            self.now - self.open[entry][i].arrived_at
         });
         self.push(
             self.now + NETWORK_DELAY_MS,
-            SimEvent::Back {
+            SimEvent::Response {
                 entry,
                 req,
                 attempt,
@@ -427,9 +431,9 @@
         );
     }
 
-    fn back(&mut self, entry: usize, req: u64, attempt: u32, end: AttemptEnd) {
+    fn receive_response(&mut self, entry: usize, req: u64, attempt: u32, end: AttemptEnd) {
         if let AttemptEnd::Answered { .. } = end {
-            self.answered(entry, req);
+            self.record_answer(entry, req);
         }
         let end = match end {
             AttemptEnd::Answered { took, busy } => AttemptOutcome::Answered {
@@ -443,10 +447,10 @@
             AttemptEnd::Failed => AttemptOutcome::Failed,
             AttemptEnd::NotSent => AttemptOutcome::NotSent,
         };
-        self.feed(entry, &RouteEvent::Ended { req, attempt, end });
+        self.apply_event(entry, &RouteEvent::Ended { req, attempt, end });
     }
 
-    fn answered(&mut self, entry: usize, req: u64) {
+    fn record_answer(&mut self, entry: usize, req: u64) {
         let Ok(i) = self.open[entry].binary_search_by_key(&req, |o| o.req) else {
             return;
         };
@@ -456,16 +460,16 @@
         }
         o.settled = true;
         let o = o.clone();
-        if !self.counted(o.at) {
+        if !self.is_counted(o.arrived_at) {
             return;
         }
-        let time = self.now - o.at;
+        let time = self.now - o.arrived_at;
         self.result.answered += 1;
         self.result.late += u64::from(time > DEADLINE_MS);
         self.result.repeatable_ok += u64::from(o.repeatable && time <= DEADLINE_MS);
-        self.result.all.record(time * 1_000);
+        self.result.latencies.record(time * 1_000);
         if o.urgent {
-            self.result.urgent.record(time * 1_000);
+            self.result.urgent_latencies.record(time * 1_000);
         }
     }
 }
--- a/crates/load/src/slopes/mod.rs
+++ b/crates/load/src/slopes/mod.rs
@@ -20,7 +20,7 @@
     for figure in messages::measure(args.seed) {
         figure.print();
     }
-    for figure in processes::all(args)? {
+    for figure in processes::measure(args)? {
         figure.print();
     }
     Ok(())
--- a/crates/load/src/slopes/processes.rs
+++ b/crates/load/src/slopes/processes.rs
@@ -20,7 +20,7 @@
 const REQUEST_RATES: [f64; 4] = [100.0, 200.0, 400.0, 800.0];
 
 /// Measures all.
-pub(crate) fn all(args: &TrialArgs) -> Result<Vec<LinearFit>, LoadError> {
+pub(crate) fn measure(args: &TrialArgs) -> Result<Vec<LinearFit>, LoadError> {
     let mut out = scheds(args)?;
     out.extend(entries(args)?);
     Ok(out)
@@ -79,7 +79,7 @@
             paths: vec!["/s/weld/qualification/check".into()],
             threads: 32,
             requests_per_second: rate,
-            time: OBSERVATION,
+            duration: OBSERVATION,
             seed: args.seed,
             non_idempotent_share: 0.0,
         };
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -132,7 +132,7 @@
         verdict.findings.push(format!("not finished: {text}"));
     }
     for job in &jobs.accepted {
-        if job.long || !jobs.finished.contains(&job.id) {
+        if job.long_running || !jobs.finished.contains(&job.id) {
             continue;
         }
         for task in 0..job.tasks {
