--- a/crates/load/src/args.rs
+++ b/crates/load/src/args.rs
@@ -1,10 +1,10 @@
-//! Command line of `gorsespur-load`.
+//! Command line arguments of `gorsespur-load`.
 
 use std::path::PathBuf;
 
 use clap::{Args, Parser, Subcommand};
 
-/// Load, trial runs and measurements on loopback.
+/// Generate load, run trials and measure, all on one host.
 #[derive(Debug, Parser)]
 #[command(name = "gorsespur-load", version)]
 pub struct LoadArgs {
@@ -16,7 +16,7 @@
 /// What to run.
 #[derive(Debug, Subcommand)]
 pub enum LoadCommand {
-    /// Run the whole system on stand-ins, with kills, and judge it.
+    /// Run the whole system with stand-ins, kill processes and verify the guarantees.
     Trial(TrialArgs),
     /// Measure what one more worker, task or message costs.
     Slopes(TrialArgs),
@@ -26,7 +26,7 @@
         #[arg(long)]
         from: PathBuf,
     },
-    /// Measure one thing against its baseline, in one run.
+    /// Compare one property to its baseline in one run.
     Measure {
         /// What to measure.
         #[command(subcommand)]
@@ -34,25 +34,25 @@
     },
 }
 
-/// Arguments of a run with processes.
+/// Arguments of commands that start processes.
 #[derive(Debug, Clone, Args)]
 pub struct TrialArgs {
-    /// Seed of the load and the faults.
+    /// Seed for the load and the faults.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Seconds of load.
+    /// Duration of the load in seconds.
     #[arg(long, default_value_t = 20)]
     pub seconds: u64,
-    /// Directory of the programs; by default that of this program.
+    /// Directory of the system's programs; by default that of this program.
     #[arg(long)]
     pub bin: Option<PathBuf>,
-    /// Directory for settings, logs, ledgers and traces; emptied first.
+    /// Output directory for settings, logs, ledgers and traces; emptied first.
     #[arg(long, default_value = "trial-out")]
     pub out: PathBuf,
-    /// Directory of the templates.
+    /// Directory of the organisations' templates.
     #[arg(long, default_value = "templates")]
     pub templates: PathBuf,
-    /// Record traces of the schedulers.
+    /// Record traces of the schedulers for replay.
     #[arg(long)]
     pub record: bool,
 }
@@ -60,35 +60,35 @@
 /// What to measure.
 #[derive(Debug, Subcommand)]
 pub enum Measure {
-    /// What an entry adds to a direct call, at half load.
+    /// Latency that an entry adds to a direct call, at half load.
     Overhead(TrialArgs),
-    /// Promises under kills, pauses, outages and a zone that is cut off.
+    /// Guarantees under kills, pauses, outages and a zone that is cut off.
     Faults(TrialArgs),
     /// Placement under interference, in virtual time.
     Interference(InterferenceArgs),
     /// Routing under overload and with bad targets, in virtual time.
     Overload(SeedArgs),
-    /// Cost of placement, journalling and recovery.
+    /// Cost of placement, journalling, recovery and cancellation.
     Starts(SeedArgs),
-    /// Full membership against partial views.
+    /// Full membership compared to partial views.
     Membership(MembershipArgs),
 }
 
-/// Arguments of the comparison of memberships.
+/// Arguments of the membership comparison.
 #[derive(Debug, Clone, Args)]
 pub struct MembershipArgs {
     /// Seed.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Instances of the system in all zones.
+    /// Number of instances in all zones.
     #[arg(long, default_value_t = 528)]
     pub instances: usize,
-    /// Availability zones.
+    /// Number of availability zones.
     #[arg(long, default_value_t = 22)]
     pub zones: usize,
 }
 
-/// Arguments of a measurement without processes.
+/// Arguments of measurements that start no processes.
 #[derive(Debug, Clone, Args)]
 pub struct SeedArgs {
     /// Seed.
@@ -105,22 +105,22 @@
     /// Seed of the arrivals.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Seconds of virtual time; the hidden table shifts half-way.
+    /// Seconds of virtual time; the hidden interference table changes half-way.
     #[arg(long, default_value_t = 300)]
     pub seconds: u64,
-    /// Seed of the hidden table; by default that of the arrivals.
+    /// Seed of the hidden interference table; by default the seed of the arrivals.
     #[arg(long)]
     pub table_seed: Option<u64>,
-    /// Strength of the hidden slowdowns.
+    /// Strength of the slowdowns in the hidden table.
     #[arg(long, default_value_t = 0.6)]
     pub strength: f64,
-    /// Lag of the reports in milliseconds.
+    /// Lag of the workers' reports in milliseconds.
     #[arg(long, default_value_t = 2_000)]
     pub lag: u64,
-    /// Workers.
+    /// Number of workers.
     #[arg(long, default_value_t = 24)]
     pub workers: usize,
-    /// Replicas of the service, at most one a worker.
+    /// Number of replicas of the service, at most one per worker.
     #[arg(long, default_value_t = 16)]
     pub replicas: u32,
 }
--- a/crates/load/src/capacity/mod.rs
+++ b/crates/load/src/capacity/mod.rs
@@ -1,4 +1,4 @@
-//! The design at the target size, worked out from measured slopes.
+//! Capacity of the design at its target scale, extrapolated from measured slopes.
 
 mod rows;
 mod scale;
@@ -9,7 +9,7 @@
 
 use crate::{error::LoadError, slopes::read_fits};
 
-/// Reads the slopes that a run printed and prints the table.
+/// Reads the output of `slopes` and prints the table.
 pub(crate) fn run(from: &Path) -> Result<(), LoadError> {
     let figures = read_fits(from)?;
     println!("| quantity | sum | result | budget |");
--- a/crates/load/src/capacity/rows.rs
+++ b/crates/load/src/capacity/rows.rs
@@ -1,9 +1,9 @@
-//! The rows of the table.
+//! Rows of the capacity table.
 
 use super::scale;
 use crate::{error::LoadError, slopes::LinearFit};
 
-/// A quantity, how it was worked out, and its budget.
+/// A quantity, the formula and result of its calculation, and its budget.
 #[derive(Debug, Clone)]
 pub(crate) struct Row {
     pub quantity: String,
@@ -12,7 +12,7 @@
     pub budget: String,
 }
 
-/// Slopes by name.
+/// Measured slopes, looked up by name.
 struct Slopes<'a> {
     fits: &'a [LinearFit],
 }
@@ -46,7 +46,7 @@
     format!("{budget:.0} {unit}: {word}, {share:.0}%")
 }
 
-/// Works every row out.
+/// Calculates all rows. Fails if a slope is missing.
 pub(crate) fn rows(figures: &[LinearFit]) -> Result<Vec<Row>, LoadError> {
     let s = Slopes { fits: figures };
     let workers = scale::WORKERS / scale::ZONES;
@@ -82,7 +82,7 @@
     Ok(out)
 }
 
-/// Schedulers of a zone by processor time and by traffic.
+/// Adds the rows about the schedulers of a zone. Returns how many of them their CPU budget needs.
 fn schedulers(
     s: &Slopes<'_>,
     workers: f64,
@@ -280,8 +280,8 @@
         format!("{records:.0}; {bytes:.0} B"),
         String::new(),
     ));
-    // Each shard's row is watched, and its inbox is read once a second; the head
-    // of the configuration is read four times a second in each zone.
+    // Watchers read the row of each shard, the shard's inbox is read once per second, and each zone
+    // reads the head of the configuration four times per second.
     let reads = all * (scale::WATCHERS_PER_SHARD * scale::WATCH_READS_PER_SECOND + 1.0)
         + 4.0 * scale::ZONES;
     out.push(row(
@@ -371,7 +371,7 @@
     Ok(())
 }
 
-/// What failures add.
+/// Adds the rows about the failure of instances, racks and zones.
 fn failures(
     s: &Slopes<'_>,
     workers: f64,
--- a/crates/load/src/clients/jobs.rs
+++ b/crates/load/src/clients/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: submitted, watched to their end, and cancelled.
+//! A client that submits jobs, polls their state and cancels long-running ones.
 
 use std::{
     net::SocketAddr,
@@ -10,23 +10,23 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde_json::{Value, json};
 
-/// Time limit of a call.
+/// Timeout of a call to an entry.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Share of submissions that are sent twice, to two entries.
+/// Share of submissions that are sent twice, each time to a random entry.
 const DUPLICATE_SHARE: f64 = 0.2;
 
-/// A kind of job that a load submits.
+/// A kind of job that the load submits.
 #[derive(Debug, Clone)]
 pub(crate) struct JobKind {
     pub org: &'static str,
     pub kind: &'static str,
     pub max_tasks: u32,
-    /// Runs until it is cancelled.
+    /// Whether the job runs until it is cancelled.
     pub long_running: bool,
 }
 
-/// Kinds of both users.
+/// Job kinds of both organisations.
 const JOB_KINDS: [JobKind; 5] = [
     JobKind {
         org: "weld",
@@ -60,7 +60,7 @@
     },
 ];
 
-/// A job that was accepted.
+/// A submitted job.
 #[derive(Debug, Clone)]
 pub(crate) struct SubmittedJob {
     pub org: &'static str,
@@ -69,19 +69,19 @@
     pub long_running: bool,
 }
 
-/// What became of the jobs.
+/// Outcomes of the submitted jobs.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct JobResult {
     pub accepted: Vec<SubmittedJob>,
-    /// Submissions that were refused as not run, or whose outcome is unknown.
+    /// Number of jobs that were refused, or whose submission has an unknown outcome.
     pub refused: u64,
-    /// Jobs that reached the state that was expected of them.
+    /// Ids of the jobs that reached their expected final state.
     pub finished: Vec<String>,
-    /// Jobs that did not, with the last state seen.
+    /// Jobs that did not reach it, each with its last observed state.
     pub unfinished: Vec<String>,
 }
 
-/// A load of jobs.
+/// A load of jobs, submitted at a constant rate.
 #[derive(Debug, Clone)]
 pub(crate) struct JobLoad {
     pub entries: Vec<SocketAddr>,
@@ -91,7 +91,7 @@
 }
 
 impl JobLoad {
-    /// Submits the jobs over the time and returns those that were accepted.
+    /// Submits the jobs evenly over the duration and returns the accepted ones.
     pub fn submit(&self) -> JobResult {
         let mut rng = SmallRng::seed_from_u64(self.seed ^ 0x4a4f42);
         let mut out = JobResult::default();
@@ -125,7 +125,8 @@
         out
     }
 
-    /// Cancels the long-running jobs.
+    /// Cancels the accepted long-running jobs, trying the entries in turn until a cancellation
+    /// reaches all shards.
     pub fn cancel_long(&self, result: &JobResult) {
         for org in ["weld", "taipei"] {
             let long = result
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Waits until every job reached its end, at most for `limit`.
+    /// Polls the accepted jobs until each has reached its final state, for at most `limit`.
     pub fn wait_for_end(&self, result: &mut JobResult, limit: Duration) {
         let end = Instant::now() + limit;
         let mut open: Vec<SubmittedJob> = result.accepted.clone();
--- a/crates/load/src/clients/latency.rs
+++ b/crates/load/src/clients/latency.rs
@@ -1,11 +1,11 @@
-//! LatencyHistogram of answers.
+//! Latency histograms.
 
 use hdrhistogram::Histogram;
 
-/// Longest time that is told apart, in microseconds.
+/// Maximum latency in microseconds. Longer latencies are recorded as this value.
 const MAX_US: u64 = 60_000_000;
 
-/// LatencyHistogram in microseconds.
+/// A histogram of latencies in microseconds, with three significant digits.
 #[derive(Debug, Clone)]
 pub(crate) struct LatencyHistogram {
     histogram: Histogram<u64>,
@@ -32,7 +32,7 @@
         self.histogram.len()
     }
 
-    /// Returns a quantile in milliseconds.
+    /// Returns the latency in milliseconds at a quantile from 0 to 1.
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         self.histogram.value_at_quantile(quantile) as f64 / 1000.0
     }
--- a/crates/load/src/clients/mod.rs
+++ b/crates/load/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Callers: requests and jobs, and what they are told.
+//! Clients that send requests and jobs and record the outcomes.
 
 mod jobs;
 mod latency;
--- a/crates/load/src/clients/requests.rs
+++ b/crates/load/src/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to services, open loop, with each answer checked.
+//! A client that sends requests to services in an open loop and checks each answer.
 
 use std::{
     net::SocketAddr,
@@ -14,29 +14,29 @@
 
 use super::LatencyHistogram;
 
-/// Time limit of a request in milliseconds.
+/// Deadline of a request, in milliseconds after it is sent.
 const DEADLINE_MS: u64 = 1_000;
 
-/// What a caller was told of a request that may run once only.
+/// The outcome that the caller of a non-idempotent request received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct CallerOutcome {
     pub id: String,
     pub outcome: Option<Outcome>,
-    /// Tries of the caller itself under one idempotency key.
+    /// Attempts of the caller, all with the same idempotency key.
     pub sends: u32,
 }
 
-/// Totals of a load.
+/// Counters, latencies and outcomes of a load.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestTotals {
     pub requests: u64,
     pub ok: u64,
-    /// Answers that were not the answer to their request.
+    /// Answers without an outcome, or that belong to another request.
     pub wrong: u64,
     pub not_run: u64,
     pub unknown: u64,
     pub latencies: LatencyHistogram,
-    /// Requests that may run once only.
+    /// Outcomes of the non-idempotent requests.
     pub non_idempotent: Vec<CallerOutcome>,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns the paths of both users' services.
+/// Returns the paths of the services of both organisations.
 pub(crate) fn user_paths() -> Vec<String> {
     vec![
         "/s/weld/qualification/check".into(),
@@ -72,22 +72,22 @@
     ]
 }
 
-/// A load of requests from several threads.
+/// A load of requests that arrive as a Poisson process, sent from several threads.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestLoad {
     pub entries: Vec<SocketAddr>,
     pub paths: Vec<String>,
     pub threads: usize,
-    /// Requests a second over all threads.
+    /// Sum over all threads.
     pub requests_per_second: f64,
     pub duration: Duration,
     pub seed: u64,
-    /// Share of requests that may run once only.
+    /// Share of requests that are sent as non-idempotent.
     pub non_idempotent_share: f64,
 }
 
 impl RequestLoad {
-    /// Runs the load and returns its totals.
+    /// Runs the load and returns its results.
     pub fn run(&self) -> RequestTotals {
         let mut totals = RequestTotals::new();
         thread::scope(|scope| {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Checks an answer; nothing if there was none.
+    /// Checks an answer and returns its outcome, or `None` if there is no valid answer.
     fn check_answer(
         &self,
         id: &str,
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of load runs.
+//! Errors of the commands.
 
 use std::{io, path::PathBuf};
 
@@ -7,11 +7,11 @@
 use gorsespur_stand::LedgerError;
 use snafu::Snafu;
 
-/// Why a run failed.
+/// Reasons for which a command fails.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LoadError {
-    /// A file can't be used.
+    /// A file or directory cannot be read or written.
     #[snafu(display("{}", path.display()))]
     File {
         /// The file.
@@ -19,7 +19,7 @@
         /// The system's answer.
         source: io::Error,
     },
-    /// A program can't be started.
+    /// A program cannot be started.
     #[snafu(display("can't start {program}"))]
     Spawn {
         /// The program.
@@ -27,45 +27,45 @@
         /// The system's answer.
         source: io::Error,
     },
-    /// No port is free.
+    /// No port can be reserved.
     #[snafu(display("no port is free"))]
     Port {
         /// The system's answer.
         source: io::Error,
     },
-    /// The system was not ready in time.
+    /// A part of the system did not become ready in time.
     #[snafu(display("not ready in time: {what}"))]
     NotReady {
-        /// What was waited for.
+        /// The part of the system.
         what: String,
     },
-    /// An operators' command failed.
+    /// A `gorsespur-ctl` command failed.
     #[snafu(display("gorsespur-ctl failed: {message}"))]
     Ctl {
-        /// What it said.
+        /// Its standard error.
         message: String,
     },
-    /// A ledger can't be read.
+    /// A ledger cannot be opened or read.
     #[snafu(display("ledger"))]
     Ledger {
         /// The reason.
         source: LedgerError,
     },
-    /// The membership list failed.
+    /// The membership list cannot be read or written.
     #[snafu(display("members"))]
     Members {
         /// The reason.
         source: MembersError,
     },
-    /// A promise was broken.
+    /// A guarantee was violated, or a process did not stop cleanly.
     #[snafu(display("a promise was broken"))]
     Broken,
-    /// The run's arguments are unusable.
+    /// An argument is invalid.
     #[snafu(display("{flag}: {message}"))]
     Usage {
         /// The flag.
         flag: &'static str,
-        /// What is wrong.
+        /// The reason.
         message: String,
     },
 }
--- a/crates/load/src/fleet/boot.rs
+++ b/crates/load/src/fleet/boot.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the fleet.
+//! Starting, stopping and fault injection of the fleet.
 
 use std::{
     fs,
@@ -24,17 +24,17 @@
     error::{FileSnafu, LedgerSnafu, LoadError, SpawnSnafu},
 };
 
-/// Size of a stand-in worker: about 30 cores and 125 GB.
+/// Size of a stand-in worker: 30 cores and 125 GiB.
 const WORKER_CORES: u64 = 30;
 const WORKER_MEMORY_MIB: u64 = 128_000;
 
-/// Time limit of the start.
+/// Timeout for each part of the fleet to become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time limit of the stop of one process.
+/// Timeout for one process to stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A running fleet.
+/// The running processes of the system and its stand-ins.
 pub(crate) struct Fleet {
     pub plan: FleetPlan,
     _platform: ChildProcess,
@@ -48,7 +48,8 @@
 }
 
 impl Fleet {
-    /// Starts everything and applies both templates.
+    /// Empties the output directory, starts all processes, applies the templates of both
+    /// organisations and waits until their services answer.
     pub fn start(args: &TrialArgs, size: &FleetSize) -> Result<Fleet, LoadError> {
         let bin = match &args.bin {
             Some(bin) => bin.clone(),
@@ -121,7 +122,7 @@
         ok
     }
 
-    /// Starts the worker with this index.
+    /// Starts the worker at index `i` of the plan.
     pub fn start_worker(&self, i: usize) -> Result<ChildProcess, LoadError> {
         let w = &self.plan.workers[i];
         let gate = self.platform_addr(&w.zone);
@@ -139,7 +140,7 @@
         self.run("gorsespur-stand", &args, &w.name)
     }
 
-    /// Starts the scheduler with this index.
+    /// Starts the scheduler at index `i` of the plan.
     pub fn start_sched(&self, i: usize) -> Result<ChildProcess, LoadError> {
         let at = &self.plan.scheds[i];
         let path = self.write(&at.id, &settings::sched(&self.plan, at))?;
@@ -153,7 +154,7 @@
         self.run("gorsespur-sched", &args, &at.id)
     }
 
-    /// Starts the entry with this index.
+    /// Starts the entry at index `i` of the plan.
     pub fn start_entry(&self, i: usize) -> Result<ChildProcess, LoadError> {
         let at = &self.plan.entries[i];
         let path = self.write(&at.id, &settings::entry(&self.plan, at))?;
@@ -172,7 +173,7 @@
         ChildProcess::start(&self.bin.join(program), args, name, &log)
     }
 
-    /// Returns the file of a worker's ledger.
+    /// Returns the path of a worker's ledger.
     pub fn ledger_path(&self, worker: &str) -> PathBuf {
         self.args
             .out
@@ -180,18 +181,18 @@
             .join(format!("{worker}.jsonl"))
     }
 
-    /// Returns the platform's address for a zone.
+    /// Returns the platform's address in a zone.
     pub fn platform_addr(&self, zone: &str) -> SocketAddr {
         let i = self.plan.zones.iter().position(|z| z == zone).unwrap_or(0);
         self.plan.platform_addrs[i]
     }
 
-    /// Applies a template on the version that was edited.
+    /// Applies a template on top of version `base_version`.
     pub fn apply_template(&self, file: &Path, on: u64) -> Result<(), LoadError> {
         self.apply_template_avoiding(file, on, &[])
     }
 
-    /// Applies a template through a zone that is not in `cut`.
+    /// Applies a template through a zone that is not in `cut_zones`.
     pub fn apply_template_avoiding(
         &self,
         file: &Path,
@@ -216,7 +217,7 @@
         Err(LoadError::Ctl { message })
     }
 
-    /// Sends the membership list to the platform.
+    /// Sends the membership list to the platform. Returns `None` if that fails.
     pub fn set_members(&self) -> Option<()> {
         let mut list = MemberList::default();
         for i in self.plan.entries.iter().chain(&self.plan.scheds) {
@@ -249,17 +250,18 @@
         (answer.ok()?.status == 200).then_some(())
     }
 
-    /// Sets the platform's faults.
+    /// Replaces the faults that the platform injects.
     pub fn set_platform_faults(&self, faults: &PlatformFaults) {
         post_json(self.plan.platform_addrs[0], faults);
     }
 
-    /// Sets a worker's faults.
+    /// Replaces the faults that a worker injects.
     pub fn set_worker_faults(&self, i: usize, faults: &WorkerFaults) {
         post_json(self.plan.workers[i].addr, faults);
     }
 
-    /// Kills a worker and notes that in its ledger; the list shows it later.
+    /// Kills a worker, records the kill in its ledger, and then removes the worker from the
+    /// membership list.
     pub fn kill_worker(&mut self, i: usize) -> Result<(), LoadError> {
         self.workers[i].kill();
         let name = self.plan.workers[i].name.clone();
@@ -278,13 +280,13 @@
         Ok(())
     }
 
-    /// Lists a worker as leaving.
+    /// Marks a worker as leaving in the membership list.
     pub fn mark_leaving(&mut self, i: usize) {
         self.leaving.push(self.plan.workers[i].name.clone());
         self.set_members();
     }
 
-    /// Returns the entries of all ledgers.
+    /// Reads the entries of all ledgers.
     pub fn read_ledgers(&self) -> Result<Vec<Entry>, LoadError> {
         let mut out = Vec::new();
         for w in &self.plan.workers {
@@ -296,7 +298,8 @@
         Ok(out)
     }
 
-    /// Asks the system's instances to stop and returns those that did not.
+    /// Terminates the instances of the system. Returns the names of those that do not exit with
+    /// code 0 in time.
     pub fn stop_instances(&mut self) -> Vec<String> {
         let mut bad = Vec::new();
         let all = self.entries.iter_mut().chain(self.scheds.iter_mut());
--- a/crates/load/src/fleet/mod.rs
+++ b/crates/load/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The system's processes and their stand-ins on loopback.
+//! The system's processes and stand-ins for the platform and the workers, on one host.
 
 mod boot;
 mod plan;
--- a/crates/load/src/fleet/plan.rs
+++ b/crates/load/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! Which processes there are, and where.
+//! The processes of a fleet, their zones and addresses.
 
 use std::net::{IpAddr, SocketAddr, TcpListener};
 
@@ -8,27 +8,26 @@
 
 use crate::error::{LoadError, PortSnafu};
 
-/// Zones of a run.
+/// Names of the zones.
 const ZONES: [&str; 3] = ["shah-alam", "port-klang", "cyberjaya"];
 
-/// Workers in a rack.
 const WORKERS_PER_RACK: usize = 8;
 
-/// How many of each.
+/// Numbers of zones, instances, workers and shards.
 #[derive(Debug, Clone)]
 pub(crate) struct FleetSize {
     pub zones: usize,
-    /// Entries a zone.
+    /// Entries per zone.
     pub entries: usize,
-    /// Schedulers a zone.
+    /// Schedulers per zone.
     pub scheds: usize,
     pub workers: usize,
-    /// Shards a zone.
+    /// Shards per zone.
     pub shards: u32,
 }
 
 impl Default for FleetSize {
-    /// Returns the sizes of today.
+    /// Returns the current size of the system.
     fn default() -> FleetSize {
         FleetSize {
             zones: 3,
@@ -60,7 +59,7 @@
     pub target_addr: SocketAddr,
 }
 
-/// Where everything is.
+/// Zones, instances and workers with their addresses.
 #[derive(Debug, Clone)]
 pub(crate) struct FleetPlan {
     pub zones: Vec<String>,
@@ -72,8 +71,8 @@
     pub workers: Vec<WorkerPlan>,
 }
 
-/// Hands out ports of a host that no other socket uses or is given, so that a port is
-/// still free when its process starts; all are held until the plan is made.
+/// Reserves ports of a host. All listeners stay open until the plan is complete, so that no port
+/// is given out twice and each port is still free when its process starts.
 struct Ports {
     host: IpAddr,
     held: Vec<TcpListener>,
--- a/crates/load/src/fleet/process.rs
+++ b/crates/load/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! A process that a run started.
+//! Child processes.
 
 use std::{
     fs::{File, OpenOptions},
@@ -13,7 +13,7 @@
 
 use crate::error::{FileSnafu, LoadError, SpawnSnafu};
 
-/// A running process; it is killed when dropped.
+/// A child process, killed when dropped.
 #[derive(Debug)]
 pub(crate) struct ChildProcess {
     pub name: String,
@@ -21,7 +21,7 @@
 }
 
 impl ChildProcess {
-    /// Starts a program; its stderr goes to a file.
+    /// Starts a program and appends its standard error to the file `log`.
     pub fn start(
         program: &Path,
         args: &[String],
@@ -51,28 +51,29 @@
         let _ = kill_process(pid, signal);
     }
 
-    /// Kills the process at once.
+    /// Kills the process with SIGKILL and reaps it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asks the process to stop.
+    /// Requests a clean exit with SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Freezes the process.
+    /// Suspends the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a frozen process go on.
+    /// Continues a suspended process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits for the end; returns whether it came in time with code 0.
+    /// Waits for the process to exit. Returns whether its exit code is 0, or `None` if it is still
+    /// running after `limit`.
     pub fn wait_for_exit(&mut self, limit: Duration) -> Option<bool> {
         let end = Instant::now() + limit;
         loop {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Returns resident memory in KiB and processor time in milliseconds.
+    /// Returns the resident memory in KiB and the CPU time in milliseconds.
     pub fn usage(&self) -> Option<(u64, u64)> {
         let pid = self.child.id();
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
--- a/crates/load/src/fleet/settings.rs
+++ b/crates/load/src/fleet/settings.rs
@@ -1,10 +1,10 @@
-//! Settings files of the instances.
+//! Texts of the instances' settings files.
 
 use std::fmt::Write;
 
 use super::plan::{FleetPlan, InstancePlan};
 
-/// Returns the settings that every instance has, indented under `instance`.
+/// Returns the section `instance`, which all instances have.
 fn common(plan: &FleetPlan, at: &InstancePlan) -> String {
     let gate = plan
         .zones
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,7 +1,8 @@
-//! Load, trial runs and measurements, for tests and not for operation.
+//! Load generation, trial runs and measurements for tests. Not used in operation.
 //!
-//! This is the one program that starts others: it runs the system's processes
-//! with stand-ins on loopback, and judges promises by the workers' ledgers.
+//! This is the only program that starts other programs. It runs the system's processes with
+//! stand-ins for the platform and the workers on one host, and verifies the system's guarantees
+//! against the workers' ledgers.
 
 pub mod args;
 mod capacity;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! Load, trial runs and measurements.
+//! Command line program for load generation, trial runs and measurements.
 
 use std::process::ExitCode;
 
--- a/crates/load/src/measure/faults.rs
+++ b/crates/load/src/measure/faults.rs
@@ -1,4 +1,5 @@
-//! Promises under kills, pauses, outages and a zone that is cut off.
+//! Verification of the system's guarantees under a schedule of kills, pauses, outages and a zone
+//! that is cut off from the platform.
 
 use std::{
     net::SocketAddr,
@@ -22,25 +23,23 @@
     verify::verify,
 };
 
-/// Requests a second.
 const REQUESTS_PER_SECOND: f64 = 150.0;
 
-/// Threads that send them.
 const REQUEST_THREADS: usize = 24;
 
-/// Jobs for each second of load.
 const JOBS_PER_SECOND: u64 = 3;
 
-/// Least seconds of load: the schedule takes as long.
+/// Minimum seconds of load; the schedule of faults takes about as long.
 const MIN_SECONDS: u64 = 60;
 
-/// Longest time for the jobs to finish after the load.
+/// Timeout for the jobs to finish after the load.
 const FINISH_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Longest time for a takeover or a change of configuration.
+/// Timeout for a takeover or a configuration change to take effect.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Times that were measured, in milliseconds.
+/// Durations of the takeover, the handover and the configuration changes. `config_cut_ms` is for
+/// a zone that is cut off from the platform.
 #[derive(Debug, Default)]
 struct FaultTimes {
     takeover_ms: u64,
@@ -49,7 +48,7 @@
     config_cut_ms: u64,
 }
 
-/// Runs the schedule and prints the figures.
+/// Runs load and the schedule of faults, verifies the guarantees and prints the results.
 pub(crate) fn run(args: &TrialArgs) -> Result<(), LoadError> {
     let seconds = args.seconds.max(MIN_SECONDS);
     let mut fleet = Fleet::start(args, &FleetSize::default())?;
@@ -123,7 +122,7 @@
     thread::sleep(Duration::from_secs(seconds));
 }
 
-/// The schedule; about a minute.
+/// Injects the faults one after another, for about a minute.
 fn run_schedule(fleet: &mut Fleet, args: &TrialArgs) -> Result<FaultTimes, LoadError> {
     let mut out = FaultTimes::default();
     let pick = args.seed as usize;
@@ -219,7 +218,8 @@
     Ok(())
 }
 
-/// Returns the index of a scheduler that owns a shard.
+/// Returns the index of a scheduler that owns a shard, selected by `pick`; 0 if no shard has an
+/// owner.
 fn pick_owner(fleet: &Fleet, pick: usize) -> usize {
     let owners = shard_owners(fleet);
     let Some(owner) = owners.get(pick % owners.len().max(1)) else {
@@ -234,7 +234,7 @@
         .unwrap_or(0)
 }
 
-/// Returns owner, epoch and key of each shard that has an owner.
+/// Returns the owner, the epoch and the row key of each shard that has an owner.
 fn shard_owners(fleet: &Fleet) -> Vec<(String, u64, Name)> {
     let table = HttpTable::new(fleet.plan.platform_addrs[0], Duration::from_millis(500));
     let rows = table
@@ -253,7 +253,7 @@
     out
 }
 
-/// Returns the time from `act` until others own the shards of a scheduler.
+/// Runs `act` and returns the milliseconds until other schedulers own the shards of a scheduler.
 fn measure_move_ms(fleet: &mut Fleet, sched: usize, act: impl FnOnce(&mut Fleet)) -> u64 {
     let id = fleet.plan.scheds[sched].id.clone();
     let had: Vec<Name> = shard_owners(fleet)
@@ -274,8 +274,8 @@
     began.elapsed().as_millis() as u64
 }
 
-/// Applies a change and returns the time until it is in force everywhere; with
-/// `zones`, everywhere in these.
+/// Applies a template change and returns the milliseconds until it is in force on all instances.
+/// With `cut_zones`, only the instances of these zones count.
 fn measure_config_ms(
     fleet: &Fleet,
     args: &TrialArgs,
@@ -287,7 +287,7 @@
     let path = args.out.join(format!("weld-{on}.yaml"));
     let text = text.replace("retry_percent: 10", &format!("retry_percent: {}", 10 + on));
     write(&path, &text)?;
-    // The zone that is not cut off has the first gate, or the operator waits.
+    // In a zone that is cut off, the command would wait for the platform.
     fleet.apply_template_avoiding(&path, on, zones)?;
     let began = Instant::now();
     while began.elapsed() < CHANGE_TIMEOUT {
--- a/crates/load/src/measure/interference.rs
+++ b/crates/load/src/measure/interference.rs
@@ -1,12 +1,12 @@
-//! Placement under interference: the learning policy against the baselines,
-//! and against the same policy with the hidden table told.
+//! Compares placement with learned interference to the baselines, and to the same policy with the
+//! hidden interference table as an oracle.
 
 use gorsespur_core::{placement::PlacementPolicy, template::Weights};
 
 use super::placement_sim::{PlacementSim, PlacementSimResult, PlacementSimSettings};
 use crate::{args::InterferenceArgs, error::LoadError};
 
-/// Weights of Weld and of Taipei.
+/// Placement weights of the organisations Weld and Taipei.
 const WELD_WEIGHTS: Weights = Weights {
     tail_latency: 0.6,
     throughput: 0.2,
@@ -18,7 +18,7 @@
     evictions: 0.4,
 };
 
-/// Measures and prints a line for each user.
+/// Measures and prints a line for each organisation.
 pub(crate) fn run(args: &InterferenceArgs) -> Result<(), LoadError> {
     for (user, weights) in [("weld", WELD_WEIGHTS), ("taipei", TAIPEI_WEIGHTS)] {
         let settings = |policy, told| PlacementSimSettings {
--- a/crates/load/src/measure/membership.rs
+++ b/crates/load/src/measure/membership.rs
@@ -1,12 +1,11 @@
-//! Full membership against partial views of about the square root.
+//! Compares full membership to partial views of about the square root of the instances.
 //!
-//! Full: an instance sends its heartbeat to everyone in its zone and to two
-//! contacts in each other zone, and knows its zone. Partial (after Kelips,
-//! Gupta et al. 2003): instances fall into about sqrt(n) groups by hash; an
-//! instance gossips a bounded number of entries to a few members of its group
-//! and to contacts in other groups. ViewCosts are the bytes that an instance
-//! sends a second, the entries that it keeps, and the time until a crash or a
-//! new instance is known to all that are to know it.
+//! With full membership, an instance sends its heartbeat to all instances of its zone and to two
+//! contacts in each other zone. With partial views (after Kelips, Gupta et al. 2003), instances are
+//! hashed into about sqrt(n) groups, and an instance gossips a bounded number of entries to a few
+//! members of its group and to contacts in other groups. The comparison covers the bytes that an
+//! instance sends per second, the entries that it stores, and the time until all instances that
+//! need to detect a new or crashed instance have done so.
 
 use gorsespur_core::{hashing::stable_hash, member::MemberSettings};
 use gorsespur_wire::codec::encode;
@@ -14,26 +13,25 @@
 
 use crate::{args::MembershipArgs, error::LoadError, slopes::heartbeat};
 
-/// Time of a round of both, in milliseconds.
+/// Interval between gossip rounds, equal to the heartbeat interval.
 const ROUND_MS: u64 = 500;
 
-/// Entries in one gossip message, as in the paper's rations of 272 bytes.
+/// Entries in one gossip message, about as many as in the paper's messages of 272 bytes.
 const ENTRIES_PER_MESSAGE: usize = 6;
 
-/// Gossip targets of a round: in the group, and contacts of other groups.
+/// Gossip targets per round in the own group, and contacts in other groups.
 const GROUP_TARGETS: usize = 3;
 const CONTACT_TARGETS: usize = 3;
 
-/// Contacts kept of each other group.
 const CONTACTS_PER_GROUP: usize = 2;
 
-/// Rounds after which a run is given up.
+/// Rounds after which a simulation is aborted.
 const MAX_ROUNDS: u64 = 4_000;
 
-/// Bytes of a datagram besides its message.
+/// Bytes of the IP and UDP headers of a datagram.
 const DATAGRAM_OVERHEAD_BYTES: f64 = 28.0;
 
-/// What came out.
+/// Costs and delays for one instance.
 struct ViewCosts {
     sent_bytes: f64,
     entries: f64,
@@ -41,7 +39,7 @@
     forget_s: f64,
 }
 
-/// Measures and prints both at the given size.
+/// Measures and prints full membership and partial views at the given size.
 pub(crate) fn run(args: &MembershipArgs) -> Result<(), LoadError> {
     let each = encode(&heartbeat(1, 1)).unwrap_or_default().len() as f64;
     let full = full_membership(args, each);
@@ -55,8 +53,8 @@
     Ok(())
 }
 
-/// Everyone in the zone is told directly: one round to learn, the time limit
-/// to forget.
+/// Returns the costs of full membership. Heartbeats go to all instances of the zone directly, so
+/// learning takes one interval, and forgetting takes the failure timeout and one interval.
 fn full_membership(args: &MembershipArgs, each: f64) -> ViewCosts {
     let zone = args.instances.div_ceil(args.zones);
     let settings = MemberSettings::default();
@@ -72,12 +70,12 @@
 
 struct GossipNode {
     group: usize,
-    /// Latest heartbeat count heard of each member of the group, and when.
+    /// Latest heartbeat count of each member of the group, and the round in which it arrived.
     heartbeats: Vec<Option<(u64, u64)>>,
     contacts: Vec<Vec<usize>>,
 }
 
-/// Gossip within groups, simulated round by round.
+/// Returns the costs of partial views, from a simulation of gossip in rounds.
 fn partial_views(args: &MembershipArgs, each: f64) -> ViewCosts {
     let n = args.instances;
     let groups = (n as f64).sqrt().round().max(1.0) as usize;
@@ -113,8 +111,8 @@
         nodes[*i].heartbeats[place] = None;
     }
     let learn = rounds_to_learn(&mut nodes, &members, &mut rng, newcomer, home, place);
-    // The time limit that is safe: the longest gap between news of a live
-    // member at any node, as measured, with half as much again.
+    // A safe failure timeout is 1.5 times the longest interval between two heartbeat counts of a
+    // live member at any node.
     let gap = longest_gap(&mut nodes, &members, &mut rng);
     let targets = GROUP_TARGETS + CONTACT_TARGETS;
     let message = each * ENTRIES_PER_MESSAGE as f64 + DATAGRAM_OVERHEAD_BYTES;
@@ -126,7 +124,7 @@
     }
 }
 
-/// Lets each node gossip once.
+/// Runs one round, in which each node gossips once.
 fn gossip_round(nodes: &mut [GossipNode], members: &[Vec<usize>], rng: &mut SmallRng, now: u64) {
     let mut messages = Vec::new();
     for (i, node) in nodes.iter_mut().enumerate() {
@@ -186,7 +184,7 @@
     MAX_ROUNDS
 }
 
-/// Returns the longest time in rounds for which a node heard no news of a live
+/// Returns the maximum number of rounds in which a node received no new heartbeat count of a live
 /// member of its group.
 fn longest_gap(nodes: &mut [GossipNode], members: &[Vec<usize>], rng: &mut SmallRng) -> u64 {
     let mut longest = 0;
--- a/crates/load/src/measure/mod.rs
+++ b/crates/load/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements, each against its baseline in one run.
+//! Measurements. Each compares the system to a baseline in the same run.
 
 pub(crate) mod faults;
 pub(crate) mod interference;
--- a/crates/load/src/measure/organisation.rs
+++ b/crates/load/src/measure/organisation.rs
@@ -1,4 +1,4 @@
-//! Organisations for measurements.
+//! Synthetic organisations for measurements.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
     template::{JobTemplate, OrgLimits, Organisation, Priority, Service, Team, Weights},
 };
 
-/// Kinds of jobs of an organisation.
+/// Number of job kinds per organisation.
 const JOB_KINDS: usize = 8;
 
-/// Returns organisation `n` with a service, a team and eight kinds of jobs.
+/// Returns organisation `n`, counted from 1, with one service, one team and eight job kinds.
 pub(crate) fn organisation(n: usize) -> Arc<Organisation> {
     let n = n - 1;
     let quota = Size::new(u64::MAX / 4, u64::MAX / 4, u32::MAX / 4);
--- a/crates/load/src/measure/overhead.rs
+++ b/crates/load/src/measure/overhead.rs
@@ -1,7 +1,8 @@
-//! What an entry adds to a direct call to a target.
+//! Latency that an entry adds to a direct call to a target.
 //!
-//! Each caller sends the same request directly and through an entry, in turn,
-//! at half the rate at which the entries were found to saturate.
+//! The entries' saturation throughput is measured first. Then callers send each request both
+//! directly and through an entry, in alternating order. The rate of all these calls together is
+//! half of the saturation throughput.
 
 use std::{
     net::SocketAddr,
@@ -20,29 +21,27 @@
     fleet::{Fleet, FleetSize},
 };
 
-/// Threads that look for saturation.
+/// Threads that measure the saturation throughput.
 const PROBE_THREADS: usize = 32;
 
-/// Time for which they look.
+/// Duration of the saturation measurement.
 const PROBE_DURATION: Duration = Duration::from_secs(3);
 
-/// Threads of the measured load.
+/// Threads that measure latencies.
 const LOAD_THREADS: usize = 32;
 
-/// Path of the requests.
 const REQUEST_PATH: &str = "/s/weld/qualification/check";
 
-/// Time limit of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Addresses of both ways.
+/// Addresses of the entries, and of the targets for direct calls.
 #[derive(Debug, Clone)]
 struct Addresses {
     entries: Vec<SocketAddr>,
     targets: Vec<SocketAddr>,
 }
 
-/// LatencyHistogram of both ways.
+/// Latencies of direct calls and of calls through an entry.
 struct PairedLatencies {
     direct: LatencyHistogram,
     via_entry: LatencyHistogram,
@@ -106,7 +105,7 @@
         .is_ok_and(|a| a.status == 200)
 }
 
-/// Returns the requests a second that closed-loop callers reach.
+/// Returns the requests per second that closed-loop callers reach.
 fn measure_saturation(ways: &Addresses, seed: u64) -> f64 {
     let mut count = 0;
     thread::scope(|scope| {
--- a/crates/load/src/measure/overload.rs
+++ b/crates/load/src/measure/overload.rs
@@ -1,12 +1,12 @@
-//! Routing under overload and with failing or slow targets, against
-//! round-robin without budgets.
+//! Compares routing under overload and with faulty targets to round-robin without retry budgets.
 
 use gorsespur_core::route::RoutePolicy;
 
 use super::overload_sim::{OverloadResult, OverloadSettings, TargetFault};
 use crate::{args::SeedArgs, error::LoadError};
 
-/// Load as a share of the capacity, in the four cases.
+/// Offered load as a share of the capacity. `FAULT_LOAD` fits into the capacity that is left when
+/// a third of the targets is faulty.
 const LIGHT_LOAD: f64 = 0.3;
 const DOUBLE_LOAD: f64 = 2.0;
 const FAULT_LOAD: f64 = 0.45;
--- a/crates/load/src/measure/overload_sim.rs
+++ b/crates/load/src/measure/overload_sim.rs
@@ -1,7 +1,7 @@
-//! Entries and targets in virtual time, for measuring routing.
+//! Simulation of entries and targets in virtual time, for measuring routing.
 //!
-//! Each entry has its own router and knows nothing of the others but their
-//! number and what answers report.
+//! Each entry has its own router. Routers share no state: a router gets only the number of
+//! entries, its rank among them, and the load that targets report in their answers.
 
 use std::{cmp::Reverse, collections::BinaryHeap};
 
@@ -18,42 +18,41 @@
 
 use crate::clients::LatencyHistogram;
 
-/// Sizes of one zone of today.
+/// Current size of one zone.
 const ENTRY_COUNT: usize = 3;
 const TARGET_COUNT: usize = 18;
 const SLOTS_PER_TARGET: u32 = 8;
 
-/// Mean time of an answer in milliseconds.
+/// Mean service time of a request.
 const MEAN_SERVICE_MS: f64 = 20.0;
 
-/// How much slower the slow targets are.
+/// Factor by which the service time of slow targets is longer.
 const SLOWDOWN_FACTOR: f64 = 10.0;
 
-/// Time limit of a request.
+/// Deadline of a request after its arrival.
 const DEADLINE_MS: Millis = 1_000;
 
-/// Time that is not counted.
+/// Time at the start that is not measured.
 const WARMUP_MS: Millis = 2_000;
 
-/// Start of virtual time.
 const START_MS: Millis = 1_000_000;
 
-/// Time on the way to a target or back, in milliseconds.
+/// One-way delay between an entry and a target.
 const NETWORK_DELAY_MS: Millis = 1;
 
-/// SimEvent is wrong with a third of the targets.
+/// Fault of a third of the targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TargetFault {
     None,
-    /// They break every connection after they took the request.
+    /// The targets break each connection after they receive the request.
     Failing,
-    /// They are ten times slower.
+    /// The targets are slower by `SLOWDOWN_FACTOR`.
     Slow,
-    /// They refuse connections.
+    /// The targets refuse connections.
     Unreachable,
 }
 
-/// One run.
+/// Settings of a simulation.
 #[derive(Debug, Clone)]
 pub(crate) struct OverloadSettings {
     pub policy: RoutePolicy,
@@ -63,22 +62,22 @@
     pub duration: Millis,
 }
 
-/// SimEvent came out.
+/// Results after the warm-up.
 #[derive(Debug, Clone)]
 pub(crate) struct OverloadResult {
     pub requests: u64,
     pub answered: u64,
     pub refused: u64,
-    /// Answers after the deadline.
+    /// Answers that arrived after the deadline.
     pub late: u64,
     pub tries: u64,
     pub repeatable: u64,
     pub repeatable_ok: u64,
-    /// Answers in time as a share of the capacity.
+    /// Answers within the deadline as a share of the capacity.
     pub goodput: f64,
     pub urgent_latencies: LatencyHistogram,
     pub latencies: LatencyHistogram,
-    /// LatencyHistogram after which refused requests were told so.
+    /// Times from the arrival of refused requests to their refusal.
     pub refused_wait: LatencyHistogram,
 }
 
@@ -149,7 +148,7 @@
 }
 
 impl OverloadSettings {
-    /// Runs to the end.
+    /// Runs the simulation.
     pub fn run(&self) -> OverloadResult {
         let mut sim = OverloadSim::new(self);
         sim.prepare();
@@ -157,7 +156,7 @@
         sim.result
     }
 
-    /// Returns the requests a millisecond at which every slot is busy.
+    /// Returns the requests per millisecond that keep all slots busy.
     fn capacity(&self) -> f64 {
         (TARGET_COUNT as u32 * SLOTS_PER_TARGET) as f64 / MEAN_SERVICE_MS
     }
--- a/crates/load/src/measure/placement_sim.rs
+++ b/crates/load/src/measure/placement_sim.rs
@@ -1,6 +1,7 @@
-//! A shard on stand-in workers in virtual time, for measuring placement.
+//! Simulation of a shard with its workers in virtual time, for measuring placement.
 //!
-//! Workers slow each other's tasks down by a hidden table and report late.
+//! On a worker, tasks slow each other down according to an interference table that is hidden from
+//! the scheduler. Workers report slowdowns with a lag.
 
 use std::sync::Arc;
 
@@ -20,57 +21,55 @@
 
 use crate::clients::LatencyHistogram;
 
-/// Virtual time of one step.
 const STEP_MS: Millis = 20;
 
-/// Start of virtual time.
 const START_MS: Millis = 1_000_000;
 
-/// Time between two looks at the services.
+/// Interval between two latency samples of the services.
 const SAMPLE_INTERVAL_MS: Millis = 100;
 
-/// Time that is not counted, while workers fill up.
+/// Time at the start that is not measured, since the workers are still filling up.
 const WARMUP_MS: Millis = 20_000;
 
-/// Kinds of batch tasks.
+/// Number of kinds of batch tasks.
 pub(crate) const JOB_KINDS: usize = 8;
 
-/// The service.
+/// Name of the service.
 const SERVICE: &str = "service";
 
-/// Mean time of an answer of an undisturbed service, in microseconds.
+/// Mean latency of a service without interference.
 const BASE_LATENCY_US: f64 = 4_000.0;
 
-/// Representative loads of the bands.
+/// Representative load of each load band.
 const BAND_LOADS: [f64; BAND_COUNT] = [0.3, 0.7, 0.9];
 
-/// What is run.
+/// Settings of a simulation.
 #[derive(Debug, Clone)]
 pub(crate) struct PlacementSimSettings {
     pub workers: usize,
     pub replicas: u32,
     pub weights: Weights,
     pub policy: PlacementPolicy,
-    /// How long urgent tasks wait before others are evicted; the usual if none.
+    /// Time that urgent tasks wait before other tasks are evicted. `None` stands for the default.
     pub preempt_after: Option<Millis>,
     pub seed: u64,
     pub table_seed: u64,
     pub strength: f64,
     pub report_lag: Millis,
     pub duration: Millis,
-    /// Whether the machine is told the hidden table.
+    /// Whether the scheduler gets the hidden table.
     pub oracle: bool,
 }
 
-/// What came out.
+/// Results after the warm-up.
 #[derive(Debug, Clone)]
 pub(crate) struct PlacementSimResult {
     pub latencies: LatencyHistogram,
     pub completed: u64,
-    /// Undisturbed run time of the tasks that were done, in milliseconds.
+    /// Sum of the declared run times of the completed tasks, without slowdowns.
     pub work_ms: u64,
     pub evictions: u64,
-    /// Longest and mean time that an urgent task waited, in milliseconds.
+    /// Maximum and mean waiting time of urgent tasks. Includes the warm-up.
     pub urgent_max_ms: Millis,
     pub urgent_mean_ms: f64,
 }
@@ -80,7 +79,7 @@
     submitted_at: Millis,
 }
 
-/// The floor.
+/// A shard scheduler with simulated workers.
 pub(crate) struct PlacementSim {
     settings: PlacementSimSettings,
     scheduler: ShardScheduler,
@@ -195,7 +194,7 @@
         }
     }
 
-    /// Runs to the end; the hidden table shifts half-way.
+    /// Runs the simulation. The hidden table changes half-way.
     pub fn run(mut self) -> PlacementSimResult {
         self.apply_event(&Event::Organisations(vec![organisation(&self.settings)]));
         let list = self.worker_list();
@@ -266,7 +265,7 @@
         }
     }
 
-    /// Tells the machine the hidden table as it is now.
+    /// Sets the scheduler's interference model to the current hidden table.
     fn reveal_table(&mut self) {
         let shift = u64::from(self.now >= START_MS + self.settings.duration / 2);
         let slowdown = self.slowdown(shift);
@@ -284,7 +283,7 @@
         }
     }
 
-    /// Keeps work of every kind queued, and lets urgent tasks come.
+    /// Submits normal jobs so that three per worker are queued, and urgent jobs at random.
     fn submit_jobs(&mut self) {
         let wanted = self.settings.workers as u64 * 3;
         let mut specs = Vec::new();
@@ -400,7 +399,7 @@
         }
     }
 
-    /// Takes one answer's time from each replica.
+    /// Draws one latency from each replica of the service.
     fn sample_latencies(&mut self) {
         for w in &self.workers {
             if !w.serves(SERVICE) {
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -1,4 +1,4 @@
-//! Cost of placement, journalling and recovery, by the clock.
+//! Wall-clock cost of placement, journalling, recovery and cancellation.
 
 use std::time::Instant;
 
@@ -21,25 +21,24 @@
 use super::organisation::organisation;
 use crate::{args::SeedArgs, error::LoadError};
 
-/// Start of virtual time.
 const START_MS: Millis = 1_000_000;
 
-/// Numbers of workers at which placement is measured.
+/// Numbers of workers for which placement is measured.
 const WORKER_COUNTS: [usize; 6] = [50, 200, 600, 1_200, 5_000, 26_000];
 
-/// Running tasks for each worker: 15,000 on 1,200 workers.
+/// Running tasks per worker: 15,000 on 1,200 workers.
 const TASKS_PER_WORKER: f64 = 12.5;
 
-/// Placements that are timed at each size.
+/// Maximum number of placements that are timed per number of workers.
 const TIMED_PLACEMENTS: u32 = 10_000;
 
-/// Records of one journal row at which its cost is measured.
+/// Records of the measured journal row.
 const JOURNAL_RECORDS: usize = 5_000;
 
-/// Jobs that are cancelled at once.
+/// Queued jobs that one event cancels.
 const CANCELLED_JOBS: usize = 10_000;
 
-/// Workers of the shard whose recovery is measured.
+/// Workers of the recovered shard.
 const RECOVERY_WORKERS: usize = 1_200;
 
 /// Measures and prints a line for each figure.
@@ -55,7 +54,7 @@
     Ok(())
 }
 
-/// Returns a machine whose workers all answered.
+/// Returns a shard scheduler whose workers have all answered their first exchange.
 pub(crate) fn scheduler(policy: PlacementPolicy, workers: usize, seed: u64) -> ShardScheduler {
     let place = ShardId {
         name: "shard".into(),
@@ -95,7 +94,7 @@
     machine
 }
 
-/// Lets every worker answer that it runs what it should.
+/// Answers the exchange of each worker with the tasks that the scheduler expects there.
 fn answer_exchanges(machine: &mut ShardScheduler, now: Millis) {
     let upto = machine.next_record();
     machine.step(now, &Event::Committed(upto));
@@ -157,7 +156,7 @@
     );
 }
 
-/// Submits tasks and places them; returns how many were started.
+/// Submits jobs of ten tasks and places them. Returns the number of started tasks.
 pub(crate) fn place_tasks(machine: &mut ShardScheduler, tasks: u32, first: usize) -> u64 {
     let mut specs = Vec::new();
     for i in 0..tasks.div_ceil(10) {
@@ -184,7 +183,7 @@
     started as u64
 }
 
-/// Returns a row of the journal with `n` starts.
+/// Returns a journal row with `n` starts.
 pub(crate) fn journal_row(n: u32) -> JournalRow {
     let mut records = Vec::new();
     for i in 0..n {
@@ -218,7 +217,7 @@
     );
 }
 
-/// A wave of cancellations of queued jobs.
+/// Measures the cancellation of many queued jobs at once.
 fn measure_cancel(seed: u64) {
     let mut machine = scheduler(PlacementPolicy::Interference, 1, seed);
     let mut specs = Vec::new();
--- a/crates/load/src/program.rs
+++ b/crates/load/src/program.rs
@@ -1,4 +1,4 @@
-//! Runs one command.
+//! Dispatch of the commands.
 
 use crate::{
     args::{LoadArgs, LoadCommand, Measure},
@@ -8,7 +8,7 @@
     slopes, trial,
 };
 
-/// Runs the command.
+/// Runs the command that the arguments select.
 pub fn run(args: &LoadArgs) -> Result<(), LoadError> {
     match &args.command {
         LoadCommand::Trial(args) => trial::run(args),
--- a/crates/load/src/slopes/linear_fit.rs
+++ b/crates/load/src/slopes/linear_fit.rs
@@ -1,4 +1,4 @@
-//! A fitted line.
+//! Linear fits of measured quantities.
 
 use std::path::Path;
 
@@ -6,21 +6,21 @@
 
 use crate::error::{FileSnafu, LoadError};
 
-/// A measured quantity as a line over a size.
+/// A measured quantity as a linear function of a size.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct LinearFit {
     pub name: String,
     pub unit: String,
     pub slope: f64,
     pub intercept: f64,
-    /// Root mean square error as a share of the mean.
+    /// Root mean square error as a share of the mean value.
     pub rms_error: f64,
-    /// Sizes and values.
+    /// Measured pairs of size and value.
     pub points: Vec<(f64, f64)>,
 }
 
 impl LinearFit {
-    /// Fits a line by least squares.
+    /// Fits a line to the points by least squares.
     pub fn fit(name: &str, unit: &str, points: Vec<(f64, f64)>) -> LinearFit {
         let n = points.len() as f64;
         let mean_x = points.iter().map(|p| p.0).sum::<f64>() / n;
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Returns the value of the line at `x`.
+    /// Returns the fitted value at size `x`.
     pub fn value_at(&self, x: f64) -> f64 {
         self.slope * x + self.intercept
     }
 
-    /// Prints the line with its points.
+    /// Prints the fit and its points as one output line.
     pub fn print(&self) {
         let points: Vec<String> = self
             .points
@@ -88,7 +88,7 @@
     }
 }
 
-/// Reads the lines that a run printed.
+/// Reads the fits from the output of `slopes`. Other lines are ignored.
 pub(crate) fn read_fits(path: &Path) -> Result<Vec<LinearFit>, LoadError> {
     let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
     Ok(text.lines().filter_map(LinearFit::parse).collect())
--- a/crates/load/src/slopes/memory.rs
+++ b/crates/load/src/slopes/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of state, by allocated bytes.
+//! Memory of in-process state, measured in allocated bytes.
 
 use std::{alloc::System, hint::black_box};
 
@@ -16,12 +16,12 @@
 use super::LinearFit;
 use crate::measure::{organisation, starts};
 
-/// Counts what is allocated, so that state is measured and not what the
-/// allocator keeps.
+/// Counts allocated bytes. The resident memory would include freed memory that the allocator
+/// retains.
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// Measures what `make` keeps at each size.
+/// Fits the allocated bytes of the value that `make` returns for each size.
 fn fit_memory<T>(name: &str, sizes: &[usize], mut make: impl FnMut(usize) -> T) -> LinearFit {
     let mut points = Vec::new();
     for size in sizes {
@@ -34,7 +34,7 @@
     LinearFit::fit(name, "bytes", points)
 }
 
-/// Measures all.
+/// Measures the memory of each kind of state and returns the fits.
 pub(crate) fn measure(seed: u64) -> Vec<LinearFit> {
     vec![
         fit_memory(
@@ -106,7 +106,7 @@
     router
 }
 
-/// Returns a heartbeat of instance `i`.
+/// Returns heartbeat `seq` of instance `i`.
 pub(crate) fn heartbeat(i: usize, seq: u64) -> Heartbeat {
     Heartbeat {
         id: Name::from(format!("sched-zone-{i:04}")),
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -1,4 +1,4 @@
-//! Processor time and bytes of messages, in this process.
+//! CPU time and sizes of messages, measured within this process.
 
 use std::{hint::black_box, time::Instant};
 
@@ -16,10 +16,10 @@
 use super::{LinearFit, memory::heartbeat};
 use crate::measure::{organisation, starts};
 
-/// Rounds of each measurement.
+/// Calls in each of the rounds of a measurement.
 const CALLS_PER_ROUND: u32 = 200;
 
-/// Returns the least time of one call in microseconds over some tries.
+/// Returns the time of one call in microseconds: the minimum of the means of five rounds.
 fn time_us(mut f: impl FnMut()) -> f64 {
     let mut least = f64::INFINITY;
     for _ in 0..5 {
@@ -32,7 +32,7 @@
     least
 }
 
-/// Measures all.
+/// Measures the messages and returns the fits.
 pub(crate) fn measure(seed: u64) -> Vec<LinearFit> {
     let mut out = heartbeats();
     out.extend(exchanges(seed));
@@ -42,7 +42,7 @@
     out
 }
 
-/// A heartbeat received among so many known instances.
+/// Measures receiving a heartbeat, by the number of known instances.
 fn heartbeats() -> Vec<LinearFit> {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
@@ -69,7 +69,7 @@
     ]
 }
 
-/// An exchange with a worker that runs so many tasks, without the network.
+/// Measures an exchange with a worker without the network, by the number of its tasks.
 fn exchanges(seed: u64) -> Vec<LinearFit> {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
@@ -106,7 +106,7 @@
     ]
 }
 
-/// Lets the machine send its exchange and returns it with the worker's answer.
+/// Returns the scheduler's next exchange with its first worker, and the worker's answer.
 fn run_exchange(machine: &mut ShardScheduler, now: u64) -> (Option<WorkerRequest>, WorkerAnswer) {
     let upto = machine.next_record();
     machine.step(now, &Event::Committed(upto));
@@ -132,7 +132,7 @@
     (request, answer)
 }
 
-/// A placement in a shard of so many workers.
+/// Measures a placement, by the number of workers of the shard.
 fn placements(seed: u64) -> Vec<LinearFit> {
     let mut times = Vec::new();
     for workers in [150, 300, 600, 1_200, 2_400] {
@@ -146,7 +146,7 @@
     vec![LinearFit::fit("placement_cpu_by_workers", "us", times)]
 }
 
-/// A row of the journal with so many transitions.
+/// Measures the encoding of a journal row, by the number of its transitions.
 fn journal() -> Vec<LinearFit> {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
@@ -177,7 +177,7 @@
     org
 }
 
-/// A change of a template with so many kinds of jobs: decoded and put in force.
+/// Measures decoding and applying a changed template, by the number of its job kinds.
 fn configs() -> Vec<LinearFit> {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
--- a/crates/load/src/slopes/mod.rs
+++ b/crates/load/src/slopes/mod.rs
@@ -1,6 +1,6 @@
-//! Slopes: what one more worker, task, organisation or message costs.
+//! Costs of one more worker, task, organisation or message.
 //!
-//! Each is measured at four or more sizes, and a line is fitted.
+//! Each cost is the slope of a line that is fitted to measurements at four or more sizes.
 
 mod linear_fit;
 mod memory;
@@ -12,7 +12,7 @@
 
 use crate::{args::TrialArgs, error::LoadError};
 
-/// Measures every slope and prints a line for each.
+/// Measures all slopes and prints a line for each.
 pub(crate) fn run(args: &TrialArgs) -> Result<(), LoadError> {
     for figure in memory::measure(args.seed) {
         figure.print();
--- a/crates/load/src/slopes/processes.rs
+++ b/crates/load/src/slopes/processes.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory of whole processes.
+//! CPU time and memory of whole processes.
 
 use std::{net::SocketAddr, thread, time::Duration};
 
@@ -10,23 +10,23 @@
     fleet::{Fleet, FleetSize},
 };
 
-/// Numbers of workers at which a scheduler is watched.
+/// Numbers of workers for which a scheduler is measured.
 const WORKER_COUNTS: [usize; 4] = [8, 16, 32, 64];
 
-/// Time for which it is watched.
+/// Duration of each measurement.
 const OBSERVATION: Duration = Duration::from_secs(8);
 
-/// Requests a second at which entries are watched.
+/// Requests per second for which entries are measured.
 const REQUEST_RATES: [f64; 4] = [100.0, 200.0, 400.0, 800.0];
 
-/// Measures all.
+/// Measures the processes and returns the fits.
 pub(crate) fn measure(args: &TrialArgs) -> Result<Vec<LinearFit>, LoadError> {
     let mut out = scheds(args)?;
     out.extend(entries(args)?);
     Ok(out)
 }
 
-/// A scheduler with so many workers, each with two replicas.
+/// Measures a scheduler, by the number of its workers, which run two replicas each.
 fn scheds(args: &TrialArgs) -> Result<Vec<LinearFit>, LoadError> {
     let mut time = Vec::new();
     let mut memory = Vec::new();
@@ -53,7 +53,7 @@
     ])
 }
 
-/// Three entries under so many requests a second.
+/// Measures three entries, by the requests per second.
 fn entries(args: &TrialArgs) -> Result<Vec<LinearFit>, LoadError> {
     let size = FleetSize {
         zones: 1,
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -1,4 +1,5 @@
-//! The whole system on stand-ins, with one scheduler and one worker killed.
+//! Trial run of the whole system with stand-ins for the platform and the workers, during which
+//! one scheduler and one worker are killed.
 
 use std::{net::SocketAddr, thread, time::Duration};
 
@@ -12,22 +13,19 @@
     verify::verify,
 };
 
-/// Requests a second.
 const REQUESTS_PER_SECOND: f64 = 200.0;
 
-/// Threads that send them.
 const REQUEST_THREADS: usize = 24;
 
-/// Jobs for each second of load.
 const JOBS_PER_SECOND: u64 = 4;
 
-/// Longest time for the jobs to finish after the load.
+/// Timeout for the jobs to finish after the load.
 const FINISH_TIMEOUT: Duration = Duration::from_secs(45);
 
-/// Memory that an instance may use, in KiB.
+/// Memory budget of an instance.
 const INSTANCE_MEMORY_KIB: u64 = 32 << 10;
 
-/// Runs a trial and prints its line.
+/// Runs a trial, verifies the guarantees and prints the results.
 pub(crate) fn run(args: &TrialArgs) -> Result<(), LoadError> {
     if args.seconds == 0 || args.seconds > 3_600 {
         return Err(LoadError::Usage {
@@ -114,7 +112,8 @@
     Ok(())
 }
 
-/// Returns the largest memory of an entry or a scheduler in KiB.
+/// Returns the largest resident memory of an entry or a scheduler in KiB, and prints a line for
+/// each one over the budget.
 fn check_memory(fleet: &Fleet) -> u64 {
     let mut most = 0;
     for p in fleet.entries.iter().chain(&fleet.scheds) {
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -1,11 +1,15 @@
-//! Judges promises by the workers' ledgers.
+//! Verifies the system's guarantees against the workers' ledgers.
+//!
+//! A worker records in its ledger what it ran, independently of what the system reports, so the
+//! ledgers show double runs, overcommitment and wrong outcomes that reports would hide.
 
 use gorsespur_core::route::Outcome;
 use gorsespur_stand::{Entry, What};
 
 use crate::clients::{JobResult, RequestTotals};
 
-/// Time before a kill in which a task that was done could not be reported.
+/// Time before a worker is killed within which the end of a task may not have been reported. Such
+/// a task may run again without being counted as doubled.
 const UNREPORTED_WINDOW_MS: u64 = 2_000;
 
 /// One attempt on one worker.
@@ -17,28 +21,29 @@
     from: u64,
     to: u64,
     done: bool,
-    /// Whether its worker was killed right after.
+    /// Whether the worker was killed within `UNREPORTED_WINDOW_MS` after the task was done.
     killed: bool,
 }
 
-/// What the ledgers show.
+/// Violations of the guarantees, counted from the ledgers.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Verdict {
-    /// Tasks that ran in two places at once or were done twice.
+    /// Pairs of runs of one task that overlapped or were both done.
     pub doubled: u64,
-    /// Starts beyond what a worker holds.
+    /// Starts that exceeded the capacity of a worker.
     pub overcommitted: u64,
-    /// Accepted jobs that did not reach their end, or whose tasks did not.
+    /// Accepted jobs that did not reach their final state, and tasks of finished jobs that were
+    /// never done.
     pub lost: u64,
-    /// Requests that ran twice.
+    /// Non-idempotent requests that ran more than once, or were reported as run but did not run.
     pub ran_twice: u64,
-    /// Requests that ran although their caller was told that they did not.
+    /// Requests that ran although they were reported as not run.
     pub false_not_run: u64,
-    /// What was found, for people.
+    /// Descriptions of the violations.
     pub findings: Vec<String>,
 }
 
-/// Judges a run that ended at `end` milliseconds since the Unix epoch.
+/// Verifies a run that ended at `end`, in milliseconds since the Unix epoch.
 pub(crate) fn verify(ledger: &[Entry], end: u64, jobs: &JobResult, req: &RequestTotals) -> Verdict {
     let mut verdict = Verdict::default();
     let runs = pair_runs(ledger, end);
@@ -56,7 +61,7 @@
     verdict
 }
 
-/// Pairs starts with ends; a kill ends everything on its worker.
+/// Pairs the starts of tasks with their ends. A kill ends all open runs on its worker.
 fn pair_runs(ledger: &[Entry], end: u64) -> Vec<Run> {
     let mut out: Vec<Run> = Vec::new();
     let mut open: Vec<Run> = Vec::new();
