--- a/crates/load/src/capacity/rows.rs
+++ b/crates/load/src/capacity/rows.rs
@@ -27,10 +27,10 @@
     }
 }
 
-fn row(what: &str, sum: String, result: String, budget: String) -> Row {
+fn row(quantity: &str, formula: String, result: String, budget: String) -> Row {
     Row {
-        quantity: what.to_owned(),
-        formula: sum,
+        quantity: quantity.to_owned(),
+        formula,
         result,
         budget,
     }
@@ -48,7 +48,7 @@
 
 /// Calculates all rows. Fails if a slope is missing.
 pub(crate) fn rows(figures: &[LinearFit]) -> Result<Vec<Row>, LoadError> {
-    let s = Slopes { fits: figures };
+    let slopes = Slopes { fits: figures };
     let workers = scale::WORKERS / scale::ZONES;
     let tasks = scale::TASKS / scale::ZONES;
     let shards = (workers / scale::WORKERS_PER_SHARD).ceil();
@@ -72,25 +72,26 @@
             String::new(),
         ),
     ];
-    let scheds = schedulers(&s, workers, tasks, shards, &mut out)?;
-    memory(&s, workers, tasks, shards, &mut out)?;
-    membership(&s, scheds, &mut out)?;
-    table_service(&s, shards, scheds, &mut out)?;
-    config_changes(&s, scheds, &mut out)?;
-    entries(&s, &mut out)?;
-    failures(&s, workers, tasks, shards, &mut out)?;
+    let scheds = schedulers(&slopes, workers, tasks, shards, &mut out)?;
+    memory(&slopes, workers, tasks, shards, &mut out)?;
+    membership(&slopes, scheds, &mut out)?;
+    table_service(&slopes, shards, scheds, &mut out)?;
+    config_changes(&slopes, scheds, &mut out)?;
+    entries(&slopes, &mut out)?;
+    failures(&slopes, workers, tasks, shards, &mut out)?;
     Ok(out)
 }
 
 /// Adds the rows about the schedulers of a zone. Returns how many of them their CPU budget needs.
 fn schedulers(
-    s: &Slopes<'_>,
+    slopes: &Slopes<'_>,
     workers: f64,
     tasks: f64,
     shards: f64,
     out: &mut Vec<Row>,
 ) -> Result<f64, LoadError> {
-    let each = s.get("sched_cpu_by_workers")?.slope / scale::MEASURED_EXCHANGES_PER_SECOND;
+    let exchange_us =
+        slopes.get("sched_cpu_by_workers")?.slope / scale::MEASURED_EXCHANGES_PER_SECOND;
     let exchanges = workers * scale::EXCHANGES_PER_SECOND;
     out.push(row(
         "processor time of an exchange, network included",
@@ -98,58 +99,61 @@
             "slope sched_cpu_by_workers / {}",
             scale::MEASURED_EXCHANGES_PER_SECOND
         ),
-        format!("{each:.0} us"),
+        format!("{exchange_us:.0} us"),
         String::new(),
     ));
-    let us = exchanges * each;
+    let exchanges_us = exchanges * exchange_us;
     out.push(row(
         "exchanges of a zone",
         format!(
-            "{workers:.0} x {} /s x {each:.0} us",
+            "{workers:.0} x {} /s x {exchange_us:.0} us",
             scale::EXCHANGES_PER_SECOND
         ),
-        format!("{us:.0} us/s"),
+        format!("{exchanges_us:.0} us/s"),
         String::new(),
     ));
     let starts = scale::STARTS_PER_SECOND / scale::ZONES;
-    let place = s
+    let placement_us = slopes
         .get("placement_cpu_by_workers")?
         .value_at(scale::WORKERS_PER_SHARD);
-    let journal = s.get("journal_cpu_by_transitions")?.slope;
-    let busy = starts * (place + scale::RECORDS_PER_START * journal);
+    let record_us = slopes.get("journal_cpu_by_transitions")?.slope;
+    let starts_us = starts * (placement_us + scale::RECORDS_PER_START * record_us);
     out.push(row(
         "placing and journalling at the peak",
         format!(
-            "{starts:.0} /s x ({place:.1} + {} x {journal:.2}) us",
+            "{starts:.0} /s x ({placement_us:.1} + {} x {record_us:.2}) us",
             scale::RECORDS_PER_START
         ),
-        format!("{busy:.0} us/s"),
+        format!("{starts_us:.0} us/s"),
         String::new(),
     ));
-    let total = us + busy;
-    let idle = s.get("sched_cpu_by_workers")?.intercept;
-    let by_time = (total / (scale::NODE_CPU_US - idle)).ceil().max(shards);
+    let total_us = exchanges_us + starts_us;
+    let idle_us = slopes.get("sched_cpu_by_workers")?.intercept;
+    let schedulers = (total_us / (scale::NODE_CPU_US - idle_us))
+        .ceil()
+        .max(shards);
     out.push(row(
         "schedulers a zone by processor time",
         format!(
-            "({us:.0} + {busy:.0}) / ({} - {idle:.0} idle) us/s rounded up, at least one a shard",
+            "({exchanges_us:.0} + {starts_us:.0}) / ({} - {idle_us:.0} idle) us/s rounded up, at least one a shard",
             scale::NODE_CPU_US
         ),
-        format!("{by_time:.0}"),
-        verdict(idle + total / by_time, scale::NODE_CPU_US, "us/s each"),
+        format!("{schedulers:.0}"),
+        verdict(idle_us + total_us / schedulers, scale::NODE_CPU_US, "us/s each"),
     ));
     let per_worker = tasks / workers;
-    let bytes = s.get("exchange_bytes_by_tasks")?.value_at(per_worker) + scale::HTTP_OVERHEAD_BYTES;
-    let traffic = workers * scale::EXCHANGES_PER_SECOND * bytes;
+    let exchange_bytes =
+        slopes.get("exchange_bytes_by_tasks")?.value_at(per_worker) + scale::HTTP_OVERHEAD_BYTES;
+    let traffic = workers * scale::EXCHANGES_PER_SECOND * exchange_bytes;
     out.push(row(
         "bytes of an exchange",
         format!(
             "line at {per_worker:.1} tasks + {} assumed for HTTP",
             scale::HTTP_OVERHEAD_BYTES
         ),
-        format!("{bytes:.0}"),
+        format!("{exchange_bytes:.0}"),
         verdict(
-            bytes * scale::EXCHANGES_PER_SECOND,
+            exchange_bytes * scale::EXCHANGES_PER_SECOND,
             scale::NODE_TRAFFIC_BYTES,
             "B/s at a worker",
         ),
@@ -157,11 +161,11 @@
     out.push(row(
         "traffic of a scheduler with its workers",
         format!(
-            "{workers:.0} x {} x {bytes:.0} / {by_time:.0}",
+            "{workers:.0} x {} x {exchange_bytes:.0} / {schedulers:.0}",
             scale::EXCHANGES_PER_SECOND
         ),
-        format!("{:.0} B/s", traffic / by_time),
-        verdict(traffic / by_time, scale::NODE_TRAFFIC_BYTES, "B/s"),
+        format!("{:.0} B/s", traffic / schedulers),
+        verdict(traffic / schedulers, scale::NODE_TRAFFIC_BYTES, "B/s"),
     ));
     out.push(row(
         "schedulers a zone by traffic",
@@ -172,42 +176,43 @@
         format!("{:.0}", (traffic / scale::NODE_TRAFFIC_BYTES).ceil()),
         String::new(),
     ));
-    Ok(by_time)
+    Ok(schedulers)
 }
 
 fn memory(
-    s: &Slopes<'_>,
+    slopes: &Slopes<'_>,
     workers: f64,
     tasks: f64,
     shards: f64,
     out: &mut Vec<Row>,
 ) -> Result<(), LoadError> {
-    let worker = s.get("memory_worker")?.slope;
-    let task = s.get("memory_task")?.slope;
-    let org = s.get("memory_organisation")?.slope;
-    let base = s.get("sched_memory_by_workers")?.intercept;
-    let state = (workers * worker + tasks * task) / shards + scale::ORGANISATIONS * org;
-    let both = base + 2.0 * state;
+    let worker_bytes = slopes.get("memory_worker")?.slope;
+    let task_bytes = slopes.get("memory_task")?.slope;
+    let org_bytes = slopes.get("memory_organisation")?.slope;
+    let base_bytes = slopes.get("sched_memory_by_workers")?.intercept;
+    let state_bytes =
+        (workers * worker_bytes + tasks * task_bytes) / shards + scale::ORGANISATIONS * org_bytes;
+    let total_bytes = base_bytes + 2.0 * state_bytes;
     out.push(row(
         "memory of a scheduler with one shard",
         format!(
-            "{base:.0} base + 2 x (({workers:.0} x {worker:.0} + {tasks:.0} x {task:.0}) / {shards:.0} + {} x {org:.0}), doubled while a snapshot is made",
+            "{base_bytes:.0} base + 2 x (({workers:.0} x {worker_bytes:.0} + {tasks:.0} x {task_bytes:.0}) / {shards:.0} + {} x {org_bytes:.0}), doubled while a snapshot is made",
             scale::ORGANISATIONS
         ),
-        format!("{:.1} MiB", both / 1024.0 / 1024.0),
-        verdict(both, scale::NODE_MEMORY_BYTES, "B"),
+        format!("{:.1} MiB", total_bytes / 1024.0 / 1024.0),
+        verdict(total_bytes, scale::NODE_MEMORY_BYTES, "B"),
     ));
     Ok(())
 }
 
-fn membership(s: &Slopes<'_>, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
-    let zone = scheds + scale::ENTRIES_PER_ZONE;
-    let beat = s
+fn membership(slopes: &Slopes<'_>, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
+    let zone_instances = scheds + scale::ENTRIES_PER_ZONE;
+    let heartbeat_bytes = slopes
         .get("heartbeat_bytes_by_peers")?
-        .value_at(zone * scale::ZONES)
+        .value_at(zone_instances * scale::ZONES)
         + scale::DATAGRAM_OVERHEAD_BYTES;
-    let to = zone - 1.0 + scale::CONTACTS_PER_ZONE * (scale::ZONES - 1.0);
-    let sent = scale::HEARTBEATS_PER_SECOND * to * beat;
+    let peers = zone_instances - 1.0 + scale::CONTACTS_PER_ZONE * (scale::ZONES - 1.0);
+    let sent = scale::HEARTBEATS_PER_SECOND * peers * heartbeat_bytes;
     out.push(row(
         "instances of a zone and in all",
         format!(
@@ -215,13 +220,13 @@
             scale::ENTRIES_PER_ZONE,
             scale::ZONES
         ),
-        format!("{zone:.0}; {:.0}", zone * scale::ZONES),
+        format!("{zone_instances:.0}; {:.0}", zone_instances * scale::ZONES),
         String::new(),
     ));
     out.push(row(
         "heartbeats sent by an instance",
         format!(
-            "{} /s x ({zone:.0} - 1 + {} x {}) x {beat:.0} B",
+            "{} /s x ({zone_instances:.0} - 1 + {} x {}) x {heartbeat_bytes:.0} B",
             scale::HEARTBEATS_PER_SECOND,
             scale::CONTACTS_PER_ZONE,
             scale::ZONES - 1.0
@@ -229,17 +234,17 @@
         format!("{sent:.0} B/s"),
         verdict(sent, scale::NODE_TRAFFIC_BYTES, "B/s"),
     ));
-    let us = s
+    let us = slopes
         .get("heartbeat_cpu_by_peers")?
-        .value_at(zone * scale::ZONES)
+        .value_at(zone_instances * scale::ZONES)
         * scale::HEARTBEATS_PER_SECOND
-        * to;
+        * peers;
     out.push(row(
         "processor time of heartbeats received",
         format!(
-            "{} /s x {to:.0} x line at {:.0} peers",
+            "{} /s x {peers:.0} x line at {:.0} peers",
             scale::HEARTBEATS_PER_SECOND,
-            zone * scale::ZONES
+            zone_instances * scale::ZONES
         ),
         format!("{us:.0} us/s"),
         verdict(us, scale::NODE_CPU_US, "us/s"),
@@ -248,28 +253,30 @@
 }
 
 fn table_service(
-    s: &Slopes<'_>,
+    slopes: &Slopes<'_>,
     shards: f64,
     scheds: f64,
     out: &mut Vec<Row>,
 ) -> Result<(), LoadError> {
-    let all = shards * scale::ZONES;
-    let commits = all / scale::COMMIT_INTERVAL_S;
-    let others = 2.0 * scale::JOBS_PER_DAY / scale::SECONDS_PER_DAY
+    let all_shards = shards * scale::ZONES;
+    let commits = all_shards / scale::COMMIT_INTERVAL_S;
+    let other_writes = 2.0 * scale::JOBS_PER_DAY / scale::SECONDS_PER_DAY
         + scale::CHANGES_PER_DAY / scale::SECONDS_PER_DAY;
     out.push(row(
         "writes at the table service at the peak",
         format!(
-            "{all:.0} shards / {} s + 2 x {:.1} jobs/s + {:.2} changes/s",
+            "{all_shards:.0} shards / {} s + 2 x {:.1} jobs/s + {:.2} changes/s",
             scale::COMMIT_INTERVAL_S,
             scale::JOBS_PER_DAY / scale::SECONDS_PER_DAY,
             scale::CHANGES_PER_DAY / scale::SECONDS_PER_DAY
         ),
-        format!("{:.0} /s", commits + others),
-        verdict(commits + others, scale::WRITES_PER_SECOND, "/s"),
+        format!("{:.0} /s", commits + other_writes),
+        verdict(commits + other_writes, scale::WRITES_PER_SECOND, "/s"),
     ));
     let records = scale::STARTS_PER_SECOND * scale::RECORDS_PER_START / commits;
-    let bytes = s.get("journal_bytes_by_transitions")?.value_at(records);
+    let bytes = slopes
+        .get("journal_bytes_by_transitions")?
+        .value_at(records);
     out.push(row(
         "transitions and bytes of a write",
         format!(
@@ -282,12 +289,12 @@
     ));
     // Watchers read the row of each shard, the shard's inbox is read once per second, and each zone
     // reads the head of the configuration four times per second.
-    let reads = all * (scale::WATCHERS_PER_SHARD * scale::WATCH_READS_PER_SECOND + 1.0)
+    let reads = all_shards * (scale::WATCHERS_PER_SHARD * scale::WATCH_READS_PER_SECOND + 1.0)
         + 4.0 * scale::ZONES;
     out.push(row(
         "reads at the table service",
         format!(
-            "{all:.0} x ({} x {} + 1) + 4 x {} zones",
+            "{all_shards:.0} x ({} x {} + 1) + 4 x {} zones",
             scale::WATCHERS_PER_SHARD,
             scale::WATCH_READS_PER_SECOND,
             scale::ZONES
@@ -295,7 +302,7 @@
         format!("{reads:.0} /s"),
         verdict(reads, scale::READS_PER_SECOND, "/s"),
     ));
-    let lists = (scheds + scale::ENTRIES_PER_ZONE) * scale::ZONES;
+    let list_reads = (scheds + scale::ENTRIES_PER_ZONE) * scale::ZONES;
     out.push(row(
         "reads of the membership list",
         format!(
@@ -303,16 +310,20 @@
             scale::ENTRIES_PER_ZONE,
             scale::ZONES
         ),
-        format!("{lists:.0} /s"),
+        format!("{list_reads:.0} /s"),
         "not stated".to_owned(),
     ));
     Ok(())
 }
 
-fn config_changes(s: &Slopes<'_>, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
+fn config_changes(slopes: &Slopes<'_>, scheds: f64, out: &mut Vec<Row>) -> Result<(), LoadError> {
     let rate = scale::CHANGES_PER_DAY / scale::SECONDS_PER_DAY;
-    let bytes = s.get("config_bytes_by_kinds")?.value_at(scale::JOB_KINDS);
-    let us = s.get("config_cpu_by_kinds")?.value_at(scale::JOB_KINDS);
+    let bytes = slopes
+        .get("config_bytes_by_kinds")?
+        .value_at(scale::JOB_KINDS);
+    let us = slopes
+        .get("config_cpu_by_kinds")?
+        .value_at(scale::JOB_KINDS);
     let sent = rate * bytes * (scheds + scale::ENTRIES_PER_ZONE - 1.0);
     out.push(row(
         "changes handed on by the instance that polls",
@@ -339,48 +350,52 @@
     Ok(())
 }
 
-fn entries(s: &Slopes<'_>, out: &mut Vec<Row>) -> Result<(), LoadError> {
-    let each = s.get("entry_cpu_by_rate")?;
+fn entries(slopes: &Slopes<'_>, out: &mut Vec<Row>) -> Result<(), LoadError> {
+    let fit = slopes.get("entry_cpu_by_rate")?;
     out.push(row(
         "requests a second that 1.9% of a core forwards",
         format!(
             "{} us/s / {:.0} us a request",
             scale::NODE_CPU_US,
-            each.slope
+            fit.slope
         ),
-        format!("{:.0} /s", scale::NODE_CPU_US / each.slope),
+        format!("{:.0} /s", scale::NODE_CPU_US / fit.slope),
         "forwarding is not control".to_owned(),
     ));
-    let memory = s.get("memory_target")?.slope;
-    let base = s.get("entry_memory_by_rate")?.intercept;
+    let target_bytes = slopes.get("memory_target")?.slope;
+    let base_bytes = slopes.get("entry_memory_by_rate")?.intercept;
     let targets = 140_000.0 / scale::ZONES;
-    let sum = base + targets * memory;
+    let zone_bytes = base_bytes + targets * target_bytes;
     out.push(row(
         "memory of an entry that knows its zone's targets",
-        format!("{base:.0} base + 140000 / {} x {memory:.0}", scale::ZONES),
-        format!("{:.1} MiB", sum / 1024.0 / 1024.0),
-        verdict(sum, scale::NODE_MEMORY_BYTES, "B"),
+        format!(
+            "{base_bytes:.0} base + 140000 / {} x {target_bytes:.0}",
+            scale::ZONES
+        ),
+        format!("{:.1} MiB", zone_bytes / 1024.0 / 1024.0),
+        verdict(zone_bytes, scale::NODE_MEMORY_BYTES, "B"),
     ));
-    let all = base + 140_000.0 * memory;
+    let total_bytes = base_bytes + 140_000.0 * target_bytes;
     out.push(row(
         "memory of an entry that knows every zone's targets, as now",
-        format!("{base:.0} base + 140000 x {memory:.0}"),
-        format!("{:.1} MiB", all / 1024.0 / 1024.0),
-        verdict(all, scale::NODE_MEMORY_BYTES, "B"),
+        format!("{base_bytes:.0} base + 140000 x {target_bytes:.0}"),
+        format!("{:.1} MiB", total_bytes / 1024.0 / 1024.0),
+        verdict(total_bytes, scale::NODE_MEMORY_BYTES, "B"),
     ));
     Ok(())
 }
 
 /// Adds the rows about the failure of instances, racks and zones.
 fn failures(
-    s: &Slopes<'_>,
+    slopes: &Slopes<'_>,
     workers: f64,
     tasks: f64,
     shards: f64,
     out: &mut Vec<Row>,
 ) -> Result<(), LoadError> {
-    let moves = (scale::FAILURES_PER_DAY + scale::REPLACEMENTS_PER_DAY) / scale::SECONDS_PER_DAY;
-    let snapshot = tasks / shards * s.get("memory_task")?.slope / 2.0;
+    let takeovers =
+        (scale::FAILURES_PER_DAY + scale::REPLACEMENTS_PER_DAY) / scale::SECONDS_PER_DAY;
+    let snapshot_bytes = tasks / shards * slopes.get("memory_task")?.slope / 2.0;
     out.push(row(
         "ordinary day: takeovers, if every instance lost were a scheduler",
         format!(
@@ -389,23 +404,23 @@
             scale::REPLACEMENTS_PER_DAY,
             scale::SECONDS_PER_DAY
         ),
-        format!("{moves:.3} /s, each a write, a few reads and about {snapshot:.0} B of snapshot"),
-        verdict(moves, scale::WRITES_PER_SECOND, "writes/s"),
+        format!("{takeovers:.3} /s, each a write, a few reads and about {snapshot_bytes:.0} B of snapshot"),
+        verdict(takeovers, scale::WRITES_PER_SECOND, "writes/s"),
     ));
-    let each = tasks / workers;
-    let place = s
+    let tasks_per_worker = tasks / workers;
+    let placement_us = slopes
         .get("placement_cpu_by_workers")?
         .value_at(scale::WORKERS_PER_SHARD);
-    let lost = scale::WORKERS_PER_RACK * each;
+    let lost_tasks = scale::WORKERS_PER_RACK * tasks_per_worker;
     out.push(row(
         "a lost rack",
         format!(
-            "{} x {each:.1} tasks; two records each; x {place:.1} us",
+            "{} x {tasks_per_worker:.1} tasks; two records each; x {placement_us:.1} us",
             scale::WORKERS_PER_RACK
         ),
         format!(
-            "{lost:.0} tasks, {:.1} ms of placing, one journal write",
-            lost * place / 1_000.0
+            "{lost_tasks:.0} tasks, {:.1} ms of placing, one journal write",
+            lost_tasks * placement_us / 1_000.0
         ),
         "after the lease and margin, 16.2 s".to_owned(),
     ));
@@ -415,7 +430,7 @@
         "its tasks wait; the other zones don't take them over".to_owned(),
         "see below".to_owned(),
     ));
-    let rows = scale::SNAPSHOT_ROWS * scale::COMMIT_INTERVAL_S;
+    let snapshot_s = scale::SNAPSHOT_ROWS * scale::COMMIT_INTERVAL_S;
     out.push(row(
         "time between two snapshots of a busy shard",
         format!(
@@ -423,7 +438,7 @@
             scale::SNAPSHOT_ROWS,
             scale::COMMIT_INTERVAL_S
         ),
-        format!("{rows:.0} s"),
+        format!("{snapshot_s:.0} s"),
         String::new(),
     ));
     Ok(())
--- a/crates/load/src/clients/jobs.rs
+++ b/crates/load/src/clients/jobs.rs
@@ -97,8 +97,8 @@
         let mut out = JobResult::default();
         let start = Instant::now();
         for n in 0..self.count {
-            let at = start + self.duration.mul_f64(n as f64 / self.count as f64);
-            thread::sleep(at.saturating_duration_since(Instant::now()));
+            let due = start + self.duration.mul_f64(n as f64 / self.count as f64);
+            thread::sleep(due.saturating_duration_since(Instant::now()));
             let kind = &JOB_KINDS[rng.random_range(0..JOB_KINDS.len())];
             let job = SubmittedJob {
                 org: kind.org,
@@ -111,12 +111,12 @@
             } else {
                 1
             };
-            let mut taken = false;
+            let mut accepted = false;
             for _ in 0..sends {
                 let entry = self.entries[rng.random_range(0..self.entries.len())];
-                taken |= submit(entry, &job, kind.kind);
+                accepted |= submit(entry, &job, kind.kind);
             }
-            if taken {
+            if accepted {
                 out.accepted.push(job);
             } else {
                 out.refused += 1;
@@ -138,8 +138,8 @@
             for entry in &self.entries {
                 let path = format!("/v1/orgs/{org}/cancel");
                 let call = Call::new("POST", *entry, &path).body(body.clone());
-                let answer = call.timeout(Duration::from_secs(30)).send();
-                if answer.is_ok_and(|a| a.status == 200 && unreached_count(&a) == 0) {
+                let response = call.timeout(Duration::from_secs(30)).send();
+                if response.is_ok_and(|a| a.status == 200 && unreached_count(&a) == 0) {
                     break;
                 }
             }
@@ -147,17 +147,17 @@
     }
 
     /// Polls the accepted jobs until each has reached its final state, for at most `limit`.
-    pub fn wait_for_end(&self, result: &mut JobResult, limit: Duration) {
-        let end = Instant::now() + limit;
+    pub fn wait_for_end(&self, result: &mut JobResult, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
         let mut open: Vec<SubmittedJob> = result.accepted.clone();
         let mut states: Vec<String> = Vec::new();
-        let mut turn = 0;
-        while !open.is_empty() && Instant::now() < end {
+        let mut polls = 0;
+        while !open.is_empty() && Instant::now() < deadline {
             states.clear();
-            let mut left = Vec::new();
+            let mut still_open = Vec::new();
             for job in open {
-                turn += 1;
-                let entry = self.entries[turn % self.entries.len()];
+                polls += 1;
+                let entry = self.entries[polls % self.entries.len()];
                 let state = state(entry, &job);
                 let wanted = if job.long_running {
                     "cancelled"
@@ -169,9 +169,9 @@
                     continue;
                 }
                 states.push(format!("{}/{} {state}", job.org, job.id));
-                left.push(job);
+                still_open.push(job);
             }
-            open = left;
+            open = still_open;
             thread::sleep(Duration::from_millis(100));
         }
         result.unfinished = if open.is_empty() { Vec::new() } else { states };
@@ -182,24 +182,24 @@
     let path = format!("/v1/orgs/{}/jobs/{}", job.org, job.id);
     let body = json!({"kind": kind, "tasks": job.tasks});
     let body = serde_json::to_vec(&body).unwrap_or_default();
-    let answer = Call::new("PUT", entry, &path)
+    let response = Call::new("PUT", entry, &path)
         .body(body)
         .timeout(CALL_TIMEOUT)
         .send();
-    answer.is_ok_and(|a| matches!(a.status, 200 | 201))
+    response.is_ok_and(|a| matches!(a.status, 200 | 201))
 }
 
 fn state(entry: SocketAddr, job: &SubmittedJob) -> String {
     let path = format!("/v1/orgs/{}/jobs/{}", job.org, job.id);
-    let Ok(answer) = Call::new("GET", entry, &path).timeout(CALL_TIMEOUT).send() else {
+    let Ok(response) = Call::new("GET", entry, &path).timeout(CALL_TIMEOUT).send() else {
         return "no answer".to_owned();
     };
-    let value: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
+    let value: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
     let state = value["state"].as_str().unwrap_or("no state");
     state.to_owned()
 }
 
-fn unreached_count(answer: &Response) -> usize {
-    let value: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
+fn unreached_count(response: &Response) -> usize {
+    let value: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
     value["unreached"].as_array().map_or(1, Vec::len)
 }
--- a/crates/load/src/clients/requests.rs
+++ b/crates/load/src/clients/requests.rs
@@ -107,56 +107,56 @@
     fn run_thread(&self, thread: usize) -> RequestTotals {
         let mut rng = SmallRng::seed_from_u64(self.seed * 1_000 + thread as u64);
         let mut totals = RequestTotals::new();
-        let gap = self.threads as f64 / self.requests_per_second;
+        let mean_gap_s = self.threads as f64 / self.requests_per_second;
         let start = Instant::now();
-        let mut due = 0.0;
+        let mut due_s = 0.0;
         let mut n = 0;
         loop {
-            due += -rng.random_range(1e-9..1.0f64).ln() * gap;
-            let at = start + Duration::from_secs_f64(due);
-            if due > self.duration.as_secs_f64() {
+            due_s += -rng.random_range(1e-9..1.0f64).ln() * mean_gap_s;
+            let due = start + Duration::from_secs_f64(due_s);
+            if due_s > self.duration.as_secs_f64() {
                 return totals;
             }
-            thread::sleep(at.saturating_duration_since(Instant::now()));
+            thread::sleep(due.saturating_duration_since(Instant::now()));
             n += 1;
             let id = format!("r{}-{thread}-{n}", self.seed);
-            self.run_request(&id, at, &mut rng, &mut totals);
+            self.run_request(&id, due, &mut rng, &mut totals);
         }
     }
 
-    fn run_request(&self, id: &str, at: Instant, rng: &mut SmallRng, totals: &mut RequestTotals) {
-        let once = rng.random_bool(self.non_idempotent_share);
-        let keyed = once && rng.random_bool(0.3);
+    fn run_request(&self, id: &str, due: Instant, rng: &mut SmallRng, totals: &mut RequestTotals) {
+        let non_idempotent = rng.random_bool(self.non_idempotent_share);
+        let has_key = non_idempotent && rng.random_bool(0.3);
         let path = &self.paths[rng.random_range(0..self.paths.len())];
-        let body = if once {
+        let body = if non_idempotent {
             vec![b'x'; rng.random_range(1..2_000)]
         } else {
             Vec::new()
         };
         totals.requests += 1;
-        let mut told = CallerOutcome {
+        let mut result = CallerOutcome {
             id: id.to_owned(),
             outcome: None,
             sends: 0,
         };
         for _ in 0..2 {
             let entry = self.entries[rng.random_range(0..self.entries.len())];
-            let answer = send(entry, path, id, once, keyed, body.clone());
-            told.sends += 1;
-            told.outcome = self.check_answer(id, path, &body, answer, totals);
-            let again = keyed && told.outcome.is_none();
-            if !again {
+            let response = send(entry, path, id, non_idempotent, has_key, body.clone());
+            result.sends += 1;
+            result.outcome = self.check_answer(id, path, &body, response, totals);
+            let retry = has_key && result.outcome.is_none();
+            if !retry {
                 break;
             }
         }
-        totals.latencies.record(at.elapsed().as_micros() as u64);
-        match told.outcome {
+        totals.latencies.record(due.elapsed().as_micros() as u64);
+        match result.outcome {
             Some(Outcome::Ran) => totals.ok += 1,
             Some(Outcome::NotRun) => totals.not_run += 1,
             Some(Outcome::Unknown) | None => totals.unknown += 1,
         }
-        if once {
-            totals.non_idempotent.push(told);
+        if non_idempotent {
+            totals.non_idempotent.push(result);
         }
     }
 
@@ -166,19 +166,19 @@
         id: &str,
         path: &str,
         body: &[u8],
-        answer: Result<Response, CallError>,
+        response: Result<Response, CallError>,
         totals: &mut RequestTotals,
     ) -> Option<Outcome> {
-        let answer = answer.ok()?;
-        let outcome = find_header(&answer.headers, OUTCOME).and_then(Outcome::parse);
+        let response = response.ok()?;
+        let outcome = find_header(&response.headers, OUTCOME).and_then(Outcome::parse);
         let Some(outcome) = outcome else {
             totals.wrong += 1;
             return None;
         };
-        if outcome == Outcome::Ran && answer.status == 200 {
-            let right = answer.body == answer_body(id, path, body);
-            let mine = find_header(&answer.headers, REQUEST_ID) == Some(id);
-            totals.wrong += u64::from(!right || !mine);
+        if outcome == Outcome::Ran && response.status == 200 {
+            let same_body = response.body == answer_body(id, path, body);
+            let same_id = find_header(&response.headers, REQUEST_ID) == Some(id);
+            totals.wrong += u64::from(!same_body || !same_id);
         }
         Some(outcome)
     }
@@ -188,18 +188,18 @@
     entry: SocketAddr,
     path: &str,
     id: &str,
-    once: bool,
-    keyed: bool,
+    non_idempotent: bool,
+    has_key: bool,
     body: Vec<u8>,
 ) -> Result<Response, CallError> {
-    let method = if once { "POST" } else { "GET" };
+    let method = if non_idempotent { "POST" } else { "GET" };
     let mut call = Call::new(method, entry, path)
         .header(REQUEST_ID, id)
         .header("x-deadline-ms", DEADLINE_MS.to_string())
-        .header(REPEATABLE, if once { "no" } else { "yes" })
+        .header(REPEATABLE, if non_idempotent { "no" } else { "yes" })
         .timeout(Duration::from_millis(DEADLINE_MS + 1_000))
         .body(body);
-    if keyed {
+    if has_key {
         call = call.header(IDEMPOTENCY_KEY, id);
     }
     call.send()
--- a/crates/load/src/fleet/boot.rs
+++ b/crates/load/src/fleet/boot.rs
@@ -100,10 +100,10 @@
         Ok(fleet)
     }
 
-    fn wait_for(&self, what: &str, ok: impl Fn(&Fleet) -> bool) -> Result<(), LoadError> {
-        let end = Instant::now() + START_TIMEOUT;
-        while !ok(self) {
-            if Instant::now() >= end {
+    fn wait_for(&self, what: &str, is_ready: impl Fn(&Fleet) -> bool) -> Result<(), LoadError> {
+        let deadline = Instant::now() + START_TIMEOUT;
+        while !is_ready(self) {
+            if Instant::now() >= deadline {
                 let what = what.to_owned();
                 return Err(LoadError::NotReady { what });
             }
@@ -125,13 +125,13 @@
     /// Starts the worker at index `i` of the plan.
     pub fn start_worker(&self, i: usize) -> Result<ChildProcess, LoadError> {
         let w = &self.plan.workers[i];
-        let gate = self.platform_addr(&w.zone);
+        let platform_addr = self.platform_addr(&w.zone);
         let args = [
             "worker".to_owned(),
             format!("--name={}", w.name),
             format!("--addr={}", w.addr),
             format!("--target={}", w.target_addr),
-            format!("--objects={gate}"),
+            format!("--objects={platform_addr}"),
             format!("--cores={WORKER_CORES}"),
             format!("--memory={WORKER_MEMORY_MIB}"),
             format!("--table-seed={}", self.args.seed),
@@ -142,24 +142,24 @@
 
     /// Starts the scheduler at index `i` of the plan.
     pub fn start_sched(&self, i: usize) -> Result<ChildProcess, LoadError> {
-        let at = &self.plan.scheds[i];
-        let path = self.write(&at.id, &settings::sched(&self.plan, at))?;
-        let mut args = vec![format!("--settings={}", path.display())];
+        let instance = &self.plan.scheds[i];
+        let settings_path = self.write(&instance.id, &settings::sched(&self.plan, instance))?;
+        let mut args = vec![format!("--settings={}", settings_path.display())];
         if self.args.record {
             args.push(format!(
                 "--record={}",
                 self.args.out.join("traces").display()
             ));
         }
-        self.run("gorsespur-sched", &args, &at.id)
+        self.run("gorsespur-sched", &args, &instance.id)
     }
 
     /// Starts the entry at index `i` of the plan.
     pub fn start_entry(&self, i: usize) -> Result<ChildProcess, LoadError> {
-        let at = &self.plan.entries[i];
-        let path = self.write(&at.id, &settings::entry(&self.plan, at))?;
-        let args = [format!("--settings={}", path.display())];
-        self.run("gorsespur-entry", &args, &at.id)
+        let instance = &self.plan.entries[i];
+        let settings_path = self.write(&instance.id, &settings::entry(&self.plan, instance))?;
+        let args = [format!("--settings={}", settings_path.display())];
+        self.run("gorsespur-entry", &args, &instance.id)
     }
 
     fn write(&self, id: &str, text: &str) -> Result<PathBuf, LoadError> {
@@ -188,23 +188,23 @@
     }
 
     /// Applies a template on top of version `base_version`.
-    pub fn apply_template(&self, file: &Path, on: u64) -> Result<(), LoadError> {
-        self.apply_template_avoiding(file, on, &[])
+    pub fn apply_template(&self, file: &Path, base_version: u64) -> Result<(), LoadError> {
+        self.apply_template_avoiding(file, base_version, &[])
     }
 
     /// Applies a template through a zone that is not in `cut_zones`.
     pub fn apply_template_avoiding(
         &self,
         file: &Path,
-        on: u64,
-        cut: &[String],
+        base_version: u64,
+        cut_zones: &[String],
     ) -> Result<(), LoadError> {
-        let open = self.plan.zones.iter().position(|z| !cut.contains(z));
-        let gate = self.plan.platform_addrs[open.unwrap_or(0)];
+        let zone_index = self.plan.zones.iter().position(|z| !cut_zones.contains(z));
+        let platform_addr = self.plan.platform_addrs[zone_index.unwrap_or(0)];
         let program = self.bin.join("gorsespur-ctl");
         let output = Command::new(&program)
-            .arg(format!("--table={gate}"))
-            .args(["apply", "--who=trial", &format!("--on={on}")])
+            .arg(format!("--table={platform_addr}"))
+            .args(["apply", "--who=trial", &format!("--on={base_version}")])
             .arg(file)
             .output();
         let output = output.context(SpawnSnafu {
@@ -301,18 +301,18 @@
     /// Terminates the instances of the system. Returns the names of those that do not exit with
     /// code 0 in time.
     pub fn stop_instances(&mut self) -> Vec<String> {
-        let mut bad = Vec::new();
-        let all = self.entries.iter_mut().chain(self.scheds.iter_mut());
-        let mut all: Vec<&mut ChildProcess> = all.collect();
-        for p in &all {
-            p.terminate();
+        let mut failed = Vec::new();
+        let instances = self.entries.iter_mut().chain(self.scheds.iter_mut());
+        let mut instances: Vec<&mut ChildProcess> = instances.collect();
+        for instance in &instances {
+            instance.terminate();
         }
-        for p in &mut all {
-            if p.wait_for_exit(STOP_TIMEOUT) != Some(true) {
-                bad.push(p.name.clone());
+        for instance in &mut instances {
+            if instance.wait_for_exit(STOP_TIMEOUT) != Some(true) {
+                failed.push(instance.name.clone());
             }
         }
-        bad
+        failed
     }
 }
 
--- a/crates/load/src/fleet/process.rs
+++ b/crates/load/src/fleet/process.rs
@@ -74,13 +74,13 @@
 
     /// Waits for the process to exit. Returns whether its exit code is 0, or `None` if it is still
     /// running after `limit`.
-    pub fn wait_for_exit(&mut self, limit: Duration) -> Option<bool> {
-        let end = Instant::now() + limit;
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<bool> {
+        let deadline = Instant::now() + timeout;
         loop {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some(status.success());
             }
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return None;
             }
             thread::sleep(Duration::from_millis(20));
--- a/crates/load/src/fleet/settings.rs
+++ b/crates/load/src/fleet/settings.rs
@@ -5,20 +5,20 @@
 use super::plan::{FleetPlan, InstancePlan};
 
 /// Returns the section `instance`, which all instances have.
-fn common(plan: &FleetPlan, at: &InstancePlan) -> String {
-    let gate = plan
+fn common(plan: &FleetPlan, instance: &InstancePlan) -> String {
+    let platform_addr = plan
         .zones
         .iter()
-        .position(|z| *z == at.zone)
+        .position(|z| *z == instance.zone)
         .map(|i| plan.platform_addrs[i]);
-    let gate = gate.map(|g| g.to_string()).unwrap_or_default();
+    let platform_addr = platform_addr.map(|g| g.to_string()).unwrap_or_default();
     let mut out = String::from("instance:\n");
     let mut line = |text: String| {
         let _ = writeln!(out, "  {text}");
     };
-    line(format!("id: {}", at.id));
-    line(format!("zone: {}", at.zone));
-    line(format!("listen: {}", at.peer_addr));
+    line(format!("id: {}", instance.id));
+    line(format!("zone: {}", instance.zone));
+    line(format!("listen: {}", instance.peer_addr));
     let seeds: Vec<String> = plan
         .scheds
         .iter()
@@ -30,22 +30,25 @@
         line(format!("  - {{name: {zone}, shards: {}}}", plan.shards));
     }
     line("platform:".to_owned());
-    line(format!("  table: {gate}"));
-    line(format!("  objects: {gate}"));
-    line(format!("  members: {gate}"));
+    line(format!("  table: {platform_addr}"));
+    line(format!("  objects: {platform_addr}"));
+    line(format!("  members: {platform_addr}"));
     out
 }
 
 /// Returns the settings of an entry.
-pub(crate) fn entry(plan: &FleetPlan, at: &InstancePlan) -> String {
+pub(crate) fn entry(plan: &FleetPlan, instance: &InstancePlan) -> String {
     format!(
         "{}callers: {}\ndrain_ms: 1000\n",
-        common(plan, at),
-        at.caller_addr
+        common(plan, instance),
+        instance.caller_addr
     )
 }
 
 /// Returns the settings of a scheduler.
-pub(crate) fn sched(plan: &FleetPlan, at: &InstancePlan) -> String {
-    format!("{}ownership: {{snapshot_rows: 100}}\n", common(plan, at))
+pub(crate) fn sched(plan: &FleetPlan, instance: &InstancePlan) -> String {
+    format!(
+        "{}ownership: {{snapshot_rows: 100}}\n",
+        common(plan, instance)
+    )
 }
--- a/crates/load/src/measure/faults.rs
+++ b/crates/load/src/measure/faults.rs
@@ -69,13 +69,13 @@
         duration: time.mul_f64(0.9),
         seed: args.seed,
     };
-    let (totals, jobs, measured) = thread::scope(|scope| {
+    let (totals, jobs, times) = thread::scope(|scope| {
         let requests = scope.spawn(|| requests.run());
         let jobs = scope.spawn(|| job_load.submit());
-        let measured = run_schedule(&mut fleet, args);
-        (requests.join(), jobs.join(), measured)
+        let times = run_schedule(&mut fleet, args);
+        (requests.join(), jobs.join(), times)
     });
-    let measured = measured?;
+    let times = times?;
     let (Ok(totals), Ok(mut jobs)) = (totals, jobs) else {
         return Err(LoadError::Broken);
     };
@@ -103,16 +103,16 @@
         verdict.doubled,
         verdict.overcommitted,
         verdict.false_not_run,
-        measured.takeover_ms,
-        measured.handover_ms,
-        measured.config_ms,
-        measured.config_cut_ms,
+        times.takeover_ms,
+        times.handover_ms,
+        times.config_ms,
+        times.config_cut_ms,
         totals.latencies.quantile_ms(0.5),
         totals.latencies.quantile_ms(0.99),
     );
-    let broken =
+    let violations =
         wrong + verdict.lost + verdict.doubled + verdict.overcommitted + verdict.false_not_run;
-    if broken > 0 {
+    if violations > 0 {
         return Err(LoadError::Broken);
     }
     Ok(())
@@ -254,19 +254,19 @@
 }
 
 /// Runs `act` and returns the milliseconds until other schedulers own the shards of a scheduler.
-fn measure_move_ms(fleet: &mut Fleet, sched: usize, act: impl FnOnce(&mut Fleet)) -> u64 {
+fn measure_move_ms(fleet: &mut Fleet, sched: usize, action: impl FnOnce(&mut Fleet)) -> u64 {
     let id = fleet.plan.scheds[sched].id.clone();
-    let had: Vec<Name> = shard_owners(fleet)
+    let owned: Vec<Name> = shard_owners(fleet)
         .into_iter()
         .filter(|o| o.0 == id)
         .map(|o| o.2)
         .collect();
     let began = Instant::now();
-    act(fleet);
+    action(fleet);
     while began.elapsed() < CHANGE_TIMEOUT {
-        let now = shard_owners(fleet);
-        let moved = |key: &Name| now.iter().any(|o| o.2 == *key && o.0 != id);
-        if had.iter().all(moved) {
+        let current = shard_owners(fleet);
+        let moved = |key: &Name| current.iter().any(|o| o.2 == *key && o.0 != id);
+        if owned.iter().all(moved) {
             break;
         }
         thread::sleep(Duration::from_millis(25));
@@ -279,21 +279,24 @@
 fn measure_config_ms(
     fleet: &Fleet,
     args: &TrialArgs,
-    on: u64,
-    zones: &[String],
+    base_version: u64,
+    cut_zones: &[String],
 ) -> Result<u64, LoadError> {
     let source = args.templates.join("weld.yaml");
     let text = std::fs::read_to_string(&source).context(FileSnafu { path: &source })?;
-    let path = args.out.join(format!("weld-{on}.yaml"));
-    let text = text.replace("retry_percent: 10", &format!("retry_percent: {}", 10 + on));
+    let path = args.out.join(format!("weld-{base_version}.yaml"));
+    let text = text.replace(
+        "retry_percent: 10",
+        &format!("retry_percent: {}", 10 + base_version),
+    );
     write(&path, &text)?;
     // In a zone that is cut off, the command would wait for the platform.
-    fleet.apply_template_avoiding(&path, on, zones)?;
+    fleet.apply_template_avoiding(&path, base_version, cut_zones)?;
     let began = Instant::now();
     while began.elapsed() < CHANGE_TIMEOUT {
-        let all = fleet.plan.entries.iter().chain(&fleet.plan.scheds);
-        let mut wanted = all.filter(|i| zones.is_empty() || zones.contains(&i.zone));
-        if wanted.all(|i| is_in_force(i.peer_addr, on + 1)) {
+        let instances = fleet.plan.entries.iter().chain(&fleet.plan.scheds);
+        let mut wanted = instances.filter(|i| cut_zones.is_empty() || cut_zones.contains(&i.zone));
+        if wanted.all(|i| is_in_force(i.peer_addr, base_version + 1)) {
             break;
         }
         thread::sleep(Duration::from_millis(20));
--- a/crates/load/src/measure/interference.rs
+++ b/crates/load/src/measure/interference.rs
@@ -21,7 +21,7 @@
 /// Measures and prints a line for each organisation.
 pub(crate) fn run(args: &InterferenceArgs) -> Result<(), LoadError> {
     for (user, weights) in [("weld", WELD_WEIGHTS), ("taipei", TAIPEI_WEIGHTS)] {
-        let settings = |policy, told| PlacementSimSettings {
+        let settings = |policy, oracle| PlacementSimSettings {
             preempt_after: if policy == PlacementPolicy::Interference {
                 None
             } else {
@@ -36,42 +36,42 @@
             strength: args.strength,
             report_lag: args.lag,
             duration: args.seconds * 1_000,
-            oracle: told,
+            oracle,
         };
-        let base = PlacementSim::new(settings(PlacementPolicy::LeastLoaded, false)).run();
+        let least_loaded = PlacementSim::new(settings(PlacementPolicy::LeastLoaded, false)).run();
         let random = PlacementSim::new(settings(PlacementPolicy::Random, false)).run();
-        let mine = PlacementSim::new(settings(PlacementPolicy::Interference, false)).run();
-        let best = PlacementSim::new(settings(PlacementPolicy::Interference, true)).run();
+        let learned = PlacementSim::new(settings(PlacementPolicy::Interference, false)).run();
+        let with_oracle = PlacementSim::new(settings(PlacementPolicy::Interference, true)).run();
         println!(
             "interference: user={user} seed={} table_seed={} strength={} lag_ms={} {} {} {} {} p99_ratio={:.3} work_ratio={:.3} evictions_ratio={:.3} told_p99_ratio={:.3} told_work_ratio={:.3} told_evictions_ratio={:.3}",
             args.seed,
             args.table_seed.unwrap_or(args.seed),
             args.strength,
             args.lag,
-            figures("least", &base),
-            figures("random", &random),
-            figures("mine", &mine),
-            figures("told", &best),
-            mine.latencies.quantile_ms(0.99) / base.latencies.quantile_ms(0.99),
-            mine.work_ms as f64 / base.work_ms as f64,
-            mine.evictions as f64 / base.evictions.max(1) as f64,
-            best.latencies.quantile_ms(0.99) / base.latencies.quantile_ms(0.99),
-            best.work_ms as f64 / base.work_ms as f64,
-            best.evictions as f64 / base.evictions.max(1) as f64,
+            format_result("least", &least_loaded),
+            format_result("random", &random),
+            format_result("mine", &learned),
+            format_result("told", &with_oracle),
+            learned.latencies.quantile_ms(0.99) / least_loaded.latencies.quantile_ms(0.99),
+            learned.work_ms as f64 / least_loaded.work_ms as f64,
+            learned.evictions as f64 / least_loaded.evictions.max(1) as f64,
+            with_oracle.latencies.quantile_ms(0.99) / least_loaded.latencies.quantile_ms(0.99),
+            with_oracle.work_ms as f64 / least_loaded.work_ms as f64,
+            with_oracle.evictions as f64 / least_loaded.evictions.max(1) as f64,
         );
     }
     Ok(())
 }
 
-fn figures(name: &str, r: &PlacementSimResult) -> String {
+fn format_result(name: &str, result: &PlacementSimResult) -> String {
     format!(
         "{name}_p50_ms={:.2} {name}_p99_ms={:.2} {name}_done={} {name}_work_s={} {name}_evictions={} {name}_urgent_mean_ms={:.0} {name}_urgent_max_ms={}",
-        r.latencies.quantile_ms(0.5),
-        r.latencies.quantile_ms(0.99),
-        r.completed,
-        r.work_ms / 1_000,
-        r.evictions,
-        r.urgent_mean_ms,
-        r.urgent_max_ms
+        result.latencies.quantile_ms(0.5),
+        result.latencies.quantile_ms(0.99),
+        result.completed,
+        result.work_ms / 1_000,
+        result.evictions,
+        result.urgent_mean_ms,
+        result.urgent_max_ms
     )
 }
--- a/crates/load/src/measure/membership.rs
+++ b/crates/load/src/measure/membership.rs
@@ -41,12 +41,12 @@
 
 /// Measures and prints full membership and partial views at the given size.
 pub(crate) fn run(args: &MembershipArgs) -> Result<(), LoadError> {
-    let each = encode(&heartbeat(1, 1)).unwrap_or_default().len() as f64;
-    let full = full_membership(args, each);
-    let partial = partial_views(args, each);
+    let heartbeat_bytes = encode(&heartbeat(1, 1)).unwrap_or_default().len() as f64;
+    let full = full_membership(args, heartbeat_bytes);
+    let partial = partial_views(args, heartbeat_bytes);
     for (name, m) in [("full", full), ("partial", partial)] {
         println!(
-            "membership: views={name} instances={} zones={} heartbeat_bytes={each:.0} sent_bytes_per_s={:.0} entries={:.0} learn_s={:.2} forget_s={:.2}",
+            "membership: views={name} instances={} zones={} heartbeat_bytes={heartbeat_bytes:.0} sent_bytes_per_s={:.0} entries={:.0} learn_s={:.2} forget_s={:.2}",
             args.instances, args.zones, m.sent_bytes, m.entries, m.learn_s, m.forget_s
         );
     }
@@ -55,13 +55,13 @@
 
 /// Returns the costs of full membership. Heartbeats go to all instances of the zone directly, so
 /// learning takes one interval, and forgetting takes the failure timeout and one interval.
-fn full_membership(args: &MembershipArgs, each: f64) -> ViewCosts {
-    let zone = args.instances.div_ceil(args.zones);
+fn full_membership(args: &MembershipArgs, heartbeat_bytes: f64) -> ViewCosts {
+    let zone_size = args.instances.div_ceil(args.zones);
     let settings = MemberSettings::default();
-    let sent = (zone - 1) + settings.contacts_per_zone * (args.zones - 1);
-    let rounds = 1000.0 / settings.heartbeat_interval as f64;
+    let peers = (zone_size - 1) + settings.contacts_per_zone * (args.zones - 1);
+    let rounds_per_s = 1000.0 / settings.heartbeat_interval as f64;
     ViewCosts {
-        sent_bytes: sent as f64 * (each + DATAGRAM_OVERHEAD_BYTES) * rounds,
+        sent_bytes: peers as f64 * (heartbeat_bytes + DATAGRAM_OVERHEAD_BYTES) * rounds_per_s,
         entries: args.instances as f64,
         learn_s: settings.heartbeat_interval as f64 / 1000.0,
         forget_s: (settings.dead_after + settings.heartbeat_interval) as f64 / 1000.0,
@@ -76,7 +76,7 @@
 }
 
 /// Returns the costs of partial views, from a simulation of gossip in rounds.
-fn partial_views(args: &MembershipArgs, each: f64) -> ViewCosts {
+fn partial_views(args: &MembershipArgs, heartbeat_bytes: f64) -> ViewCosts {
     let n = args.instances;
     let groups = (n as f64).sqrt().round().max(1.0) as usize;
     let mut rng = SmallRng::seed_from_u64(args.seed);
@@ -101,26 +101,28 @@
             contacts,
         });
     }
-    let newcomer = members.iter().max_by_key(|m| m.len()).map_or(0, |m| m[0]);
-    let home = group_of(newcomer);
-    let place = members[home]
+    let new_node = members.iter().max_by_key(|m| m.len()).map_or(0, |m| m[0]);
+    let new_group = group_of(new_node);
+    let new_index = members[new_group]
         .iter()
-        .position(|i| *i == newcomer)
+        .position(|i| *i == new_node)
         .unwrap_or(0);
-    for i in &members[home] {
-        nodes[*i].heartbeats[place] = None;
+    for i in &members[new_group] {
+        nodes[*i].heartbeats[new_index] = None;
     }
-    let learn = rounds_to_learn(&mut nodes, &members, &mut rng, newcomer, home, place);
+    let learn_rounds = rounds_to_learn(
+        &mut nodes, &members, &mut rng, new_node, new_group, new_index,
+    );
     // A safe failure timeout is 1.5 times the longest interval between two heartbeat counts of a
     // live member at any node.
-    let gap = longest_gap(&mut nodes, &members, &mut rng);
+    let gap_rounds = longest_gap(&mut nodes, &members, &mut rng);
     let targets = GROUP_TARGETS + CONTACT_TARGETS;
-    let message = each * ENTRIES_PER_MESSAGE as f64 + DATAGRAM_OVERHEAD_BYTES;
+    let message_bytes = heartbeat_bytes * ENTRIES_PER_MESSAGE as f64 + DATAGRAM_OVERHEAD_BYTES;
     ViewCosts {
-        sent_bytes: targets as f64 * message * 1000.0 / ROUND_MS as f64,
-        entries: (members[home].len() + CONTACTS_PER_GROUP * (groups - 1)) as f64,
-        learn_s: learn as f64 * ROUND_MS as f64 / 1000.0,
-        forget_s: gap as f64 * 1.5 * ROUND_MS as f64 / 1000.0,
+        sent_bytes: targets as f64 * message_bytes * 1000.0 / ROUND_MS as f64,
+        entries: (members[new_group].len() + CONTACTS_PER_GROUP * (groups - 1)) as f64,
+        learn_s: learn_rounds as f64 * ROUND_MS as f64 / 1000.0,
+        forget_s: gap_rounds as f64 * 1.5 * ROUND_MS as f64 / 1000.0,
     }
 }
 
@@ -129,19 +131,19 @@
     let mut messages = Vec::new();
     for (i, node) in nodes.iter_mut().enumerate() {
         let group = node.group;
-        let mine = members[group].iter().position(|m| *m == i).unwrap_or(0);
-        node.heartbeats[mine] = Some((now, now));
+        let own_index = members[group].iter().position(|m| *m == i).unwrap_or(0);
+        node.heartbeats[own_index] = Some((now, now));
         let known: Vec<usize> = (0..members[group].len())
-            .filter(|p| node.heartbeats[*p].is_some())
+            .filter(|member| node.heartbeats[*member].is_some())
             .collect();
         for _ in 0..GROUP_TARGETS {
-            let Some(to) = known.choose(rng).map(|p| members[group][*p]) else {
+            let Some(to) = known.choose(rng).map(|member| members[group][*member]) else {
                 continue;
             };
             let mut entries: Vec<(usize, u64)> = Vec::new();
-            entries.push((mine, now));
-            for p in known.choose_multiple(rng, ENTRIES_PER_MESSAGE - 1) {
-                entries.push((*p, node.heartbeats[*p].map_or(0, |h| h.0)));
+            entries.push((own_index, now));
+            for member in known.choose_multiple(rng, ENTRIES_PER_MESSAGE - 1) {
+                entries.push((*member, node.heartbeats[*member].map_or(0, |h| h.0)));
             }
             messages.push((to, entries));
         }
@@ -151,10 +153,10 @@
         }
     }
     for (to, entries) in messages {
-        for (p, count) in entries {
-            let old = nodes[to].heartbeats[p];
+        for (member, count) in entries {
+            let old = nodes[to].heartbeats[member];
             if old.is_none_or(|o| count > o.0) {
-                nodes[to].heartbeats[p] = Some((count, now));
+                nodes[to].heartbeats[member] = Some((count, now));
             }
         }
     }
@@ -164,19 +166,19 @@
     nodes: &mut [GossipNode],
     members: &[Vec<usize>],
     rng: &mut SmallRng,
-    newcomer: usize,
-    home: usize,
-    place: usize,
+    new_node: usize,
+    group: usize,
+    index: usize,
 ) -> u64 {
-    let introducer = members[home].iter().find(|m| **m != newcomer).copied();
+    let introducer = members[group].iter().find(|m| **m != new_node).copied();
     if let Some(i) = introducer {
-        nodes[i].heartbeats[place] = Some((1, 1));
+        nodes[i].heartbeats[index] = Some((1, 1));
     }
     for now in 2..MAX_ROUNDS {
         gossip_round(nodes, members, rng, now);
-        if members[home]
+        if members[group]
             .iter()
-            .all(|m| nodes[*m].heartbeats[place].is_some())
+            .all(|m| nodes[*m].heartbeats[index].is_some())
         {
             return now - 1;
         }
--- a/crates/load/src/measure/overhead.rs
+++ b/crates/load/src/measure/overhead.rs
@@ -58,35 +58,35 @@
         shards: 1,
     };
     let fleet = Fleet::start(args, &size)?;
-    let ways = Addresses {
+    let addresses = Addresses {
         entries: fleet.plan.entries.iter().map(|e| e.caller_addr).collect(),
         targets: fleet.plan.workers.iter().map(|w| w.target_addr).collect(),
     };
-    let most = measure_saturation(&ways, args.seed);
-    let rate = most / 2.0;
+    let max_rate = measure_saturation(&addresses, args.seed);
+    let rate = max_rate / 2.0;
     let before = entry_cpu_ms(&fleet);
     let began = Instant::now();
     let pair = measure(
-        &ways,
+        &addresses,
         rate / 2.0,
         Duration::from_secs(args.seconds),
         args.seed,
     );
     let seconds = began.elapsed().as_secs_f64();
-    let used = (entry_cpu_ms(&fleet) - before) as f64;
+    let cpu_ms = (entry_cpu_ms(&fleet) - before) as f64;
     let (d50, d99) = (pair.direct.quantile_ms(0.5), pair.direct.quantile_ms(0.99));
     let (v50, v99) = (
         pair.via_entry.quantile_ms(0.5),
         pair.via_entry.quantile_ms(0.99),
     );
     println!(
-        "overhead: max_rps={most:.0} rate_rps={rate:.0} requests={} failed={} direct_p50_ms={d50:.3} via_p50_ms={v50:.3} added_p50_ms={:.3} direct_p99_ms={d99:.3} via_p99_ms={v99:.3} added_p99_ms={:.3} entry_cpu_us_per_request={:.0} entry_cores={:.3}",
+        "overhead: max_rps={max_rate:.0} rate_rps={rate:.0} requests={} failed={} direct_p50_ms={d50:.3} via_p50_ms={v50:.3} added_p50_ms={:.3} direct_p99_ms={d99:.3} via_p99_ms={v99:.3} added_p99_ms={:.3} entry_cpu_us_per_request={:.0} entry_cores={:.3}",
         pair.via_entry.len(),
         pair.failed,
         v50 - d50,
         v99 - d99,
-        used * 1000.0 / pair.via_entry.len().max(1) as f64,
-        used / 1000.0 / seconds,
+        cpu_ms * 1000.0 / pair.via_entry.len().max(1) as f64,
+        cpu_ms / 1000.0 / seconds,
     );
     Ok(())
 }
@@ -106,7 +106,7 @@
 }
 
 /// Returns the requests per second that closed-loop callers reach.
-fn measure_saturation(ways: &Addresses, seed: u64) -> f64 {
+fn measure_saturation(addresses: &Addresses, seed: u64) -> f64 {
     let mut count = 0;
     thread::scope(|scope| {
         let mut threads = Vec::new();
@@ -115,7 +115,7 @@
                 let end = Instant::now() + PROBE_DURATION;
                 let mut n = 0;
                 while Instant::now() < end {
-                    let entry = ways.entries[(t + n) % ways.entries.len()];
+                    let entry = addresses.entries[(t + n) % addresses.entries.len()];
                     send_get(entry, &format!("p{seed}-{t}-{n}"));
                     n += 1;
                 }
@@ -129,7 +129,7 @@
     count as f64 / PROBE_DURATION.as_secs_f64()
 }
 
-fn measure(ways: &Addresses, rate: f64, time: Duration, seed: u64) -> PairedLatencies {
+fn measure(addresses: &Addresses, rate: f64, time: Duration, seed: u64) -> PairedLatencies {
     let mut all = PairedLatencies {
         direct: LatencyHistogram::new(),
         via_entry: LatencyHistogram::new(),
@@ -138,7 +138,7 @@
     thread::scope(|scope| {
         let mut threads = Vec::new();
         for t in 0..LOAD_THREADS {
-            threads.push(scope.spawn(move || measure_thread(ways, rate, time, seed, t)));
+            threads.push(scope.spawn(move || measure_thread(addresses, rate, time, seed, t)));
         }
         for t in threads {
             let Ok(part) = t.join() else { continue };
@@ -151,7 +151,7 @@
 }
 
 fn measure_thread(
-    ways: &Addresses,
+    addresses: &Addresses,
     rate: f64,
     time: Duration,
     seed: u64,
@@ -164,19 +164,19 @@
         failed: 0,
     };
     let start = Instant::now();
-    let mut due = 0.0;
+    let mut due_s = 0.0;
     let mut n = 0;
     loop {
-        due += -rng.random_range(1e-9..1.0f64).ln() * LOAD_THREADS as f64 / rate;
-        if due > time.as_secs_f64() {
+        due_s += -rng.random_range(1e-9..1.0f64).ln() * LOAD_THREADS as f64 / rate;
+        if due_s > time.as_secs_f64() {
             return pair;
         }
-        let at = start + Duration::from_secs_f64(due);
-        thread::sleep(at.saturating_duration_since(Instant::now()));
+        let due = start + Duration::from_secs_f64(due_s);
+        thread::sleep(due.saturating_duration_since(Instant::now()));
         n += 1;
         let id = format!("m{seed}-{t}-{n}");
-        let target = ways.targets[rng.random_range(0..ways.targets.len())];
-        let entry = ways.entries[rng.random_range(0..ways.entries.len())];
+        let target = addresses.targets[rng.random_range(0..addresses.targets.len())];
+        let entry = addresses.entries[rng.random_range(0..addresses.entries.len())];
         let order = if n % 2 == 0 {
             [false, true]
         } else {
--- a/crates/load/src/measure/overload.rs
+++ b/crates/load/src/measure/overload.rs
@@ -25,33 +25,33 @@
             ("third-slow", FAULT_LOAD, TargetFault::Slow),
             ("third-gone", FAULT_LOAD, TargetFault::Unreachable),
         ];
-        for (case, load, bad) in cases {
-            let run = OverloadSettings {
+        for (case, load, fault) in cases {
+            let settings = OverloadSettings {
                 policy,
                 load,
-                fault: bad,
+                fault,
                 seed: args.seed,
                 duration: args.seconds * 1_000,
             };
-            print_result(name, case, &run.run());
+            print_result(name, case, &settings.run());
         }
     }
     Ok(())
 }
 
-fn print_result(policy: &str, case: &str, r: &OverloadResult) {
+fn print_result(policy: &str, case: &str, result: &OverloadResult) {
     println!(
         "overload: policy={policy} case={case} requests={} answered={} goodput={:.3} tries_per_request={:.3} repeatable_ok={:.4} urgent_p50_ms={:.1} urgent_p99_ms={:.1} all_p99_ms={:.1} refused={} late={} refused_wait_p99_ms={:.1}",
-        r.requests,
-        r.answered,
-        r.goodput,
-        r.tries as f64 / r.requests.max(1) as f64,
-        r.repeatable_ok as f64 / r.repeatable.max(1) as f64,
-        r.urgent_latencies.quantile_ms(0.5),
-        r.urgent_latencies.quantile_ms(0.99),
-        r.latencies.quantile_ms(0.99),
-        r.refused,
-        r.late,
-        r.refused_wait.quantile_ms(0.99),
+        result.requests,
+        result.answered,
+        result.goodput,
+        result.tries as f64 / result.requests.max(1) as f64,
+        result.repeatable_ok as f64 / result.repeatable.max(1) as f64,
+        result.urgent_latencies.quantile_ms(0.5),
+        result.urgent_latencies.quantile_ms(0.99),
+        result.latencies.quantile_ms(0.99),
+        result.refused,
+        result.late,
+        result.refused_wait.quantile_ms(0.99),
     );
 }
--- a/crates/load/src/measure/overload_sim.rs
+++ b/crates/load/src/measure/overload_sim.rs
@@ -164,19 +164,19 @@
 
 impl OverloadSim<'_> {
     fn new(run: &OverloadSettings) -> OverloadSim<'_> {
-        let settings = RouteSettings {
+        let route_settings = RouteSettings {
             policy: run.policy,
             max_org_requests: usize::MAX,
             ..RouteSettings::default()
         };
-        let mut nodes = Vec::new();
+        let mut targets = Vec::new();
         for i in 0..TARGET_COUNT {
-            nodes.push(SimTarget {
+            targets.push(SimTarget {
                 busy: 0,
                 faulty: run.fault != TargetFault::None && i % 3 == 0,
             });
         }
-        let router = |e: u64| Router::new(settings.clone(), run.seed * 10 + e);
+        let router = |e: u64| Router::new(route_settings.clone(), run.seed * 10 + e);
         OverloadSim {
             run,
             rng: SmallRng::seed_from_u64(run.seed),
@@ -185,7 +185,7 @@
             queue: BinaryHeap::new(),
             routers: (0..ENTRY_COUNT as u64).map(router).collect(),
             open: vec![Vec::new(); ENTRY_COUNT],
-            targets: nodes,
+            targets,
             request_count: 0,
             next_arrival: START_MS as f64,
             result: OverloadResult {
@@ -236,9 +236,9 @@
         self.push(START_MS + 10, SimEvent::Tick);
     }
 
-    fn push(&mut self, at: Millis, what: SimEvent) {
+    fn push(&mut self, at: Millis, event: SimEvent) {
         self.event_count += 1;
-        self.queue.push(Reverse((at, self.event_count, what)));
+        self.queue.push(Reverse((at, self.event_count, event)));
     }
 
     fn schedule_arrival(&mut self) {
@@ -250,12 +250,12 @@
 
     fn process_events(&mut self) {
         let end = START_MS + self.run.duration;
-        while let Some(Reverse((at, _, what))) = self.queue.pop() {
+        while let Some(Reverse((at, _, event))) = self.queue.pop() {
             if at >= end {
                 break;
             }
             self.now = at;
-            match what {
+            match event {
                 SimEvent::Arrival { entry } => self.start_request(entry),
                 SimEvent::Receive {
                     entry,
@@ -299,10 +299,10 @@
         self.schedule_arrival();
         self.request_count += 1;
         let req = self.request_count;
-        let share: f64 = self.rng.random();
-        let priority = match share {
-            s if s < 0.1 => Priority::Urgent,
-            s if s < 0.8 => Priority::Normal,
+        let draw: f64 = self.rng.random();
+        let priority = match draw {
+            d if d < 0.1 => Priority::Urgent,
+            d if d < 0.8 => Priority::Normal,
             _ => Priority::Bulk,
         };
         let repeatable = self.rng.random_bool(0.7);
@@ -362,47 +362,47 @@
     }
 
     fn record_refusal(&mut self, entry: usize, req: u64) {
-        let Ok(i) = self.open[entry].binary_search_by_key(&req, |o| o.req) else {
+        let Ok(i) = self.open[entry].binary_search_by_key(&req, |request| request.req) else {
             return;
         };
-        let o = self.open[entry].remove(i);
-        if self.is_counted(o.arrived_at) && !o.settled {
+        let request = self.open[entry].remove(i);
+        if self.is_counted(request.arrived_at) && !request.settled {
             self.result.refused += 1;
             self.result
                 .refused_wait
-                .record((self.now - o.arrived_at) * 1_000);
+                .record((self.now - request.arrived_at) * 1_000);
         }
     }
 
     fn receive_attempt(&mut self, entry: usize, req: u64, attempt: u32, target: usize) {
-        let bad = self.targets[target].faulty;
-        let back = |end| SimEvent::Response {
+        let faulty = self.targets[target].faulty;
+        let response = |end| SimEvent::Response {
             entry,
             req,
             attempt,
             end,
         };
-        if bad && self.run.fault == TargetFault::Unreachable {
-            return self.push(self.now + NETWORK_DELAY_MS, back(AttemptEnd::NotSent));
+        if faulty && self.run.fault == TargetFault::Unreachable {
+            return self.push(self.now + NETWORK_DELAY_MS, response(AttemptEnd::NotSent));
         }
-        if bad && self.run.fault == TargetFault::Failing {
-            return self.push(self.now + NETWORK_DELAY_MS, back(AttemptEnd::Failed));
+        if faulty && self.run.fault == TargetFault::Failing {
+            return self.push(self.now + NETWORK_DELAY_MS, response(AttemptEnd::Failed));
         }
-        let node = &mut self.targets[target];
-        if node.busy >= SLOTS_PER_TARGET {
-            let busy = node.busy;
+        let sim_target = &mut self.targets[target];
+        if sim_target.busy >= SLOTS_PER_TARGET {
+            let busy = sim_target.busy;
             return self.push(
                 self.now + NETWORK_DELAY_MS,
-                back(AttemptEnd::Declined { busy }),
+                response(AttemptEnd::Declined { busy }),
             );
         }
-        node.busy += 1;
-        let unit: f64 = self.rng.random_range(1e-9..1.0);
-        let slower = if bad { SLOWDOWN_FACTOR } else { 1.0 };
-        let time = MEAN_SERVICE_MS * (0.5 + 0.5 * -unit.ln()) * slower;
-        let at = self.now + time as Millis;
+        sim_target.busy += 1;
+        let uniform: f64 = self.rng.random_range(1e-9..1.0);
+        let factor = if faulty { SLOWDOWN_FACTOR } else { 1.0 };
+        let service_ms = MEAN_SERVICE_MS * (0.5 + 0.5 * -uniform.ln()) * factor;
+        let end = self.now + service_ms as Millis;
         self.push(
-            at,
+            end,
             SimEvent::Finish {
                 entry,
                 req,
@@ -415,8 +415,8 @@
     fn finish_attempt(&mut self, entry: usize, req: u64, attempt: u32, target: usize) {
         let busy = self.targets[target].busy;
         self.targets[target].busy -= 1;
-        let found = self.open[entry].binary_search_by_key(&req, |o| o.req);
-        let took = found.map_or(MEAN_SERVICE_MS as Millis, |i| {
+        let position = self.open[entry].binary_search_by_key(&req, |o| o.req);
+        let took = position.map_or(MEAN_SERVICE_MS as Millis, |i| {
             self.now - self.open[entry][i].arrived_at
         });
         self.push(
@@ -450,25 +450,25 @@
     }
 
     fn record_answer(&mut self, entry: usize, req: u64) {
-        let Ok(i) = self.open[entry].binary_search_by_key(&req, |o| o.req) else {
+        let Ok(i) = self.open[entry].binary_search_by_key(&req, |request| request.req) else {
             return;
         };
-        let o = &mut self.open[entry][i];
-        if o.settled {
+        let request = &mut self.open[entry][i];
+        if request.settled {
             return;
         }
-        o.settled = true;
-        let o = o.clone();
-        if !self.is_counted(o.arrived_at) {
+        request.settled = true;
+        let request = request.clone();
+        if !self.is_counted(request.arrived_at) {
             return;
         }
-        let time = self.now - o.arrived_at;
+        let latency_ms = self.now - request.arrived_at;
         self.result.answered += 1;
-        self.result.late += u64::from(time > DEADLINE_MS);
-        self.result.repeatable_ok += u64::from(o.repeatable && time <= DEADLINE_MS);
-        self.result.latencies.record(time * 1_000);
-        if o.urgent {
-            self.result.urgent_latencies.record(time * 1_000);
+        self.result.late += u64::from(latency_ms > DEADLINE_MS);
+        self.result.repeatable_ok += u64::from(request.repeatable && latency_ms <= DEADLINE_MS);
+        self.result.latencies.record(latency_ms * 1_000);
+        if request.urgent {
+            self.result.urgent_latencies.record(latency_ms * 1_000);
         }
     }
 }
--- a/crates/load/src/measure/placement_sim.rs
+++ b/crates/load/src/measure/placement_sim.rs
@@ -131,17 +131,17 @@
 
 impl PlacementSim {
     pub fn new(settings: PlacementSimSettings) -> PlacementSim {
-        let place = ShardId {
+        let shard_id = ShardId {
             name: "floor".into(),
             index: 0,
             count: 1,
         };
-        let usual = ShardSettings::default();
-        let shard = ShardSettings {
-            preempt_after: settings.preempt_after.unwrap_or(usual.preempt_after),
+        let defaults = ShardSettings::default();
+        let shard_settings = ShardSettings {
+            preempt_after: settings.preempt_after.unwrap_or(defaults.preempt_after),
             policy: settings.policy,
             retention: 1_000,
-            ..usual
+            ..defaults
         };
         let takeover = Takeover {
             epoch: 1,
@@ -150,11 +150,12 @@
             inherited_hold: 60_000,
             settled: true,
         };
-        let machine = ShardScheduler::new(place, shard, settings.seed, takeover, START_MS);
+        let scheduler =
+            ShardScheduler::new(shard_id, shard_settings, settings.seed, takeover, START_MS);
         let ledger = Arc::new(Ledger::default());
         let checkpoints = Arc::new(MemoryCheckpoints::default());
         let mut workers = Vec::new();
-        let mut names = Vec::new();
+        let mut worker_names = Vec::new();
         for i in 0..settings.workers {
             let name: Name = format!("w{i:03}").into();
             let sim = SimSettings {
@@ -169,14 +170,14 @@
                 },
             };
             workers.push(SimWorker::new(sim, 1, ledger.clone(), checkpoints.clone()));
-            names.push(name);
+            worker_names.push(name);
         }
         PlacementSim {
             rng: SmallRng::seed_from_u64(settings.seed),
             load_rng: SmallRng::seed_from_u64(settings.seed + 77),
-            scheduler: machine,
+            scheduler,
             workers,
-            worker_names: names,
+            worker_names,
             now: START_MS,
             job_count: 0,
             pending_urgent: Vec::new(),
@@ -199,11 +200,11 @@
         self.apply_event(&Event::Organisations(vec![organisation(&self.settings)]));
         let list = self.worker_list();
         self.apply_event(&list);
-        let half = START_MS + self.settings.duration / 2;
+        let half_time = START_MS + self.settings.duration / 2;
         let end = START_MS + self.settings.duration;
         let mut shifted = false;
         while self.now < end {
-            if self.now >= half && !shifted {
+            if self.now >= half_time && !shifted {
                 shifted = true;
                 self.shift_table();
             }
@@ -289,8 +290,8 @@
         let mut specs = Vec::new();
         while self.queued_jobs < wanted {
             let kind = self.rng.random_range(0..JOB_KINDS);
-            let run = self.rng.random_range(2_000..10_000);
-            specs.push(self.job_spec(kind, run, Priority::Normal));
+            let run_time = self.rng.random_range(2_000..10_000);
+            specs.push(self.job_spec(kind, run_time, Priority::Normal));
             self.queued_jobs += 1;
         }
         let rate = self.settings.workers as f64 / 24.0;
@@ -311,7 +312,7 @@
         }
     }
 
-    fn job_spec(&mut self, kind: usize, run: Millis, priority: Priority) -> JobSpec {
+    fn job_spec(&mut self, kind: usize, run_time: Millis, priority: Priority) -> JobSpec {
         self.job_count += 1;
         JobSpec {
             key: JobKey {
@@ -322,7 +323,7 @@
             team: kind_name(kind),
             tasks: 1,
             size: Size::new(3_000, 6 << 30, 0),
-            run_time: run,
+            run_time,
             priority,
             checkpoint: true,
             attempts: 3,
@@ -376,9 +377,9 @@
                         continue;
                     }
                     let id = &job.spec.key.id;
-                    if let Some(i) = self.pending_urgent.iter().position(|u| u.id == *id) {
-                        let u = self.pending_urgent.swap_remove(i);
-                        self.urgent_waits.push(self.now - u.submitted_at);
+                    if let Some(i) = self.pending_urgent.iter().position(|task| task.id == *id) {
+                        let task = self.pending_urgent.swap_remove(i);
+                        self.urgent_waits.push(self.now - task.submitted_at);
                     }
                 }
                 Record::Ended { attempt, end } if counted => {
@@ -405,9 +406,10 @@
             if !w.serves(SERVICE) {
                 continue;
             }
-            let unit: f64 = self.load_rng.random_range(1e-9..1.0);
-            let us =
-                BASE_LATENCY_US * (0.5 + 0.5 * (-unit.ln()).min(6.0)) * w.service_slowdown(SERVICE);
+            let uniform: f64 = self.load_rng.random_range(1e-9..1.0);
+            let us = BASE_LATENCY_US
+                * (0.5 + 0.5 * (-uniform.ln()).min(6.0))
+                * w.service_slowdown(SERVICE);
             self.result.latencies.record(us as u64);
         }
     }
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -56,7 +56,7 @@
 
 /// Returns a shard scheduler whose workers have all answered their first exchange.
 pub(crate) fn scheduler(policy: PlacementPolicy, workers: usize, seed: u64) -> ShardScheduler {
-    let place = ShardId {
+    let shard_id = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
@@ -73,8 +73,8 @@
         inherited_hold: 60_000,
         settled: true,
     };
-    let mut machine = ShardScheduler::new(place, settings, seed, takeover, START_MS);
-    machine.step(START_MS, &Event::Organisations(vec![organisation(1)]));
+    let mut scheduler = ShardScheduler::new(shard_id, settings, seed, takeover, START_MS);
+    scheduler.step(START_MS, &Event::Organisations(vec![organisation(1)]));
     let mut list = Vec::new();
     for i in 0..workers {
         let addr = ([127, 0, 0, 1], 1_000 + (i % 60_000) as u16).into();
@@ -89,17 +89,17 @@
         });
     }
     let counts = vec![workers as u32];
-    machine.step(START_MS, &Event::Workers { list, counts });
-    answer_exchanges(&mut machine, START_MS + 1);
-    machine
+    scheduler.step(START_MS, &Event::Workers { list, counts });
+    answer_exchanges(&mut scheduler, START_MS + 1);
+    scheduler
 }
 
 /// Answers the exchange of each worker with the tasks that the scheduler expects there.
-fn answer_exchanges(machine: &mut ShardScheduler, now: Millis) {
-    let upto = machine.next_record();
-    machine.step(now, &Event::Committed(upto));
+fn answer_exchanges(scheduler: &mut ShardScheduler, now: Millis) {
+    let upto = scheduler.next_record();
+    scheduler.step(now, &Event::Committed(upto));
     let mut answers = Vec::new();
-    for w in machine.workers() {
+    for w in scheduler.workers() {
         let running = w.allocations.iter().map(|r| r.attempt).collect();
         answers.push((
             w.name.clone(),
@@ -118,7 +118,7 @@
         ));
     }
     for (worker, answer) in answers {
-        machine.step(now, &Event::Answer { worker, answer });
+        scheduler.step(now, &Event::Answer { worker, answer });
     }
 }
 
@@ -142,12 +142,12 @@
 }
 
 fn measure_placement(policy: PlacementPolicy, workers: usize, seed: u64) {
-    let mut machine = scheduler(policy, workers, seed);
+    let mut scheduler = scheduler(policy, workers, seed);
     let running = (workers as f64 * TASKS_PER_WORKER) as u32;
-    place_tasks(&mut machine, running, 0);
-    let more = TIMED_PLACEMENTS.min(workers as u32 * 8);
+    place_tasks(&mut scheduler, running, 0);
+    let tasks = TIMED_PLACEMENTS.min(workers as u32 * 8);
     let began = Instant::now();
-    let started = place_tasks(&mut machine, more, 1_000_000);
+    let started = place_tasks(&mut scheduler, tasks, 1_000_000);
     let seconds = began.elapsed().as_secs_f64();
     println!(
         "starts: policy={policy:?} workers={workers} running={running} placed={started} per_second={:.0} us_each={:.2}",
@@ -157,11 +157,11 @@
 }
 
 /// Submits jobs of ten tasks and places them. Returns the number of started tasks.
-pub(crate) fn place_tasks(machine: &mut ShardScheduler, tasks: u32, first: usize) -> u64 {
+pub(crate) fn place_tasks(scheduler: &mut ShardScheduler, tasks: u32, first_job: usize) -> u64 {
     let mut specs = Vec::new();
     for i in 0..tasks.div_ceil(10) {
         specs.push(job_spec(
-            &format!("job{}", first + i as usize),
+            &format!("job{}", first_job + i as usize),
             i as usize,
             10,
         ));
@@ -178,8 +178,8 @@
                 .count();
         }
     };
-    count(machine.step(START_MS + 2, &Event::Submit(specs)));
-    count(machine.step(START_MS + 3, &Event::Tick));
+    count(scheduler.step(START_MS + 2, &Event::Submit(specs)));
+    count(scheduler.step(START_MS + 3, &Event::Tick));
     started as u64
 }
 
@@ -219,15 +219,15 @@
 
 /// Measures the cancellation of many queued jobs at once.
 fn measure_cancel(seed: u64) {
-    let mut machine = scheduler(PlacementPolicy::Interference, 1, seed);
+    let mut scheduler = scheduler(PlacementPolicy::Interference, 1, seed);
     let mut specs = Vec::new();
     for i in 0..CANCELLED_JOBS {
         specs.push(job_spec(&format!("job{i}"), i, 1));
     }
     let keys = specs.iter().map(|s| s.key.clone()).collect();
-    machine.step(START_MS + 2, &Event::Submit(specs));
+    scheduler.step(START_MS + 2, &Event::Submit(specs));
     let began = Instant::now();
-    let actions = machine.step(START_MS + 3, &Event::Cancel(keys));
+    let actions = scheduler.step(START_MS + 3, &Event::Cancel(keys));
     let ms = began.elapsed().as_secs_f64() * 1e3;
     let mut records = 0;
     for action in actions {
@@ -239,38 +239,39 @@
 }
 
 fn measure_recovery(seed: u64) {
-    let mut machine = scheduler(PlacementPolicy::Interference, RECOVERY_WORKERS, seed);
+    let mut scheduler = scheduler(PlacementPolicy::Interference, RECOVERY_WORKERS, seed);
     place_tasks(
-        &mut machine,
+        &mut scheduler,
         (RECOVERY_WORKERS as f64 * TASKS_PER_WORKER) as u32,
         0,
     );
     let snapshot = Snapshot {
-        next: machine.next_record(),
-        book: machine.state().clone(),
+        next: scheduler.next_record(),
+        book: scheduler.state().clone(),
     };
     let bytes = encode(&snapshot).unwrap_or_default();
     let began = Instant::now();
-    let Ok(again) = decode::<Snapshot>(&bytes) else {
+    let Ok(restored) = decode::<Snapshot>(&bytes) else {
         println!("starts: snapshot can't be decoded");
         return;
     };
-    let decoded = began.elapsed();
-    let place = ShardId {
+    let decode_time = began.elapsed();
+    let shard_id = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
     };
     let takeover = Takeover {
         epoch: 2,
-        state: again.book,
-        next_record: again.next,
+        state: restored.book,
+        next_record: restored.next,
         inherited_hold: 60_000,
         settled: true,
     };
-    let mut new = ShardScheduler::new(place, ShardSettings::default(), seed, takeover, START_MS);
+    let mut recovered =
+        ShardScheduler::new(shard_id, ShardSettings::default(), seed, takeover, START_MS);
     let mut list = Vec::new();
-    for w in machine.workers() {
+    for w in scheduler.workers() {
         list.push(WorkerInfo {
             name: w.name.clone(),
             zone: "zone".into(),
@@ -281,14 +282,18 @@
             leaving: false,
         });
     }
-    new.step(START_MS, &Event::Organisations(vec![organisation(1)]));
+    recovered.step(START_MS, &Event::Organisations(vec![organisation(1)]));
     let counts = vec![list.len() as u32];
-    new.step(START_MS, &Event::Workers { list, counts });
-    let residents: usize = new.workers().iter().map(|w| w.allocations.len()).sum();
+    recovered.step(START_MS, &Event::Workers { list, counts });
+    let recovered_tasks: usize = recovered
+        .workers()
+        .iter()
+        .map(|w| w.allocations.len())
+        .sum();
     println!(
-        "starts: recovered_tasks={residents} workers={RECOVERY_WORKERS} snapshot_bytes={} decode_ms={:.1} total_ms={:.1}",
+        "starts: recovered_tasks={recovered_tasks} workers={RECOVERY_WORKERS} snapshot_bytes={} decode_ms={:.1} total_ms={:.1}",
         bytes.len(),
-        decoded.as_secs_f64() * 1e3,
+        decode_time.as_secs_f64() * 1e3,
         began.elapsed().as_secs_f64() * 1e3
     );
 }
--- a/crates/load/src/slopes/linear_fit.rs
+++ b/crates/load/src/slopes/linear_fit.rs
@@ -33,17 +33,17 @@
         }
         let slope = if xx > 0.0 { xy / xx } else { 0.0 };
         let intercept = mean_y - slope * mean_x;
-        let mut square = 0.0;
+        let mut squares = 0.0;
         for (x, y) in &points {
-            square += (y - slope * x - intercept).powi(2);
+            squares += (y - slope * x - intercept).powi(2);
         }
-        let error = (square / n).sqrt() / mean_y.abs().max(1e-12);
+        let rms_error = (squares / n).sqrt() / mean_y.abs().max(1e-12);
         LinearFit {
             name: name.to_owned(),
             unit: unit.to_owned(),
             slope,
             intercept,
-            rms_error: error,
+            rms_error,
             points,
         }
     }
--- a/crates/load/src/slopes/memory.rs
+++ b/crates/load/src/slopes/memory.rs
@@ -26,9 +26,9 @@
     let mut points = Vec::new();
     for size in sizes {
         let before = ALLOCATOR.allocated();
-        let kept = black_box(make(*size));
+        let value = black_box(make(*size));
         let after = ALLOCATOR.allocated();
-        drop(kept);
+        drop(value);
         points.push((*size as f64, after.saturating_sub(before) as f64));
     }
     LinearFit::fit(name, "bytes", points)
@@ -43,21 +43,21 @@
             |n| starts::scheduler(PlacementPolicy::Interference, n, seed),
         ),
         fit_memory("memory_task", &[10_000, 20_000, 40_000, 80_000], |n| {
-            let mut machine = starts::scheduler(PlacementPolicy::Interference, 8_000, seed);
-            starts::place_tasks(&mut machine, n as u32, 0);
-            machine
+            let mut scheduler = starts::scheduler(PlacementPolicy::Interference, 8_000, seed);
+            starts::place_tasks(&mut scheduler, n as u32, 0);
+            scheduler
         }),
         fit_memory(
             "memory_queued_task",
             &[20_000, 40_000, 80_000, 160_000],
             |n| {
-                let mut machine = starts::scheduler(PlacementPolicy::Interference, 1, seed);
+                let mut scheduler = starts::scheduler(PlacementPolicy::Interference, 1, seed);
                 let mut specs = Vec::new();
                 for i in 0..n / 10 {
                     specs.push(starts::job_spec(&format!("job{i}"), i, 10));
                 }
-                machine.step(1_000_010, &Event::Submit(specs));
-                machine
+                scheduler.step(1_000_010, &Event::Submit(specs));
+                scheduler
             },
         ),
         fit_memory("memory_organisation", &[500, 1_000, 2_000, 4_000], |n| {
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -20,16 +20,16 @@
 const CALLS_PER_ROUND: u32 = 200;
 
 /// Returns the time of one call in microseconds: the minimum of the means of five rounds.
-fn time_us(mut f: impl FnMut()) -> f64 {
-    let mut least = f64::INFINITY;
+fn time_us(mut call: impl FnMut()) -> f64 {
+    let mut min_us = f64::INFINITY;
     for _ in 0..5 {
         let began = Instant::now();
         for _ in 0..CALLS_PER_ROUND {
-            f();
+            call();
         }
-        least = least.min(began.elapsed().as_secs_f64() * 1e6 / f64::from(CALLS_PER_ROUND));
+        min_us = min_us.min(began.elapsed().as_secs_f64() * 1e6 / f64::from(CALLS_PER_ROUND));
     }
-    least
+    min_us
 }
 
 /// Measures the messages and returns the fits.
@@ -55,8 +55,8 @@
         let us = time_us(|| {
             seq += 1;
             let message = encode(&heartbeat(seq as usize % n, seq)).unwrap_or_default();
-            if let Ok(beat) = decode(&message) {
-                peers.record_heartbeat(seq, beat);
+            if let Ok(heartbeat) = decode(&message) {
+                peers.record_heartbeat(seq, heartbeat);
             }
         });
         times.push((n as f64, us));
@@ -74,20 +74,20 @@
     let mut times = Vec::new();
     let mut bytes = Vec::new();
     for tasks in [0u32, 4, 8, 16, 28] {
-        let mut machine = starts::scheduler(PlacementPolicy::Interference, 1, seed);
-        starts::place_tasks(&mut machine, tasks, 0);
+        let mut scheduler = starts::scheduler(PlacementPolicy::Interference, 1, seed);
+        starts::place_tasks(&mut scheduler, tasks, 0);
         let mut now = 1_100_000;
-        let (_, answer) = run_exchange(&mut machine, now);
+        let (_, answer) = run_exchange(&mut scheduler, now);
         let worker = Name::from("w000000");
-        machine.step(now, &Event::Answer { worker, answer });
+        scheduler.step(now, &Event::Answer { worker, answer });
         now += 1_000;
-        let (request, answer) = run_exchange(&mut machine, now);
-        let both =
+        let (request, answer) = run_exchange(&mut scheduler, now);
+        let total_bytes =
             encode(&request).unwrap_or_default().len() + encode(&answer).unwrap_or_default().len();
-        bytes.push((f64::from(tasks), both as f64));
+        bytes.push((f64::from(tasks), total_bytes as f64));
         let us = time_us(|| {
             now += 1_000;
-            let (request, mut answer) = run_exchange(&mut machine, now);
+            let (request, mut answer) = run_exchange(&mut scheduler, now);
             let sent = encode(&request).unwrap_or_default();
             black_box(sent.len());
             answer.clock = now;
@@ -96,7 +96,7 @@
                 return;
             };
             let worker = Name::from("w000000");
-            machine.step(now, &Event::Answer { worker, answer });
+            scheduler.step(now, &Event::Answer { worker, answer });
         });
         times.push((f64::from(tasks), us));
     }
@@ -107,16 +107,16 @@
 }
 
 /// Returns the scheduler's next exchange with its first worker, and the worker's answer.
-fn run_exchange(machine: &mut ShardScheduler, now: u64) -> (Option<WorkerRequest>, WorkerAnswer) {
-    let upto = machine.next_record();
-    machine.step(now, &Event::Committed(upto));
+fn run_exchange(scheduler: &mut ShardScheduler, now: u64) -> (Option<WorkerRequest>, WorkerAnswer) {
+    let upto = scheduler.next_record();
+    scheduler.step(now, &Event::Committed(upto));
     let mut request = None;
-    for action in machine.step(now, &Event::Tick) {
+    for action in scheduler.step(now, &Event::Tick) {
         if let Action::Exchange { request: r, .. } = action {
             request = Some(r);
         }
     }
-    let w = &machine.workers()[0];
+    let w = &scheduler.workers()[0];
     let answer = WorkerAnswer {
         epoch: 1,
         seq: w.seq,
@@ -136,10 +136,10 @@
 fn placements(seed: u64) -> Vec<LinearFit> {
     let mut times = Vec::new();
     for workers in [150, 300, 600, 1_200, 2_400] {
-        let mut machine = starts::scheduler(PlacementPolicy::Interference, workers, seed);
-        starts::place_tasks(&mut machine, workers as u32 * 10, 0);
+        let mut scheduler = starts::scheduler(PlacementPolicy::Interference, workers, seed);
+        starts::place_tasks(&mut scheduler, workers as u32 * 10, 0);
         let began = Instant::now();
-        let placed = starts::place_tasks(&mut machine, workers as u32 * 5, 1_000_000);
+        let placed = starts::place_tasks(&mut scheduler, workers as u32 * 5, 1_000_000);
         let us = began.elapsed().as_secs_f64() * 1e6 / placed.max(1) as f64;
         times.push((workers as f64, us));
     }
--- a/crates/load/src/slopes/processes.rs
+++ b/crates/load/src/slopes/processes.rs
@@ -28,7 +28,7 @@
 
 /// Measures a scheduler, by the number of its workers, which run two replicas each.
 fn scheds(args: &TrialArgs) -> Result<Vec<LinearFit>, LoadError> {
-    let mut time = Vec::new();
+    let mut cpu = Vec::new();
     let mut memory = Vec::new();
     for workers in WORKER_COUNTS {
         let size = FleetSize {
@@ -44,11 +44,11 @@
         thread::sleep(OBSERVATION);
         let after = fleet.scheds[0].usage().unwrap_or_default();
         let ms = (after.1 - before.1) as f64;
-        time.push((workers as f64, ms * 1e3 / OBSERVATION.as_secs_f64()));
+        cpu.push((workers as f64, ms * 1e3 / OBSERVATION.as_secs_f64()));
         memory.push((workers as f64, after.0 as f64 * 1024.0));
     }
     Ok(vec![
-        LinearFit::fit("sched_cpu_by_workers", "us_per_s", time),
+        LinearFit::fit("sched_cpu_by_workers", "us_per_s", cpu),
         LinearFit::fit("sched_memory_by_workers", "bytes", memory),
     ])
 }
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -77,15 +77,15 @@
     let killed = fleet.scheds[args.seed as usize % fleet.scheds.len()]
         .name
         .clone();
-    let mut stuck = fleet.stop_instances();
-    stuck.retain(|name| *name != killed);
+    let mut unclean = fleet.stop_instances();
+    unclean.retain(|name| *name != killed);
     let ledger = fleet.read_ledgers()?;
     let verdict = verify(&ledger, wall_ms(), jobs, &totals);
     drop(fleet);
     for finding in verdict.findings.iter().take(20) {
         println!("trial: {finding}");
     }
-    for name in &stuck {
+    for name in &unclean {
         println!("trial: {name} did not stop cleanly");
     }
     println!(
@@ -105,8 +105,8 @@
         totals.latencies.quantile_ms(0.5),
         totals.latencies.quantile_ms(0.99),
     );
-    let broken = wrong + verdict.lost + verdict.doubled + verdict.overcommitted;
-    if broken > 0 || !stuck.is_empty() {
+    let violations = wrong + verdict.lost + verdict.doubled + verdict.overcommitted;
+    if violations > 0 || !unclean.is_empty() {
         return Err(LoadError::Broken);
     }
     Ok(())
@@ -115,7 +115,7 @@
 /// Returns the largest resident memory of an entry or a scheduler in KiB, and prints a line for
 /// each one over the budget.
 fn check_memory(fleet: &Fleet) -> u64 {
-    let mut most = 0;
+    let mut max_kib = 0;
     for p in fleet.entries.iter().chain(&fleet.scheds) {
         let Some((rss, _)) = p.usage() else { continue };
         if rss > INSTANCE_MEMORY_KIB {
@@ -124,7 +124,7 @@
                 p.name
             );
         }
-        most = most.max(rss);
+        max_kib = max_kib.max(rss);
     }
-    most
+    max_kib
 }
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -44,7 +44,12 @@
 }
 
 /// Verifies a run that ended at `end`, in milliseconds since the Unix epoch.
-pub(crate) fn verify(ledger: &[Entry], end: u64, jobs: &JobResult, req: &RequestTotals) -> Verdict {
+pub(crate) fn verify(
+    ledger: &[Entry],
+    end: u64,
+    jobs: &JobResult,
+    requests: &RequestTotals,
+) -> Verdict {
     let mut verdict = Verdict::default();
     let runs = pair_runs(ledger, end);
     find_doubled(&runs, &mut verdict);
@@ -57,7 +62,7 @@
         }
     }
     find_lost(&runs, jobs, &mut verdict);
-    check_requests(ledger, req, &mut verdict);
+    check_requests(ledger, requests, &mut verdict);
     verdict
 }
 
@@ -77,9 +82,9 @@
                 killed: false,
             }),
             What::Done | What::Failed | What::Saved | What::Stopped => {
-                let same =
+                let is_same =
                     |r: &Run| r.worker == e.worker && r.attempt == e.attempt && r.name == e.name;
-                let Some(i) = open.iter().position(same) else {
+                let Some(i) = open.iter().position(is_same) else {
                     continue;
                 };
                 let mut run = open.swap_remove(i);
@@ -89,8 +94,8 @@
             }
             What::Killed => {
                 for run in &mut out {
-                    let late = run.to + UNREPORTED_WINDOW_MS >= e.ms;
-                    run.killed |= run.worker == e.worker && run.done && late;
+                    let unreported = run.to + UNREPORTED_WINDOW_MS >= e.ms;
+                    run.killed |= run.worker == e.worker && run.done && unreported;
                 }
                 let mut i = 0;
                 while i < open.len() {
@@ -118,8 +123,8 @@
                 break;
             }
             let overlap = b.from < a.to;
-            let again = a.done && b.done && !a.killed;
-            if !overlap && !again {
+            let done_twice = a.done && b.done && !a.killed;
+            if !overlap && !done_twice {
                 continue;
             }
             verdict.doubled += 1;
@@ -153,7 +158,7 @@
     }
 }
 
-fn check_requests(ledger: &[Entry], req: &RequestTotals, verdict: &mut Verdict) {
+fn check_requests(ledger: &[Entry], requests: &RequestTotals, verdict: &mut Verdict) {
     let mut ran: Vec<&str> = Vec::new();
     for e in ledger {
         if e.what == What::Request {
@@ -161,26 +166,29 @@
         }
     }
     ran.sort_unstable();
-    for told in &req.non_idempotent {
-        let first = ran.partition_point(|r| *r < &*told.id);
-        let count = ran[first..].iter().take_while(|r| **r == told.id).count();
+    for request in &requests.non_idempotent {
+        let first = ran.partition_point(|r| *r < &*request.id);
+        let count = ran[first..]
+            .iter()
+            .take_while(|r| **r == request.id)
+            .count();
         if count > 1 {
             verdict.ran_twice += 1;
             verdict
                 .findings
-                .push(format!("request {} ran {count} times", told.id));
+                .push(format!("request {} ran {count} times", request.id));
         }
-        if count > 0 && told.sends == 1 && told.outcome == Some(Outcome::NotRun) {
+        if count > 0 && request.sends == 1 && request.outcome == Some(Outcome::NotRun) {
             verdict.false_not_run += 1;
             verdict
                 .findings
-                .push(format!("request {} ran and was said not to", told.id));
+                .push(format!("request {} ran and was said not to", request.id));
         }
-        if count == 0 && told.outcome == Some(Outcome::Ran) {
+        if count == 0 && request.outcome == Some(Outcome::Ran) {
             verdict.ran_twice += 1;
             verdict.findings.push(format!(
                 "request {} is said to have run and did not",
-                told.id
+                request.id
             ));
         }
     }
