--- a/crates/load/src/clients/jobs.rs
+++ b/crates/load/src/clients/jobs.rs
@@ -158,7 +158,7 @@
             for job in open {
                 polls += 1;
                 let entry = self.entries[polls % self.entries.len()];
-                let state = state(entry, &job);
+                let state = job_state(entry, &job);
                 let wanted = if job.long_running {
                     "cancelled"
                 } else {
@@ -189,7 +189,7 @@
     response.is_ok_and(|a| matches!(a.status, 200 | 201))
 }
 
-fn state(entry: SocketAddr, job: &SubmittedJob) -> String {
+fn job_state(entry: SocketAddr, job: &SubmittedJob) -> String {
     let path = format!("/v1/orgs/{}/jobs/{}", job.org, job.id);
     let Ok(response) = Call::new("GET", entry, &path).timeout(CALL_TIMEOUT).send() else {
         return "no answer".to_owned();
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -59,7 +59,7 @@
     },
     /// A guarantee was violated, or a process did not stop cleanly.
     #[snafu(display("a promise was broken"))]
-    Broken,
+    GuaranteeViolated,
     /// An argument is invalid.
     #[snafu(display("{flag}: {message}"))]
     Usage {
--- a/crates/load/src/fleet/boot.rs
+++ b/crates/load/src/fleet/boot.rs
@@ -94,7 +94,7 @@
             let entries = &f.plan.entries;
             entries
                 .iter()
-                .all(|e| get(e.caller_addr, "/readyz") == Some(200))
+                .all(|e| get_status(e.caller_addr, "/readyz") == Some(200))
         })?;
         fleet.wait_for("services", |f| f.services_answer())?;
         Ok(fleet)
@@ -116,7 +116,7 @@
         let mut ok = true;
         for e in &self.plan.entries {
             for path in ["/s/weld/qualification/ready", "/s/taipei/booking/ready"] {
-                ok = ok && get(e.caller_addr, path) == Some(200);
+                ok = ok && get_status(e.caller_addr, path) == Some(200);
             }
         }
         ok
@@ -137,13 +137,14 @@
             format!("--table-seed={}", self.args.seed),
             format!("--ledger={}", self.ledger_path(&w.name).display()),
         ];
-        self.run("gorsespur-stand", &args, &w.name)
+        self.start_process("gorsespur-stand", &args, &w.name)
     }
 
     /// Starts the scheduler at index `i` of the plan.
     pub fn start_sched(&self, i: usize) -> Result<ChildProcess, LoadError> {
         let instance = &self.plan.scheds[i];
-        let settings_path = self.write(&instance.id, &settings::sched(&self.plan, instance))?;
+        let settings_path =
+            self.write_settings(&instance.id, &settings::sched(&self.plan, instance))?;
         let mut args = vec![format!("--settings={}", settings_path.display())];
         if self.args.record {
             args.push(format!(
@@ -151,24 +152,30 @@
                 self.args.out.join("traces").display()
             ));
         }
-        self.run("gorsespur-sched", &args, &instance.id)
+        self.start_process("gorsespur-sched", &args, &instance.id)
     }
 
     /// Starts the entry at index `i` of the plan.
     pub fn start_entry(&self, i: usize) -> Result<ChildProcess, LoadError> {
         let instance = &self.plan.entries[i];
-        let settings_path = self.write(&instance.id, &settings::entry(&self.plan, instance))?;
+        let settings_path =
+            self.write_settings(&instance.id, &settings::entry(&self.plan, instance))?;
         let args = [format!("--settings={}", settings_path.display())];
-        self.run("gorsespur-entry", &args, &instance.id)
+        self.start_process("gorsespur-entry", &args, &instance.id)
     }
 
-    fn write(&self, id: &str, text: &str) -> Result<PathBuf, LoadError> {
+    fn write_settings(&self, id: &str, text: &str) -> Result<PathBuf, LoadError> {
         let path = self.args.out.join("settings").join(format!("{id}.yaml"));
         fs::write(&path, text).context(FileSnafu { path: &path })?;
         Ok(path)
     }
 
-    fn run(&self, program: &str, args: &[String], name: &str) -> Result<ChildProcess, LoadError> {
+    fn start_process(
+        &self,
+        program: &str,
+        args: &[String],
+        name: &str,
+    ) -> Result<ChildProcess, LoadError> {
         let log = self.args.out.join("logs").join(format!("{name}.log"));
         ChildProcess::start(&self.bin.join(program), args, name, &log)
     }
@@ -337,7 +344,7 @@
     ChildProcess::start(&bin.join("gorsespur-stand"), &args, "platform", &log)
 }
 
-fn get(addr: SocketAddr, path: &str) -> Option<u16> {
+fn get_status(addr: SocketAddr, path: &str) -> Option<u16> {
     let answer = Call::new("GET", addr, path).send().ok()?;
     Some(answer.status)
 }
--- a/crates/load/src/fleet/settings.rs
+++ b/crates/load/src/fleet/settings.rs
@@ -5,7 +5,7 @@
 use super::plan::{FleetPlan, InstancePlan};
 
 /// Returns the section `instance`, which all instances have.
-fn common(plan: &FleetPlan, instance: &InstancePlan) -> String {
+fn instance_section(plan: &FleetPlan, instance: &InstancePlan) -> String {
     let platform_addr = plan
         .zones
         .iter()
@@ -40,7 +40,7 @@
 pub(crate) fn entry(plan: &FleetPlan, instance: &InstancePlan) -> String {
     format!(
         "{}callers: {}\ndrain_ms: 1000\n",
-        common(plan, instance),
+        instance_section(plan, instance),
         instance.caller_addr
     )
 }
@@ -49,6 +49,6 @@
 pub(crate) fn sched(plan: &FleetPlan, instance: &InstancePlan) -> String {
     format!(
         "{}ownership: {{snapshot_rows: 100}}\n",
-        common(plan, instance)
+        instance_section(plan, instance)
     )
 }
--- a/crates/load/src/measure/faults.rs
+++ b/crates/load/src/measure/faults.rs
@@ -77,7 +77,7 @@
     });
     let times = times?;
     let (Ok(totals), Ok(mut jobs)) = (totals, jobs) else {
-        return Err(LoadError::Broken);
+        return Err(LoadError::GuaranteeViolated);
     };
     job_load.cancel_long(&jobs);
     job_load.wait_for_end(&mut jobs, FINISH_TIMEOUT);
@@ -113,7 +113,7 @@
     let violations =
         wrong + verdict.lost + verdict.doubled + verdict.overcommitted + verdict.false_not_run;
     if violations > 0 {
-        return Err(LoadError::Broken);
+        return Err(LoadError::GuaranteeViolated);
     }
     Ok(())
 }
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -20,7 +20,7 @@
 const CALLS_PER_ROUND: u32 = 200;
 
 /// Returns the time of one call in microseconds: the minimum of the means of five rounds.
-fn time_us(mut call: impl FnMut()) -> f64 {
+fn min_call_us(mut call: impl FnMut()) -> f64 {
     let mut min_us = f64::INFINITY;
     for _ in 0..5 {
         let began = Instant::now();
@@ -52,7 +52,7 @@
             peers.record_heartbeat(1, heartbeat(i, 1));
         }
         let mut seq = 1;
-        let us = time_us(|| {
+        let us = min_call_us(|| {
             seq += 1;
             let message = encode(&heartbeat(seq as usize % n, seq)).unwrap_or_default();
             if let Ok(heartbeat) = decode(&message) {
@@ -85,7 +85,7 @@
         let total_bytes =
             encode(&request).unwrap_or_default().len() + encode(&answer).unwrap_or_default().len();
         bytes.push((f64::from(tasks), total_bytes as f64));
-        let us = time_us(|| {
+        let us = min_call_us(|| {
             now += 1_000;
             let (request, mut answer) = run_exchange(&mut scheduler, now);
             let sent = encode(&request).unwrap_or_default();
@@ -154,7 +154,7 @@
         let row = starts::journal_row(n);
         let len = encode(&row).unwrap_or_default().len();
         bytes.push((f64::from(n), len as f64));
-        let us = time_us(|| {
+        let us = min_call_us(|| {
             black_box(encode(&row).unwrap_or_default().len());
         });
         times.push((f64::from(n), us));
@@ -190,7 +190,7 @@
         bytes.push((kinds as f64, message.len() as f64));
         let mut configs = Configs::default();
         let mut version = 1;
-        let us = time_us(|| {
+        let us = min_call_us(|| {
             let Ok(mut entry) = decode::<ConfigEntry>(&message) else {
                 return;
             };
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -69,7 +69,7 @@
         (requests.join(), jobs.join().map(|j| killed.map(|()| j)))
     });
     let (Ok(totals), Ok(Ok(jobs))) = (totals, jobs.as_mut().map(|j| j.as_mut())) else {
-        return Err(LoadError::Broken);
+        return Err(LoadError::GuaranteeViolated);
     };
     job_load.cancel_long(jobs);
     job_load.wait_for_end(jobs, FINISH_TIMEOUT);
@@ -107,7 +107,7 @@
     );
     let violations = wrong + verdict.lost + verdict.doubled + verdict.overcommitted;
     if violations > 0 || !unclean.is_empty() {
-        return Err(LoadError::Broken);
+        return Err(LoadError::GuaranteeViolated);
     }
     Ok(())
 }
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -18,8 +18,8 @@
     name: String,
     worker: String,
     attempt: String,
-    from: u64,
-    to: u64,
+    start_ms: u64,
+    end_ms: u64,
     done: bool,
     /// Whether the worker was killed within `UNREPORTED_WINDOW_MS` after the task was done.
     killed: bool,
@@ -76,8 +76,8 @@
                 name: e.name.clone(),
                 worker: e.worker.clone(),
                 attempt: e.attempt.clone(),
-                from: e.ms,
-                to: end,
+                start_ms: e.ms,
+                end_ms: end,
                 done: false,
                 killed: false,
             }),
@@ -88,13 +88,13 @@
                     continue;
                 };
                 let mut run = open.swap_remove(i);
-                run.to = e.ms;
+                run.end_ms = e.ms;
                 run.done = e.what == What::Done;
                 out.push(run);
             }
             What::Killed => {
                 for run in &mut out {
-                    let unreported = run.to + UNREPORTED_WINDOW_MS >= e.ms;
+                    let unreported = run.end_ms + UNREPORTED_WINDOW_MS >= e.ms;
                     run.killed |= run.worker == e.worker && run.done && unreported;
                 }
                 let mut i = 0;
@@ -104,7 +104,7 @@
                         continue;
                     }
                     let mut run = open.swap_remove(i);
-                    run.to = e.ms;
+                    run.end_ms = e.ms;
                     out.push(run);
                 }
             }
@@ -112,7 +112,7 @@
         }
     }
     out.extend(open);
-    out.sort_by(|a, b| (&a.name, a.from).cmp(&(&b.name, b.from)));
+    out.sort_by(|a, b| (&a.name, a.start_ms).cmp(&(&b.name, b.start_ms)));
     out
 }
 
@@ -122,7 +122,7 @@
             if b.name != a.name {
                 break;
             }
-            let overlap = b.from < a.to;
+            let overlap = b.start_ms < a.end_ms;
             let done_twice = a.done && b.done && !a.killed;
             if !overlap && !done_twice {
                 continue;
@@ -130,7 +130,15 @@
             verdict.doubled += 1;
             verdict.findings.push(format!(
                 "{} ran on {} ({}, {}..{}) and on {} ({}, {}..{})",
-                a.name, a.worker, a.attempt, a.from, a.to, b.worker, b.attempt, b.from, b.to
+                a.name,
+                a.worker,
+                a.attempt,
+                a.start_ms,
+                a.end_ms,
+                b.worker,
+                b.attempt,
+                b.start_ms,
+                b.end_ms
             ));
         }
     }
