--- a/crates/load/src/capacity/rows.rs
+++ b/crates/load/src/capacity/rows.rs
@@ -22,7 +22,7 @@
         let found = self.fits.iter().find(|f| f.name == name);
         found.ok_or(LoadError::Usage {
             flag: "--from",
-            message: format!("has no slope {name}"),
+            message: format!("slope {name} is missing"),
         })
     }
 }
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -12,7 +12,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum LoadError {
     /// A file or directory cannot be read or written.
-    #[snafu(display("{}", path.display()))]
+    #[snafu(display("cannot access {}", path.display()))]
     File {
         /// The file.
         path: PathBuf,
@@ -20,7 +20,7 @@
         source: io::Error,
     },
     /// A program cannot be started.
-    #[snafu(display("can't start {program}"))]
+    #[snafu(display("cannot start {program}"))]
     Spawn {
         /// The program.
         program: String,
@@ -28,13 +28,13 @@
         source: io::Error,
     },
     /// No port can be reserved.
-    #[snafu(display("no port is free"))]
+    #[snafu(display("cannot reserve a port"))]
     Port {
         /// The system's answer.
         source: io::Error,
     },
     /// A part of the system did not become ready in time.
-    #[snafu(display("not ready in time: {what}"))]
+    #[snafu(display("timed out waiting for {what}"))]
     NotReady {
         /// The part of the system.
         what: String,
@@ -52,7 +52,7 @@
         source: LedgerError,
     },
     /// The membership list cannot be read or written.
-    #[snafu(display("members"))]
+    #[snafu(display("cannot access the membership list"))]
     Members {
         /// The reason.
         source: MembersError,
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -58,7 +58,7 @@
             verdict.overcommitted += 1;
             verdict
                 .findings
-                .push(format!("{} had no room for {}", e.worker, e.name));
+                .push(format!("{} had no capacity for {}", e.worker, e.name));
         }
     }
     find_lost(&runs, jobs, &mut verdict);
@@ -147,7 +147,7 @@
 fn find_lost(runs: &[Run], jobs: &JobResult, verdict: &mut Verdict) {
     for text in &jobs.unfinished {
         verdict.lost += 1;
-        verdict.findings.push(format!("not finished: {text}"));
+        verdict.findings.push(format!("job did not finish: {text}"));
     }
     for job in &jobs.accepted {
         if job.long_running || !jobs.finished.contains(&job.id) {
@@ -161,7 +161,7 @@
             verdict.lost += 1;
             verdict
                 .findings
-                .push(format!("{name} is said to be done and never was"));
+                .push(format!("{name} was reported as done but was never done"));
         }
     }
 }
@@ -188,14 +188,15 @@
         }
         if count > 0 && request.sends == 1 && request.outcome == Some(Outcome::NotRun) {
             verdict.false_not_run += 1;
-            verdict
-                .findings
-                .push(format!("request {} ran and was said not to", request.id));
+            verdict.findings.push(format!(
+                "request {} ran but was reported as not run",
+                request.id
+            ));
         }
         if count == 0 && request.outcome == Some(Outcome::Ran) {
             verdict.ran_twice += 1;
             verdict.findings.push(format!(
-                "request {} is said to have run and did not",
+                "request {} was reported as run but did not run",
                 request.id
             ));
         }
