--- a/crates/load/src/capacity/mod.rs
+++ b/crates/load/src/capacity/mod.rs
@@ -11,10 +11,10 @@
 
 /// Reads the output of `slopes` and prints the table.
 pub(crate) fn run(from: &Path) -> Result<(), LoadError> {
-    let figures = read_fits(from)?;
+    let fits = read_fits(from)?;
     println!("| quantity | sum | result | budget |");
     println!("|---|---|---|---|");
-    for row in rows(&figures)? {
+    for row in rows(&fits)? {
         println!(
             "| {} | {} | {} | {} |",
             row.quantity, row.formula, row.result, row.budget
--- a/crates/load/src/capacity/rows.rs
+++ b/crates/load/src/capacity/rows.rs
@@ -47,8 +47,8 @@
 }
 
 /// Calculates all rows. Fails if a slope is missing.
-pub(crate) fn rows(figures: &[LinearFit]) -> Result<Vec<Row>, LoadError> {
-    let slopes = Slopes { fits: figures };
+pub(crate) fn rows(fits: &[LinearFit]) -> Result<Vec<Row>, LoadError> {
+    let slopes = Slopes { fits };
     let workers = scale::WORKERS / scale::ZONES;
     let tasks = scale::TASKS / scale::ZONES;
     let shards = (workers / scale::WORKERS_PER_SHARD).ceil();
--- a/crates/load/src/clients/jobs.rs
+++ b/crates/load/src/clients/jobs.rs
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Polls the accepted jobs until each has reached its final state, for at most `limit`.
+    /// Polls the accepted jobs until each has reached its final state, for at most `timeout`.
     pub fn wait_for_end(&self, result: &mut JobResult, timeout: Duration) {
         let deadline = Instant::now() + timeout;
         let mut open: Vec<SubmittedJob> = result.accepted.clone();
--- a/crates/load/src/fleet/process.rs
+++ b/crates/load/src/fleet/process.rs
@@ -73,7 +73,7 @@
     }
 
     /// Waits for the process to exit. Returns whether its exit code is 0, or `None` if it is still
-    /// running after `limit`.
+    /// running after `timeout`.
     pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<bool> {
         let deadline = Instant::now() + timeout;
         loop {
--- a/crates/load/src/measure/faults.rs
+++ b/crates/load/src/measure/faults.rs
@@ -52,21 +52,21 @@
 pub(crate) fn run(args: &TrialArgs) -> Result<(), LoadError> {
     let seconds = args.seconds.max(MIN_SECONDS);
     let mut fleet = Fleet::start(args, &FleetSize::default())?;
-    let time = Duration::from_secs(seconds);
+    let duration = Duration::from_secs(seconds);
     let entries: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.caller_addr).collect();
     let requests = RequestLoad {
         entries: entries.clone(),
         paths: user_paths(),
         threads: REQUEST_THREADS,
         requests_per_second: REQUESTS_PER_SECOND,
-        duration: time,
+        duration,
         seed: args.seed,
         non_idempotent_share: 0.4,
     };
     let job_load = JobLoad {
         entries,
         count: seconds * JOBS_PER_SECOND,
-        duration: time.mul_f64(0.9),
+        duration: duration.mul_f64(0.9),
         seed: args.seed,
     };
     let (totals, jobs, times) = thread::scope(|scope| {
--- a/crates/load/src/measure/membership.rs
+++ b/crates/load/src/measure/membership.rs
@@ -31,7 +31,7 @@
 /// Bytes of the IP and UDP headers of a datagram.
 const DATAGRAM_OVERHEAD_BYTES: f64 = 28.0;
 
-/// Costs and delays for one instance.
+/// Costs of one instance and delays of detection. `sent_bytes` is per second.
 struct ViewCosts {
     sent_bytes: f64,
     entries: f64,
@@ -197,8 +197,8 @@
             continue;
         }
         for node in nodes.iter() {
-            for heard in node.heartbeats.iter().flatten() {
-                longest = longest.max(now - heard.1);
+            for heartbeat in node.heartbeats.iter().flatten() {
+                longest = longest.max(now - heartbeat.1);
             }
         }
     }
--- a/crates/load/src/measure/overhead.rs
+++ b/crates/load/src/measure/overhead.rs
@@ -48,7 +48,7 @@
     failed: u64,
 }
 
-/// Measures and prints the figures.
+/// Measures and prints the latencies and the CPU time of the entries.
 pub(crate) fn run(args: &TrialArgs) -> Result<(), LoadError> {
     let size = FleetSize {
         zones: 1,
@@ -129,7 +129,7 @@
     count as f64 / PROBE_DURATION.as_secs_f64()
 }
 
-fn measure(addresses: &Addresses, rate: f64, time: Duration, seed: u64) -> PairedLatencies {
+fn measure(addresses: &Addresses, rate: f64, duration: Duration, seed: u64) -> PairedLatencies {
     let mut all = PairedLatencies {
         direct: LatencyHistogram::new(),
         via_entry: LatencyHistogram::new(),
@@ -138,7 +138,7 @@
     thread::scope(|scope| {
         let mut threads = Vec::new();
         for t in 0..LOAD_THREADS {
-            threads.push(scope.spawn(move || measure_thread(addresses, rate, time, seed, t)));
+            threads.push(scope.spawn(move || measure_thread(addresses, rate, duration, seed, t)));
         }
         for t in threads {
             let Ok(part) = t.join() else { continue };
@@ -153,7 +153,7 @@
 fn measure_thread(
     addresses: &Addresses,
     rate: f64,
-    time: Duration,
+    duration: Duration,
     seed: u64,
     t: usize,
 ) -> PairedLatencies {
@@ -168,7 +168,7 @@
     let mut n = 0;
     loop {
         due_s += -rng.random_range(1e-9..1.0f64).ln() * LOAD_THREADS as f64 / rate;
-        if due_s > time.as_secs_f64() {
+        if due_s > duration.as_secs_f64() {
             return pair;
         }
         let due = start + Duration::from_secs_f64(due_s);
--- a/crates/load/src/measure/overload_sim.rs
+++ b/crates/load/src/measure/overload_sim.rs
@@ -134,7 +134,7 @@
 }
 
 struct OverloadSim<'a> {
-    run: &'a OverloadSettings,
+    settings: &'a OverloadSettings,
     rng: SmallRng,
     now: Millis,
     event_count: u64,
@@ -163,9 +163,9 @@
 }
 
 impl OverloadSim<'_> {
-    fn new(run: &OverloadSettings) -> OverloadSim<'_> {
+    fn new(settings: &OverloadSettings) -> OverloadSim<'_> {
         let route_settings = RouteSettings {
-            policy: run.policy,
+            policy: settings.policy,
             max_org_requests: usize::MAX,
             ..RouteSettings::default()
         };
@@ -173,13 +173,13 @@
         for i in 0..TARGET_COUNT {
             targets.push(SimTarget {
                 busy: 0,
-                faulty: run.fault != TargetFault::None && i % 3 == 0,
+                faulty: settings.fault != TargetFault::None && i % 3 == 0,
             });
         }
-        let router = |e: u64| Router::new(route_settings.clone(), run.seed * 10 + e);
+        let router = |e: u64| Router::new(route_settings.clone(), settings.seed * 10 + e);
         OverloadSim {
-            run,
-            rng: SmallRng::seed_from_u64(run.seed),
+            settings,
+            rng: SmallRng::seed_from_u64(settings.seed),
             now: START_MS,
             event_count: 0,
             queue: BinaryHeap::new(),
@@ -242,14 +242,14 @@
     }
 
     fn schedule_arrival(&mut self) {
-        let rate = self.run.capacity() * self.run.load;
+        let rate = self.settings.capacity() * self.settings.load;
         self.next_arrival += -self.rng.random_range(1e-12..1.0f64).ln() / rate;
         let entry = self.rng.random_range(0..ENTRY_COUNT);
         self.push(self.next_arrival as Millis, SimEvent::Arrival { entry });
     }
 
     fn process_events(&mut self) {
-        let end = START_MS + self.run.duration;
+        let end = START_MS + self.settings.duration;
         while let Some(Reverse((at, _, event))) = self.queue.pop() {
             if at >= end {
                 break;
@@ -286,9 +286,9 @@
                 }
             }
         }
-        let counted = (self.run.duration - WARMUP_MS) as f64;
+        let counted = (self.settings.duration - WARMUP_MS) as f64;
         let in_time = (self.result.answered - self.result.late) as f64;
-        self.result.goodput = in_time / (self.run.capacity() * counted);
+        self.result.goodput = in_time / (self.settings.capacity() * counted);
     }
 
     fn is_counted(&self, at: Millis) -> bool {
@@ -382,10 +382,10 @@
             attempt,
             end,
         };
-        if faulty && self.run.fault == TargetFault::Unreachable {
+        if faulty && self.settings.fault == TargetFault::Unreachable {
             return self.push(self.now + NETWORK_DELAY_MS, response(AttemptEnd::NotSent));
         }
-        if faulty && self.run.fault == TargetFault::Failing {
+        if faulty && self.settings.fault == TargetFault::Failing {
             return self.push(self.now + NETWORK_DELAY_MS, response(AttemptEnd::Failed));
         }
         let sim_target = &mut self.targets[target];
--- a/crates/load/src/measure/placement_sim.rs
+++ b/crates/load/src/measure/placement_sim.rs
@@ -253,7 +253,7 @@
     fn step(&mut self) {
         self.now += STEP_MS;
         if self.settings.oracle && self.now.is_multiple_of(1_000) {
-            self.reveal_table();
+            self.set_true_interference();
         }
         for w in &mut self.workers {
             w.advance(self.now);
@@ -267,7 +267,7 @@
     }
 
     /// Sets the scheduler's interference model to the current hidden table.
-    fn reveal_table(&mut self) {
+    fn set_true_interference(&mut self) {
         let shift = u64::from(self.now >= START_MS + self.settings.duration / 2);
         let slowdown = self.slowdown(shift);
         let mut kinds: Vec<Name> = (0..JOB_KINDS).map(kind_name).collect();
--- a/crates/load/src/slopes/mod.rs
+++ b/crates/load/src/slopes/mod.rs
@@ -14,14 +14,14 @@
 
 /// Measures all slopes and prints a line for each.
 pub(crate) fn run(args: &TrialArgs) -> Result<(), LoadError> {
-    for figure in memory::measure(args.seed) {
-        figure.print();
+    for fit in memory::measure(args.seed) {
+        fit.print();
     }
-    for figure in messages::measure(args.seed) {
-        figure.print();
+    for fit in messages::measure(args.seed) {
+        fit.print();
     }
-    for figure in processes::measure(args)? {
-        figure.print();
+    for fit in processes::measure(args)? {
+        fit.print();
     }
     Ok(())
 }
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -38,31 +38,31 @@
         "trial: fleet of {} processes is ready",
         fleet.plan.workers.len() + 19
     );
-    let time = Duration::from_secs(args.seconds);
+    let duration = Duration::from_secs(args.seconds);
     let entries: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.caller_addr).collect();
     let requests = RequestLoad {
         entries: entries.clone(),
         paths: user_paths(),
         threads: REQUEST_THREADS,
         requests_per_second: REQUESTS_PER_SECOND,
-        duration: time,
+        duration,
         seed: args.seed,
         non_idempotent_share: 0.3,
     };
     let job_load = JobLoad {
         entries,
         count: args.seconds * JOBS_PER_SECOND,
-        duration: time.mul_f64(0.8),
+        duration: duration.mul_f64(0.8),
         seed: args.seed,
     };
     let (totals, mut jobs) = thread::scope(|scope| {
         let requests = scope.spawn(|| requests.run());
         let jobs = scope.spawn(|| job_load.submit());
-        thread::sleep(time.mul_f64(0.4));
+        thread::sleep(duration.mul_f64(0.4));
         let sched = args.seed as usize % fleet.scheds.len();
         println!("trial: kills {}", fleet.scheds[sched].name);
         fleet.scheds[sched].kill();
-        thread::sleep(time.mul_f64(0.15));
+        thread::sleep(duration.mul_f64(0.15));
         let worker = args.seed as usize * 7 % fleet.workers.len();
         println!("trial: kills {}", fleet.workers[worker].name);
         let killed = fleet.kill_worker(worker);
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -12,7 +12,7 @@
 /// a task may run again without being counted as doubled.
 const UNREPORTED_WINDOW_MS: u64 = 2_000;
 
-/// One attempt on one worker.
+/// One attempt to run a task on one worker.
 #[derive(Debug, Clone)]
 struct Run {
     name: String,
