--- a/crates/load/src/capacity/mod.rs
+++ b/crates/load/src/capacity/mod.rs
@@ -1,23 +1,23 @@
-//! The design at the target size, worked out from measured slopes.
+//! Capacity of the design at its target scale, extrapolated from measured slopes.
 
 mod rows;
-mod target;
+mod scale;
 
 use std::path::Path;
 
 use rows::rows;
 
-use crate::{error::LoadError, slopes::read_figures};
+use crate::{error::LoadError, slopes::read_fits};
 
-/// Reads the slopes that a run printed and prints the table.
+/// Reads the output of `slopes` and prints the table.
 pub(crate) fn run(from: &Path) -> Result<(), LoadError> {
-    let figures = read_figures(from)?;
+    let fits = read_fits(from)?;
     println!("| quantity | sum | result | budget |");
     println!("|---|---|---|---|");
-    for row in rows(&figures)? {
+    for row in rows(&fits)? {
         println!(
             "| {} | {} | {} | {} |",
-            row.what, row.sum, row.result, row.budget
+            row.quantity, row.formula, row.result, row.budget
         );
     }
     Ok(())
--- a/crates/load/src/kit/requests.rs
+++ b/crates/load/src/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to services, open loop, with each answer checked.
+//! A client that sends requests to services in an open loop and checks each answer.
 
 use std::{
     net::SocketAddr,
@@ -12,32 +12,32 @@
 use gorsespur_wire::fields::{IDEMPOTENCY_KEY, OUTCOME, REPEATABLE, REQUEST_ID};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use super::Times;
+use super::LatencyHistogram;
 
-/// Time limit of a request in milliseconds.
+/// Deadline of a request, in milliseconds after it is sent.
 const DEADLINE_MS: u64 = 1_000;
 
-/// What a caller was told of a request that may run once only.
+/// The outcome that the caller of a non-idempotent request received.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Told {
+pub(crate) struct CallerOutcome {
     pub id: String,
     pub outcome: Option<Outcome>,
-    /// Tries of the caller itself under one idempotency key.
+    /// Attempts of the caller, all with the same idempotency key.
     pub sends: u32,
 }
 
-/// Totals of a load.
+/// Counters, latencies and outcomes of a load.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestTotals {
     pub requests: u64,
     pub ok: u64,
-    /// Answers that were not the answer to their request.
+    /// Answers without an outcome, or that belong to another request.
     pub wrong: u64,
     pub not_run: u64,
     pub unknown: u64,
-    pub times: Times,
-    /// Requests that may run once only.
-    pub once: Vec<Told>,
+    pub latencies: LatencyHistogram,
+    /// Outcomes of the non-idempotent requests.
+    pub non_idempotent: Vec<CallerOutcome>,
 }
 
 impl RequestTotals {
@@ -48,8 +48,8 @@
             wrong: 0,
             not_run: 0,
             unknown: 0,
-            times: Times::new(),
-            once: Vec::new(),
+            latencies: LatencyHistogram::new(),
+            non_idempotent: Vec::new(),
         }
     }
 
@@ -59,12 +59,12 @@
         self.wrong += other.wrong;
         self.not_run += other.not_run;
         self.unknown += other.unknown;
-        self.times.merge(&other.times);
-        self.once.extend(other.once);
+        self.latencies.merge(&other.latencies);
+        self.non_idempotent.extend(other.non_idempotent);
     }
 }
 
-/// Returns the paths of both users' services.
+/// Returns the paths of the services of both organisations.
 pub(crate) fn user_paths() -> Vec<String> {
     vec![
         "/s/weld/qualification/check".into(),
@@ -72,22 +72,22 @@
     ]
 }
 
-/// A load of requests from several threads.
+/// A load of requests that arrive as a Poisson process, sent from several threads.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestLoad {
     pub entries: Vec<SocketAddr>,
     pub paths: Vec<String>,
     pub threads: usize,
-    /// Requests a second over all threads.
-    pub rate: f64,
-    pub time: Duration,
+    /// Sum over all threads.
+    pub requests_per_second: f64,
+    pub duration: Duration,
     pub seed: u64,
-    /// Share of requests that may run once only.
-    pub once: f64,
+    /// Share of requests that are sent as non-idempotent.
+    pub non_idempotent_share: f64,
 }
 
 impl RequestLoad {
-    /// Runs the load and returns its totals.
+    /// Runs the load and returns its results.
     pub fn run(&self) -> RequestTotals {
         let mut totals = RequestTotals::new();
         thread::scope(|scope| {
@@ -107,78 +107,78 @@
     fn run_thread(&self, thread: usize) -> RequestTotals {
         let mut rng = SmallRng::seed_from_u64(self.seed * 1_000 + thread as u64);
         let mut totals = RequestTotals::new();
-        let gap = self.threads as f64 / self.rate;
+        let mean_gap_s = self.threads as f64 / self.requests_per_second;
         let start = Instant::now();
-        let mut due = 0.0;
+        let mut due_s = 0.0;
         let mut n = 0;
         loop {
-            due += -rng.random_range(1e-9..1.0f64).ln() * gap;
-            let at = start + Duration::from_secs_f64(due);
-            if due > self.time.as_secs_f64() {
+            due_s += -rng.random_range(1e-9..1.0f64).ln() * mean_gap_s;
+            let due = start + Duration::from_secs_f64(due_s);
+            if due_s > self.duration.as_secs_f64() {
                 return totals;
             }
-            thread::sleep(at.saturating_duration_since(Instant::now()));
+            thread::sleep(due.saturating_duration_since(Instant::now()));
             n += 1;
             let id = format!("r{}-{thread}-{n}", self.seed);
-            self.one(&id, at, &mut rng, &mut totals);
+            self.run_request(&id, due, &mut rng, &mut totals);
         }
     }
 
-    fn one(&self, id: &str, at: Instant, rng: &mut SmallRng, totals: &mut RequestTotals) {
-        let once = rng.random_bool(self.once);
-        let keyed = once && rng.random_bool(0.3);
+    fn run_request(&self, id: &str, due: Instant, rng: &mut SmallRng, totals: &mut RequestTotals) {
+        let non_idempotent = rng.random_bool(self.non_idempotent_share);
+        let has_key = non_idempotent && rng.random_bool(0.3);
         let path = &self.paths[rng.random_range(0..self.paths.len())];
-        let body = if once {
+        let body = if non_idempotent {
             vec![b'x'; rng.random_range(1..2_000)]
         } else {
             Vec::new()
         };
         totals.requests += 1;
-        let mut told = Told {
+        let mut result = CallerOutcome {
             id: id.to_owned(),
             outcome: None,
             sends: 0,
         };
         for _ in 0..2 {
             let entry = self.entries[rng.random_range(0..self.entries.len())];
-            let answer = send(entry, path, id, once, keyed, body.clone());
-            told.sends += 1;
-            told.outcome = self.judge(id, path, &body, answer, totals);
-            let again = keyed && told.outcome.is_none();
-            if !again {
+            let response = send(entry, path, id, non_idempotent, has_key, body.clone());
+            result.sends += 1;
+            result.outcome = self.check_answer(id, path, &body, response, totals);
+            let retry = has_key && result.outcome.is_none();
+            if !retry {
                 break;
             }
         }
-        totals.times.add(at.elapsed().as_micros() as u64);
-        match told.outcome {
+        totals.latencies.record(due.elapsed().as_micros() as u64);
+        match result.outcome {
             Some(Outcome::Ran) => totals.ok += 1,
             Some(Outcome::NotRun) => totals.not_run += 1,
             Some(Outcome::Unknown) | None => totals.unknown += 1,
         }
-        if once {
-            totals.once.push(told);
+        if non_idempotent {
+            totals.non_idempotent.push(result);
         }
     }
 
-    /// Checks an answer; nothing if there was none.
-    fn judge(
+    /// Checks an answer and returns its outcome, or `None` if there is no valid answer.
+    fn check_answer(
         &self,
         id: &str,
         path: &str,
         body: &[u8],
-        answer: Result<Response, CallError>,
+        response: Result<Response, CallError>,
         totals: &mut RequestTotals,
     ) -> Option<Outcome> {
-        let answer = answer.ok()?;
-        let outcome = find_header(&answer.headers, OUTCOME).and_then(Outcome::parse);
+        let response = response.ok()?;
+        let outcome = find_header(&response.headers, OUTCOME).and_then(Outcome::parse);
         let Some(outcome) = outcome else {
             totals.wrong += 1;
             return None;
         };
-        if outcome == Outcome::Ran && answer.status == 200 {
-            let right = answer.body == answer_body(id, path, body);
-            let mine = find_header(&answer.headers, REQUEST_ID) == Some(id);
-            totals.wrong += u64::from(!right || !mine);
+        if outcome == Outcome::Ran && response.status == 200 {
+            let same_body = response.body == answer_body(id, path, body);
+            let same_id = find_header(&response.headers, REQUEST_ID) == Some(id);
+            totals.wrong += u64::from(!same_body || !same_id);
         }
         Some(outcome)
     }
@@ -188,18 +188,18 @@
     entry: SocketAddr,
     path: &str,
     id: &str,
-    once: bool,
-    keyed: bool,
+    non_idempotent: bool,
+    has_key: bool,
     body: Vec<u8>,
 ) -> Result<Response, CallError> {
-    let method = if once { "POST" } else { "GET" };
+    let method = if non_idempotent { "POST" } else { "GET" };
     let mut call = Call::new(method, entry, path)
         .header(REQUEST_ID, id)
         .header("x-deadline-ms", DEADLINE_MS.to_string())
-        .header(REPEATABLE, if once { "no" } else { "yes" })
+        .header(REPEATABLE, if non_idempotent { "no" } else { "yes" })
         .timeout(Duration::from_millis(DEADLINE_MS + 1_000))
         .body(body);
-    if keyed {
+    if has_key {
         call = call.header(IDEMPOTENCY_KEY, id);
     }
     call.send()
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of load runs.
+//! Errors of the commands.
 
 use std::{io, path::PathBuf};
 
@@ -7,65 +7,65 @@
 use gorsespur_stand::LedgerError;
 use snafu::Snafu;
 
-/// Why a run failed.
+/// Reasons for which a command fails.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LoadError {
-    /// A file can't be used.
-    #[snafu(display("{}", path.display()))]
+    /// A file or directory cannot be read or written.
+    #[snafu(display("cannot access {}", path.display()))]
     File {
         /// The file.
         path: PathBuf,
         /// The system's answer.
         source: io::Error,
     },
-    /// A program can't be started.
-    #[snafu(display("can't start {program}"))]
+    /// A program cannot be started.
+    #[snafu(display("cannot start {program}"))]
     Spawn {
         /// The program.
         program: String,
         /// The system's answer.
         source: io::Error,
     },
-    /// No port is free.
-    #[snafu(display("no port is free"))]
+    /// No port can be reserved.
+    #[snafu(display("cannot reserve a port"))]
     Port {
         /// The system's answer.
         source: io::Error,
     },
-    /// The system was not ready in time.
-    #[snafu(display("not ready in time: {what}"))]
+    /// A part of the system did not become ready in time.
+    #[snafu(display("timed out waiting for {what}"))]
     NotReady {
-        /// What was waited for.
+        /// The part of the system.
         what: String,
     },
-    /// An operators' command failed.
+    /// A `gorsespur-ctl` command failed.
     #[snafu(display("gorsespur-ctl failed: {message}"))]
     Ctl {
-        /// What it said.
+        /// Its standard error.
         message: String,
     },
-    /// A ledger can't be read.
+    /// A ledger cannot be opened or read.
     #[snafu(display("ledger"))]
     Ledger {
         /// The reason.
         source: LedgerError,
     },
-    /// The membership list failed.
-    #[snafu(display("members"))]
+    /// The membership list cannot be read or written.
+    #[snafu(display("cannot access the membership list"))]
     Members {
         /// The reason.
         source: MembersError,
     },
-    /// A promise was broken.
+    /// A guarantee was violated, or a process did not stop cleanly.
     #[snafu(display("a promise was broken"))]
-    Broken,
-    /// The run's arguments are unusable.
+    GuaranteeViolated,
+    /// An argument is invalid.
     #[snafu(display("{flag}: {message}"))]
     Usage {
         /// The flag.
         flag: &'static str,
-        /// What is wrong.
+        /// The reason.
         message: String,
     },
 }
--- a/crates/load/src/fleet/mod.rs
+++ b/crates/load/src/fleet/mod.rs
@@ -1,10 +1,10 @@
-//! The system's processes and their stand-ins on loopback.
+//! The system's processes and stand-ins for the platform and the workers, on one host.
 
 mod boot;
 mod plan;
 mod process;
-mod texts;
+mod settings;
 
 pub(crate) use boot::Fleet;
 pub(crate) use plan::FleetSize;
-pub(crate) use process::Proc;
+pub(crate) use process::ChildProcess;
--- a/crates/load/src/fleet/plan.rs
+++ b/crates/load/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! Which processes there are, and where.
+//! The processes of a fleet, their zones and addresses.
 
 use std::net::{IpAddr, SocketAddr, TcpListener};
 
@@ -8,27 +8,26 @@
 
 use crate::error::{LoadError, PortSnafu};
 
-/// Zones of a run.
+/// Names of the zones.
 const ZONES: [&str; 3] = ["shah-alam", "port-klang", "cyberjaya"];
 
-/// Workers in a rack.
-const RACK: usize = 8;
+const WORKERS_PER_RACK: usize = 8;
 
-/// How many of each.
+/// Numbers of zones, instances, workers and shards.
 #[derive(Debug, Clone)]
 pub(crate) struct FleetSize {
     pub zones: usize,
-    /// Entries a zone.
+    /// Entries per zone.
     pub entries: usize,
-    /// Schedulers a zone.
+    /// Schedulers per zone.
     pub scheds: usize,
     pub workers: usize,
-    /// Shards a zone.
+    /// Shards per zone.
     pub shards: u32,
 }
 
 impl Default for FleetSize {
-    /// Returns the sizes of today.
+    /// Returns the current size of the system.
     fn default() -> FleetSize {
         FleetSize {
             zones: 3,
@@ -46,8 +45,8 @@
     pub id: String,
     pub role: Role,
     pub zone: String,
-    pub peer: SocketAddr,
-    pub callers: SocketAddr,
+    pub peer_addr: SocketAddr,
+    pub caller_addr: SocketAddr,
 }
 
 /// A worker.
@@ -57,23 +56,23 @@
     pub zone: String,
     pub rack: String,
     pub addr: SocketAddr,
-    pub target: SocketAddr,
+    pub target_addr: SocketAddr,
 }
 
-/// Where everything is.
+/// Zones, instances and workers with their addresses.
 #[derive(Debug, Clone)]
-pub(crate) struct Plan {
+pub(crate) struct FleetPlan {
     pub zones: Vec<String>,
     pub shards: u32,
     /// Address of the platform for each zone.
-    pub gates: Vec<SocketAddr>,
+    pub platform_addrs: Vec<SocketAddr>,
     pub entries: Vec<InstancePlan>,
     pub scheds: Vec<InstancePlan>,
     pub workers: Vec<WorkerPlan>,
 }
 
-/// Hands out ports of a host that no other socket uses or is given, so that a port is
-/// still free when its process starts; all are held until the plan is made.
+/// Reserves ports of a host. All listeners stay open until the plan is complete, so that no port
+/// is given out twice and each port is still free when its process starts.
 struct Ports {
     host: IpAddr,
     held: Vec<TcpListener>,
@@ -88,8 +87,8 @@
     }
 }
 
-impl Plan {
-    pub fn new(size: &FleetSize) -> Result<Plan, LoadError> {
+impl FleetPlan {
+    pub fn new(size: &FleetSize) -> Result<FleetPlan, LoadError> {
         let mut ports = Ports {
             host: unique_addr().context(PortSnafu)?.ip(),
             held: Vec::new(),
@@ -98,8 +97,8 @@
             .iter()
             .map(|z| (*z).to_owned())
             .collect();
-        let mut plan = Plan {
-            gates: Vec::new(),
+        let mut plan = FleetPlan {
+            platform_addrs: Vec::new(),
             entries: Vec::new(),
             scheds: Vec::new(),
             workers: Vec::new(),
@@ -107,7 +106,7 @@
             zones: zones.clone(),
         };
         for zone in &zones {
-            plan.gates.push(ports.next()?);
+            plan.platform_addrs.push(ports.next()?);
             for i in 0..size.entries {
                 plan.entries
                     .push(instance(Role::Entry, zone, i, &mut ports)?);
@@ -123,9 +122,9 @@
             plan.workers.push(WorkerPlan {
                 name: format!("w-{zone}-{nth:02}"),
                 zone: zone.clone(),
-                rack: format!("{zone}-r{}", nth / RACK),
+                rack: format!("{zone}-r{}", nth / WORKERS_PER_RACK),
                 addr: ports.next()?,
-                target: ports.next()?,
+                target_addr: ports.next()?,
             });
         }
         Ok(plan)
@@ -146,7 +145,7 @@
         id: format!("{kind}-{zone}-{i}"),
         role,
         zone: zone.to_owned(),
-        peer: ports.next()?,
-        callers: ports.next()?,
+        peer_addr: ports.next()?,
+        caller_addr: ports.next()?,
     })
 }
--- a/crates/load/src/fleet/process.rs
+++ b/crates/load/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! A process that a run started.
+//! Child processes.
 
 use std::{
     fs::{File, OpenOptions},
@@ -13,21 +13,21 @@
 
 use crate::error::{FileSnafu, LoadError, SpawnSnafu};
 
-/// A running process; it is killed when dropped.
+/// A child process, killed when dropped.
 #[derive(Debug)]
-pub(crate) struct Proc {
+pub(crate) struct ChildProcess {
     pub name: String,
     child: Child,
 }
 
-impl Proc {
-    /// Starts a program; its stderr goes to a file.
+impl ChildProcess {
+    /// Starts a program and appends its standard error to the file `log`.
     pub fn start(
         program: &Path,
         args: &[String],
         name: &str,
         log: &Path,
-    ) -> Result<Proc, LoadError> {
+    ) -> Result<ChildProcess, LoadError> {
         let opened = OpenOptions::new().create(true).append(true).open(log);
         let file: File = opened.context(FileSnafu { path: log })?;
         let child = Command::new(program)
@@ -38,7 +38,7 @@
             .spawn();
         let program = program.display().to_string();
         let child = child.context(SpawnSnafu { program })?;
-        Ok(Proc {
+        Ok(ChildProcess {
             name: name.to_owned(),
             child,
         })
@@ -51,42 +51,43 @@
         let _ = kill_process(pid, signal);
     }
 
-    /// Kills the process at once.
+    /// Kills the process with SIGKILL and reaps it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asks the process to stop.
-    pub fn term(&self) {
+    /// Requests a clean exit with SIGTERM.
+    pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Freezes the process.
+    /// Suspends the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a frozen process go on.
+    /// Continues a suspended process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits for the end; returns whether it came in time with code 0.
-    pub fn ended(&mut self, limit: Duration) -> Option<bool> {
-        let end = Instant::now() + limit;
+    /// Waits for the process to exit. Returns whether its exit code is 0, or `None` if it is still
+    /// running after `timeout`.
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<bool> {
+        let deadline = Instant::now() + timeout;
         loop {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some(status.success());
             }
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return None;
             }
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Returns resident memory in KiB and processor time in milliseconds.
+    /// Returns the resident memory in KiB and the CPU time in milliseconds.
     pub fn usage(&self) -> Option<(u64, u64)> {
         let pid = self.child.id();
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
@@ -100,7 +101,7 @@
     }
 }
 
-impl Drop for Proc {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
         if let Ok(None) = self.child.try_wait() {
             self.resume();
--- a/crates/load/src/measure/membership.rs
+++ b/crates/load/src/measure/membership.rs
@@ -1,84 +1,82 @@
-//! Full membership against partial views of about the square root.
+//! Compares full membership to partial views of about the square root of the instances.
 //!
-//! Full: an instance sends its heartbeat to everyone in its zone and to two
-//! contacts in each other zone, and knows its zone. Partial (after Kelips,
-//! Gupta et al. 2003): instances fall into about sqrt(n) groups by hash; an
-//! instance gossips a bounded number of entries to a few members of its group
-//! and to contacts in other groups. Measured are the bytes that an instance
-//! sends a second, the entries that it keeps, and the time until a crash or a
-//! new instance is known to all that are to know it.
+//! With full membership, an instance sends its heartbeat to all instances of its zone and to two
+//! contacts in each other zone. With partial views (after Kelips, Gupta et al. 2003), instances are
+//! hashed into about sqrt(n) groups, and an instance gossips a bounded number of entries to a few
+//! members of its group and to contacts in other groups. The comparison covers the bytes that an
+//! instance sends per second, the entries that it stores, and the time until all instances that
+//! need to detect a new or crashed instance have done so.
 
 use gorsespur_core::{hashing::stable_hash, member::MemberSettings};
 use gorsespur_wire::codec::encode;
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 
-use crate::{args::MembershipArgs, error::LoadError, slopes::beat};
+use crate::{args::MembershipArgs, error::LoadError, slopes::heartbeat};
 
-/// Time of a round of both, in milliseconds.
-const ROUND: u64 = 500;
+/// Interval between gossip rounds, equal to the heartbeat interval.
+const ROUND_MS: u64 = 500;
 
-/// Entries in one gossip message, as in the paper's rations of 272 bytes.
-const RATION: usize = 6;
+/// Entries in one gossip message, about as many as in the paper's messages of 272 bytes.
+const ENTRIES_PER_MESSAGE: usize = 6;
 
-/// Gossip targets of a round: in the group, and contacts of other groups.
-const IN_GROUP: usize = 3;
-const CONTACTS: usize = 3;
+/// Gossip targets per round in the own group, and contacts in other groups.
+const GROUP_TARGETS: usize = 3;
+const CONTACT_TARGETS: usize = 3;
 
-/// Contacts kept of each other group.
-const KEPT: usize = 2;
+const CONTACTS_PER_GROUP: usize = 2;
 
-/// Rounds after which a run is given up.
-const MOST: u64 = 4_000;
+/// Rounds after which a simulation is aborted.
+const MAX_ROUNDS: u64 = 4_000;
 
-/// Bytes of a datagram besides its message.
-const DATAGRAM: f64 = 28.0;
+/// Bytes of the IP and UDP headers of a datagram.
+const DATAGRAM_OVERHEAD_BYTES: f64 = 28.0;
 
-/// What came out.
-struct Measured {
-    bytes: f64,
+/// Costs of one instance and delays of detection. `sent_bytes` is per second.
+struct ViewCosts {
+    sent_bytes: f64,
     entries: f64,
     learn_s: f64,
     forget_s: f64,
 }
 
-/// Measures and prints both at the given size.
+/// Measures and prints full membership and partial views at the given size.
 pub(crate) fn run(args: &MembershipArgs) -> Result<(), LoadError> {
-    let each = encode(&beat(1, 1)).unwrap_or_default().len() as f64;
-    let full = full(args, each);
-    let partial = partial(args, each);
+    let heartbeat_bytes = encode(&heartbeat(1, 1)).unwrap_or_default().len() as f64;
+    let full = full_membership(args, heartbeat_bytes);
+    let partial = partial_views(args, heartbeat_bytes);
     for (name, m) in [("full", full), ("partial", partial)] {
         println!(
-            "membership: views={name} instances={} zones={} heartbeat_bytes={each:.0} sent_bytes_per_s={:.0} entries={:.0} learn_s={:.2} forget_s={:.2}",
-            args.instances, args.zones, m.bytes, m.entries, m.learn_s, m.forget_s
+            "membership: views={name} instances={} zones={} heartbeat_bytes={heartbeat_bytes:.0} sent_bytes_per_s={:.0} entries={:.0} learn_s={:.2} forget_s={:.2}",
+            args.instances, args.zones, m.sent_bytes, m.entries, m.learn_s, m.forget_s
         );
     }
     Ok(())
 }
 
-/// Everyone in the zone is told directly: one round to learn, the time limit
-/// to forget.
-fn full(args: &MembershipArgs, each: f64) -> Measured {
-    let zone = args.instances.div_ceil(args.zones);
+/// Returns the costs of full membership. Heartbeats go to all instances of the zone directly, so
+/// learning takes one interval, and forgetting takes the failure timeout and one interval.
+fn full_membership(args: &MembershipArgs, heartbeat_bytes: f64) -> ViewCosts {
+    let zone_size = args.instances.div_ceil(args.zones);
     let settings = MemberSettings::default();
-    let sent = (zone - 1) + settings.contacts_per_zone * (args.zones - 1);
-    let rounds = 1000.0 / settings.heartbeat_interval as f64;
-    Measured {
-        bytes: sent as f64 * (each + DATAGRAM) * rounds,
+    let peers = (zone_size - 1) + settings.contacts_per_zone * (args.zones - 1);
+    let rounds_per_s = 1000.0 / settings.heartbeat_interval as f64;
+    ViewCosts {
+        sent_bytes: peers as f64 * (heartbeat_bytes + DATAGRAM_OVERHEAD_BYTES) * rounds_per_s,
         entries: args.instances as f64,
         learn_s: settings.heartbeat_interval as f64 / 1000.0,
         forget_s: (settings.dead_after + settings.heartbeat_interval) as f64 / 1000.0,
     }
 }
 
-struct Node {
+struct GossipNode {
     group: usize,
-    /// Latest heartbeat count heard of each member of the group, and when.
-    heard: Vec<Option<(u64, u64)>>,
+    /// Latest heartbeat count of each member of the group, and the round in which it arrived.
+    heartbeats: Vec<Option<(u64, u64)>>,
     contacts: Vec<Vec<usize>>,
 }
 
-/// Gossip within groups, simulated round by round.
-fn partial(args: &MembershipArgs, each: f64) -> Measured {
+/// Returns the costs of partial views, from a simulation of gossip in rounds.
+fn partial_views(args: &MembershipArgs, heartbeat_bytes: f64) -> ViewCosts {
     let n = args.instances;
     let groups = (n as f64).sqrt().round().max(1.0) as usize;
     let mut rng = SmallRng::seed_from_u64(args.seed);
@@ -86,115 +84,121 @@
     let members: Vec<Vec<usize>> = (0..groups)
         .map(|g| (0..n).filter(|i| group_of(*i) == g).collect())
         .collect();
-    let mut nodes: Vec<Node> = Vec::new();
+    let mut nodes: Vec<GossipNode> = Vec::new();
     for i in 0..n {
         let group = group_of(i);
         let mut contacts = Vec::new();
         for m in &members {
-            contacts.push(m.choose_multiple(&mut rng, KEPT).copied().collect());
+            contacts.push(
+                m.choose_multiple(&mut rng, CONTACTS_PER_GROUP)
+                    .copied()
+                    .collect(),
+            );
         }
-        nodes.push(Node {
+        nodes.push(GossipNode {
             group,
-            heard: vec![Some((1, 1)); members[group].len()],
+            heartbeats: vec![Some((1, 1)); members[group].len()],
             contacts,
         });
     }
-    let newcomer = members.iter().max_by_key(|m| m.len()).map_or(0, |m| m[0]);
-    let home = group_of(newcomer);
-    let place = members[home]
+    let new_node = members.iter().max_by_key(|m| m.len()).map_or(0, |m| m[0]);
+    let new_group = group_of(new_node);
+    let new_index = members[new_group]
         .iter()
-        .position(|i| *i == newcomer)
+        .position(|i| *i == new_node)
         .unwrap_or(0);
-    for i in &members[home] {
-        nodes[*i].heard[place] = None;
+    for i in &members[new_group] {
+        nodes[*i].heartbeats[new_index] = None;
     }
-    let learn = spread(&mut nodes, &members, &mut rng, newcomer, home, place);
-    // The time limit that is safe: the longest gap between news of a live
-    // member at any node, as measured, with half as much again.
-    let gap = longest_gap(&mut nodes, &members, &mut rng);
-    let targets = IN_GROUP + CONTACTS;
-    let message = each * RATION as f64 + DATAGRAM;
-    Measured {
-        bytes: targets as f64 * message * 1000.0 / ROUND as f64,
-        entries: (members[home].len() + KEPT * (groups - 1)) as f64,
-        learn_s: learn as f64 * ROUND as f64 / 1000.0,
-        forget_s: gap as f64 * 1.5 * ROUND as f64 / 1000.0,
+    let learn_rounds = rounds_to_learn(
+        &mut nodes, &members, &mut rng, new_node, new_group, new_index,
+    );
+    // A safe failure timeout is 1.5 times the longest interval between two heartbeat counts of a
+    // live member at any node.
+    let gap_rounds = longest_gap(&mut nodes, &members, &mut rng);
+    let targets = GROUP_TARGETS + CONTACT_TARGETS;
+    let message_bytes = heartbeat_bytes * ENTRIES_PER_MESSAGE as f64 + DATAGRAM_OVERHEAD_BYTES;
+    ViewCosts {
+        sent_bytes: targets as f64 * message_bytes * 1000.0 / ROUND_MS as f64,
+        entries: (members[new_group].len() + CONTACTS_PER_GROUP * (groups - 1)) as f64,
+        learn_s: learn_rounds as f64 * ROUND_MS as f64 / 1000.0,
+        forget_s: gap_rounds as f64 * 1.5 * ROUND_MS as f64 / 1000.0,
     }
 }
 
-/// Lets each node gossip once.
-fn round(nodes: &mut [Node], members: &[Vec<usize>], rng: &mut SmallRng, now: u64) {
+/// Runs one round, in which each node gossips once.
+fn gossip_round(nodes: &mut [GossipNode], members: &[Vec<usize>], rng: &mut SmallRng, now: u64) {
     let mut messages = Vec::new();
     for (i, node) in nodes.iter_mut().enumerate() {
         let group = node.group;
-        let mine = members[group].iter().position(|m| *m == i).unwrap_or(0);
-        node.heard[mine] = Some((now, now));
+        let own_index = members[group].iter().position(|m| *m == i).unwrap_or(0);
+        node.heartbeats[own_index] = Some((now, now));
         let known: Vec<usize> = (0..members[group].len())
-            .filter(|p| node.heard[*p].is_some())
+            .filter(|member| node.heartbeats[*member].is_some())
             .collect();
-        for _ in 0..IN_GROUP {
-            let Some(to) = known.choose(rng).map(|p| members[group][*p]) else {
+        for _ in 0..GROUP_TARGETS {
+            let Some(to) = known.choose(rng).map(|member| members[group][*member]) else {
                 continue;
             };
             let mut entries: Vec<(usize, u64)> = Vec::new();
-            entries.push((mine, now));
-            for p in known.choose_multiple(rng, RATION - 1) {
-                entries.push((*p, node.heard[*p].map_or(0, |h| h.0)));
+            entries.push((own_index, now));
+            for member in known.choose_multiple(rng, ENTRIES_PER_MESSAGE - 1) {
+                entries.push((*member, node.heartbeats[*member].map_or(0, |h| h.0)));
             }
             messages.push((to, entries));
         }
-        for _ in 0..CONTACTS {
+        for _ in 0..CONTACT_TARGETS {
             let other = rng.random_range(0..node.contacts.len());
             let _ = node.contacts[other].choose(rng);
         }
     }
     for (to, entries) in messages {
-        for (p, count) in entries {
-            let old = nodes[to].heard[p];
+        for (member, count) in entries {
+            let old = nodes[to].heartbeats[member];
             if old.is_none_or(|o| count > o.0) {
-                nodes[to].heard[p] = Some((count, now));
+                nodes[to].heartbeats[member] = Some((count, now));
             }
         }
     }
 }
 
-fn spread(
-    nodes: &mut [Node],
+fn rounds_to_learn(
+    nodes: &mut [GossipNode],
     members: &[Vec<usize>],
     rng: &mut SmallRng,
-    newcomer: usize,
-    home: usize,
-    place: usize,
+    new_node: usize,
+    group: usize,
+    index: usize,
 ) -> u64 {
-    let introducer = members[home].iter().find(|m| **m != newcomer).copied();
+    let introducer = members[group].iter().find(|m| **m != new_node).copied();
     if let Some(i) = introducer {
-        nodes[i].heard[place] = Some((1, 1));
+        nodes[i].heartbeats[index] = Some((1, 1));
     }
-    for now in 2..MOST {
-        round(nodes, members, rng, now);
-        if members[home]
+    for now in 2..MAX_ROUNDS {
+        gossip_round(nodes, members, rng, now);
+        if members[group]
             .iter()
-            .all(|m| nodes[*m].heard[place].is_some())
+            .all(|m| nodes[*m].heartbeats[index].is_some())
         {
             return now - 1;
         }
     }
-    MOST
+    MAX_ROUNDS
 }
 
-/// Returns the longest time in rounds for which a node heard no news of a live
+/// Returns the maximum number of rounds in which a node received no new heartbeat count of a live
 /// member of its group.
-fn longest_gap(nodes: &mut [Node], members: &[Vec<usize>], rng: &mut SmallRng) -> u64 {
+fn longest_gap(nodes: &mut [GossipNode], members: &[Vec<usize>], rng: &mut SmallRng) -> u64 {
     let mut longest = 0;
     let start = 10_000;
     for now in start..start + 400 {
-        round(nodes, members, rng, now);
+        gossip_round(nodes, members, rng, now);
         if now < start + 100 {
             continue;
         }
         for node in nodes.iter() {
-            for heard in node.heard.iter().flatten() {
-                longest = longest.max(now - heard.1);
+            for heartbeat in node.heartbeats.iter().flatten() {
+                longest = longest.max(now - heartbeat.1);
             }
         }
     }
--- a/crates/load/src/measure/slopes_org.rs
+++ b/crates/load/src/measure/organisation.rs
@@ -1,4 +1,4 @@
-//! Organisations for measurements.
+//! Synthetic organisations for measurements.
 
 use std::sync::Arc;
 
@@ -7,15 +7,15 @@
     template::{JobTemplate, OrgLimits, Organisation, Priority, Service, Team, Weights},
 };
 
-/// Kinds of jobs of an organisation.
-const KINDS: usize = 8;
+/// Number of job kinds per organisation.
+const JOB_KINDS: usize = 8;
 
-/// Returns organisation `n` with a service, a team and eight kinds of jobs.
+/// Returns organisation `n`, counted from 1, with one service, one team and eight job kinds.
 pub(crate) fn organisation(n: usize) -> Arc<Organisation> {
     let n = n - 1;
     let quota = Size::new(u64::MAX / 4, u64::MAX / 4, u32::MAX / 4);
     let mut jobs = Vec::new();
-    for kind in 0..KINDS {
+    for kind in 0..JOB_KINDS {
         jobs.push(JobTemplate {
             name: format!("kind{kind}").into(),
             team: "team0".into(),
--- a/crates/load/src/measure/overhead.rs
+++ b/crates/load/src/measure/overhead.rs
@@ -1,7 +1,8 @@
-//! What an entry adds to a direct call to a target.
+//! Latency that an entry adds to a direct call to a target.
 //!
-//! Each caller sends the same request directly and through an entry, in turn,
-//! at half the rate at which the entries were found to saturate.
+//! The entries' saturation throughput is measured first. Then callers send each request both
+//! directly and through an entry, in alternating order. The rate of all these calls together is
+//! half of the saturation throughput.
 
 use std::{
     net::SocketAddr,
@@ -15,41 +16,39 @@
 
 use crate::{
     args::TrialArgs,
+    clients::LatencyHistogram,
     error::LoadError,
     fleet::{Fleet, FleetSize},
-    kit::Times,
 };
 
-/// Threads that look for saturation.
-const PROBES: usize = 32;
+/// Threads that measure the saturation throughput.
+const PROBE_THREADS: usize = 32;
 
-/// Time for which they look.
-const PROBE: Duration = Duration::from_secs(3);
+/// Duration of the saturation measurement.
+const PROBE_DURATION: Duration = Duration::from_secs(3);
 
-/// Threads of the measured load.
-const THREADS: usize = 32;
+/// Threads that measure latencies.
+const LOAD_THREADS: usize = 32;
 
-/// Path of the requests.
-const PATH: &str = "/s/weld/qualification/check";
+const REQUEST_PATH: &str = "/s/weld/qualification/check";
 
-/// Time limit of a call.
-const LIMIT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Addresses of both ways.
+/// Addresses of the entries, and of the targets for direct calls.
 #[derive(Debug, Clone)]
-struct Ways {
+struct Addresses {
     entries: Vec<SocketAddr>,
     targets: Vec<SocketAddr>,
 }
 
-/// Times of both ways.
-struct Pair {
-    direct: Times,
-    via: Times,
+/// Latencies of direct calls and of calls through an entry.
+struct PairedLatencies {
+    direct: LatencyHistogram,
+    via_entry: LatencyHistogram,
     failed: u64,
 }
 
-/// Measures and prints the figures.
+/// Measures and prints the latencies and the CPU time of the entries.
 pub(crate) fn run(args: &TrialArgs) -> Result<(), LoadError> {
     let size = FleetSize {
         zones: 1,
@@ -59,60 +58,65 @@
         shards: 1,
     };
     let fleet = Fleet::start(args, &size)?;
-    let ways = Ways {
-        entries: fleet.plan.entries.iter().map(|e| e.callers).collect(),
-        targets: fleet.plan.workers.iter().map(|w| w.target).collect(),
+    let addresses = Addresses {
+        entries: fleet.plan.entries.iter().map(|e| e.caller_addr).collect(),
+        targets: fleet.plan.workers.iter().map(|w| w.target_addr).collect(),
     };
-    let most = saturate(&ways, args.seed);
-    let rate = most / 2.0;
-    let before = processor_ms(&fleet);
+    let max_rate = measure_saturation(&addresses, args.seed);
+    let rate = max_rate / 2.0;
+    let before = entry_cpu_ms(&fleet);
     let began = Instant::now();
     let pair = measure(
-        &ways,
+        &addresses,
         rate / 2.0,
         Duration::from_secs(args.seconds),
         args.seed,
     );
     let seconds = began.elapsed().as_secs_f64();
-    let used = (processor_ms(&fleet) - before) as f64;
-    let (d50, d99) = (pair.direct.ms(0.5), pair.direct.ms(0.99));
-    let (v50, v99) = (pair.via.ms(0.5), pair.via.ms(0.99));
+    let cpu_ms = (entry_cpu_ms(&fleet) - before) as f64;
+    let (d50, d99) = (pair.direct.quantile_ms(0.5), pair.direct.quantile_ms(0.99));
+    let (v50, v99) = (
+        pair.via_entry.quantile_ms(0.5),
+        pair.via_entry.quantile_ms(0.99),
+    );
     println!(
-        "overhead: max_rps={most:.0} rate_rps={rate:.0} requests={} failed={} direct_p50_ms={d50:.3} via_p50_ms={v50:.3} added_p50_ms={:.3} direct_p99_ms={d99:.3} via_p99_ms={v99:.3} added_p99_ms={:.3} entry_cpu_us_per_request={:.0} entry_cores={:.3}",
-        pair.via.len(),
+        "overhead: max_rps={max_rate:.0} rate_rps={rate:.0} requests={} failed={} direct_p50_ms={d50:.3} via_p50_ms={v50:.3} added_p50_ms={:.3} direct_p99_ms={d99:.3} via_p99_ms={v99:.3} added_p99_ms={:.3} entry_cpu_us_per_request={:.0} entry_cores={:.3}",
+        pair.via_entry.len(),
         pair.failed,
         v50 - d50,
         v99 - d99,
-        used * 1000.0 / pair.via.len().max(1) as f64,
-        used / 1000.0 / seconds,
+        cpu_ms * 1000.0 / pair.via_entry.len().max(1) as f64,
+        cpu_ms / 1000.0 / seconds,
     );
     Ok(())
 }
 
-fn processor_ms(fleet: &Fleet) -> u64 {
+fn entry_cpu_ms(fleet: &Fleet) -> u64 {
     let used = fleet.entries.iter().filter_map(|e| e.usage());
     used.map(|u| u.1).sum()
 }
 
-fn get(addr: SocketAddr, id: &str) -> bool {
-    let call = Call::new("GET", addr, PATH)
+fn send_get(addr: SocketAddr, id: &str) -> bool {
+    let call = Call::new("GET", addr, REQUEST_PATH)
         .header(REQUEST_ID, id)
         .header("x-repeatable", "yes");
-    call.timeout(LIMIT).send().is_ok_and(|a| a.status == 200)
+    call.timeout(CALL_TIMEOUT)
+        .send()
+        .is_ok_and(|a| a.status == 200)
 }
 
-/// Returns the requests a second that closed-loop callers reach.
-fn saturate(ways: &Ways, seed: u64) -> f64 {
+/// Returns the requests per second that closed-loop callers reach.
+fn measure_saturation(addresses: &Addresses, seed: u64) -> f64 {
     let mut count = 0;
     thread::scope(|scope| {
         let mut threads = Vec::new();
-        for t in 0..PROBES {
+        for t in 0..PROBE_THREADS {
             threads.push(scope.spawn(move || {
-                let end = Instant::now() + PROBE;
+                let end = Instant::now() + PROBE_DURATION;
                 let mut n = 0;
                 while Instant::now() < end {
-                    let entry = ways.entries[(t + n) % ways.entries.len()];
-                    get(entry, &format!("p{seed}-{t}-{n}"));
+                    let entry = addresses.entries[(t + n) % addresses.entries.len()];
+                    send_get(entry, &format!("p{seed}-{t}-{n}"));
                     n += 1;
                 }
                 n
@@ -122,51 +126,57 @@
             count += t.join().unwrap_or(0);
         }
     });
-    count as f64 / PROBE.as_secs_f64()
+    count as f64 / PROBE_DURATION.as_secs_f64()
 }
 
-fn measure(ways: &Ways, rate: f64, time: Duration, seed: u64) -> Pair {
-    let mut all = Pair {
-        direct: Times::new(),
-        via: Times::new(),
+fn measure(addresses: &Addresses, rate: f64, duration: Duration, seed: u64) -> PairedLatencies {
+    let mut all = PairedLatencies {
+        direct: LatencyHistogram::new(),
+        via_entry: LatencyHistogram::new(),
         failed: 0,
     };
     thread::scope(|scope| {
         let mut threads = Vec::new();
-        for t in 0..THREADS {
-            threads.push(scope.spawn(move || measure_thread(ways, rate, time, seed, t)));
+        for t in 0..LOAD_THREADS {
+            threads.push(scope.spawn(move || measure_thread(addresses, rate, duration, seed, t)));
         }
         for t in threads {
             let Ok(part) = t.join() else { continue };
             all.direct.merge(&part.direct);
-            all.via.merge(&part.via);
+            all.via_entry.merge(&part.via_entry);
             all.failed += part.failed;
         }
     });
     all
 }
 
-fn measure_thread(ways: &Ways, rate: f64, time: Duration, seed: u64, t: usize) -> Pair {
+fn measure_thread(
+    addresses: &Addresses,
+    rate: f64,
+    duration: Duration,
+    seed: u64,
+    t: usize,
+) -> PairedLatencies {
     let mut rng = SmallRng::seed_from_u64(seed * 1_000 + t as u64);
-    let mut pair = Pair {
-        direct: Times::new(),
-        via: Times::new(),
+    let mut pair = PairedLatencies {
+        direct: LatencyHistogram::new(),
+        via_entry: LatencyHistogram::new(),
         failed: 0,
     };
     let start = Instant::now();
-    let mut due = 0.0;
+    let mut due_s = 0.0;
     let mut n = 0;
     loop {
-        due += -rng.random_range(1e-9..1.0f64).ln() * THREADS as f64 / rate;
-        if due > time.as_secs_f64() {
+        due_s += -rng.random_range(1e-9..1.0f64).ln() * LOAD_THREADS as f64 / rate;
+        if due_s > duration.as_secs_f64() {
             return pair;
         }
-        let at = start + Duration::from_secs_f64(due);
-        thread::sleep(at.saturating_duration_since(Instant::now()));
+        let due = start + Duration::from_secs_f64(due_s);
+        thread::sleep(due.saturating_duration_since(Instant::now()));
         n += 1;
         let id = format!("m{seed}-{t}-{n}");
-        let target = ways.targets[rng.random_range(0..ways.targets.len())];
-        let entry = ways.entries[rng.random_range(0..ways.entries.len())];
+        let target = addresses.targets[rng.random_range(0..addresses.targets.len())];
+        let entry = addresses.entries[rng.random_range(0..addresses.entries.len())];
         let order = if n % 2 == 0 {
             [false, true]
         } else {
@@ -175,7 +185,7 @@
         for direct in order {
             let addr = if direct { target } else { entry };
             let began = Instant::now();
-            if !get(addr, &id) {
+            if !send_get(addr, &id) {
                 pair.failed += 1;
                 continue;
             }
@@ -183,9 +193,9 @@
             let times = if direct {
                 &mut pair.direct
             } else {
-                &mut pair.via
+                &mut pair.via_entry
             };
-            times.add(us);
+            times.record(us);
         }
     }
 }
--- a/crates/load/src/measure/overload.rs
+++ b/crates/load/src/measure/overload.rs
@@ -1,15 +1,15 @@
-//! Routing under overload and with failing or slow targets, against
-//! round-robin without budgets.
+//! Compares routing under overload and with faulty targets to round-robin without retry budgets.
 
 use gorsespur_core::route::RoutePolicy;
 
-use super::overload_run::{Bad, OverloadResult, OverloadRun};
+use super::overload_sim::{OverloadResult, OverloadSettings, TargetFault};
 use crate::{args::SeedArgs, error::LoadError};
 
-/// Load as a share of the capacity, in the four cases.
-const UNLOADED: f64 = 0.3;
-const TWICE: f64 = 2.0;
-const FITS: f64 = 0.45;
+/// Offered load as a share of the capacity. `FAULT_LOAD` fits into the capacity that is left when
+/// a third of the targets is faulty.
+const LIGHT_LOAD: f64 = 0.3;
+const DOUBLE_LOAD: f64 = 2.0;
+const FAULT_LOAD: f64 = 0.45;
 
 /// Measures and prints a line for each case.
 pub(crate) fn run(args: &SeedArgs) -> Result<(), LoadError> {
@@ -19,39 +19,39 @@
     ];
     for (name, policy) in policies {
         let cases = [
-            ("unloaded", UNLOADED, Bad::None),
-            ("twice", TWICE, Bad::None),
-            ("third-failing", FITS, Bad::Failing),
-            ("third-slow", FITS, Bad::Slow),
-            ("third-gone", FITS, Bad::Gone),
+            ("unloaded", LIGHT_LOAD, TargetFault::None),
+            ("twice", DOUBLE_LOAD, TargetFault::None),
+            ("third-failing", FAULT_LOAD, TargetFault::Failing),
+            ("third-slow", FAULT_LOAD, TargetFault::Slow),
+            ("third-gone", FAULT_LOAD, TargetFault::Unreachable),
         ];
-        for (case, load, bad) in cases {
-            let run = OverloadRun {
+        for (case, load, fault) in cases {
+            let settings = OverloadSettings {
                 policy,
                 load,
-                bad,
+                fault,
                 seed: args.seed,
-                time: args.seconds * 1_000,
+                duration: args.seconds * 1_000,
             };
-            print(name, case, &run.run());
+            print_result(name, case, &settings.run());
         }
     }
     Ok(())
 }
 
-fn print(policy: &str, case: &str, r: &OverloadResult) {
+fn print_result(policy: &str, case: &str, result: &OverloadResult) {
     println!(
         "overload: policy={policy} case={case} requests={} answered={} goodput={:.3} tries_per_request={:.3} repeatable_ok={:.4} urgent_p50_ms={:.1} urgent_p99_ms={:.1} all_p99_ms={:.1} refused={} late={} refused_wait_p99_ms={:.1}",
-        r.requests,
-        r.answered,
-        r.goodput,
-        r.tries as f64 / r.requests.max(1) as f64,
-        r.repeatable_ok as f64 / r.repeatable.max(1) as f64,
-        r.urgent.ms(0.5),
-        r.urgent.ms(0.99),
-        r.all.ms(0.99),
-        r.refused,
-        r.late,
-        r.refused_wait.ms(0.99),
+        result.requests,
+        result.answered,
+        result.goodput,
+        result.tries as f64 / result.requests.max(1) as f64,
+        result.repeatable_ok as f64 / result.repeatable.max(1) as f64,
+        result.urgent_latencies.quantile_ms(0.5),
+        result.urgent_latencies.quantile_ms(0.99),
+        result.latencies.quantile_ms(0.99),
+        result.refused,
+        result.late,
+        result.refused_wait.quantile_ms(0.99),
     );
 }
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -1,4 +1,4 @@
-//! Cost of placement, journalling and recovery, by the clock.
+//! Wall-clock cost of placement, journalling, recovery and cancellation.
 
 use std::time::Instant;
 
@@ -18,46 +18,45 @@
     stored::{JournalRow, Snapshot},
 };
 
-use super::slopes_org::organisation;
+use super::organisation::organisation;
 use crate::{args::SeedArgs, error::LoadError};
 
-/// Start of virtual time.
-const START: Millis = 1_000_000;
+const START_MS: Millis = 1_000_000;
 
-/// Numbers of workers at which placement is measured.
-const WORKERS: [usize; 6] = [50, 200, 600, 1_200, 5_000, 26_000];
+/// Numbers of workers for which placement is measured.
+const WORKER_COUNTS: [usize; 6] = [50, 200, 600, 1_200, 5_000, 26_000];
 
-/// Running tasks for each worker: 15,000 on 1,200 workers.
-const TASKS: f64 = 12.5;
+/// Running tasks per worker: 15,000 on 1,200 workers.
+const TASKS_PER_WORKER: f64 = 12.5;
 
-/// Placements that are timed at each size.
-const PLACED: u32 = 10_000;
+/// Maximum number of placements that are timed per number of workers.
+const TIMED_PLACEMENTS: u32 = 10_000;
 
-/// Records of one journal row at which its cost is measured.
-const ROW: usize = 5_000;
+/// Records of the measured journal row.
+const JOURNAL_RECORDS: usize = 5_000;
 
-/// Jobs that are cancelled at once.
-const WAVE: usize = 10_000;
+/// Queued jobs that one event cancels.
+const CANCELLED_JOBS: usize = 10_000;
 
-/// Workers of the shard whose recovery is measured.
-const RECOVERED: usize = 1_200;
+/// Workers of the recovered shard.
+const RECOVERY_WORKERS: usize = 1_200;
 
 /// Measures and prints a line for each figure.
 pub(crate) fn run(args: &SeedArgs) -> Result<(), LoadError> {
     for policy in [PlacementPolicy::LeastLoaded, PlacementPolicy::Interference] {
-        for workers in WORKERS {
-            place(policy, workers, args.seed);
+        for workers in WORKER_COUNTS {
+            measure_placement(policy, workers, args.seed);
         }
     }
-    journal();
-    recovery(args.seed);
-    cancel(args.seed);
+    measure_journal();
+    measure_recovery(args.seed);
+    measure_cancel(args.seed);
     Ok(())
 }
 
-/// Returns a machine whose workers all answered.
-pub(crate) fn machine(policy: PlacementPolicy, workers: usize, seed: u64) -> ShardScheduler {
-    let place = ShardId {
+/// Returns a shard scheduler whose workers have all answered their first exchange.
+pub(crate) fn scheduler(policy: PlacementPolicy, workers: usize, seed: u64) -> ShardScheduler {
+    let shard_id = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
@@ -74,8 +73,8 @@
         inherited_hold: 60_000,
         settled: true,
     };
-    let mut machine = ShardScheduler::new(place, settings, seed, takeover, START);
-    machine.step(START, &Event::Organisations(vec![organisation(1)]));
+    let mut scheduler = ShardScheduler::new(shard_id, settings, seed, takeover, START_MS);
+    scheduler.step(START_MS, &Event::Organisations(vec![organisation(1)]));
     let mut list = Vec::new();
     for i in 0..workers {
         let addr = ([127, 0, 0, 1], 1_000 + (i % 60_000) as u16).into();
@@ -90,17 +89,17 @@
         });
     }
     let counts = vec![workers as u32];
-    machine.step(START, &Event::Workers { list, counts });
-    answer_all(&mut machine, START + 1);
-    machine
+    scheduler.step(START_MS, &Event::Workers { list, counts });
+    answer_exchanges(&mut scheduler, START_MS + 1);
+    scheduler
 }
 
-/// Lets every worker answer that it runs what it should.
-fn answer_all(machine: &mut ShardScheduler, now: Millis) {
-    let upto = machine.next_record();
-    machine.step(now, &Event::Committed(upto));
+/// Answers the exchange of each worker with the tasks that the scheduler expects there.
+fn answer_exchanges(scheduler: &mut ShardScheduler, now: Millis) {
+    let upto = scheduler.next_record();
+    scheduler.step(now, &Event::Committed(upto));
     let mut answers = Vec::new();
-    for w in machine.workers() {
+    for w in scheduler.workers() {
         let running = w.allocations.iter().map(|r| r.attempt).collect();
         answers.push((
             w.name.clone(),
@@ -119,12 +118,12 @@
         ));
     }
     for (worker, answer) in answers {
-        machine.step(now, &Event::Answer { worker, answer });
+        scheduler.step(now, &Event::Answer { worker, answer });
     }
 }
 
 /// Returns a job of `tasks` small tasks.
-pub(crate) fn spec(id: &str, kind: usize, tasks: u32) -> JobSpec {
+pub(crate) fn job_spec(id: &str, kind: usize, tasks: u32) -> JobSpec {
     JobSpec {
         key: JobKey {
             org: "org0".into(),
@@ -142,13 +141,13 @@
     }
 }
 
-fn place(policy: PlacementPolicy, workers: usize, seed: u64) {
-    let mut machine = machine(policy, workers, seed);
-    let running = (workers as f64 * TASKS) as u32;
-    fill(&mut machine, running, 0);
-    let more = PLACED.min(workers as u32 * 8);
+fn measure_placement(policy: PlacementPolicy, workers: usize, seed: u64) {
+    let mut scheduler = scheduler(policy, workers, seed);
+    let running = (workers as f64 * TASKS_PER_WORKER) as u32;
+    place_tasks(&mut scheduler, running, 0);
+    let tasks = TIMED_PLACEMENTS.min(workers as u32 * 8);
     let began = Instant::now();
-    let started = fill(&mut machine, more, 1_000_000);
+    let started = place_tasks(&mut scheduler, tasks, 1_000_000);
     let seconds = began.elapsed().as_secs_f64();
     println!(
         "starts: policy={policy:?} workers={workers} running={running} placed={started} per_second={:.0} us_each={:.2}",
@@ -157,11 +156,15 @@
     );
 }
 
-/// Submits tasks and places them; returns how many were started.
-pub(crate) fn fill(machine: &mut ShardScheduler, tasks: u32, first: usize) -> u64 {
+/// Submits jobs of ten tasks and places them. Returns the number of started tasks.
+pub(crate) fn place_tasks(scheduler: &mut ShardScheduler, tasks: u32, first_job: usize) -> u64 {
     let mut specs = Vec::new();
     for i in 0..tasks.div_ceil(10) {
-        specs.push(spec(&format!("job{}", first + i as usize), i as usize, 10));
+        specs.push(job_spec(
+            &format!("job{}", first_job + i as usize),
+            i as usize,
+            10,
+        ));
     }
     let mut started = 0;
     let mut count = |actions: Vec<Action>| {
@@ -175,12 +178,12 @@
                 .count();
         }
     };
-    count(machine.step(START + 2, &Event::Submit(specs)));
-    count(machine.step(START + 3, &Event::Tick));
+    count(scheduler.step(START_MS + 2, &Event::Submit(specs)));
+    count(scheduler.step(START_MS + 3, &Event::Tick));
     started as u64
 }
 
-/// Returns a row of the journal with `n` starts.
+/// Returns a journal row with `n` starts.
 pub(crate) fn journal_row(n: u32) -> JournalRow {
     let mut records = Vec::new();
     for i in 0..n {
@@ -201,30 +204,30 @@
     }
 }
 
-fn journal() {
-    let row = journal_row(ROW as u32);
+fn measure_journal() {
+    let row = journal_row(JOURNAL_RECORDS as u32);
     let began = Instant::now();
     let bytes = encode(&row).unwrap_or_default();
     let seconds = began.elapsed().as_secs_f64();
     println!(
-        "starts: journal_records={ROW} bytes={} bytes_each={:.1} encode_us_each={:.3}",
+        "starts: journal_records={JOURNAL_RECORDS} bytes={} bytes_each={:.1} encode_us_each={:.3}",
         bytes.len(),
-        bytes.len() as f64 / ROW as f64,
-        seconds * 1e6 / ROW as f64
+        bytes.len() as f64 / JOURNAL_RECORDS as f64,
+        seconds * 1e6 / JOURNAL_RECORDS as f64
     );
 }
 
-/// A wave of cancellations of queued jobs.
-fn cancel(seed: u64) {
-    let mut machine = machine(PlacementPolicy::Interference, 1, seed);
+/// Measures the cancellation of many queued jobs at once.
+fn measure_cancel(seed: u64) {
+    let mut scheduler = scheduler(PlacementPolicy::Interference, 1, seed);
     let mut specs = Vec::new();
-    for i in 0..WAVE {
-        specs.push(spec(&format!("job{i}"), i, 1));
+    for i in 0..CANCELLED_JOBS {
+        specs.push(job_spec(&format!("job{i}"), i, 1));
     }
     let keys = specs.iter().map(|s| s.key.clone()).collect();
-    machine.step(START + 2, &Event::Submit(specs));
+    scheduler.step(START_MS + 2, &Event::Submit(specs));
     let began = Instant::now();
-    let actions = machine.step(START + 3, &Event::Cancel(keys));
+    let actions = scheduler.step(START_MS + 3, &Event::Cancel(keys));
     let ms = began.elapsed().as_secs_f64() * 1e3;
     let mut records = 0;
     for action in actions {
@@ -232,38 +235,43 @@
             records += r.len();
         }
     }
-    println!("starts: cancelled={WAVE} records={records} ms={ms:.1}");
+    println!("starts: cancelled={CANCELLED_JOBS} records={records} ms={ms:.1}");
 }
 
-fn recovery(seed: u64) {
-    let mut machine = machine(PlacementPolicy::Interference, RECOVERED, seed);
-    fill(&mut machine, (RECOVERED as f64 * TASKS) as u32, 0);
+fn measure_recovery(seed: u64) {
+    let mut scheduler = scheduler(PlacementPolicy::Interference, RECOVERY_WORKERS, seed);
+    place_tasks(
+        &mut scheduler,
+        (RECOVERY_WORKERS as f64 * TASKS_PER_WORKER) as u32,
+        0,
+    );
     let snapshot = Snapshot {
-        next: machine.next_record(),
-        book: machine.state().clone(),
+        next: scheduler.next_record(),
+        book: scheduler.state().clone(),
     };
     let bytes = encode(&snapshot).unwrap_or_default();
     let began = Instant::now();
-    let Ok(again) = decode::<Snapshot>(&bytes) else {
+    let Ok(restored) = decode::<Snapshot>(&bytes) else {
         println!("starts: snapshot can't be decoded");
         return;
     };
-    let decoded = began.elapsed();
-    let place = ShardId {
+    let decode_time = began.elapsed();
+    let shard_id = ShardId {
         name: "shard".into(),
         index: 0,
         count: 1,
     };
     let takeover = Takeover {
         epoch: 2,
-        state: again.book,
-        next_record: again.next,
+        state: restored.book,
+        next_record: restored.next,
         inherited_hold: 60_000,
         settled: true,
     };
-    let mut new = ShardScheduler::new(place, ShardSettings::default(), seed, takeover, START);
+    let mut recovered =
+        ShardScheduler::new(shard_id, ShardSettings::default(), seed, takeover, START_MS);
     let mut list = Vec::new();
-    for w in machine.workers() {
+    for w in scheduler.workers() {
         list.push(WorkerInfo {
             name: w.name.clone(),
             zone: "zone".into(),
@@ -274,14 +282,18 @@
             leaving: false,
         });
     }
-    new.step(START, &Event::Organisations(vec![organisation(1)]));
+    recovered.step(START_MS, &Event::Organisations(vec![organisation(1)]));
     let counts = vec![list.len() as u32];
-    new.step(START, &Event::Workers { list, counts });
-    let residents: usize = new.workers().iter().map(|w| w.allocations.len()).sum();
+    recovered.step(START_MS, &Event::Workers { list, counts });
+    let recovered_tasks: usize = recovered
+        .workers()
+        .iter()
+        .map(|w| w.allocations.len())
+        .sum();
     println!(
-        "starts: recovered_tasks={residents} workers={RECOVERED} snapshot_bytes={} decode_ms={:.1} total_ms={:.1}",
+        "starts: recovered_tasks={recovered_tasks} workers={RECOVERY_WORKERS} snapshot_bytes={} decode_ms={:.1} total_ms={:.1}",
         bytes.len(),
-        decoded.as_secs_f64() * 1e3,
+        decode_time.as_secs_f64() * 1e3,
         began.elapsed().as_secs_f64() * 1e3
     );
 }
--- a/crates/load/src/slopes/figure.rs
+++ b/crates/load/src/slopes/linear_fit.rs
@@ -1,4 +1,4 @@
-//! A fitted line.
+//! Linear fits of measured quantities.
 
 use std::path::Path;
 
@@ -6,22 +6,22 @@
 
 use crate::error::{FileSnafu, LoadError};
 
-/// A measured quantity as a line over a size.
+/// A measured quantity as a linear function of a size.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Figure {
+pub(crate) struct LinearFit {
     pub name: String,
     pub unit: String,
     pub slope: f64,
     pub intercept: f64,
-    /// Root mean square error as a share of the mean.
-    pub error: f64,
-    /// Sizes and values.
+    /// Root mean square error as a share of the mean value.
+    pub rms_error: f64,
+    /// Measured pairs of size and value.
     pub points: Vec<(f64, f64)>,
 }
 
-impl Figure {
-    /// Fits a line by least squares.
-    pub fn fit(name: &str, unit: &str, points: Vec<(f64, f64)>) -> Figure {
+impl LinearFit {
+    /// Fits a line to the points by least squares.
+    pub fn fit(name: &str, unit: &str, points: Vec<(f64, f64)>) -> LinearFit {
         let n = points.len() as f64;
         let mean_x = points.iter().map(|p| p.0).sum::<f64>() / n;
         let mean_y = points.iter().map(|p| p.1).sum::<f64>() / n;
@@ -33,27 +33,27 @@
         }
         let slope = if xx > 0.0 { xy / xx } else { 0.0 };
         let intercept = mean_y - slope * mean_x;
-        let mut square = 0.0;
+        let mut squares = 0.0;
         for (x, y) in &points {
-            square += (y - slope * x - intercept).powi(2);
+            squares += (y - slope * x - intercept).powi(2);
         }
-        let error = (square / n).sqrt() / mean_y.abs().max(1e-12);
-        Figure {
+        let rms_error = (squares / n).sqrt() / mean_y.abs().max(1e-12);
+        LinearFit {
             name: name.to_owned(),
             unit: unit.to_owned(),
             slope,
             intercept,
-            error,
+            rms_error,
             points,
         }
     }
 
-    /// Returns the value of the line at `x`.
-    pub fn at(&self, x: f64) -> f64 {
+    /// Returns the fitted value at size `x`.
+    pub fn value_at(&self, x: f64) -> f64 {
         self.slope * x + self.intercept
     }
 
-    /// Prints the line with its points.
+    /// Prints the fit and its points as one output line.
     pub fn print(&self) {
         let points: Vec<String> = self
             .points
@@ -66,30 +66,30 @@
             self.unit,
             self.slope,
             self.intercept,
-            self.error,
+            self.rms_error,
             points.join(",")
         );
     }
 
-    fn parse(line: &str) -> Option<Figure> {
+    fn parse(line: &str) -> Option<LinearFit> {
         let rest = line.strip_prefix("slope: ")?;
         let get = |key: &str| {
             let mut words = rest.split(' ');
             words.find_map(|w| w.strip_prefix(key)?.strip_prefix('='))
         };
-        Some(Figure {
+        Some(LinearFit {
             name: get("name")?.to_owned(),
             unit: get("unit")?.to_owned(),
             slope: get("slope")?.parse().ok()?,
             intercept: get("intercept")?.parse().ok()?,
-            error: get("error")?.parse().ok()?,
+            rms_error: get("error")?.parse().ok()?,
             points: Vec::new(),
         })
     }
 }
 
-/// Reads the lines that a run printed.
-pub(crate) fn read_figures(path: &Path) -> Result<Vec<Figure>, LoadError> {
+/// Reads the fits from the output of `slopes`. Other lines are ignored.
+pub(crate) fn read_fits(path: &Path) -> Result<Vec<LinearFit>, LoadError> {
     let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
-    Ok(text.lines().filter_map(Figure::parse).collect())
+    Ok(text.lines().filter_map(LinearFit::parse).collect())
 }
--- a/crates/load/src/slopes/messages.rs
+++ b/crates/load/src/slopes/messages.rs
@@ -1,4 +1,4 @@
-//! Processor time and bytes of messages, in this process.
+//! CPU time and sizes of messages, measured within this process.
 
 use std::{hint::black_box, time::Instant};
 
@@ -13,27 +13,27 @@
 };
 use gorsespur_wire::codec::{decode, encode};
 
-use super::{Figure, memory::beat};
+use super::{LinearFit, memory::heartbeat};
 use crate::measure::{organisation, starts};
 
-/// Rounds of each measurement.
-const ROUNDS: u32 = 200;
+/// Calls in each of the rounds of a measurement.
+const CALLS_PER_ROUND: u32 = 200;
 
-/// Returns the least time of one call in microseconds over some tries.
-fn time_us(mut f: impl FnMut()) -> f64 {
-    let mut least = f64::INFINITY;
+/// Returns the time of one call in microseconds: the minimum of the means of five rounds.
+fn min_call_us(mut call: impl FnMut()) -> f64 {
+    let mut min_us = f64::INFINITY;
     for _ in 0..5 {
         let began = Instant::now();
-        for _ in 0..ROUNDS {
-            f();
+        for _ in 0..CALLS_PER_ROUND {
+            call();
         }
-        least = least.min(began.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS));
+        min_us = min_us.min(began.elapsed().as_secs_f64() * 1e6 / f64::from(CALLS_PER_ROUND));
     }
-    least
+    min_us
 }
 
-/// Measures all.
-pub(crate) fn all(seed: u64) -> Vec<Figure> {
+/// Measures the messages and returns the fits.
+pub(crate) fn measure(seed: u64) -> Vec<LinearFit> {
     let mut out = heartbeats();
     out.extend(exchanges(seed));
     out.extend(placements(seed));
@@ -42,52 +42,52 @@
     out
 }
 
-/// A heartbeat received among so many known instances.
-fn heartbeats() -> Vec<Figure> {
+/// Measures receiving a heartbeat, by the number of known instances.
+fn heartbeats() -> Vec<LinearFit> {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
     for n in [10, 50, 200, 800, 3_200] {
         let mut peers = Peers::new(MemberSettings::default(), "zone0".into());
         for i in 0..n {
-            peers.record_heartbeat(1, beat(i, 1));
+            peers.record_heartbeat(1, heartbeat(i, 1));
         }
         let mut seq = 1;
-        let us = time_us(|| {
+        let us = min_call_us(|| {
             seq += 1;
-            let message = encode(&beat(seq as usize % n, seq)).unwrap_or_default();
-            if let Ok(beat) = decode(&message) {
-                peers.record_heartbeat(seq, beat);
+            let message = encode(&heartbeat(seq as usize % n, seq)).unwrap_or_default();
+            if let Ok(heartbeat) = decode(&message) {
+                peers.record_heartbeat(seq, heartbeat);
             }
         });
         times.push((n as f64, us));
-        let len = encode(&beat(n, 1)).unwrap_or_default().len();
+        let len = encode(&heartbeat(n, 1)).unwrap_or_default().len();
         bytes.push((n as f64, len as f64));
     }
     vec![
-        Figure::fit("heartbeat_cpu_by_peers", "us", times),
-        Figure::fit("heartbeat_bytes_by_peers", "bytes", bytes),
+        LinearFit::fit("heartbeat_cpu_by_peers", "us", times),
+        LinearFit::fit("heartbeat_bytes_by_peers", "bytes", bytes),
     ]
 }
 
-/// An exchange with a worker that runs so many tasks, without the network.
-fn exchanges(seed: u64) -> Vec<Figure> {
+/// Measures an exchange with a worker without the network, by the number of its tasks.
+fn exchanges(seed: u64) -> Vec<LinearFit> {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
     for tasks in [0u32, 4, 8, 16, 28] {
-        let mut machine = starts::machine(PlacementPolicy::Interference, 1, seed);
-        starts::fill(&mut machine, tasks, 0);
+        let mut scheduler = starts::scheduler(PlacementPolicy::Interference, 1, seed);
+        starts::place_tasks(&mut scheduler, tasks, 0);
         let mut now = 1_100_000;
-        let (_, answer) = exchange(&mut machine, now);
+        let (_, answer) = run_exchange(&mut scheduler, now);
         let worker = Name::from("w000000");
-        machine.step(now, &Event::Answer { worker, answer });
+        scheduler.step(now, &Event::Answer { worker, answer });
         now += 1_000;
-        let (request, answer) = exchange(&mut machine, now);
-        let both =
+        let (request, answer) = run_exchange(&mut scheduler, now);
+        let total_bytes =
             encode(&request).unwrap_or_default().len() + encode(&answer).unwrap_or_default().len();
-        bytes.push((f64::from(tasks), both as f64));
-        let us = time_us(|| {
+        bytes.push((f64::from(tasks), total_bytes as f64));
+        let us = min_call_us(|| {
             now += 1_000;
-            let (request, mut answer) = exchange(&mut machine, now);
+            let (request, mut answer) = run_exchange(&mut scheduler, now);
             let sent = encode(&request).unwrap_or_default();
             black_box(sent.len());
             answer.clock = now;
@@ -96,27 +96,27 @@
                 return;
             };
             let worker = Name::from("w000000");
-            machine.step(now, &Event::Answer { worker, answer });
+            scheduler.step(now, &Event::Answer { worker, answer });
         });
         times.push((f64::from(tasks), us));
     }
     vec![
-        Figure::fit("exchange_cpu_by_tasks", "us", times),
-        Figure::fit("exchange_bytes_by_tasks", "bytes", bytes),
+        LinearFit::fit("exchange_cpu_by_tasks", "us", times),
+        LinearFit::fit("exchange_bytes_by_tasks", "bytes", bytes),
     ]
 }
 
-/// Lets the machine send its exchange and returns it with the worker's answer.
-fn exchange(machine: &mut ShardScheduler, now: u64) -> (Option<WorkerRequest>, WorkerAnswer) {
-    let upto = machine.next_record();
-    machine.step(now, &Event::Committed(upto));
+/// Returns the scheduler's next exchange with its first worker, and the worker's answer.
+fn run_exchange(scheduler: &mut ShardScheduler, now: u64) -> (Option<WorkerRequest>, WorkerAnswer) {
+    let upto = scheduler.next_record();
+    scheduler.step(now, &Event::Committed(upto));
     let mut request = None;
-    for action in machine.step(now, &Event::Tick) {
+    for action in scheduler.step(now, &Event::Tick) {
         if let Action::Exchange { request: r, .. } = action {
             request = Some(r);
         }
     }
-    let w = &machine.workers()[0];
+    let w = &scheduler.workers()[0];
     let answer = WorkerAnswer {
         epoch: 1,
         seq: w.seq,
@@ -132,36 +132,36 @@
     (request, answer)
 }
 
-/// A placement in a shard of so many workers.
-fn placements(seed: u64) -> Vec<Figure> {
+/// Measures a placement, by the number of workers of the shard.
+fn placements(seed: u64) -> Vec<LinearFit> {
     let mut times = Vec::new();
     for workers in [150, 300, 600, 1_200, 2_400] {
-        let mut machine = starts::machine(PlacementPolicy::Interference, workers, seed);
-        starts::fill(&mut machine, workers as u32 * 10, 0);
+        let mut scheduler = starts::scheduler(PlacementPolicy::Interference, workers, seed);
+        starts::place_tasks(&mut scheduler, workers as u32 * 10, 0);
         let began = Instant::now();
-        let placed = starts::fill(&mut machine, workers as u32 * 5, 1_000_000);
+        let placed = starts::place_tasks(&mut scheduler, workers as u32 * 5, 1_000_000);
         let us = began.elapsed().as_secs_f64() * 1e6 / placed.max(1) as f64;
         times.push((workers as f64, us));
     }
-    vec![Figure::fit("placement_cpu_by_workers", "us", times)]
+    vec![LinearFit::fit("placement_cpu_by_workers", "us", times)]
 }
 
-/// A row of the journal with so many transitions.
-fn journal() -> Vec<Figure> {
+/// Measures the encoding of a journal row, by the number of its transitions.
+fn journal() -> Vec<LinearFit> {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
     for n in [10u32, 100, 1_000, 2_500, 5_000] {
         let row = starts::journal_row(n);
         let len = encode(&row).unwrap_or_default().len();
         bytes.push((f64::from(n), len as f64));
-        let us = time_us(|| {
+        let us = min_call_us(|| {
             black_box(encode(&row).unwrap_or_default().len());
         });
         times.push((f64::from(n), us));
     }
     vec![
-        Figure::fit("journal_cpu_by_transitions", "us", times),
-        Figure::fit("journal_bytes_by_transitions", "bytes", bytes),
+        LinearFit::fit("journal_cpu_by_transitions", "us", times),
+        LinearFit::fit("journal_bytes_by_transitions", "bytes", bytes),
     ]
 }
 
@@ -177,8 +177,8 @@
     org
 }
 
-/// A change of a template with so many kinds of jobs: decoded and put in force.
-fn configs() -> Vec<Figure> {
+/// Measures decoding and applying a changed template, by the number of its job kinds.
+fn configs() -> Vec<LinearFit> {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
     for kinds in [4, 8, 16, 32, 64] {
@@ -190,7 +190,7 @@
         bytes.push((kinds as f64, message.len() as f64));
         let mut configs = Configs::default();
         let mut version = 1;
-        let us = time_us(|| {
+        let us = min_call_us(|| {
             let Ok(mut entry) = decode::<ConfigEntry>(&message) else {
                 return;
             };
@@ -201,7 +201,7 @@
         times.push((kinds as f64, us));
     }
     vec![
-        Figure::fit("config_cpu_by_kinds", "us", times),
-        Figure::fit("config_bytes_by_kinds", "bytes", bytes),
+        LinearFit::fit("config_cpu_by_kinds", "us", times),
+        LinearFit::fit("config_bytes_by_kinds", "bytes", bytes),
     ]
 }
--- a/crates/load/src/slopes/mod.rs
+++ b/crates/load/src/slopes/mod.rs
@@ -1,27 +1,27 @@
-//! Slopes: what one more worker, task, organisation or message costs.
+//! Costs of one more worker, task, organisation or message.
 //!
-//! Each is measured at four or more sizes, and a line is fitted.
+//! Each cost is the slope of a line that is fitted to measurements at four or more sizes.
 
-mod figure;
+mod linear_fit;
 mod memory;
 mod messages;
 mod processes;
 
-pub(crate) use figure::{Figure, read_figures};
-pub(crate) use memory::beat;
+pub(crate) use linear_fit::{LinearFit, read_fits};
+pub(crate) use memory::heartbeat;
 
 use crate::{args::TrialArgs, error::LoadError};
 
-/// Measures every slope and prints a line for each.
+/// Measures all slopes and prints a line for each.
 pub(crate) fn run(args: &TrialArgs) -> Result<(), LoadError> {
-    for figure in memory::all(args.seed) {
-        figure.print();
+    for fit in memory::measure(args.seed) {
+        fit.print();
     }
-    for figure in messages::all(args.seed) {
-        figure.print();
+    for fit in messages::measure(args.seed) {
+        fit.print();
     }
-    for figure in processes::all(args)? {
-        figure.print();
+    for fit in processes::measure(args)? {
+        fit.print();
     }
     Ok(())
 }
--- a/crates/load/src/slopes/processes.rs
+++ b/crates/load/src/slopes/processes.rs
@@ -1,36 +1,36 @@
-//! Processor time and memory of whole processes.
+//! CPU time and memory of whole processes.
 
 use std::{net::SocketAddr, thread, time::Duration};
 
-use super::Figure;
+use super::LinearFit;
 use crate::{
     args::TrialArgs,
+    clients::RequestLoad,
     error::LoadError,
     fleet::{Fleet, FleetSize},
-    kit::RequestLoad,
 };
 
-/// Numbers of workers at which a scheduler is watched.
-const WORKERS: [usize; 4] = [8, 16, 32, 64];
+/// Numbers of workers for which a scheduler is measured.
+const WORKER_COUNTS: [usize; 4] = [8, 16, 32, 64];
 
-/// Time for which it is watched.
-const WATCH: Duration = Duration::from_secs(8);
+/// Duration of each measurement.
+const OBSERVATION: Duration = Duration::from_secs(8);
 
-/// Requests a second at which entries are watched.
-const RATES: [f64; 4] = [100.0, 200.0, 400.0, 800.0];
+/// Requests per second for which entries are measured.
+const REQUEST_RATES: [f64; 4] = [100.0, 200.0, 400.0, 800.0];
 
-/// Measures all.
-pub(crate) fn all(args: &TrialArgs) -> Result<Vec<Figure>, LoadError> {
+/// Measures the processes and returns the fits.
+pub(crate) fn measure(args: &TrialArgs) -> Result<Vec<LinearFit>, LoadError> {
     let mut out = scheds(args)?;
     out.extend(entries(args)?);
     Ok(out)
 }
 
-/// A scheduler with so many workers, each with two replicas.
-fn scheds(args: &TrialArgs) -> Result<Vec<Figure>, LoadError> {
-    let mut time = Vec::new();
+/// Measures a scheduler, by the number of its workers, which run two replicas each.
+fn scheds(args: &TrialArgs) -> Result<Vec<LinearFit>, LoadError> {
+    let mut cpu = Vec::new();
     let mut memory = Vec::new();
-    for workers in WORKERS {
+    for workers in WORKER_COUNTS {
         let size = FleetSize {
             zones: 1,
             entries: 1,
@@ -41,20 +41,20 @@
         let fleet = Fleet::start(args, &size)?;
         thread::sleep(Duration::from_secs(2));
         let before = fleet.scheds[0].usage().unwrap_or_default();
-        thread::sleep(WATCH);
+        thread::sleep(OBSERVATION);
         let after = fleet.scheds[0].usage().unwrap_or_default();
         let ms = (after.1 - before.1) as f64;
-        time.push((workers as f64, ms * 1e3 / WATCH.as_secs_f64()));
+        cpu.push((workers as f64, ms * 1e3 / OBSERVATION.as_secs_f64()));
         memory.push((workers as f64, after.0 as f64 * 1024.0));
     }
     Ok(vec![
-        Figure::fit("sched_cpu_by_workers", "us_per_s", time),
-        Figure::fit("sched_memory_by_workers", "bytes", memory),
+        LinearFit::fit("sched_cpu_by_workers", "us_per_s", cpu),
+        LinearFit::fit("sched_memory_by_workers", "bytes", memory),
     ])
 }
 
-/// Three entries under so many requests a second.
-fn entries(args: &TrialArgs) -> Result<Vec<Figure>, LoadError> {
+/// Measures three entries, by the requests per second.
+fn entries(args: &TrialArgs) -> Result<Vec<LinearFit>, LoadError> {
     let size = FleetSize {
         zones: 1,
         entries: 3,
@@ -63,7 +63,7 @@
         shards: 1,
     };
     let fleet = Fleet::start(args, &size)?;
-    let addrs: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.callers).collect();
+    let addrs: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.caller_addr).collect();
     let used = |fleet: &Fleet| -> (u64, u64) {
         let all: Vec<(u64, u64)> = fleet.entries.iter().filter_map(|e| e.usage()).collect();
         (
@@ -73,26 +73,26 @@
     };
     let mut time = Vec::new();
     let mut memory = Vec::new();
-    for rate in RATES {
+    for rate in REQUEST_RATES {
         let load = RequestLoad {
             entries: addrs.clone(),
             paths: vec!["/s/weld/qualification/check".into()],
             threads: 32,
-            rate,
-            time: WATCH,
+            requests_per_second: rate,
+            duration: OBSERVATION,
             seed: args.seed,
-            once: 0.0,
+            non_idempotent_share: 0.0,
         };
         let before = used(&fleet);
         let totals = load.run();
         let after = used(&fleet);
-        let seconds = WATCH.as_secs_f64();
+        let seconds = OBSERVATION.as_secs_f64();
         let rate = totals.requests as f64 / seconds;
         time.push((rate, (after.1 - before.1) as f64 * 1e3 / seconds));
         memory.push((rate, after.0 as f64 * 1024.0));
     }
     Ok(vec![
-        Figure::fit("entry_cpu_by_rate", "us_per_s", time),
-        Figure::fit("entry_memory_by_rate", "bytes", memory),
+        LinearFit::fit("entry_cpu_by_rate", "us_per_s", time),
+        LinearFit::fit("entry_memory_by_rate", "bytes", memory),
     ])
 }
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -1,4 +1,5 @@
-//! The whole system on stand-ins, with one scheduler and one worker killed.
+//! Trial run of the whole system with stand-ins for the platform and the workers, during which
+//! one scheduler and one worker are killed.
 
 use std::{net::SocketAddr, thread, time::Duration};
 
@@ -6,28 +7,25 @@
 
 use crate::{
     args::TrialArgs,
+    clients::{JobLoad, RequestLoad, user_paths},
     error::LoadError,
     fleet::{Fleet, FleetSize},
-    judge::judge,
-    kit::{JobLoad, RequestLoad, user_paths},
+    verify::verify,
 };
 
-/// Requests a second.
-const RATE: f64 = 200.0;
+const REQUESTS_PER_SECOND: f64 = 200.0;
 
-/// Threads that send them.
-const THREADS: usize = 24;
+const REQUEST_THREADS: usize = 24;
 
-/// Jobs for each second of load.
-const JOBS: u64 = 4;
+const JOBS_PER_SECOND: u64 = 4;
 
-/// Longest time for the jobs to finish after the load.
-const FINISH: Duration = Duration::from_secs(45);
+/// Timeout for the jobs to finish after the load.
+const FINISH_TIMEOUT: Duration = Duration::from_secs(45);
 
-/// Memory that an instance may use, in KiB.
-const MEMORY_KIB: u64 = 32 << 10;
+/// Memory budget of an instance.
+const INSTANCE_MEMORY_KIB: u64 = 32 << 10;
 
-/// Runs a trial and prints its line.
+/// Runs a trial, verifies the guarantees and prints the results.
 pub(crate) fn run(args: &TrialArgs) -> Result<(), LoadError> {
     if args.seconds == 0 || args.seconds > 3_600 {
         return Err(LoadError::Usage {
@@ -40,54 +38,54 @@
         "trial: fleet of {} processes is ready",
         fleet.plan.workers.len() + 19
     );
-    let time = Duration::from_secs(args.seconds);
-    let entries: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.callers).collect();
+    let duration = Duration::from_secs(args.seconds);
+    let entries: Vec<SocketAddr> = fleet.plan.entries.iter().map(|e| e.caller_addr).collect();
     let requests = RequestLoad {
         entries: entries.clone(),
         paths: user_paths(),
-        threads: THREADS,
-        rate: RATE,
-        time,
+        threads: REQUEST_THREADS,
+        requests_per_second: REQUESTS_PER_SECOND,
+        duration,
         seed: args.seed,
-        once: 0.3,
+        non_idempotent_share: 0.3,
     };
     let job_load = JobLoad {
         entries,
-        count: args.seconds * JOBS,
-        time: time.mul_f64(0.8),
+        count: args.seconds * JOBS_PER_SECOND,
+        duration: duration.mul_f64(0.8),
         seed: args.seed,
     };
     let (totals, mut jobs) = thread::scope(|scope| {
         let requests = scope.spawn(|| requests.run());
         let jobs = scope.spawn(|| job_load.submit());
-        thread::sleep(time.mul_f64(0.4));
+        thread::sleep(duration.mul_f64(0.4));
         let sched = args.seed as usize % fleet.scheds.len();
         println!("trial: kills {}", fleet.scheds[sched].name);
         fleet.scheds[sched].kill();
-        thread::sleep(time.mul_f64(0.15));
+        thread::sleep(duration.mul_f64(0.15));
         let worker = args.seed as usize * 7 % fleet.workers.len();
         println!("trial: kills {}", fleet.workers[worker].name);
         let killed = fleet.kill_worker(worker);
         (requests.join(), jobs.join().map(|j| killed.map(|()| j)))
     });
     let (Ok(totals), Ok(Ok(jobs))) = (totals, jobs.as_mut().map(|j| j.as_mut())) else {
-        return Err(LoadError::Broken);
+        return Err(LoadError::GuaranteeViolated);
     };
     job_load.cancel_long(jobs);
-    job_load.watch(jobs, FINISH);
-    let memory = report_memory(&fleet);
+    job_load.wait_for_end(jobs, FINISH_TIMEOUT);
+    let memory = check_memory(&fleet);
     let killed = fleet.scheds[args.seed as usize % fleet.scheds.len()]
         .name
         .clone();
-    let mut stuck = fleet.stop_instances();
-    stuck.retain(|name| *name != killed);
-    let ledger = fleet.ledgers()?;
-    let verdict = judge(&ledger, wall_ms(), jobs, &totals);
+    let mut unclean = fleet.stop_instances();
+    unclean.retain(|name| *name != killed);
+    let ledger = fleet.read_ledgers()?;
+    let verdict = verify(&ledger, wall_ms(), jobs, &totals);
     drop(fleet);
     for finding in verdict.findings.iter().take(20) {
         println!("trial: {finding}");
     }
-    for name in &stuck {
+    for name in &unclean {
         println!("trial: {name} did not stop cleanly");
     }
     println!(
@@ -104,25 +102,29 @@
         verdict.lost,
         verdict.doubled,
         verdict.overcommitted,
-        totals.times.ms(0.5),
-        totals.times.ms(0.99),
+        totals.latencies.quantile_ms(0.5),
+        totals.latencies.quantile_ms(0.99),
     );
-    let broken = wrong + verdict.lost + verdict.doubled + verdict.overcommitted;
-    if broken > 0 || !stuck.is_empty() {
-        return Err(LoadError::Broken);
+    let violations = wrong + verdict.lost + verdict.doubled + verdict.overcommitted;
+    if violations > 0 || !unclean.is_empty() {
+        return Err(LoadError::GuaranteeViolated);
     }
     Ok(())
 }
 
-/// Returns the largest memory of an entry or a scheduler in KiB.
-fn report_memory(fleet: &Fleet) -> u64 {
-    let mut most = 0;
+/// Returns the largest resident memory of an entry or a scheduler in KiB, and prints a line for
+/// each one over the budget.
+fn check_memory(fleet: &Fleet) -> u64 {
+    let mut max_kib = 0;
     for p in fleet.entries.iter().chain(&fleet.scheds) {
         let Some((rss, _)) = p.usage() else { continue };
-        if rss > MEMORY_KIB {
-            println!("trial: {} uses {rss} KiB, over {MEMORY_KIB}", p.name);
+        if rss > INSTANCE_MEMORY_KIB {
+            println!(
+                "trial: {} uses {rss} KiB, over {INSTANCE_MEMORY_KIB}",
+                p.name
+            );
         }
-        most = most.max(rss);
+        max_kib = max_kib.max(rss);
     }
-    most
+    max_kib
 }
