--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -50,7 +50,7 @@
 
     /// Runs the periodic checks of all runs and scheduled jobs.
     fn check_runs(&mut self) {
-        self.note_crashes();
+        self.record_crashes();
         self.expire_leases();
         self.check_leaving();
         self.add_repetitions();
@@ -161,7 +161,7 @@
         log::warn!(task = id.to_string().as_str(), percent = run.percent, still_ms = stalled, worker = &*self.fleet.get(slot).id; "run: stands still");
         run.stage = Stage::Stopping(None);
         self.stopping.push(id);
-        self.note_worker_failure(slot);
+        self.record_worker_failure(slot);
         None
     }
 
@@ -199,7 +199,7 @@
         let observed = worker.droppable_end();
         if let Some(end) = deadline {
             worker.granted_until = worker.granted_until.max(end);
-            worker.note_lease_order(now, &settings);
+            worker.record_lease_order(now, &settings);
         }
         worker.poll_in_flight = true;
         worker.polled_at = now;
--- a/crates/jobs/src/machine.rs
+++ b/crates/jobs/src/machine.rs
@@ -157,7 +157,7 @@
         if !record.outcome.is_final() {
             let fleet = &mut self.fleet;
             state.restore(record, |name| fleet.slot(name));
-            is_logged = state.note_logged(replayed);
+            is_logged = state.mark_logged(replayed);
             self.open_jobs.push(id);
             self.scheduled.push(id);
         }
@@ -206,7 +206,7 @@
                 self.fleet.evacuate(zones);
                 self.placement_due = true;
             }
-            Event::WorkersSynced { asked_at } => self.fleet.note_synced(asked_at),
+            Event::WorkersSynced { asked_at } => self.fleet.record_sync(asked_at),
             Event::WorkerRemoved(id) => self.fleet.deregister(&id),
             Event::Queues(queues) => {
                 self.queues = queues;
@@ -272,7 +272,7 @@
         self.jobs.get(&id).is_some()
     }
 
-    /// Takes note that the store confirmed the lease on the jobs.
+    /// Records that the store confirmed the lease on the jobs.
     ///
     /// The lease counts from the time of the request: another instance takes the jobs over by
     /// the store's clock, however late this instance reads the answer.
--- a/crates/jobs/src/model/job.rs
+++ b/crates/jobs/src/model/job.rs
@@ -217,9 +217,9 @@
         }
     }
 
-    /// Notes which rows of the log hold the state of the job. Returns whether the log holds all
+    /// Records which rows of the log hold the state of the job. Returns whether the log holds all
     /// of it.
-    pub(crate) fn note_logged(&mut self, replayed: Replayed) -> bool {
+    pub(crate) fn mark_logged(&mut self, replayed: Replayed) -> bool {
         for (&(repetition, step), &row) in replayed.steps.iter() {
             if let Some(state) = self.step_mut(repetition, step) {
                 state.logged_row = Some(row);
@@ -231,7 +231,7 @@
                 .filter(|s| s.logged_row.is_none());
             let task = state.and_then(|s| s.tasks.get_mut(index as usize));
             if let Some(task) = task {
-                task.note_logged(row);
+                task.mark_logged(row);
             }
         }
         let mut steps = self
--- a/crates/jobs/src/model/task.rs
+++ b/crates/jobs/src/model/task.rs
@@ -214,8 +214,8 @@
         !unchanged
     }
 
-    /// Notes that a row of the log holds the current state.
-    pub(crate) fn note_logged(&mut self, row: RowNumber) {
+    /// Records that a row of the log holds the current state.
+    pub(crate) fn mark_logged(&mut self, row: RowNumber) {
         let crashes = Some(&self.crashes).filter(|c| !c.is_empty());
         self.logged_row = row;
         self.logged = Some(Box::new(Logged {
--- a/crates/jobs/src/place/start_window.rs
+++ b/crates/jobs/src/place/start_window.rs
@@ -53,7 +53,7 @@
     }
 
     /// Records that a start was answered, or given up, after `ms` milliseconds.
-    pub(crate) fn note_answer(&mut self, ms: u64) {
+    pub(crate) fn record_answer(&mut self, ms: u64) {
         self.answers += 1;
         self.late_answers += u32::from(ms > LATE_MS);
         if self.answers < ROUND_ANSWERS {
--- a/crates/jobs/src/place/start_window_tests.rs
+++ b/crates/jobs/src/place/start_window_tests.rs
@@ -4,7 +4,7 @@
 
 fn record_answers(window: &mut StartWindow, count: u32, ms: u64) {
     for _ in 0..count {
-        window.note_answer(ms);
+        window.record_answer(ms);
     }
 }
 
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -215,7 +215,7 @@
         let placed = self.assign_members(&request, &members, run, pass);
         if placed.len() == step.count as usize {
             for member in placed {
-                self.fleet.get_mut(member.slot).note_probe(self.now);
+                self.fleet.get_mut(member.slot).record_probe(self.now);
             }
             self.share_checkpoint(first);
             return GangPlacement::All;
@@ -275,7 +275,7 @@
     /// Places a task on a worker and counts the run as a probe of the worker.
     pub(super) fn place_on(&mut self, id: TaskId, slot: u32, step: &Step) {
         if self.assign(id, slot, step, None).is_some() {
-            self.fleet.get_mut(slot).note_probe(self.now);
+            self.fleet.get_mut(slot).record_probe(self.now);
         }
     }
 
--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -44,7 +44,7 @@
         }
         let stage = self.run_on(slot, id, number).map(|r| r.stage);
         if let Some(Stage::Sent(at)) = stage {
-            self.window.note_answer(now - at);
+            self.window.record_answer(now - at);
         }
         let attributed = self.is_attributed(slot, id, started);
         let Some(run) = self.run_on(slot, id, number) else {
@@ -74,7 +74,7 @@
         let worker = self.fleet.get_mut(slot);
         log::info!(task = id.to_string().as_str(), run = number, worker = &*worker.id, started:?; "start: refused");
         match started {
-            Started::Refused => self.note_worker_failure(slot),
+            Started::Refused => self.record_worker_failure(slot),
             Started::Rejected => self.reject_start(slot, id),
             Started::NotSent => {
                 worker.silent_since.get_or_insert(now);
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -44,7 +44,7 @@
         let run = task.last_run;
         if task.run.as_ref().is_none_or(|r| !r.partial) {
             task.retry_at = now + REJECTED_PAUSE_MS;
-            return self.note_worker_failure(slot);
+            return self.record_worker_failure(slot);
         }
         self.stats.rejected += 1;
         // The answer to another member's start may have removed the checkpoint already.
--- a/crates/jobs/src/runs/close.rs
+++ b/crates/jobs/src/runs/close.rs
@@ -61,7 +61,7 @@
         let step = &job.spec.steps[id.step as usize];
         let worker = self.fleet.get_mut(run.worker);
         worker.release(id, step);
-        worker.note_late_start(id, number, &run, now);
+        worker.record_late_start(id, number, &run, now);
         // A lost worker keeps its suspect, which explains the loss of the other runs there.
         if !worker.dead && !worker.process_ended {
             worker.isolated_task = worker.isolated_task.filter(|&g| g != id);
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -122,7 +122,7 @@
                         }
                         let name = |slot| fleet.get(slot).incarnation_name.clone();
                         let record = task.record((repetition, step, index), name);
-                        task.note_logged(builder.rows.add_task(id, record));
+                        task.mark_logged(builder.rows.add_task(id, record));
                     }
                     let run = task.run.as_ref();
                     if run.is_some_and(|r| r.stage == Stage::Planned) {
@@ -162,7 +162,7 @@
                 }
             }
             self.log.drop_oldest();
-            rows.note_dropped();
+            rows.record_dropped_row();
         }
     }
 
@@ -200,7 +200,7 @@
                     // its own batch.
                     let name = |slot| fleet.get(slot).incarnation_name.clone();
                     let record = task.record((repetition, step, index), name);
-                    task.note_logged(rows.add_task(id, record));
+                    task.mark_logged(rows.add_task(id, record));
                 }
             }
         }
@@ -266,7 +266,7 @@
         run.sent_at = Some(now);
         run.partial = !checkpoint.is_empty();
         worker.granted_until = worker.granted_until.max(deadline);
-        worker.note_lease_order(now, &settings);
+        worker.record_lease_order(now, &settings);
         let (slot, waited) = (run.worker, now - run.placed_at);
         self.stats.starts += 1;
         let order = StartOrder {
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -49,20 +49,20 @@
     /// To record them only when the runs are given up would be too late: a later owner may find the
     /// next incarnation and never learn how this one ended. To record them at once would be too
     /// early: simultaneous losses of other workers show a little later.
-    pub(crate) fn note_crashes(&mut self) {
+    pub(crate) fn record_crashes(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
             let due = worker
                 .silent_since
                 .is_some_and(|at| self.now > at + SIMULTANEOUS_MS);
             if due && worker.process_ended && !worker.crash_recorded {
-                self.note_crash(slot);
+                self.record_crash(slot);
             }
         }
     }
 
     /// Records the crash of a worker once, and attributes it to the tasks there.
-    pub(super) fn note_crash(&mut self, slot: u32) {
+    pub(super) fn record_crash(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
         if std::mem::replace(&mut worker.crash_recorded, true) || worker.leaving_since.is_some() {
             return;
@@ -178,7 +178,7 @@
     /// Records how long the run of a task with crashes has been listed when its worker's clock
     /// shows `clock`. After a while the run need not be isolated, and later its task is no longer a
     /// suspect.
-    pub(crate) fn note_survival(&mut self, slot: u32, id: TaskId, clock: u64) {
+    pub(crate) fn record_survival(&mut self, slot: u32, id: TaskId, clock: u64) {
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         let Some(task) = task else {
             return;
--- a/crates/jobs/src/runs/fleet.rs
+++ b/crates/jobs/src/runs/fleet.rs
@@ -93,8 +93,8 @@
         info.is_some_and(|i| self.evacuated.binary_search(&i.zone).is_ok())
     }
 
-    /// Notes that all announcements as of `asked_at` are known.
-    pub(crate) fn note_synced(&mut self, asked_at: u64) {
+    /// Records that all announcements as of `asked_at` have been received.
+    pub(crate) fn record_sync(&mut self, asked_at: u64) {
         self.synced_at = self.synced_at.max(asked_at);
     }
 
@@ -108,7 +108,7 @@
         self.age(now) <= settings.max_staleness
     }
 
-    /// Notes that the announcement of a worker was removed.
+    /// Records that the announcement of a worker was removed.
     pub(crate) fn deregister(&mut self, id: &Arc<str>) {
         for slot in self.incarnations(id).to_vec() {
             self.get_mut(slot).registered = false;
--- a/crates/jobs/src/runs/incarnations_tests.rs
+++ b/crates/jobs/src/runs/incarnations_tests.rs
@@ -46,7 +46,7 @@
         let attribution = self.fleet.attribute(slot, sent, start_time);
         if let Attribution::Known(current, ended) = &attribution {
             let worker = self.fleet.get_mut(*current);
-            worker.note_clock(5, self.now, &Settings::default());
+            worker.record_clock(5, self.now, &Settings::default());
             for &slot in ended {
                 self.fleet.retire(slot);
             }
--- a/crates/jobs/src/runs/late_start.rs
+++ b/crates/jobs/src/runs/late_start.rs
@@ -30,12 +30,12 @@
 
 impl Worker {
     /// Keeps the start of a run that is given up, if it may still be carried out.
-    pub(super) fn note_late_start(&mut self, task: TaskId, run: u32, given_up: &Run, now: u64) {
+    pub(super) fn record_late_start(&mut self, task: TaskId, run: u32, given_up: &Run, now: u64) {
         let sent = given_up.unreported_since().filter(|_| !given_up.answered);
         let Some(sent) = sent.filter(|_| given_up.stage != Stage::Planned) else {
             return;
         };
-        self.keep_late_start(
+        self.add_late_start(
             LateStart {
                 task,
                 run,
@@ -46,7 +46,7 @@
     }
 
     /// Adds a late start, and drops those that can no longer be carried out.
-    pub(super) fn keep_late_start(&mut self, start: LateStart, now: u64) {
+    pub(super) fn add_late_start(&mut self, start: LateStart, now: u64) {
         self.late_starts
             .retain(|l| now <= l.sent_at + RETENTION_MS && *l != start);
         if self.late_starts.len() >= MAX_LATE_STARTS {
--- a/crates/jobs/src/runs/log.rs
+++ b/crates/jobs/src/runs/log.rs
@@ -167,7 +167,7 @@
     }
 
     /// Records that the commit drops a row.
-    pub(crate) fn note_dropped(&mut self) {
+    pub(crate) fn record_dropped_row(&mut self) {
         self.dropped += 1;
     }
 
--- a/crates/jobs/src/runs/lost.rs
+++ b/crates/jobs/src/runs/lost.rs
@@ -64,7 +64,7 @@
         // until its leases expired may only be cut off.
         let may_have_crashed = loss == Loss::Ended || worker.info.is_none();
         if worker.process_ended {
-            self.note_crash(slot);
+            self.record_crash(slot);
         } else if may_have_crashed && worker.leaving_since.is_none() {
             self.attribute_crash(slot, Blame::Unseen);
         }
--- a/crates/jobs/src/runs/quarantine.rs
+++ b/crates/jobs/src/runs/quarantine.rs
@@ -25,13 +25,13 @@
 
 impl Worker {
     /// Records that a run succeeded here.
-    pub(crate) fn note_success(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         self.failures = 0;
         self.probes = 0;
     }
 
     /// Records that a run was placed here.
-    pub(crate) fn note_probe(&mut self, now: u64) {
+    pub(crate) fn record_probe(&mut self, now: u64) {
         self.probes += 1;
         self.probed_at = now;
     }
@@ -44,7 +44,7 @@
 
     /// Records that a run failed or hung here; `limits` are the first and the longest quarantine in
     /// milliseconds.
-    pub(crate) fn note_failure(&mut self, now: u64, limits: (u64, u64)) {
+    pub(crate) fn record_failure(&mut self, now: u64, limits: (u64, u64)) {
         self.failures += 1;
         self.failed_at = now;
         self.probes = 0;
@@ -58,7 +58,7 @@
     }
 
     /// Records the duration of a run as a percentage of its estimate.
-    pub(crate) fn note_duration(&mut self, percent: u64) {
+    pub(crate) fn record_duration(&mut self, percent: u64) {
         let old = self.slowness * (SLOWNESS_WEIGHT - 1);
         self.slowness = (old + percent.min(1000)) / SLOWNESS_WEIGHT;
     }
@@ -66,8 +66,8 @@
 
 impl Machine {
     /// Records that a run failed or hung on a worker, or that the worker refused it.
-    pub(crate) fn note_worker_failure(&mut self, slot: u32) {
+    pub(crate) fn record_worker_failure(&mut self, slot: u32) {
         let limits = (self.settings.quarantine, self.settings.max_quarantine);
-        self.fleet.get_mut(slot).note_failure(self.now, limits);
+        self.fleet.get_mut(slot).record_failure(self.now, limits);
     }
 }
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -145,7 +145,7 @@
     /// that needs a run now waits until the start is prevented.
     fn block_late_start(&mut self, old: u32, new: u32, start: LateStart) {
         let id = start.task;
-        self.fleet.get_mut(new).keep_late_start(start, self.now);
+        self.fleet.get_mut(new).add_late_start(start, self.now);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let Some(task) = task.filter(|t| !t.done) else {
             return self.add_late_orphan(new, start);
--- a/crates/jobs/src/runs/report.rs
+++ b/crates/jobs/src/runs/report.rs
@@ -31,7 +31,7 @@
         if worker.dead {
             return;
         }
-        worker.note_clock(report.clock, now, &settings);
+        worker.record_clock(report.clock, now, &settings);
         worker.first_end = report.finished.first().map(|e| e.number);
         let was_absent = worker.process_ended;
         if let Some(since) = worker.silent_since.take() {
@@ -101,7 +101,7 @@
 
     fn handle_done(&mut self, slot: u32, id: TaskId, elapsed: u64, is_representative: bool) {
         self.stats.done += 1;
-        self.fleet.get_mut(slot).note_success();
+        self.fleet.get_mut(slot).record_success();
         if is_representative {
             self.observe_duration(id, elapsed);
         }
@@ -115,7 +115,7 @@
         if !step.best_effort && step.estimate > 0 && elapsed > 0 {
             self.fleet
                 .get_mut(slot)
-                .note_duration(elapsed * 100 / step.estimate);
+                .record_duration(elapsed * 100 / step.estimate);
         }
         let members = match step.gang {
             true => 0..step.count,
@@ -156,7 +156,7 @@
     fn handle_failed(&mut self, slot: u32, id: TaskId, run: u32, is_final: bool) {
         self.stats.failed += 1;
         let now = self.now;
-        self.note_worker_failure(slot);
+        self.record_worker_failure(slot);
         let Some(state) = self.jobs.get(&id.job) else {
             return;
         };
--- a/crates/jobs/src/runs/reported.rs
+++ b/crates/jobs/src/runs/reported.rs
@@ -56,7 +56,7 @@
         }
         self.update_progress(slot, reported, clock);
         if has_crashes {
-            self.note_survival(slot, id, clock);
+            self.record_survival(slot, id, clock);
         }
         if is_pending {
             self.mark_job_active(id);
@@ -84,7 +84,7 @@
         run.reported_at.get_or_insert(clock);
         let worker = self.fleet.get(slot);
         if is_settled && worker.failures > 0 && placed_at > worker.failed_at {
-            self.fleet.get_mut(slot).note_success();
+            self.fleet.get_mut(slot).record_success();
         }
     }
 
--- a/crates/jobs/src/runs/unreported.rs
+++ b/crates/jobs/src/runs/unreported.rs
@@ -34,7 +34,7 @@
 
 impl Worker {
     /// Records that an order was sent that names the end of a lease.
-    pub(crate) fn note_lease_order(&mut self, now: u64, settings: &Settings) {
+    pub(crate) fn record_lease_order(&mut self, now: u64, settings: &Settings) {
         if self.start_time.is_some() {
             self.successor_lease_end =
                 now + MAX_ORDER_DELAY_MS + lease_upper_bound(settings.max_lease);
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -300,7 +300,7 @@
     /// From its first answer on, the worker refuses orders of earlier owners. So a lease that
     /// they granted lasts at most one lease duration from that answer, and less if their last
     /// contact with the store was long ago.
-    pub(crate) fn note_clock(&mut self, reading: u64, now: u64, settings: &Settings) {
+    pub(crate) fn record_clock(&mut self, reading: u64, now: u64, settings: &Settings) {
         if self.clock.is_none() {
             let latest = now + lease_upper_bound(settings.lease);
             self.prior_leases_end = self.prior_leases_end.min(latest);
