--- a/crates/jobs/src/order/estimates.rs
+++ b/crates/jobs/src/order/estimates.rs
@@ -1,51 +1,52 @@
-//! Estimates how long tasks take, from the callers' guesses and from observed times.
+//! Predicts how long tasks take, from the callers' estimates and from observed durations.
 //!
-//! Callers' guesses are off by a factor of two to three, more in some queues than in
-//! others. In an order by such guesses, jobs whose guesses are too short are given up as
-//! late although they could be on time, and hopeless jobs are carried on. A linear
-//! regression per queue therefore maps the logarithm of the guess to the logarithm of the
-//! duration: in queues whose guesses say little, all tasks are expected to take the usual
-//! time. The observed times of a step's own tasks predict its other tasks better than the
-//! guess.
+//! Callers' estimates are off by a factor of two to three, more in some queues than in others. In
+//! an order by such estimates, jobs whose estimates are too short are given up as late although
+//! they could be on time, and jobs that can't be on time are continued. A linear regression per
+//! queue therefore maps the logarithm of the estimate to the logarithm of the duration: in queues
+//! whose estimates correlate little with the durations, all tasks are expected to take the typical
+//! time. The observed durations of a step's own tasks predict its other tasks better than the
+//! estimate.
 
 use serde::{Deserialize, Serialize};
 
-/// Weight of the prior that a task takes as long as guessed: a number of tasks for the
+/// Weight of the prior that a task takes as long as estimated: a number of tasks for the
 /// mean, a sum of squared logarithms for the slope.
 const PRIOR_WEIGHT: f64 = 4.0;
 
-/// Weight of the regression's estimate as a number of observed tasks of the step. Durations
-/// differ by a third within a step, and by a half between steps with the same guess.
-const ESTIMATE_WEIGHT: f64 = 0.4;
+/// Weight of the regression's prediction as a number of observed tasks of the step. Durations
+/// differ by a third within a step, and by a half between steps with the same estimate.
+const REGRESSION_WEIGHT: f64 = 0.4;
 
 /// Number of observations at which the weight of all of them is halved.
 const MAX_OBSERVATIONS: f64 = 4000.0;
 
-/// Excess of a step's longest task over its usual one, per unit of the logarithm of the
+/// Excess of a step's longest task over its typical one, per unit of the logarithm of the
 /// number of tasks: durations differ by a third within a step.
 const SPREAD_PER_LOG_COUNT: f64 = 0.26;
 
 /// Progress from which a run's total duration is extrapolated.
 const MIN_PROGRESS_PERCENT: u32 = 20;
 
-/// Regression of the durations on the guesses of one queue, as sums over logarithms of
+/// Regression of the durations on the estimates of one queue, as sums over logarithms of
 /// milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EstimateModel {
     count: f64,
-    guessed: f64,
+    #[serde(rename = "guessed")]
+    estimated: f64,
     took: f64,
     squares: f64,
     products: f64,
 }
 
 impl EstimateModel {
-    /// Adds a task's guess and duration, both in milliseconds.
-    pub(crate) fn observe(&mut self, guess: u64, took: u64) {
+    /// Adds a task's estimate and duration, both in milliseconds.
+    pub(crate) fn observe(&mut self, estimate: u64, took: u64) {
         if self.count >= MAX_OBSERVATIONS {
             for total in [
                 &mut self.count,
-                &mut self.guessed,
+                &mut self.estimated,
                 &mut self.took,
                 &mut self.squares,
                 &mut self.products,
@@ -53,21 +54,21 @@
                 *total /= 2.0;
             }
         }
-        let (x, y) = (log(guess), log(took));
+        let (x, y) = (log(estimate), log(took));
         self.count += 1.0;
-        self.guessed += x;
+        self.estimated += x;
         self.took += y;
         self.squares += x * x;
         self.products += x * y;
     }
 
-    /// Returns the logarithm of the expected duration of a task with this guess.
-    fn expected_log(&self, guess: u64) -> f64 {
-        let x = log(guess);
+    /// Returns the logarithm of the expected duration of a task with this estimate.
+    fn expected_log(&self, estimate: u64) -> f64 {
+        let x = log(estimate);
         if self.count == 0.0 {
             return x;
         }
-        let (mean_x, mean_y) = (self.guessed / self.count, self.took / self.count);
+        let (mean_x, mean_y) = (self.estimated / self.count, self.took / self.count);
         let squares = self.squares - self.count * mean_x * mean_x;
         let products = self.products - self.count * mean_x * mean_y;
         let slope = (products + PRIOR_WEIGHT) / (squares + PRIOR_WEIGHT);
@@ -98,15 +99,15 @@
         }
     }
 
-    /// Returns the expected duration of the longest of `tasks` tasks with this guess,
-    /// in milliseconds; 0 if there is neither a guess nor an observation.
-    pub(crate) fn longest_ms(&self, model: &EstimateModel, guess: u64, tasks: usize) -> u64 {
-        let weight = if guess > 0 { ESTIMATE_WEIGHT } else { 0.0 };
+    /// Returns the expected duration of the longest of `tasks` tasks with this estimate,
+    /// in milliseconds; 0 if there is neither an estimate nor an observation.
+    pub(crate) fn longest_ms(&self, model: &EstimateModel, estimate: u64, tasks: usize) -> u64 {
+        let weight = if estimate > 0 { REGRESSION_WEIGHT } else { 0.0 };
         let total_weight = weight + self.count;
         if total_weight == 0.0 {
             return 0;
         }
-        let mean_log = (weight * model.expected_log(guess) + self.log_sum) / total_weight;
+        let mean_log = (weight * model.expected_log(estimate) + self.log_sum) / total_weight;
         let spread = 1.0 + SPREAD_PER_LOG_COUNT * (tasks.max(1) as f64).ln();
         (mean_log.exp() * spread) as u64
     }
