--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -2,12 +2,12 @@
 
 use crate::{
     action::Action,
-    machine::Machine,
     model::{
         ids::{JobId, TaskId},
         task::Stage,
     },
     place::pass::Coverage,
+    scheduler::Machine,
 };
 
 /// Interval between checks of all runs. Checking the runs and placing tasks at each of hundreds
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -29,11 +29,11 @@
 mod action;
 mod drive;
 mod event;
-mod machine;
 mod model;
 mod order;
 mod place;
 mod runs;
+mod scheduler;
 mod settings;
 mod share;
 mod sorted_map;
@@ -43,7 +43,6 @@
 
 pub use action::{Action, Batch, StartOrder};
 pub use event::{Answer, Ending, Event, ReportedRun, RunEnd, Started, Stopped, WorkerReport};
-pub use machine::Machine;
 pub use model::{
     ids::{IdError, JobId, TaskId},
     policy::QueuePolicy,
@@ -51,6 +50,7 @@
     spec::{Job, Schedule, Spec, SpecError, Step},
 };
 pub use runs::worker::{Capacity, WorkerInfo};
+pub use scheduler::Machine;
 pub use settings::{Settings, lease_upper_bound};
 pub use share::learned::Learned;
 pub use sorted_map::SortedMap;
--- a/crates/jobs/src/order/urgency.rs
+++ b/crates/jobs/src/order/urgency.rs
@@ -1,7 +1,6 @@
 //! Sorts the open jobs into the order in which they are placed.
 
 use crate::{
-    machine::Machine,
     model::{
         ids::JobId,
         job::{CriticalPath, JobState},
@@ -9,6 +8,7 @@
         record::Outcome,
     },
     order::estimates::EstimateModel,
+    scheduler::Machine,
 };
 
 /// Waiting time after which a task of a long-running job is overdue, in milliseconds: the
--- a/crates/jobs/src/place/aging.rs
+++ b/crates/jobs/src/place/aging.rs
@@ -10,12 +10,12 @@
 //! long-running steps and suspects are not aged.
 
 use crate::{
-    machine::Machine,
     model::{
         ids::{JobId, TaskId},
         job::JobState,
     },
     place::{pass::Pass, request::Request},
+    scheduler::Machine,
 };
 
 /// Idle time after which a late job is placed before the others, in milliseconds. Users
--- a/crates/jobs/src/place/free_capacity.rs
+++ b/crates/jobs/src/place/free_capacity.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use crate::{
-    machine::Machine,
     model::spec::Step,
     place::refusal::Refusal,
     runs::worker::{Capacity, Worker, demand},
+    scheduler::Machine,
 };
 
 /// The free capacity of a worker.
--- a/crates/jobs/src/place/isolation.rs
+++ b/crates/jobs/src/place/isolation.rs
@@ -12,10 +12,10 @@
 use std::cmp::Reverse;
 
 use crate::{
-    machine::Machine,
     model::{ids::TaskId, task::Task},
     place::{pass::Pass, rank::base_rating, request::Request, tasks::GangPlacement},
     runs::{crashes::JUST_STARTED_MS, worker::Worker},
+    scheduler::Machine,
 };
 
 /// Time for which a suspect waits for an empty worker, in milliseconds: short tasks end and
--- a/crates/jobs/src/place/rank.rs
+++ b/crates/jobs/src/place/rank.rs
@@ -9,10 +9,10 @@
 use std::{cmp::Reverse, collections::BinaryHeap};
 
 use crate::{
-    machine::Machine,
     model::spec::Step,
     place::{pass::Pass, refusal::Refusal, request::Request},
     runs::worker::Worker,
+    scheduler::Machine,
     share::sample::Image,
 };
 
--- a/crates/jobs/src/place/reservation.rs
+++ b/crates/jobs/src/place/reservation.rs
@@ -9,10 +9,10 @@
 //! accelerators.
 
 use crate::{
-    machine::Machine,
     model::{ids::TaskId, job::JobState, task::Run},
     place::{pass::Pass, request::Request},
     runs::worker::{Capacity, Worker, demand},
+    scheduler::Machine,
 };
 
 /// Idle time after which a job may reserve a worker, in milliseconds. Users count the job
--- a/crates/jobs/src/place/starvation.rs
+++ b/crates/jobs/src/place/starvation.rs
@@ -3,12 +3,12 @@
 //! Limits: only the few jobs that have been idle for longest are logged, once a second.
 
 use crate::{
-    machine::Machine,
     model::{
         ids::{JobId, TaskId},
         job::JobState,
     },
     place::{pass::Pass, refusal::Refusal, request::Request},
+    scheduler::Machine,
 };
 
 /// Idle time after which a job counts as starved and is logged, in milliseconds.
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -1,7 +1,6 @@
 //! Places waiting tasks on workers.
 
 use crate::{
-    machine::Machine,
     model::{
         ids::{JobId, TaskId},
         spec::Step,
@@ -13,6 +12,7 @@
         request::Request,
         unplaceable::Unplaceable,
     },
+    scheduler::Machine,
 };
 
 /// A job of this age without runs may place one task beyond the CPU share of best-effort
--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -3,11 +3,11 @@
 use crate::{
     action::Action,
     event::{Started, Stopped},
-    machine::Machine,
     model::{
         ids::TaskId,
         task::{Run, Stage},
     },
+    scheduler::Machine,
 };
 
 /// A worker that refused a start for lack of room, although it should have had some, gets no run
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -8,11 +8,11 @@
 //! owner.
 
 use crate::{
-    machine::Machine,
     model::{
         checkpoint::{Checkpoint, log_excerpt},
         ids::TaskId,
     },
+    scheduler::Machine,
 };
 
 /// Delay of a task whose start without a checkpoint was rejected, in milliseconds: other workers
--- a/crates/jobs/src/runs/close.rs
+++ b/crates/jobs/src/runs/close.rs
@@ -1,12 +1,12 @@
 //! Ends jobs, stops runs, and drops the state of both.
 
 use crate::{
-    machine::Machine,
     model::{
         ids::{JobId, TaskId},
         record::Outcome,
         task::Stage,
     },
+    scheduler::Machine,
 };
 
 impl Machine {
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -3,7 +3,6 @@
 
 use crate::{
     action::{Action, Batch, StartOrder},
-    machine::{InFlight, Machine},
     model::{
         checkpoint::log_excerpt,
         ids::{JobId, TaskId},
@@ -14,6 +13,7 @@
         log::{Appender, TASK_BYTES},
         poll::IDLE_POLL_WAIT_MS,
     },
+    scheduler::{InFlight, Machine},
 };
 
 /// Shortest lease that a start is sent with, in milliseconds. The poll of an idle worker goes on
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 
 use crate::{
-    machine::Machine,
     model::{
         crash::Blame,
         ids::TaskId,
         record::Outcome,
         task::{Run, Stage},
     },
+    scheduler::Machine,
 };
 
 /// A run had just started if its start was sent no longer than this before its worker fell silent,
--- a/crates/jobs/src/runs/lost.rs
+++ b/crates/jobs/src/runs/lost.rs
@@ -5,8 +5,8 @@
 //! off, or its process may have ended; only in the last case does its address refuse connections.
 
 use crate::{
-    machine::Machine,
     model::{crash::Blame, ids::TaskId},
+    scheduler::Machine,
 };
 
 /// How a worker was lost.
--- a/crates/jobs/src/runs/quarantine.rs
+++ b/crates/jobs/src/runs/quarantine.rs
@@ -6,7 +6,7 @@
 //! runs are placed first, no more than a faulty worker may waste; there they fail within a fraction
 //! of their time.
 
-use crate::{machine::Machine, runs::worker::Worker};
+use crate::{runs::worker::Worker, scheduler::Machine};
 
 /// Failures in a row after which a worker is quarantined. If one run in twenty fails, one in 8,000
 /// is the third failure by chance.
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -6,7 +6,6 @@
 //! until a stop prevents them there.
 
 use crate::{
-    machine::Machine,
     model::{
         ids::TaskId,
         task::{Run, Stage, UNKNOWN_PACE},
@@ -19,6 +18,7 @@
         unreported::MAX_ORDER_DELAY_MS,
         worker::{Capacity, demand},
     },
+    scheduler::Machine,
     settings::lease_upper_bound,
 };
 
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -6,12 +6,12 @@
 use crate::{
     action::Action,
     event::{Answer, Event, ReportedRun, Started, Stopped, WorkerReport},
-    machine::Machine,
     model::{
         ids::{JobId, TaskId},
         policy::QueuePolicy,
         spec::{Job, Spec, Step},
     },
+    scheduler::Machine,
     settings::Settings,
     takeover::Takeover,
 };
--- a/crates/jobs/src/runs/report.rs
+++ b/crates/jobs/src/runs/report.rs
@@ -2,12 +2,12 @@
 
 use crate::{
     event::{Ending, RunEnd, WorkerReport},
-    machine::Machine,
     model::{
         checkpoint::{Origin, log_excerpt},
         ids::TaskId,
         record::Outcome,
     },
+    scheduler::Machine,
 };
 
 /// Ends that one report lists at most; a report with so many may be incomplete.
--- a/crates/jobs/src/runs/reported.rs
+++ b/crates/jobs/src/runs/reported.rs
@@ -2,7 +2,6 @@
 
 use crate::{
     event::{ReportedRun, WorkerReport},
-    machine::Machine,
     model::{
         checkpoint::Origin,
         ids::TaskId,
@@ -13,6 +12,7 @@
         orphan::Orphan,
         worker::{Capacity, demand},
     },
+    scheduler::Machine,
 };
 
 /// A long-running task that has run for this long counts as a success, in milliseconds.
--- a/crates/jobs/src/runs/unreported.rs
+++ b/crates/jobs/src/runs/unreported.rs
@@ -15,9 +15,9 @@
 
 use crate::{
     event::Started,
-    machine::Machine,
     model::{ids::TaskId, task::Run},
     runs::worker::Worker,
+    scheduler::Machine,
     settings::{Settings, lease_upper_bound, min_clock_advance},
 };
 
--- a/crates/jobs/src/runs/unverified.rs
+++ b/crates/jobs/src/runs/unverified.rs
@@ -4,7 +4,7 @@
 //! owner may have granted has expired. A worker without a registration at the takeover can't even
 //! be polled.
 
-use crate::{machine::Machine, runs::worker::Worker};
+use crate::{runs::worker::Worker, scheduler::Machine};
 
 impl Worker {
     /// Returns how many runs on the worker wait for its first report to this owner.
--- a/crates/jobs/src/share/headroom_forecasts.rs
+++ b/crates/jobs/src/share/headroom_forecasts.rs
@@ -6,8 +6,8 @@
 //! Limits: while curves are not reliable, only as many are fitted as can be scored.
 
 use crate::{
-    machine::Machine,
     model::{ids::JobId, job::JobState},
+    scheduler::Machine,
     share::{
         forecast::History, headroom::HeadroomForecast, sample::StepKey, seasonality::Seasonality,
     },
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    machine::Machine,
     order::estimates::EstimateModel,
+    scheduler::Machine,
     share::{forecast::Prior, sample::Image},
 };
 
--- a/crates/jobs/src/share/metrics.rs
+++ b/crates/jobs/src/share/metrics.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     event::{RunEnd, WorkerReport},
-    machine::Machine,
+    scheduler::Machine,
     share::{
         forecast::Point,
         own_load::OwnLoad,
--- a/crates/jobs/src/share/pace.rs
+++ b/crates/jobs/src/share/pace.rs
@@ -10,11 +10,11 @@
 
 use crate::{
     action::Action,
-    machine::Machine,
     model::{
         ids::TaskId,
         task::{Stage, UNKNOWN_PACE},
     },
+    scheduler::Machine,
     share::{
         headroom::MIN_HEADROOM,
         slack::{BestEffortRun, ServingRun},
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -1,8 +1,8 @@
 //! Headroom of the serving tasks on a worker that is left for more best-effort tasks.
 
 use crate::{
-    machine::Machine,
     model::ids::TaskId,
+    scheduler::Machine,
     share::{
         fit::INITIAL_WEIGHT,
         headroom::{Headroom, MIN_HEADROOM},
--- a/crates/jobs/src/share/spare_cpu.rs
+++ b/crates/jobs/src/share/spare_cpu.rs
@@ -6,7 +6,7 @@
 //! too few CPUs where the load is high. The headroom falls in proportion to the load, so the CPU
 //! that a task leaves is estimated in proportion to its headroom relative to the mean.
 
-use crate::{machine::Machine, model::spec::Step};
+use crate::{model::spec::Step, scheduler::Machine};
 
 /// Estimated average CPU use of serving tasks, in percent of their request. They use about half;
 /// the lower estimate slows best-effort runs a little at times, but hardly any CPU is idle while
--- a/crates/jobs/src/summary.rs
+++ b/crates/jobs/src/summary.rs
@@ -1,6 +1,6 @@
 //! A periodic log line with the load of the workers.
 
-use crate::{machine::Machine, runs::worker::Capacity};
+use crate::{runs::worker::Capacity, scheduler::Machine};
 
 const LOG_PERIOD_MS: u64 = 1000;
 
