--- a/crates/jobs/benches/decide.rs
+++ b/crates/jobs/benches/decide.rs
@@ -3,7 +3,7 @@
 //! Workers have 32 cores. Serving tasks request four fifths of all CPU. Jobs of forty best-effort
 //! tasks and of thirteen short ones arrive: in `usual` as many as can be done, in `worst` twice as
 //! many, so that thousands of tasks wait. Workers and the store answer at once and at no cost:
-//! only the time in the state machine is measured.
+//! only the time in the scheduler is measured.
 
 #[expect(dead_code, reason = "the tests use more of it")]
 mod site;
--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -1,4 +1,4 @@
-//! A state machine with workers that carry out its orders, in virtual time.
+//! A scheduler with workers that carry out its orders, in virtual time.
 
 use std::{
     cmp::Reverse,
@@ -8,9 +8,9 @@
 };
 
 use gorsespur_jobs::{
-    Action, Answer, Capacity, Ending, Event, Job, JobId, Machine, QueuePolicy, ReportedRun, RunEnd,
-    Settings, Spec, StartOrder, Started, Stats, Step, Stopped, Takeover, TaskId, WorkerInfo,
-    WorkerReport,
+    Action, Answer, Capacity, Ending, Event, Job, JobId, QueuePolicy, ReportedRun, RunEnd,
+    Scheduler, Settings, Spec, StartOrder, Started, Stats, Step, Stopped, Takeover, TaskId,
+    WorkerInfo, WorkerReport,
 };
 
 use crate::ledger::Ledger;
@@ -61,10 +61,10 @@
     poll: Option<(u64, u64)>,
 }
 
-/// A state machine, its workers, and messages in flight.
+/// A scheduler, its workers, and messages in flight.
 pub struct Site {
     now: u64,
-    machine: Machine,
+    scheduler: Scheduler,
     workers: Vec<Worker>,
     runs: Vec<Run>,
     due: BinaryHeap<Reverse<(u64, Due)>>,
@@ -87,7 +87,7 @@
     /// rate.
     pub fn new(workers: u64, load_factor: u64) -> Site {
         let now = 3_600_000;
-        let mut machine = Machine::new(
+        let mut scheduler = Scheduler::new(
             Settings::default(),
             now,
             Takeover {
@@ -104,10 +104,10 @@
             latency: 1000,
         };
         let queues = vec![policy("fill", 2), policy("last", 0), policy("wide", 0)];
-        machine.handle(now, now, Event::Queues(queues));
+        scheduler.handle(now, now, Event::Queues(queues));
         let mut site = Site {
             now,
-            machine,
+            scheduler,
             workers: Vec::new(),
             runs: Vec::new(),
             due: BinaryHeap::new(),
@@ -159,7 +159,7 @@
                 remaining_ms: 0,
             };
             self.workers.push(Worker::default());
-            self.machine
+            self.scheduler
                 .handle(self.now, self.now, Event::WorkerUpdated(info));
         }
     }
@@ -173,7 +173,7 @@
 
     /// Returns the number of jobs of a queue that have not started.
     pub fn pending(&self, queue: &str) -> u64 {
-        let pending = self.machine.pending_jobs();
+        let pending = self.scheduler.pending_jobs();
         let found = pending.iter().find(|(q, _)| **q == *queue);
         found.map_or(0, |(_, count)| *count)
     }
@@ -188,15 +188,15 @@
         (&self.accepted, &self.ledger)
     }
 
-    /// Returns the counters of the state machine.
+    /// Returns the counters of the scheduler.
     pub fn stats(&self) -> Stats {
-        self.machine.stats()
+        self.scheduler.stats()
     }
 
     /// Returns a description of the waiting jobs.
     pub fn backlog(&self) -> String {
-        let pending = self.machine.pending_jobs();
-        let figures = self.machine.stats();
+        let pending = self.scheduler.pending_jobs();
+        let figures = self.scheduler.stats();
         let (open, passes, cut) = (figures.open_jobs, figures.passes, figures.truncated_passes);
         format!("{open} open, waiting {pending:?}, {cut} of {passes} passes truncated")
     }
@@ -349,11 +349,11 @@
         let answers = std::mem::take(&mut self.answers);
         let start = Instant::now();
         for event in answers {
-            self.machine.handle(now, now, event);
+            self.scheduler.handle(now, now, event);
         }
-        self.machine
+        self.scheduler
             .handle(now, now, Event::WorkersSynced { asked_at: now });
-        let actions = self.machine.decide(now, now);
+        let actions = self.scheduler.decide(now, now);
         self.decide_time += start.elapsed();
         for action in actions {
             self.act(action);
--- a/crates/jobs/benches/takeover.rs
+++ b/crates/jobs/benches/takeover.rs
@@ -1,5 +1,5 @@
-//! Benchmark of a takeover: a new owner reads jobs, their records and the log into a state
-//! machine.
+//! Benchmark of a takeover: a new owner reads jobs, their records and the log into a
+//! scheduler.
 //!
 //! Each job has two steps of forty tasks, and all tasks of the first step are placed. The store
 //! and the network cost nothing.
@@ -8,7 +8,7 @@
 
 use cap::Cap;
 use criterion::{BenchmarkId, Criterion};
-use gorsespur_jobs::{Event, Job, Machine, Settings, Step, Takeover};
+use gorsespur_jobs::{Event, Job, Scheduler, Settings, Step, Takeover};
 
 #[expect(dead_code, reason = "the other benchmark uses more of it")]
 mod site;
@@ -67,10 +67,10 @@
     }
 }
 
-/// Reads the rows into a new state machine, as a new owner does.
-fn take_over(rows: &Rows) -> Machine {
+/// Reads the rows into a new scheduler, as a new owner does.
+fn take_over(rows: &Rows) -> Scheduler {
     let now = 3_600_000;
-    let mut machine = Machine::new(
+    let mut scheduler = Scheduler::new(
         Settings::default(),
         now,
         Takeover {
@@ -83,11 +83,11 @@
         Arc::new(job)
     });
     let jobs: Vec<Arc<Job>> = jobs.collect();
-    rows.ledger.restore(&mut machine, &jobs);
+    rows.ledger.restore(&mut scheduler, &jobs);
     for job in jobs {
-        machine.handle(now, now, Event::Accepted(job));
+        scheduler.handle(now, now, Event::Accepted(job));
     }
-    machine
+    scheduler
 }
 
 fn main() {
@@ -98,9 +98,9 @@
         let rows = rows(count);
         let bytes = rows.bytes();
         let before = ALLOCATOR.allocated();
-        let machine = take_over(&rows);
+        let scheduler = take_over(&rows);
         let memory = ALLOCATOR.allocated() - before;
-        drop(machine);
+        drop(scheduler);
         eprintln!("{count} jobs: {bytes} bytes read, {memory} bytes of memory");
         group.bench_function(BenchmarkId::from_parameter(count), |b| {
             b.iter(|| black_box(take_over(&rows)));
--- a/crates/jobs/src/action.rs
+++ b/crates/jobs/src/action.rs
@@ -1,4 +1,4 @@
-//! The actions that the machine returns.
+//! The actions that the scheduler returns.
 
 use std::sync::Arc;
 
--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -1,4 +1,4 @@
-//! The order of the machine's work: checks of runs, polls, placement and commits.
+//! The order of the scheduler's work: checks of runs, polls, placement and commits.
 
 use crate::{
     action::Action,
@@ -7,7 +7,7 @@
         task::Stage,
     },
     place::pass::Coverage,
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// Interval between checks of all runs. Checking the runs and placing tasks at each of hundreds
@@ -24,7 +24,7 @@
 /// Placement runs at least this often, for changes that come with time alone.
 const PLACEMENT_PERIOD_MS: u64 = 100;
 
-impl Machine {
+impl Scheduler {
     /// Does all the work that is due.
     ///
     /// Checks of runs and polls come first because they are cheap: polls renew leases and stops
--- a/crates/jobs/src/event.rs
+++ b/crates/jobs/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that the machine takes.
+//! The events that the scheduler takes.
 
 use std::sync::Arc;
 
@@ -135,7 +135,7 @@
     Paced(TaskId, u32, bool),
 }
 
-/// An event for the machine to handle.
+/// An event for the scheduler to handle.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A job was accepted. Idempotent.
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,8 +1,8 @@
 //! The job scheduler as a state machine without I/O.
 //!
-//! A [`Machine`] takes events (a job was accepted, a worker reported, a batch of
+//! A [`Scheduler`] takes events (a job was accepted, a worker reported, a batch of
 //! records became durable) and returns actions (poll a worker, start or stop a
-//! run, commit records). The machine reads no clock and opens no socket, so tests
+//! run, commit records). The scheduler reads no clock and opens no socket, so tests
 //! replay any failure in virtual time, with the same result each time.
 //!
 //! Guarantees, and how they are kept:
@@ -50,7 +50,7 @@
     spec::{Job, Schedule, Spec, SpecError, Step},
 };
 pub use runs::worker::{Capacity, WorkerInfo};
-pub use scheduler::Machine;
+pub use scheduler::Scheduler;
 pub use settings::{Settings, lease_upper_bound};
 pub use share::learned::Learned;
 pub use sorted_map::SortedMap;
--- a/crates/jobs/src/model/job.rs
+++ b/crates/jobs/src/model/job.rs
@@ -45,7 +45,7 @@
     pub(crate) outcome: Outcome,
     /// The steps of each repetition that is due.
     pub(crate) repetitions: Vec<Vec<StepState>>,
-    /// When the machine took the job up.
+    /// When the scheduler took the job up.
     pub(crate) known_since: u64,
     /// The outcome in the last commit that was sent.
     pub(crate) written_outcome: Outcome,
--- a/crates/jobs/src/order/urgency.rs
+++ b/crates/jobs/src/order/urgency.rs
@@ -8,7 +8,7 @@
         record::Outcome,
     },
     order::estimates::EstimateModel,
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// Waiting time after which a task of a long-running job is overdue, in milliseconds: the
@@ -45,7 +45,7 @@
     Late,
 }
 
-impl Machine {
+impl Scheduler {
     /// Sorts the open jobs into the order in which they are placed.
     ///
     /// With more work than capacity, first come, first served makes all jobs late. Jobs
--- a/crates/jobs/src/place/aging.rs
+++ b/crates/jobs/src/place/aging.rs
@@ -15,7 +15,7 @@
         job::JobState,
     },
     place::{pass::Pass, request::Request},
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// Idle time after which a late job is placed before the others, in milliseconds. Users
@@ -77,7 +77,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Places one task of each aged job, up to the limit of aged runs.
     pub(super) fn place_aged_jobs(&mut self, pass: &mut Pass) {
         if self.now >= self.aging.refreshed_at + REFRESH_PERIOD_MS {
--- a/crates/jobs/src/place/free_capacity.rs
+++ b/crates/jobs/src/place/free_capacity.rs
@@ -6,7 +6,7 @@
     model::spec::Step,
     place::refusal::Refusal,
     runs::worker::{Capacity, Worker, demand},
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// The free capacity of a worker.
@@ -64,7 +64,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Returns why a worker may not run a task of a step, regardless of its free
     /// capacity.
     pub(super) fn check_eligibility(
--- a/crates/jobs/src/place/isolation.rs
+++ b/crates/jobs/src/place/isolation.rs
@@ -15,7 +15,7 @@
     model::{ids::TaskId, task::Task},
     place::{pass::Pass, rank::base_rating, request::Request, tasks::GangPlacement},
     runs::{crashes::JUST_STARTED_MS, worker::Worker},
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// Time for which a suspect waits for an empty worker, in milliseconds: short tasks end and
@@ -48,7 +48,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Records that a task may crash its workers.
     pub(crate) fn add_suspect(&mut self, id: TaskId) {
         if let Err(at) = self.suspects.binary_search(&id) {
--- a/crates/jobs/src/place/rank.rs
+++ b/crates/jobs/src/place/rank.rs
@@ -12,7 +12,7 @@
     model::spec::Step,
     place::{pass::Pass, refusal::Refusal, request::Request},
     runs::worker::Worker,
-    scheduler::Machine,
+    scheduler::Scheduler,
     share::sample::Image,
 };
 
@@ -42,7 +42,7 @@
     headroom_costs: Vec<f64>,
 }
 
-impl Machine {
+impl Scheduler {
     /// Rates all open workers for a request.
     pub(crate) fn rank_workers(&mut self, request: &Request<'_>, pass: &Pass) -> Ranking {
         let mut ranking = Ranking {
--- a/crates/jobs/src/place/reservation.rs
+++ b/crates/jobs/src/place/reservation.rs
@@ -12,7 +12,7 @@
     model::{ids::TaskId, job::JobState, task::Run},
     place::{pass::Pass, request::Request},
     runs::worker::{Capacity, Worker, demand},
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// Idle time after which a job may reserve a worker, in milliseconds. Users count the job
@@ -56,7 +56,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Drops the reservations that are no longer needed and returns the others.
     pub(super) fn current_reservations(&mut self) -> Vec<Reservation> {
         let mut reservations = std::mem::take(&mut self.reservations);
--- a/crates/jobs/src/place/starvation.rs
+++ b/crates/jobs/src/place/starvation.rs
@@ -8,7 +8,7 @@
         job::JobState,
     },
     place::{pass::Pass, refusal::Refusal, request::Request},
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// Idle time after which a job counts as starved and is logged, in milliseconds.
@@ -51,7 +51,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Counts the starved jobs and logs those that have been idle for longest.
     pub(crate) fn log_starved_jobs(&mut self) {
         let mut starved: Vec<(u64, JobId)> = Vec::new();
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -12,7 +12,7 @@
         request::Request,
         unplaceable::Unplaceable,
     },
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// A job of this age without runs may place one task beyond the CPU share of best-effort
@@ -56,7 +56,7 @@
     Unplaced,
 }
 
-impl Machine {
+impl Scheduler {
     /// Places waiting tasks, those of the most urgent jobs first, within the budget of
     /// one pass.
     ///
@@ -280,7 +280,7 @@
     }
 
     /// Assigns a task to a worker, as run `number` or else the next one. Returns what
-    /// [`Machine::unassign`] needs to undo the assignment.
+    /// [`Scheduler::unassign`] needs to undo the assignment.
     fn assign(
         &mut self,
         id: TaskId,
--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -7,7 +7,7 @@
         ids::TaskId,
         task::{Run, Stage},
     },
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// A worker that refused a start for lack of room, although it should have had some, gets no run
@@ -20,7 +20,7 @@
 /// Delay before a silent worker is polled again, in milliseconds.
 const SILENT_RETRY_MS: u64 = 250;
 
-impl Machine {
+impl Scheduler {
     /// Returns a task's run if it is on this worker and has this number.
     pub(crate) fn run_on(&mut self, slot: u32, id: TaskId, run: u32) -> Option<&mut Run> {
         let task = self.jobs.get_mut(&id.job)?.task_mut(id)?;
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -12,14 +12,14 @@
         checkpoint::{Checkpoint, log_excerpt},
         ids::TaskId,
     },
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// Delay of a task whose start without a checkpoint was rejected, in milliseconds: other workers
 /// may reject it as well, and each rejection counts as a failure of the worker.
 const REJECTED_PAUSE_MS: u64 = 2000;
 
-impl Machine {
+impl Scheduler {
     /// Makes all members of a gang resume from the newest checkpoint of any of them.
     pub(crate) fn share_checkpoint(&mut self, member: TaskId) {
         let state = self.jobs.get_mut(&member.job);
--- a/crates/jobs/src/runs/close.rs
+++ b/crates/jobs/src/runs/close.rs
@@ -6,10 +6,10 @@
         record::Outcome,
         task::Stage,
     },
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
-impl Machine {
+impl Scheduler {
     /// Ends a job and stops its runs.
     pub(crate) fn end_job(&mut self, id: JobId, outcome: Outcome) {
         let now = self.now;
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -13,7 +13,7 @@
         log::{Appender, TASK_BYTES},
         poll::IDLE_POLL_WAIT_MS,
     },
-    scheduler::{InFlight, Machine},
+    scheduler::{InFlight, Scheduler},
 };
 
 /// Shortest lease that a start is sent with, in milliseconds. The poll of an idle worker goes on
@@ -33,7 +33,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Sends the next batch if none is in flight.
     pub(crate) fn commit(&mut self) {
         if self.in_flight.is_some() {
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -16,7 +16,7 @@
         record::Outcome,
         task::{Run, Stage},
     },
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// A run had just started if its start was sent no longer than this before its worker fell silent,
@@ -43,7 +43,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Records the crashes of workers that have been silent for [`SIMULTANEOUS_MS`].
     ///
     /// To record them only when the runs are given up would be too late: a later owner may find the
--- a/crates/jobs/src/runs/lost.rs
+++ b/crates/jobs/src/runs/lost.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     model::{crash::Blame, ids::TaskId},
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// How a worker was lost.
@@ -18,7 +18,7 @@
     Lapsed,
 }
 
-impl Machine {
+impl Scheduler {
     /// Handles the end of a worker's incarnation, and of the runs there.
     pub(crate) fn worker_lost(&mut self, slot: u32) {
         let worker = self.fleet.get(slot);
--- a/crates/jobs/src/runs/quarantine.rs
+++ b/crates/jobs/src/runs/quarantine.rs
@@ -6,7 +6,7 @@
 //! runs are placed first, no more than a faulty worker may waste; there they fail within a fraction
 //! of their time.
 
-use crate::{runs::worker::Worker, scheduler::Machine};
+use crate::{runs::worker::Worker, scheduler::Scheduler};
 
 /// Failures in a row after which a worker is quarantined. If one run in twenty fails, one in 8,000
 /// is the third failure by chance.
@@ -64,7 +64,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Records that a run failed or hung on a worker, or that the worker refused it.
     pub(crate) fn record_worker_failure(&mut self, slot: u32) {
         let limits = (self.settings.quarantine, self.settings.max_quarantine);
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -18,11 +18,11 @@
         unreported::MAX_ORDER_DELAY_MS,
         worker::{Capacity, demand},
     },
-    scheduler::Machine,
+    scheduler::Scheduler,
     settings::lease_upper_bound,
 };
 
-impl Machine {
+impl Scheduler {
     /// Returns the slot of the incarnation that a report is from, or `None` if the report does not
     /// count. Ends the earlier incarnations.
     pub(super) fn reporting_slot(
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -11,7 +11,7 @@
         policy::QueuePolicy,
         spec::{Job, Spec, Step},
     },
-    scheduler::Machine,
+    scheduler::Scheduler,
     settings::Settings,
     takeover::Takeover,
 };
@@ -26,7 +26,7 @@
 
 /// An owner with one job of one task, and with one worker whose answers the test gives.
 struct Owner {
-    machine: Machine,
+    scheduler: Scheduler,
     now: u64,
     /// Actions since the last check, without polls.
     sent: Vec<Action>,
@@ -42,7 +42,7 @@
             prior_leases_end: 0,
         };
         let mut owner = Owner {
-            machine: Machine::new(Settings::default(), now, takeover),
+            scheduler: Scheduler::new(Settings::default(), now, takeover),
             now,
             sent: Vec::new(),
         };
@@ -78,7 +78,7 @@
     }
 
     fn handle_event(&mut self, event: Event) {
-        self.machine.handle(self.now, self.now, event);
+        self.scheduler.handle(self.now, self.now, event);
     }
 
     fn answer(&mut self, worker: u32, sent: u64, answer: Answer) {
@@ -97,7 +97,7 @@
             let asked = self.now;
             self.handle_event(Event::WorkersSynced { asked_at: asked });
             self.handle_event(Event::Renewed { asked_at: asked });
-            for action in self.machine.decide(self.now, self.now) {
+            for action in self.scheduler.decide(self.now, self.now) {
                 match action {
                     Action::Commit(_) => self.handle_event(Event::Committed { asked_at: asked }),
                     Action::Poll { .. } => {}
@@ -269,7 +269,7 @@
         owner.answer(1, sent, Answer::NoReply);
         assert!(
             owner
-                .machine
+                .scheduler
                 .jobs
                 .get(&TASK.job)
                 .is_some_and(|j| j.has_runs())
@@ -281,7 +281,7 @@
     }
     assert!(
         owner
-            .machine
+            .scheduler
             .jobs
             .get(&TASK.job)
             .is_some_and(|j| !j.has_runs())
@@ -292,7 +292,7 @@
 fn hold_time(mut owner: Owner) -> u64 {
     let since = owner.now;
     while owner
-        .machine
+        .scheduler
         .jobs
         .get(&TASK.job)
         .is_some_and(|j| j.has_runs())
@@ -330,7 +330,7 @@
 #[test]
 fn a_poll_drops_ends_only_of_a_known_incarnation_that_still_lists_them() {
     let mut owner = Owner::new();
-    let worker = owner.machine.fleet.get_mut(0);
+    let worker = owner.scheduler.fleet.get_mut(0);
     worker.durable_end = 5;
     for (first, silent, contested, expected) in [
         (Some(5), None, false, 5),
--- a/crates/jobs/src/runs/report.rs
+++ b/crates/jobs/src/runs/report.rs
@@ -7,7 +7,7 @@
         ids::TaskId,
         record::Outcome,
     },
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// Ends that one report lists at most; a report with so many may be incomplete.
@@ -19,7 +19,7 @@
 /// Doublings of that delay at most.
 const MAX_BACKOFF_DOUBLINGS: usize = 6;
 
-impl Machine {
+impl Scheduler {
     /// Handles a worker's report, the answer to a poll sent at `sent`.
     pub(crate) fn handle_report(&mut self, slot: u32, sent: u64, report: WorkerReport) {
         let (now, settings) = (self.now, self.settings);
--- a/crates/jobs/src/runs/reported.rs
+++ b/crates/jobs/src/runs/reported.rs
@@ -12,13 +12,13 @@
         orphan::Orphan,
         worker::{Capacity, demand},
     },
-    scheduler::Machine,
+    scheduler::Scheduler,
 };
 
 /// A long-running task that has run for this long counts as a success, in milliseconds.
 const SETTLED_MS: u64 = 1500;
 
-impl Machine {
+impl Scheduler {
     /// Records a run that a worker lists when its clock shows `clock`.
     pub(super) fn handle_reported_run(&mut self, slot: u32, reported: &ReportedRun, clock: u64) {
         let now = self.now;
--- a/crates/jobs/src/runs/unreported.rs
+++ b/crates/jobs/src/runs/unreported.rs
@@ -17,7 +17,7 @@
     event::Started,
     model::{ids::TaskId, task::Run},
     runs::worker::Worker,
-    scheduler::Machine,
+    scheduler::Scheduler,
     settings::{Settings, lease_upper_bound, min_clock_advance},
 };
 
@@ -54,7 +54,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Returns whether an answer to a start shows that the run ends with the leases granted to this
     /// incarnation of its worker.
     pub(super) fn is_attributed(&self, slot: u32, id: TaskId, started: Started) -> bool {
--- a/crates/jobs/src/runs/unverified.rs
+++ b/crates/jobs/src/runs/unverified.rs
@@ -4,7 +4,7 @@
 //! owner may have granted has expired. A worker without a registration at the takeover can't even
 //! be polled.
 
-use crate::{runs::worker::Worker, scheduler::Machine};
+use crate::{runs::worker::Worker, scheduler::Scheduler};
 
 impl Worker {
     /// Returns how many runs on the worker wait for its first report to this owner.
@@ -17,7 +17,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Returns how many runs of earlier owners are on workers that have not reported yet.
     pub(crate) fn unverified_runs(&self) -> u64 {
         let workers = self.fleet.workers.iter();
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The state of the machine and the handling of events.
+//! The state of the scheduler and the handling of events.
 
 use std::sync::Arc;
 
@@ -33,7 +33,7 @@
 
 /// The state machine that schedules all jobs. Only the owner of the lease on the jobs runs it.
 #[derive(Debug)]
-pub struct Machine {
+pub struct Scheduler {
     pub(crate) settings: Settings,
     pub(crate) jobs: SortedMap<JobId, JobState>,
     /// Jobs that are not finished, in the order of placement.
@@ -92,11 +92,11 @@
     pub(crate) stats: Stats,
 }
 
-impl Machine {
-    /// Makes a machine at `now` on the local monotonic clock, in milliseconds.
-    pub fn new(settings: Settings, now: u64, takeover: Takeover) -> Machine {
+impl Scheduler {
+    /// Creates a scheduler at `now` on the local monotonic clock, in milliseconds.
+    pub fn new(settings: Settings, now: u64, takeover: Takeover) -> Scheduler {
         let fleet = Fleet::new(takeover.prior_leases_end);
-        Machine {
+        Scheduler {
             settings,
             jobs: SortedMap::default(),
             open_jobs: Vec::new(),
@@ -133,7 +133,7 @@
     }
 
     /// Replays the next row of the log that earlier owners wrote, oldest first. All rows have to
-    /// be replayed before [`Machine::current_record`] and [`Machine::restore`] are called.
+    /// be replayed before [`Scheduler::current_record`] and [`Scheduler::restore`] are called.
     ///
     /// Fails if the row can't be decoded; its changes are lost.
     pub fn replay(&mut self, row: &[u8]) -> Result<(), RecordError> {
@@ -146,7 +146,7 @@
         self.log.current_record(id, record)
     }
 
-    /// Restores a job of earlier owners from its record, which [`Machine::current_record`]
+    /// Restores a job of earlier owners from its record, which [`Scheduler::current_record`]
     /// returned.
     pub fn restore(&mut self, job: Arc<Job>, record: &Record) {
         let id = job.id;
@@ -193,7 +193,7 @@
     }
 
     /// Handles an event at `now` on the local monotonic clock and `wall_clock` since the Unix
-    /// epoch, both in milliseconds. The caller calls [`Machine::decide`] after one or more
+    /// epoch, both in milliseconds. The caller calls [`Scheduler::decide`] after one or more
     /// events.
     pub fn handle(&mut self, now: u64, wall_clock: u64, event: Event) {
         self.now = now.max(self.now);
@@ -226,7 +226,7 @@
     }
 
     /// Does all the work that is due and returns the resulting actions. The times are those of
-    /// [`Machine::handle`].
+    /// [`Scheduler::handle`].
     pub fn decide(&mut self, now: u64, wall_clock: u64) -> Vec<Action> {
         self.now = now.max(self.now);
         self.wall_clock = wall_clock;
--- a/crates/jobs/src/settings.rs
+++ b/crates/jobs/src/settings.rs
@@ -1,4 +1,4 @@
-//! Limits and durations that the machine works with.
+//! Limits and durations that the scheduler works with.
 
 /// Limits and durations. Durations are milliseconds on a monotonic clock.
 #[derive(Debug, Clone, Copy)]
--- a/crates/jobs/src/share/headroom_forecasts.rs
+++ b/crates/jobs/src/share/headroom_forecasts.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     model::{ids::JobId, job::JobState},
-    scheduler::Machine,
+    scheduler::Scheduler,
     share::{
         forecast::History, headroom::HeadroomForecast, sample::StepKey, seasonality::Seasonality,
     },
@@ -23,7 +23,7 @@
 /// Time from now to the middle of the half second that the next metrics cover.
 const NEXT_METRICS_MS: u64 = 250;
 
-impl Machine {
+impl Scheduler {
     /// Updates the forecasts of all steps, and the seasonality when that is due.
     pub(crate) fn forecast_headrooms(&mut self) {
         let now = self.now;
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     order::estimates::EstimateModel,
-    scheduler::Machine,
+    scheduler::Scheduler,
     share::{forecast::Prior, sample::Image},
 };
 
@@ -51,7 +51,7 @@
     prior: Option<Prior>,
 }
 
-impl Machine {
+impl Scheduler {
     /// Returns the state learned so far.
     pub fn learned(&self) -> Learned {
         let mut images: Vec<Arc<str>> = vec![Arc::default(); self.image_numbers.len() + 1];
--- a/crates/jobs/src/share/metrics.rs
+++ b/crates/jobs/src/share/metrics.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     event::{RunEnd, WorkerReport},
-    scheduler::Machine,
+    scheduler::Scheduler,
     share::{
         forecast::Point,
         own_load::OwnLoad,
@@ -18,7 +18,7 @@
 /// Interval between fits of the interference model.
 const FIT_INTERVAL_MS: u64 = 500;
 
-impl Machine {
+impl Scheduler {
     /// Records the metrics in a worker's report and chooses the paces of its best-effort runs.
     /// `ended` are the ends that the worker reports for the first time.
     pub(crate) fn observe_metrics(&mut self, slot: u32, report: &WorkerReport, ended: &[&RunEnd]) {
--- a/crates/jobs/src/share/pace.rs
+++ b/crates/jobs/src/share/pace.rs
@@ -14,7 +14,7 @@
         ids::TaskId,
         task::{Stage, UNKNOWN_PACE},
     },
-    scheduler::Machine,
+    scheduler::Scheduler,
     share::{
         headroom::MIN_HEADROOM,
         slack::{BestEffortRun, ServingRun},
@@ -72,7 +72,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     pub(crate) fn choose_paces(&mut self, slot: u32) {
         let (serving_runs, best_effort_runs) = self.colocated_runs(slot);
         let mut paces = vec![100; best_effort_runs.len()];
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     model::ids::TaskId,
-    scheduler::Machine,
+    scheduler::Scheduler,
     share::{
         fit::INITIAL_WEIGHT,
         headroom::{Headroom, MIN_HEADROOM},
@@ -76,7 +76,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Returns the serving and the best-effort runs on a worker.
     pub(crate) fn colocated_runs(&self, slot: u32) -> (Vec<ServingRun>, Vec<BestEffortRun>) {
         let (mut serving_runs, mut best_effort_runs) = (Vec::new(), Vec::new());
--- a/crates/jobs/src/share/spare_cpu.rs
+++ b/crates/jobs/src/share/spare_cpu.rs
@@ -6,7 +6,7 @@
 //! too few CPUs where the load is high. The headroom falls in proportion to the load, so the CPU
 //! that a task leaves is estimated in proportion to its headroom relative to the mean.
 
-use crate::{model::spec::Step, scheduler::Machine};
+use crate::{model::spec::Step, scheduler::Scheduler};
 
 /// Estimated average CPU use of serving tasks, in percent of their request. They use about half;
 /// the lower estimate slows best-effort runs a little at times, but hardly any CPU is idle while
@@ -25,7 +25,7 @@
     weighted: f64,
 }
 
-impl Machine {
+impl Scheduler {
     /// Updates the spare CPU of each worker.
     pub(crate) fn update_spare_cpu(&mut self) {
         let mut all = RequestedCpu::default();
--- a/crates/jobs/src/stats.rs
+++ b/crates/jobs/src/stats.rs
@@ -1,6 +1,6 @@
 //! Statistics for operators.
 
-/// Counters and gauges of the machine. Counters cover the time since the takeover.
+/// Counters and gauges of the scheduler. Counters cover the time since the takeover.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Jobs that are not finished.
--- a/crates/jobs/src/summary.rs
+++ b/crates/jobs/src/summary.rs
@@ -1,10 +1,10 @@
 //! A periodic log line with the load of the workers.
 
-use crate::{runs::worker::Capacity, scheduler::Machine};
+use crate::{runs::worker::Capacity, scheduler::Scheduler};
 
 const LOG_PERIOD_MS: u64 = 1000;
 
-impl Machine {
+impl Scheduler {
     /// Logs the load of the workers and the numbers of waiting and running tasks.
     pub(crate) fn log_load(&mut self) {
         if self.now < self.last_load_log + LOG_PERIOD_MS {
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -57,7 +57,7 @@
         };
         let owner = &mut self.owners[at];
         let (addr, id) = owner
-            .machine
+            .scheduler
             .worker_address(worker)
             .expect("announced worker");
         let index = match owner.slots.get(&worker) {
@@ -118,7 +118,7 @@
                     if !owner.stepped_down {
                         if let Answer::Report(report) = &answer {
                             let (_, id) = owner
-                                .machine
+                                .scheduler
                                 .worker_address(worker)
                                 .expect("announced worker");
                             self.checker.record_report(now, owner.epoch, id, report);
@@ -128,7 +128,7 @@
                             sent,
                             answer,
                         };
-                        owner.machine.handle(owner.clock.read(now), now, event);
+                        owner.scheduler.handle(owner.clock.read(now), now, event);
                     }
                 }
                 Message::Order(order) => self.carry_out(at, order),
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use gorsespur_jobs::{
-    Batch, Event, Job, JobId, Machine, Outcome, QueuePolicy, Settings, Spec, Stats, Takeover,
+    Batch, Event, Job, JobId, Outcome, QueuePolicy, Scheduler, Settings, Spec, Stats, Takeover,
     TaskId, WorkerInfo,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -57,9 +57,9 @@
 /// A batch being written to the store, and the time at which the write is done.
 pub(super) type Write = (u64, Batch);
 
-/// An owner's state machine, and the messages to and from it.
+/// An owner's scheduler, and the messages to and from it.
 pub(super) struct Owner {
-    pub(super) machine: Machine,
+    pub(super) scheduler: Scheduler,
     pub(super) epoch: u64,
     pub(super) slots: BTreeMap<u32, usize>,
     pub(super) messages: Vec<(u64, Message)>,
@@ -190,19 +190,19 @@
     /// leases of earlier owners have expired.
     pub fn take_over(&mut self, inherited: u64) {
         self.epoch += 1;
-        let learned = self.owners.last().map(|o| o.machine.learned());
+        let learned = self.owners.last().map(|o| o.scheduler.learned());
         let asked_at = self.now - self.claim_ms;
         let takeover = Takeover {
             asked_at,
             prior_leases_end: inherited,
         };
-        let mut machine = Machine::new(settings(), self.now, takeover);
+        let mut scheduler = Scheduler::new(settings(), self.now, takeover);
         if let Some(learned) = learned.filter(|_| self.keeps_learned) {
-            machine.import_learned(&learned);
+            scheduler.import_learned(&learned);
         }
-        self.ledger.restore(&mut machine, self.jobs.values());
+        self.ledger.restore(&mut scheduler, self.jobs.values());
         let mut owner = Owner {
-            machine,
+            scheduler,
             epoch: self.epoch,
             slots: BTreeMap::new(),
             messages: Vec::new(),
@@ -224,20 +224,20 @@
             latency: 250,
         };
         owner
-            .machine
+            .scheduler
             .handle(self.now, self.now, Event::Queues(vec![policy]));
         for job in self.jobs.values() {
             owner
-                .machine
+                .scheduler
                 .handle(self.now, self.now, Event::Accepted(job.clone()));
         }
         let zones: Vec<Arc<str>> = self.evacuated.keys().cloned().collect();
         owner
-            .machine
+            .scheduler
             .handle(self.now, self.now, Event::Evacuated(zones.into()));
         for &id in &self.cancelled {
             owner
-                .machine
+                .scheduler
                 .handle(self.now, self.now, Event::Cancelled(id));
         }
         self.owners.push(owner);
@@ -285,7 +285,7 @@
         let now = self.now;
         if let Some(owner) = self.owners.last_mut() {
             let at = owner.clock.read(now);
-            owner.machine.handle(at, now, event);
+            owner.scheduler.handle(at, now, event);
         }
     }
 
@@ -356,7 +356,7 @@
     /// Returns the counters of the newest owner.
     pub fn stats(&self) -> Stats {
         let owner = self.owners.last();
-        owner.map(|o| o.machine.stats()).unwrap_or_default()
+        owner.map(|o| o.scheduler.stats()).unwrap_or_default()
     }
 
     pub fn run(&mut self, ms: u64) {
@@ -424,7 +424,7 @@
         if let Some(due) = owner.unread_commit.take() {
             let asked_at = due - self.write_ms;
             owner
-                .machine
+                .scheduler
                 .handle(at_owner, now, Event::Committed { asked_at });
         }
         if owner.epoch < epoch {
@@ -434,14 +434,14 @@
         }
         if now.is_multiple_of(400) {
             owner
-                .machine
+                .scheduler
                 .handle(at_owner, now, Event::Renewed { asked_at: at_owner });
             self.renewed_at = now;
         }
         let owner = &mut self.owners[at];
         if !self.watch_down {
             owner
-                .machine
+                .scheduler
                 .handle(at_owner, now, Event::WorkersSynced { asked_at: at_owner });
         }
         let Some((due, batch)) = owner.commit.take_if(|(due, _)| *due <= now) else {
@@ -451,7 +451,7 @@
         self.renewed_at = now;
         let asked_at = due - self.write_ms;
         owner
-            .machine
+            .scheduler
             .handle(at_owner, now, Event::Committed { asked_at });
     }
 
@@ -464,7 +464,7 @@
         if self.max_turn_ms > 0 {
             owner.busy_until = now + self.rng.random_range(0..self.max_turn_ms);
         }
-        let actions = owner.machine.decide(owner.clock.read(now), now);
+        let actions = owner.scheduler.decide(owner.clock.read(now), now);
         for action in actions {
             self.act(at, action);
         }
--- a/crates/jobs/tests/all/gangs.rs
+++ b/crates/jobs/tests/all/gangs.rs
@@ -7,8 +7,9 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use gorsespur_jobs::{
-    Action, Answer, Capacity, Ending, Event, Job, JobId, Machine, QueuePolicy, ReportedRun, RunEnd,
-    Settings, StartOrder, Started, Step, Stopped, Takeover, TaskId, WorkerInfo, WorkerReport,
+    Action, Answer, Capacity, Ending, Event, Job, JobId, QueuePolicy, ReportedRun, RunEnd,
+    Scheduler, Settings, StartOrder, Started, Step, Stopped, Takeover, TaskId, WorkerInfo,
+    WorkerReport,
 };
 use test_case::test_case;
 
@@ -28,7 +29,7 @@
 
 /// An owner, its store and its workers, all of which answer at once.
 struct Owner {
-    machine: Machine,
+    scheduler: Scheduler,
     now: u64,
     workers: BTreeMap<u32, WorkerState>,
     starts: Vec<StartOrder>,
@@ -42,7 +43,7 @@
             prior_leases_end: 0,
         };
         let mut owner = Owner {
-            machine: Machine::new(Settings::default(), now, takeover),
+            scheduler: Scheduler::new(Settings::default(), now, takeover),
             now,
             workers: BTreeMap::new(),
             starts: Vec::new(),
@@ -84,7 +85,7 @@
     }
 
     fn notify(&mut self, event: Event) {
-        self.machine.handle(self.now, self.now, event);
+        self.scheduler.handle(self.now, self.now, event);
     }
 
     /// Runs for `ms` milliseconds.
@@ -95,7 +96,7 @@
             let asked_at = self.now;
             self.notify(Event::WorkersSynced { asked_at });
             self.notify(Event::Renewed { asked_at });
-            for action in self.machine.decide(self.now, self.now) {
+            for action in self.scheduler.decide(self.now, self.now) {
                 self.act(action);
             }
         }
--- a/crates/jobs/tests/all/ledger.rs
+++ b/crates/jobs/tests/all/ledger.rs
@@ -5,7 +5,7 @@
     sync::Arc,
 };
 
-use gorsespur_jobs::{Batch, Job, JobId, Machine, Outcome, Record};
+use gorsespur_jobs::{Batch, Job, JobId, Outcome, Record, Scheduler};
 
 /// The records and the log after the committed batches.
 #[derive(Debug, Clone, Default)]
@@ -23,18 +23,22 @@
     }
 
     /// Restores a new owner from the stored rows.
-    pub fn restore<'a>(&self, machine: &mut Machine, jobs: impl IntoIterator<Item = &'a Arc<Job>>) {
+    pub fn restore<'a>(
+        &self,
+        scheduler: &mut Scheduler,
+        jobs: impl IntoIterator<Item = &'a Arc<Job>>,
+    ) {
         for row in &self.log {
-            machine.replay(row).expect("own row");
+            scheduler.replay(row).expect("own row");
         }
         for job in jobs {
             let record = self.records.get(&job.id);
             let record = record.map(|r| Record::decode(r).expect("own record"));
-            let Some(record) = machine.current_record(job.id, record) else {
+            let Some(record) = scheduler.current_record(job.id, record) else {
                 continue;
             };
             assert!(record.is_valid_for(&job.spec));
-            machine.restore(job.clone(), &record);
+            scheduler.restore(job.clone(), &record);
         }
     }
 
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -7,8 +7,9 @@
     ledger::Ledger,
 };
 use gorsespur_jobs::{
-    Action, Answer, Batch, Capacity, Ending, Event, Job, JobId, Machine, Outcome, QueuePolicy,
-    Record, ReportedRun, RunEnd, Settings, Spec, Started, Step, Takeover, WorkerInfo, WorkerReport,
+    Action, Answer, Batch, Capacity, Ending, Event, Job, JobId, Outcome, QueuePolicy, Record,
+    ReportedRun, RunEnd, Scheduler, Settings, Spec, Started, Step, Takeover, WorkerInfo,
+    WorkerReport,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
@@ -39,7 +40,7 @@
 
 /// An owner with one large worker that carries out all orders at once.
 struct Owner {
-    machine: Machine,
+    scheduler: Scheduler,
     ledger: Ledger,
     now: u64,
     /// Bytes that commits have appended to the log.
@@ -54,10 +55,10 @@
 
 impl Owner {
     fn new(ledger: Ledger, jobs: &[Arc<Job>], settings: Settings) -> Owner {
-        let mut machine = Machine::new(settings, START_MS, takeover());
-        ledger.restore(&mut machine, jobs);
+        let mut scheduler = Scheduler::new(settings, START_MS, takeover());
+        ledger.restore(&mut scheduler, jobs);
         let mut owner = Owner {
-            machine,
+            scheduler,
             ledger,
             now: START_MS,
             logged_bytes: 0,
@@ -82,7 +83,7 @@
     }
 
     fn notify(&mut self, event: Event) {
-        self.machine.handle(self.now, self.now, event);
+        self.scheduler.handle(self.now, self.now, event);
     }
 
     /// Runs for `ms` milliseconds. Commits succeed at once, and no run ends.
@@ -92,7 +93,7 @@
             self.now += 50;
             self.notify(Event::WorkersSynced { asked_at: self.now });
             self.notify(Event::Renewed { asked_at: self.now });
-            for action in self.machine.decide(self.now, self.now) {
+            for action in self.scheduler.decide(self.now, self.now) {
                 self.act(action);
             }
         }
@@ -195,11 +196,11 @@
 fn a_change_of_one_task_costs_the_same_in_a_wide_job() {
     let mut owner = Owner::new(Ledger::default(), &[job(1, 1000)], Settings::default());
     owner.run(500);
-    assert_eq!(owner.machine.stats().starts, 1000);
+    assert_eq!(owner.scheduler.stats().starts, 1000);
     let before = owner.logged_bytes;
     owner.running.remove(17);
     owner.run(2500);
-    assert_eq!(owner.machine.stats().starts, 1001);
+    assert_eq!(owner.scheduler.stats().starts, 1001);
     assert!(
         owner.logged_bytes - before < 500,
         "{}",
@@ -268,11 +269,13 @@
     let done = |id| owner.ledger.outcome(JobId(id)) == Outcome::Cancelled;
     assert!(done(1) != done(2), "not exactly one record was written");
     let open = if done(1) { 2 } else { 1 };
-    let mut machine = Machine::new(settings, START_MS, takeover());
+    let mut scheduler = Scheduler::new(settings, START_MS, takeover());
     for row in owner.ledger.log() {
-        machine.replay(row).expect("own row");
+        scheduler.replay(row).expect("own row");
     }
-    let record = machine.current_record(JobId(open), None).expect("log row");
+    let record = scheduler
+        .current_record(JobId(open), None)
+        .expect("log row");
     assert!(record.is_valid_for(&job(open, 1).spec));
 }
 
@@ -304,13 +307,13 @@
 fn an_unreadable_row_affects_no_other() {
     let mut owner = Owner::new(Ledger::default(), &[job(1, 3)], Settings::default());
     owner.run(500);
-    let mut machine = Machine::new(Settings::default(), START_MS, takeover());
-    assert!(machine.replay(b"what is this").is_err());
+    let mut scheduler = Scheduler::new(Settings::default(), START_MS, takeover());
+    assert!(scheduler.replay(b"what is this").is_err());
     for row in owner.ledger.log() {
-        machine.replay(row).expect("own row");
+        scheduler.replay(row).expect("own row");
     }
-    let record = machine.current_record(JobId(1), None).expect("log row");
+    let record = scheduler.current_record(JobId(1), None).expect("log row");
     assert!(record.is_valid_for(&job(1, 3).spec));
     assert!(!record.is_valid_for(&job(1, 2).spec));
-    assert_eq!(machine.current_record(JobId(2), None), None::<Record>);
+    assert_eq!(scheduler.current_record(JobId(2), None), None::<Record>);
 }
--- a/crates/jobs/tests/all/records/simulation.rs
+++ b/crates/jobs/tests/all/records/simulation.rs
@@ -4,7 +4,7 @@
 
 use crate::{ledger::Ledger, records::incarnation::Incarnation};
 use gorsespur_jobs::{
-    Action, Answer, Batch, Ending, Event, Job, JobId, Machine, QueuePolicy, Settings, StartOrder,
+    Action, Answer, Batch, Ending, Event, Job, JobId, QueuePolicy, Scheduler, Settings, StartOrder,
     Started, Takeover, TaskId,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
@@ -31,7 +31,7 @@
     rng: SmallRng,
     now: u64,
     epoch: u64,
-    machine: Machine,
+    scheduler: Scheduler,
     pub workers: Vec<Incarnation>,
     /// Number of checkpoints written so far.
     checkpoint_count: u64,
@@ -55,7 +55,7 @@
             rng: SmallRng::seed_from_u64(seed),
             now,
             epoch: 0,
-            machine: machine(now),
+            scheduler: scheduler(now),
             workers: (0..WORKERS)
                 .map(|at| Incarnation::new(format!("w{at}")))
                 .collect(),
@@ -75,11 +75,11 @@
     /// Starts a new owner, which reads the rows in random order.
     pub fn take_over(&mut self) {
         self.epoch += 1;
-        self.machine = machine(self.now);
+        self.scheduler = scheduler(self.now);
         let mut ids: Vec<JobId> = self.jobs.keys().copied().collect();
         ids.shuffle(&mut self.rng);
         let jobs = ids.iter().map(|id| &self.jobs[id]);
-        self.ledger.restore(&mut self.machine, jobs);
+        self.ledger.restore(&mut self.scheduler, jobs);
         for id in ids {
             let job = self.jobs[&id].clone();
             self.notify(Event::Accepted(job));
@@ -98,7 +98,7 @@
     }
 
     pub fn notify(&mut self, event: Event) {
-        self.machine.handle(self.now, self.now, event);
+        self.scheduler.handle(self.now, self.now, event);
     }
 
     /// Returns a random delay in milliseconds.
@@ -118,7 +118,7 @@
         let asked_at = self.now;
         self.notify(Event::WorkersSynced { asked_at });
         self.notify(Event::Renewed { asked_at });
-        for action in self.machine.decide(self.now, self.now) {
+        for action in self.scheduler.decide(self.now, self.now) {
             self.act(action);
         }
     }
@@ -233,7 +233,7 @@
     /// Returns the incarnation that the owner addresses, unless it has ended.
     fn incarnation(&mut self, worker: u32) -> Option<&mut Incarnation> {
         let (_, id) = self
-            .machine
+            .scheduler
             .worker_address(worker)
             .expect("announced worker");
         self.workers.iter_mut().find(|i| i.id == id)
@@ -264,7 +264,7 @@
         if !self.no_faults && self.rng.random_range(0..20) == 0 {
             // The start is not answered, and carried out later.
             let (_, id) = self
-                .machine
+                .scheduler
                 .worker_address(worker)
                 .expect("announced worker");
             let due = self.now + 10 * TICK_MS;
@@ -279,11 +279,11 @@
     }
 }
 
-/// Returns the state machine of a new owner.
-fn machine(now: u64) -> Machine {
+/// Returns the scheduler of a new owner.
+fn scheduler(now: u64) -> Scheduler {
     let takeover = Takeover {
         asked_at: now,
         prior_leases_end: now + 1000,
     };
-    Machine::new(Settings::default(), now, takeover)
+    Scheduler::new(Settings::default(), now, takeover)
 }
--- a/crates/node/src/owner/decision_loop.rs
+++ b/crates/node/src/owner/decision_loop.rs
@@ -1,10 +1,10 @@
 //! The deciding thread: waits for answers of workers and for messages of other threads, and carries
-//! out the machine's actions.
+//! out the scheduler's actions.
 
 use std::{io, sync::Arc, time::Duration};
 
 use flume::Sender;
-use gorsespur_jobs::{Action, Event, Machine};
+use gorsespur_jobs::{Action, Event, Scheduler};
 use gorsespur_runtime::{cancel::CancelToken, clock::wall_ms};
 use mio::Events;
 
@@ -40,11 +40,11 @@
 /// State of the deciding thread.
 pub(crate) struct DecisionLoop {
     shared: Arc<Shared>,
-    machine: Machine,
+    scheduler: Scheduler,
     connections: Connections,
     inbox: Inbox,
     config: Option<Arc<Config>>,
-    /// The evacuated zones last passed to the machine; `None` before the first time.
+    /// The evacuated zones last passed to the scheduler; `None` before the first time.
     evacuated: Option<Arc<[Arc<str>]>>,
     next_report_at: u64,
     /// When the learned estimates are saved next, in milliseconds.
@@ -72,12 +72,12 @@
     pub(crate) fn new(
         shared: &Arc<Shared>,
         epoch: u64,
-        machine: Machine,
+        scheduler: Scheduler,
         inbox: Inbox,
     ) -> DecisionLoop {
         DecisionLoop {
             shared: shared.clone(),
-            machine,
+            scheduler,
             connections: Connections::new(shared, epoch),
             inbox,
             config: None,
@@ -174,9 +174,9 @@
                     sent,
                     answer,
                 };
-                self.machine.handle(now, wall_ms(), event);
+                self.scheduler.handle(now, wall_ms(), event);
             }
-            let actions = self.machine.decide(now, wall_ms());
+            let actions = self.scheduler.decide(now, wall_ms());
             if actions.is_empty() {
                 break;
             }
@@ -187,9 +187,12 @@
         self.save_learned(now, journal);
         if now >= self.next_report_at {
             self.next_report_at = now + REPORT_PERIOD_MS;
-            send(journal, JournalInput::Pending(self.machine.pending_jobs()));
-            self.shared.metrics.set_owner_stats(self.machine.stats());
-            for worker in self.machine.closable_workers() {
+            send(
+                journal,
+                JournalInput::Pending(self.scheduler.pending_jobs()),
+            );
+            self.shared.metrics.set_owner_stats(self.scheduler.stats());
+            for worker in self.scheduler.closable_workers() {
                 self.connections
                     .drop_worker(self.inbox.poll.registry(), worker);
             }
@@ -204,7 +207,7 @@
         self.next_save_at = now + LEARNED_PERIOD_MS;
         send(
             journal,
-            JournalInput::Learned(encode(&self.machine.learned())),
+            JournalInput::Learned(encode(&self.scheduler.learned())),
         );
     }
 
@@ -213,7 +216,7 @@
             match message {
                 Message::Events(events) => {
                     for event in events {
-                        self.machine.handle(now, wall_ms(), event);
+                        self.scheduler.handle(now, wall_ms(), event);
                     }
                 }
                 Message::Durable(DurableWrite {
@@ -224,7 +227,7 @@
                         true => Event::Committed { asked_at },
                         false => Event::Renewed { asked_at },
                     };
-                    self.machine.handle(now, wall_ms(), event);
+                    self.scheduler.handle(now, wall_ms(), event);
                 }
                 Message::LeaseLost => self.is_over = true,
             }
@@ -239,7 +242,7 @@
         }
         if let Some(config) = &config {
             let event = Event::Queues(config.policies());
-            self.machine.handle(now, wall_ms(), event);
+            self.scheduler.handle(now, wall_ms(), event);
         }
         self.config = config;
     }
@@ -250,7 +253,7 @@
             return;
         }
         let event = Event::Evacuated(zones.clone());
-        self.machine.handle(now, wall_ms(), event);
+        self.scheduler.handle(now, wall_ms(), event);
         self.evacuated = Some(zones);
     }
 
@@ -287,7 +290,7 @@
                 return;
             }
         };
-        if let Some(target) = self.machine.worker_address(worker) {
+        if let Some(target) = self.scheduler.worker_address(worker) {
             let registry = self.inbox.poll.registry();
             self.connections.send(registry, worker, target, order);
         }
--- a/crates/node/src/owner/load.rs
+++ b/crates/node/src/owner/load.rs
@@ -1,8 +1,8 @@
-//! Builds the owner's machine from the store after a takeover.
+//! Builds the owner's scheduler from the store after a takeover.
 
 use std::sync::Arc;
 
-use gorsespur_jobs::{Event, JobId, Learned, Machine, Record, SortedMap};
+use gorsespur_jobs::{Event, JobId, Learned, Record, Scheduler, SortedMap};
 use gorsespur_runtime::clock::wall_ms;
 
 use super::{
@@ -18,9 +18,9 @@
     store::{Row, StoreError},
 };
 
-/// A machine with all jobs, and the positions from which to follow changes.
+/// A scheduler with all jobs, and the positions from which to follow changes.
 pub(crate) struct Loaded {
-    pub(crate) machine: Machine,
+    pub(crate) scheduler: Scheduler,
     /// Keys of the log rows, oldest first.
     pub(crate) log: Vec<String>,
     pub(crate) jobs: Cursor,
@@ -30,16 +30,16 @@
 /// Reads all jobs, their records and the workers.
 pub(crate) fn load(shared: &Arc<Shared>, tenure: &Tenure) -> Result<Loaded, StoreError> {
     let now = shared.clock.now();
-    let mut machine = Machine::new(shared.settings.jobs, now, tenure.takeover);
+    let mut scheduler = Scheduler::new(shared.settings.jobs, now, tenure.takeover);
     if let Some(learned) = learned(shared) {
-        machine.import_learned(&learned);
+        scheduler.import_learned(&learned);
     }
     let mut records: SortedMap<String, Record> = SortedMap::default();
     let mut unreadable: Vec<String> = Vec::new();
     // No other owner writes records or the log any more, so they are consistent whichever is read
     // first.
     let contents = read_contents(shared)?;
-    let log = replay(shared, &mut machine, contents.log);
+    let log = replay(shared, &mut scheduler, contents.log);
     for row in contents.records {
         match Record::decode(&row.value) {
             Ok(record) => {
@@ -60,7 +60,7 @@
         }
         let id = row.key.parse::<JobId>().ok();
         let record = records.get(&row.key).cloned();
-        let record = id.and_then(|id| machine.current_record(id, record));
+        let record = id.and_then(|id| scheduler.current_record(id, record));
         let Some(record) = record else {
             return true;
         };
@@ -72,7 +72,7 @@
             log::error!(key = row.key.as_str(); "owner: record of another job, the job is left alone");
             return false;
         }
-        machine.restore(Arc::new(job), &record);
+        scheduler.restore(Arc::new(job), &record);
         // Restored above, so that it needs no event of its own.
         false
     });
@@ -84,26 +84,26 @@
         events.push(Event::Queues(config.policies()));
     }
     // The zones that this instance has followed so far may be outdated, since it may have been cut
-    // off. The first pass of the decision loop hands them to the machine, before anything is
+    // off. The first pass of the decision loop passes them to the scheduler, before anything is
     // placed.
     refresh_at(shared, Duty::Takeover)?;
     feed::apply_listing(shared, &mut workers, &contents.workers, &mut events);
     for event in events {
-        machine.handle(shared.clock.now(), wall_ms(), event);
+        scheduler.handle(shared.clock.now(), wall_ms(), event);
     }
-    machine.log_unverified_runs();
+    scheduler.log_unverified_runs();
     Ok(Loaded {
-        machine,
+        scheduler,
         log,
         jobs,
         workers,
     })
 }
 
-/// Replays the log into a machine; returns the keys of its rows.
-fn replay(shared: &Shared, machine: &mut Machine, rows: Vec<Row>) -> Vec<String> {
+/// Replays the log into a scheduler; returns the keys of its rows.
+fn replay(shared: &Shared, scheduler: &mut Scheduler, rows: Vec<Row>) -> Vec<String> {
     for row in &rows {
-        if let Err(err) = machine.replay(&row.value) {
+        if let Err(err) = scheduler.replay(&row.value) {
             shared.metrics.count(Count::BadRows);
             log::error!(key = row.key.as_str(), err = err.to_string().as_str(); "owner: row of the log can't be read");
         }
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -97,7 +97,7 @@
                 log::error!("owner: can't start threads");
             } else {
                 send(&journal_inputs, JournalInput::Log(loaded.log));
-                DecisionLoop::new(shared, tenure.epoch, loaded.machine, inbox)
+                DecisionLoop::new(shared, tenure.epoch, loaded.scheduler, inbox)
                     .run(&journal_inputs, cancel);
             }
         }
@@ -117,7 +117,7 @@
     let start = shared.clock.now();
     match load::load(shared, tenure) {
         Ok(loaded) => {
-            let open = loaded.machine.stats().open_jobs;
+            let open = loaded.scheduler.stats().open_jobs;
             log::info!(epoch = tenure.epoch, open, took_ms = shared.clock.now() - start; "owner: begins");
             Some(loaded)
         }
