--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -10,7 +10,7 @@
 //! - *A task never has two runs at once.* The worker of a run is committed before
 //!   the start is sent. A task is placed again only after its worker reported the
 //!   end of the run, or after a report to a poll sent later than the last order
-//!   does not list the run, or after every lease on that worker has expired.
+//!   does not include the run, or after every lease on that worker has expired.
 //! - *An end counts once.* A worker is allowed to drop an end only after the record
 //!   that counts the end is durable. A failed run is counted by its number.
 //! - *A worker is never overcommitted.* Capacity is released when an end is
--- a/crates/jobs/src/model/incarnation.rs
+++ b/crates/jobs/src/model/incarnation.rs
@@ -1,7 +1,7 @@
 //! Names of the incarnations of workers.
 //!
 //! A worker that reports its start time may have several incarnations under one name. Records
-//! tell them apart as `NAME@START_TIME`. An instance without support for incarnations takes
+//! distinguish them as `NAME@START_TIME`. An instance without support for incarnations takes
 //! that for the name of a worker that never reports, and waits until its leases have expired.
 
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 pub(crate) struct Incarnation {
     /// The worker's name.
     pub(crate) id: Arc<str>,
-    /// Start time in milliseconds since the Unix epoch, if the worker reports one. It tells
-    /// incarnations apart but does not order them, since clocks step.
+    /// Start time in milliseconds since the Unix epoch, if the worker reports one. It
+    /// identifies an incarnation but does not order them, since clocks step.
     pub(crate) start_time: Option<u64>,
 }
 
--- a/crates/jobs/src/model/record.rs
+++ b/crates/jobs/src/model/record.rs
@@ -93,7 +93,7 @@
 }
 
 impl Record {
-    /// Makes the record of a job with this outcome, in the form in which records are written.
+    /// Creates the record of a job with this outcome, in the form in which records are written.
     pub(crate) fn new(outcome: Outcome) -> Record {
         Record {
             outcome,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Makes the record of a job without a stored one.
+    /// Creates the record of a job without a stored one.
     pub(crate) fn pending() -> Record {
         Record::new(Outcome::Pending)
     }
--- a/crates/jobs/src/place/pass.rs
+++ b/crates/jobs/src/place/pass.rs
@@ -9,7 +9,7 @@
 
 /// Maximum number of workers that one pass rates: 100 steps on 3,000 workers, about 15 ms.
 ///
-/// A third of this left twice as many jobs waiting at twice the usual load of 3,000
+/// A third of this left twice as many jobs waiting at twice the normal load of 3,000
 /// workers. The most urgent steps come first, so that the steps left over are those that
 /// would wait longest anyway.
 const MAX_RATINGS: usize = 300_000;
@@ -70,7 +70,7 @@
     /// Slots of the workers that accept new runs, sorted.
     pub(crate) open_workers: Vec<u32>,
     /// Free capacity of each worker, by slot. Under load most workers are full, and
-    /// this shows it without a look at the worker.
+    /// this shows it without access to the worker.
     free_capacities: Vec<FreeCapacity>,
     /// Requests that no worker can take in this pass.
     pub(crate) unplaceable: Vec<Unplaceable>,
--- a/crates/jobs/src/place/start_window.rs
+++ b/crates/jobs/src/place/start_window.rs
@@ -2,13 +2,13 @@
 //!
 //! The load pattern is an owner whose link or CPU is saturated. Starts beyond its
 //! throughput queue in its sockets in no useful order, and the polls that renew leases
-//! queue behind them: workers look silent, and urgent starts wait as long as all others.
+//! queue behind them: workers appear silent, and urgent starts wait as long as all others.
 //! Once starts are answered late, the window bounds the number in flight, and the remaining
 //! starts wait in the sorted order of jobs.
 //!
 //! Limits: the window shrinks only if more than half of the answers are late. One zone of
-//! five that is cut off, or one worker in twenty that answers nobody, says nothing about
-//! the owner.
+//! five that is cut off, or one worker in twenty that answers nobody, is no evidence of a
+//! saturated owner.
 
 /// An answer to a start that takes longer than this is late, in milliseconds. Workers
 /// answer within 5 ms, and starts are given up after 700 ms.
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -349,7 +349,7 @@
             *ranking = Some(self.rank_workers(request, pass));
         }
         let worker = self.best_worker(ranking.as_mut()?, request, pass);
-        // Requests of a step with a limit per worker say nothing about other steps:
+        // Failed requests of a step with a limit per worker do not apply to other steps:
         // a worker at the limit still takes their tasks.
         if worker.is_none() && request.step.max_per_worker == 0 {
             pass.unplaceable.push(unplaceable);
--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -10,7 +10,7 @@
     scheduler::Scheduler,
 };
 
-/// A worker that refused a start for lack of room, although it should have had some, gets no run
+/// A worker that refused a start for lack of capacity that it should have had gets no run
 /// for this long, in milliseconds.
 const NO_ROOM_PAUSE_MS: u64 = 250;
 
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -4,7 +4,7 @@
 //! carries it is rejected.
 //!
 //! Limits: a rejection by one worker is enough, so a worker that rejects good checkpoints costs the
-//! work saved in them. Only the last rejected checkpoint of a gang is remembered, and only by this
+//! work saved in them. Only the last rejected checkpoint of a gang is recorded, and only by this
 //! owner.
 
 use crate::{
--- a/crates/jobs/src/runs/close.rs
+++ b/crates/jobs/src/runs/close.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Drops a task's run and releases its room.
+    /// Drops a task's run and releases its capacity.
     pub(crate) fn clear_run(&mut self, id: TaskId) {
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -26,13 +26,13 @@
 /// Workers that are lost within this time of each other are lost simultaneously, in milliseconds.
 const SIMULTANEOUS_MS: u64 = 1000;
 
-/// If so many other workers are lost simultaneously, none of their tasks is the cause.
+/// If this many other workers are lost simultaneously, none of their tasks is the cause.
 const MIN_SIMULTANEOUS_LOSSES: usize = 3;
 
 /// In a large fleet, the limit is one worker in this many instead, if that is higher.
 const SIMULTANEOUS_LOSS_DIVISOR: usize = 12;
 
-/// A task whose run has been listed for longer than this crashes no workers, in milliseconds.
+/// A task whose run has been reported for longer than this crashes no workers, in milliseconds.
 const CLEAR_SUSPECT_MS: u64 = 30_000;
 
 impl Run {
@@ -175,23 +175,24 @@
         self.end_job(id.job, Outcome::Failed);
     }
 
-    /// Records how long the run of a task with crashes has been listed when its worker's clock
-    /// shows `clock`. After a while the run need not be isolated, and later its task is no longer a
+    /// Records for how long the run of a task with crashes has been reported when its worker's
+    /// clock shows `clock`. After a while the run need not be isolated, and later its task is no longer a
     /// suspect.
     pub(crate) fn record_survival(&mut self, slot: u32, id: TaskId, clock: u64) {
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         let Some(task) = task else {
             return;
         };
-        let first_listed = task.run.as_ref().and_then(|r| r.reported_at);
-        let listed_ms = first_listed.map_or(0, |at| clock.saturating_sub(at));
-        if listed_ms > task.crashes.isolation_ms() && self.fleet.get(slot).isolated_task == Some(id)
+        let first_reported = task.run.as_ref().and_then(|r| r.reported_at);
+        let reported_ms = first_reported.map_or(0, |at| clock.saturating_sub(at));
+        if reported_ms > task.crashes.isolation_ms()
+            && self.fleet.get(slot).isolated_task == Some(id)
         {
-            log::info!(task = id.to_string().as_str(), worker = &*self.fleet.get(slot).id, after_ms = listed_ms; "run: no longer apart");
+            log::info!(task = id.to_string().as_str(), worker = &*self.fleet.get(slot).id, after_ms = reported_ms; "run: no longer apart");
             self.fleet.get_mut(slot).isolated_task = None;
             self.placement_due = true;
         }
-        if listed_ms > CLEAR_SUSPECT_MS {
+        if reported_ms > CLEAR_SUSPECT_MS {
             task.crashes.clear();
             self.mark_dirty(id.job);
         }
--- a/crates/jobs/src/runs/fleet.rs
+++ b/crates/jobs/src/runs/fleet.rs
@@ -32,7 +32,7 @@
 }
 
 impl Fleet {
-    /// Makes a fleet without workers; all leases from earlier owners have expired at
+    /// Creates a fleet without workers; all leases from earlier owners have expired at
     /// `prior_leases_end`.
     pub(crate) fn new(prior_leases_end: u64) -> Fleet {
         Fleet {
@@ -98,12 +98,12 @@
         self.synced_at = self.synced_at.max(asked_at);
     }
 
-    /// Returns the age of the known announcements, in milliseconds.
+    /// Returns the age of the announcements, in milliseconds.
     pub(crate) fn age(&self, now: u64) -> u64 {
         now.saturating_sub(self.synced_at)
     }
 
-    /// Returns whether the known announcements are recent enough to place runs.
+    /// Returns whether the announcements are recent enough to place runs.
     pub(crate) fn is_fresh(&self, now: u64, settings: &Settings) -> bool {
         self.age(now) <= settings.max_staleness
     }
--- a/crates/jobs/src/runs/incarnations.rs
+++ b/crates/jobs/src/runs/incarnations.rs
@@ -4,14 +4,14 @@
 //! one, and starts its clock and the numbers of its ends anew.
 //!
 //! A report shows which incarnation is current. A registration shows only that an incarnation
-//! exists, and may be older than the report. Only one incarnation exists at a time, so everything
-//! known of another one from before the poll was sent belongs to an earlier one. The start time
+//! exists, and may be older than the report. Only one incarnation exists at a time, so all state of
+//! another one from before the poll was sent belongs to an earlier one. The start time
 //! identifies incarnations but does not order them, since clocks step.
 //!
 //! All state of a worker belongs to one incarnation, including what its runs show about the
 //! machine, since the machine may be of another kind after the next start.
 //!
-//! Limits: only the last replaced incarnations of a name are remembered.
+//! Limits: only the last replaced incarnations of a name are kept.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -23,7 +23,7 @@
     },
 };
 
-/// Replaced incarnations that are remembered for each name. An answer arrives within three seconds,
+/// Replaced incarnations that are kept for each name. An answer arrives within three seconds,
 /// in which a worker does not start so often.
 const MAX_REPLACED: usize = 16;
 
--- a/crates/jobs/src/runs/log.rs
+++ b/crates/jobs/src/runs/log.rs
@@ -34,7 +34,7 @@
 /// Approximate size of a task in the log.
 pub(crate) const TASK_BYTES: usize = 64;
 
-/// What is remembered of a row.
+/// The metadata of a row.
 #[derive(Debug, Default)]
 struct Row {
     bytes: usize,
--- a/crates/jobs/src/runs/orphan.rs
+++ b/crates/jobs/src/runs/orphan.rs
@@ -1,4 +1,4 @@
-//! Runs that nobody wants.
+//! Runs that are no longer wanted.
 
 use crate::{model::ids::TaskId, runs::worker::Capacity};
 
--- a/crates/jobs/src/runs/poll.rs
+++ b/crates/jobs/src/runs/poll.rs
@@ -16,8 +16,8 @@
 const URGENT_LEASE_GAIN_MS: u64 = 1500;
 
 impl Worker {
-    /// Returns whether the worker listed ends that are not durable yet, so that it lists them
-    /// again.
+    /// Returns whether the worker reported ends that are not durable yet, so that it reports
+    /// them again.
     pub(crate) fn has_pending_ends(&self) -> bool {
         self.counted_end > self.durable_end
     }
@@ -27,7 +27,7 @@
     ///
     /// Another incarnation that reads the poll would drop ends of its own that nobody has read. So
     /// a poll names no end where that may happen, and none that the worker has dropped already.
-    /// Ends that are kept are listed again.
+    /// Ends that are kept are reported again.
     pub(crate) fn droppable_end(&self) -> u64 {
         let is_uncertain = self.silent_since.is_some() || self.contested;
         let are_kept = self.first_end.is_some_and(|e| e <= self.durable_end);
--- a/crates/jobs/src/runs/quarantine.rs
+++ b/crates/jobs/src/runs/quarantine.rs
@@ -1,6 +1,6 @@
 //! Decides which workers get new work after failures.
 //!
-//! A worker that fails every run looks idle and attracts work. But one run in twenty fails by its
+//! A worker that fails every run appears idle and attracts work. But one run in twenty fails by its
 //! task's own fault, and with about 200 ends a second two failures in a row happen every other
 //! second by chance. A quarantine for these would keep 5 to 8 of 66 workers closed. So a few more
 //! runs are placed first, no more than a faulty worker may waste; there they fail within a fraction
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -1,8 +1,8 @@
 //! Handles the runs and starts of a worker's incarnation that another one has replaced.
 //!
-//! All runs that the earlier incarnation has listed have ended, whatever clocks and leases show.
-//! Starts that it has not listed may be carried out by the next incarnation, which has seen no
-//! epoch and whose clock is behind. Their tasks wait until the next incarnation lists them, or
+//! All runs that the earlier incarnation has reported have ended, whatever clocks and leases show.
+//! Starts whose runs it has not reported may be carried out by the next incarnation, which has seen
+//! no epoch and whose clock is behind. Their tasks wait until the next incarnation reports them, or
 //! until a stop prevents them there.
 
 use crate::{
@@ -104,7 +104,7 @@
         unreported.len() + late_starts.len()
     }
 
-    /// Returns the runs on a worker whose starts were sent and that it has not listed.
+    /// Returns the runs on a worker whose starts were sent and that it has not reported.
     fn unreported_runs(&self, slot: u32) -> Vec<TaskId> {
         let runs = self.fleet.get(slot).runs.iter().copied();
         let unreported = runs.filter(|&id| {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Adds a run that a worker may still start, and that nobody wants, to its orphans.
+    /// Adds a run that a worker may still start, and that is not wanted, to its orphans.
     fn add_late_orphan(&mut self, slot: u32, start: LateStart) {
         let id = start.task;
         let state = self.jobs.get(&id.job);
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_listed_run_ends_with_its_incarnation() {
+fn a_reported_run_ends_with_its_incarnation() {
     let mut owner = Owner::new();
     owner.started(0, 1, Started::Done);
     owner.report(0, 1, &[1]);
@@ -191,7 +191,7 @@
 
 /// An answer does not show which incarnation gave it.
 #[test]
-fn an_unlisted_start_is_stopped_in_the_next_incarnation() {
+fn an_unreported_start_is_stopped_in_the_next_incarnation() {
     for answer in [None, Some(Started::Unknown), Some(Started::Done)] {
         let mut owner = Owner::new();
         if let Some(started) = answer {
@@ -310,7 +310,7 @@
 /// A start that a later incarnation may have carried out holds its run for the longest lease, even
 /// if unanswered polls follow. A start that its own incarnation has carried out does not.
 #[test]
-fn an_unlisted_start_is_held_as_long_as_a_later_incarnation_may_run_it() {
+fn an_unreported_start_is_held_as_long_as_a_later_incarnation_may_run_it() {
     let longest = Settings::default().max_lease;
     let mut own = Owner::new();
     own.started(0, 1, Started::DoneAt(own.now - 1));
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn a_poll_drops_ends_only_of_a_known_incarnation_that_still_lists_them() {
+fn a_poll_drops_ends_only_of_a_known_incarnation_that_still_reports_them() {
     let mut owner = Owner::new();
     let worker = owner.scheduler.fleet.get_mut(0);
     worker.durable_end = 5;
--- a/crates/jobs/src/runs/report.rs
+++ b/crates/jobs/src/runs/report.rs
@@ -10,8 +10,8 @@
     scheduler::Scheduler,
 };
 
-/// Ends that one report lists at most; a report with so many may be incomplete.
-const MAX_LISTED_ENDS: usize = 500;
+/// Maximum number of ends in one report; a report with this many may be incomplete.
+const MAX_REPORTED_ENDS: usize = 500;
 
 /// First delay of a task after a failure, in milliseconds; it doubles with each failure.
 const RETRY_BACKOFF_MS: u64 = 40;
@@ -46,7 +46,7 @@
         for row in &report.running {
             self.handle_reported_run(slot, row, report.clock);
         }
-        if report.finished.len() < MAX_LISTED_ENDS {
+        if report.finished.len() < MAX_REPORTED_ENDS {
             self.check_unreported(slot, sent, &report);
         }
         self.check_stalled(slot);
--- a/crates/jobs/src/runs/reported.rs
+++ b/crates/jobs/src/runs/reported.rs
@@ -1,4 +1,4 @@
-//! Handles the runs that a worker lists, and those that it does not list.
+//! Handles the runs that a worker reports, and those missing from its report.
 
 use crate::{
     event::{ReportedRun, WorkerReport},
@@ -19,7 +19,7 @@
 const SETTLED_MS: u64 = 1500;
 
 impl Scheduler {
-    /// Records a run that a worker lists when its clock shows `clock`.
+    /// Records a run that a worker reports when its clock shows `clock`.
     pub(super) fn handle_reported_run(&mut self, slot: u32, reported: &ReportedRun, clock: u64) {
         let now = self.now;
         let id = reported.task;
@@ -131,15 +131,15 @@
         });
     }
 
-    /// Handles the runs that a report to a poll sent at `sent` does not list.
+    /// Handles the runs that are missing from a report to a poll sent at `sent`.
     pub(super) fn check_unreported(&mut self, slot: u32, sent: u64, report: &WorkerReport) {
-        let is_listed = |id: TaskId, run: u32| {
+        let is_reported = |id: TaskId, run: u32| {
             let running = &report.running;
             running.iter().any(|r| r.task == id && r.run == run)
         };
         let worker = self.fleet.get_mut(slot);
         worker.drop_orphans(|s| {
-            s.stopped_at.is_some_and(|at| sent > at) && !is_listed(s.task, s.run)
+            s.stopped_at.is_some_and(|at| sent > at) && !is_reported(s.task, s.run)
         });
         let orphans: Vec<TaskId> = worker.orphans.iter().map(|s| s.task).collect();
         for id in worker.runs.clone() {
@@ -151,7 +151,7 @@
             let Some(run) = task.run.as_mut() else {
                 continue;
             };
-            if is_listed(id, last) {
+            if is_reported(id, last) {
                 continue;
             }
             // An orphan of the same task may be running, or may start.
--- a/crates/jobs/src/runs/unreported.rs
+++ b/crates/jobs/src/runs/unreported.rs
@@ -3,7 +3,7 @@
 //! A worker starts again under its name and, before its new incarnation is known, carries out a
 //! start that was meant for the previous one. The start names the end of its lease on a clock that
 //! is far ahead, so the new incarnation cuts the lease to the longest one, counted from the arrival
-//! of the order. Its run outlasts what the owner granted, and no report has listed it when the
+//! of the order. Its run outlasts what the owner granted, and no report has included it when the
 //! worker is cut off or another one takes its address.
 //!
 //! A run is kept until a report shows which incarnation has it, or until no lease that a later
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -276,7 +276,7 @@
     /// Returns the end of a lease that is granted now, on the worker's clock, or `None` if the
     /// last contact with the store was too long ago.
     ///
-    /// The lease counts from the last known reading of the worker's clock, so that a delayed
+    /// The lease counts from the last reported reading of the worker's clock, so that a delayed
     /// order grants no more than its sender accounts for.
     pub(crate) fn deadline(&self, settings: &Settings, store_contact: u64) -> Option<u64> {
         let (reading, at) = self.clock?;
@@ -364,7 +364,7 @@
         self.orphans.push(orphan);
     }
 
-    /// Removes orphans that are gone and releases their capacity.
+    /// Removes orphans that have ended and releases their capacity.
     pub(crate) fn drop_orphans(&mut self, is_gone: impl Fn(&Orphan) -> bool) {
         let mut at = 0;
         while at < self.orphans.len() {
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -267,7 +267,7 @@
         worker.info.as_ref().map(|i| (i.addr, worker.id.clone()))
     }
 
-    /// Returns whether the job is known.
+    /// Returns whether the scheduler has the job.
     pub fn has_job(&self, id: JobId) -> bool {
         self.jobs.get(&id).is_some()
     }
--- a/crates/jobs/src/share/fit.rs
+++ b/crates/jobs/src/share/fit.rs
@@ -95,7 +95,7 @@
         each.sum()
     }
 
-    /// Returns the measured headroom, limited to what is plausible given the expected one.
+    /// Returns the measured headroom, limited to a plausible range around the expected one.
     fn plausible_headroom(&self, sample: &Sample, base: f64) -> f64 {
         let expected = base - self.headroom_taken(&sample.pressures);
         if sample.headroom < OVERLOAD_HEADROOM && expected < OVERLOAD_HEADROOM {
--- a/crates/jobs/src/share/forecast.rs
+++ b/crates/jobs/src/share/forecast.rs
@@ -18,11 +18,11 @@
 const HALF_LIFE_MS: f64 = 20_000.0;
 
 /// Error of a step's mean headroom that doesn't shrink with more samples, because the headroom that
-/// best-effort runs take is only known roughly.
+/// best-effort runs take is only a rough estimate.
 const SYSTEMATIC_ERROR: f64 = 0.15;
 
 /// Smoothing factor of the drift: the share of a point's deviation from the curve that counts as
-/// lasting.
+/// permanent.
 const DRIFT_SMOOTHING: f64 = 0.2;
 
 /// Interval at which a curve is evaluated for its minimum and its mean.
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -14,7 +14,8 @@
     share::{forecast::Prior, sample::Image},
 };
 
-/// Most pairs that are stored, the best known first. At 20 bytes each they fit into one row.
+/// Maximum number of stored pairs, those with the most evidence first. At 20 bytes each they fit
+/// into one row.
 const MAX_PAIRS: usize = 2000;
 
 /// Headroom that one best-effort image takes from one serving image. Encoded as an array.
--- a/crates/jobs/src/share/seasonality.rs
+++ b/crates/jobs/src/share/seasonality.rs
@@ -24,16 +24,16 @@
 /// at most.
 const PERIOD_FACTOR: f64 = 1.05;
 
-/// Period before the first choice: the middle of the usual 10 to 20 s.
+/// Period before the first choice: the middle of the typical 10 to 20 s.
 const INITIAL_PERIOD_MS: f64 = 15_000.0;
 
 /// Share of a period that a step's history has to span to give the step's mean and amplitude.
 const MIN_SPAN_SHARE: f64 = 0.7;
 
-/// Fewest steps with known mean and amplitude that update the prior.
+/// Minimum number of steps with a mean and an amplitude that update the prior.
 const MIN_CURVES: usize = 3;
 
-/// Lower bound of the variance of the steps' means: no mean is known more precisely.
+/// Lower bound of the variance of the steps' means: no mean is estimated more precisely.
 const MIN_MEAN_VARIANCE: f64 = 0.02;
 
 /// Lower bound of the mean squared amplitude.
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -53,7 +53,7 @@
 }
 
 impl Slack {
-    /// Returns by how much the headroom taken by a new best-effort task exceeds what is left. If it
+    /// Returns by how much the headroom taken by a new best-effort task exceeds the rest. If it
     /// is 0 or less there is enough headroom, and lower is better.
     ///
     /// `costs` are the weights of its image against each serving image, and `share` is the share of
--- a/crates/jobs/src/stats.rs
+++ b/crates/jobs/src/stats.rs
@@ -45,7 +45,7 @@
     pub truncated_passes: u64,
     /// Passes that were throttled because starts were answered late.
     pub throttled_passes: u64,
-    /// Passes that placed nothing because too little was known about the workers.
+    /// Passes that placed nothing because the workers' announcements were stale.
     pub skipped_passes: u64,
     /// Age of the last complete read of the workers' announcements, in milliseconds.
     pub workers_age_ms: u64,
--- a/crates/jobs/tests/all/common/checkpoints.rs
+++ b/crates/jobs/tests/all/common/checkpoints.rs
@@ -114,7 +114,7 @@
     }
 
     /// Records the checkpoints of a report; `gang` returns whether a task belongs to a gang.
-    pub fn record_listed(&mut self, report: &WorkerReport, gang: impl Fn(TaskId) -> bool) {
+    pub fn record_report(&mut self, report: &WorkerReport, gang: impl Fn(TaskId) -> bool) {
         let running = report.running.iter().map(|r| (r.task, &r.checkpoint));
         let finished = report.finished.iter().map(|e| (e.task, &e.checkpoint));
         for (task, text) in running.chain(finished) {
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -185,7 +185,7 @@
                             let jobs = &self.jobs;
                             let step = |id: TaskId| &jobs[&id.job].spec.steps[id.step as usize];
                             let checkpoints = &mut self.checker.checkpoints;
-                            checkpoints.record_listed(&report, |id| step(id).gang);
+                            checkpoints.record_report(&report, |id| step(id).gang);
                         }
                         Some(report)
                     })
--- a/crates/jobs/tests/all/records/mod.rs
+++ b/crates/jobs/tests/all/records/mod.rs
@@ -117,7 +117,7 @@
 /// an older one or none.
 #[test_case(&["a", "b", "c"]; "each a different one")]
 #[test_case(&["a", "", ""]; "one of them none")]
-fn members_of_a_gang_bring_the_same_checkpoint(listed: &[&str]) {
+fn members_of_a_gang_bring_the_same_checkpoint(reported: &[&str]) {
     let mut gang = job(1, Schedule::default());
     let mut spec = (*gang.spec).clone();
     spec.steps.truncate(1);
@@ -132,7 +132,7 @@
     for incarnation in &mut simulation.workers {
         for at in (0..incarnation.runs.len()).rev() {
             let run = &mut incarnation.runs[at];
-            run.checkpoint = listed[run.task.index as usize].into();
+            run.checkpoint = reported[run.task.index as usize].into();
             incarnation.end(at, Ending::Stopped);
         }
     }
