--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -35,7 +35,7 @@
     action: Action,
     sent_at: u64,
     /// Whether the order takes so long that its sender has timed out.
-    stray: bool,
+    overdue: bool,
 }
 
 impl World {
@@ -78,8 +78,8 @@
         owner.link_until = owner.link_until.max(now) + cost;
         let extra = if is_poll(&action) { 0 } else { delay } + (owner.link_until - now);
         let due = now + 2 + extra;
-        let stray = extra > timeout(&action);
-        if stray {
+        let overdue = extra > timeout(&action);
+        if overdue {
             let (slot, answer) = timeout_answer(&action);
             let timed_out = (now + timeout(&action), Message::Answer(slot, now, answer));
             owner.messages.push(timed_out);
@@ -90,7 +90,7 @@
             id,
             action,
             sent_at: now,
-            stray,
+            overdue,
         };
         owner.messages.push((due, Message::Order(order)));
     }
@@ -140,7 +140,7 @@
         let now = self.now;
         let fence = self.owners[at].epoch;
         let sent = order.sent_at;
-        let listener = match order.stray {
+        let listener = match order.overdue {
             true => Some(order.at),
             false => self.listener(order.port),
         };
@@ -153,17 +153,17 @@
                 now + 2,
                 Message::Answer(worker_slot(&order.action), sent, answer),
             );
-            if !order.stray {
+            if !order.overdue {
                 self.owners[at].messages.push(message);
             }
             return;
         }
         let index = listener.unwrap_or(order.at);
-        let is_late = order.stray || now > sent + timeout(&order.action);
+        let is_late = order.overdue || now > sent + timeout(&order.action);
         let is_lost = self.rng.random_range(0..100) < self.settings.lost_percent;
         let is_unanswered =
             is_lost || !self.workers[index].alive || self.workers[index].partitioned;
-        if is_unanswered && !is_late && self.draws_stray(&order.action) {
+        if is_unanswered && !is_late && self.draws_delay(&order.action) {
             return self.delay_order(at, order);
         }
         let action = order.action;
@@ -275,17 +275,17 @@
     }
 
     /// Returns whether an unanswered order is carried out later all the same.
-    fn draws_stray(&mut self, action: &Action) -> bool {
-        let is_eligible = self.stray_percent > 0 && (self.stray_polls || !is_poll(action));
-        is_eligible && self.rng.random_range(0..100) < self.stray_percent
+    fn draws_delay(&mut self, action: &Action) -> bool {
+        let is_eligible = self.delay_percent > 0 && (self.delays_polls || !is_poll(action));
+        is_eligible && self.rng.random_range(0..100) < self.delay_percent
     }
 
     /// Delays an order; its sender gets no answer.
     fn delay_order(&mut self, at: usize, mut order: Order) {
         let (slot, answer) = timeout_answer(&order.action);
         let timed_out = (order.sent_at + timeout(&order.action)).max(self.now);
-        let due = self.now + self.rng.random_range(0..self.max_stray_ms.max(1));
-        order.stray = true;
+        let due = self.now + self.rng.random_range(0..self.max_delay_ms.max(1));
+        order.overdue = true;
         let messages = &mut self.owners[at].messages;
         messages.push((timed_out, Message::Answer(slot, order.sent_at, answer)));
         messages.push((due, Message::Order(order)));
@@ -297,7 +297,9 @@
             for (due, message) in std::mem::take(&mut self.owners[at].messages) {
                 match message {
                     Message::Order(order)
-                        if order.at == index && !order.stray && self.draws_stray(&order.action) =>
+                        if order.at == index
+                            && !order.overdue
+                            && self.draws_delay(&order.action) =>
                     {
                         self.delay_order(at, order);
                     }
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -95,11 +95,11 @@
     /// Rows of ended incarnations whose workers kept their names.
     pub past_rows: Vec<(usize, WorkerInfo)>,
     /// Share of unanswered orders that are carried out later all the same, in percent.
-    pub stray_percent: u32,
+    pub delay_percent: u32,
     /// Upper bound of the delay of such an order, in milliseconds.
-    pub max_stray_ms: u64,
+    pub max_delay_ms: u64,
     /// Whether polls may be carried out late as well.
-    pub stray_polls: bool,
+    pub delays_polls: bool,
     /// Upper bound of the random delay of each answer to a poll, in milliseconds.
     pub max_lag_ms: u64,
     /// Rows that expire, each with the time at which it does.
@@ -151,9 +151,9 @@
             restart_ms: RESTART_MS,
             restart: Restart::default(),
             past_rows: Vec::new(),
-            stray_percent: 0,
-            max_stray_ms: 0,
-            stray_polls: false,
+            delay_percent: 0,
+            max_delay_ms: 0,
+            delays_polls: false,
             max_lag_ms: 0,
             expiring_rows: Vec::new(),
             watch_down: false,
--- a/crates/jobs/tests/all/restarts.rs
+++ b/crates/jobs/tests/all/restarts.rs
@@ -72,9 +72,9 @@
         lost_percent: rng.random_range(0..6),
         reuse_names,
     });
-    world.stray_percent = [0, 30, 100][rng.random_range(0..3)];
-    world.max_stray_ms = rng.random_range(100..6000);
-    world.stray_polls = seed.is_multiple_of(4);
+    world.delay_percent = [0, 30, 100][rng.random_range(0..3)];
+    world.max_delay_ms = rng.random_range(100..6000);
+    world.delays_polls = seed.is_multiple_of(4);
     world.max_lag_ms = [0, 40, 300][rng.random_range(0..3)];
     world.unread_percent = [0, 0, 50][rng.random_range(0..3)];
     world.run(100);
