--- a/crates/core/tests/common/checks.rs
+++ b/crates/core/tests/common/checks.rs
@@ -48,7 +48,7 @@
 }
 
 /// Panics if a task ran in two places at the same time or a worker was overcommitted.
-pub fn check_promises(world: &World) {
+pub fn check_invariants(world: &World) {
     let ledger = world.ledger.entries();
     let runs = runs(&ledger);
     for (i, a) in runs.iter().enumerate() {
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -12,6 +12,6 @@
 mod owner;
 pub mod world;
 
-pub use checks::check_promises;
+pub use checks::check_invariants;
 pub use fault::Fault;
 pub use world::{World, WorldSettings, spec};
--- a/crates/core/tests/configs.rs
+++ b/crates/core/tests/configs.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn what_is_newer_is_told_and_nothing_else() {
+fn only_newer_entries_are_returned() {
     let mut configs = Configs::default();
     configs.update(&entry("a", 2));
     configs.update(&entry("b", 5));
--- a/crates/core/tests/faults.rs
+++ b/crates/core/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Fault, World, WorldSettings, check_promises, checks::done_counts, spec};
+use common::{Fault, World, WorldSettings, check_invariants, checks::done_counts, spec};
 use gorsespur_core::template::Priority;
 use test_case::test_case;
 
@@ -38,7 +38,7 @@
     let finished = world.run_until_finished(LIMIT_MS);
     world.end_faults();
     world.run(3_000);
-    check_promises(&world);
+    check_invariants(&world);
     assert!(finished, "not finished after {faults:?} with gap {gap}");
     done_counts(&world);
 }
--- a/crates/core/tests/guards.rs
+++ b/crates/core/tests/guards.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Fault, World, WorldSettings, check_promises, spec};
+use common::{Fault, World, WorldSettings, check_invariants, spec};
 use gorsespur_core::{
     owner::{LeaseWatch, OwnerLease, ShardRow, WriteOutcome, resolve_write},
     shard::{
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_worker_that_knows_a_newer_epoch_is_reported() {
+fn a_worker_that_has_seen_a_newer_epoch_is_reported() {
     let mut m = scheduler();
     let Event::Answer { worker, mut answer } = answer(NOW_MS, 1) else {
         unreachable!()
@@ -153,7 +153,7 @@
         world.run(60_000);
         world.end_faults();
         assert!(world.run_until_finished(300_000));
-        check_promises(&world);
+        check_invariants(&world);
     }
 }
 
@@ -223,7 +223,7 @@
         world.inject(Fault::WorkerCut, pick);
         world.run(60_000);
         assert!(world.run_until_finished(400_000));
-        check_promises(&world);
+        check_invariants(&world);
     }
 }
 
@@ -255,7 +255,7 @@
     assert_eq!(world.status(&later).expect("known").done, 1);
     let long = world.status(&world.submitted[0].0.clone()).expect("known");
     assert_eq!((long.active, long.evictions), (3, 0));
-    check_promises(&world);
+    check_invariants(&world);
 }
 
 /// An owner that lost its shard must not stop tasks that the new owner started.
@@ -271,7 +271,7 @@
     world.run(6_000);
     world.submit(spec("new", 4, 30_000, Priority::Normal));
     assert!(world.run_until_finished(200_000));
-    check_promises(&world);
+    check_invariants(&world);
     for e in world.ledger.entries() {
         let stopped = matches!(e.what, What::Saved | What::Stopped);
         assert!(!stopped || e.service, "{e:?}");
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_pause_across_the_lease_needs_a_new_proof() {
+fn a_pause_longer_than_the_lease_needs_a_new_confirmation() {
     let mut lease = OwnerLease::new(4_000, NOW_MS);
     lease.tick(NOW_MS + 3_900);
     assert!(lease.can_act());
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn a_renewed_row_is_not_taken_and_a_still_one_is() {
+fn an_unchanged_row_is_acquired_and_a_renewed_one_is_not() {
     let mut watch = LeaseWatch::new(4_000);
     let owned = row(1, Some("a"));
     for i in 0..20 {
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn a_released_row_is_taken_at_once_and_nothing_unseen_is() {
+fn a_released_row_is_acquired_at_once_and_an_unread_one_is_not() {
     let mut watch = LeaseWatch::new(4_000);
     assert!(!watch.can_acquire(NOW_MS + 99_000));
     watch.observe(NOW_MS, Some(&row(1, None)), 3);
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Fault, World, WorldSettings, check_promises, spec};
+use common::{Fault, World, WorldSettings, check_invariants, spec};
 use gorsespur_core::{
     placement::{Band, CoRunner, History, InterferenceModel, PlacementPolicy},
     shard::{AttemptId, JobState, Queue, Record, TaskRef},
@@ -39,11 +39,11 @@
         ));
     }
     assert!(w.run_until_finished(200_000));
-    check_promises(&w);
+    check_invariants(&w);
 }
 
 #[test]
-fn least_loaded_spreads_what_it_can() {
+fn least_loaded_spreads_tasks_over_workers() {
     let mut w = world(PlacementPolicy::LeastLoaded);
     w.submit(spec("job", 4, 20_000, Priority::Normal));
     w.run(1_500);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn an_urgent_task_gets_room_from_bulk_within_its_time() {
+fn an_urgent_task_preempts_bulk_tasks_within_its_time() {
     let mut w = world(PlacementPolicy::Interference);
     w.submit(spec("bulk", 30, 600_000, Priority::Bulk));
     w.run(3_000);
@@ -93,7 +93,7 @@
     }
     let waited = started.expect("started");
     assert!(waited <= 2_200, "waited {waited} ms");
-    check_promises(&w);
+    check_invariants(&w);
 }
 
 #[test]
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_failing_worker_is_quarantined_and_costs_few_tries() {
+fn a_failing_worker_is_quarantined_after_few_attempts() {
     let mut w = world(PlacementPolicy::LeastLoaded);
     w.inject(Fault::WorkerFailsAll, 1);
     for i in 0..20 {
@@ -164,14 +164,14 @@
         w.inject(Fault::Cancels, pick);
     }
     assert!(w.run_until_finished(30_000));
-    check_promises(&w);
+    check_invariants(&w);
     for worker in w.owners[0].scheduler.workers() {
         assert!(worker.allocations.iter().all(|r| r.service));
     }
 }
 
 #[test]
-fn urgent_lanes_come_first_and_stale_entries_are_the_callers_to_skip() {
+fn queued_tasks_are_taken_by_priority_and_delayed_ones_when_due() {
     let mut queue = Queue::default();
     let task = |job| TaskRef { job, task: 0 };
     queue.push(Priority::Bulk, 0, task(1), 5);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn the_guilty_neighbour_is_learned_and_a_shift_is_followed() {
+fn the_interfering_neighbour_is_learned_and_a_change_is_followed() {
     let mut model = InterferenceModel::default();
     model.grow(3);
     let band = Band::of(0.7);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn what_is_unknown_in_one_band_is_taken_from_another() {
+fn a_term_unknown_in_one_band_is_taken_from_another() {
     let mut model = InterferenceModel::default();
     model.grow(2);
     model.learn(0, &[1], Band::of(0.9), 2.0, 0);
--- a/crates/core/tests/promises.rs
+++ b/crates/core/tests/promises.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{Fault, World, WorldSettings, check_promises, checks::done_counts, spec};
+use common::{Fault, World, WorldSettings, check_invariants, checks::done_counts, spec};
 use gorsespur_core::template::Priority;
 use proptest::{
     prelude::*,
@@ -76,7 +76,7 @@
         let finished = world.run_until_finished(LIMIT_MS);
         world.end_faults();
         world.run(3_000);
-        check_promises(&world);
+        check_invariants(&world);
         prop_assert!(finished, "jobs are still open");
         done_counts(&world);
     }
--- a/crates/core/tests/regression.rs
+++ b/crates/core/tests/regression.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Fault, World, WorldSettings, check_promises, spec};
+use common::{Fault, World, WorldSettings, check_invariants, spec};
 use gorsespur_core::{
     shard::{Event, JobState, ShardId, ShardScheduler, ShardSettings, ShardState, Takeover},
     template::Priority,
@@ -21,7 +21,7 @@
     world.inject(Fault::StoreDown, 0);
     world.inject(Fault::OwnerPaused, 0);
     assert!(world.run_until_finished(120_000));
-    check_promises(&world);
+    check_invariants(&world);
 }
 
 /// A task failed permanently although its attempts had failed on one worker only.
@@ -68,7 +68,7 @@
     world.inject(Fault::OwnerDies, 0);
     world.kill_worker(1);
     assert!(world.run_until_finished(120_000));
-    check_promises(&world);
+    check_invariants(&world);
 }
 
 /// A job that arrived before the templates failed immediately.
@@ -120,7 +120,7 @@
         world.submit(spec(&format!("job{i}"), 1, 1_000, Priority::Normal));
     }
     assert!(world.run_until_finished(200_000));
-    check_promises(&world);
+    check_invariants(&world);
     world.submit(spec("after", 1, 1_000, Priority::Normal));
     assert!(
         world.run_until_finished(60_000),
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -108,7 +108,7 @@
 #[test_case(false, AttemptOutcome::NotSent, Some(Outcome::NotRun); "once and not sent")]
 #[test_case(true, AttemptOutcome::Failed, Some(Outcome::Unknown); "repeatable and failed")]
 #[test_case(false, AttemptOutcome::Failed, Some(Outcome::Unknown); "once and failed")]
-fn what_a_caller_is_told_when_every_try_ends_so(
+fn a_request_whose_attempts_all_fail_is_refused_by_their_outcome(
     repeatable: bool,
     end: AttemptOutcome,
     expected: Option<Outcome>,
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_try_that_failed_makes_later_proofs_worthless() {
+fn a_failed_attempt_makes_the_outcome_unknown() {
     let mut router = router(8);
     let out = router.step(START_MS, &RouteEvent::Arrive(arrival(1, START_MS)));
     let (req, attempt, _) = sent(&out)[0].clone();
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_target_that_says_it_leaves_gets_nothing_new() {
+fn a_target_that_reports_leaving_gets_no_new_requests() {
     let mut router = router(2);
     let out = router.step(START_MS, &RouteEvent::Arrive(arrival(0, START_MS)));
     let (req, attempt, leaving_worker) = sent(&out)[0].clone();
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn what_can_not_be_met_in_time_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_refused_at_once() {
     let mut router = router(1);
     for req in 0..8 {
         router.step(START_MS, &RouteEvent::Arrive(arrival(req, START_MS)));
