--- a/crates/core/src/placement/policy.rs
+++ b/crates/core/src/placement/policy.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Policy for the choice among the workers with room for a task.
+/// Policy for the choice among the workers with free capacity for a task.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacementPolicy {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -6,7 +6,7 @@
 //! that report is fresh.
 //!
 //! A request that can't be answered before its deadline is refused as not run
-//! as soon as this is known, so that its caller can go elsewhere; it is not kept
+//! as soon as this is certain, so that its caller can go elsewhere; it is not kept
 //! until the deadline.
 
 mod action;
--- a/crates/core/src/shard/exchange.rs
+++ b/crates/core/src/shard/exchange.rs
@@ -100,7 +100,7 @@
     pub stops: Vec<StopOrder>,
     /// Throttles.
     pub throttles: Vec<Throttle>,
-    /// Ended attempts that the worker may forget.
+    /// Ended attempts that the worker may drop.
     pub acks: Vec<AttemptId>,
 }
 
--- a/crates/core/src/shard/place_tasks.rs
+++ b/crates/core/src/shard/place_tasks.rs
@@ -82,7 +82,7 @@
     score: f32,
 }
 
-/// A shape of a team's tasks that no worker has room for in this pass.
+/// A shape of a team's tasks that no worker has capacity for in this pass.
 #[derive(PartialEq)]
 struct SkippedShape {
     team: u16,
@@ -123,7 +123,7 @@
     /// Places the tasks of a priority, at most `remaining` of them.
     ///
     /// Finds the best worker for the first task of each team and places the best of these
-    /// candidates, so that scarce room goes to the task that fits it best. Then only the team of
+    /// candidates, so that scarce capacity goes to the task that fits it best. Then only the team of
     /// the placed task and teams whose candidate chose the same worker get a new candidate.
     fn place_priority(&mut self, now: Millis, priority: Priority, remaining: &mut usize) {
         let mut unplaced = Unplaced::default();
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Takes the first task of a team that is still queued and that a worker has room for.
+    /// Takes the first task of a team that is still queued and that a worker has capacity for.
     fn next_candidate(
         &mut self,
         now: Millis,
@@ -281,7 +281,7 @@
         self.append_record(now, record, 0);
     }
 
-    /// Preempts others for an urgent task that has waited for room for `preempt_after`.
+    /// Preempts others for an urgent task that has waited for capacity for `preempt_after`.
     fn consider_preempting(&mut self, now: Millis, request: &PlacementRequest, since: Millis) {
         let urgent = request.priority == Priority::Urgent && !request.service;
         if urgent && now >= since + self.settings.preempt_after {
@@ -331,9 +331,10 @@
         })
     }
 
-    /// Returns the index of the best worker with room and its score; lower is better.
+    /// Returns the index of the best worker with capacity and its score; lower is better.
     ///
-    /// In a large shard random workers are compared first, and all only if none of these has room.
+    /// In a large shard random workers are compared first, and all only if none of these has
+    /// capacity.
     fn choose_worker(&mut self, now: Millis, request: &PlacementRequest) -> Option<(usize, f32)> {
         let n = self.workers.len();
         if n <= MAX_FULL_SCAN_WORKERS {
@@ -423,7 +424,7 @@
         weight as f32
     }
 
-    /// Evicts attempts from the worker that needs the fewest evictions, and reserves room for the
+    /// Evicts attempts from the worker that needs the fewest evictions, and reserves capacity for the
     /// task there.
     fn preempt(&mut self, now: Millis, request: &PlacementRequest) {
         let task = request.task;
@@ -469,10 +470,10 @@
     /// Bulk attempts are chosen first, and the latest started ones among equal priorities.
     fn victims(&self, w: &Worker, size: &Size) -> Option<Vec<AttemptId>> {
         let mut evictable = Vec::new();
-        let mut room = w.available();
+        let mut free = w.available();
         for r in &w.allocations {
             if r.stop.is_some() {
-                room = room.saturating_add(&r.size);
+                free = free.saturating_add(&r.size);
                 continue;
             }
             let limit = self.classes[usize::from(r.class)].max_evictions;
@@ -485,13 +486,13 @@
         evictable.sort_by_key(|o| std::cmp::Reverse((o.0, o.1, o.2)));
         let mut out = Vec::new();
         for (_, _, id, freed) in evictable {
-            if size.fits_in(&room) {
+            if size.fits_in(&free) {
                 break;
             }
-            room = room.saturating_add(&freed);
+            free = free.saturating_add(&freed);
             out.push(id);
         }
-        size.fits_in(&room).then_some(out)
+        size.fits_in(&free).then_some(out)
     }
 }
 
--- a/crates/core/src/shard/services.rs
+++ b/crates/core/src/shard/services.rs
@@ -17,7 +17,7 @@
     /// Creates and resizes the jobs of all services to this shard's share of the replicas in the
     /// templates.
     ///
-    /// Does nothing until the numbers of workers are known.
+    /// Does nothing until the numbers of workers have been received.
     pub(super) fn sync_services(&mut self, now: Millis) {
         if self.worker_counts.is_empty() {
             return;
--- a/crates/core/src/shard/settings.rs
+++ b/crates/core/src/shard/settings.rs
@@ -39,7 +39,7 @@
     /// Maximum number of evictions of noisy tasks in a minute.
     #[serde(rename = "evictions")]
     pub evictions_per_minute: u32,
-    /// How long an urgent task waits for room before others are preempted.
+    /// How long an urgent task waits for capacity before others are preempted.
     #[serde(rename = "patience")]
     pub preempt_after: Millis,
     /// How long resources stay reserved for a task after others were preempted for it.
--- a/crates/core/src/shard/status.rs
+++ b/crates/core/src/shard/status.rs
@@ -26,7 +26,7 @@
     pub cancelled: u32,
     /// Evictions so far.
     pub evictions: u32,
-    /// Why the job failed, if known.
+    /// Why the job failed, if a reason is recorded.
     pub reason: Option<Name>,
 }
 
--- a/crates/core/tests/common/checks.rs
+++ b/crates/core/tests/common/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of the promises against the ledger of the workers.
+//! Checks of the invariants against the ledger of the workers.
 
 use gorsespur_core::shard::{JobState, JobStatus};
 use gorsespur_stand::{Entry, What};
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Owners run the real scheduler and lease logic; the journal is a list of
 //! records behind a versioned row; workers are simulated, and their ledger is
-//! the ground truth for checking the promises.
+//! the ground truth for checking the invariants.
 
 #![expect(dead_code, reason = "each test file uses only some of the helpers")]
 
--- a/crates/core/tests/promises.rs
+++ b/crates/core/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Random interleavings of faults, checked against the promises as invariants.
+//! Random interleavings of faults, checked against the invariants of the shard.
 //!
 //! `PROPTEST_CASES=2000 cargo test --release -p gorsespur-core --test promises`
 //! runs more cases.
--- a/crates/core/tests/regression.rs
+++ b/crates/core/tests/regression.rs
@@ -55,7 +55,7 @@
 
 /// Tasks on a worker that had left the membership list before a takeover stayed active.
 ///
-/// The new owner looked for such workers only when the list changed again. This
+/// The new owner searched for such workers only when the list changed again. This
 /// happens if a worker is killed just before its shard moves.
 #[test]
 fn tasks_of_a_worker_that_left_the_list_before_a_takeover_run_again() {
@@ -107,7 +107,7 @@
 ///
 /// After a quarantine a worker receives one task at a time. It counted as free
 /// only without any allocation, but replicas stay allocated during a
-/// quarantine, so with the other workers gone no task ran any more.
+/// quarantine, so without the other workers no task ran any more.
 #[test]
 fn a_quarantined_worker_with_a_replica_is_tried_again() {
     let mut world = World::new(WorldSettings {
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -15,10 +15,10 @@
     traffic::Traffic,
 };
 
-/// Most idle connections in the pool.
+/// Maximum number of idle connections in the pool.
 const MAX_IDLE: usize = 8;
 
-/// Most bytes read at once.
+/// Maximum number of bytes read at once.
 const READ_CHUNK_BYTES: usize = 16 << 10;
 
 /// Shortest timeout of a read, so that bytes that have arrived are read even after the deadline.
@@ -30,8 +30,8 @@
 /// Longest time beyond the deadline for the whole of such a response.
 const MAX_EXTENSION: Duration = Duration::from_secs(15);
 
-/// Most reads after the deadline. They suffice for a response of 1 MB that has arrived, and bound
-/// the time spent on a peer that keeps sending a little.
+/// Maximum number of reads after the deadline. They suffice for a response of 1 MB that has
+/// arrived, and bound the time spent on a peer that keeps sending a little.
 const MAX_LATE_READS: usize = 64;
 
 /// A client for one address with a pool of connections; shared by threads.
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -14,7 +14,7 @@
     socket,
 };
 
-/// Most bytes read at once.
+/// Maximum number of bytes read at once.
 const READ_CHUNK_BYTES: usize = 16 << 10;
 
 /// Readiness of a connection as reported by an event loop.
--- a/crates/http/src/parse.rs
+++ b/crates/http/src/parse.rs
@@ -5,7 +5,7 @@
     message::{Method, Request, Response},
 };
 
-/// Most header fields of a message.
+/// Maximum number of header fields of a message.
 const MAX_HEADERS: usize = 64;
 
 /// Limits on the size of a message, in bytes.
@@ -99,7 +99,7 @@
     let framing = parse_framing(head.headers)?;
     let status = head.code.unwrap_or_default();
     let length = match (framing.content_length, status) {
-        // An interim response has no body, whatever its header fields say.
+        // An interim response has no body, whatever its header fields contain.
         (_, status) if is_interim(status) => 0,
         (Some(length), _) => length,
         (None, 204 | 304) => 0,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -24,7 +24,7 @@
 /// Stack size of a connection's thread; handlers hold bodies on the heap.
 const STACK_BYTES: usize = 256 << 10;
 
-/// Most bytes read at once.
+/// Maximum number of bytes read at once.
 const READ_CHUNK_BYTES: usize = 8 << 10;
 
 /// Handles requests; called by several threads at once.
@@ -41,7 +41,7 @@
 /// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerSettings {
-    /// Most open connections; further ones are closed on arrival.
+    /// Maximum number of open connections; further ones are closed on arrival.
     pub max_connections: usize,
     /// Longest time from the first byte of a request to its last.
     pub request_timeout: Duration,
--- a/crates/http/tests/links.rs
+++ b/crates/http/tests/links.rs
@@ -140,8 +140,8 @@
     bytes.iter().map(|&b| vec![b]).collect()
 }
 
-/// Guards against a response that is returned for another call: a look at a worker that got the
-/// previous look's response would list runs that have ended and miss those that have started. A
+/// Guards against a response that is returned for another call: a poll of a worker that got the
+/// previous poll's response would report runs that have ended and miss those that have started. A
 /// call may fail instead.
 #[test_case(vec![OWN_RESPONSE.to_vec()]; "whole")]
 #[test_case(split_bytes(OWN_RESPONSE); "in pieces")]
@@ -273,7 +273,7 @@
     let bodies = [vec![b'a'; LARGE_BYTES], b"next".to_vec()];
     let reader = thread::spawn(move || {
         let mut peer = peers.recv().expect("a connection");
-        // The socket's buffer fills up meanwhile.
+        // The socket's buffer becomes full meanwhile.
         thread::sleep(Duration::from_millis(300));
         let mut read = Vec::new();
         for _ in 0..2 {
--- a/crates/jobs/src/share/seasonality.rs
+++ b/crates/jobs/src/share/seasonality.rs
@@ -42,11 +42,11 @@
 /// Interval between choices of the period.
 const CHOICE_INTERVAL_MS: u64 = 3_000;
 
-/// Most histories that the period is fitted to, so that a choice costs the same with 70 and with
-/// 10,000 steps.
+/// Maximum number of histories that the period is fitted to, so that a choice costs the same with 70
+/// and with 10,000 steps.
 const MAX_HISTORIES: usize = 16;
 
-/// Fewest points of a history that the period is fitted to.
+/// Minimum number of points of a history that the period is fitted to.
 const MIN_POINTS: usize = 12;
 
 /// Time from a forecast to its score, about the duration of a run.
@@ -59,11 +59,11 @@
 /// persistence forecasts.
 const MAX_ERROR_RATIO: f64 = 0.7;
 
-/// Fewest scored forecasts before curves count as reliable.
+/// Minimum number of scored forecasts before curves count as reliable.
 const MIN_SCORED: f64 = 30.0;
 
-/// Most pending forecasts of all steps; a step has up to four. Scoring the forecasts of some steps
-/// is enough, and costs the same with 70 and with 10,000 steps.
+/// Maximum number of pending forecasts of all steps; a step has up to four. Scoring the forecasts of
+/// some steps is enough, and costs the same with 70 and with 10,000 steps.
 const MAX_PENDING: usize = 256;
 
 /// A forecast that is scored when it is due.
--- a/crates/node/src/candidate_tests.rs
+++ b/crates/node/src/candidate_tests.rs
@@ -156,7 +156,7 @@
 const RESTART_MS: u64 = 300;
 
 /// Guards against waiting too long for leases of an earlier owner: two long-running tasks started
-/// 11 s after a takeover, since their worker was gone and those leases ended only 12.7 s after the
+/// 11 s after a takeover, since their worker was lost and those leases ended only 12.7 s after the
 /// last renewal.
 #[test_case(0; "taken at once")]
 #[test_case(1000; "after the shortest term")]
--- a/crates/node/src/follow_turns.rs
+++ b/crates/node/src/follow_turns.rs
@@ -6,7 +6,7 @@
 //! them are alive: each follows for a while and rests for a random time, and on average as many
 //! begin as end.
 //!
-//! Limits: the number of instances comes from the owner; until it is known, all follow. If all
+//! Limits: the number of instances comes from the owner; until it is received, all follow. If all
 //! followers are lost together with the owner, others begin to follow within half a second.
 
 /// Average number of followers per size class.
--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -21,7 +21,7 @@
 
 /// Pause between reads of changed workers. Each worker writes its row every other second, so that
 /// without the pause nearly every write would cause a call and a wake-up. Together with the time of
-/// one answer, it bounds the age of what is known about workers.
+/// one answer, it bounds the age of the announcements.
 const WORKERS_PAUSE: Duration = Duration::from_millis(300);
 
 /// Pause after a failure.
--- a/crates/node/src/owner/inbox.rs
+++ b/crates/node/src/owner/inbox.rs
@@ -53,7 +53,7 @@
     }
 
     fn send(&self, message: Message) {
-        // The receiver is gone only after the owner has stopped.
+        // The receiver is dropped only after the owner has stopped.
         let sent = self.queue.send(message).is_ok();
         if sent && let Err(err) = self.waker.wake() {
             log::warn!(err = err.to_string().as_str(); "owner: can't wake the deciding thread");
--- a/crates/node/src/owner/journal.rs
+++ b/crates/node/src/owner/journal.rs
@@ -284,7 +284,7 @@
 ///
 /// If the last attempt renewed the lease, the contact counts from that attempt, since others see
 /// the renewal no earlier. If an earlier attempt took effect, or the write is not visible to
-/// others, it is only known to have happened after `first`.
+/// others, it is only certain to have happened after `first`.
 pub(super) fn contact_time(done: bool, renews: bool, first: u64, last: u64) -> u64 {
     match done && renews {
         true => last,
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -52,7 +52,7 @@
     pub(crate) pending: Vec<(Arc<str>, u64)>,
     /// Version of the row of the journal's head.
     pub(crate) head: u64,
-    /// What is known about previous owners.
+    /// State that previous owners left.
     pub(crate) takeover: Takeover,
 }
 
--- a/crates/node/src/protocol.rs
+++ b/crates/node/src/protocol.rs
@@ -27,7 +27,7 @@
 pub enum Order {
     /// Poll the worker for running and ended runs.
     Poll {
-        /// The worker may forget ended runs up to this number.
+        /// The worker may drop ended runs up to this number.
         observed: u64,
         /// End of the lease on the worker's clock in milliseconds.
         deadline: Option<u64>,
--- a/crates/peer/src/config.rs
+++ b/crates/peer/src/config.rs
@@ -33,7 +33,7 @@
 /// Timeout of a request to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Most changes that are read from the log; beyond that all templates are read.
+/// Maximum number of changes that are read from the log; beyond that all templates are read.
 const MAX_LOG_ENTRIES: u64 = 200;
 
 /// Rows per scan of the table.
--- a/crates/peer/src/settings.rs
+++ b/crates/peer/src/settings.rs
@@ -12,7 +12,7 @@
 
 use crate::{Layout, Zone};
 
-/// Most shards of a zone.
+/// Maximum number of shards of a zone.
 const MAX_SHARDS: u32 = 1_000;
 
 /// Longest duration in a setting.
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/client.rs
@@ -19,7 +19,7 @@
 /// Longest time of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Most header fields of a response.
+/// Maximum number of header fields of a response.
 const MAX_HEADERS: usize = 64;
 
 /// A header field.
--- a/crates/runtime/src/metrics.rs
+++ b/crates/runtime/src/metrics.rs
@@ -13,7 +13,7 @@
 
 use crate::exit::{EXIT_FAILURE, HasExitCode};
 
-/// Most datagrams that wait to be sent; further ones are dropped.
+/// Maximum number of datagrams that wait to be sent; further ones are dropped.
 const MAX_QUEUED_DATAGRAMS: usize = 1024;
 
 /// Settings of metrics.
--- a/crates/runtime/src/server.rs
+++ b/crates/runtime/src/server.rs
@@ -69,9 +69,9 @@
     pub body_timeout: Duration,
     /// Threads that run the handler.
     pub handlers: usize,
-    /// Most requests that wait for a thread; further ones are rejected as not run.
+    /// Maximum number of requests that wait for a thread; further ones are rejected as not run.
     pub max_queued: usize,
-    /// Most connections; the longest idle ones above this number are closed.
+    /// Maximum number of connections; the longest idle ones above this number are closed.
     pub max_connections: usize,
 }
 
