--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -248,7 +248,7 @@
 #[test_case(f32::INFINITY; "infinite")]
 #[test_case(-5.0; "negative")]
 #[test_case(1e9; "absurd")]
-fn an_absurd_sample_does_no_lasting_harm(slow: f32) {
+fn an_absurd_sample_has_no_permanent_effect(slow: f32) {
     let mut model = InterferenceModel::default();
     model.grow(2);
     model.learn(0, &[1], Band(0), slow, 0);
--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -196,8 +196,8 @@
     /// Returns a description of the waiting jobs.
     pub fn backlog(&self) -> String {
         let pending = self.scheduler.pending_jobs();
-        let figures = self.scheduler.stats();
-        let (open, passes, cut) = (figures.open_jobs, figures.passes, figures.truncated_passes);
+        let stats = self.scheduler.stats();
+        let (open, passes, cut) = (stats.open_jobs, stats.passes, stats.truncated_passes);
         format!("{open} open, waiting {pending:?}, {cut} of {passes} passes truncated")
     }
 
--- a/crates/jobs/src/runs/incarnations_tests.rs
+++ b/crates/jobs/src/runs/incarnations_tests.rs
@@ -223,7 +223,7 @@
 
 /// Many restarts of one worker take up bounded space.
 #[test]
-fn replaced_incarnations_are_remembered_in_bounded_space() {
+fn replaced_incarnations_are_kept_in_bounded_space() {
     let mut harness = Harness::new();
     harness.register(Some(1));
     harness.poll(0, Some(1));
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_run_that_the_next_incarnation_lists_goes_on() {
+fn a_run_that_the_next_incarnation_reports_goes_on() {
     let mut owner = Owner::new();
     owner.register(2);
     owner.report(0, 2, &[1]);
--- a/crates/jobs/src/share/seasonality_tests.rs
+++ b/crates/jobs/src/share/seasonality_tests.rs
@@ -87,7 +87,7 @@
 
 /// A single measurement is off by up to a tenth, the mean of many is closer.
 #[test]
-fn a_constant_load_is_forecast_as_it_is() {
+fn a_constant_load_is_forecast_unchanged() {
     let (_, error) = simulate(60, |_, _| 2.0);
     assert!(error < 0.1, "forecast error {error}");
 }
@@ -100,7 +100,7 @@
 
 /// All headrooms fall by 1, a third of their mean, at once and stay there.
 #[test]
-fn a_lasting_rise_of_the_load_is_followed() {
+fn a_permanent_rise_of_the_load_is_followed() {
     let headroom_at: HeadroomAt =
         |s, t| periodic_headroom(20_000.0, s, t) - if t > 45_000 { 1.0 } else { 0.0 };
     let (_, error) = simulate(70, headroom_at);
--- a/crates/jobs/tests/all/sharing.rs
+++ b/crates/jobs/tests/all/sharing.rs
@@ -414,9 +414,9 @@
 
 /// Runs best-effort jobs of many images for 20 s and starts a new owner. Returns the best-effort
 /// work at full pace in the 2 s after that, in task seconds.
-fn best_effort_after_takeover(remembers: bool) -> f64 {
+fn best_effort_after_takeover(keeps_learned: bool) -> f64 {
     let mut world = world();
-    world.keeps_learned = remembers;
+    world.keeps_learned = keeps_learned;
     let mut usage = Usage::default();
     for step in 0..440 {
         if step % 2 == 0 {
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -26,7 +26,7 @@
 pub(crate) fn refresh(shared: &Shared) -> Result<(), StoreError> {
     let (table, _) = shared.protocol.config_row();
     let after = shared
-        .config_known()
+        .config_version()
         .ok_or_else(|| StoreError::Unavailable {
             reason: "the configuration has not been read yet".into(),
         })?;
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -141,7 +141,7 @@
 
     /// Returns the store version up to which changes of the configuration's table have been read;
     /// `None` if it was never read.
-    pub(crate) fn config_known(&self) -> Option<u64> {
+    pub(crate) fn config_version(&self) -> Option<u64> {
         let evacuated = self.evacuated.lock();
         let version = evacuated.unwrap_or_else(PoisonError::into_inner).version;
         (version > 0).then_some(version)
--- a/crates/peer/src/heartbeats.rs
+++ b/crates/peer/src/heartbeats.rs
@@ -17,11 +17,11 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Largest heartbeat.
-const MAX_BEAT_BYTES: usize = 8 * 1024;
+const MAX_HEARTBEAT_BYTES: usize = 8 * 1024;
 
 /// Receives heartbeats until `cancel` is cancelled.
 pub(crate) fn receive_all(state: &AgentState, socket: &UdpSocket, cancel: &CancelToken) {
-    let mut buf = vec![0; MAX_BEAT_BYTES];
+    let mut buf = vec![0; MAX_HEARTBEAT_BYTES];
     while !cancel.is_cancelled() {
         let Ok((n, _)) = socket.recv_from(&mut buf) else {
             continue;
@@ -51,7 +51,7 @@
             }
         }
         state.peers().remove_dead(state.clock.now());
-        if wait_for_next_beat(state, interval, cancel) {
+        if wait_for_next_heartbeat(state, interval, cancel) {
             return;
         }
     }
@@ -59,7 +59,7 @@
 
 /// Waits until the next heartbeat is due, which is at once when this instance starts
 /// to leave; returns whether `cancel` is cancelled.
-fn wait_for_next_beat(state: &AgentState, interval: Duration, cancel: &CancelToken) -> bool {
+fn wait_for_next_heartbeat(state: &AgentState, interval: Duration, cancel: &CancelToken) -> bool {
     let was_staying = !state.is_leaving();
     let deadline = Instant::now() + interval;
     while Instant::now() < deadline && was_staying != state.is_leaving() {
