--- a/crates/core/src/shard/place_tasks.rs
+++ b/crates/core/src/shard/place_tasks.rs
@@ -123,8 +123,8 @@
     /// Places the tasks of a priority, at most `remaining` of them.
     ///
     /// Finds the best worker for the first task of each team and places the best of these
-    /// candidates, so that scarce capacity goes to the task that fits it best. Then only the team of
-    /// the placed task and teams whose candidate chose the same worker get a new candidate.
+    /// candidates, so that scarce capacity goes to the task that fits it best. Then only the team
+    /// of the placed task and teams whose candidate chose the same worker get a new candidate.
     fn place_priority(&mut self, now: Millis, priority: Priority, remaining: &mut usize) {
         let mut unplaced = Unplaced::default();
         let mut candidates = Vec::new();
@@ -424,8 +424,8 @@
         weight as f32
     }
 
-    /// Evicts attempts from the worker that needs the fewest evictions, and reserves capacity for the
-    /// task there.
+    /// Evicts attempts from the worker that needs the fewest evictions, and reserves capacity for
+    /// the task there.
     fn preempt(&mut self, now: Millis, request: &PlacementRequest) {
         let task = request.task;
         let has_reservation = |w: &Worker| {
--- a/crates/jobs/benches/site.rs
+++ b/crates/jobs/benches/site.rs
@@ -71,7 +71,7 @@
     answers: Vec<Event>,
     polls: u64,
     jobs: u64,
-    /// Rate of arrivals as a multiple of the usual one.
+    /// Rate of arrivals as a multiple of the normal one.
     load_factor: u64,
     /// Fractions of jobs that are due to arrive, by kind.
     arrivals_due: [u64; 2],
@@ -83,7 +83,7 @@
 }
 
 impl Site {
-    /// Creates a site whose serving tasks start soon. Jobs arrive at `load_factor` times the usual
+    /// Creates a site whose serving tasks start soon. Jobs arrive at `load_factor` times the normal
     /// rate.
     pub fn new(workers: u64, load_factor: u64) -> Site {
         let now = 3_600_000;
--- a/crates/jobs/src/place/start_window.rs
+++ b/crates/jobs/src/place/start_window.rs
@@ -7,7 +7,7 @@
 //! starts wait in the sorted order of jobs.
 //!
 //! Limits: the window shrinks only if more than half of the answers are late. One zone of
-//! five that is cut off, or one worker in twenty that answers nobody, is no evidence of a
+//! five that is cut off, or one worker in twenty that never answers, is no evidence of a
 //! saturated owner.
 
 /// An answer to a start that takes longer than this is late, in milliseconds. Workers
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -176,8 +176,8 @@
     }
 
     /// Records for how long the run of a task with crashes has been reported when its worker's
-    /// clock shows `clock`. After a while the run need not be isolated, and later its task is no longer a
-    /// suspect.
+    /// clock shows `clock`. After a while the run need not be isolated, and later its task is no
+    /// longer a suspect.
     pub(crate) fn record_survival(&mut self, slot: u32, id: TaskId, clock: u64) {
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         let Some(task) = task else {
--- a/crates/jobs/src/share/interference.rs
+++ b/crates/jobs/src/share/interference.rs
@@ -11,8 +11,8 @@
 //! headroom is forecast, the fit uses the deviations of its tasks' headrooms from the forecast.
 //! Else it uses their deviations from the step's mean, against the deviations of the best-effort
 //! use beside them from its mean. The second way underestimates the weights by a third, because the
-//! best-effort use is measured only roughly and is similar beside all tasks of a step. Older samples
-//! decay.
+//! best-effort use is measured only roughly and is similar beside all tasks of a step. Older
+//! samples decay.
 //!
 //! Differences of logarithms from one half second to the next don't work: the variation of the load
 //! hides the interference, and harmless pairs appear harmful.
--- a/crates/jobs/src/share/metrics.rs
+++ b/crates/jobs/src/share/metrics.rs
@@ -78,8 +78,8 @@
     }
 
     /// Lets best-effort runs on a worker without serving tasks run at full pace. Else a run that
-    /// was slowed for a serving task that has ended would stay slowed, and no more best-effort tasks
-    /// would be placed there.
+    /// was slowed for a serving task that has ended would stay slowed, and no more best-effort
+    /// tasks would be placed there.
     fn restore_paces(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
         worker.is_over_target = false;
--- a/crates/jobs/src/share/pace.rs
+++ b/crates/jobs/src/share/pace.rs
@@ -150,9 +150,9 @@
 
     /// Sets the pace that a run should have, and moves the run if it has been slowed much for long.
     ///
-    /// The time counts on while the pace stays the same. Else a run that is halted permanently would
-    /// hold back its whole step: with tail latencies over their targets at the peak of each load,
-    /// best-effort jobs then earn 0.53 of their value instead of 0.60.
+    /// The time counts on while the pace stays the same. Else a run that is halted permanently
+    /// would hold back its whole step: with tail latencies over their targets at the peak of each
+    /// load, best-effort jobs then earn 0.53 of their value instead of 0.60.
     fn set_wanted_pace(&mut self, best_effort: &BestEffortRun, pace: u32) {
         let now = self.now;
         let id = best_effort.task;
--- a/crates/jobs/src/share/seasonality.rs
+++ b/crates/jobs/src/share/seasonality.rs
@@ -42,8 +42,8 @@
 /// Interval between choices of the period.
 const CHOICE_INTERVAL_MS: u64 = 3_000;
 
-/// Maximum number of histories that the period is fitted to, so that a choice costs the same with 70
-/// and with 10,000 steps.
+/// Maximum number of histories that the period is fitted to, so that a choice costs the same with
+/// 70 and with 10,000 steps.
 const MAX_HISTORIES: usize = 16;
 
 /// Minimum number of points of a history that the period is fitted to.
@@ -62,8 +62,8 @@
 /// Minimum number of scored forecasts before curves count as reliable.
 const MIN_SCORED: f64 = 30.0;
 
-/// Maximum number of pending forecasts of all steps; a step has up to four. Scoring the forecasts of
-/// some steps is enough, and costs the same with 70 and with 10,000 steps.
+/// Maximum number of pending forecasts of all steps; a step has up to four. Scoring the forecasts
+/// of some steps is enough, and costs the same with 70 and with 10,000 steps.
 const MAX_PENDING: usize = 256;
 
 /// A forecast that is scored when it is due.
--- a/crates/jobs/tests/all/behind.rs
+++ b/crates/jobs/tests/all/behind.rs
@@ -207,7 +207,7 @@
 
 /// An owner was paused for four seconds, and a successor needs as long to read the jobs, so that
 /// up to 283 of 800 runs lapsed before they were polled. After the pause the owner renews leases
-/// at once from the last known clocks of the workers, also while ends wait for a commit.
+/// at once from the last reported clocks of the workers, also while ends wait for a commit.
 #[test_case(1; "nothing ended")]
 #[test_case(900; "ends wait to be durable")]
 fn a_paused_owner_renews_leases_at_once(estimate: u64) {
--- a/crates/jobs/tests/all/checkpoints.rs
+++ b/crates/jobs/tests/all/checkpoints.rs
@@ -2,7 +2,7 @@
 //!
 //! A start brings a checkpoint that was reported for its task. In a gang the checkpoint of any
 //! member is valid, and all members bring the same one. The workers of these tests write
-//! checkpoints whose texts are opaque, and the checker knows where each one was written.
+//! checkpoints whose texts are opaque, and the checker records where each one was written.
 
 use crate::common::{
     Mode, Resumed, World, WorldSettings, chain, check_invariants, serving, short, with_checkpoints,
@@ -86,9 +86,9 @@
 }
 
 /// All members of a gang bring the same invalid checkpoint, and each start is rejected. The first
-/// answer removes the checkpoint from all members. The other answers must not look like rejected
-/// starts without a checkpoint, which would blame their workers three times each and close the
-/// whole fleet for a while. What counts is the checkpoint that the start brought.
+/// answer removes the checkpoint from all members. The other answers must not be handled as
+/// rejected starts without a checkpoint, which would blame their workers three times each and close
+/// the whole fleet for a while. What counts is the checkpoint that the start brought.
 #[test]
 fn a_rejected_checkpoint_of_a_gang_is_no_workers_fault() {
     let gang = Step {
@@ -123,8 +123,8 @@
 }
 
 /// A worker rejects all starts. The other members of the gang start with the same checkpoint and
-/// report it, so that it would be used again; the worker is not blamed, looks idle and would get a
-/// member of each next run. A rejected checkpoint is not used again.
+/// report it, so that it would be used again; the worker is not blamed, appears idle and would get
+/// a member of each next run. A rejected checkpoint is not used again.
 #[test]
 fn a_worker_that_rejects_all_does_not_hold_up_a_gang() {
     let gang = Step {
--- a/crates/jobs/tests/all/common/checker.rs
+++ b/crates/jobs/tests/all/common/checker.rs
@@ -31,7 +31,7 @@
     /// The highest number of an end that an owner has read from each incarnation.
     last_read: BTreeMap<(Arc<str>, Option<u64>), u64>,
     /// Runs that some incarnation was ordered never to start.
-    barred: BTreeSet<(TaskId, u32)>,
+    blocked_runs: BTreeSet<(TaskId, u32)>,
     /// The epoch of the last owner that read a report of each incarnation, and when it first did
     /// so.
     first_read: BTreeMap<(Arc<str>, Option<u64>), (u64, u64)>,
@@ -40,15 +40,16 @@
 /// Time within which an owner has to read the end of a task, in milliseconds.
 const READ_MS: u64 = 100;
 
-/// Time within which an owner bars late starts in an incarnation that has reported to it, in
+/// Time within which an owner blocks late starts in an incarnation that has reported to it, in
 /// milliseconds.
 const BAR_MS: u64 = 2000;
 
-/// Time within which an owner stops runs of late starts that came before the bar, in milliseconds.
+/// Time within which an owner stops runs of late starts that came before the block, in
+/// milliseconds.
 const STOP_MS: u64 = 3000;
 
 /// Time for which capacity that was taken away still counts, in milliseconds: an owner needs time
-/// to learn of the change.
+/// to read the change.
 const SHRINK_GRACE_MS: u64 = 4500;
 
 /// Starts after [`CRASHES`] crashes that are a violation.
@@ -151,12 +152,12 @@
 
     /// Records that an incarnation never starts a run any more.
     pub fn record_bar(&mut self, task: TaskId, run: u32) {
-        self.barred.insert((task, run));
+        self.blocked_runs.insert((task, run));
     }
 
     /// Returns the time until which the run of a late start may overlap other runs, or 0. No owner
-    /// can prevent a late start that it had barred in an earlier incarnation if it does not know
-    /// the new one yet.
+    /// can prevent a late start that it had blocked in an earlier incarnation if it has not
+    /// read of the new one yet.
     pub fn exempt_until(
         &self,
         now: u64,
@@ -164,7 +165,7 @@
         worker: &SimWorker,
         order: &StartOrder,
     ) -> u64 {
-        if !self.barred.contains(&(order.task, order.run)) {
+        if !self.blocked_runs.contains(&(order.task, order.run)) {
             return 0;
         }
         let first_read = self.first_read.get(&(worker.id.clone(), worker.start_time));
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Records that a worker may forget ends up to a number. A late order may have been meant for
+    /// Records that a worker may drop ends up to a number. A late order may have been meant for
     /// an earlier incarnation.
     pub fn record_observed(&mut self, now: u64, worker: &SimWorker, number: u64, late: bool) {
         let read = self.last_read.get(&(worker.id.clone(), worker.start_time));
@@ -186,7 +187,7 @@
                     if !late && end.number > read {
                         let (id, task) = (&worker.id, end.task);
                         self.violations
-                            .push(format!("{now}: {id} forgets the unread end of {task}"));
+                            .push(format!("{now}: {id} drops the unread end of {task}"));
                     }
                     self.counted_done.entry(end.task).or_insert(now);
                 }
--- a/crates/jobs/tests/all/common/crash.rs
+++ b/crates/jobs/tests/all/common/crash.rs
@@ -24,12 +24,12 @@
         let now = self.now;
         for at in 0..self.workers.len() {
             let runs = &self.workers[at].runs;
-            let culprit = runs.iter().find(|r| {
+            let crashing = runs.iter().find(|r| {
                 let crasher = self.crashers.iter().find(|c| c.task == r.task);
                 crasher.is_some_and(|c| now >= r.started_at + c.after_ms)
             });
             let other_runs = runs.len().saturating_sub(1);
-            if let Some(task) = culprit.map(|r| r.task) {
+            if let Some(task) = crashing.map(|r| r.task) {
                 self.checker.record_crash(task, other_runs);
                 self.crash(at);
             }
@@ -80,7 +80,7 @@
     }
 }
 
-/// Returns the answer to an order at an address at which nobody listens.
+/// Returns the answer to an order at an address without a listener.
 pub(super) fn refusal_answer(action: &Action) -> Option<Answer> {
     match action {
         Action::Poll { .. } => Some(Answer::ConnectionRefused),
--- a/crates/jobs/tests/all/common/orders.rs
+++ b/crates/jobs/tests/all/common/orders.rs
@@ -274,7 +274,7 @@
         self.owners[at].messages.push(message);
     }
 
-    /// Returns whether an unanswered order is carried out later all the same.
+    /// Returns whether an unanswered order is carried out later nevertheless.
     fn draws_delay(&mut self, action: &Action) -> bool {
         let is_eligible = self.delay_percent > 0 && (self.delays_polls || !is_poll(action));
         is_eligible && self.rng.random_range(0..100) < self.delay_percent
--- a/crates/jobs/tests/all/common/sim.rs
+++ b/crates/jobs/tests/all/common/sim.rs
@@ -114,7 +114,7 @@
     /// Checkpoints that were written since the last step.
     pub new_checkpoints: Vec<Checkpoint>,
     /// Tasks whose runs up to a number never start any more.
-    pub barred: Vec<(TaskId, u32)>,
+    pub blocked_runs: Vec<(TaskId, u32)>,
     next_end: u64,
     /// Tail latencies of serving tasks in percent of their targets, one for each half second,
     /// repeated. Computed if empty.
@@ -164,7 +164,7 @@
             runs: Vec::new(),
             finished: Vec::new(),
             new_checkpoints: Vec::new(),
-            barred: Vec::new(),
+            blocked_runs: Vec::new(),
             next_end: 1,
             tail_percents: Vec::new(),
             tail_growth: 0.0,
@@ -215,7 +215,7 @@
             self.write_checkpoint(at);
         }
         let run = self.runs.remove(at);
-        self.barred.push((run.task, run.run));
+        self.blocked_runs.push((run.task, run.run));
         self.finished.push(RunEnd {
             number: self.next_end,
             task: run.task,
@@ -367,8 +367,8 @@
         if self.runs.iter().any(same) {
             return Started::Done;
         }
-        let barred = |b: &(TaskId, u32)| b.0 == order.task && b.1 >= order.run;
-        if self.barred.iter().any(barred) {
+        let blocked = |b: &(TaskId, u32)| b.0 == order.task && b.1 >= order.run;
+        if self.blocked_runs.iter().any(blocked) {
             return Started::Old;
         }
         if self.clock(now) > order.deadline {
@@ -438,7 +438,7 @@
             return Stopped::Fenced;
         }
         self.fence = fence;
-        self.barred.push((task, run));
+        self.blocked_runs.push((task, run));
         let found = self
             .runs
             .iter_mut()
--- a/crates/jobs/tests/all/common/world.rs
+++ b/crates/jobs/tests/all/common/world.rs
@@ -94,7 +94,7 @@
     pub restart: Restart,
     /// Rows of ended incarnations whose workers kept their names.
     pub past_rows: Vec<(usize, WorkerInfo)>,
-    /// Share of unanswered orders that are carried out later all the same, in percent.
+    /// Share of unanswered orders that are carried out later nevertheless, in percent.
     pub delay_percent: u32,
     /// Upper bound of the delay of such an order, in milliseconds.
     pub max_delay_ms: u64,
@@ -115,7 +115,7 @@
     pub link_ms: u64,
     /// Milliseconds from a new owner's claim of the lease until it reads the answer.
     pub claim_ms: u64,
-    /// Milliseconds for which an owner that lost the lease continues before it learns of the loss.
+    /// Milliseconds for which an owner that lost the lease continues before it detects the loss.
     /// A write that was under way when the owner was paused completes during the pause.
     pub unaware_ms: u64,
     /// Whether a new owner imports what the previous one learned.
--- a/crates/jobs/tests/all/crashing/crowds.rs
+++ b/crates/jobs/tests/all/crashing/crowds.rs
@@ -1,4 +1,4 @@
-//! A crash that makes suspects of many tasks: the culprit is found, and the others run on.
+//! A crash that makes suspects of many tasks: the crasher is found, and the others run on.
 
 use crate::common::{Crasher, World, WorldSettings, chain, check_invariants, short};
 use gorsespur_jobs::{JobId, Outcome, Step, TaskId};
@@ -18,13 +18,13 @@
 struct Isolation {
     /// Milliseconds until all jobs had ended.
     took_ms: u64,
-    /// Number of jobs without a culprit that failed.
+    /// Number of jobs without a crasher that failed.
     wrongly_failed: usize,
 }
 
 /// Returns a world in which one worker is about to crash under [`SUSPECTS`] tasks that have just
 /// started. Some of the tasks crash each worker that starts them.
-fn world_of_suspects(workers: usize, culprits: u64, seed: u64) -> World {
+fn world_of_suspects(workers: usize, crashers: u64, seed: u64) -> World {
     let mut world = World::new(WorldSettings {
         workers,
         seed,
@@ -47,8 +47,8 @@
             step: 0,
             index: 0,
         };
-        let spacing = SUSPECTS / culprits;
-        if id % spacing == 0 && id / spacing < culprits {
+        let spacing = SUSPECTS / crashers;
+        if id % spacing == 0 && id / spacing < crashers {
             world.crashers.push(Crasher {
                 task,
                 after_ms: 200,
@@ -64,19 +64,19 @@
 }
 
 /// Runs until all jobs have ended.
-fn isolate_culprits(workers: usize, culprits: u64, seed: u64) -> Isolation {
-    let mut world = world_of_suspects(workers, culprits, seed);
+fn isolate_crashers(workers: usize, crashers: u64, seed: u64) -> Isolation {
+    let mut world = world_of_suspects(workers, crashers, seed);
     let since = world.now;
     world.run_until_done(4 * LIMIT_MS);
     check_invariants(&world, seed);
-    let culprit_jobs: Vec<JobId> = world.crashers.iter().map(|c| c.task.job).collect();
+    let crasher_jobs: Vec<JobId> = world.crashers.iter().map(|c| c.task.job).collect();
     let jobs = (0..SUSPECTS).map(JobId);
     let failed = jobs.filter(|&j| world.outcome(j) == Outcome::Failed);
-    let wrongly_failed = failed.filter(|j| !culprit_jobs.contains(j)).count();
-    let found = culprit_jobs
+    let wrongly_failed = failed.filter(|j| !crasher_jobs.contains(j)).count();
+    let found = crasher_jobs
         .iter()
         .all(|&j| world.outcome(j) == Outcome::Failed);
-    assert!(found, "a culprit was not found");
+    assert!(found, "a crasher was not found");
     Isolation {
         took_ms: world.now - since,
         wrongly_failed,
@@ -89,10 +89,10 @@
 #[test_case(12, 3)]
 #[test_case(100, 1)]
 #[test_case(100, 3)]
-fn many_suspects_of_one_crash_do_not_wait_for_each_other(workers: usize, culprits: u64) {
+fn many_suspects_of_one_crash_do_not_wait_for_each_other(workers: usize, crashers: u64) {
     for seed in 0..3 {
-        let found = isolate_culprits(workers, culprits, seed);
-        assert_eq!(found.wrongly_failed, 0, "jobs without a culprit failed");
+        let found = isolate_crashers(workers, crashers, seed);
+        assert_eq!(found.wrongly_failed, 0, "jobs without a crasher failed");
         assert!(found.took_ms < LIMIT_MS, "{found:?}");
     }
 }
--- a/crates/jobs/tests/all/crashing/culprits.rs
+++ b/crates/jobs/tests/all/crashing/culprits.rs
@@ -5,7 +5,7 @@
         Crasher, World, WorldSettings, chain, check_invariants, long_running, serving, short,
     },
     crashing::{
-        CULPRIT, WORKERS, check_outcomes, culprit, run_busy, shapes, submit_culprit, world,
+        CRASHER, WORKERS, check_outcomes, crasher, run_busy, shapes, submit_crasher, world,
     },
 };
 use gorsespur_jobs::{JobId, Outcome, TaskId};
@@ -15,10 +15,10 @@
 fn a_task_that_crashes_each_worker_is_given_up() {
     for (name, step) in shapes() {
         let mut world = world(1);
-        submit_culprit(&mut world, chain(vec![step]), 10);
+        submit_crasher(&mut world, chain(vec![step]), 10);
         run_busy(&mut world, 30_000);
         check_invariants(&world, 0);
-        assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
+        assert_eq!(world.outcome(CRASHER), Outcome::Failed, "{name}");
         check_outcomes(&mut world, name);
     }
 }
@@ -29,10 +29,10 @@
 #[test_case(2500)]
 fn a_task_that_crashes_its_worker_later_is_given_up(after: u64) {
     let mut world = world(2);
-    submit_culprit(&mut world, chain(vec![short(3, 6000)]), after);
+    submit_crasher(&mut world, chain(vec![short(3, 6000)]), after);
     run_busy(&mut world, 60_000);
     let name = format!("after {after} ms");
-    assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
+    assert_eq!(world.outcome(CRASHER), Outcome::Failed, "{name}");
     check_outcomes(&mut world, &name);
 }
 
@@ -44,7 +44,7 @@
     world.restart_ms = 20_000;
     world.submit(2, chain(vec![long_running(3 * WORKERS as u32)]));
     world.run(1500);
-    submit_culprit(&mut world, chain(vec![short(3, 6000)]), after);
+    submit_crasher(&mut world, chain(vec![short(3, 6000)]), after);
     run_busy(&mut world, 60_000);
     let name = format!("after {after} ms");
     let later_crashes = &world.checker.other_runs[1..];
@@ -52,7 +52,7 @@
         later_crashes.iter().any(|&t| t > 0),
         "{name}: always isolated"
     );
-    assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
+    assert_eq!(world.outcome(CRASHER), Outcome::Failed, "{name}");
     check_outcomes(&mut world, &name);
 }
 
@@ -61,18 +61,18 @@
 fn several_tasks_that_crash_workers_are_given_up() {
     let mut world = world(3);
     for id in 0..5 {
-        let id = JobId(CULPRIT.0 + id);
+        let id = JobId(CRASHER.0 + id);
         world.submit(id.0, chain(vec![short(3, 800)]));
         let task = TaskId {
             job: id,
-            ..culprit()
+            ..crasher()
         };
         world.crashers.push(Crasher { task, after_ms: 10 });
     }
     run_busy(&mut world, 60_000);
     check_invariants(&world, 3);
     for id in 0..5 {
-        let id = JobId(CULPRIT.0 + id);
+        let id = JobId(CRASHER.0 + id);
         assert_eq!(world.outcome(id), Outcome::Failed, "{id}");
     }
     world.run(8000);
@@ -92,9 +92,9 @@
         world.run(100);
         world.submit(1, chain(vec![serving(WORKERS as u32 / 2)]));
         world.run(1000);
-        submit_culprit(&mut world, chain(vec![step]), 10);
+        submit_crasher(&mut world, chain(vec![step]), 10);
         run_busy(&mut world, 30_000);
-        assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
+        assert_eq!(world.outcome(CRASHER), Outcome::Failed, "{name}");
         let other_runs = &world.checker.other_runs;
         assert!(other_runs.len() <= 4, "{name}: {other_runs:?}");
         assert!(
--- a/crates/jobs/tests/all/crashing/losses.rs
+++ b/crates/jobs/tests/all/crashing/losses.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     common::{Crasher, World, WorldSettings, chain, check_invariants, long_running, short},
-    crashing::{CULPRIT, WORKERS, check_outcomes, culprit, run_busy, shapes, world},
+    crashing::{CRASHER, WORKERS, check_outcomes, crasher, run_busy, shapes, world},
 };
 use gorsespur_jobs::{JobId, Outcome, Step, TaskId};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -97,19 +97,19 @@
 }
 
 /// Tasks that crash workers, combined with takeovers, losses of power, partitions and crashes that
-/// are no task's fault. No culprit is started too often, and no other job is given up.
+/// are no task's fault. No crasher is started too often, and no other job is given up.
 #[test]
 fn only_tasks_that_crash_workers_are_given_up() {
     for seed in (0..24).chain([129, 1510, 1539, 1598, 2234, 2579]) {
         let mut world = world(seed);
         let mut rng = SmallRng::seed_from_u64(seed);
         let steps = shapes();
-        let culprits = rng.random_range(1..4);
-        for id in 0..culprits {
-            let job = JobId(CULPRIT.0 + id);
+        let crashers = rng.random_range(1..4);
+        for id in 0..crashers {
+            let job = JobId(CRASHER.0 + id);
             let (_, step) = steps[rng.random_range(0..steps.len())].clone();
             world.submit(job.0, chain(vec![step]));
-            let task = TaskId { job, ..culprit() };
+            let task = TaskId { job, ..crasher() };
             let after = [10, 10, 10, 600][rng.random_range(0..4)];
             world.crashers.push(Crasher {
                 task,
@@ -137,8 +137,8 @@
         check_invariants(&world, seed);
         for id in world.job_ids() {
             let failed = world.outcome(id) == Outcome::Failed;
-            let is_culprit = (CULPRIT.0..CULPRIT.0 + culprits).contains(&id.0);
-            assert_eq!(failed, is_culprit, "seed {seed}: {id}");
+            let is_crasher = (CRASHER.0..CRASHER.0 + crashers).contains(&id.0);
+            assert_eq!(failed, is_crasher, "seed {seed}: {id}");
         }
     }
 }
@@ -166,7 +166,7 @@
     world.pause(true);
     world.take_over(world.lease_end());
     world.run(300);
-    let id = world.submit(CULPRIT.0, chain(vec![short(60, 300)]));
+    let id = world.submit(CRASHER.0, chain(vec![short(60, 300)]));
     world.run(1000);
     assert_eq!(world.outcome(id), Outcome::Complete);
     check_invariants(&world, 6);
--- a/crates/jobs/tests/all/crashing/mod.rs
+++ b/crates/jobs/tests/all/crashing/mod.rs
@@ -16,7 +16,7 @@
 use gorsespur_jobs::{JobId, Outcome, Spec, Step, TaskId};
 
 /// The job with a task that crashes its workers.
-const CULPRIT: JobId = JobId(50);
+const CRASHER: JobId = JobId(50);
 
 /// Number of workers.
 const WORKERS: usize = 10;
@@ -40,20 +40,20 @@
     world
 }
 
-/// Returns the second task of the culprit's only step.
-fn culprit() -> TaskId {
+/// Returns the second task of the crasher's only step.
+fn crasher() -> TaskId {
     TaskId {
-        job: CULPRIT,
+        job: CRASHER,
         repetition: 0,
         step: 0,
         index: 1,
     }
 }
 
-/// Submits the culprit's job, whose task crashes its worker `after` milliseconds after each start.
-fn submit_culprit(world: &mut World, spec: Spec, after: u64) {
-    world.submit(CULPRIT.0, spec);
-    let task = culprit();
+/// Submits the crasher's job, whose task crashes its worker `after` milliseconds after each start.
+fn submit_crasher(world: &mut World, spec: Spec, after: u64) {
+    world.submit(CRASHER.0, spec);
+    let task = crasher();
     world.crashers.push(Crasher {
         task,
         after_ms: after,
@@ -71,13 +71,13 @@
     }
 }
 
-/// Asserts that no job but the culprit's has failed, and that the tasks of the others run or are
+/// Asserts that no job but the crasher's has failed, and that the tasks of the others run or are
 /// done.
 fn check_outcomes(world: &mut World, name: &str) {
     assert!(world.run_until_done(60_000), "{name}: unfinished jobs");
     world.run(8000);
     check_invariants(world, 0);
-    for id in world.job_ids().into_iter().filter(|&id| id != CULPRIT) {
+    for id in world.job_ids().into_iter().filter(|&id| id != CRASHER) {
         let outcome = world.outcome(id);
         let expected = [Outcome::Complete, Outcome::Active];
         assert!(expected.contains(&outcome), "{name}: {id} is {outcome:?}");
--- a/crates/jobs/tests/all/crashing/owners.rs
+++ b/crates/jobs/tests/all/crashing/owners.rs
@@ -4,8 +4,8 @@
 use crate::{
     common::{World, WorldSettings, chain, check_invariants, long_running, serving, short},
     crashing::{
-        CULPRIT, FIRST_OTHER_JOB, JOB_INTERVAL_MS, WORKERS, check_outcomes, culprit, run_busy,
-        shapes, submit_culprit, world,
+        CRASHER, FIRST_OTHER_JOB, JOB_INTERVAL_MS, WORKERS, check_outcomes, crasher, run_busy,
+        shapes, submit_crasher, world,
     },
 };
 use gorsespur_jobs::Outcome;
@@ -23,13 +23,13 @@
 /// Maximum number of starts of a task that crashes its workers.
 const MOST_STARTS: usize = 5;
 
-/// Each owner knows the crashes that earlier owners recorded.
+/// Each owner uses the crashes that earlier owners recorded.
 #[test]
 fn a_task_that_crashes_workers_is_given_up_by_changing_owners() {
     for period in [1500, 2300, 3300, 4100] {
         let mut world = world(period);
         let step = short(3, 800);
-        submit_culprit(&mut world, chain(vec![step]), 10);
+        submit_crasher(&mut world, chain(vec![step]), 10);
         for _ in 0..36_000 / period {
             run_busy(&mut world, period);
             world.pause(true);
@@ -37,7 +37,7 @@
         }
         check_invariants(&world, period);
         let name = format!("every {period} ms");
-        assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
+        assert_eq!(world.outcome(CRASHER), Outcome::Failed, "{name}");
         check_outcomes(&mut world, &name);
     }
 }
@@ -47,7 +47,7 @@
 #[test]
 fn a_crash_that_a_later_owner_did_not_see_counts() {
     let mut world = world(5);
-    submit_culprit(&mut world, chain(vec![short(3, 800)]), 10);
+    submit_crasher(&mut world, chain(vec![short(3, 800)]), 10);
     for crash in 1..=5 {
         for _ in 0..400 {
             if world.checker.other_runs.len() >= crash {
@@ -61,7 +61,7 @@
         world.take_over(world.lease_end());
     }
     run_busy(&mut world, 5000);
-    assert_eq!(world.outcome(CULPRIT), Outcome::Failed);
+    assert_eq!(world.outcome(CRASHER), Outcome::Failed);
     let other_runs = &world.checker.other_runs;
     assert!(other_runs.len() <= 3, "{other_runs:?}");
     check_outcomes(&mut world, "unseen");
@@ -91,16 +91,16 @@
                 world.submit(2, chain(vec![long_running(3 * WORKERS as u32)]));
                 world.run(1500);
             }
-            submit_culprit(&mut world, chain(vec![step]), 10);
+            submit_crasher(&mut world, chain(vec![step]), 10);
             for start in 1..=kills {
-                run_until_culprit(&mut world, start);
+                run_until_crasher(&mut world, start);
                 run_stepwise(&mut world, after);
                 kill_owner(&mut world);
             }
             run_busy(&mut world, 15_000);
             let name = format!("{name}, crowded: {crowded}");
             check_outcomes(&mut world, &name);
-            assert_eq!(world.outcome(CULPRIT), Outcome::Failed, "{name}");
+            assert_eq!(world.outcome(CRASHER), Outcome::Failed, "{name}");
             let unrecorded = after < RECORD_MS && (crowded || downtime < TAKEOVER_MS);
             let more = if unrecorded { kills } else { 0 };
             let most = (MAX_LOST_WORKERS + more).min(MOST_STARTS);
@@ -121,24 +121,24 @@
     world.run(100);
     world.submit(1, chain(vec![serving(WORKERS as u32 / 2)]));
     world.run(1000);
-    submit_culprit(&mut world, chain(vec![short(3, 9000)]), 2500);
-    run_until_culprit(&mut world, 4);
+    submit_crasher(&mut world, chain(vec![short(3, 9000)]), 2500);
+    run_until_crasher(&mut world, 4);
     run_stepwise(&mut world, 200);
     kill_owner(&mut world);
     run_busy(&mut world, 40_000);
     check_invariants(&world, 1);
-    assert_eq!(world.outcome(CULPRIT), Outcome::Failed);
+    assert_eq!(world.outcome(CRASHER), Outcome::Failed);
     let other_runs = &world.checker.other_runs;
     assert!(other_runs.len() <= MOST_STARTS, "{other_runs:?}");
     assert!(other_runs[3..].iter().all(|&t| t == 0), "{other_runs:?}");
 }
 
-/// Runs with short jobs until the culprit's start with this number has reached a worker.
-fn run_until_culprit(world: &mut World, start: usize) {
+/// Runs with short jobs until the crasher's start with this number has reached a worker.
+fn run_until_crasher(world: &mut World, start: usize) {
     let end = world.now + 20_000;
     while world.now < end {
         let mut runs = world.workers.iter().flat_map(|w| &w.runs);
-        let is_there = runs.any(|r| r.task == culprit());
+        let is_there = runs.any(|r| r.task == crasher());
         if is_there && world.checker.other_runs.len() + 1 >= start {
             return;
         }
--- a/crates/jobs/tests/all/lives.rs
+++ b/crates/jobs/tests/all/lives.rs
@@ -11,14 +11,13 @@
 /// The job of the first worker's only task.
 const FIRST_JOB: JobId = JobId(1);
 
-/// Milliseconds within which a task runs again after the owner has learned of its worker's
-/// restart.
+/// Milliseconds within which a task runs again after the owner has observed its worker's restart.
 const RESTART_LIMIT_MS: u64 = 2000;
 
 /// Milliseconds of silence after which all leases on a worker have expired.
 const MAX_LEASES_MS: u64 = 12_000;
 
-/// Downtimes in milliseconds, from ones that no owner notices to ones that each owner notices.
+/// Downtimes in milliseconds, from ones that no owner detects to ones that each owner detects.
 const ABSENCES_MS: [u64; 5] = [5, 50, 400, 2000, 6000];
 
 /// Milliseconds until the row of a new incarnation is published.
@@ -57,7 +56,7 @@
     world
 }
 
-/// Cuts a worker off and waits until the owner has noticed.
+/// Cuts a worker off and waits until the owner has detected it.
 fn partition(world: &mut World, at: usize) {
     world.workers[at].partitioned = true;
     world.run(RESTART_LIMIT_MS);
@@ -129,7 +128,7 @@
 }
 
 /// An owner confirms the number of the last end that it has observed durably. If the number of the
-/// old incarnation went to the new one, that would forget ends that the owner has not read.
+/// old incarnation went to the new one, that would drop ends that the owner has not read.
 #[test]
 fn a_new_incarnation_keeps_unread_ends() {
     for seed in 0..20 {
@@ -260,7 +259,7 @@
 }
 
 /// An unanswered start may be carried out by the new incarnation seconds later, unless the owner
-/// bars it there.
+/// blocks it there.
 #[test]
 fn a_late_start_of_the_old_incarnation_does_not_overlap_the_next_run() {
     for (downtime, case) in restart_cases() {
@@ -304,8 +303,8 @@
     }
 }
 
-/// Another worker answers at the address of the old incarnation, and the address of the new one is
-/// not known yet.
+/// Another worker answers at the address of the old incarnation, and the address of the new one has
+/// not been published yet.
 #[test]
 fn a_late_start_is_waited_for_where_another_worker_answers() {
     for late in [800, 1500, 3000] {
@@ -328,7 +327,7 @@
 }
 
 /// A start that the new incarnation accepted keeps its run for the maximum lease, although its
-/// sender knows only the old incarnation, whose lease expires earlier.
+/// sender has read only the row of the old incarnation, whose lease expires earlier.
 #[test]
 fn a_start_accepted_by_an_unannounced_incarnation_is_waited_for() {
     for downtime in [110, 200, 300, 400] {
--- a/crates/jobs/tests/all/log.rs
+++ b/crates/jobs/tests/all/log.rs
@@ -14,7 +14,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use test_case::test_case;
 
-/// Milliseconds of a write to a store at a sixtieth of its usual speed.
+/// Milliseconds of a write to a store at a sixtieth of its normal speed.
 const SLOW_WRITE_MS: u64 = 480;
 
 const START_MS: u64 = 1_000_000;
--- a/crates/jobs/tests/all/records/incarnation.rs
+++ b/crates/jobs/tests/all/records/incarnation.rs
@@ -24,7 +24,7 @@
     finished: Vec<RunEnd>,
     next_end: u64,
     /// Tasks whose runs up to a number never start any more.
-    barred: Vec<(TaskId, u32)>,
+    blocked_runs: Vec<(TaskId, u32)>,
 }
 
 impl Incarnation {
@@ -35,7 +35,7 @@
             runs: Vec::new(),
             finished: Vec::new(),
             next_end: 1,
-            barred: Vec::new(),
+            blocked_runs: Vec::new(),
         }
     }
 
@@ -71,8 +71,11 @@
         {
             return Started::Done;
         }
-        let barred = self.barred.iter().any(|b| b.0 == task && b.1 >= number);
-        if barred || self.runs.iter().any(|r| r.task == task) {
+        let blocked = self
+            .blocked_runs
+            .iter()
+            .any(|b| b.0 == task && b.1 >= number);
+        if blocked || self.runs.iter().any(|r| r.task == task) {
             return Started::Old;
         }
         self.runs.push(Run {
@@ -85,7 +88,7 @@
 
     pub fn end(&mut self, at: usize, ending: Ending) {
         let run = self.runs.remove(at);
-        self.barred.push((run.task, run.number));
+        self.blocked_runs.push((run.task, run.number));
         self.finished.push(RunEnd {
             number: self.next_end,
             task: run.task,
@@ -101,7 +104,7 @@
             return Stopped::Fenced;
         }
         self.fence = fence;
-        self.barred.push((task, number));
+        self.blocked_runs.push((task, number));
         let at = self
             .runs
             .iter()
--- a/crates/jobs/tests/all/regression.rs
+++ b/crates/jobs/tests/all/regression.rs
@@ -121,8 +121,8 @@
 
 /// A long-running task waited for 16 s beside free capacity on workers with runs that had hung.
 ///
-/// Cause: each run that hung counted, and the time for which a worker gets no more than two trials
-/// grew with their number. Trials that were stopped for other reasons gave no result.
+/// Cause: each run that hung counted, and the time for which a worker gets no more than two probes
+/// grew with their number. Probes that were stopped for other reasons gave no result.
 #[test]
 fn a_worker_on_which_many_hung_is_tried_again_soon() {
     let mut world = World::new(WorldSettings {
@@ -137,11 +137,11 @@
     world.cancel(hung);
     world.run(1000);
     world.workers[0].mode = Mode::Healthy;
-    // The trials are stopped before they give a result.
+    // The probes are stopped before they give a result.
     for id in 2..40 {
-        let trial = world.submit(id, chain(vec![short(1, 5_000)]));
+        let probe = world.submit(id, chain(vec![short(1, 5_000)]));
         world.run(300);
-        world.cancel(trial);
+        world.cancel(probe);
     }
     let id = world.submit(100, chain(vec![serving(1)]));
     world.run(5000);
--- a/crates/jobs/tests/all/resizing.rs
+++ b/crates/jobs/tests/all/resizing.rs
@@ -65,7 +65,7 @@
     check_invariants(&world, 0);
 }
 
-/// The owner has learned of the smaller capacity before the write is confirmed.
+/// The owner has read the smaller capacity before the write is confirmed.
 #[test]
 fn nothing_starts_in_capacity_that_is_known_to_be_removed() {
     let mut world = world(1, 0);
@@ -193,7 +193,7 @@
 /// A world in which short jobs are submitted, at times in a burst, and starts are checked.
 struct Burst {
     world: World,
-    /// Workers with less capacity than the owner may know, and the time of the change.
+    /// Workers with less capacity than the owner may have read, and the time of the change.
     shrunk: Vec<(usize, u64)>,
     /// The next job and the time of its submission.
     next: (u64, u64),
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Changes the capacity of the first quarter of the workers. The owner learns of it after
+    /// Changes the capacity of the first quarter of the workers. The owner reads it after
     /// [`NOTICE_MS`].
     fn resize(&mut self, capacity: (u64, u64), every: u64) {
         let now = self.world.now;
--- a/crates/jobs/tests/all/restarts.rs
+++ b/crates/jobs/tests/all/restarts.rs
@@ -118,7 +118,7 @@
     violations
 }
 
-/// Returns the seeds that `GORSESPUR_LIVES` selects, as in `0..5000` or `7`, or else the usual
+/// Returns the seeds that `GORSESPUR_LIVES` selects, as in `0..5000` or `7`, or else the default
 /// ones.
 fn seeds(default: Range<u64>) -> Range<u64> {
     let Ok(text) = env::var("GORSESPUR_LIVES") else {
--- a/crates/jobs/tests/all/sharing.rs
+++ b/crates/jobs/tests/all/sharing.rs
@@ -283,7 +283,7 @@
 }
 
 /// Paces are chosen when the tail latency of a serving task is reported. After the last serving
-/// task of a worker has gone, its halted tasks must still get a new pace, and the worker must not
+/// task of a worker has ended, its halted tasks must still get a new pace, and the worker must not
 /// count as over its target any more.
 #[test]
 fn halted_tasks_resume_when_no_serving_task_is_left() {
@@ -309,7 +309,7 @@
 
 /// Returns the share of 30 s in which best-effort tasks run beside a serving task with these tail
 /// latencies in percent of its target, one for each half second, and the mean pace in percent of
-/// the images that are known to be harmless by then.
+/// the images that have proved harmless by then.
 fn best_effort_beside(tails: &[u64]) -> (f64, f64) {
     let mut world = World::new(WorldSettings {
         workers: 1,
--- a/crates/jobs/tests/all/takeovers.rs
+++ b/crates/jobs/tests/all/takeovers.rs
@@ -51,9 +51,9 @@
 
 /// A worker with two long-running tasks leaves while the store answers late or not at all, so that
 /// no owner can record that they were stopped. When the last owner takes over, the row of the
-/// worker is gone, and the owner can't poll it. If it waited until all leases that its predecessor
-/// may have granted have expired, 12.7 s after the predecessor's last contact with the store, the
-/// tasks would start 11 s after the store had recovered.
+/// worker is removed, and the owner can't poll it. If it waited until all leases that its
+/// predecessor may have granted have expired, 12.7 s after the predecessor's last contact with the
+/// store, the tasks would start 11 s after the store had recovered.
 #[test]
 fn long_running_tasks_of_a_removed_worker_restart_in_time() {
     let mut world = world();
--- a/crates/jobs/tests/all/waits.rs
+++ b/crates/jobs/tests/all/waits.rs
@@ -121,7 +121,7 @@
     assert!(world.outcome(id).is_final(), "still halted");
 }
 
-/// The workers of another service are full or nearly idle, which says nothing of this service's.
+/// The workers of another service are full or nearly idle, which has no effect on this service's.
 #[test_case(100; "where the other one is idle")]
 #[test_case(7500; "where the other one is full")]
 fn a_full_service_blocks_no_other_service(cpu: u64) {
@@ -171,7 +171,7 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
-/// The interference of an unknown image is not known beside any serving task.
+/// The interference of a new image has not been learned beside any serving task.
 #[test_case(false; "beside others")]
 #[test_case(true; "as a gang")]
 fn a_task_of_unknown_interference_starts(gang: bool) {
@@ -408,10 +408,10 @@
     world
 }
 
-/// Repeated attempts to place a gang that fits nowhere use up no trials of workers that failed, so
+/// Repeated attempts to place a gang that fits nowhere use up no probes of workers that failed, so
 /// that a later task starts.
 #[test]
-fn a_gang_that_fits_nowhere_uses_up_no_trials() {
+fn a_gang_that_fits_nowhere_uses_up_no_probes() {
     let mut world = failed_world();
     let gang = Step {
         gang: true,
@@ -425,9 +425,9 @@
     assert!(wait < MAX_WAIT_MS, "{wait} ms");
 }
 
-/// A gang with more members than a worker gets trials after a failure starts on such workers.
+/// A gang with more members than the probes of a worker after a failure starts on such workers.
 #[test]
-fn a_gang_that_is_wider_than_a_trial_begins() {
+fn a_gang_with_more_members_than_probes_starts() {
     let mut world = failed_world();
     let gang = Step {
         gang: true,
--- a/crates/node/src/candidate_tests.rs
+++ b/crates/node/src/candidate_tests.rs
@@ -147,12 +147,12 @@
     assert_eq!(candidate(&released, 120, 0).follow_pause(), 0);
 }
 
-/// Time for which users allow a long-running task to be away after the last disturbance, in
+/// Time for which users allow a long-running task to be away after the last fault, in
 /// milliseconds.
 const MAX_AWAY_MS: u64 = 10_000;
 
 /// Longest time to abandon a worker's runs, place their tasks, write and start them without other
-/// disturbances, in milliseconds.
+/// faults, in milliseconds.
 const RESTART_MS: u64 = 300;
 
 /// Guards against waiting too long for leases of an earlier owner: two long-running tasks started
--- a/crates/node/src/owner/renewal_gaps_tests.rs
+++ b/crates/node/src/owner/renewal_gaps_tests.rs
@@ -17,8 +17,8 @@
     assert_eq!(gaps_of(1, 410).term(), 1800);
 }
 
-/// An owner that dies while the store has its normal speed is replaced after a second instead of 1.8
-/// s.
+/// An owner that dies while the store has its normal speed is replaced after a second instead of
+/// 1.8 s.
 #[test]
 fn a_fast_store_yields_a_short_term() {
     assert_eq!(gaps_of(10, 410).term(), 1020);
