--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -178,7 +178,7 @@
     fn send_poll(&mut self, slot: u32) {
         let (now, settings) = (self.now, self.settings);
         let worker = &mut self.fleet.workers[slot as usize];
-        let is_needed = worker.registered || !worker.runs.is_empty() || !worker.orphans.is_empty();
+        let is_needed = worker.announced || !worker.runs.is_empty() || !worker.orphans.is_empty();
         if worker.dead || worker.poll_in_flight || worker.info.is_none() || !is_needed {
             return;
         }
@@ -217,7 +217,7 @@
         let mut out = Vec::new();
         for (slot, worker) in self.fleet.workers.iter().enumerate() {
             let idle = worker.runs.is_empty() && worker.orphans.is_empty();
-            if worker.dead || !worker.registered && idle {
+            if worker.dead || !worker.announced && idle {
                 out.push(slot as u32);
             }
         }
--- a/crates/jobs/src/place/starvation.rs
+++ b/crates/jobs/src/place/starvation.rs
@@ -119,7 +119,7 @@
         let mut refusals = RefusalCounts::default();
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
-            if !worker.registered {
+            if !worker.announced {
                 continue;
             }
             if !worker.accepts_runs(self.now) {
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -257,7 +257,7 @@
         let deadline = worker.deadline(&settings, self.store_contact);
         let is_long_enough = |d: &u64| *d >= reading + MIN_LEASE_MS;
         // A placement may become durable seconds after it was chosen. Meanwhile the worker may have
-        // reported that it leaves or has less capacity, or its registration may have become stale.
+        // reported that it leaves or has less capacity, or its announcement may have become stale.
         let can_start = is_fresh && worker.accepts_runs(now) && !worker.is_overcommitted();
         let Some(deadline) = deadline.filter(is_long_enough).filter(|_| can_start) else {
             return self.clear_run(id);
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -148,8 +148,8 @@
             w.silent_since
                 .is_some_and(|s| s.abs_diff(at) <= SIMULTANEOUS_MS)
         });
-        let registered = self.fleet.workers.iter().filter(|w| w.registered).count();
-        lost.count() >= MIN_SIMULTANEOUS_LOSSES.max(registered / SIMULTANEOUS_LOSS_DIVISOR)
+        let announced = self.fleet.workers.iter().filter(|w| w.announced).count();
+        lost.count() >= MIN_SIMULTANEOUS_LOSSES.max(announced / SIMULTANEOUS_LOSS_DIVISOR)
     }
 
     /// Returns whether a run had just started at `end`, or was isolated as a suspect.
--- a/crates/jobs/src/runs/fleet.rs
+++ b/crates/jobs/src/runs/fleet.rs
@@ -47,17 +47,17 @@
         }
     }
 
-    /// Registers the announcement of a worker. Returns whether the announcement is new.
+    /// Updates the announcement of a worker. Returns whether the announcement is new.
     ///
     /// Workers repeat their announcements every other second, which must not trigger a pass of
     /// placement.
-    pub(crate) fn register(&mut self, mut info: WorkerInfo, now: u64) -> bool {
+    pub(crate) fn update_announcement(&mut self, mut info: WorkerInfo, now: u64) -> bool {
         info.service = self.service(&info.service);
-        let Some(slot) = self.registering_slot(&info) else {
+        let Some(slot) = self.announced_slot(&info) else {
             return false;
         };
         let worker = self.get(slot);
-        if worker.registered && worker.info.as_ref() == Some(&info) {
+        if worker.announced && worker.info.as_ref() == Some(&info) {
             return false;
         }
         let worker = self.get_mut(slot);
@@ -66,13 +66,13 @@
         } else if worker.leaving_since.is_none() {
             worker.leaving_since = Some(now);
         }
-        let old = worker.info.as_ref().filter(|_| worker.registered);
+        let old = worker.info.as_ref().filter(|_| worker.announced);
         if old.is_none_or(|o| o.ready != info.ready || o.start_time != info.start_time) {
             log::info!(worker = &*info.id, addr = info.addr.to_string().as_str(), ready = info.ready, remaining_ms = info.remaining_ms, born:? = info.start_time; "worker: listed");
         }
-        worker.registered = true;
-        if worker.registered_at == 0 {
-            worker.registered_at = now;
+        worker.announced = true;
+        if worker.announced_at == 0 {
+            worker.announced_at = now;
         }
         worker.info = Some(info);
         let evacuated = self.is_evacuated(slot);
@@ -109,9 +109,9 @@
     }
 
     /// Records that the announcement of a worker was removed.
-    pub(crate) fn deregister(&mut self, id: &Arc<str>) {
+    pub(crate) fn remove_announcement(&mut self, id: &Arc<str>) {
         for slot in self.incarnations(id).to_vec() {
-            self.get_mut(slot).registered = false;
+            self.get_mut(slot).announced = false;
         }
     }
 
--- a/crates/jobs/src/runs/incarnations.rs
+++ b/crates/jobs/src/runs/incarnations.rs
@@ -3,7 +3,7 @@
 //! Workers crash and start again under their names. A later incarnation has no runs of an earlier
 //! one, and starts its clock and the numbers of its ends anew.
 //!
-//! A report shows which incarnation is current. A registration shows only that an incarnation
+//! A report shows which incarnation is current. An announcement shows only that an incarnation
 //! exists, and may be older than the report. Only one incarnation exists at a time, so all state of
 //! another one from before the poll was sent belongs to an earlier one. The start time
 //! identifies incarnations but does not order them, since clocks step.
@@ -88,8 +88,9 @@
         incarnations.is_some_and(|l| l.replaced.contains(&start_time))
     }
 
-    /// Returns the slot of the incarnation that registered, or `None` if it was replaced.
-    pub(super) fn registering_slot(&mut self, info: &WorkerInfo) -> Option<u32> {
+    /// Returns the slot of the incarnation that an announcement is from, or `None` if it was
+    /// replaced.
+    pub(super) fn announced_slot(&mut self, info: &WorkerInfo) -> Option<u32> {
         if let Some(slot) = self.find(&info.id, info.start_time) {
             return Some(slot);
         }
@@ -168,7 +169,7 @@
     }
 
     /// Copies the address of the polled incarnation to the one that answered, if that has none.
-    /// Nothing new starts there before its own registration arrives.
+    /// Nothing new starts there before its own announcement arrives.
     fn inherit_info(&mut self, current: u32, slot: u32) {
         if self.get(current).info.is_some() {
             return;
@@ -190,7 +191,7 @@
         let others = incarnations.filter(|&slot| slot != current);
         others.partition(|&slot| {
             let worker = self.get(slot);
-            worker.clock.is_some() || worker.registered_at <= sent
+            worker.clock.is_some() || worker.announced_at <= sent
         })
     }
 
@@ -198,7 +199,7 @@
     pub(super) fn retire(&mut self, slot: u32) {
         let worker = self.get_mut(slot);
         worker.dead = true;
-        worker.registered = false;
+        worker.announced = false;
         worker.poll_in_flight = false;
         let (id, start_time) = (worker.id.clone(), worker.start_time);
         let incarnations = self.incarnations.or_default(&id);
--- a/crates/jobs/src/runs/incarnations_tests.rs
+++ b/crates/jobs/src/runs/incarnations_tests.rs
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Registers an incarnation; returns whether that changed anything.
-    fn register(&mut self, start_time: Option<u64>) -> bool {
+    /// Announces an incarnation; returns whether that changed anything.
+    fn announce(&mut self, start_time: Option<u64>) -> bool {
         self.now += 10;
         let info = WorkerInfo {
             id: "w".into(),
@@ -38,7 +38,7 @@
             ready: true,
             remaining_ms: 0,
         };
-        self.fleet.register(info, self.now)
+        self.fleet.update_announcement(info, self.now)
     }
 
     /// Handles a report to a poll of `slot` sent at `sent`.
@@ -76,7 +76,7 @@
 fn a_report_replaces_the_previous_incarnation() {
     for start_time in [900, 100] {
         let mut harness = Harness::new();
-        harness.register(Some(500));
+        harness.announce(Some(500));
         assert_eq!(harness.poll(0, Some(500)), Attribution::Known(0, vec![]));
         assert!(harness.accepts_runs(0));
         assert_eq!(
@@ -86,60 +86,60 @@
         assert!(harness.fleet.get(0).dead);
         assert_eq!(harness.fleet.get(1).info, {
             let mut info = harness.fleet.get(0).info.clone();
-            info.as_mut().expect("registered").start_time = Some(start_time);
+            info.as_mut().expect("announced").start_time = Some(start_time);
             info
         });
         // Its capacity may be another one.
         assert!(!harness.accepts_runs(1));
-        assert!(harness.register(Some(start_time)));
+        assert!(harness.announce(Some(start_time)));
         assert!(harness.accepts_runs(1));
     }
 }
 
 #[test]
-fn reports_and_registrations_of_a_replaced_incarnation_are_ignored() {
+fn reports_and_announcements_of_a_replaced_incarnation_are_ignored() {
     let mut harness = Harness::new();
-    harness.register(Some(1));
+    harness.announce(Some(1));
     harness.poll(0, Some(1));
-    harness.register(Some(2));
+    harness.announce(Some(2));
     assert_eq!(harness.poll(1, Some(2)), Attribution::Known(1, vec![0]));
     for slot in [0, 1] {
         assert_eq!(harness.poll(slot, Some(1)), Attribution::Earlier);
     }
-    assert!(!harness.register(Some(1)));
+    assert!(!harness.announce(Some(1)));
     assert_eq!(harness.poll(0, None), Attribution::Earlier);
     assert!(harness.accepts_runs(1));
     assert_eq!(harness.fleet.workers.len(), 2);
 }
 
-/// The registration of a new incarnation closes the old one until a report shows which of them is
+/// The announcement of a new incarnation closes the old one until a report shows which of them is
 /// current.
 #[test]
-fn a_registration_alone_ends_no_incarnation() {
+fn an_announcement_alone_ends_no_incarnation() {
     let mut harness = Harness::new();
-    harness.register(Some(1));
+    harness.announce(Some(1));
     harness.poll(0, Some(1));
     let asked = harness.now;
-    harness.register(Some(2));
+    harness.announce(Some(2));
     assert!(!harness.accepts_runs(0) && !harness.accepts_runs(1));
-    // The poll was sent before the registration was read.
+    // The poll was sent before the announcement was read.
     assert_eq!(
         harness.report(0, asked, Some(1)),
         Attribution::Known(0, vec![])
     );
     assert!(!harness.accepts_runs(0));
-    // The registration was outdated.
+    // The announcement was outdated.
     assert_eq!(harness.poll(0, Some(1)), Attribution::Known(0, vec![1]));
     assert!(harness.accepts_runs(0) && !harness.accepts_runs(1));
-    assert!(!harness.register(Some(2)));
+    assert!(!harness.announce(Some(2)));
 }
 
 /// A report is known to be the later of two if its poll was sent after the other had arrived.
 #[test]
 fn reports_that_overtook_each_other_are_polled_again() {
     let mut harness = Harness::new();
-    harness.register(Some(1));
-    harness.register(Some(3));
+    harness.announce(Some(1));
+    harness.announce(Some(3));
     let asked = harness.now;
     assert_eq!(harness.poll(1, Some(3)), Attribution::Known(1, vec![0]));
     assert!(harness.accepts_runs(1));
@@ -152,12 +152,12 @@
 #[test]
 fn an_incarnation_after_a_dead_one_accepts_runs() {
     let mut harness = Harness::new();
-    harness.register(Some(1));
+    harness.announce(Some(1));
     harness.poll(0, Some(1));
     harness.fleet.get_mut(0).dead = true;
-    harness.register(Some(1));
+    harness.announce(Some(1));
     assert!(!harness.accepts_runs(0));
-    harness.register(Some(2));
+    harness.announce(Some(2));
     assert_eq!(harness.poll(1, Some(2)), Attribution::Known(1, vec![0]));
     assert!(harness.accepts_runs(1));
 }
@@ -165,10 +165,10 @@
 #[test]
 fn a_worker_without_a_start_time_is_one_incarnation() {
     let mut harness = Harness::new();
-    harness.register(None);
+    harness.announce(None);
     for _ in 0..3 {
         assert_eq!(harness.poll(0, None), Attribution::Known(0, vec![]));
-        assert!(!harness.register(None));
+        assert!(!harness.announce(None));
         assert!(harness.accepts_runs(0));
     }
     assert_eq!(harness.fleet.workers.len(), 1);
@@ -177,12 +177,12 @@
 #[test]
 fn a_worker_with_a_start_time_in_reports_only_accepts_runs() {
     let mut harness = Harness::new();
-    harness.register(None);
+    harness.announce(None);
     assert_eq!(harness.poll(0, Some(1)), Attribution::Known(1, vec![0]));
-    assert!(harness.register(None));
+    assert!(harness.announce(None));
     assert!(harness.accepts_runs(1));
     assert_eq!(harness.poll(1, Some(1)), Attribution::Known(1, vec![]));
-    assert!(!harness.register(None));
+    assert!(!harness.announce(None));
 }
 
 /// Records name incarnations that an earlier owner knew.
@@ -191,33 +191,33 @@
     let mut harness = Harness::new();
     let old = harness.slot("w@1");
     assert_eq!(harness.slot("w@1"), old);
-    harness.register(Some(2));
+    harness.announce(Some(2));
     assert!(!harness.accepts_runs(1));
     assert_eq!(harness.poll(1, Some(2)), Attribution::Known(1, vec![old]));
     assert!(harness.accepts_runs(1));
 }
 
 #[test]
-fn a_recorded_incarnation_that_reports_ends_a_registered_one() {
+fn a_recorded_incarnation_that_reports_ends_an_announced_one() {
     let mut harness = Harness::new();
     let old = harness.slot("w@1");
-    harness.register(Some(2));
+    harness.announce(Some(2));
     assert_eq!(harness.poll(1, Some(1)), Attribution::Known(old, vec![1]));
     assert!(!harness.accepts_runs(old));
-    harness.register(Some(1));
+    harness.announce(Some(1));
     assert!(harness.accepts_runs(old));
 }
 
 #[test]
-fn a_removed_registration_closes_all_incarnations() {
+fn a_removed_announcement_closes_all_incarnations() {
     let mut harness = Harness::new();
-    harness.register(Some(1));
+    harness.announce(Some(1));
     harness.poll(0, Some(1));
-    harness.register(Some(2));
-    harness.fleet.deregister(&"w".into());
+    harness.announce(Some(2));
+    harness.fleet.remove_announcement(&"w".into());
     harness.poll(0, Some(1));
     assert!(!harness.accepts_runs(0));
-    harness.fleet.deregister(&"other".into());
+    harness.fleet.remove_announcement(&"other".into());
     assert_eq!(harness.fleet.workers.len(), 2);
 }
 
@@ -225,7 +225,7 @@
 #[test]
 fn replaced_incarnations_are_kept_in_bounded_space() {
     let mut harness = Harness::new();
-    harness.register(Some(1));
+    harness.announce(Some(1));
     harness.poll(0, Some(1));
     for start_time in 2..100 {
         let slot = harness.fleet.workers.len() as u32 - 1;
@@ -234,6 +234,6 @@
             harness.poll(slot, Some(start_time)),
             Attribution::Known(next, vec![slot])
         );
-        assert!(!harness.register(Some(start_time - 1)));
+        assert!(!harness.announce(Some(start_time - 1)));
     }
 }
--- a/crates/jobs/src/runs/lost.rs
+++ b/crates/jobs/src/runs/lost.rs
@@ -60,8 +60,8 @@
     /// Records what the loss of a worker shows about the tasks there.
     pub(super) fn record_loss(&mut self, slot: u32, loss: Loss) {
         let worker = self.fleet.get(slot);
-        // A worker without a registration can't be polled and may have crashed. One that was silent
-        // until its leases expired may only be cut off.
+        // A worker without an announcement can't be polled and may have crashed. One that was
+        // silent until its leases expired may only be cut off.
         let may_have_crashed = loss == Loss::Ended || worker.info.is_none();
         if worker.process_ended {
             self.record_crash(slot);
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -62,13 +62,13 @@
     fn merge_identified(&mut self, old: u32, new: u32) -> usize {
         let worker = self.fleet.get(old);
         let (runs, isolated) = (worker.runs.clone(), worker.isolated_task);
-        let registered = worker.registered;
+        let announced = worker.announced;
         for &id in &runs {
             self.move_run(id, new, |stage| stage);
         }
         let worker = self.fleet.get_mut(new);
         worker.isolated_task = worker.isolated_task.or(isolated);
-        worker.registered |= registered;
+        worker.announced |= announced;
         runs.len()
     }
 
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -54,7 +54,7 @@
             stretch: 1.5,
             latency: 250,
         }]));
-        owner.register(1);
+        owner.announce(1);
         owner.report(0, 1, &[]);
         let step = Step {
             count: 1,
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Handles the registration of an incarnation.
-    fn register(&mut self, start_time: u64) {
+    /// Handles the announcement of an incarnation.
+    fn announce(&mut self, start_time: u64) {
         self.handle_event(Event::WorkerUpdated(WorkerInfo {
             id: "w".into(),
             start_time: Some(start_time),
@@ -184,7 +184,7 @@
     let mut owner = Owner::new();
     owner.started(0, 1, Started::Done);
     owner.report(0, 1, &[1]);
-    owner.register(2);
+    owner.announce(2);
     owner.report(0, 2, &[]);
     assert_eq!(owner.starts(), [(1, 2)]);
 }
@@ -197,7 +197,7 @@
         if let Some(started) = answer {
             owner.started(0, 1, started);
         }
-        owner.register(2);
+        owner.announce(2);
         owner.report(0, 2, &[]);
         assert_eq!(owner.stops(), [(1, 1)]);
         owner.stopped(1, 1);
@@ -209,7 +209,7 @@
 #[test]
 fn a_run_that_the_next_incarnation_reports_goes_on() {
     let mut owner = Owner::new();
-    owner.register(2);
+    owner.announce(2);
     owner.report(0, 2, &[1]);
     owner.report(1, 2, &[1]);
     assert!(owner.sent.is_empty());
@@ -224,7 +224,7 @@
     owner.report(0, 1, &[]);
     assert_eq!(owner.stops(), [(0, 1)]);
     owner.stopped(0, 1);
-    owner.register(2);
+    owner.announce(2);
     owner.report(0, 2, &[]);
     assert_eq!(owner.stops(), [(1, 1)]);
 }
@@ -241,7 +241,7 @@
     owner.report(0, 1, &[]);
     assert_eq!(owner.starts(), [(0, 2)]);
     owner.report(0, 1, &[2]);
-    owner.register(2);
+    owner.announce(2);
     owner.report(0, 2, &[]);
     assert_eq!(owner.stops(), [(1, 1), (1, 2)]);
     owner.stopped(1, 2);
@@ -259,7 +259,7 @@
 fn the_next_incarnation_is_not_lost_while_misdirected_leases_may_hold() {
     let mut owner = Owner::new();
     owner.report(0, 1, &[1]);
-    owner.register(2);
+    owner.announce(2);
     owner.report(0, 2, &[]);
     assert_eq!(owner.starts(), [(1, 2)]);
     owner.report(1, 2, &[2]);
--- a/crates/jobs/src/runs/unverified.rs
+++ b/crates/jobs/src/runs/unverified.rs
@@ -1,7 +1,7 @@
 //! Runs of earlier owners on workers that have not reported to this owner yet.
 //!
 //! Such a run occupies its task until its worker reports, or until every lease that an earlier
-//! owner may have granted has expired. A worker without a registration at the takeover can't even
+//! owner may have granted has expired. A worker without an announcement at the takeover can't even
 //! be polled.
 
 use crate::{runs::worker::Worker, scheduler::Scheduler};
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -85,13 +85,13 @@
     /// Name of this incarnation.
     pub(crate) incarnation_name: Arc<str>,
     /// When this incarnation was first announced; 0 if it was not.
-    pub(crate) registered_at: u64,
+    pub(crate) announced_at: u64,
     /// Whether another incarnation may have replaced this one. No new run begins meanwhile.
     pub(crate) contested: bool,
     /// The announcement; `None` if only records name the worker.
     pub(crate) info: Option<WorkerInfo>,
     /// Whether the announcement still exists.
-    pub(crate) registered: bool,
+    pub(crate) announced: bool,
     /// Whether the availability zone is evacuated, so that no new run begins.
     pub(crate) evacuated: bool,
     /// Whether the incarnation has ended.
@@ -186,10 +186,10 @@
             incarnation_name: incarnation.name(),
             id: incarnation.id,
             start_time: incarnation.start_time,
-            registered_at: 0,
+            announced_at: 0,
             contested: false,
             info: None,
-            registered: false,
+            announced: false,
             evacuated: false,
             dead: false,
             changed: false,
@@ -259,7 +259,7 @@
 
     /// Returns whether the worker is announced and answers.
     pub(crate) fn is_live(&self) -> bool {
-        self.registered && !self.dead && self.silent_since.is_none() && self.clock.is_some()
+        self.announced && !self.dead && self.silent_since.is_none() && self.clock.is_some()
     }
 
     /// Returns whether a suspect runs here in isolation.
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -201,13 +201,15 @@
         match event {
             Event::Accepted(job) => self.handle_accepted(job),
             Event::Cancelled(job) => self.handle_cancelled(job),
-            Event::WorkerUpdated(info) => self.placement_due |= self.fleet.register(info, self.now),
+            Event::WorkerUpdated(info) => {
+                self.placement_due |= self.fleet.update_announcement(info, self.now)
+            }
             Event::Evacuated(zones) => {
                 self.fleet.evacuate(zones);
                 self.placement_due = true;
             }
             Event::WorkersSynced { asked_at } => self.fleet.record_sync(asked_at),
-            Event::WorkerRemoved(id) => self.fleet.deregister(&id),
+            Event::WorkerRemoved(id) => self.fleet.remove_announcement(&id),
             Event::Queues(queues) => {
                 self.queues = queues;
                 self.placement_due = true;
