--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -46,8 +46,8 @@
 impl Scheduler {
     /// Records the crashes of workers that have been silent for [`SIMULTANEOUS_MS`].
     ///
-    /// To record them only when the runs are given up would be too late: a later owner may find the
-    /// next incarnation and never learn how this one ended. To record them at once would be too
+    /// Recording them only when the runs are given up would be too late: a later owner may find the
+    /// next incarnation and no evidence of how this one ended. Recording them at once would be too
     /// early: simultaneous losses of other workers show a little later.
     pub(crate) fn record_crashes(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -1,4 +1,4 @@
-//! State learned by an owner, stored for the next owner of the shard.
+//! State learned by an owner, stored for the next owner of the jobs.
 //!
 //! Learning which images interfere and how long tasks take needs half a minute. Until then each
 //! pair counts as interfering, so that hardly any best-effort task runs beside serving tasks.
--- a/crates/node/src/long_poll.rs
+++ b/crates/node/src/long_poll.rs
@@ -5,7 +5,7 @@
 //! Connections to an unreachable store end by their own timeouts.
 //!
 //! Limits: an answer may be lost, and a connection may stop delivering without an error. The next
-//! long poll then has to learn of the change in time, which bounds the wait.
+//! long poll then has to return the change in time, which bounds the wait.
 
 use std::time::Duration;
 
