--- a/crates/jobs/src/drive.rs
+++ b/crates/jobs/src/drive.rs
@@ -1,13 +1,13 @@
-//! The order of the machine's work: checks of runs, polls, placement and commits.
+//! The order of the scheduler's work: checks of runs, polls, placement and commits.
 
 use crate::{
     action::Action,
-    machine::Machine,
     model::{
         ids::{JobId, TaskId},
         task::Stage,
     },
     place::pass::Coverage,
+    scheduler::Scheduler,
 };
 
 /// Interval between checks of all runs. Checking the runs and placing tasks at each of hundreds
@@ -24,7 +24,7 @@
 /// Placement runs at least this often, for changes that come with time alone.
 const PLACEMENT_PERIOD_MS: u64 = 100;
 
-impl Machine {
+impl Scheduler {
     /// Does all the work that is due.
     ///
     /// Checks of runs and polls come first because they are cheap: polls renew leases and stops
@@ -50,7 +50,7 @@
 
     /// Runs the periodic checks of all runs and scheduled jobs.
     fn check_runs(&mut self) {
-        self.note_crashes();
+        self.record_crashes();
         self.expire_leases();
         self.check_leaving();
         self.add_repetitions();
@@ -161,7 +161,7 @@
         log::warn!(task = id.to_string().as_str(), percent = run.percent, still_ms = stalled, worker = &*self.fleet.get(slot).id; "run: stands still");
         run.stage = Stage::Stopping(None);
         self.stopping.push(id);
-        self.note_worker_failure(slot);
+        self.record_worker_failure(slot);
         None
     }
 
@@ -178,7 +178,7 @@
     fn send_poll(&mut self, slot: u32) {
         let (now, settings) = (self.now, self.settings);
         let worker = &mut self.fleet.workers[slot as usize];
-        let is_needed = worker.registered || !worker.runs.is_empty() || !worker.orphans.is_empty();
+        let is_needed = worker.announced || !worker.runs.is_empty() || !worker.orphans.is_empty();
         if worker.dead || worker.poll_in_flight || worker.info.is_none() || !is_needed {
             return;
         }
@@ -199,7 +199,7 @@
         let observed = worker.droppable_end();
         if let Some(end) = deadline {
             worker.granted_until = worker.granted_until.max(end);
-            worker.note_lease_order(now, &settings);
+            worker.record_lease_order(now, &settings);
         }
         worker.poll_in_flight = true;
         worker.polled_at = now;
@@ -217,7 +217,7 @@
         let mut out = Vec::new();
         for (slot, worker) in self.fleet.workers.iter().enumerate() {
             let idle = worker.runs.is_empty() && worker.orphans.is_empty();
-            if worker.dead || !worker.registered && idle {
+            if worker.dead || !worker.announced && idle {
                 out.push(slot as u32);
             }
         }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,8 +1,8 @@
 //! The job scheduler as a state machine without I/O.
 //!
-//! A [`Machine`] takes events (a job was accepted, a worker reported, a batch of
+//! A [`Scheduler`] takes events (a job was accepted, a worker reported, a batch of
 //! records became durable) and returns actions (poll a worker, start or stop a
-//! run, commit records). The machine reads no clock and opens no socket, so tests
+//! run, commit records). The scheduler reads no clock and opens no socket, so tests
 //! replay any failure in virtual time, with the same result each time.
 //!
 //! Guarantees, and how they are kept:
@@ -10,7 +10,7 @@
 //! - *A task never has two runs at once.* The worker of a run is committed before
 //!   the start is sent. A task is placed again only after its worker reported the
 //!   end of the run, or after a report to a poll sent later than the last order
-//!   does not list the run, or after every lease on that worker has expired.
+//!   does not include the run, or after every lease on that worker has expired.
 //! - *An end counts once.* A worker is allowed to drop an end only after the record
 //!   that counts the end is durable. A failed run is counted by its number.
 //! - *A worker is never overcommitted.* Capacity is released when an end is
@@ -29,11 +29,11 @@
 mod action;
 mod drive;
 mod event;
-mod machine;
 mod model;
 mod order;
 mod place;
 mod runs;
+mod scheduler;
 mod settings;
 mod share;
 mod sorted_map;
@@ -43,7 +43,6 @@
 
 pub use action::{Action, Batch, StartOrder};
 pub use event::{Answer, Ending, Event, ReportedRun, RunEnd, Started, Stopped, WorkerReport};
-pub use machine::Machine;
 pub use model::{
     ids::{IdError, JobId, TaskId},
     policy::QueuePolicy,
@@ -51,6 +50,7 @@
     spec::{Job, Schedule, Spec, SpecError, Step},
 };
 pub use runs::worker::{Capacity, WorkerInfo};
+pub use scheduler::Scheduler;
 pub use settings::{Settings, lease_upper_bound};
 pub use share::learned::Learned;
 pub use sorted_map::SortedMap;
--- a/crates/jobs/src/place/starvation.rs
+++ b/crates/jobs/src/place/starvation.rs
@@ -3,12 +3,12 @@
 //! Limits: only the few jobs that have been idle for longest are logged, once a second.
 
 use crate::{
-    machine::Machine,
     model::{
         ids::{JobId, TaskId},
         job::JobState,
     },
     place::{pass::Pass, refusal::Refusal, request::Request},
+    scheduler::Scheduler,
 };
 
 /// Idle time after which a job counts as starved and is logged, in milliseconds.
@@ -51,7 +51,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Counts the starved jobs and logs those that have been idle for longest.
     pub(crate) fn log_starved_jobs(&mut self) {
         let mut starved: Vec<(u64, JobId)> = Vec::new();
@@ -119,7 +119,7 @@
         let mut refusals = RefusalCounts::default();
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
-            if !worker.registered {
+            if !worker.announced {
                 continue;
             }
             if !worker.accepts_runs(self.now) {
--- a/crates/jobs/src/place/tasks.rs
+++ b/crates/jobs/src/place/tasks.rs
@@ -1,7 +1,6 @@
 //! Places waiting tasks on workers.
 
 use crate::{
-    machine::Machine,
     model::{
         ids::{JobId, TaskId},
         spec::Step,
@@ -13,6 +12,7 @@
         request::Request,
         unplaceable::Unplaceable,
     },
+    scheduler::Scheduler,
 };
 
 /// A job of this age without runs may place one task beyond the CPU share of best-effort
@@ -56,7 +56,7 @@
     Unplaced,
 }
 
-impl Machine {
+impl Scheduler {
     /// Places waiting tasks, those of the most urgent jobs first, within the budget of
     /// one pass.
     ///
@@ -215,7 +215,7 @@
         let placed = self.assign_members(&request, &members, run, pass);
         if placed.len() == step.count as usize {
             for member in placed {
-                self.fleet.get_mut(member.slot).note_probe(self.now);
+                self.fleet.get_mut(member.slot).record_probe(self.now);
             }
             self.share_checkpoint(first);
             return GangPlacement::All;
@@ -275,12 +275,12 @@
     /// Places a task on a worker and counts the run as a probe of the worker.
     pub(super) fn place_on(&mut self, id: TaskId, slot: u32, step: &Step) {
         if self.assign(id, slot, step, None).is_some() {
-            self.fleet.get_mut(slot).note_probe(self.now);
+            self.fleet.get_mut(slot).record_probe(self.now);
         }
     }
 
     /// Assigns a task to a worker, as run `number` or else the next one. Returns what
-    /// [`Machine::unassign`] needs to undo the assignment.
+    /// [`Scheduler::unassign`] needs to undo the assignment.
     fn assign(
         &mut self,
         id: TaskId,
@@ -349,7 +349,7 @@
             *ranking = Some(self.rank_workers(request, pass));
         }
         let worker = self.best_worker(ranking.as_mut()?, request, pass);
-        // Requests of a step with a limit per worker say nothing about other steps:
+        // Failed requests of a step with a limit per worker do not apply to other steps:
         // a worker at the limit still takes their tasks.
         if worker.is_none() && request.step.max_per_worker == 0 {
             pass.unplaceable.push(unplaceable);
--- a/crates/jobs/src/runs/answers.rs
+++ b/crates/jobs/src/runs/answers.rs
@@ -3,14 +3,14 @@
 use crate::{
     action::Action,
     event::{Started, Stopped},
-    machine::Machine,
     model::{
         ids::TaskId,
         task::{Run, Stage},
     },
+    scheduler::Scheduler,
 };
 
-/// A worker that refused a start for lack of room, although it should have had some, gets no run
+/// A worker that refused a start for lack of capacity that it should have had gets no run
 /// for this long, in milliseconds.
 const NO_ROOM_PAUSE_MS: u64 = 250;
 
@@ -20,7 +20,7 @@
 /// Delay before a silent worker is polled again, in milliseconds.
 const SILENT_RETRY_MS: u64 = 250;
 
-impl Machine {
+impl Scheduler {
     /// Returns a task's run if it is on this worker and has this number.
     pub(crate) fn run_on(&mut self, slot: u32, id: TaskId, run: u32) -> Option<&mut Run> {
         let task = self.jobs.get_mut(&id.job)?.task_mut(id)?;
@@ -44,7 +44,7 @@
         }
         let stage = self.run_on(slot, id, number).map(|r| r.stage);
         if let Some(Stage::Sent(at)) = stage {
-            self.window.note_answer(now - at);
+            self.window.record_answer(now - at);
         }
         let attributed = self.is_attributed(slot, id, started);
         let Some(run) = self.run_on(slot, id, number) else {
@@ -74,7 +74,7 @@
         let worker = self.fleet.get_mut(slot);
         log::info!(task = id.to_string().as_str(), run = number, worker = &*worker.id, started:?; "start: refused");
         match started {
-            Started::Refused => self.note_worker_failure(slot),
+            Started::Refused => self.record_worker_failure(slot),
             Started::Rejected => self.reject_start(slot, id),
             Started::NotSent => {
                 worker.silent_since.get_or_insert(now);
--- a/crates/jobs/src/runs/checkpoints.rs
+++ b/crates/jobs/src/runs/checkpoints.rs
@@ -4,22 +4,22 @@
 //! carries it is rejected.
 //!
 //! Limits: a rejection by one worker is enough, so a worker that rejects good checkpoints costs the
-//! work saved in them. Only the last rejected checkpoint of a gang is remembered, and only by this
+//! work saved in them. Only the last rejected checkpoint of a gang is recorded, and only by this
 //! owner.
 
 use crate::{
-    machine::Machine,
     model::{
         checkpoint::{Checkpoint, log_excerpt},
         ids::TaskId,
     },
+    scheduler::Scheduler,
 };
 
 /// Delay of a task whose start without a checkpoint was rejected, in milliseconds: other workers
 /// may reject it as well, and each rejection counts as a failure of the worker.
 const REJECTED_PAUSE_MS: u64 = 2000;
 
-impl Machine {
+impl Scheduler {
     /// Makes all members of a gang resume from the newest checkpoint of any of them.
     pub(crate) fn share_checkpoint(&mut self, member: TaskId) {
         let state = self.jobs.get_mut(&member.job);
@@ -44,7 +44,7 @@
         let run = task.last_run;
         if task.run.as_ref().is_none_or(|r| !r.partial) {
             task.retry_at = now + REJECTED_PAUSE_MS;
-            return self.note_worker_failure(slot);
+            return self.record_worker_failure(slot);
         }
         self.stats.rejected += 1;
         // The answer to another member's start may have removed the checkpoint already.
--- a/crates/jobs/src/runs/close.rs
+++ b/crates/jobs/src/runs/close.rs
@@ -1,15 +1,15 @@
 //! Ends jobs, stops runs, and drops the state of both.
 
 use crate::{
-    machine::Machine,
     model::{
         ids::{JobId, TaskId},
         record::Outcome,
         task::Stage,
     },
+    scheduler::Scheduler,
 };
 
-impl Machine {
+impl Scheduler {
     /// Ends a job and stops its runs.
     pub(crate) fn end_job(&mut self, id: JobId, outcome: Outcome) {
         let now = self.now;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Drops a task's run and releases its room.
+    /// Drops a task's run and releases its capacity.
     pub(crate) fn clear_run(&mut self, id: TaskId) {
         let Some(state) = self.jobs.get_mut(&id.job) else {
             return;
@@ -61,7 +61,7 @@
         let step = &job.spec.steps[id.step as usize];
         let worker = self.fleet.get_mut(run.worker);
         worker.release(id, step);
-        worker.note_late_start(id, number, &run, now);
+        worker.record_late_start(id, number, &run, now);
         // A lost worker keeps its suspect, which explains the loss of the other runs there.
         if !worker.dead && !worker.process_ended {
             worker.isolated_task = worker.isolated_task.filter(|&g| g != id);
--- a/crates/jobs/src/runs/commit.rs
+++ b/crates/jobs/src/runs/commit.rs
@@ -3,7 +3,6 @@
 
 use crate::{
     action::{Action, Batch, StartOrder},
-    machine::{InFlight, Machine},
     model::{
         checkpoint::log_excerpt,
         ids::{JobId, TaskId},
@@ -14,6 +13,7 @@
         log::{Appender, TASK_BYTES},
         poll::IDLE_POLL_WAIT_MS,
     },
+    scheduler::{InFlight, Scheduler},
 };
 
 /// Shortest lease that a start is sent with, in milliseconds. The poll of an idle worker goes on
@@ -33,7 +33,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Sends the next batch if none is in flight.
     pub(crate) fn commit(&mut self) {
         if self.in_flight.is_some() {
@@ -122,7 +122,7 @@
                         }
                         let name = |slot| fleet.get(slot).incarnation_name.clone();
                         let record = task.record((repetition, step, index), name);
-                        task.note_logged(builder.rows.add_task(id, record));
+                        task.mark_logged(builder.rows.add_task(id, record));
                     }
                     let run = task.run.as_ref();
                     if run.is_some_and(|r| r.stage == Stage::Planned) {
@@ -162,7 +162,7 @@
                 }
             }
             self.log.drop_oldest();
-            rows.note_dropped();
+            rows.record_dropped_row();
         }
     }
 
@@ -200,7 +200,7 @@
                     // its own batch.
                     let name = |slot| fleet.get(slot).incarnation_name.clone();
                     let record = task.record((repetition, step, index), name);
-                    task.note_logged(rows.add_task(id, record));
+                    task.mark_logged(rows.add_task(id, record));
                 }
             }
         }
@@ -257,7 +257,7 @@
         let deadline = worker.deadline(&settings, self.store_contact);
         let is_long_enough = |d: &u64| *d >= reading + MIN_LEASE_MS;
         // A placement may become durable seconds after it was chosen. Meanwhile the worker may have
-        // reported that it leaves or has less room, or its registration may have become stale.
+        // reported that it leaves or has less capacity, or its announcement may have become stale.
         let can_start = is_fresh && worker.accepts_runs(now) && !worker.is_overcommitted();
         let Some(deadline) = deadline.filter(is_long_enough).filter(|_| can_start) else {
             return self.clear_run(id);
@@ -266,7 +266,7 @@
         run.sent_at = Some(now);
         run.partial = !checkpoint.is_empty();
         worker.granted_until = worker.granted_until.max(deadline);
-        worker.note_lease_order(now, &settings);
+        worker.record_lease_order(now, &settings);
         let (slot, waited) = (run.worker, now - run.placed_at);
         self.stats.starts += 1;
         let order = StartOrder {
--- a/crates/jobs/src/runs/crashes.rs
+++ b/crates/jobs/src/runs/crashes.rs
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 
 use crate::{
-    machine::Machine,
     model::{
         crash::Blame,
         ids::TaskId,
         record::Outcome,
         task::{Run, Stage},
     },
+    scheduler::Scheduler,
 };
 
 /// A run had just started if its start was sent no longer than this before its worker fell silent,
@@ -26,13 +26,13 @@
 /// Workers that are lost within this time of each other are lost simultaneously, in milliseconds.
 const SIMULTANEOUS_MS: u64 = 1000;
 
-/// If so many other workers are lost simultaneously, none of their tasks is the cause.
+/// If this many other workers are lost simultaneously, none of their tasks is the cause.
 const MIN_SIMULTANEOUS_LOSSES: usize = 3;
 
 /// In a large fleet, the limit is one worker in this many instead, if that is higher.
 const SIMULTANEOUS_LOSS_DIVISOR: usize = 12;
 
-/// A task whose run has been listed for longer than this crashes no workers, in milliseconds.
+/// A task whose run has been reported for longer than this crashes no workers, in milliseconds.
 const CLEAR_SUSPECT_MS: u64 = 30_000;
 
 impl Run {
@@ -43,26 +43,26 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Records the crashes of workers that have been silent for [`SIMULTANEOUS_MS`].
     ///
-    /// To record them only when the runs are given up would be too late: a later owner may find the
-    /// next incarnation and never learn how this one ended. To record them at once would be too
+    /// Recording them only when the runs are given up would be too late: a later owner may find the
+    /// next incarnation and no evidence of how this one ended. Recording them at once would be too
     /// early: simultaneous losses of other workers show a little later.
-    pub(crate) fn note_crashes(&mut self) {
+    pub(crate) fn record_crashes(&mut self) {
         for slot in 0..self.fleet.workers.len() as u32 {
             let worker = self.fleet.get(slot);
             let due = worker
                 .silent_since
                 .is_some_and(|at| self.now > at + SIMULTANEOUS_MS);
             if due && worker.process_ended && !worker.crash_recorded {
-                self.note_crash(slot);
+                self.record_crash(slot);
             }
         }
     }
 
     /// Records the crash of a worker once, and attributes it to the tasks there.
-    pub(super) fn note_crash(&mut self, slot: u32) {
+    pub(super) fn record_crash(&mut self, slot: u32) {
         let worker = self.fleet.get_mut(slot);
         if std::mem::replace(&mut worker.crash_recorded, true) || worker.leaving_since.is_some() {
             return;
@@ -148,8 +148,8 @@
             w.silent_since
                 .is_some_and(|s| s.abs_diff(at) <= SIMULTANEOUS_MS)
         });
-        let registered = self.fleet.workers.iter().filter(|w| w.registered).count();
-        lost.count() >= MIN_SIMULTANEOUS_LOSSES.max(registered / SIMULTANEOUS_LOSS_DIVISOR)
+        let announced = self.fleet.workers.iter().filter(|w| w.announced).count();
+        lost.count() >= MIN_SIMULTANEOUS_LOSSES.max(announced / SIMULTANEOUS_LOSS_DIVISOR)
     }
 
     /// Returns whether a run had just started at `end`, or was isolated as a suspect.
@@ -175,23 +175,24 @@
         self.end_job(id.job, Outcome::Failed);
     }
 
-    /// Records how long the run of a task with crashes has been listed when its worker's clock
-    /// shows `clock`. After a while the run need not be isolated, and later its task is no longer a
-    /// suspect.
-    pub(crate) fn note_survival(&mut self, slot: u32, id: TaskId, clock: u64) {
+    /// Records for how long the run of a task with crashes has been reported when its worker's
+    /// clock shows `clock`. After a while the run need not be isolated, and later its task is no
+    /// longer a suspect.
+    pub(crate) fn record_survival(&mut self, slot: u32, id: TaskId, clock: u64) {
         let task = self.jobs.get_mut(&id.job).and_then(|j| j.task_mut(id));
         let Some(task) = task else {
             return;
         };
-        let first_listed = task.run.as_ref().and_then(|r| r.reported_at);
-        let listed_ms = first_listed.map_or(0, |at| clock.saturating_sub(at));
-        if listed_ms > task.crashes.isolation_ms() && self.fleet.get(slot).isolated_task == Some(id)
+        let first_reported = task.run.as_ref().and_then(|r| r.reported_at);
+        let reported_ms = first_reported.map_or(0, |at| clock.saturating_sub(at));
+        if reported_ms > task.crashes.isolation_ms()
+            && self.fleet.get(slot).isolated_task == Some(id)
         {
-            log::info!(task = id.to_string().as_str(), worker = &*self.fleet.get(slot).id, after_ms = listed_ms; "run: no longer apart");
+            log::info!(task = id.to_string().as_str(), worker = &*self.fleet.get(slot).id, after_ms = reported_ms; "run: no longer apart");
             self.fleet.get_mut(slot).isolated_task = None;
             self.placement_due = true;
         }
-        if listed_ms > CLEAR_SUSPECT_MS {
+        if reported_ms > CLEAR_SUSPECT_MS {
             task.crashes.clear();
             self.mark_dirty(id.job);
         }
--- a/crates/jobs/src/runs/log.rs
+++ b/crates/jobs/src/runs/log.rs
@@ -34,7 +34,7 @@
 /// Approximate size of a task in the log.
 pub(crate) const TASK_BYTES: usize = 64;
 
-/// What is remembered of a row.
+/// The metadata of a row.
 #[derive(Debug, Default)]
 struct Row {
     bytes: usize,
@@ -167,7 +167,7 @@
     }
 
     /// Records that the commit drops a row.
-    pub(crate) fn note_dropped(&mut self) {
+    pub(crate) fn record_dropped_row(&mut self) {
         self.dropped += 1;
     }
 
--- a/crates/jobs/src/runs/lost.rs
+++ b/crates/jobs/src/runs/lost.rs
@@ -5,8 +5,8 @@
 //! off, or its process may have ended; only in the last case does its address refuse connections.
 
 use crate::{
-    machine::Machine,
     model::{crash::Blame, ids::TaskId},
+    scheduler::Scheduler,
 };
 
 /// How a worker was lost.
@@ -18,7 +18,7 @@
     Lapsed,
 }
 
-impl Machine {
+impl Scheduler {
     /// Handles the end of a worker's incarnation, and of the runs there.
     pub(crate) fn worker_lost(&mut self, slot: u32) {
         let worker = self.fleet.get(slot);
@@ -60,11 +60,11 @@
     /// Records what the loss of a worker shows about the tasks there.
     pub(super) fn record_loss(&mut self, slot: u32, loss: Loss) {
         let worker = self.fleet.get(slot);
-        // A worker without a registration can't be polled and may have crashed. One that was silent
-        // until its leases expired may only be cut off.
+        // A worker without an announcement can't be polled and may have crashed. One that was
+        // silent until its leases expired may only be cut off.
         let may_have_crashed = loss == Loss::Ended || worker.info.is_none();
         if worker.process_ended {
-            self.note_crash(slot);
+            self.record_crash(slot);
         } else if may_have_crashed && worker.leaving_since.is_none() {
             self.attribute_crash(slot, Blame::Unseen);
         }
--- a/crates/jobs/src/runs/replaced.rs
+++ b/crates/jobs/src/runs/replaced.rs
@@ -1,12 +1,11 @@
 //! Handles the runs and starts of a worker's incarnation that another one has replaced.
 //!
-//! All runs that the earlier incarnation has listed have ended, whatever clocks and leases show.
-//! Starts that it has not listed may be carried out by the next incarnation, which has seen no
-//! epoch and whose clock is behind. Their tasks wait until the next incarnation lists them, or
+//! All runs that the earlier incarnation has reported have ended, whatever clocks and leases show.
+//! Starts whose runs it has not reported may be carried out by the next incarnation, which has seen
+//! no epoch and whose clock is behind. Their tasks wait until the next incarnation reports them, or
 //! until a stop prevents them there.
 
 use crate::{
-    machine::Machine,
     model::{
         ids::TaskId,
         task::{Run, Stage, UNKNOWN_PACE},
@@ -19,10 +18,11 @@
         unreported::MAX_ORDER_DELAY_MS,
         worker::{Capacity, demand},
     },
+    scheduler::Scheduler,
     settings::lease_upper_bound,
 };
 
-impl Machine {
+impl Scheduler {
     /// Returns the slot of the incarnation that a report is from, or `None` if the report does not
     /// count. Ends the earlier incarnations.
     pub(super) fn reporting_slot(
@@ -62,13 +62,13 @@
     fn merge_identified(&mut self, old: u32, new: u32) -> usize {
         let worker = self.fleet.get(old);
         let (runs, isolated) = (worker.runs.clone(), worker.isolated_task);
-        let registered = worker.registered;
+        let announced = worker.announced;
         for &id in &runs {
             self.move_run(id, new, |stage| stage);
         }
         let worker = self.fleet.get_mut(new);
         worker.isolated_task = worker.isolated_task.or(isolated);
-        worker.registered |= registered;
+        worker.announced |= announced;
         runs.len()
     }
 
@@ -104,7 +104,7 @@
         unreported.len() + late_starts.len()
     }
 
-    /// Returns the runs on a worker whose starts were sent and that it has not listed.
+    /// Returns the runs on a worker whose starts were sent and that it has not reported.
     fn unreported_runs(&self, slot: u32) -> Vec<TaskId> {
         let runs = self.fleet.get(slot).runs.iter().copied();
         let unreported = runs.filter(|&id| {
@@ -145,7 +145,7 @@
     /// that needs a run now waits until the start is prevented.
     fn block_late_start(&mut self, old: u32, new: u32, start: LateStart) {
         let id = start.task;
-        self.fleet.get_mut(new).keep_late_start(start, self.now);
+        self.fleet.get_mut(new).add_late_start(start, self.now);
         let task = self.jobs.get(&id.job).and_then(|j| j.task(id));
         let Some(task) = task.filter(|t| !t.done) else {
             return self.add_late_orphan(new, start);
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Adds a run that a worker may still start, and that nobody wants, to its orphans.
+    /// Adds a run that a worker may still start, and that is not wanted, to its orphans.
     fn add_late_orphan(&mut self, slot: u32, start: LateStart) {
         let id = start.task;
         let state = self.jobs.get(&id.job);
--- a/crates/jobs/src/runs/replaced_tests.rs
+++ b/crates/jobs/src/runs/replaced_tests.rs
@@ -6,12 +6,12 @@
 use crate::{
     action::Action,
     event::{Answer, Event, ReportedRun, Started, Stopped, WorkerReport},
-    machine::Machine,
     model::{
         ids::{JobId, TaskId},
         policy::QueuePolicy,
         spec::{Job, Spec, Step},
     },
+    scheduler::Scheduler,
     settings::Settings,
     takeover::Takeover,
 };
@@ -26,7 +26,7 @@
 
 /// An owner with one job of one task, and with one worker whose answers the test gives.
 struct Owner {
-    machine: Machine,
+    scheduler: Scheduler,
     now: u64,
     /// Actions since the last check, without polls.
     sent: Vec<Action>,
@@ -42,7 +42,7 @@
             prior_leases_end: 0,
         };
         let mut owner = Owner {
-            machine: Machine::new(Settings::default(), now, takeover),
+            scheduler: Scheduler::new(Settings::default(), now, takeover),
             now,
             sent: Vec::new(),
         };
@@ -54,7 +54,7 @@
             stretch: 1.5,
             latency: 250,
         }]));
-        owner.register(1);
+        owner.announce(1);
         owner.report(0, 1, &[]);
         let step = Step {
             count: 1,
@@ -78,7 +78,7 @@
     }
 
     fn handle_event(&mut self, event: Event) {
-        self.machine.handle(self.now, self.now, event);
+        self.scheduler.handle(self.now, self.now, event);
     }
 
     fn answer(&mut self, worker: u32, sent: u64, answer: Answer) {
@@ -97,7 +97,7 @@
             let asked = self.now;
             self.handle_event(Event::WorkersSynced { asked_at: asked });
             self.handle_event(Event::Renewed { asked_at: asked });
-            for action in self.machine.decide(self.now, self.now) {
+            for action in self.scheduler.decide(self.now, self.now) {
                 match action {
                     Action::Commit(_) => self.handle_event(Event::Committed { asked_at: asked }),
                     Action::Poll { .. } => {}
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Handles the registration of an incarnation.
-    fn register(&mut self, start_time: u64) {
+    /// Handles the announcement of an incarnation.
+    fn announce(&mut self, start_time: u64) {
         self.handle_event(Event::WorkerUpdated(WorkerInfo {
             id: "w".into(),
             start_time: Some(start_time),
@@ -180,24 +180,24 @@
 }
 
 #[test]
-fn a_listed_run_ends_with_its_incarnation() {
+fn a_reported_run_ends_with_its_incarnation() {
     let mut owner = Owner::new();
     owner.started(0, 1, Started::Done);
     owner.report(0, 1, &[1]);
-    owner.register(2);
+    owner.announce(2);
     owner.report(0, 2, &[]);
     assert_eq!(owner.starts(), [(1, 2)]);
 }
 
 /// An answer does not show which incarnation gave it.
 #[test]
-fn an_unlisted_start_is_stopped_in_the_next_incarnation() {
+fn an_unreported_start_is_stopped_in_the_next_incarnation() {
     for answer in [None, Some(Started::Unknown), Some(Started::Done)] {
         let mut owner = Owner::new();
         if let Some(started) = answer {
             owner.started(0, 1, started);
         }
-        owner.register(2);
+        owner.announce(2);
         owner.report(0, 2, &[]);
         assert_eq!(owner.stops(), [(1, 1)]);
         owner.stopped(1, 1);
@@ -207,9 +207,9 @@
 }
 
 #[test]
-fn a_run_that_the_next_incarnation_lists_goes_on() {
+fn a_run_that_the_next_incarnation_reports_goes_on() {
     let mut owner = Owner::new();
-    owner.register(2);
+    owner.announce(2);
     owner.report(0, 2, &[1]);
     owner.report(1, 2, &[1]);
     assert!(owner.sent.is_empty());
@@ -224,7 +224,7 @@
     owner.report(0, 1, &[]);
     assert_eq!(owner.stops(), [(0, 1)]);
     owner.stopped(0, 1);
-    owner.register(2);
+    owner.announce(2);
     owner.report(0, 2, &[]);
     assert_eq!(owner.stops(), [(1, 1)]);
 }
@@ -241,7 +241,7 @@
     owner.report(0, 1, &[]);
     assert_eq!(owner.starts(), [(0, 2)]);
     owner.report(0, 1, &[2]);
-    owner.register(2);
+    owner.announce(2);
     owner.report(0, 2, &[]);
     assert_eq!(owner.stops(), [(1, 1), (1, 2)]);
     owner.stopped(1, 2);
@@ -259,7 +259,7 @@
 fn the_next_incarnation_is_not_lost_while_misdirected_leases_may_hold() {
     let mut owner = Owner::new();
     owner.report(0, 1, &[1]);
-    owner.register(2);
+    owner.announce(2);
     owner.report(0, 2, &[]);
     assert_eq!(owner.starts(), [(1, 2)]);
     owner.report(1, 2, &[2]);
@@ -269,7 +269,7 @@
         owner.answer(1, sent, Answer::NoReply);
         assert!(
             owner
-                .machine
+                .scheduler
                 .jobs
                 .get(&TASK.job)
                 .is_some_and(|j| j.has_runs())
@@ -281,7 +281,7 @@
     }
     assert!(
         owner
-            .machine
+            .scheduler
             .jobs
             .get(&TASK.job)
             .is_some_and(|j| !j.has_runs())
@@ -292,7 +292,7 @@
 fn hold_time(mut owner: Owner) -> u64 {
     let since = owner.now;
     while owner
-        .machine
+        .scheduler
         .jobs
         .get(&TASK.job)
         .is_some_and(|j| j.has_runs())
@@ -310,7 +310,7 @@
 /// A start that a later incarnation may have carried out holds its run for the longest lease, even
 /// if unanswered polls follow. A start that its own incarnation has carried out does not.
 #[test]
-fn an_unlisted_start_is_held_as_long_as_a_later_incarnation_may_run_it() {
+fn an_unreported_start_is_held_as_long_as_a_later_incarnation_may_run_it() {
     let longest = Settings::default().max_lease;
     let mut own = Owner::new();
     own.started(0, 1, Started::DoneAt(own.now - 1));
@@ -328,9 +328,9 @@
 }
 
 #[test]
-fn a_poll_drops_ends_only_of_a_known_incarnation_that_still_lists_them() {
+fn a_poll_drops_ends_only_of_a_known_incarnation_that_still_reports_them() {
     let mut owner = Owner::new();
-    let worker = owner.machine.fleet.get_mut(0);
+    let worker = owner.scheduler.fleet.get_mut(0);
     worker.durable_end = 5;
     for (first, silent, contested, expected) in [
         (Some(5), None, false, 5),
--- a/crates/jobs/src/runs/report.rs
+++ b/crates/jobs/src/runs/report.rs
@@ -2,16 +2,16 @@
 
 use crate::{
     event::{Ending, RunEnd, WorkerReport},
-    machine::Machine,
     model::{
         checkpoint::{Origin, log_excerpt},
         ids::TaskId,
         record::Outcome,
     },
+    scheduler::Scheduler,
 };
 
-/// Ends that one report lists at most; a report with so many may be incomplete.
-const MAX_LISTED_ENDS: usize = 500;
+/// Maximum number of ends in one report; a report with this many may be incomplete.
+const MAX_REPORTED_ENDS: usize = 500;
 
 /// First delay of a task after a failure, in milliseconds; it doubles with each failure.
 const RETRY_BACKOFF_MS: u64 = 40;
@@ -19,7 +19,7 @@
 /// Doublings of that delay at most.
 const MAX_BACKOFF_DOUBLINGS: usize = 6;
 
-impl Machine {
+impl Scheduler {
     /// Handles a worker's report, the answer to a poll sent at `sent`.
     pub(crate) fn handle_report(&mut self, slot: u32, sent: u64, report: WorkerReport) {
         let (now, settings) = (self.now, self.settings);
@@ -31,7 +31,7 @@
         if worker.dead {
             return;
         }
-        worker.note_clock(report.clock, now, &settings);
+        worker.record_clock(report.clock, now, &settings);
         worker.first_end = report.finished.first().map(|e| e.number);
         let was_absent = worker.process_ended;
         if let Some(since) = worker.silent_since.take() {
@@ -46,7 +46,7 @@
         for row in &report.running {
             self.handle_reported_run(slot, row, report.clock);
         }
-        if report.finished.len() < MAX_LISTED_ENDS {
+        if report.finished.len() < MAX_REPORTED_ENDS {
             self.check_unreported(slot, sent, &report);
         }
         self.check_stalled(slot);
@@ -101,7 +101,7 @@
 
     fn handle_done(&mut self, slot: u32, id: TaskId, elapsed: u64, is_representative: bool) {
         self.stats.done += 1;
-        self.fleet.get_mut(slot).note_success();
+        self.fleet.get_mut(slot).record_success();
         if is_representative {
             self.observe_duration(id, elapsed);
         }
@@ -115,7 +115,7 @@
         if !step.best_effort && step.estimate > 0 && elapsed > 0 {
             self.fleet
                 .get_mut(slot)
-                .note_duration(elapsed * 100 / step.estimate);
+                .record_duration(elapsed * 100 / step.estimate);
         }
         let members = match step.gang {
             true => 0..step.count,
@@ -156,7 +156,7 @@
     fn handle_failed(&mut self, slot: u32, id: TaskId, run: u32, is_final: bool) {
         self.stats.failed += 1;
         let now = self.now;
-        self.note_worker_failure(slot);
+        self.record_worker_failure(slot);
         let Some(state) = self.jobs.get(&id.job) else {
             return;
         };
--- a/crates/jobs/src/runs/reported.rs
+++ b/crates/jobs/src/runs/reported.rs
@@ -1,8 +1,7 @@
-//! Handles the runs that a worker lists, and those that it does not list.
+//! Handles the runs that a worker reports, and those missing from its report.
 
 use crate::{
     event::{ReportedRun, WorkerReport},
-    machine::Machine,
     model::{
         checkpoint::Origin,
         ids::TaskId,
@@ -13,13 +12,14 @@
         orphan::Orphan,
         worker::{Capacity, demand},
     },
+    scheduler::Scheduler,
 };
 
 /// A long-running task that has run for this long counts as a success, in milliseconds.
 const SETTLED_MS: u64 = 1500;
 
-impl Machine {
-    /// Records a run that a worker lists when its clock shows `clock`.
+impl Scheduler {
+    /// Records a run that a worker reports when its clock shows `clock`.
     pub(super) fn handle_reported_run(&mut self, slot: u32, reported: &ReportedRun, clock: u64) {
         let now = self.now;
         let id = reported.task;
@@ -56,7 +56,7 @@
         }
         self.update_progress(slot, reported, clock);
         if has_crashes {
-            self.note_survival(slot, id, clock);
+            self.record_survival(slot, id, clock);
         }
         if is_pending {
             self.mark_job_active(id);
@@ -84,7 +84,7 @@
         run.reported_at.get_or_insert(clock);
         let worker = self.fleet.get(slot);
         if is_settled && worker.failures > 0 && placed_at > worker.failed_at {
-            self.fleet.get_mut(slot).note_success();
+            self.fleet.get_mut(slot).record_success();
         }
     }
 
@@ -131,15 +131,15 @@
         });
     }
 
-    /// Handles the runs that a report to a poll sent at `sent` does not list.
+    /// Handles the runs that are missing from a report to a poll sent at `sent`.
     pub(super) fn check_unreported(&mut self, slot: u32, sent: u64, report: &WorkerReport) {
-        let is_listed = |id: TaskId, run: u32| {
+        let is_reported = |id: TaskId, run: u32| {
             let running = &report.running;
             running.iter().any(|r| r.task == id && r.run == run)
         };
         let worker = self.fleet.get_mut(slot);
         worker.drop_orphans(|s| {
-            s.stopped_at.is_some_and(|at| sent > at) && !is_listed(s.task, s.run)
+            s.stopped_at.is_some_and(|at| sent > at) && !is_reported(s.task, s.run)
         });
         let orphans: Vec<TaskId> = worker.orphans.iter().map(|s| s.task).collect();
         for id in worker.runs.clone() {
@@ -151,7 +151,7 @@
             let Some(run) = task.run.as_mut() else {
                 continue;
             };
-            if is_listed(id, last) {
+            if is_reported(id, last) {
                 continue;
             }
             // An orphan of the same task may be running, or may start.
--- a/crates/jobs/src/runs/unreported.rs
+++ b/crates/jobs/src/runs/unreported.rs
@@ -3,7 +3,7 @@
 //! A worker starts again under its name and, before its new incarnation is known, carries out a
 //! start that was meant for the previous one. The start names the end of its lease on a clock that
 //! is far ahead, so the new incarnation cuts the lease to the longest one, counted from the arrival
-//! of the order. Its run outlasts what the owner granted, and no report has listed it when the
+//! of the order. Its run outlasts what the owner granted, and no report has included it when the
 //! worker is cut off or another one takes its address.
 //!
 //! A run is kept until a report shows which incarnation has it, or until no lease that a later
@@ -15,9 +15,9 @@
 
 use crate::{
     event::Started,
-    machine::Machine,
     model::{ids::TaskId, task::Run},
     runs::worker::Worker,
+    scheduler::Scheduler,
     settings::{Settings, lease_upper_bound, min_clock_advance},
 };
 
@@ -34,7 +34,7 @@
 
 impl Worker {
     /// Records that an order was sent that names the end of a lease.
-    pub(crate) fn note_lease_order(&mut self, now: u64, settings: &Settings) {
+    pub(crate) fn record_lease_order(&mut self, now: u64, settings: &Settings) {
         if self.start_time.is_some() {
             self.successor_lease_end =
                 now + MAX_ORDER_DELAY_MS + lease_upper_bound(settings.max_lease);
@@ -54,7 +54,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Returns whether an answer to a start shows that the run ends with the leases granted to this
     /// incarnation of its worker.
     pub(super) fn is_attributed(&self, slot: u32, id: TaskId, started: Started) -> bool {
--- a/crates/jobs/src/runs/unverified.rs
+++ b/crates/jobs/src/runs/unverified.rs
@@ -1,10 +1,10 @@
 //! Runs of earlier owners on workers that have not reported to this owner yet.
 //!
 //! Such a run occupies its task until its worker reports, or until every lease that an earlier
-//! owner may have granted has expired. A worker without a registration at the takeover can't even
+//! owner may have granted has expired. A worker without an announcement at the takeover can't even
 //! be polled.
 
-use crate::{machine::Machine, runs::worker::Worker};
+use crate::{runs::worker::Worker, scheduler::Scheduler};
 
 impl Worker {
     /// Returns how many runs on the worker wait for its first report to this owner.
@@ -17,7 +17,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Returns how many runs of earlier owners are on workers that have not reported yet.
     pub(crate) fn unverified_runs(&self) -> u64 {
         let workers = self.fleet.workers.iter();
--- a/crates/jobs/src/runs/worker.rs
+++ b/crates/jobs/src/runs/worker.rs
@@ -85,13 +85,13 @@
     /// Name of this incarnation.
     pub(crate) incarnation_name: Arc<str>,
     /// When this incarnation was first announced; 0 if it was not.
-    pub(crate) registered_at: u64,
+    pub(crate) announced_at: u64,
     /// Whether another incarnation may have replaced this one. No new run begins meanwhile.
     pub(crate) contested: bool,
     /// The announcement; `None` if only records name the worker.
     pub(crate) info: Option<WorkerInfo>,
     /// Whether the announcement still exists.
-    pub(crate) registered: bool,
+    pub(crate) announced: bool,
     /// Whether the availability zone is evacuated, so that no new run begins.
     pub(crate) evacuated: bool,
     /// Whether the incarnation has ended.
@@ -186,10 +186,10 @@
             incarnation_name: incarnation.name(),
             id: incarnation.id,
             start_time: incarnation.start_time,
-            registered_at: 0,
+            announced_at: 0,
             contested: false,
             info: None,
-            registered: false,
+            announced: false,
             evacuated: false,
             dead: false,
             changed: false,
@@ -259,7 +259,7 @@
 
     /// Returns whether the worker is announced and answers.
     pub(crate) fn is_live(&self) -> bool {
-        self.registered && !self.dead && self.silent_since.is_none() && self.clock.is_some()
+        self.announced && !self.dead && self.silent_since.is_none() && self.clock.is_some()
     }
 
     /// Returns whether a suspect runs here in isolation.
@@ -276,7 +276,7 @@
     /// Returns the end of a lease that is granted now, on the worker's clock, or `None` if the
     /// last contact with the store was too long ago.
     ///
-    /// The lease counts from the last known reading of the worker's clock, so that a delayed
+    /// The lease counts from the last reported reading of the worker's clock, so that a delayed
     /// order grants no more than its sender accounts for.
     pub(crate) fn deadline(&self, settings: &Settings, store_contact: u64) -> Option<u64> {
         let (reading, at) = self.clock?;
@@ -300,7 +300,7 @@
     /// From its first answer on, the worker refuses orders of earlier owners. So a lease that
     /// they granted lasts at most one lease duration from that answer, and less if their last
     /// contact with the store was long ago.
-    pub(crate) fn note_clock(&mut self, reading: u64, now: u64, settings: &Settings) {
+    pub(crate) fn record_clock(&mut self, reading: u64, now: u64, settings: &Settings) {
         if self.clock.is_none() {
             let latest = now + lease_upper_bound(settings.lease);
             self.prior_leases_end = self.prior_leases_end.min(latest);
@@ -364,7 +364,7 @@
         self.orphans.push(orphan);
     }
 
-    /// Removes orphans that are gone and releases their capacity.
+    /// Removes orphans that have ended and releases their capacity.
     pub(crate) fn drop_orphans(&mut self, is_gone: impl Fn(&Orphan) -> bool) {
         let mut at = 0;
         while at < self.orphans.len() {
--- a/crates/jobs/src/share/headroom_forecasts.rs
+++ b/crates/jobs/src/share/headroom_forecasts.rs
@@ -6,8 +6,8 @@
 //! Limits: while curves are not reliable, only as many are fitted as can be scored.
 
 use crate::{
-    machine::Machine,
     model::{ids::JobId, job::JobState},
+    scheduler::Scheduler,
     share::{
         forecast::History, headroom::HeadroomForecast, sample::StepKey, seasonality::Seasonality,
     },
@@ -23,7 +23,7 @@
 /// Time from now to the middle of the half second that the next metrics cover.
 const NEXT_METRICS_MS: u64 = 250;
 
-impl Machine {
+impl Scheduler {
     /// Updates the forecasts of all steps, and the seasonality when that is due.
     pub(crate) fn forecast_headrooms(&mut self) {
         let now = self.now;
--- a/crates/jobs/src/share/learned.rs
+++ b/crates/jobs/src/share/learned.rs
@@ -1,4 +1,4 @@
-//! State learned by an owner, stored for the next owner of the shard.
+//! State learned by an owner, stored for the next owner of the jobs.
 //!
 //! Learning which images interfere and how long tasks take needs half a minute. Until then each
 //! pair counts as interfering, so that hardly any best-effort task runs beside serving tasks.
@@ -9,12 +9,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    machine::Machine,
     order::estimates::EstimateModel,
+    scheduler::Scheduler,
     share::{forecast::Prior, sample::Image},
 };
 
-/// Most pairs that are stored, the best known first. At 20 bytes each they fit into one row.
+/// Maximum number of stored pairs, those with the most evidence first. At 20 bytes each they fit
+/// into one row.
 const MAX_PAIRS: usize = 2000;
 
 /// Headroom that one best-effort image takes from one serving image. Encoded as an array.
@@ -51,7 +52,7 @@
     prior: Option<Prior>,
 }
 
-impl Machine {
+impl Scheduler {
     /// Returns the state learned so far.
     pub fn learned(&self) -> Learned {
         let mut images: Vec<Arc<str>> = vec![Arc::default(); self.image_numbers.len() + 1];
--- a/crates/jobs/src/share/slack.rs
+++ b/crates/jobs/src/share/slack.rs
@@ -1,8 +1,8 @@
 //! Headroom of the serving tasks on a worker that is left for more best-effort tasks.
 
 use crate::{
-    machine::Machine,
     model::ids::TaskId,
+    scheduler::Scheduler,
     share::{
         fit::INITIAL_WEIGHT,
         headroom::{Headroom, MIN_HEADROOM},
@@ -53,7 +53,7 @@
 }
 
 impl Slack {
-    /// Returns by how much the headroom taken by a new best-effort task exceeds what is left. If it
+    /// Returns by how much the headroom taken by a new best-effort task exceeds the rest. If it
     /// is 0 or less there is enough headroom, and lower is better.
     ///
     /// `costs` are the weights of its image against each serving image, and `share` is the share of
@@ -76,7 +76,7 @@
     }
 }
 
-impl Machine {
+impl Scheduler {
     /// Returns the serving and the best-effort runs on a worker.
     pub(crate) fn colocated_runs(&self, slot: u32) -> (Vec<ServingRun>, Vec<BestEffortRun>) {
         let (mut serving_runs, mut best_effort_runs) = (Vec::new(), Vec::new());
--- a/crates/node/src/candidate_tests.rs
+++ b/crates/node/src/candidate_tests.rs
@@ -147,16 +147,16 @@
     assert_eq!(candidate(&released, 120, 0).follow_pause(), 0);
 }
 
-/// Time for which users allow a long-running task to be away after the last disturbance, in
+/// Time for which users allow a long-running task to be away after the last fault, in
 /// milliseconds.
 const MAX_AWAY_MS: u64 = 10_000;
 
 /// Longest time to abandon a worker's runs, place their tasks, write and start them without other
-/// disturbances, in milliseconds.
+/// faults, in milliseconds.
 const RESTART_MS: u64 = 300;
 
 /// Guards against waiting too long for leases of an earlier owner: two long-running tasks started
-/// 11 s after a takeover, since their worker was gone and those leases ended only 12.7 s after the
+/// 11 s after a takeover, since their worker was lost and those leases ended only 12.7 s after the
 /// last renewal.
 #[test_case(0; "taken at once")]
 #[test_case(1000; "after the shortest term")]
