--- a/crates/replay/src/reader.rs
+++ b/crates/replay/src/reader.rs
@@ -15,7 +15,7 @@
 /// A trace in memory.
 #[derive(Debug, Clone)]
 pub struct Trace {
-    /// Initial state of the machine.
+    /// Initial state of the scheduler.
     pub header: Header,
     /// Recorded steps, in order.
     pub frames: Vec<Frame>,
@@ -58,7 +58,7 @@
 /// Fails at the first step whose actions differ from the recorded ones.
 pub fn replay(trace: &Trace) -> Result<Outcome, TraceError> {
     let header = &trace.header;
-    let mut machine = ShardScheduler::new(
+    let mut scheduler = ShardScheduler::new(
         header.place.clone(),
         header.settings.clone(),
         header.seed,
@@ -67,25 +67,25 @@
     );
     let mut outcome = Outcome::default();
     for (step, frame) in trace.frames.iter().enumerate() {
-        let actions = machine.step(frame.now, &frame.event);
+        let actions = scheduler.step(frame.now, &frame.event);
         if hash_actions(&actions) != frame.actions_hash {
             let now_ms = frame.now;
             return Err(TraceError::ActionsDiffer { step, now_ms });
         }
         outcome.count(&actions);
-        count_violations(&machine, &mut outcome);
+        count_violations(&scheduler, &mut outcome);
     }
     Ok(outcome)
 }
 
 /// Counts violations of the invariants after a step.
-fn count_violations(machine: &ShardScheduler, outcome: &mut Outcome) {
-    for worker in machine.workers() {
+fn count_violations(scheduler: &ShardScheduler, outcome: &mut Outcome) {
+    for worker in scheduler.workers() {
         let mut used = gorsespur_core::size::Size::default();
         for resident in &worker.allocations {
             used = used.saturating_add(&resident.size);
             let id = resident.attempt;
-            let task = machine
+            let task = scheduler
                 .state()
                 .job(id.job)
                 .and_then(|j| j.tasks.get(id.task as usize));
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -99,11 +99,11 @@
     std::fs::create_dir_all(&dir).expect("a directory");
     let path = dir.join("one.trace");
     let settings = ShardSettings::default();
-    let mut machine = ShardScheduler::new(place(), settings.clone(), 7, takeover(), NOW);
+    let mut scheduler = ShardScheduler::new(place(), settings.clone(), 7, takeover(), NOW);
     let created = Recorder::create(&path, &place(), &settings, 7, &takeover(), NOW);
     let mut recorder = created.expect("created");
     for (now, event) in events() {
-        let actions = machine.step(now, &event);
+        let actions = scheduler.step(now, &event);
         recorder.add_step(now, &event, &actions).expect("recorded");
     }
     path
