--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -247,7 +247,7 @@
     );
     let snapshot = Snapshot {
         next: scheduler.next_record(),
-        book: scheduler.state().clone(),
+        state: scheduler.state().clone(),
     };
     let bytes = encode(&snapshot).unwrap_or_default();
     let began = Instant::now();
@@ -263,7 +263,7 @@
     };
     let takeover = Takeover {
         epoch: 2,
-        state: restored.book,
+        state: restored.state,
         next_record: restored.next,
         inherited_hold: 60_000,
         settled: true,
--- a/crates/sched/src/recover.rs
+++ b/crates/sched/src/recover.rs
@@ -58,7 +58,7 @@
         let key = objects::snapshot(shard, row.first_record);
         let bytes = store.get(&key).context(ObjectSnafu)?;
         let snapshot: Snapshot = decode(&bytes).context(CodecSnafu)?;
-        state = snapshot.book;
+        state = snapshot.state;
         next = snapshot.next;
     }
     let prefix = keys::journal_rows(shard);
--- a/crates/sched/src/shard_thread.rs
+++ b/crates/sched/src/shard_thread.rs
@@ -145,7 +145,7 @@
         let next = self.scheduler.next_record();
         let snapshot = Snapshot {
             next,
-            book: self.scheduler.state().clone(),
+            state: self.scheduler.state().clone(),
         };
         match encode(&snapshot) {
             Ok(bytes) => self.push(KeeperMessage::Snapshot { next, bytes }, state),
--- a/crates/sched/tests/journal.rs
+++ b/crates/sched/tests/journal.rs
@@ -213,7 +213,7 @@
     let before = recovered(&platform);
     let snapshot = Snapshot {
         next: 3,
-        book: before.clone(),
+        state: before.clone(),
     };
     let bytes = encode(&snapshot).expect("encodes");
     let key = objects::snapshot(&shard(), 3);
@@ -242,7 +242,7 @@
     let first_row = journal.next_row();
     let snapshot = Snapshot {
         next: 1,
-        book: recovered(&platform),
+        state: recovered(&platform),
     };
     let bytes = encode(&snapshot).expect("encodes");
     journal
--- a/crates/wire/src/stored.rs
+++ b/crates/wire/src/stored.rs
@@ -70,7 +70,8 @@
     /// Number of the next record.
     pub next: u64,
     /// State of the shard before that record.
-    pub book: ShardState,
+    #[serde(rename = "book")]
+    pub state: ShardState,
 }
 
 /// A job's row.
