--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -143,7 +143,7 @@
             } else {
                 Vec::new()
             },
-            whole,
+            has_body: whole,
         };
         let claim = Claim {
             ended: Some(end),
@@ -193,7 +193,7 @@
     let Some(end) = found.ended else {
         return Claimed::Unfinished;
     };
-    let status = if end.whole { end.status } else { 409 };
+    let status = if end.has_body { end.status } else { 409 };
     let mut reply = Reply::new(status, end.body).header(OUTCOME, Outcome::Ran.as_str());
     if !end.kind.is_empty() {
         reply = reply.header("content-type", &*end.kind);
--- a/crates/load/src/measure/membership.rs
+++ b/crates/load/src/measure/membership.rs
@@ -35,8 +35,8 @@
 struct ViewCosts {
     sent_bytes: f64,
     entries: f64,
-    learn_s: f64,
-    forget_s: f64,
+    join_detection_s: f64,
+    crash_detection_s: f64,
 }
 
 /// Measures and prints full membership and partial views at the given size.
@@ -47,7 +47,12 @@
     for (name, m) in [("full", full), ("partial", partial)] {
         println!(
             "membership: views={name} instances={} zones={} heartbeat_bytes={heartbeat_bytes:.0} sent_bytes_per_s={:.0} entries={:.0} learn_s={:.2} forget_s={:.2}",
-            args.instances, args.zones, m.sent_bytes, m.entries, m.learn_s, m.forget_s
+            args.instances,
+            args.zones,
+            m.sent_bytes,
+            m.entries,
+            m.join_detection_s,
+            m.crash_detection_s
         );
     }
     Ok(())
@@ -63,8 +68,8 @@
     ViewCosts {
         sent_bytes: peers as f64 * (heartbeat_bytes + DATAGRAM_OVERHEAD_BYTES) * rounds_per_s,
         entries: args.instances as f64,
-        learn_s: settings.heartbeat_interval as f64 / 1000.0,
-        forget_s: (settings.dead_after + settings.heartbeat_interval) as f64 / 1000.0,
+        join_detection_s: settings.heartbeat_interval as f64 / 1000.0,
+        crash_detection_s: (settings.dead_after + settings.heartbeat_interval) as f64 / 1000.0,
     }
 }
 
@@ -110,7 +115,7 @@
     for i in &members[new_group] {
         nodes[*i].heartbeats[new_index] = None;
     }
-    let learn_rounds = rounds_to_learn(
+    let join_rounds = rounds_to_detect(
         &mut nodes, &members, &mut rng, new_node, new_group, new_index,
     );
     // A safe failure timeout is 1.5 times the longest interval between two heartbeat counts of a
@@ -121,8 +126,8 @@
     ViewCosts {
         sent_bytes: targets as f64 * message_bytes * 1000.0 / ROUND_MS as f64,
         entries: (members[new_group].len() + CONTACTS_PER_GROUP * (groups - 1)) as f64,
-        learn_s: learn_rounds as f64 * ROUND_MS as f64 / 1000.0,
-        forget_s: gap_rounds as f64 * 1.5 * ROUND_MS as f64 / 1000.0,
+        join_detection_s: join_rounds as f64 * ROUND_MS as f64 / 1000.0,
+        crash_detection_s: gap_rounds as f64 * 1.5 * ROUND_MS as f64 / 1000.0,
     }
 }
 
@@ -162,7 +167,7 @@
     }
 }
 
-fn rounds_to_learn(
+fn rounds_to_detect(
     nodes: &mut [GossipNode],
     members: &[Vec<usize>],
     rng: &mut SmallRng,
--- a/crates/stand/src/args.rs
+++ b/crates/stand/src/args.rs
@@ -28,8 +28,8 @@
 #[derive(Debug, Args)]
 pub struct MembersArgs {
     /// Address of any endpoint of the platform.
-    #[arg(long)]
-    pub gate: SocketAddr,
+    #[arg(long = "gate", value_name = "GATE")]
+    pub endpoint: SocketAddr,
     /// YAML file with the members.
     pub file: PathBuf,
 }
@@ -39,8 +39,8 @@
 pub struct PlatformArgs {
     /// Endpoint of an availability zone, as ZONE=ADDRESS; give one for each zone, so
     /// that zones can be cut off separately.
-    #[arg(long = "gate", required = true, value_parser = parse_gate)]
-    pub gates: Vec<(String, SocketAddr)>,
+    #[arg(long = "gate", value_name = "GATES", required = true, value_parser = parse_endpoint)]
+    pub endpoints: Vec<(String, SocketAddr)>,
     /// Maximum number of writes per second.
     #[arg(long, default_value_t = 500)]
     pub writes: u32,
@@ -55,7 +55,7 @@
     pub seed: u64,
 }
 
-fn parse_gate(text: &str) -> Result<(String, SocketAddr), String> {
+fn parse_endpoint(text: &str) -> Result<(String, SocketAddr), String> {
     let (zone, addr) = text.split_once('=').ok_or("expected ZONE=ADDRESS")?;
     let addr = addr
         .parse()
--- a/crates/stand/src/error.rs
+++ b/crates/stand/src/error.rs
@@ -41,10 +41,10 @@
         source: SettingsError,
     },
     /// The platform can't be reached or refused the members.
-    #[snafu(display("platform at {gate} did not accept the members"))]
+    #[snafu(display("platform at {endpoint} did not accept the members"))]
     MembersRejected {
         /// Address of the platform.
-        gate: SocketAddr,
+        endpoint: SocketAddr,
     },
     /// Logging can't be set up.
     #[snafu(display("can't start logging"))]
--- a/crates/stand/src/main.rs
+++ b/crates/stand/src/main.rs
@@ -34,7 +34,7 @@
     let result = match args.role {
         StandRole::Platform(args) => run_platform(args),
         StandRole::Worker(args) => run_worker(args),
-        StandRole::Members(args) => send_members(args.gate, &args.file),
+        StandRole::Members(args) => send_members(args.endpoint, &args.file),
     };
     report_result("gorsespur-stand", result)
 }
@@ -51,7 +51,7 @@
     let lag = Duration::from_millis(args.lag);
     let platform = Platform::new(args.writes, args.reads, lag, args.seed);
     let mut endpoints = Vec::new();
-    for (zone, addr) in args.gates {
+    for (zone, addr) in args.endpoints {
         let zone = Name::from(zone);
         endpoints.push(ZoneEndpoint { zone, addr });
     }
--- a/crates/stand/src/members_file.rs
+++ b/crates/stand/src/members_file.rs
@@ -50,20 +50,22 @@
     leaving: bool,
 }
 
-/// Sends the members in `file` to the platform endpoint at `gate`.
+/// Sends the members in `file` to the platform `endpoint`.
 ///
 /// # Errors
 ///
 /// Fails if the file can't be read or the platform does not accept the list.
-pub fn send_members(gate: SocketAddr, file: &Path) -> Result<(), StandError> {
+pub fn send_members(endpoint: SocketAddr, file: &Path) -> Result<(), StandError> {
     let list = load(file, |raw: RawMembers| {
         Ok::<MemberList, Problems>(to_member_list(raw))
     });
     let list = list.context(MembersFileSnafu)?;
     let body = encode(&list).unwrap_or_default();
-    let answer = Call::new("POST", gate, "/members/set").body(body).send();
+    let answer = Call::new("POST", endpoint, "/members/set")
+        .body(body)
+        .send();
     let accepted = answer.is_ok_and(|a| a.status == 200);
-    snafu::ensure!(accepted, MembersRejectedSnafu { gate });
+    snafu::ensure!(accepted, MembersRejectedSnafu { endpoint });
     Ok(())
 }
 
--- a/crates/wire/src/stored.rs
+++ b/crates/wire/src/stored.rs
@@ -133,5 +133,6 @@
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
     /// Whether the body was kept.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub has_body: bool,
 }
