--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -14,7 +14,7 @@
 
 /// Returns the changed fields, sorted, as `path: old -> new`.
 ///
-/// `none` stands for a field that is absent on one side. Without an old template, all fields
+/// `none` means that a field is absent on one side. Without an old template, all fields
 /// are new.
 pub fn diff(old: Option<&RawTemplate>, new: &RawTemplate) -> Vec<String> {
     let before = old.map(flatten).unwrap_or_default();
--- a/crates/ctl/src/explain/line.rs
+++ b/crates/ctl/src/explain/line.rs
@@ -35,7 +35,7 @@
     /// Outcome of a run.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub how: Option<String>,
-    /// Time for which the owner had known a run when it ended, in milliseconds.
+    /// Time from when the owner placed or restored a run until its end, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ran_ms: Option<u64>,
     /// Time since the last renewal of a lease when it was taken, in milliseconds.
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -16,7 +16,7 @@
     File {
         /// The file.
         path: PathBuf,
-        /// The system's answer.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A program cannot be started.
@@ -24,13 +24,13 @@
     Spawn {
         /// The program.
         program: String,
-        /// The system's answer.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// No port can be reserved.
     #[snafu(display("cannot reserve a port"))]
     Port {
-        /// The system's answer.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A part of the system did not become ready in time.
@@ -58,7 +58,7 @@
         source: MembersError,
     },
     /// A guarantee was violated, or a process did not stop cleanly.
-    #[snafu(display("a promise was broken"))]
+    #[snafu(display("a guarantee was violated"))]
     GuaranteeViolated,
     /// An argument is invalid.
     #[snafu(display("{flag}: {message}"))]
--- a/crates/load/src/measure/membership.rs
+++ b/crates/load/src/measure/membership.rs
@@ -59,7 +59,8 @@
 }
 
 /// Returns the costs of full membership. Heartbeats go to all instances of the zone directly, so
-/// learning takes one interval, and forgetting takes the failure timeout and one interval.
+/// detecting a new instance takes one interval, and detecting a crashed one takes the failure
+/// timeout and one interval.
 fn full_membership(args: &MembershipArgs, heartbeat_bytes: f64) -> ViewCosts {
     let zone_size = args.instances.div_ceil(args.zones);
     let settings = MemberSettings::default();
--- a/crates/load/src/measure/placement_sim.rs
+++ b/crates/load/src/measure/placement_sim.rs
@@ -28,7 +28,7 @@
 /// Interval between two latency samples of the services.
 const SAMPLE_INTERVAL_MS: Millis = 100;
 
-/// Time at the start that is not measured, since the workers are still filling up.
+/// Time at the start that is not measured, since the utilisation of the workers still rises.
 const WARMUP_MS: Millis = 20_000;
 
 /// Number of kinds of batch tasks.
@@ -50,7 +50,7 @@
     pub replicas: u32,
     pub weights: Weights,
     pub policy: PlacementPolicy,
-    /// Time that urgent tasks wait before other tasks are evicted. `None` stands for the default.
+    /// Time that urgent tasks wait before other tasks are evicted. `None` means the default.
     pub preempt_after: Option<Millis>,
     pub seed: u64,
     pub table_seed: u64,
--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -41,7 +41,7 @@
 /// Workers of the recovered shard.
 const RECOVERY_WORKERS: usize = 1_200;
 
-/// Measures and prints a line for each figure.
+/// Measures and prints a line for each measurement.
 pub(crate) fn run(args: &SeedArgs) -> Result<(), LoadError> {
     for policy in [PlacementPolicy::LeastLoaded, PlacementPolicy::Interference] {
         for workers in WORKER_COUNTS {
--- a/crates/replay/src/header.rs
+++ b/crates/replay/src/header.rs
@@ -8,7 +8,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Initial state of the recorded state machine.
+/// Initial state of the recorded scheduler.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Header {
     /// Place of the shard among all shards.
@@ -23,7 +23,7 @@
     pub now: Millis,
 }
 
-/// One step of the state machine.
+/// One step of the scheduler.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
     /// Time of the step.
--- a/crates/replay/src/recorder.rs
+++ b/crates/replay/src/recorder.rs
@@ -38,7 +38,7 @@
 }
 
 impl Recorder {
-    /// Creates a trace file and writes the initial state of the machine as its header.
+    /// Creates a trace file and writes the initial state of the scheduler as its header.
     ///
     /// # Errors
     ///
@@ -69,7 +69,7 @@
     /// Appends a step and flushes it.
     ///
     /// Callers should record every step: a tick without actions can still change the state of
-    /// the machine, and a replay without that tick can then differ.
+    /// the scheduler, and a replay without that tick can then differ.
     ///
     /// # Errors
     ///
--- a/crates/wire/src/keys.rs
+++ b/crates/wire/src/keys.rs
@@ -61,21 +61,21 @@
     format!("job/{}/{}", key.org, key.id).into()
 }
 
-/// Returns the prefix of a shard's list of finished jobs.
+/// Returns the prefix of a shard's index of ended jobs.
 pub fn ended_rows(shard: &str) -> Name {
     format!("ended/{shard}/").into()
 }
 
-/// Returns the key of a job in the list of those finished in `hour`, counted
+/// Returns the key of a job in the index of jobs that ended in `hour`, counted
 /// from the Unix epoch.
 pub fn ended(shard: &str, hour: u64, key: &JobKey) -> Name {
     format!("ended/{shard}/{hour:010}/{}/{}", key.org, key.id).into()
 }
 
-/// Prefix of the list of claims by hour.
+/// Prefix of the index of claims by hour.
 pub const CLAIMED: &str = "claimed/";
 
-/// Returns the key of a claim in the list of those made in `hour`.
+/// Returns the key of a claim in the index of claims made in `hour`.
 pub fn claimed(hour: u64, org: &str, key: &str) -> Name {
     format!("{CLAIMED}{hour:010}/{org}/{key}").into()
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -84,7 +84,8 @@
 pub enum JobsAnswer {
     /// States in the order of the keys; none for unknown jobs.
     States(Vec<Option<JobStatus>>),
-    /// The cancellation is in the journal; the listed jobs are unknown, possibly only not yet.
+    /// The cancellation is in the journal. Contains the requested jobs that the owner does not
+    /// have, possibly because it has not read them yet.
     Cancelled(Vec<JobKey>),
     /// Whether the instance may still command the shard's workers.
     Holds(bool),
--- a/crates/wire/src/stored.rs
+++ b/crates/wire/src/stored.rs
@@ -81,16 +81,16 @@
     pub shard: Name,
     /// The job as accepted.
     pub spec: JobSpec,
-    /// Final state; `None` until the job has finished.
+    /// Final state; `None` until the job has ended.
     pub ended: Option<JobStatus>,
 }
 
-/// An entry of the list by which old finished jobs are deleted.
+/// An entry of the index by which old ended jobs are deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedJob {
     /// The job.
     pub key: JobKey,
-    /// Hour in which the job finished, counted from the Unix epoch.
+    /// Hour in which the job ended, counted from the Unix epoch.
     pub hour: u64,
     /// Number of the job in its shard.
     pub no: u32,
@@ -98,7 +98,7 @@
     pub attempts: Vec<u32>,
 }
 
-/// An entry of the list by which old claims are deleted.
+/// An entry of the index by which old claims are deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimedKey {
     /// Organisation.
