--- a/crates/stand/src/ledger.rs
+++ b/crates/stand/src/ledger.rs
@@ -35,7 +35,7 @@
     Saved,
     /// A task was stopped without a checkpoint.
     Stopped,
-    /// A start was refused because the worker lacks room.
+    /// A start was refused because the worker lacks capacity.
     NoRoom,
     /// A start was refused because its lease had already expired.
     Stale,
--- a/crates/stand/src/sim.rs
+++ b/crates/stand/src/sim.rs
@@ -2,7 +2,7 @@
 //!
 //! The worker enforces its contract with the owner: it refuses exchanges of an older
 //! epoch or sequence number, starts whose lease has already expired, and starts that
-//! don't fit in its free room.
+//! don't fit in its free capacity.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -128,7 +128,7 @@
         self.runs.len()
     }
 
-    /// Returns the current slowdown of the service `kind`; 1 is undisturbed.
+    /// Returns the current slowdown of the service `kind`; 1 without interference.
     pub fn service_slowdown(&self, kind: &str) -> f64 {
         let load = self.load();
         let mut own_found = false;
--- a/crates/stand/src/slowdown.rs
+++ b/crates/stand/src/slowdown.rs
@@ -38,7 +38,7 @@
         self.strength * MAX_CONTRIBUTION * uniform.powf(SKEW_EXPONENT) * load_factor
     }
 
-    /// Returns the slowdown of `victim` beside `others`; 1 is undisturbed.
+    /// Returns the slowdown of `victim` beside `others`; 1 without interference.
     ///
     /// `others` gives the kind and the CPU percentage of each neighbour.
     pub fn total<'a>(
--- a/crates/stand/src/target.rs
+++ b/crates/stand/src/target.rs
@@ -33,8 +33,8 @@
 }
 
 impl SimTarget {
-    /// Returns a target with `slots` slots whose undisturbed requests take `mean_ms` on
-    /// average.
+    /// Returns a target with `slots` slots whose requests take `mean_ms` on average without
+    /// interference.
     pub fn new(slots: u32, mean_ms: f64) -> SimTarget {
         SimTarget {
             slots,
--- a/crates/wire/src/stored.rs
+++ b/crates/wire/src/stored.rs
@@ -129,10 +129,10 @@
     pub status: u16,
     /// Content type; empty if absent.
     pub kind: Name,
-    /// Body; empty if too long to be kept.
+    /// Body; empty if too long to be stored.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
-    /// Whether the body was kept.
+    /// Whether the body is stored.
     #[serde(rename = "whole")]
     pub has_body: bool,
 }
