--- a/crates/load/src/measure/starts.rs
+++ b/crates/load/src/measure/starts.rs
@@ -41,7 +41,7 @@
 /// Workers of the recovered shard.
 const RECOVERY_WORKERS: usize = 1_200;
 
-/// Measures and prints a line for each figure.
+/// Measures and prints a line for each measurement.
 pub(crate) fn run(args: &SeedArgs) -> Result<(), LoadError> {
     for policy in [PlacementPolicy::LeastLoaded, PlacementPolicy::Interference] {
         for workers in WORKER_COUNTS {
@@ -247,7 +247,7 @@
     );
     let snapshot = Snapshot {
         next: scheduler.next_record(),
-        book: scheduler.state().clone(),
+        state: scheduler.state().clone(),
     };
     let bytes = encode(&snapshot).unwrap_or_default();
     let began = Instant::now();
@@ -263,7 +263,7 @@
     };
     let takeover = Takeover {
         epoch: 2,
-        state: restored.book,
+        state: restored.state,
         next_record: restored.next,
         inherited_hold: 60_000,
         settled: true,
--- a/crates/wire/src/stored.rs
+++ b/crates/wire/src/stored.rs
@@ -70,7 +70,8 @@
     /// Number of the next record.
     pub next: u64,
     /// State of the shard before that record.
-    pub book: ShardState,
+    #[serde(rename = "book")]
+    pub state: ShardState,
 }
 
 /// A job's row.
@@ -80,16 +81,16 @@
     pub shard: Name,
     /// The job as accepted.
     pub spec: JobSpec,
-    /// Final state; `None` until the job has finished.
+    /// Final state; `None` until the job has ended.
     pub ended: Option<JobStatus>,
 }
 
-/// An entry of the list by which old finished jobs are deleted.
+/// An entry of the index by which old ended jobs are deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedJob {
     /// The job.
     pub key: JobKey,
-    /// Hour in which the job finished, counted from the Unix epoch.
+    /// Hour in which the job ended, counted from the Unix epoch.
     pub hour: u64,
     /// Number of the job in its shard.
     pub no: u32,
@@ -97,7 +98,7 @@
     pub attempts: Vec<u32>,
 }
 
-/// An entry of the list by which old claims are deleted.
+/// An entry of the index by which old claims are deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimedKey {
     /// Organisation.
@@ -128,9 +129,10 @@
     pub status: u16,
     /// Content type; empty if absent.
     pub kind: Name,
-    /// Body; empty if too long to be kept.
+    /// Body; empty if too long to be stored.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
-    /// Whether the body was kept.
-    pub whole: bool,
+    /// Whether the body is stored.
+    #[serde(rename = "whole")]
+    pub has_body: bool,
 }
