--- a/crates/ctl/src/explain/cause.rs
+++ b/crates/ctl/src/explain/cause.rs
@@ -166,7 +166,7 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Cause::Unknown => write!(f, "no log line concerns it"),
+            Cause::Unknown => write!(f, "no line of these logs is about it"),
             Cause::Refused { times, err } => {
                 let err = err.as_deref().unwrap_or("no reason is logged");
                 write!(f, "it was refused {times} times and never accepted: {err}")
@@ -184,7 +184,7 @@
             }
             Cause::Cancelled => write!(f, "its caller cancelled it"),
             Cause::NoOwner { ms } => write!(f, "no instance owned the lease for {ms} ms"),
-            Cause::Waited { ms } => write!(f, "it waited for capacity or its turn for {ms} ms"),
+            Cause::Waited { ms } => write!(f, "it waited for room or its turn for {ms} ms"),
             Cause::FailedRuns { ms } => write!(f, "runs of {ms} ms in all failed"),
             Cause::StoppedRuns { ms } => write!(f, "runs of {ms} ms in all were stopped or lost"),
             Cause::Slowed { ms } => write!(f, "its runs were slowed for {ms} ms in all"),
